--- /dev/null
+++ b/src/estimates/decaying_sum.h
@@ -0,0 +1,28 @@
+// A sum over recent events in which each amount decays exponentially with its age.
+#pragma once
+
+#include <cmath>
+
+#include "estimates/duration_math.h"
+
+namespace leverrelay {
+
+class DecayingSum {
+ public:
+  /// The sum as of `now`. In the steady state it is the rate of amounts times `timeConstant`.
+  double at(Time now, Duration timeConstant) const {
+    return sum_ * std::exp(-ratio(now - lastChange_, timeConstant));
+  }
+
+  /// Adds `amount` at `now`. All calls on one object must pass the same time constant.
+  void add(double amount, Time now, Duration timeConstant) {
+    sum_ = at(now, timeConstant) + amount;
+    lastChange_ = now;
+  }
+
+ private:
+  double sum_ = 0;
+  Time lastChange_{};
+};
+
+}  // namespace leverrelay
--- /dev/null
+++ b/src/estimates/duration_math.h
@@ -0,0 +1,28 @@
+// Arithmetic on the decision module's durations. No state, no decisions.
+#pragma once
+
+#include <algorithm>
+#include <cmath>
+
+#include "leverrelay/router.h"
+
+namespace leverrelay {
+
+/// Returns numerator / denominator. A denominator below one microsecond counts as one microsecond, so the
+/// result is always finite.
+inline double ratio(Duration numerator, Duration denominator) {
+  const Duration::rep divisor = std::max<Duration::rep>(1, denominator.count());
+  return static_cast<double>(numerator.count()) / static_cast<double>(divisor);
+}
+
+/// Returns span * factor, rounded to the nearest microsecond.
+inline Duration scaled(Duration span, double factor) {
+  return Duration(std::llround(static_cast<double>(span.count()) * factor));
+}
+
+/// Returns the exponential decay factor after the time from `last` to `now`: 1 at once, 0.5 after `halfLife`.
+inline double decay(Time now, Time last, Duration halfLife) {
+  return std::exp2(-ratio(now - last, halfLife));
+}
+
+}  // namespace leverrelay
--- /dev/null
+++ b/src/estimates/fading_average.h
@@ -0,0 +1,33 @@
+// A weighted mean in which each new sample takes weight from the older ones.
+#pragma once
+
+#include "estimates/duration_math.h"
+
+namespace leverrelay {
+
+class FadingAverage {
+ public:
+  /// Adds one sample, which was taken at `now`.
+  void add(double sample, Time now = {}) {
+    sum_ = sum_ * kKeptWeight + sample;
+    weight_ = weight_ * kKeptWeight + 1;
+    lastSample_ = now;
+  }
+
+  /// The weighted mean of all samples, or 0 if there were none.
+  double mean() const { return weight_ > 0 ? sum_ / weight_ : 0; }
+
+  /// The mean, decayed by the age of the last sample. A decision that keeps new samples from coming is thus
+  /// taken back after some half-lives.
+  double decayedMean(Time now, Duration halfLife) const { return mean() * decay(now, lastSample_, halfLife); }
+
+ private:
+  /// Weight that each older sample keeps when one is added: about the last seven determine the mean.
+  static constexpr double kKeptWeight = 0.85;
+
+  double sum_ = 0;
+  double weight_ = 0;
+  Time lastSample_{};
+};
+
+}  // namespace leverrelay
--- /dev/null
+++ b/src/estimates/stable_hash.h
@@ -0,0 +1,15 @@
+// Hashes that are the same in every process, on every machine and in every release.
+#pragma once
+
+#include <cstdint>
+#include <string>
+
+namespace leverrelay {
+
+/// A 64-bit hash of a pair of strings (FNV-1a with the finalizer of MurmurHash3).
+std::uint64_t stableHash(const std::string& first, const std::string& second);
+
+/// A number between 0 and 1, both excluded, that is drawn uniformly by stableHash().
+double stableDraw(const std::string& first, const std::string& second);
+
+}  // namespace leverrelay
--- a/src/rules.cpp
+++ b/src/rules.cpp
@@ -7,6 +7,10 @@
 #include <random>
 #include <set>
 
+#include "estimates/decaying_sum.h"
+#include "estimates/duration_math.h"
+#include "estimates/fading_average.h"
+#include "estimates/stable_hash.h"
 #include "leverrelay/router.h"
 
 namespace leverrelay {
@@ -17,7 +21,6 @@
 // ---- 1 Knobs -------------------------------------------------------------------------------------
 
 constexpr std::chrono::milliseconds kPulse{10};  // how often waiting work is looked at; short beside any aim
-constexpr double kKeep = 0.85;                   // say of the past at each sample: about the last seven count
 constexpr double kEjectAt = 0.35, kEjectTimes = 3;  // failures to be passed over; times the best peer's
 constexpr int kGoodTrials = 3;                      // in a row before an engine that failed some is trusted
 constexpr int kNewIsGood = 3;                       // successes that a new engine is believed to have had
@@ -62,56 +65,6 @@
 
 std::size_t at(Role role) { return static_cast<std::size_t>(role); }
 
-double ratio(Duration a, Duration b) {
-  return static_cast<double>(a.count()) / static_cast<double>(std::max<Duration::rep>(1, b.count()));
-}
-
-Duration scaled(Duration span, double factor) {
-  return Duration(std::llround(static_cast<double>(span.count()) * factor));
-}
-
-double fading(Time now, Time last, Duration half) { return std::exp2(-ratio(now - last, half)); }
-
-// A fading mean. at() loses its say when nothing refreshes it: a refusal by it must not keep itself true.
-class Average {
- public:
-  void add(double sample, Time now = {}) {
-    sum_ = sum_ * kKeep + sample;
-    count_ = count_ * kKeep + 1;
-    last_ = now;
-  }
-  double mean() const { return count_ > 0 ? sum_ / count_ : 0; }
-  double at(Time now, Duration half) const { return mean() * fading(now, last_, half); }
-
- private:
-  double sum_ = 0, count_ = 0;
-  Time last_{};
-};
-
-std::uint64_t hashOf(const std::string& a, const std::string& b) {  // FNV-1a, then a finaliser
-  std::uint64_t hash = 14695981039346656037ULL;
-  for (const std::string* text : {&a, &b}) {
-    for (const char c : *text) hash = (hash ^ static_cast<unsigned char>(c)) * 1099511628211ULL;
-    hash = (hash ^ 0xffU) * 1099511628211ULL;
-  }
-  hash = (hash ^ hash >> 33) * 0xff51afd7ed558ccdULL;
-  hash = (hash ^ hash >> 33) * 0xc4ceb9fe1a85ec53ULL;
-  return hash ^ hash >> 33;
-}
-
-class Flow {  // what passed of late, forgotten exponentially
- public:
-  double at(Time now, Duration memory) const { return sum_ * std::exp(-ratio(now - last_, memory)); }
-  void add(double amount, Time now, Duration memory) {
-    sum_ = at(now, memory) + amount;
-    last_ = now;
-  }
-
- private:
-  double sum_ = 0;
-  Time last_{};
-};
-
 using Caller = std::pair<std::uint32_t, std::uint32_t>;  // class, and tenant counted from one, if any
 
 struct Engine {
@@ -125,7 +78,7 @@
   Time quietSince{};            // last sign while attempts were out
   Duration wait{};              // before a read there begins, as seen last
   Time waitAt{};
-  Average fails;
+  FadingAverage fails;
   bool ejected = false;
   Time ejectedAt{}, coldFilled{};
   int trialsLeft = 0;  // to go well before it is trusted again
@@ -259,7 +212,9 @@
     std::tie(e.trialAt, e.pause) = std::pair(now_ + e.pause, std::min<Duration>(e.pause * 2, kLongestPause));
   }
 
-  void trust(Engine& e) { std::tie(e.ejected, e.pause, e.fails) = std::tuple(false, kFirstPause, Average()); }
+  void trust(Engine& e) {
+    std::tie(e.ejected, e.pause, e.fails) = std::tuple(false, kFirstPause, FadingAverage());
+  }
 
   // What fails or swallows some may do one trial well: it takes several, and what was sent before is none.
   void noteGood(Engine& e, Time sentAt) {
@@ -305,7 +260,7 @@
 
   // What a read showed last loses its say with its age; own work is known.
   Duration waitAt(const Engine& e) const {
-    return std::max(timeFor(e.readTokens / warmShare(e)), scaled(e.wait, fading(now_, e.waitAt, fade())));
+    return std::max(timeFor(e.readTokens / warmShare(e)), scaled(e.wait, decay(now_, e.waitAt, fade())));
   }
 
   void noteWait(Engine& e, Duration wait) { std::tie(e.wait, e.waitAt) = std::pair(wait, now_); }
@@ -359,7 +314,7 @@
   void rank(std::vector<Engine*>& engines, std::size_t first, const std::string& key) const {
     std::multimap<double, Engine*> scored;
     for (std::size_t i = 0; i < first; ++i)
-      scored.emplace(-std::log(drawOf(key, engines[i]->info.engine.value)) / hashWeight(*engines[i]),
+      scored.emplace(-std::log(stableDraw(key, engines[i]->info.engine.value)) / hashWeight(*engines[i]),
                      engines[i]);
     std::transform(scored.begin(), scored.end(), engines.begin(), [](const auto& x) { return x.second; });
   }
@@ -444,7 +399,7 @@
   Engine* leastLoaded(const Request& r, std::optional<CellIndex> cell) {
     Engine* best = nullptr;
     auto worth = [&](const Engine& e) {
-      return std::make_tuple(full(e), refuses(r, e), load(e), hashOf(salt_, e.info.engine.value));
+      return std::make_tuple(full(e), refuses(r, e), load(e), stableHash(salt_, e.info.engine.value));
     };
     for (auto& [id, e] : engines_) {
       if (e.role == Role::kReader || (cell && (e.role == Role::kMixed || e.info.cell != *cell)) || !fit(e) ||
@@ -455,22 +410,18 @@
     return best;
   }
 
-  double drawOf(const std::string& a, const std::string& b) const {
-    return (static_cast<double>(hashOf(a, b) >> 11) + 0.5) / 9007199254740992.0;
-  }
-
   // The reader's cell, or one with room if that cell's readers do more than its writers can write.
   CellIndex writingCell(const Request& r) const {
     CellIndex best = r.reader->info.cell;
     const auto home = cells_.find(best);  // none: nothing of it is listed any more
     if (home != cells_.end() &&
-        drawOf(r.told.request.value, "near") < home->second.writes / std::max(home->second.share, kTiny))
+        stableDraw(r.told.request.value, "near") < home->second.writes / std::max(home->second.share, kTiny))
       return best;
     double least = HUGE_VAL;
     for (const auto& [index, cell] : cells_) {
       const double room = cell.writes - cell.share;
       if (room <= 0) continue;
-      const double score = -std::log(drawOf(r.told.request.value, std::to_string(index.value))) / room;
+      const double score = -std::log(stableDraw(r.told.request.value, std::to_string(index.value))) / room;
       if (score < least) std::tie(least, best) = std::pair(score, index);
     }
     return best;
@@ -541,14 +492,16 @@
     return least;
   }
 
-  Duration usual(Role role) const { return Duration(std::llround(answer_[at(role)].at(now_, fade()))); }
+  Duration usual(Role role) const {
+    return Duration(std::llround(answer_[at(role)].decayedMean(now_, fade())));
+  }
 
   // Early refusal: late answers earn little and make those behind them late.
   bool worthless(const Request& r, const Engine& reader) const {
     const Duration rest = reader.role == Role::kReader ? usual(Role::kWriter) : Duration::zero();
     const Duration others = r.told.resumed ? Duration::max() : shortestAim(classOf(r).worth);
     const Duration left = std::min(r.aim - now_, others);
-    return scaled(readTime(r, reader), fading(now_, lastRead_, fade())) + rest > left;
+    return scaled(readTime(r, reader), decay(now_, lastRead_, fade())) + rest > left;
   }
 
   // Readers may be too few or fail while writers rest, which read too, more slowly: between their steps.
@@ -578,7 +531,7 @@
   bool throttled(const Request& r) const {
     const double tried = reads_.at(now_, kJamMemory), known = kKnownReads * count_[at(Role::kReader)];
     const double allowed = kJamTimes * timely_.at(now_, kJamMemory) + std::max(1.0, known / set_.nodes);
-    return tried < known && drawOf(r.told.request.value, "throttle") * tried > allowed;
+    return tried < known && stableDraw(r.told.request.value, "throttle") * tried > allowed;
   }
 
   void startRead(Request& r) {
@@ -1026,16 +979,16 @@
   Settings set_;
   std::optional<std::string> problem_;
   std::string salt_;
-  Average kept_[2];    // share of a prompt found kept: elsewhere, at its home
-  Average answer_[3];  // by role, microseconds to the end of a read or the first token
+  FadingAverage kept_[2];    // share of a prompt found kept: elsewhere, at its home
+  FadingAverage answer_[3];  // by role, microseconds to the end of a read or the first token
   std::map<EngineId, Engine> engines_;
   std::map<CellIndex, Cell> cells_;
-  std::map<std::string, Flow> keyFlow_;                    // arrivals of a key
+  std::map<std::string, DecayingSum> keyFlow_;             // arrivals of a key
   double readRate_ = 0;                                    // unread tokens a microsecond where nothing waits
   double held_ = 0, streams_ = 0, retries_ = kRetryBurst;  // own answers' tokens, and how many; spare retries
   std::mt19937_64 random_;
-  Flow arrivals_, sends_[3], writerReads_;  // sends by role; tokens sent to be read by writers
-  Flow reads_, timely_;                     // reads that ended, and those of them in time
+  DecayingSum arrivals_, sends_[3], writerReads_;  // sends by role; tokens sent to be read by writers
+  DecayingSum reads_, timely_;                     // reads that ended, and those of them in time
   std::array<double, 3> weight_{}, mostWeight_{}, count_{};  // by role: listed, the most ever, how many
   std::map<RequestId, Request> requests_;
   std::optional<Time> askAgainAt_, stopsAt_;
--- /dev/null
+++ b/tests/estimates_test.cpp
@@ -0,0 +1,94 @@
+// Averages, sums and hashes that the decision module builds on.
+#include <gtest/gtest.h>
+
+#include <set>
+
+#include "estimates/decaying_sum.h"
+#include "estimates/duration_math.h"
+#include "estimates/fading_average.h"
+#include "estimates/stable_hash.h"
+
+namespace leverrelay {
+namespace {
+
+using std::chrono::seconds;
+
+Time at(double second) { return Time(Duration(static_cast<Duration::rep>(second * 1e6))); }
+
+TEST(DurationMath, RatioIsFiniteForAnEmptyDenominator) {
+  EXPECT_DOUBLE_EQ(ratio(seconds(3), seconds(2)), 1.5);
+  EXPECT_DOUBLE_EQ(ratio(Duration(7), Duration(0)), 7);
+  EXPECT_DOUBLE_EQ(ratio(Duration(7), Duration(-5)), 7);
+}
+
+TEST(DurationMath, ScaledRoundsToTheNearestMicrosecond) {
+  EXPECT_EQ(scaled(Duration(3), 0.5), Duration(2));
+  EXPECT_EQ(scaled(Duration(1'000), 1.0004), Duration(1'000));
+  EXPECT_EQ(scaled(seconds(2), 0), Duration(0));
+}
+
+TEST(DurationMath, DecayHalvesWithEachHalfLife) {
+  EXPECT_DOUBLE_EQ(decay(at(5), at(5), seconds(2)), 1);
+  EXPECT_DOUBLE_EQ(decay(at(7), at(5), seconds(2)), 0.5);
+  EXPECT_DOUBLE_EQ(decay(at(9), at(5), seconds(2)), 0.25);
+}
+
+TEST(FadingAverage, IsZeroWithoutSamplesAndTheSampleAfterOne) {
+  FadingAverage average;
+  EXPECT_DOUBLE_EQ(average.mean(), 0);
+  average.add(4);
+  EXPECT_DOUBLE_EQ(average.mean(), 4);
+}
+
+TEST(FadingAverage, FollowsWhatIsNewAndForgetsWhatIsOld) {
+  FadingAverage average;
+  for (int i = 0; i < 20; ++i) average.add(1);
+  for (int i = 0; i < 7; ++i) average.add(0);
+  EXPECT_LT(average.mean(), 0.35);
+  EXPECT_GT(average.mean(), 0.25);
+}
+
+TEST(FadingAverage, DecaysFromItsLastSampleOn) {
+  FadingAverage average;
+  average.add(8, at(10));
+  EXPECT_DOUBLE_EQ(average.decayedMean(at(10), seconds(1)), 8);
+  EXPECT_DOUBLE_EQ(average.decayedMean(at(13), seconds(1)), 1);
+  EXPECT_DOUBLE_EQ(average.mean(), 8);
+}
+
+TEST(DecayingSum, HoldsRateTimesTimeConstantInTheSteadyState) {
+  DecayingSum sum;
+  double now = 0;
+  for (int i = 0; i < 10'000; ++i) sum.add(1, at(now += 0.01), seconds(5));
+  EXPECT_NEAR(sum.at(at(now), seconds(5)), 100 * 5, 1);
+  EXPECT_NEAR(sum.at(at(now + 5), seconds(5)), 100 * 5 * std::exp(-1), 1);
+}
+
+// The figures are part of the contract: nodes of different releases must order instances alike.
+TEST(StableHash, NeverChangesItsFigures) {
+  EXPECT_EQ(stableHash("", ""), 689861552466052133ULL);
+  EXPECT_EQ(stableHash("prefix", "s-5be2a07c"), 2220736449789088585ULL);
+}
+
+TEST(StableHash, TellsPairsApartThatJoinToTheSameText) {
+  EXPECT_NE(stableHash("ab", "c"), stableHash("a", "bc"));
+  EXPECT_NE(stableHash("a", "b"), stableHash("b", "a"));
+}
+
+TEST(StableDraw, IsEvenlySpreadBetweenZeroAndOne) {
+  constexpr int kDraws = 20'000;
+  double sum = 0;
+  std::set<double> distinct;
+  for (int i = 0; i < kDraws; ++i) {
+    const double draw = stableDraw("key", std::to_string(i));
+    ASSERT_GT(draw, 0);
+    ASSERT_LT(draw, 1);
+    sum += draw;
+    distinct.insert(draw);
+  }
+  EXPECT_NEAR(sum / kDraws, 0.5, 0.01);
+  EXPECT_EQ(distinct.size(), static_cast<std::size_t>(kDraws));
+}
+
+}  // namespace
+}  // namespace leverrelay
