--- /dev/null
+++ b/tests/support/day_policies.h
@@ -0,0 +1,102 @@
+// What may decide on a drawn day, and one node that keeps its rules in sight.
+#pragma once
+
+#include <functional>
+#include <memory>
+
+#include "support/drawn_day.h"
+#include "support/rule_book.h"
+
+namespace leverrelay {
+
+using Policy = std::function<void(Time, const Event&, std::vector<Action>&)>;
+
+// Any instance that fits, and what does not end well there is over.
+class Plainest {
+ public:
+  Plainest(const Settings& settings, std::uint64_t seed) : set_(settings), draw_(seed) {}
+  void operator()(Time now, const Event& event, std::vector<Action>& actions) {
+    if (const auto* news = std::get_if<ListNews>(&event))
+      for (const ListEntry& entry : news->entries) fleet_[entry.engine] = entry;
+    if (const auto* told = std::get_if<Arrival>(&event)) {
+      const Waiting& w = waiting_[told->request] = {told->cls, now + told->timeLeft};
+      send(told->request, w, Role::kReader, actions);
+    }
+    if (const auto* lapsed = std::get_if<Lapsed>(&event)) actions.push_back(Release{lapsed->request});
+    const auto* ended = std::get_if<AttemptEnded>(&event);
+    if (ended == nullptr || ended->outcome == Outcome::kServed) return;
+    const Waiting& w = waiting_.at(ended->request);
+    if (ended->outcome == Outcome::kRead && !ended->concluded)
+      return send(ended->request, w, Role::kWriter, actions);
+    actions.push_back(Release{ended->request});
+    if (!ended->concluded) actions.push_back(Fail{ended->request});
+  }
+
+ private:
+  struct Waiting {
+    ClassIndex cls;
+    Time deadline;
+  };
+  void send(const RequestId& id, const Waiting& w, Role role, std::vector<Action>& actions) {
+    std::vector<EngineId> fit;
+    for (const auto& [engine, entry] : fleet_) {
+      const Role its = set_.kinds[entry.kind.value].role;
+      if (entry.presence == Presence::kActive && (its == role || its == Role::kMixed)) fit.push_back(engine);
+    }
+    if (fit.empty()) return void((actions.push_back(Release{id}), actions.push_back(Fail{id})));
+    const auto n = static_cast<std::size_t>(oneOf(draw_, 0, static_cast<int>(fit.size()) - 1));
+    actions.push_back(Send{id, fit[n], w.deadline});
+  }
+
+  Settings set_;
+  Draw draw_;
+  std::map<EngineId, ListEntry> fleet_;
+  std::map<RequestId, Waiting> waiting_;
+};
+
+// One conductor: what decides, and what may be seen of it.
+class Node : public RuleBook {
+ public:
+  Node(const Settings& settings, Policy policy, bool checked)
+      : RuleBook(settings), policy_(std::move(policy)), checked_(checked) {}
+
+  std::vector<Action> give(Time now, const Event& event) {
+    now_ = now;
+    std::vector<Action> actions;
+    if (const auto* told = std::get_if<Arrival>(&event)) arrived(told->request, told->cls, told->timeLeft);
+    if (const auto* opens = std::get_if<StreamOpened>(&event)) opened(held_.at(opens->request));
+    if (const auto* lapsed = std::get_if<Lapsed>(&event)) held_.at(lapsed->request).over = true;
+    if (const auto* news = std::get_if<ListNews>(&event))
+      for (const ListEntry& entry : news->entries) list(entry);
+    if (const auto* end = std::get_if<AttemptEnded>(&event)) {
+      AttemptEnded whole = *end;
+      whole.concluded = ended(held_.at(end->request), end->attempt, end->outcome).second;
+      policy_(now, whole, actions);
+    } else {
+      policy_(now, event, actions);
+    }
+    for (const Action& action : actions) std::visit([this](const auto& act) { see(act); }, action);
+    return actions;
+  }
+  void look(Time now) {
+    now_ = now;
+    if (checked_) checkStanding();
+  }
+  bool waits(const RequestId& id) const {
+    const auto it = held_.find(id);
+    return it != held_.end() && !it->second.over;
+  }
+
+ private:
+  template <class Act>
+  void see(const Act& act) {
+    if (checked_) return RuleBook::see(act);
+    if constexpr (std::is_same_v<Act, Send>) held_.at(act.request).out[held_.at(act.request).sent++] = {};
+    if constexpr (std::is_same_v<Act, Fail>) held_.at(act.request).over = true;
+  }
+
+  Policy policy_;
+  bool checked_;
+};
+
+}  // namespace leverrelay
--- /dev/null
+++ b/tests/support/drawn_day.h
@@ -0,0 +1,183 @@
+// Days on drawn settings: a deployment, what is asked of it and what goes wrong, all from the seed of a day.
+#pragma once
+
+#include <cmath>
+#include <functional>
+#include <random>
+
+#include "fleet.h"
+
+namespace leverrelay {
+
+using Draw = std::mt19937_64;
+
+inline double in(Draw& draw, double from, double to) {
+  return std::uniform_real_distribution<>(from, to)(draw);
+}
+inline int oneOf(Draw& draw, int from, int to) { return std::uniform_int_distribution<>(from, to)(draw); }
+inline bool chance(Draw& draw, double p) { return in(draw, 0, 1) < p; }
+inline Duration span(double seconds) { return Duration(std::llround(seconds * 1e6)); }
+inline double secondsOf(Duration d) { return std::chrono::duration<double>(d).count(); }
+
+struct Sizes {
+  int slots, queue;
+  double readRate;  // tokens a second
+};
+
+struct Asked {
+  double at;
+  int node;
+  Arrival told;
+  double answer;  // tokens
+  bool leaves;    // its client, before the end of its time
+};
+
+struct Change {  // of one instance
+  enum What { kForgets, kLeaves, kEnds, kStarts, kCut, kBack } what;
+  double at;
+  std::size_t box;
+};
+
+// Everything that is so whoever decides: a deployment, what is asked of it, and what goes wrong.
+struct DrawnDay {
+  static constexpr double kLength = 9;
+
+  explicit DrawnDay(std::uint64_t seed) : draw(seed) {
+    drawSettings();
+    drawFleet();
+    drawTraffic();
+    drawTroubles();
+  }
+
+  void drawSettings() {
+    set.contract = {.drainGrace = span(0.05 * std::pow(30, in(draw, 0, 1))),
+                    .answerGrace = 8ms,
+                    .askWithin = 10s,
+                    .coldFrom = in(draw, 0.25, 0.5),
+                    .coldFor = span(in(draw, 3, 13)),
+                    .fallFactor = in(draw, 2.2, 3.5),
+                    .fallFor = span(in(draw, 0.7, 3)),
+                    .releaseWithin = span(in(draw, 0.08, 0.5))};
+    set.limits = {.cancel = chance(draw, 0.8),
+                  .peers = false,
+                  .probing = chance(draw, 0.5),
+                  .secondCopies = false,
+                  .retryAfter = chance(draw, 0.5),
+                  .maxAttempts = oneOf(draw, 3, 6),
+                  .maxRetryAfter = span(in(draw, 0.5, 2)),
+                  .dialTimeout = std::min(span(in(draw, 0.1, 0.3)), set.contract.releaseWithin * 3 / 4)};
+    set.discovery = Discovery::kPush;
+    set.placesAhead = chance(draw, 0.7);
+    set.writersRead = chance(draw, 0.4);
+    set.nodes = oneOf(draw, 1, 4);
+    set.tick = 2ms;
+    for (int i = 0, n = oneOf(draw, 1, 3); i < n; ++i) {
+      const double aim = in(draw, 0.8, 3);
+      set.classes.push_back({.effect = static_cast<Effect>(oneOf(draw, 0, 2)),
+                             .group = static_cast<Group>(oneOf(draw, 0, 2)),
+                             .dedupWindow = span(in(draw, 0.3, 3)),
+                             .aim = span(aim),
+                             .aimPer1000 = span(in(draw, 0.02, 0.08)),
+                             .tokenAim = span(in(draw, 0.04, 0.1)),
+                             .deadline = span(aim * in(draw, 2.5, 6)),
+                             .lateShare = in(draw, 0.1, 0.35),
+                             .worth = in(draw, 1, 4),
+                             .stream = true});
+    }
+  }
+
+  void drawFleet() {
+    const bool mixed = chance(draw, 0.5);
+    const int zones = oneOf(draw, 1, 3), writerKinds = oneOf(draw, 1, 2);
+    const auto kind = [&](Role role, Sizes of, int count) {
+      set.kinds.push_back({role, in(draw, 60'000, 250'000)});
+      sizes.push_back(of);
+      for (int i = 0; i < count; ++i) {
+        const auto cell = static_cast<std::uint32_t>(oneOf(draw, 0, 2 * zones - 1));
+        boxes.push_back(engine(numbered("e", static_cast<int>(boxes.size())),
+                               static_cast<std::uint32_t>(set.kinds.size()) - 1, cell));
+        boxes.back().zone = {cell / 2};
+      }
+    };
+    kind(Role::kReader, {1, oneOf(draw, 12, 60), in(draw, 7'000, 22'000)}, oneOf(draw, 3, 6));
+    for (int i = 0; i < writerKinds; ++i)
+      kind(Role::kWriter, {oneOf(draw, 10, 60), oneOf(draw, 8, 40), in(draw, 5'000, 9'000)},
+           oneOf(draw, 4 - writerKinds, 6 / writerKinds));
+    if (mixed)
+      kind(Role::kMixed, {oneOf(draw, 10, 40), oneOf(draw, 10, 40), in(draw, 7'000, 15'000)},
+           oneOf(draw, 1, 3));
+    if (chance(draw, 0.3)) std::swap(set.kinds.front(), set.kinds.back()), swapKinds();
+  }
+  // The order of kinds says nothing.
+  void swapKinds() {
+    std::swap(sizes.front(), sizes.back());
+    const auto last = static_cast<std::uint32_t>(set.kinds.size()) - 1;
+    for (ListEntry& box : boxes)
+      box.kind.value = box.kind.value == 0 ? last : box.kind.value == last ? 0 : box.kind.value;
+  }
+  Role roleOf(std::size_t box) const { return set.kinds[boxes[box].kind.value].role; }
+
+  void drawTraffic() {
+    const double prompt = in(draw, 800, 6'000), shared = in(draw, 0.3, 0.8), answer = in(draw, 30, 120);
+    const int prefixes = oneOf(draw, 2, 12);
+    double gap = 0, reads = 0, writes = 0;
+    for (const ClassSettings& cls : set.classes) gap += secondsOf(cls.tokenAim) / 2;
+    gap /= static_cast<double>(set.classes.size());
+    for (std::size_t i = 0; i < boxes.size(); ++i) {
+      const Sizes& of = sizes[boxes[i].kind.value];
+      if (roleOf(i) != Role::kWriter) reads += of.readRate / prompt / (1 - shared / 2);
+      if (roleOf(i) != Role::kReader) writes += of.slots / (answer * gap);
+    }
+    const double rate = std::min(60.0, in(draw, 0.35, 0.85) * std::min(reads, writes));
+    int asked = 0;
+    for (double at = 0.1; at < kLength; at += std::exponential_distribution<>(rate)(draw)) {
+      const auto cls = static_cast<std::uint32_t>(oneOf(draw, 0, static_cast<int>(set.classes.size()) - 1));
+      const double tokens = prompt * in(draw, 0.5, 1.5);
+      Arrival told{};
+      told.request = {numbered("q", ++asked)};
+      told.cls = {cls};
+      told.session = numbered("s", oneOf(draw, 0, asked));
+      told.prefix = numbered("p", oneOf(draw, 0, prefixes - 1));
+      told.timeLeft = span(secondsOf(set.classes[cls].deadline) * in(draw, 0.5, 1));
+      told.promptTokens = tokens;
+      told.prefixTokens = tokens * shared;
+      told.maxTokens = answer * 4;
+      asks.push_back(
+          {at, oneOf(draw, 0, set.nodes - 1), told, answer * in(draw, 0.4, 1.6), chance(draw, 0.02)});
+    }
+  }
+
+  void drawTroubles() {
+    for (std::size_t i = 0; i < boxes.size(); ++i)
+      if (chance(draw, 0.6)) changes.push_back({Change::kForgets, kLength / 2, i});
+    const auto cell =
+        boxes[static_cast<std::size_t>(oneOf(draw, 0, static_cast<int>(boxes.size()) - 1))].cell;
+    const double cut = in(draw, 1, kLength - 2), back = cut + in(draw, 0.5, 1.5);
+    const bool writers = chance(draw, 0.4);  // all of them, or a cell
+    for (std::size_t i = 0; i < boxes.size(); ++i) {
+      if (writers ? roleOf(i) != Role::kWriter : boxes[i].cell != cell) continue;
+      changes.push_back({Change::kCut, cut, i});
+      changes.push_back({Change::kBack, back, i});
+    }
+    std::vector<std::size_t> order(boxes.size());
+    for (std::size_t i = 0; i < order.size(); ++i) order[i] = i;
+    std::shuffle(order.begin(), order.end(), draw);
+    double at = in(draw, 0.8, 1.5);
+    for (const std::size_t i : order) {
+      changes.push_back({Change::kLeaves, at, i});
+      changes.push_back({Change::kEnds, at + 2, i});
+      changes.push_back({Change::kStarts, at + 2.4, i});
+      at += in(draw, 1.6, 2.8);  // a few at a time, as anywhere
+      if (at > kLength - 2) break;
+    }
+  }
+
+  Draw draw;
+  Settings set{};
+  std::vector<Sizes> sizes;  // by kind
+  std::vector<ListEntry> boxes;
+  std::vector<Asked> asks;
+  std::vector<Change> changes;
+};
+
+}  // namespace leverrelay
