--- a/adapter/wire.cpp
+++ b/adapter/wire.cpp
@@ -10,6 +10,8 @@
 namespace leverrelay::wire {
 namespace {
 
+constexpr double kLongestMs = 1e12;   // of a setting: sums of such times stay far from any overflow
+constexpr double kMostCounted = 1e6;  // of whatever a setting counts
 constexpr std::uint64_t kHintValid = 1, kRepeat = 2, kResumed = 16;
 constexpr std::string_view kAlphabet = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
 
@@ -93,7 +95,8 @@
   double decimalOr(const std::string& path, double otherwise) const {
     return has(path) ? decimal(path) : otherwise;
   }
-  Duration span(const std::string& path) const { return fromMillis(decimal(path)); }
+  Duration span(const std::string& path) const { return fromMillis(atMost(kLongestMs, path)); }
+  int whole(const std::string& path) const { return static_cast<int>(atMost(kMostCounted, path)); }
   bool flag(const std::string& path) const {
     const std::string_view value = at(path).first;
     if (value == "true" || value == "1") return true;
@@ -114,7 +117,7 @@
     return values;
   }
   std::size_t count(const std::string& path) const {
-    return has(path + ".count") ? static_cast<std::size_t>(decimal(path + ".count")) : 0;
+    return has(path + ".count") ? static_cast<std::size_t>(whole(path + ".count")) : 0;
   }
   template <class Table>
   auto choice(const std::string& path, const Table& table) const {
@@ -130,15 +133,21 @@
   double number(const std::string& path, std::string_view text) const {
     const auto value = toDecimal(text);
     if (!value) line_.complain(field(path), path + " is not a number");
+    if (*value < 0) line_.complain(field(path), path + " is below 0");
     return *value;
   }
+  double atMost(double most, const std::string& path) const {
+    const double value = decimal(path);
+    if (value > most) line_.complain(field(path), path + " is too large");
+    return value;
+  }
 
   const Line& line_;
   std::map<std::string, std::pair<std::string_view, std::size_t>, std::less<>> found_;
 };
 
 std::vector<ClassSettings> parseClasses(const Pairs& pairs, Vocabulary& names) {
-  const auto count = static_cast<std::size_t>(pairs.decimal("grades.count"));
+  const auto count = static_cast<std::size_t>(pairs.whole("grades.count"));
   const auto per1000 = pairs.decimals("familyInfo.aimUsPer1000PromptTokens", count);
   const auto tokenAims = pairs.decimals("familyInfo.tokenAimMs", count);
   std::vector<ClassSettings> classes;
@@ -152,8 +161,8 @@
         .group = keyed || pairs.has(at + "group") ? pairs.choice(at + "group", kGroups) : Group::kAll,
         .dedupWindow = keyed ? pairs.span(at + "dedupWindowMs") : Duration::zero(),
         .aim = pairs.span(at + "goalTimeMs"),
-        .aimPer1000 = Duration(std::llround(per1000[i])),
-        .tokenAim = fromMillis(tokenAims[i]),
+        .aimPer1000 = fromMillis(std::min(per1000[i] / 1000, kLongestMs)),
+        .tokenAim = fromMillis(std::min(tokenAims[i], kLongestMs)),
         .deadline = pairs.span(at + "hardLimitMs"),
         .lateShare = pairs.decimal(at + "lateShare"),
         .worth = pairs.decimal(at + "worth"),
@@ -338,7 +347,7 @@
       .probing = pairs.flag("limits.probing"),
       .secondCopies = pairs.flag("limits.secondCopies"),
       .retryAfter = pairs.flag("limits.retryAfter"),
-      .maxAttempts = static_cast<int>(pairs.decimal("limits.maxAttempts")),
+      .maxAttempts = pairs.whole("limits.maxAttempts"),
       .maxRetryAfter = pairs.span("limits.maxRetryAfterMs"),
       .dialTimeout = pairs.span("limits.dialTimeoutMs"),
   };
@@ -363,8 +372,8 @@
   to.resume = pairs.flag("familyInfo.resume");
   to.countedByWork = pairs.wordOr("countedBy", "request") == "work";
   to.overShareWorth = pairs.decimalOr("overShareWorth", 1);
-  to.nodes = static_cast<int>(pairs.decimal("peersTotal"));
-  to.me = static_cast<int>(pairs.decimal("me"));
+  to.nodes = pairs.whole("peersTotal");
+  to.me = pairs.whole("me");
   to.tick = pairs.span("tickMs");
   names.zones = pairs.list("zones");
   names.x0Meaning = pairs.wordOr("familyInfo.reportX0", "");
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -85,6 +85,23 @@
   EXPECT_NE(complaint(batch("FOR\tn\nENLIST\t7\tkinds=a\n")).find("is missing"), std::string::npos);
 }
 
+TEST(Malformed, ANumberThatNoSettingMayHaveIsNamed) {
+  const auto with = [](const std::string& was, const std::string& is) {
+    std::string setup = kSetup;
+    setup.replace(setup.find(was), was.size(), is);
+    return complaint(batch("FOR\tn\n" + setup));
+  };
+  EXPECT_EQ(with("coldMs=10000", "coldMs=10000"), "");
+  EXPECT_NE(with("coldMs=10000", "coldMs=-1").find("contract.coldMs is below 0"), std::string::npos);
+  EXPECT_NE(with("memoryTokens=200000", "memoryTokens=-5").find("memoryTokens is below 0"),
+            std::string::npos);
+  EXPECT_NE(with("fallMs=3000", "fallMs=1e300").find("contract.fallMs is too large"), std::string::npos);
+  EXPECT_NE(with("maxAttempts=4", "maxAttempts=1e10").find("limits.maxAttempts is too large"),
+            std::string::npos);
+  EXPECT_NE(with("grades.count=1", "grades.count=1e300").find("grades.count is too large"),
+            std::string::npos);
+}
+
 TEST(Malformed, UnknownMessagesAndInstancesAreNamed) {
   EXPECT_NE(complaint(batch(std::string("FOR\tn\n") + kSetup + "GREETING\n")).find("unknown message"),
             std::string::npos);
