--- a/src/rules.cpp
+++ b/src/rules.cpp
@@ -55,6 +55,7 @@
 constexpr double kRateKept = 0.98;         // of the fastest reading seen, with each read that is slower
 constexpr double kAdvice = 0.1;            // of the longest wait that clients heed, advised with a refusal
 constexpr double kTiny = 1e-9;             // keeps divisions by nothing apart from nothing
+constexpr double kLongest = 1e15;          // microseconds of any time that is reckoned: no sum overflows
 constexpr seconds kAskPause{1};            // between tries to reach the list
 constexpr double kHandOverFrom = 0.6;  // share of the grace of a node that ends: its streams move from here,
 constexpr double kHandOverTo = 0.9;    // when a peer that ended before it is back, until here
@@ -66,9 +67,8 @@
   return static_cast<double>(a.count()) / static_cast<double>(std::max<Duration::rep>(1, b.count()));
 }
 
-Duration scaled(Duration span, double factor) {
-  return Duration(std::llround(static_cast<double>(span.count()) * factor));
-}
+Duration micros(double count) { return Duration(std::llround(std::clamp(count, -kLongest, kLongest))); }
+Duration scaled(Duration span, double factor) { return micros(static_cast<double>(span.count()) * factor); }
 
 double fading(Time now, Time last, Duration half) { return std::exp2(-ratio(now - last, half)); }
 
@@ -176,6 +176,9 @@
   if (settings.kinds.empty()) return "no engine kinds";
   if (settings.nodes < 1) return "fewer than one node";
   if (settings.limits.maxAttempts < 1) return "no attempts allowed";
+  if (settings.contract.fallFor <= Duration::zero()) return "no time over which a cold engine falls";
+  for (const ClassSettings& cls : settings.classes)
+    if (std::min(cls.aim, cls.deadline) <= Duration::zero()) return "a class without an aim or a deadline";
   return std::nullopt;
 }
 
@@ -217,7 +220,7 @@
     if (e.out == 0) return false;
     const auto work = static_cast<double>(timeFor(e.readTokens).count());
     const double expected = std::max(answer_[at(e.role)].mean(), work) * kSilentFor;
-    const Duration limit = std::max(Duration(std::llround(expected)), scaled(shortestAim(), kSilentAims));
+    const Duration limit = std::max(micros(expected), scaled(shortestAim(), kSilentAims));
     return now_ - e.quietSince > limit;
   }
 
@@ -226,10 +229,16 @@
     return listed(e) && !silent(e) && (!e.ejected || trial);
   }
 
+  double memoryOf(const Engine& e) const { return set_.kinds[e.info.kind.value].memoryTokens; }
+
+  bool eligible(const Request& r, const Engine& e) const {
+    return fit(e) && r.avoid.count(e.info.engine) == 0 && r.told.promptTokens <= memoryOf(e);
+  }
+
   double warmShare(const Engine& e) const {
     if (!e.info.started) return 1;
     const double age = ratio(now_ - *e.info.started, set_.contract.coldFor);
-    return age >= 1 ? 1 : std::max(set_.contract.coldFrom, age);
+    return age >= 1 ? 1 : std::max({set_.contract.coldFrom, age, kTiny});
   }
 
   // Guards rule four: this node's part of the budget, by what an engine of its weight usually gets from it. A
@@ -294,7 +303,7 @@
 
   // By the fastest reads of late: what is slower than that waited, or is at an engine that is slow.
   Duration timeFor(double tokens) const {
-    return readRate_ > 0 ? Duration(std::llround(tokens / readRate_)) : Duration::zero();
+    return readRate_ > 0 ? micros(tokens / readRate_) : Duration::zero();
   }
 
   Duration fade() const {
@@ -343,9 +352,9 @@
   // Readers share the work of the writers; a mixed engine takes the share that it writes as well.
   double hashWeight(const Engine& e) const {
     const double writers = weight_[at(Role::kWriter)];
-    if (e.role == Role::kMixed || writers <= 0) return e.info.weight;
+    if (e.role == Role::kMixed || writers <= 0) return std::max(kTiny, e.info.weight);
     const Cell& cell = cells_.at(e.info.cell);
-    return std::max(kTiny, writers * cell.share * e.info.weight / cell.readers);
+    return std::max(kTiny, writers * cell.share * e.info.weight / std::max(kTiny, cell.readers));
   }
 
   void countKey(const Request& r) {
@@ -392,7 +401,7 @@
     if (!order.empty()) r.home = order.front();
     Engine* best = nullptr;
     for (Engine* e : order) {
-      if (!fit(*e) || r.avoid.count(e->info.engine) != 0 || now_ < e->fullUntil || !coldAllows(*e)) continue;
+      if (!eligible(r, *e) || now_ < e->fullUntil || !coldAllows(*e)) continue;
       if (e->role == Role::kMixed && full(*e)) continue;
       auto worth = [&](const Engine& x) { return std::make_tuple(refuses(r, x), readTime(r, x)); };
       if (best != nullptr && worth(*e) >= worth(*best)) continue;
@@ -419,7 +428,7 @@
   }
 
   bool full(const Engine& e, double share = kFullMemory) const {
-    return now_ < e.fullUntil || expectedTokens(e) > set_.kinds[e.info.kind.value].memoryTokens * share;
+    return now_ < e.fullUntil || expectedTokens(e) > memoryOf(e) * share;
   }
 
   Caller callerOf(const Request& r) const {
@@ -447,9 +456,8 @@
       return std::make_tuple(full(e), refuses(r, e), load(e), hashOf(salt_, e.info.engine.value));
     };
     for (auto& [id, e] : engines_) {
-      if (e.role == Role::kReader || (cell && (e.role == Role::kMixed || e.info.cell != *cell)) || !fit(e) ||
-          r.avoid.count(id) != 0 || !coldAllows(e))
-        continue;
+      const bool elsewhere = cell && (e.role == Role::kMixed || e.info.cell != *cell);
+      if (e.role == Role::kReader || elsewhere || !eligible(r, e) || !coldAllows(e)) continue;
       if (best == nullptr || worth(e) < worth(*best)) best = &e;
     }
     return best;
@@ -541,7 +549,7 @@
     return least;
   }
 
-  Duration usual(Role role) const { return Duration(std::llround(answer_[at(role)].at(now_, fade()))); }
+  Duration usual(Role role) const { return micros(answer_[at(role)].at(now_, fade())); }
 
   // Early refusal: late answers earn little and make those behind them late.
   bool worthless(const Request& r, const Engine& reader) const {
@@ -555,9 +563,8 @@
   bool readAtWriter(Request& r) {
     Engine* best = nullptr;
     for (auto& [id, e] : engines_) {
-      if (e.role != Role::kWriter || !fit(e) || e.ejected || warmShare(e) < 1 || full(e, kRoomToRead) ||
-          refuses(r, e) || r.avoid.count(id) != 0)
-        continue;
+      const bool rests = !e.ejected && warmShare(e) >= 1 && !full(e, kRoomToRead) && !refuses(r, e);
+      if (e.role != Role::kWriter || !eligible(r, e) || !rests) continue;
       if (best == nullptr || std::pair(e.readTokens, load(e)) < std::pair(best->readTokens, load(*best)))
         best = &e;
     }
@@ -595,17 +602,23 @@
     if (reader->role == Role::kReader) askPlace(r);
   }
 
+  // A prompt needs the memory of a kind that reads it and of one that writes its answer.
   bool tooBig(const Request& r) const {
-    return std::none_of(set_.kinds.begin(), set_.kinds.end(), [&](const KindSettings& kind) {
-      return kind.role != Role::kReader && r.told.promptTokens <= kind.memoryTokens;
-    });
+    bool read = false, written = false;
+    for (const KindSettings& kind : set_.kinds) {
+      if (r.told.promptTokens > kind.memoryTokens) continue;
+      read = read || kind.role != Role::kWriter || set_.writersRead;
+      written = written || kind.role != Role::kReader;
+    }
+    return !read || !written;
   }
 
-  // What cannot be answered any more is told so while a retry elsewhere may still help.
+  // What cannot be answered any more is told so while a retry elsewhere may help, in the last pulse at
+  // latest.
   bool hopeless(const Request& r) const {
     const Duration least =
         r.phase == Phase::kRead ? usual(Role::kWriter) : usual(Role::kReader) + usual(Role::kWriter);
-    return r.deadline - now_ < std::max(least, Duration(2 * set_.tick));
+    return r.deadline - now_ < std::max(least, Duration(kPulse + 2 * set_.tick));
   }
 
   // ---- 6 Deadlines and further attempts ------------------------------------------------------------
@@ -630,8 +643,7 @@
 
   bool anotherFor(const Request& r, const Engine& e) const {
     for (const auto& [id, x] : engines_)
-      if (&x != &e && (x.role == Role::kReader) == (e.role == Role::kReader) && fit(x) && !r.avoid.count(id))
-        return true;
+      if (&x != &e && (x.role == Role::kReader) == (e.role == Role::kReader) && eligible(r, x)) return true;
     return false;
   }
 
@@ -753,8 +765,7 @@
   void say(std::string text) { emit(Log{std::move(text)}); }
 
   void start() {
-    started_ = true;
-    startedAt_ = now_;
+    std::tie(started_, startedAt_) = std::pair(true, now_);
     if (problem_) say("unusable settings: " + *problem_);
     if (set_.discovery == Discovery::kAsk) emit(Subscribe{});
   }
@@ -794,6 +805,7 @@
     Engine& e = it->second;
     const bool restarted = !fresh && entry.started && entry.started != e.info.started;
     e.info = entry;
+    e.info.weight = std::max(0.0, entry.weight);
     e.role = set_.kinds[entry.kind.value].role;
     for (int i = 0; fresh && i < kNewIsGood; ++i) e.fails.add(0);
     if (fresh || restarted) e.coldFilled = now_;
--- a/tests/support/day_play.h
+++ b/tests/support/day_play.h
@@ -54,7 +54,17 @@
       all += cls.worth;
       if (ask.served) got += cls.worth * (ask.first - start(asked.at) <= aim ? 1 : cls.lateShare);
     }
-    return got / all;
+    return all > 0 ? got / all : 0;
+  }
+
+  std::size_t unanswered() const {
+    return static_cast<std::size_t>(std::count_if(asks_.begin(), asks_.end(), [this](const auto& entry) {
+      return nodes_[static_cast<std::size_t>(entry.second.asked->node)]->waits(entry.first);
+    }));
+  }
+  std::size_t attemptsOf(const RequestId& id) const {
+    const auto it = sent_.find(id);
+    return it == sent_.end() ? 0 : static_cast<std::size_t>(it->second);
   }
 
   // The most sends to a cold instance in any window beyond what it may get.
@@ -206,11 +216,11 @@
 
   // ---- What an instance does -------------------------------------------------------------------------
 
+  double memoryOf(const Box& box) const { return day_.set.kinds[box.entry.kind.value].memoryTokens; }
   double need(const Ask& ask) const { return ask.asked->told.promptTokens + ask.asked->answer; }
   bool fits(const Box& box, const Ask& ask) const {
     if (box.busy >= box.size->slots) return false;
-    return roleOf(box) == Role::kReader || box.busy == 0 ||
-           box.tokens + need(ask) <= day_.set.kinds[box.entry.kind.value].memoryTokens;
+    return roleOf(box) == Role::kReader || box.busy == 0 || box.tokens + need(ask) <= memoryOf(box);
   }
   void take(Box& box, const Ask& ask) {
     ++box.busy;
@@ -235,7 +245,8 @@
     const bool state = job.ask->state != nullptr && job.ask->state->reached;
     if (roleOf(box) == Role::kWriter && !state && !day_.set.writersRead)
       return end(number, Outcome::kFull, 0, true);
-    if (!box.takes || static_cast<int>(box.waiting.size()) >= box.size->queue)
+    const bool tooLong = told(job).promptTokens > memoryOf(box);
+    if (tooLong || !box.takes || static_cast<int>(box.waiting.size()) >= box.size->queue)
       return end(number, Outcome::kFull);
     box.waiting.push_back(number);
     serve(box);
@@ -250,6 +261,10 @@
       begin(job->first);
     }
   }
+  // The prompts that it reads at once share its rate, where it reads several.
+  double readRateOf(const Box& box) const {
+    return box.size->readRate * warmth(box) / (box.size->sharesRate ? std::max(1, box.busy) : 1);
+  }
   double unreadAt(const Job& job) const {
     const bool kept = job.box->kept.count(told(job).prefix) != 0;
     return told(job).promptTokens - (kept ? told(job).prefixTokens : 0);
@@ -259,7 +274,7 @@
     job.begun = true;
     const Box* from = job.ask->state;
     if (roleOf(*job.box) == Role::kReader || from == nullptr || !from->reached)
-      return later(unreadAt(job) / (job.box->size->readRate * warmth(*job.box)), number, &Play::haveRead);
+      return later(unreadAt(job) / readRateOf(*job.box), number, &Play::haveRead);
     const double perSecond = from == job.box                           ? 1e9
                              : from->entry.cell == job.box->entry.cell ? 300'000
                              : from->entry.zone == job.box->entry.zone ? 120'000
--- a/tests/support/drawn_day.h
+++ b/tests/support/drawn_day.h
@@ -21,7 +21,25 @@
 
 struct Sizes {
   int slots, queue;
-  double readRate;  // tokens a second
+  double readRate;          // tokens a second
+  bool sharesRate = false;  // among the prompts that it reads at once
+};
+
+struct Range {
+  double from, to;
+};
+inline double in(Draw& draw, const Range& range) { return in(draw, range.from, range.to); }
+
+// What is asked on a day.
+struct TrafficShape {
+  Range prompt{800, 6'000};      // tokens, mean of a day
+  Range promptSpread{0.5, 1.5};  // times the mean
+  Range shared{0.3, 0.8};        // part of a prompt that others share
+  Range answer{30, 120};         // tokens, mean of a day
+  Range answerSpread{0.4, 1.6};  // times the mean
+  Range load{0.35, 0.85};        // part of what the instances can do
+  double popularity = 0;         // exponent by which the n-th text is less popular than the first
+  bool memoryBounds = false;     // answers that run at once, before slots do
 };
 
 struct Asked {
@@ -38,14 +56,25 @@
   std::size_t box;
 };
 
+struct DrawnDay;
+
+// Where a day differs from an ordinary draw: each step may change what was drawn before it.
+struct DayKind {
+  std::function<void(DrawnDay&)> settings, fleet, traffic;
+  TrafficShape shape;
+};
+
 // Everything that is so whoever decides: a deployment, what is asked of it, and what goes wrong.
 struct DrawnDay {
-  static constexpr double kLength = 9;
+  static constexpr double kLength = 9, kLeastRate = 10;
 
-  explicit DrawnDay(std::uint64_t seed) : draw(seed) {
+  explicit DrawnDay(std::uint64_t seed, const DayKind& kind = {}) : draw(seed), shape(kind.shape) {
     drawSettings();
+    if (kind.settings) kind.settings(*this);
     drawFleet();
+    if (kind.fleet) kind.fleet(*this);
     drawTraffic();
+    if (kind.traffic) kind.traffic(*this);
     drawTroubles();
   }
 
@@ -118,7 +147,8 @@
   Role roleOf(std::size_t box) const { return set.kinds[boxes[box].kind.value].role; }
 
   void drawTraffic() {
-    const double prompt = in(draw, 800, 6'000), shared = in(draw, 0.3, 0.8), answer = in(draw, 30, 120);
+    const double prompt = in(draw, shape.prompt), shared = in(draw, shape.shared);
+    const double answer = in(draw, shape.answer);
     const int prefixes = oneOf(draw, 2, 12);
     double gap = 0, reads = 0, writes = 0;
     for (const ClassSettings& cls : set.classes) gap += secondsOf(cls.tokenAim) / 2;
@@ -126,27 +156,38 @@
     for (std::size_t i = 0; i < boxes.size(); ++i) {
       const Sizes& of = sizes[boxes[i].kind.value];
       if (roleOf(i) != Role::kWriter) reads += of.readRate / prompt / (1 - shared / 2);
-      if (roleOf(i) != Role::kReader) writes += of.slots / (answer * gap);
+      const double inMemory = set.kinds[boxes[i].kind.value].memoryTokens / (prompt + answer);
+      const double atOnce = shape.memoryBounds ? std::min<double>(of.slots, inMemory) : of.slots;
+      if (roleOf(i) != Role::kReader) writes += atOnce / (answer * gap);
     }
-    const double rate = std::min(60.0, in(draw, 0.35, 0.85) * std::min(reads, writes));
+    const double able = in(draw, shape.load) * std::min(reads, writes);
+    const double rate =
+        able > 0 ? std::min(60.0, able) : kLeastRate;  // some ask where nothing can serve them
     int asked = 0;
     for (double at = 0.1; at < kLength; at += std::exponential_distribution<>(rate)(draw)) {
       const auto cls = static_cast<std::uint32_t>(oneOf(draw, 0, static_cast<int>(set.classes.size()) - 1));
-      const double tokens = prompt * in(draw, 0.5, 1.5);
+      const double tokens = prompt * in(draw, shape.promptSpread);
       Arrival told{};
       told.request = {numbered("q", ++asked)};
       told.cls = {cls};
       told.session = numbered("s", oneOf(draw, 0, asked));
-      told.prefix = numbered("p", oneOf(draw, 0, prefixes - 1));
+      told.prefix = numbered("p", drawPrefix(prefixes));
       told.timeLeft = span(secondsOf(set.classes[cls].deadline) * in(draw, 0.5, 1));
       told.promptTokens = tokens;
       told.prefixTokens = tokens * shared;
       told.maxTokens = answer * 4;
-      asks.push_back(
-          {at, oneOf(draw, 0, set.nodes - 1), told, answer * in(draw, 0.4, 1.6), chance(draw, 0.02)});
+      asks.push_back({at, oneOf(draw, 0, set.nodes - 1), told, answer * in(draw, shape.answerSpread),
+                      chance(draw, 0.02)});
     }
   }
 
+  int drawPrefix(int count) {
+    if (shape.popularity <= 0) return oneOf(draw, 0, count - 1);
+    std::vector<double> weights;
+    for (int n = 1; n <= count; ++n) weights.push_back(std::pow(n, -shape.popularity));
+    return std::discrete_distribution<>(weights.begin(), weights.end())(draw);
+  }
+
   void drawTroubles() {
     for (std::size_t i = 0; i < boxes.size(); ++i)
       if (chance(draw, 0.6)) changes.push_back({Change::kForgets, kLength / 2, i});
@@ -173,6 +214,7 @@
   }
 
   Draw draw;
+  TrafficShape shape;
   Settings set{};
   std::vector<Sizes> sizes;  // by kind
   std::vector<ListEntry> boxes;
