--- a/src/rules.cpp
+++ b/src/rules.cpp
@@ -34,13 +34,12 @@
 constexpr int kWriterReads = 2;       // which takes it so many times as long as a reader,
 constexpr double kLongRead = 0.6;     // where a reader would take so much of the time to the aim,
 constexpr double kWriterSpare = 0.15, kFewNodes = 3;  // of all writers' time, unless nodes are so few;
-constexpr seconds kJamMemory{6};      // over which reads show a jam: longer than any waits in one,
-constexpr double kKnownReads = 3;     // of each reader in that time let a node know them apart; with fewer
-constexpr double kJamTimes = 1.3;     // times those read in time are tried
-constexpr double kFullAims = 0.15;    // of the shortest aim that a refusal is believed
-constexpr int kPlaceTries = 3;        // places asked for one request; a note takes little of a read
-constexpr double kRefusedAims = 2.5;  // of its class's aim that an engine's refusal is believed
-constexpr double kSpareShare = 0.6;   // of the time left that an attempt may take while a next is possible
+constexpr seconds kJamMemory{6};     // over which reads show a jam: longer than any waits in one,
+constexpr double kKnownReads = 3;    // of each reader in that time let a node know them apart; with fewer
+constexpr double kJamTimes = 1.3;    // times those read in time are tried
+constexpr double kFullAims = 0.15;   // of the shortest aim that a refusal is believed
+constexpr int kPlaceTries = 3;       // places asked for one request; a note takes little of a read
+constexpr double kSpareShare = 0.6;  // of the time left that an attempt may take while a next is possible
 constexpr double kRetryShare = 0.3, kRetryBurst = 30;  // further attempts: an arrival; at once after calm
 constexpr double kColdSafety = 0.7;                    // share of the cold budget that is used,
 constexpr double kColdHead = 0.5;          // and of the nodes that it covers, those that may send at once
@@ -112,8 +111,6 @@
   Time last_{};
 };
 
-using Caller = std::pair<std::uint32_t, std::uint32_t>;  // class, and tenant counted from one, if any
-
 struct Engine {
   ListEntry info;
   Role role = Role::kReader;
@@ -130,9 +127,8 @@
   Time ejectedAt{}, coldFilled{};
   int trialsLeft = 0;  // to go well before it is trusted again
   Duration pause = kFirstPause;
-  Time trialAt{}, fullUntil{};     // when an ejected engine may be tried; no room is expected until
-  std::map<Caller, Time> refuses;  // whom it turned away, believed until
-  double coldTokens = 0;           // sends left in the cold budget
+  Time trialAt{}, fullUntil{};  // when an ejected engine may be tried; no room is expected until
+  double coldTokens = 0;        // sends left in the cold budget
 };
 
 // What a cell has of the fleet, by the list alone, so that every node reckons the same.
@@ -394,7 +390,7 @@
   }
 
   // The first in the key's order whose reads wait within the bound, or an earlier one that would be done
-  // sooner, as it keeps the text: a jam must not feed itself by moving keys. Who refused the class is last.
+  // sooner, as it keeps the text: a jam must not feed itself by moving keys.
   Engine* chooseReader(Request& r) {
     const Duration bound = scaled(timeFor(r.told.promptTokens), kReadBound);
     const std::vector<Engine*> order = readersInOrder(r);
@@ -403,10 +399,9 @@
     for (Engine* e : order) {
       if (!eligible(r, *e) || now_ < e->fullUntil || !coldAllows(*e)) continue;
       if (e->role == Role::kMixed && full(*e)) continue;
-      auto worth = [&](const Engine& x) { return std::make_tuple(refuses(r, x), readTime(r, x)); };
-      if (best != nullptr && worth(*e) >= worth(*best)) continue;
+      if (best != nullptr && readTime(r, *e) >= readTime(r, *best)) continue;
       best = e;
-      if (!refuses(r, *e) && waitAt(*e) <= bound) return e;
+      if (waitAt(*e) <= bound) return e;
     }
     return best;
   }
@@ -431,15 +426,6 @@
     return now_ < e.fullUntil || expectedTokens(e) > memoryOf(e) * share;
   }
 
-  Caller callerOf(const Request& r) const {
-    return {r.told.cls.value, r.told.tenant ? r.told.tenant->value + 1 : 0};
-  }
-
-  bool refuses(const Request& r, const Engine& e) const {
-    const auto it = e.refuses.find(callerOf(r));
-    return it != e.refuses.end() && now_ < it->second;
-  }
-
   bool everyWriterFull() const {
     int fits = 0;
     for (const auto& [id, e] : engines_) {
@@ -453,7 +439,7 @@
   Engine* leastLoaded(const Request& r, std::optional<CellIndex> cell) {
     Engine* best = nullptr;
     auto worth = [&](const Engine& e) {
-      return std::make_tuple(full(e), refuses(r, e), load(e), hashOf(salt_, e.info.engine.value));
+      return std::make_tuple(full(e), load(e), hashOf(salt_, e.info.engine.value));
     };
     for (auto& [id, e] : engines_) {
       const bool elsewhere = cell && (e.role == Role::kMixed || e.info.cell != *cell);
@@ -487,7 +473,7 @@
   // The writer of the planned cell; another cell's only when this one has none with room (the spill).
   Engine* chooseWriter(const Request& r) {
     Engine* near = leastLoaded(r, writingCell(r));
-    if (near != nullptr && !full(*near) && !refuses(r, *near)) return near;
+    if (near != nullptr && !full(*near)) return near;
     Engine* any = leastLoaded(r, {});
     return any != nullptr && !full(*any) ? any : near;
   }
@@ -563,7 +549,7 @@
   bool readAtWriter(Request& r) {
     Engine* best = nullptr;
     for (auto& [id, e] : engines_) {
-      const bool rests = !e.ejected && warmShare(e) >= 1 && !full(e, kRoomToRead) && !refuses(r, e);
+      const bool rests = !e.ejected && warmShare(e) >= 1 && !full(e, kRoomToRead);
       if (e.role != Role::kWriter || !eligible(r, e) || !rests) continue;
       if (best == nullptr || std::pair(e.readTokens, load(e)) < std::pair(best->readTokens, load(*best)))
         best = &e;
@@ -899,8 +885,6 @@
     if (outcome == Outcome::kNoConnection) noteBad(e, a.sentAt, "no connection", true);
     // One stream that breaks is no sign of the next: an engine that is gone refuses the next connection.
     if (outcome == Outcome::kConnectionLost && !a.calledOff) noteBad(e, a.sentAt, "lost connections", false);
-    if (outcome == Outcome::kFull && !ended.stateGone)
-      e.refuses[callerOf(r)] = now_ + scaled(classOf(r).aim, kRefusedAims);  // others may find room
     a.harmless = outcome == Outcome::kNoConnection || outcome == Outcome::kNotSent ||
                  (outcome == Outcome::kFull && !ended.doubtful);
   }
