--- a/src/estimates/duration_math.h
+++ b/src/estimates/duration_math.h
@@ -15,9 +15,17 @@
   return static_cast<double>(numerator.count()) / static_cast<double>(divisor);
 }
 
-/// Returns span * factor, rounded to the nearest microsecond.
+/// The longest duration that estimates may reach, some 30 years: sums of a few of them do not overflow.
+constexpr double kLongestMicroseconds = 1e15;
+
+/// Returns `count` microseconds, rounded to the nearest one and limited to kLongestMicroseconds either way.
+inline Duration microseconds(double count) {
+  return Duration(std::llround(std::clamp(count, -kLongestMicroseconds, kLongestMicroseconds)));
+}
+
+/// Returns span * factor, rounded and limited like microseconds().
 inline Duration scaled(Duration span, double factor) {
-  return Duration(std::llround(static_cast<double>(span.count()) * factor));
+  return microseconds(static_cast<double>(span.count()) * factor);
 }
 
 /// Returns the exponential decay factor after the time from `last` to `now`: 1 at once, 0.5 after `halfLife`.
--- a/src/rules.cpp
+++ b/src/rules.cpp
@@ -37,13 +37,12 @@
 constexpr int kWriterReads = 2;       // which takes it so many times as long as a reader,
 constexpr double kLongRead = 0.6;     // where a reader would take so much of the time to the aim,
 constexpr double kWriterSpare = 0.15, kFewNodes = 3;  // of all writers' time, unless nodes are so few;
-constexpr seconds kJamMemory{6};      // over which reads show a jam: longer than any waits in one,
-constexpr double kKnownReads = 3;     // of each reader in that time let a node know them apart; with fewer
-constexpr double kJamTimes = 1.3;     // times those read in time are tried
-constexpr double kFullAims = 0.15;    // of the shortest aim that a refusal is believed
-constexpr int kPlaceTries = 3;        // places asked for one request; a note takes little of a read
-constexpr double kRefusedAims = 2.5;  // of its class's aim that an engine's refusal is believed
-constexpr double kSpareShare = 0.6;   // of the time left that an attempt may take while a next is possible
+constexpr seconds kJamMemory{6};     // over which reads show a jam: longer than any waits in one,
+constexpr double kKnownReads = 3;    // of each reader in that time let a node know them apart; with fewer
+constexpr double kJamTimes = 1.3;    // times those read in time are tried
+constexpr double kFullAims = 0.15;   // of the shortest aim that a refusal is believed
+constexpr int kPlaceTries = 3;       // places asked for one request; a note takes little of a read
+constexpr double kSpareShare = 0.6;  // of the time left that an attempt may take while a next is possible
 constexpr double kRetryShare = 0.3, kRetryBurst = 30;  // further attempts: an arrival; at once after calm
 constexpr double kColdSafety = 0.7;                    // share of the cold budget that is used,
 constexpr double kColdHead = 0.5;          // and of the nodes that it covers, those that may send at once
@@ -65,8 +64,6 @@
 
 std::size_t at(Role role) { return static_cast<std::size_t>(role); }
 
-using Caller = std::pair<std::uint32_t, std::uint32_t>;  // class, and tenant counted from one, if any
-
 struct Engine {
   ListEntry info;
   Role role = Role::kReader;
@@ -83,9 +80,8 @@
   Time ejectedAt{}, coldFilled{};
   int trialsLeft = 0;  // to go well before it is trusted again
   Duration pause = kFirstPause;
-  Time trialAt{}, fullUntil{};     // when an ejected engine may be tried; no room is expected until
-  std::map<Caller, Time> refuses;  // whom it turned away, believed until
-  double coldTokens = 0;           // sends left in the cold budget
+  Time trialAt{}, fullUntil{};  // when an ejected engine may be tried; no room is expected until
+  double coldTokens = 0;        // sends left in the cold budget
 };
 
 // What a cell has of the fleet, by the list alone, so that every node reckons the same.
@@ -129,6 +125,9 @@
   if (settings.kinds.empty()) return "no engine kinds";
   if (settings.nodes < 1) return "fewer than one node";
   if (settings.limits.maxAttempts < 1) return "no attempts allowed";
+  if (settings.contract.fallFor <= Duration::zero()) return "no time over which a cold engine falls";
+  for (const ClassSettings& cls : settings.classes)
+    if (std::min(cls.aim, cls.deadline) <= Duration::zero()) return "a class without an aim or a deadline";
   return std::nullopt;
 }
 
@@ -170,7 +169,7 @@
     if (e.out == 0) return false;
     const auto work = static_cast<double>(timeFor(e.readTokens).count());
     const double expected = std::max(answer_[at(e.role)].mean(), work) * kSilentFor;
-    const Duration limit = std::max(Duration(std::llround(expected)), scaled(shortestAim(), kSilentAims));
+    const Duration limit = std::max(microseconds(expected), scaled(shortestAim(), kSilentAims));
     return now_ - e.quietSince > limit;
   }
 
@@ -179,10 +178,16 @@
     return listed(e) && !silent(e) && (!e.ejected || trial);
   }
 
+  double memoryOf(const Engine& e) const { return set_.kinds[e.info.kind.value].memoryTokens; }
+
+  bool eligible(const Request& r, const Engine& e) const {
+    return fit(e) && r.avoid.count(e.info.engine) == 0 && r.told.promptTokens <= memoryOf(e);
+  }
+
   double warmShare(const Engine& e) const {
     if (!e.info.started) return 1;
     const double age = ratio(now_ - *e.info.started, set_.contract.coldFor);
-    return age >= 1 ? 1 : std::max(set_.contract.coldFrom, age);
+    return age >= 1 ? 1 : std::max({set_.contract.coldFrom, age, kTiny});
   }
 
   // Guards rule four: this node's part of the budget, by what an engine of its weight usually gets from it. A
@@ -249,7 +254,7 @@
 
   // By the fastest reads of late: what is slower than that waited, or is at an engine that is slow.
   Duration timeFor(double tokens) const {
-    return readRate_ > 0 ? Duration(std::llround(tokens / readRate_)) : Duration::zero();
+    return readRate_ > 0 ? microseconds(tokens / readRate_) : Duration::zero();
   }
 
   Duration fade() const {
@@ -298,9 +303,9 @@
   // Readers share the work of the writers; a mixed engine takes the share that it writes as well.
   double hashWeight(const Engine& e) const {
     const double writers = weight_[at(Role::kWriter)];
-    if (e.role == Role::kMixed || writers <= 0) return e.info.weight;
+    if (e.role == Role::kMixed || writers <= 0) return std::max(kTiny, e.info.weight);
     const Cell& cell = cells_.at(e.info.cell);
-    return std::max(kTiny, writers * cell.share * e.info.weight / cell.readers);
+    return std::max(kTiny, writers * cell.share * e.info.weight / std::max(kTiny, cell.readers));
   }
 
   void countKey(const Request& r) {
@@ -340,19 +345,18 @@
   }
 
   // The first in the key's order whose reads wait within the bound, or an earlier one that would be done
-  // sooner, as it keeps the text: a jam must not feed itself by moving keys. Who refused the class is last.
+  // sooner, as it keeps the text: a jam must not feed itself by moving keys.
   Engine* chooseReader(Request& r) {
     const Duration bound = scaled(timeFor(r.told.promptTokens), kReadBound);
     const std::vector<Engine*> order = readersInOrder(r);
     if (!order.empty()) r.home = order.front();
     Engine* best = nullptr;
     for (Engine* e : order) {
-      if (!fit(*e) || r.avoid.count(e->info.engine) != 0 || now_ < e->fullUntil || !coldAllows(*e)) continue;
+      if (!eligible(r, *e) || now_ < e->fullUntil || !coldAllows(*e)) continue;
       if (e->role == Role::kMixed && full(*e)) continue;
-      auto worth = [&](const Engine& x) { return std::make_tuple(refuses(r, x), readTime(r, x)); };
-      if (best != nullptr && worth(*e) >= worth(*best)) continue;
+      if (best != nullptr && readTime(r, *e) >= readTime(r, *best)) continue;
       best = e;
-      if (!refuses(r, *e) && waitAt(*e) <= bound) return e;
+      if (waitAt(*e) <= bound) return e;
     }
     return best;
   }
@@ -374,16 +378,7 @@
   }
 
   bool full(const Engine& e, double share = kFullMemory) const {
-    return now_ < e.fullUntil || expectedTokens(e) > set_.kinds[e.info.kind.value].memoryTokens * share;
-  }
-
-  Caller callerOf(const Request& r) const {
-    return {r.told.cls.value, r.told.tenant ? r.told.tenant->value + 1 : 0};
-  }
-
-  bool refuses(const Request& r, const Engine& e) const {
-    const auto it = e.refuses.find(callerOf(r));
-    return it != e.refuses.end() && now_ < it->second;
+    return now_ < e.fullUntil || expectedTokens(e) > memoryOf(e) * share;
   }
 
   bool everyWriterFull() const {
@@ -399,12 +394,11 @@
   Engine* leastLoaded(const Request& r, std::optional<CellIndex> cell) {
     Engine* best = nullptr;
     auto worth = [&](const Engine& e) {
-      return std::make_tuple(full(e), refuses(r, e), load(e), stableHash(salt_, e.info.engine.value));
+      return std::make_tuple(full(e), load(e), stableHash(salt_, e.info.engine.value));
     };
     for (auto& [id, e] : engines_) {
-      if (e.role == Role::kReader || (cell && (e.role == Role::kMixed || e.info.cell != *cell)) || !fit(e) ||
-          r.avoid.count(id) != 0 || !coldAllows(e))
-        continue;
+      const bool elsewhere = cell && (e.role == Role::kMixed || e.info.cell != *cell);
+      if (e.role == Role::kReader || elsewhere || !eligible(r, e) || !coldAllows(e)) continue;
       if (best == nullptr || worth(e) < worth(*best)) best = &e;
     }
     return best;
@@ -430,7 +424,7 @@
   // The writer of the planned cell; another cell's only when this one has none with room (the spill).
   Engine* chooseWriter(const Request& r) {
     Engine* near = leastLoaded(r, writingCell(r));
-    if (near != nullptr && !full(*near) && !refuses(r, *near)) return near;
+    if (near != nullptr && !full(*near)) return near;
     Engine* any = leastLoaded(r, {});
     return any != nullptr && !full(*any) ? any : near;
   }
@@ -492,9 +486,7 @@
     return least;
   }
 
-  Duration usual(Role role) const {
-    return Duration(std::llround(answer_[at(role)].decayedMean(now_, fade())));
-  }
+  Duration usual(Role role) const { return microseconds(answer_[at(role)].decayedMean(now_, fade())); }
 
   // Early refusal: late answers earn little and make those behind them late.
   bool worthless(const Request& r, const Engine& reader) const {
@@ -508,9 +500,8 @@
   bool readAtWriter(Request& r) {
     Engine* best = nullptr;
     for (auto& [id, e] : engines_) {
-      if (e.role != Role::kWriter || !fit(e) || e.ejected || warmShare(e) < 1 || full(e, kRoomToRead) ||
-          refuses(r, e) || r.avoid.count(id) != 0)
-        continue;
+      const bool rests = !e.ejected && warmShare(e) >= 1 && !full(e, kRoomToRead);
+      if (e.role != Role::kWriter || !eligible(r, e) || !rests) continue;
       if (best == nullptr || std::pair(e.readTokens, load(e)) < std::pair(best->readTokens, load(*best)))
         best = &e;
     }
@@ -548,17 +539,23 @@
     if (reader->role == Role::kReader) askPlace(r);
   }
 
+  // A prompt needs the memory of a kind that reads it and of one that writes its answer.
   bool tooBig(const Request& r) const {
-    return std::none_of(set_.kinds.begin(), set_.kinds.end(), [&](const KindSettings& kind) {
-      return kind.role != Role::kReader && r.told.promptTokens <= kind.memoryTokens;
-    });
+    bool read = false, written = false;
+    for (const KindSettings& kind : set_.kinds) {
+      if (r.told.promptTokens > kind.memoryTokens) continue;
+      read = read || kind.role != Role::kWriter || set_.writersRead;
+      written = written || kind.role != Role::kReader;
+    }
+    return !read || !written;
   }
 
-  // What cannot be answered any more is told so while a retry elsewhere may still help.
+  // What cannot be answered any more is told so while a retry elsewhere may help, in the last pulse at
+  // latest.
   bool hopeless(const Request& r) const {
     const Duration least =
         r.phase == Phase::kRead ? usual(Role::kWriter) : usual(Role::kReader) + usual(Role::kWriter);
-    return r.deadline - now_ < std::max(least, Duration(2 * set_.tick));
+    return r.deadline - now_ < std::max(least, Duration(kPulse + 2 * set_.tick));
   }
 
   // ---- 6 Deadlines and further attempts ------------------------------------------------------------
@@ -583,8 +580,7 @@
 
   bool anotherFor(const Request& r, const Engine& e) const {
     for (const auto& [id, x] : engines_)
-      if (&x != &e && (x.role == Role::kReader) == (e.role == Role::kReader) && fit(x) && !r.avoid.count(id))
-        return true;
+      if (&x != &e && (x.role == Role::kReader) == (e.role == Role::kReader) && eligible(r, x)) return true;
     return false;
   }
 
@@ -706,8 +702,7 @@
   void say(std::string text) { emit(Log{std::move(text)}); }
 
   void start() {
-    started_ = true;
-    startedAt_ = now_;
+    std::tie(started_, startedAt_) = std::pair(true, now_);
     if (problem_) say("unusable settings: " + *problem_);
     if (set_.discovery == Discovery::kAsk) emit(Subscribe{});
   }
@@ -747,6 +742,7 @@
     Engine& e = it->second;
     const bool restarted = !fresh && entry.started && entry.started != e.info.started;
     e.info = entry;
+    e.info.weight = std::max(0.0, entry.weight);
     e.role = set_.kinds[entry.kind.value].role;
     for (int i = 0; fresh && i < kNewIsGood; ++i) e.fails.add(0);
     if (fresh || restarted) e.coldFilled = now_;
@@ -840,8 +836,6 @@
     if (outcome == Outcome::kNoConnection) noteBad(e, a.sentAt, "no connection", true);
     // One stream that breaks is no sign of the next: an engine that is gone refuses the next connection.
     if (outcome == Outcome::kConnectionLost && !a.calledOff) noteBad(e, a.sentAt, "lost connections", false);
-    if (outcome == Outcome::kFull && !ended.stateGone)
-      e.refuses[callerOf(r)] = now_ + scaled(classOf(r).aim, kRefusedAims);  // others may find room
     a.harmless = outcome == Outcome::kNoConnection || outcome == Outcome::kNotSent ||
                  (outcome == Outcome::kFull && !ended.doubtful);
   }
