--- a/src/rules.cpp
+++ b/src/rules.cpp
@@ -4,10 +4,10 @@
 #include <array>
 #include <cmath>
 #include <map>
-#include <random>
 #include <set>
 
 #include "leverrelay/router.h"
+#include "policy/slow_start_budget.h"
 
 namespace leverrelay {
 namespace {
@@ -42,10 +42,11 @@
 constexpr double kRefusedAims = 2.5;  // of its class's aim that an engine's refusal is believed
 constexpr double kSpareShare = 0.6;   // of the time left that an attempt may take while a next is possible
 constexpr double kRetryShare = 0.3, kRetryBurst = 30;  // further attempts: an arrival; at once after calm
-constexpr double kColdSafety = 0.7;                    // share of the cold budget that is used,
-constexpr double kColdHead = 0.5;          // and of the nodes that it covers, those that may send at once
-constexpr double kHoldShare = 0.6;         // of the release limit that a read state may wait for a writer
-constexpr seconds kFade{1};                // in which an estimate that nothing refreshes loses half its say,
+constexpr int kSlowStartOffers = 3;  // of a step to engines in slow start, by a node that draws
+constexpr double kUnlistedWeight =
+    8;                              // of a role, missing for all that a new node knows, if none there is warm
+constexpr double kHoldShare = 0.6;  // of the release limit that a read state may wait for a writer
+constexpr seconds kFade{1};         // in which an estimate that nothing refreshes loses half its say,
 constexpr double kFadeArrivals = 4;        // or so many arrivals, where a node sees few, but no longer than
 constexpr seconds kLongestFade{3};         // this, as a jam passes whether or not it is looked at
 constexpr seconds kFlowMemory{20};         // over which a node's own few requests show where work goes
@@ -127,12 +128,12 @@
   Time waitAt{};
   Average fails;
   bool ejected = false;
-  Time ejectedAt{}, coldFilled{};
+  Time ejectedAt{};
   int trialsLeft = 0;  // to go well before it is trusted again
   Duration pause = kFirstPause;
   Time trialAt{}, fullUntil{};     // when an ejected engine may be tried; no room is expected until
   std::map<Caller, Time> refuses;  // whom it turned away, believed until
-  double coldTokens = 0;           // sends left in the cold budget
+  SlowStartBudget slowStart;
 };
 
 // What a cell has of the fleet, by the list alone, so that every node reckons the same.
@@ -141,6 +142,11 @@
   double share = 0, writes = 0;     // of all reads and of all answers that it is to do
 };
 
+// Of the engines that do a step: when all of the fleet is there, listed now, and of these in slow start.
+struct RoleWeights {
+  double whole = 0, listed = 0, cold = 0;
+};
+
 enum class Phase { kWaiting, kReading, kRead, kWriting, kStreaming, kOver };
 
 struct Attempt {
@@ -162,9 +168,10 @@
   std::set<EngineId> avoid;                    // engines that failed it
   Engine *place = nullptr, *reader = nullptr;  // asked or held; whose memory holds the state
   int placesRefused = 0;
-  const Engine* home = nullptr;  // the first reader of its order
-  bool pinned = false;           // a state or place may be held
-  Engine* booked = nullptr;      // writer whose load it counts in
+  std::map<Phase, Time> offeredAt;  // when engines in slow start were first looked at for a step
+  const Engine* home = nullptr;     // the first reader of its order
+  bool pinned = false;              // a state or place may be held
+  Engine* booked = nullptr;         // writer whose load it counts in
   double bookedTokens = 0;
   std::optional<Time> openedAt;
 };
@@ -182,7 +189,7 @@
 class Router::Impl {
  public:
   Impl(const Settings& settings, std::uint64_t seed)
-      : set_(settings), problem_(problemWith(settings)), salt_(std::to_string(seed)), random_(seed) {}
+      : set_(settings), problem_(problemWith(settings)), salt_(std::to_string(seed)) {}
 
   void reconfigure(const Settings& settings) {
     set_ = settings;
@@ -226,30 +233,37 @@
     return listed(e) && !silent(e) && (!e.ejected || trial);
   }
 
-  double warmShare(const Engine& e) const {
-    if (!e.info.started) return 1;
-    const double age = ratio(now_ - *e.info.started, set_.contract.coldFor);
-    return age >= 1 ? 1 : std::max(set_.contract.coldFrom, age);
+  double warmShare(const Engine& e) const { return warmFraction(set_.contract, e.info.started, now_); }
+
+  // A node that has just started has seen its present list alone: it takes what is missing there for large.
+  RoleWeights weightsFor(Role step) const {
+    RoleWeights weights{std::max(mostWeight_[at(step)], kTiny) + mostWeight_[at(Role::kMixed)]};
+    for (const auto& [id, e] : engines_) {
+      if (!listed(e) || (e.role != step && e.role != Role::kMixed)) continue;
+      weights.listed += e.info.weight;
+      if (warmShare(e) < 1) weights.cold += e.info.weight;
+    }
+    if (!young()) return weights;
+    const double other = *std::max_element(weight_.begin(), weight_.end());
+    weights.whole = std::max(weights.whole, other) + (weights.cold < weights.listed ? 0 : kUnlistedWeight);
+    return weights;
   }
 
-  // Guards rule four: this node's part of the budget, by what an engine of its weight usually gets from it. A
-  // draw (see take) spreads first sends and lets some nodes send at once, as who sees little seldom comes by.
-  bool coldAllows(Engine& e) {
+  bool young() const { return now_ - startedAt_ < set_.contract.coldFor; }
+
+  // Guards rule four. Offered: the weight of the engines that share this request, and this one's part of it.
+  bool slowStartAllows(Request& r, Engine& e, const RoleWeights& weights, double offered, double part) {
     if (warmShare(e) >= 1) return true;
-    const double window = ratio(set_.contract.fallFor, seconds(1));
-    const double seen = -std::expm1(-ratio(std::max(now_ - startedAt_, set_.contract.fallFor), kFlowMemory));
-    const double usual = sends_[at(e.role)].at(now_, kFlowMemory) / ratio(kFlowMemory, seconds(1)) / seen *
-                         e.info.weight / std::max(mostWeight_[at(e.role)], kTiny);
-    const double perSecond = std::max(
-        1 / (window * set_.nodes), set_.contract.coldFrom * set_.contract.fallFactor * usual * kColdSafety);
-    e.coldTokens = std::min(std::max(1.0, perSecond * window / 4),
-                            e.coldTokens + perSecond * ratio(now_ - e.coldFilled, seconds(1)));
-    e.coldFilled = now_;
-    return e.coldTokens >= 1;
+    const Duration seen = std::max(now_ - startedAt_, set_.contract.fallFor);
+    const double demand = (young() ? arrivals_ : sends_[at(e.role)]).at(now_, kFlowMemory) /
+                          -std::expm1(-ratio(seen, kFlowMemory));
+    const double usual = demand * ratio(set_.contract.fallFor, kFlowMemory) * e.info.weight / weights.whole;
+    const Time since = r.offeredAt.try_emplace(r.phase, now_).first->second;
+    return e.slowStart.admits(set_, e.info.started, {usual, offered / weights.whole, part, since}, now_);
   }
 
   void countSend(Engine& e) {
-    e.coldTokens -= 1;
+    e.slowStart.countSend(set_.contract, now_);
     sends_[at(e.role)].add(1, now_, kFlowMemory);
   }
 
@@ -321,15 +335,17 @@
   void plan() {
     cells_.clear();
     weight_ = count_ = {};
+    std::array<double, 3> warm{};
     for (const auto& [id, e] : engines_) {
       if (!listed(e)) continue;
       weight_[at(e.role)] += e.info.weight;
+      warm[at(e.role)] += e.info.weight * warmShare(e);
       count_[at(e.role)] += 1;
       Cell& cell = cells_[e.info.cell];
       if (e.role == Role::kReader) cell.readers += e.info.weight;
       if (e.role == Role::kWriter) cell.writers += e.info.weight;
     }
-    for (std::size_t i = 0; i < weight_.size(); ++i) mostWeight_[i] = std::max(mostWeight_[i], weight_[i]);
+    for (std::size_t i = 0; i < weight_.size(); ++i) mostWeight_[i] = std::max(mostWeight_[i], warm[i]);
     double sum = 0;
     for (auto& [index, c] : cells_) {
       const double even = c.readers / std::max(weight_[at(Role::kReader)], kTiny);
@@ -390,10 +406,15 @@
     const Duration bound = scaled(timeFor(r.told.promptTokens), kReadBound);
     const std::vector<Engine*> order = readersInOrder(r);
     if (!order.empty()) r.home = order.front();
+    const RoleWeights weights = weightsFor(Role::kReader);
     Engine* best = nullptr;
+    int offers = 0;
     for (Engine* e : order) {
-      if (!fit(*e) || r.avoid.count(e->info.engine) != 0 || now_ < e->fullUntil || !coldAllows(*e)) continue;
+      if (!fit(*e) || r.avoid.count(e->info.engine) != 0 || now_ < e->fullUntil) continue;
       if (e->role == Role::kMixed && full(*e)) continue;
+      if (warmShare(*e) < 1) ++offers;
+      const double offered = e == r.home ? weights.listed : weights.cold;
+      if (!slowStartAllows(r, *e, weights, offered, offers > kSlowStartOffers ? 0 : 1)) continue;
       auto worth = [&](const Engine& x) { return std::make_tuple(refuses(r, x), readTime(r, x)); };
       if (best != nullptr && worth(*e) >= worth(*best)) continue;
       best = e;
@@ -441,14 +462,17 @@
   }
 
   // Fewest own streams for its size; nodes break ties differently, so that they do not herd.
-  Engine* leastLoaded(const Request& r, std::optional<CellIndex> cell) {
+  Engine* leastLoaded(Request& r, std::optional<CellIndex> cell) {
     Engine* best = nullptr;
+    const RoleWeights weights = weightsFor(Role::kWriter);
+    const double offered = kSlowStartOffers * weights.cold;
     auto worth = [&](const Engine& e) {
       return std::make_tuple(full(e), refuses(r, e), load(e), hashOf(salt_, e.info.engine.value));
     };
     for (auto& [id, e] : engines_) {
       if (e.role == Role::kReader || (cell && (e.role == Role::kMixed || e.info.cell != *cell)) || !fit(e) ||
-          r.avoid.count(id) != 0 || !coldAllows(e))
+          r.avoid.count(id) != 0 ||
+          !slowStartAllows(r, e, weights, offered, e.info.weight / std::max(weights.cold, kTiny)))
         continue;
       if (best == nullptr || worth(e) < worth(*best)) best = &e;
     }
@@ -477,7 +501,7 @@
   }
 
   // The writer of the planned cell; another cell's only when this one has none with room (the spill).
-  Engine* chooseWriter(const Request& r) {
+  Engine* chooseWriter(Request& r) {
     Engine* near = leastLoaded(r, writingCell(r));
     if (near != nullptr && !full(*near) && !refuses(r, *near)) return near;
     Engine* any = leastLoaded(r, {});
@@ -700,6 +724,7 @@
   // After a failure: another engine, within the attempts, the time and the budget that cannot feed a jam.
   void again(Request& r, Engine& failed, bool stateLives) {
     r.avoid.insert(failed.info.engine);
+    r.offeredAt.clear();
     const bool spent = static_cast<int>(r.attempts.size()) + (stateLives ? 1 : 2) > set_.limits.maxAttempts;
     if (spent || retries_ < 1 || hopeless(r) || now_ >= repeatsUntil(r)) return finish(r);
     retries_ -= 1;
@@ -796,10 +821,7 @@
     e.info = entry;
     e.role = set_.kinds[entry.kind.value].role;
     for (int i = 0; fresh && i < kNewIsGood; ++i) e.fails.add(0);
-    if (fresh || restarted) e.coldFilled = now_;
-    const double head = kColdHead * set_.contract.coldFrom * set_.contract.fallFactor * kColdSafety;
-    if (fresh || restarted)
-      e.coldTokens = std::min(1.0, head + std::uniform_real_distribution<>(0, 1)(random_));
+    if (fresh || restarted) e.slowStart.reset(hashOf(salt_, entry.engine.value), set_.nodes, now_);
     if (restarted) trust(e);
     if (entry.presence == Presence::kActive) e.toldOff.reset();
     else tellOff(e, entry.presence);
@@ -1033,9 +1055,8 @@
   std::map<std::string, Flow> keyFlow_;                    // arrivals of a key
   double readRate_ = 0;                                    // unread tokens a microsecond where nothing waits
   double held_ = 0, streams_ = 0, retries_ = kRetryBurst;  // own answers' tokens, and how many; spare retries
-  std::mt19937_64 random_;
-  Flow arrivals_, sends_[3], writerReads_;  // sends by role; tokens sent to be read by writers
-  Flow reads_, timely_;                     // reads that ended, and those of them in time
+  Flow arrivals_, sends_[3], writerReads_;                 // sends by role; tokens sent to be read by writers
+  Flow reads_, timely_;                                    // reads that ended, and those of them in time
   std::array<double, 3> weight_{}, mostWeight_{}, count_{};  // by role: listed, the most ever, how many
   std::map<RequestId, Request> requests_;
   std::optional<Time> askAgainAt_, stopsAt_;
--- a/tests/fleet.h
+++ b/tests/fleet.h
@@ -119,6 +119,7 @@
     return reader;
   }
   Time now() const { return now_; }
+  bool hasAlarm() const { return !alarms_.empty(); }
   const std::vector<Action>& actions() const { return actions_; }
 
  private:
