--- a/src/policy/slow_start_budget.cpp
+++ b/src/policy/slow_start_budget.cpp
@@ -7,22 +7,16 @@
 namespace {
 
 constexpr double kCountedSafety = 0.7;   // share of the budget that is used where sends are counted,
-constexpr double kDrawnSafety = 0.38;     // and where they are drawn: the rest is for chance and for a surge
+constexpr double kDrawnSafety = 0.38;    // and where they are drawn: the rest is for chance and for a surge
 constexpr double kBucketWindows = 0.25;  // of sends that may be saved up
 constexpr int kSlotsPerWindow = 8;
 
-using Real = std::chrono::duration<double, Duration::period>;
-
-std::uint64_t mixed(std::uint64_t value) {  // the finaliser of splitmix64
-  value = (value ^ value >> 30) * 0xbf58476d1ce4e5b9ULL;
-  value = (value ^ value >> 27) * 0x94d049bb133111ebULL;
-  return value ^ value >> 31;
-}
+using Micros = std::chrono::duration<double, std::micro>;
 
 }  // namespace
 
 double warmFraction(const Contract& contract, std::optional<Time> started, Time now) {
-  const double age = started ? Real(now - *started) / contract.coldFor : 1;
+  const double age = started ? Micros(now - *started) / contract.coldFor : 1;
   return age >= 1 ? 1 : std::max(contract.coldFrom, age);
 }
 
@@ -32,8 +26,11 @@
   return (time.time_since_epoch() + Duration(seed_ % static_cast<std::uint64_t>(slot.count()))) / slot;
 }
 
-double SlowStartBudget::drawOf(std::int64_t slot) const {
-  return std::ldexp(static_cast<double>(mixed(seed_ + static_cast<std::uint64_t>(slot)) >> 11), -53);
+double SlowStartBudget::drawOf(std::int64_t slot) const {  // in [0, 1), by the finaliser of splitmix64
+  std::uint64_t bits = seed_ + static_cast<std::uint64_t>(slot);
+  bits = (bits ^ bits >> 30) * 0xbf58476d1ce4e5b9ULL;
+  bits = (bits ^ bits >> 27) * 0x94d049bb133111ebULL;
+  return std::ldexp(static_cast<double>((bits ^ bits >> 31) >> 11), -53);
 }
 
 void SlowStartBudget::reset(std::uint64_t seed, int processes, Time now) {
@@ -51,7 +48,7 @@
   const bool counts = own >= 1;
   const double perWindow = counts ? own : 1.0 / settings.nodes;  // those that draw have one among them all
   tokens_ = std::min(std::max(1.0, perWindow * kBucketWindows),
-                     tokens_ + perWindow * (Real(now - refilledAt_) / contract.fallFor));
+                     tokens_ + perWindow * (Micros(now - refilledAt_) / contract.fallFor));
   refilledAt_ = now;
   if (counts || tokens_ >= 1) return tokens_ >= 1;
   const std::int64_t slot = slotOf(contract, now);
--- a/src/policy/slow_start_budget.h
+++ b/src/policy/slow_start_budget.h
@@ -1,12 +1,10 @@
 /// The slow-start budget of one instance: what this process may send to it until it is warm.
 ///
 /// A started instance bears fallFactor x warmFraction() x its capacity in each window of length fallFor.
-/// Processes share nothing, so each uses a part, and the parts add up. A process that would send the instance
-/// several requests a window counts them: a token bucket refills with its part. Others draw: in each slot, a
-/// fraction of a window, a process may send one request with a probability that follows what the whole fleet
-/// would offer the instance. The mean over the fleet is then right for any number of processes, however
-/// traffic lies over them, and also for those that restart and forget. A request that waits is drawn in later
-/// slots with powers of that probability, so that a small one stays small.
+/// Processes share nothing, so each uses a part. One that would send it several requests a window counts: a
+/// token bucket refills with its part. Others draw: in each slot, a fraction of a window, a process may send
+/// one request with a probability that follows what the whole fleet would offer the instance. The sum is then
+/// right for any number of processes and any spread of traffic over them, also where some restart and forget.
 #pragma once
 
 #include "leverrelay/router.h"
@@ -20,8 +18,8 @@
 struct SlowStartOffer {
   double usualPerWindow;  ///< requests of this process that a warm instance of its size gets in a window
   double share;  ///< weight of the instances that the request is offered to, over that of the whole role
-  double part;   ///< of the instance in that weight: 1 if it is offered the request alone, 0 for no draw
-  Time since;    ///< when the request was first offered
+  double part;   ///< of this instance in that weight: 1 if it is offered the request alone, 0 for no draw
+  Time since;    ///< first offered; a request that waits is drawn against powers of the probability
 };
 
 class SlowStartBudget {
@@ -30,8 +28,7 @@
   void reset(std::uint64_t seed, int processes, Time now);
   /// Whether the request may be sent now to the instance, which started then and is not warm.
   bool admits(const Settings& settings, std::optional<Time> started, const SlowStartOffer& offer, Time now);
-  /// A request, or the reservation of a place for it, has been sent; the send to that place is not counted
-  /// again.
+  /// A request, or a reservation for it, has been sent; the later send to a reservation is not counted again.
   void countSend(const Contract& contract, Time now);
 
  private:
--- a/src/rules.cpp
+++ b/src/rules.cpp
@@ -44,14 +44,14 @@
 constexpr double kRetryShare = 0.3, kRetryBurst = 30;  // further attempts: an arrival; at once after calm
 constexpr int kSlowStartOffers = 3;  // of a step to engines in slow start, by a node that draws
 constexpr double kUnlistedWeight =
-    8;                              // of a role, missing for all that a new node knows, if none there is warm
-constexpr double kHoldShare = 0.6;  // of the release limit that a read state may wait for a writer
-constexpr seconds kFade{1};         // in which an estimate that nothing refreshes loses half its say,
-constexpr double kFadeArrivals = 4;        // or so many arrivals, where a node sees few, but no longer than
-constexpr seconds kLongestFade{3};         // this, as a jam passes whether or not it is looked at
-constexpr seconds kFlowMemory{20};         // over which a node's own few requests show where work goes
-constexpr double kFlowPrior = 10;          // requests that the plan counts for beside them
-constexpr double kKeyPart = 0.5;           // of a reader's share of traffic that one key may fill
+    8;                               // of a role, missing for all that a new node knows if none there is warm
+constexpr double kHoldShare = 0.6;   // of the release limit that a read state may wait for a writer
+constexpr seconds kFade{1};          // in which an estimate that nothing refreshes loses half its say,
+constexpr double kFadeArrivals = 4;  // or so many arrivals, where a node sees few, but no longer than
+constexpr seconds kLongestFade{3};   // this, as a jam passes whether or not it is looked at
+constexpr seconds kFlowMemory{20};   // over which a node's own few requests show where work goes
+constexpr double kFlowPrior = 10;    // requests that the plan counts for beside them
+constexpr double kKeyPart = 0.5;     // of a reader's share of traffic that one key may fill
 constexpr std::size_t kKeysCounted = 500;  // whose traffic is remembered
 constexpr double kRateKept = 0.98;         // of the fastest reading seen, with each read that is slower
 constexpr double kAdvice = 0.1;            // of the longest wait that clients heed, advised with a refusal
@@ -243,6 +243,7 @@
       weights.listed += e.info.weight;
       if (warmShare(e) < 1) weights.cold += e.info.weight;
     }
+    weights.whole = std::max(weights.whole, weights.cold);
     if (!young()) return weights;
     const double other = *std::max_element(weight_.begin(), weight_.end());
     weights.whole = std::max(weights.whole, other) + (weights.cold < weights.listed ? 0 : kUnlistedWeight);
