--- a/src/rules.cpp
+++ b/src/rules.cpp
@@ -4,7 +4,6 @@
 #include <array>
 #include <cmath>
 #include <map>
-#include <random>
 #include <set>
 
 #include "estimates/decaying_sum.h"
@@ -12,6 +11,7 @@
 #include "estimates/fading_average.h"
 #include "estimates/stable_hash.h"
 #include "leverrelay/router.h"
+#include "policy/slow_start_budget.h"
 
 namespace leverrelay {
 namespace {
@@ -44,15 +44,16 @@
 constexpr int kPlaceTries = 3;       // places asked for one request; a note takes little of a read
 constexpr double kSpareShare = 0.6;  // of the time left that an attempt may take while a next is possible
 constexpr double kRetryShare = 0.3, kRetryBurst = 30;  // further attempts: an arrival; at once after calm
-constexpr double kColdSafety = 0.7;                    // share of the cold budget that is used,
-constexpr double kColdHead = 0.5;          // and of the nodes that it covers, those that may send at once
-constexpr double kHoldShare = 0.6;         // of the release limit that a read state may wait for a writer
-constexpr seconds kFade{1};                // in which an estimate that nothing refreshes loses half its say,
-constexpr double kFadeArrivals = 4;        // or so many arrivals, where a node sees few, but no longer than
-constexpr seconds kLongestFade{3};         // this, as a jam passes whether or not it is looked at
-constexpr seconds kFlowMemory{20};         // over which a node's own few requests show where work goes
-constexpr double kFlowPrior = 10;          // requests that the plan counts for beside them
-constexpr double kKeyPart = 0.5;           // of a reader's share of traffic that one key may fill
+constexpr int kSlowStartOffers = 3;  // of a step to engines in slow start, by a node that draws
+constexpr double kUnlistedWeight =
+    8;                               // of a role, missing for all that a new node knows if none there is warm
+constexpr double kHoldShare = 0.6;   // of the release limit that a read state may wait for a writer
+constexpr seconds kFade{1};          // in which an estimate that nothing refreshes loses half its say,
+constexpr double kFadeArrivals = 4;  // or so many arrivals, where a node sees few, but no longer than
+constexpr seconds kLongestFade{3};   // this, as a jam passes whether or not it is looked at
+constexpr seconds kFlowMemory{20};   // over which a node's own few requests show where work goes
+constexpr double kFlowPrior = 10;    // requests that the plan counts for beside them
+constexpr double kKeyPart = 0.5;     // of a reader's share of traffic that one key may fill
 constexpr std::size_t kKeysCounted = 500;  // whose traffic is remembered
 constexpr double kRateKept = 0.98;         // of the fastest reading seen, with each read that is slower
 constexpr double kAdvice = 0.1;            // of the longest wait that clients heed, advised with a refusal
@@ -77,11 +78,11 @@
   Time waitAt{};
   FadingAverage fails;
   bool ejected = false;
-  Time ejectedAt{}, coldFilled{};
+  Time ejectedAt{};
   int trialsLeft = 0;  // to go well before it is trusted again
   Duration pause = kFirstPause;
   Time trialAt{}, fullUntil{};  // when an ejected engine may be tried; no room is expected until
-  double coldTokens = 0;        // sends left in the cold budget
+  SlowStartBudget slowStart;
 };
 
 // What a cell has of the fleet, by the list alone, so that every node reckons the same.
@@ -90,6 +91,11 @@
   double share = 0, writes = 0;     // of all reads and of all answers that it is to do
 };
 
+// Of the engines that do a step: when all of the fleet is there, listed now, and of these in slow start.
+struct RoleWeights {
+  double whole = 0, listed = 0, cold = 0;
+};
+
 enum class Phase { kWaiting, kReading, kRead, kWriting, kStreaming, kOver };
 
 struct Attempt {
@@ -111,30 +117,20 @@
   std::set<EngineId> avoid;                    // engines that failed it
   Engine *place = nullptr, *reader = nullptr;  // asked or held; whose memory holds the state
   int placesRefused = 0;
-  const Engine* home = nullptr;  // the first reader of its order
-  bool pinned = false;           // a state or place may be held
-  Engine* booked = nullptr;      // writer whose load it counts in
+  std::map<Phase, Time> offeredAt;  // when engines in slow start were first looked at for a step
+  const Engine* home = nullptr;     // the first reader of its order
+  bool pinned = false;              // a state or place may be held
+  Engine* booked = nullptr;         // writer whose load it counts in
   double bookedTokens = 0;
   std::optional<Time> openedAt;
 };
 
 }  // namespace
 
-std::optional<std::string> problemWith(const Settings& settings) {
-  if (settings.classes.empty()) return "no request classes";
-  if (settings.kinds.empty()) return "no engine kinds";
-  if (settings.nodes < 1) return "fewer than one node";
-  if (settings.limits.maxAttempts < 1) return "no attempts allowed";
-  if (settings.contract.fallFor <= Duration::zero()) return "no time over which a cold engine falls";
-  for (const ClassSettings& cls : settings.classes)
-    if (std::min(cls.aim, cls.deadline) <= Duration::zero()) return "a class without an aim or a deadline";
-  return std::nullopt;
-}
-
 class Router::Impl {
  public:
   Impl(const Settings& settings, std::uint64_t seed)
-      : set_(settings), problem_(problemWith(settings)), salt_(std::to_string(seed)), random_(seed) {}
+      : set_(settings), problem_(problemWith(settings)), salt_(std::to_string(seed)) {}
 
   void reconfigure(const Settings& settings) {
     set_ = settings;
@@ -184,30 +180,38 @@
     return fit(e) && r.avoid.count(e.info.engine) == 0 && r.told.promptTokens <= memoryOf(e);
   }
 
-  double warmShare(const Engine& e) const {
-    if (!e.info.started) return 1;
-    const double age = ratio(now_ - *e.info.started, set_.contract.coldFor);
-    return age >= 1 ? 1 : std::max({set_.contract.coldFrom, age, kTiny});
+  double warmShare(const Engine& e) const { return warmFraction(set_.contract, e.info.started, now_); }
+
+  // A node that has just started has seen its present list alone: it takes what is missing there for large.
+  RoleWeights weightsFor(Role step) const {
+    RoleWeights weights{std::max(mostWeight_[at(step)], kTiny) + mostWeight_[at(Role::kMixed)]};
+    for (const auto& [id, e] : engines_) {
+      if (!listed(e) || (e.role != step && e.role != Role::kMixed)) continue;
+      weights.listed += e.info.weight;
+      if (warmShare(e) < 1) weights.cold += e.info.weight;
+    }
+    weights.whole = std::max(weights.whole, weights.cold);
+    if (!young()) return weights;
+    const double other = *std::max_element(weight_.begin(), weight_.end());
+    weights.whole = std::max(weights.whole, other) + (weights.cold < weights.listed ? 0 : kUnlistedWeight);
+    return weights;
   }
 
-  // Guards rule four: this node's part of the budget, by what an engine of its weight usually gets from it. A
-  // draw (see take) spreads first sends and lets some nodes send at once, as who sees little seldom comes by.
-  bool coldAllows(Engine& e) {
+  bool young() const { return now_ - startedAt_ < set_.contract.coldFor; }
+
+  // Guards rule four. Offered: the weight of the engines that share this request, and this one's part of it.
+  bool slowStartAllows(Request& r, Engine& e, const RoleWeights& weights, double offered, double part) {
     if (warmShare(e) >= 1) return true;
-    const double window = ratio(set_.contract.fallFor, seconds(1));
-    const double seen = -std::expm1(-ratio(std::max(now_ - startedAt_, set_.contract.fallFor), kFlowMemory));
-    const double usual = sends_[at(e.role)].at(now_, kFlowMemory) / ratio(kFlowMemory, seconds(1)) / seen *
-                         e.info.weight / std::max(mostWeight_[at(e.role)], kTiny);
-    const double perSecond = std::max(
-        1 / (window * set_.nodes), set_.contract.coldFrom * set_.contract.fallFactor * usual * kColdSafety);
-    e.coldTokens = std::min(std::max(1.0, perSecond * window / 4),
-                            e.coldTokens + perSecond * ratio(now_ - e.coldFilled, seconds(1)));
-    e.coldFilled = now_;
-    return e.coldTokens >= 1;
+    const Duration seen = std::max(now_ - startedAt_, set_.contract.fallFor);
+    const double demand = (young() ? arrivals_ : sends_[at(e.role)]).at(now_, kFlowMemory) /
+                          -std::expm1(-ratio(seen, kFlowMemory));
+    const double usual = demand * ratio(set_.contract.fallFor, kFlowMemory) * e.info.weight / weights.whole;
+    const Time since = r.offeredAt.try_emplace(r.phase, now_).first->second;
+    return e.slowStart.admits(set_, e.info.started, {usual, offered / weights.whole, part, since}, now_);
   }
 
   void countSend(Engine& e) {
-    e.coldTokens -= 1;
+    e.slowStart.countSend(set_.contract, now_);
     sends_[at(e.role)].add(1, now_, kFlowMemory);
   }
 
@@ -281,15 +285,17 @@
   void plan() {
     cells_.clear();
     weight_ = count_ = {};
+    std::array<double, 3> warm{};
     for (const auto& [id, e] : engines_) {
       if (!listed(e)) continue;
       weight_[at(e.role)] += e.info.weight;
+      warm[at(e.role)] += e.info.weight * warmShare(e);
       count_[at(e.role)] += 1;
       Cell& cell = cells_[e.info.cell];
       if (e.role == Role::kReader) cell.readers += e.info.weight;
       if (e.role == Role::kWriter) cell.writers += e.info.weight;
     }
-    for (std::size_t i = 0; i < weight_.size(); ++i) mostWeight_[i] = std::max(mostWeight_[i], weight_[i]);
+    for (std::size_t i = 0; i < weight_.size(); ++i) mostWeight_[i] = std::max(mostWeight_[i], warm[i]);
     double sum = 0;
     for (auto& [index, c] : cells_) {
       const double even = c.readers / std::max(weight_[at(Role::kReader)], kTiny);
@@ -350,10 +356,15 @@
     const Duration bound = scaled(timeFor(r.told.promptTokens), kReadBound);
     const std::vector<Engine*> order = readersInOrder(r);
     if (!order.empty()) r.home = order.front();
+    const RoleWeights weights = weightsFor(Role::kReader);
     Engine* best = nullptr;
+    int offers = 0;
     for (Engine* e : order) {
-      if (!eligible(r, *e) || now_ < e->fullUntil || !coldAllows(*e)) continue;
+      if (!eligible(r, *e) || now_ < e->fullUntil) continue;
       if (e->role == Role::kMixed && full(*e)) continue;
+      if (warmShare(*e) < 1) ++offers;
+      const double offered = e == r.home ? weights.listed : weights.cold;
+      if (!slowStartAllows(r, *e, weights, offered, offers > kSlowStartOffers ? 0 : 1)) continue;
       if (best != nullptr && readTime(r, *e) >= readTime(r, *best)) continue;
       best = e;
       if (waitAt(*e) <= bound) return e;
@@ -391,14 +402,18 @@
   }
 
   // Fewest own streams for its size; nodes break ties differently, so that they do not herd.
-  Engine* leastLoaded(const Request& r, std::optional<CellIndex> cell) {
+  Engine* leastLoaded(Request& r, std::optional<CellIndex> cell) {
     Engine* best = nullptr;
+    const RoleWeights weights = weightsFor(Role::kWriter);
+    const double offered = kSlowStartOffers * weights.cold;
     auto worth = [&](const Engine& e) {
       return std::make_tuple(full(e), load(e), stableHash(salt_, e.info.engine.value));
     };
     for (auto& [id, e] : engines_) {
       const bool elsewhere = cell && (e.role == Role::kMixed || e.info.cell != *cell);
-      if (e.role == Role::kReader || elsewhere || !eligible(r, e) || !coldAllows(e)) continue;
+      if (e.role == Role::kReader || elsewhere || !eligible(r, e)) continue;
+      const double part = e.info.weight / std::max(weights.cold, kTiny);
+      if (!slowStartAllows(r, e, weights, offered, part)) continue;
       if (best == nullptr || worth(e) < worth(*best)) best = &e;
     }
     return best;
@@ -422,7 +437,7 @@
   }
 
   // The writer of the planned cell; another cell's only when this one has none with room (the spill).
-  Engine* chooseWriter(const Request& r) {
+  Engine* chooseWriter(Request& r) {
     Engine* near = leastLoaded(r, writingCell(r));
     if (near != nullptr && !full(*near)) return near;
     Engine* any = leastLoaded(r, {});
@@ -649,6 +664,7 @@
   // After a failure: another engine, within the attempts, the time and the budget that cannot feed a jam.
   void again(Request& r, Engine& failed, bool stateLives) {
     r.avoid.insert(failed.info.engine);
+    r.offeredAt.clear();
     const bool spent = static_cast<int>(r.attempts.size()) + (stateLives ? 1 : 2) > set_.limits.maxAttempts;
     if (spent || retries_ < 1 || hopeless(r) || now_ >= repeatsUntil(r)) return finish(r);
     retries_ -= 1;
@@ -745,10 +761,7 @@
     e.info.weight = std::max(0.0, entry.weight);
     e.role = set_.kinds[entry.kind.value].role;
     for (int i = 0; fresh && i < kNewIsGood; ++i) e.fails.add(0);
-    if (fresh || restarted) e.coldFilled = now_;
-    const double head = kColdHead * set_.contract.coldFrom * set_.contract.fallFactor * kColdSafety;
-    if (fresh || restarted)
-      e.coldTokens = std::min(1.0, head + std::uniform_real_distribution<>(0, 1)(random_));
+    if (fresh || restarted) e.slowStart.reset(stableHash(salt_, entry.engine.value), set_.nodes, now_);
     if (restarted) trust(e);
     if (entry.presence == Presence::kActive) e.toldOff.reset();
     else tellOff(e, entry.presence);
@@ -980,9 +993,8 @@
   std::map<std::string, DecayingSum> keyFlow_;             // arrivals of a key
   double readRate_ = 0;                                    // unread tokens a microsecond where nothing waits
   double held_ = 0, streams_ = 0, retries_ = kRetryBurst;  // own answers' tokens, and how many; spare retries
-  std::mt19937_64 random_;
-  DecayingSum arrivals_, sends_[3], writerReads_;  // sends by role; tokens sent to be read by writers
-  DecayingSum reads_, timely_;                     // reads that ended, and those of them in time
+  DecayingSum arrivals_, sends_[3], writerReads_;          // sends by role; tokens sent to be read by writers
+  DecayingSum reads_, timely_;                             // reads that ended, and those of them in time
   std::array<double, 3> weight_{}, mostWeight_{}, count_{};  // by role: listed, the most ever, how many
   std::map<RequestId, Request> requests_;
   std::optional<Time> askAgainAt_, stopsAt_;
