--- a/src/rules.cpp
+++ b/src/rules.cpp
@@ -30,7 +30,7 @@
 constexpr double kSilentFor = 5, kSilentAims = 0.5;  // usual answer times and least aims without any sign
 constexpr double kPriorStreams = 3;                  // own answers that count as much as an even spread does
 constexpr double kReadBound = 1.5;  // times the whole prompt's own reading that reads may wait at home
-constexpr double kLeastRead = 0.5, kMostRead = 1.25;  // of their even share that a cell's readers get
+constexpr double kLeastRead = 0.8, kMostRead = 1.25;  // of their even share that a cell's readers get
 constexpr double kFullMemory = 0.95;                  // share of a writer's memory that counts as full
 constexpr double kOutputShare = 0.25;                 // of the most an answer may have, expected in memory
 constexpr double kRoomToRead = 0.45;  // and share below which a writer may read prompts as well,
@@ -322,10 +322,10 @@
   }
 
   // Weighted rendezvous hashing, the same at every node.
-  void rank(std::vector<Engine*>& engines, std::size_t first, const std::string& key) const {
+  void rank(std::vector<Engine*>& engines, std::size_t first, const std::string& key, bool weighted) const {
     std::multimap<double, Engine*> scored;
     for (std::size_t i = 0; i < first; ++i)
-      scored.emplace(-std::log(stableDraw(key, engines[i]->info.engine.value)) / hashWeight(*engines[i]),
+      scored.emplace(-std::log(stableDraw(key, engines[i]->info.engine.value)) / (weighted ? hashWeight(*engines[i]) : 1),
                      engines[i]);
     std::transform(scored.begin(), scored.end(), engines.begin(), [](const auto& x) { return x.second; });
   }
@@ -340,13 +340,16 @@
       order.push_back(&e);
       all += hashWeight(e);
     }
-    rank(order, order.size(), keyOf(r));
+    rank(order, order.size(), keyOf(r), true);
     const auto flow = keyFlow_.find(keyOf(r));
     if (flow == keyFlow_.end() || r.told.session.empty()) return order;
-    const double wanted = flow->second.at(now_, kFlowMemory) / (arrivals_.at(now_, kFlowMemory) + kFlowPrior);
+    const double n = static_cast<double>(std::max<std::size_t>(1, order.size()));
+    const double prior = n * 0 + std::min(1.0, kKeyPart * kFlowPrior / n);
+    const double earlier = std::max(0.0, flow->second.at(now_, kFlowMemory) - 1);
+    const double wanted = (earlier + prior) / (arrivals_.at(now_, kFlowMemory) + kFlowPrior);
     std::size_t homes = 0;
     while (homes < order.size() && carried * kKeyPart < wanted * all) carried += hashWeight(*order[homes++]);
-    rank(order, homes, r.told.session);
+    rank(order, homes, r.told.session, false);
     return order;
   }
 
