--- a/src/rules.cpp
+++ b/src/rules.cpp
@@ -310,12 +310,13 @@
       std::erase_if(keyFlow_, [this](const auto& k) { return k.second.at(now_, kFlowMemory) < 0.5; });
   }
 
-  // Weighted rendezvous hashing, the same at every node.
-  void rank(std::vector<Engine*>& engines, std::size_t first, const std::string& key) const {
+  // Weighted rendezvous hashing, the same at every node. The instances that come first are drawn by weight.
+  void rank(std::vector<Engine*>& engines, std::size_t first, const std::string& key, bool weighted) const {
     std::multimap<double, Engine*> scored;
-    for (std::size_t i = 0; i < first; ++i)
-      scored.emplace(-std::log(stableDraw(key, engines[i]->info.engine.value)) / hashWeight(*engines[i]),
-                     engines[i]);
+    for (std::size_t i = 0; i < first; ++i) {
+      const double weight = weighted ? hashWeight(*engines[i]) : 1;
+      scored.emplace(-std::log(stableDraw(key, engines[i]->info.engine.value)) / weight, engines[i]);
+    }
     std::transform(scored.begin(), scored.end(), engines.begin(), [](const auto& x) { return x.second; });
   }
 
@@ -329,13 +330,13 @@
       order.push_back(&e);
       all += hashWeight(e);
     }
-    rank(order, order.size(), keyOf(r));
+    rank(order, order.size(), keyOf(r), true);
     const auto flow = keyFlow_.find(keyOf(r));
     if (flow == keyFlow_.end() || r.told.session.empty()) return order;
     const double wanted = flow->second.at(now_, kFlowMemory) / (arrivals_.at(now_, kFlowMemory) + kFlowPrior);
     std::size_t homes = 0;
     while (homes < order.size() && carried * kKeyPart < wanted * all) carried += hashWeight(*order[homes++]);
-    rank(order, homes, r.told.session);
+    rank(order, homes, r.told.session, false);
     return order;
   }
 
