--- a/src/rules.cpp
+++ b/src/rules.cpp
@@ -30,7 +30,7 @@
 constexpr double kSilentFor = 5, kSilentAims = 0.5;  // usual answer times and least aims without any sign
 constexpr double kPriorStreams = 3;                  // own answers that count as much as an even spread does
 constexpr double kReadBound = 1.5;  // times the whole prompt's own reading that reads may wait at home
-constexpr double kLeastRead = 0.5, kMostRead = 1.25;  // of their even share that a cell's readers get
+constexpr double kLeastRead = 0.8, kMostRead = 1.25;  // of their even share that a cell's readers get
 constexpr double kFullMemory = 0.95;                  // share of a writer's memory that counts as full
 constexpr double kOutputShare = 0.25;                 // of the most an answer may have, expected in memory
 constexpr double kRoomToRead = 0.45;  // and share below which a writer may read prompts as well,
