--- a/src/rules.cpp
+++ b/src/rules.cpp
@@ -333,7 +333,9 @@
     rank(order, order.size(), keyOf(r), true);
     const auto flow = keyFlow_.find(keyOf(r));
     if (flow == keyFlow_.end() || r.told.session.empty()) return order;
-    const double wanted = flow->second.at(now_, kFlowMemory) / (arrivals_.at(now_, kFlowMemory) + kFlowPrior);
+    // What came before this request, which says nothing of how popular its key is.
+    const double earlier = std::max(0.0, flow->second.at(now_, kFlowMemory) - 1);
+    const double wanted = earlier / (arrivals_.at(now_, kFlowMemory) + kFlowPrior);
     std::size_t homes = 0;
     while (homes < order.size() && carried * kKeyPart < wanted * all) carried += hashWeight(*order[homes++]);
     rank(order, homes, r.told.session, false);
