--- a/src/rules.cpp
+++ b/src/rules.cpp
@@ -335,7 +335,8 @@
     if (flow == keyFlow_.end() || r.told.session.empty()) return order;
     // What came before this request, which says nothing of how popular its key is.
     const double earlier = std::max(0.0, flow->second.at(now_, kFlowMemory) - 1);
-    const double wanted = earlier / (arrivals_.at(now_, kFlowMemory) + kFlowPrior);
+    const double prior = kFlowPrior / static_cast<double>(order.size());
+    const double wanted = (earlier + prior) / (arrivals_.at(now_, kFlowMemory) + kFlowPrior);
     std::size_t homes = 0;
     while (homes < order.size() && carried * kKeyPart < wanted * all) carried += hashWeight(*order[homes++]);
     rank(order, homes, r.told.session, false);
