--- a/src/app/sharer.cpp
+++ b/src/app/sharer.cpp
@@ -103,7 +103,7 @@
   }
 }
 
-std::map<std::string, KnownBox> Sharer::boxes() const {
+std::map<std::string, KnownInstance> Sharer::boxes() const {
   auto found = fleetBoxes(engine_.membership, site_.settings);
   for (const std::string& id : engine_.membership.drained())
     if (const auto box = found.find(id); box != found.end()) box->second.serves = false;
@@ -112,21 +112,21 @@
 
 void Sharer::judge() {
   const double now = engine_.clock.nowMs();
-  const auto boxes = setup_.hearsay ? this->boxes() : std::map<std::string, KnownBox>();
+  const auto boxes = setup_.hearsay ? this->boxes() : std::map<std::string, KnownInstance>();
   std::set<std::string> listed, out;
   for (const auto& [id, box] : boxes) listed.insert(id);
   node_.sights().tidy(listed, now);
-  auto standings = node_.standings(boxes, now);
-  for (const auto& [id, standing] : standings) {
-    if (standing == Standing::kOut) out.insert(id);
-    const auto before = standings_.find(id);
-    const Standing was = before == standings_.end() ? Standing::kIn : before->second;
-    if (was == standing) continue;
-    const bool turn = was == Standing::kTrial || standing == Standing::kTrial;
+  auto availabilities = node_.availabilities(boxes, now);
+  for (const auto& [id, availability] : availabilities) {
+    if (availability == Availability::kExcluded) out.insert(id);
+    const auto before = availabilities_.find(id);
+    const Availability was = before == availabilities_.end() ? Availability::kInUse : before->second;
+    if (was == availability) continue;
+    const bool turn = was == Availability::kProbing || availability == Availability::kProbing;
     spdlog::log(turn ? spdlog::level::debug : spdlog::level::info, "shared box={} standing={} was={}", id,
-                nameOf(standing), nameOf(was));
+                nameOf(availability), nameOf(was));
   }
-  standings_ = std::move(standings);
+  availabilities_ = std::move(availabilities);
   const auto news = engine_.membership.judged(out, now);
   if (!news) return;
   for (const leverrelay::ListEntry& entry : news->entries) {
@@ -252,11 +252,11 @@
                          {"spent", here.spent},
                          {"reserved", here.reserved}}}});
   }
-  for (const auto& [id, standing] : standings_) {
+  for (const auto& [id, availability] : availabilities_) {
     const auto judged = digest ? digest->boxes.find(id) : std::map<std::string, Judged>::const_iterator();
     const bool known = digest && judged != digest->boxes.end();
     boxes.push_back({{"box", id},
-                     {"standing", nameOf(standing)},
+                     {"standing", nameOf(availability)},
                      {"bad", known ? judged->second.bad : 0},
                      {"good", known ? judged->second.good : 0},
                      {"trouble", known ? nameOf(judged->second.trouble) : "none"}});
--- a/src/app/sharer.h
+++ b/src/app/sharer.h
@@ -51,7 +51,7 @@
   void split();
   void say();
   void witness(const leverrelay::Event& event);
-  std::map<std::string, shared::KnownBox> boxes() const;
+  std::map<std::string, shared::KnownInstance> boxes() const;
 
   Engine& engine_;
   const leverrelay::wire::Setup& site_;
@@ -59,7 +59,7 @@
   shared::SharedNode node_;
   shared::DigestTask* task_ = nullptr;  // the runner has it, and its next one takes its place
   Put put_;
-  std::map<std::string, shared::Standing> standings_;
+  std::map<std::string, shared::Availability> availabilities_;
   std::size_t splitAmong_ = 0;
   shared::Degree saidDegree_ = shared::Degree::kReturning;
   std::string saidTrouble_;
--- a/src/shared/node.cpp
+++ b/src/shared/node.cpp
@@ -221,13 +221,13 @@
   return hearing_.degree();
 }
 
-std::map<std::string, Standing> SharedNode::standings(const std::map<std::string, KnownBox>& boxes,
-                                                      double nowMs) const {
+std::map<std::string, Availability> SharedNode::availabilities(
+    const std::map<std::string, KnownInstance>& boxes, double nowMs) const {
   static const std::map<std::string, Judged> kNone;
   const Degree degree = hearing_.degree();
-  return shared::standings(
+  return shared::availabilities(
       {digest_ ? digest_->boxes : kNone, boxes, sights_, nodes_, self_.name, beatSeen_,
-       degree == Degree::kConnected || degree == Degree::kLate, terms_.mostOut, terms_.trialBeats},
+       degree == Degree::kConnected || degree == Degree::kLate, terms_.maxExcludedShare, terms_.probeDigests},
       nowMs);
 }
 
--- a/src/shared/node.h
+++ b/src/shared/node.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "coordination/store.h"
-#include "shared/hearsay.h"
+#include "shared/remote_health.h"
 #include "shared/terms.h"
 #include "shared/words.h"
 
@@ -57,7 +57,8 @@
   void written(const coordination::CommitAnswer& answer, double nowMs);
 
   // ---- What follows ----
-  std::map<std::string, Standing> standings(const std::map<std::string, KnownBox>& boxes, double nowMs) const;
+  std::map<std::string, Availability> availabilities(const std::map<std::string, KnownInstance>& boxes,
+                                                     double nowMs) const;
   // How many conductors speak, with this one; at least one.
   std::size_t nodes() const { return std::max<std::size_t>(1, nodes_.size()); }
   Degree degree(double nowMs);
--- a/src/shared/setup.cpp
+++ b/src/shared/setup.cpp
@@ -58,10 +58,11 @@
   terms.hearing.aloneMs = seconds(given, "alone_s", terms.hearing.aloneMs);
   terms.judge.fadesMs = seconds(given, "fades_s", terms.judge.fadesMs);
   terms.judge.witnesses = given.value("witnesses", terms.judge.witnesses);
-  terms.mostOut = given.value("most_out", terms.mostOut);
+  terms.maxExcludedShare = given.value("most_out", terms.maxExcludedShare);
   setup.hearsay = given.value("hearsay", setup.hearsay);
   if (terms.judge.witnesses < 1) given.at("witnesses").fail("is under 1");
-  if (!(terms.mostOut >= 0 && terms.mostOut <= 0.5)) given.at("most_out").fail("is no share from 0 to 0.5");
+  if (!(terms.maxExcludedShare >= 0 && terms.maxExcludedShare <= 0.5))
+    given.at("most_out").fail("is no share from 0 to 0.5");
   if (terms.budget.sliceMs > terms.budget.aheadMs)
     given.fail("cannot be used: slice_s is longer than ahead_s, out of which it is taken");
   if (terms.budget.loanMs < 2 * (terms.wordMs + terms.digestMs))
--- a/src/shared/sights.cpp
+++ b/src/shared/sights.cpp
@@ -66,7 +66,7 @@
   return all;
 }
 
-bool Sights::freshlyGood(const std::string& box, double nowMs) const {
+bool Sights::recentlyHealthy(const std::string& box, double nowMs) const {
   const auto it = all_.find(box);
   return it != all_.end() && it->second.goodMs >= 0 && nowMs - it->second.goodMs <= terms_.freshMs &&
          it->second.goodMs > it->second.badMs;
--- a/src/shared/sights.h
+++ b/src/shared/sights.h
@@ -47,7 +47,7 @@
 
   std::map<std::string, Sight> said(double nowMs) const;
   // Whether it answered lately, and nothing went wrong there since.
-  bool freshlyGood(const std::string& box, double nowMs) const;
+  bool recentlyHealthy(const std::string& box, double nowMs) const;
 
  private:
   struct One {
--- a/src/shared/terms.h
+++ b/src/shared/terms.h
@@ -28,8 +28,8 @@
   double silentMs = 10'000;                      // what a conductor saw counts so long after its last word
   double periodMs = 86'400'000;                  // of all budgets, from the Unix epoch on
   std::map<std::string, std::uint64_t> budgets;  // tokens in a period, by franchisee
-  double mostOut = 0.34;         // share of a role, and of a role in a cell, that hearsay may leave out
-  std::uint64_t trialBeats = 3;  // digests for which one conductor tries a box that is left out
+  double maxExcludedShare = 0.34;  // share of a role, and of a role in a cell, that hearsay may leave out
+  std::uint64_t probeDigests = 3;  // digests for which one conductor tries a box that is left out
   SharedGuards guards;
   BudgetTerms budget;
   SightTerms sights;
--- a/tests/bounds_test.cpp
+++ b/tests/bounds_test.cpp
@@ -132,12 +132,12 @@
   // Left out are all that are bad, but for those which the bounds keep in and the one that it is to try.
   std::vector<std::string> names;
   for (const auto& [origin, word] : read->heard) names.push_back(origin.name);
-  std::map<Standing, std::size_t> standings;
-  for (const auto& [id, standing] :
-       shared::standings({read->boxes, boxesOf(instances), Sights(), names, names.front(), read->beat}, now))
-    ++standings[standing];
-  EXPECT_EQ(standings[Standing::kIn], instances - (instances + 9) / 10);
-  EXPECT_GT(standings[Standing::kOut], instances / 20);
+  std::map<Availability, std::size_t> availabilities;
+  for (const auto& [id, availability] : shared::availabilities(
+           {read->boxes, boxesOf(instances), Sights(), names, names.front(), read->beat}, now))
+    ++availabilities[availability];
+  EXPECT_EQ(availabilities[Availability::kInUse], instances - (instances + 9) / 10);
+  EXPECT_GT(availabilities[Availability::kExcluded], instances / 20);
   // However many speak, none counts as silent or as alone between two of its words.
   EXPECT_LE(terms.paceMs(conductors), std::min(terms.silentMs, terms.hearing.aloneMs) / 2);
   EXPECT_GE(terms.paceMs(conductors), terms.wordMs);
--- a/tests/shared_test.cpp
+++ b/tests/shared_test.cpp
@@ -272,7 +272,8 @@
 std::size_t leftOutBy(const SharedWorld& world, const std::string& box) {
   std::size_t count = 0;
   for (const auto& node : world.nodes)
-    if (node.shared) count += node.shared->standings(world.boxes, world.now).at(box) == Standing::kOut;
+    if (node.shared)
+      count += node.shared->availabilities(world.boxes, world.now).at(box) == Availability::kExcluded;
   return count;
 }
 
@@ -336,11 +337,12 @@
     for (const auto& node : world.nodes) {
       if (!node.shared) continue;
       std::map<std::string, std::size_t> role, cell;
-      for (const auto& [id, standing] : node.shared->standings(world.boxes, world.now)) {
-        const KnownBox& box = world.boxes.at(id);
-        const bool left =
-            standing == Standing::kOut || standing == Standing::kOwnWord || standing == Standing::kTrial;
-        EXPECT_EQ(standing == Standing::kOperator, !box.serves);
+      for (const auto& [id, availability] : node.shared->availabilities(world.boxes, world.now)) {
+        const KnownInstance& box = world.boxes.at(id);
+        const bool left = availability == Availability::kExcluded ||
+                          availability == Availability::kLocallyHealthy ||
+                          availability == Availability::kProbing;
+        EXPECT_EQ(availability == Availability::kOperator, !box.serves);
         if (!left) continue;
         ++out;
         ++role[box.role];
@@ -499,7 +501,7 @@
   EXPECT_TRUE(rc::check([] {
     const auto boxes = *rc::gen::inRange<std::size_t>(0, 200);
     const double share = *rc::gen::inRange(0, 101) / 100.0;
-    const std::size_t most = mostOutOf(boxes, share);
+    const std::size_t most = maxExcluded(boxes, share);
     RC_ASSERT(static_cast<double>(most) <= static_cast<double>(boxes) * share + 1e-6);
     RC_ASSERT(boxes == 0 || most < boxes);
   }));
--- a/tests/support/shared_world.h
+++ b/tests/support/shared_world.h
@@ -252,21 +252,21 @@
   }
 
   // ---- Boxes ---------------------------------------------------------------------------------------
-  std::map<std::string, KnownBox> boxes;
+  std::map<std::string, KnownInstance> boxes;
   std::set<std::string> badBoxes;
   void look(std::size_t i) {
     if (!options.sights || boxes.empty()) return;
     Node& node = nodes[i];
-    auto standing = node.shared->standings(boxes, now);
+    auto availability = node.shared->availabilities(boxes, now);
     if (options.believeAny && node.shared->digest())
       for (const auto& [box, judged] : node.shared->digest()->boxes)
-        if (judged.bad > 0 && standing.count(box) != 0) standing[box] = Standing::kOut;
+        if (judged.bad > 0 && availability.count(box) != 0) availability[box] = Availability::kExcluded;
     std::map<std::string, std::size_t> in;
-    for (const auto& [box, at] : standing) in[boxes.at(box).role] += at != Standing::kOut;
+    for (const auto& [box, at] : availability) in[boxes.at(box).role] += at != Availability::kExcluded;
     for (const auto& [role, left] : in) fewestIn = std::min(fewestIn, left);
     for (const auto& [box, known] : boxes) {
-      const Standing at = standing.at(box);
-      if (at == Standing::kOut || at == Standing::kOperator || !chance(0.04)) continue;
+      const Availability at = availability.at(box);
+      if (at == Availability::kExcluded || at == Availability::kOperator || !chance(0.04)) continue;
       const bool well = badBoxes.count(box) == 0 && !node.badLink;
       ++(well ? goodTries : badTries);
       if (well) node.shared->sights().good(box, now);
