--- a/src/app/coordinator.cpp
+++ b/src/app/coordinator.cpp
@@ -209,7 +209,7 @@
   saidBack_ = false;
   plan_ = std::move(plan);
   const std::set<std::string> drained = plan_ && !plan_->over() ? plan_->drained() : std::set<std::string>();
-  const auto news = engine_.membership.planned(drained, engine_.clock.nowMs());
+  const auto news = engine_.membership.setPlannedDrains(drained, engine_.clock.nowMs());
   if (!news) return;
   for (const leverrelay::ListEntry& entry : news->entries) {
     const bool out = drained.count(entry.engine.value) != 0;
--- a/src/app/sharer.cpp
+++ b/src/app/sharer.cpp
@@ -78,25 +78,25 @@
 void Sharer::witness(const leverrelay::Event& event) {
   const double now = engine_.clock.nowMs();
   if (const auto* opened = std::get_if<leverrelay::StreamOpened>(&event))
-    return node_.sights().good(opened->engine.value, now);
+    return node_.observations().recordSuccess(opened->engine.value, now);
   const auto* ended = std::get_if<leverrelay::AttemptEnded>(&event);
   if (ended == nullptr) return;
   const std::string& box = ended->engine.value;
   switch (ended->outcome) {
     case Outcome::kServed:
     case Outcome::kRead:
-      return node_.sights().good(box, now);
+      return node_.observations().recordSuccess(box, now);
     case Outcome::kError:
     case Outcome::kConnectionLost:
-      return node_.sights().bad(box, Trouble::kFailing, now);
+      return node_.observations().recordFailure(box, FailureKind::kError, now);
     case Outcome::kNoConnection:
-      return node_.sights().bad(box, Trouble::kRefused, now);
+      return node_.observations().recordFailure(box, FailureKind::kConnectionRefused, now);
     case Outcome::kTimeout:
-      return node_.sights().bad(box, Trouble::kSilent, now);
+      return node_.observations().recordFailure(box, FailureKind::kTimeout, now);
     // Called off for its silence, and not because its client has gone or was refused.
     case Outcome::kCancelled:
       if (!ended->concluded && engine_.conductor.avoids(ended->engine))
-        node_.sights().bad(box, Trouble::kSilent, now);
+        node_.observations().recordFailure(box, FailureKind::kTimeout, now);
       return;
     default:
       return;
@@ -115,7 +115,7 @@
   const auto boxes = setup_.hearsay ? this->boxes() : std::map<std::string, KnownInstance>();
   std::set<std::string> listed, out;
   for (const auto& [id, box] : boxes) listed.insert(id);
-  node_.sights().tidy(listed, now);
+  node_.observations().prune(listed, now);
   auto availabilities = node_.availabilities(boxes, now);
   for (const auto& [id, availability] : availabilities) {
     if (availability == Availability::kExcluded) out.insert(id);
@@ -127,7 +127,7 @@
                 nameOf(availability), nameOf(was));
   }
   availabilities_ = std::move(availabilities);
-  const auto news = engine_.membership.judged(out, now);
+  const auto news = engine_.membership.setPeerExclusions(out, now);
   if (!news) return;
   for (const leverrelay::ListEntry& entry : news->entries) {
     const fronts::Box* box = engine_.directory.find(entry.engine);
@@ -253,13 +253,14 @@
                          {"reserved", here.reserved}}}});
   }
   for (const auto& [id, availability] : availabilities_) {
-    const auto judged = digest ? digest->boxes.find(id) : std::map<std::string, Judged>::const_iterator();
-    const bool known = digest && judged != digest->boxes.end();
+    const auto verdict =
+        digest ? digest->boxes.find(id) : std::map<std::string, HealthVerdict>::const_iterator();
+    const bool known = digest && verdict != digest->boxes.end();
     boxes.push_back({{"box", id},
                      {"standing", nameOf(availability)},
-                     {"bad", known ? judged->second.bad : 0},
-                     {"good", known ? judged->second.good : 0},
-                     {"trouble", known ? nameOf(judged->second.trouble) : "none"}});
+                     {"bad", known ? verdict->second.bad : 0},
+                     {"good", known ? verdict->second.good : 0},
+                     {"trouble", known ? nameOf(verdict->second.failure) : "none"}});
   }
   const json whole{{"conductor", node_.self().name},
                    {"incarnation", node_.self().incarnation},
--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -20,7 +20,7 @@
 
 ListEntry Membership::effective(ListEntry entry) const {
   const auto returned = returned_.find(entry.engine.value);
-  if (drained_.count(entry.engine.value) != 0 || judgedOut_.count(entry.engine.value) != 0) {
+  if (drained_.count(entry.engine.value) != 0 || peerExclusions_.count(entry.engine.value) != 0) {
     if (entry.presence == Presence::kActive) entry.presence = Presence::kLeaving;
   } else if (returned != returned_.end()) {
     const Time back = core::toModuleTime(returned->second);
@@ -86,12 +86,12 @@
   return changed.empty() ? std::nullopt : newsOf(changed);
 }
 
-std::optional<ListNews> Membership::planned(const std::set<std::string>& drained, double nowMs) {
+std::optional<ListNews> Membership::setPlannedDrains(const std::set<std::string>& drained, double nowMs) {
   return leaveOut(drained_, drained, nowMs);
 }
 
-std::optional<ListNews> Membership::judged(const std::set<std::string>& out, double nowMs) {
-  return leaveOut(judgedOut_, out, nowMs);
+std::optional<ListNews> Membership::setPeerExclusions(const std::set<std::string>& out, double nowMs) {
+  return leaveOut(peerExclusions_, out, nowMs);
 }
 
 std::optional<ListNews> Membership::merge(const Marks& others) { return newsOf(marks_.merge(others)); }
--- a/src/fleet/membership.h
+++ b/src/fleet/membership.h
@@ -32,11 +32,11 @@
 
   // The boxes that the fleet's maintenance has out: those that are new to it leave, and those that are in it
   // no more come back as boxes that have just started.
-  std::optional<leverrelay::ListNews> planned(const std::set<std::string>& drained, double nowMs);
+  std::optional<leverrelay::ListNews> setPlannedDrains(const std::set<std::string>& drained, double nowMs);
 
   // The boxes that are left out because others found them bad. Those that come back are cold for all that is
   // known: they may have been started anew meanwhile.
-  std::optional<leverrelay::ListNews> judged(const std::set<std::string>& out, double nowMs);
+  std::optional<leverrelay::ListNews> setPeerExclusions(const std::set<std::string>& out, double nowMs);
 
   // What other processes marked.
   std::optional<leverrelay::ListNews> merge(const Marks& others);
@@ -52,7 +52,7 @@
   }
   bool excluded(const leverrelay::EngineId& id) const { return marks_.excluded(id.value); }
   const std::set<std::string>& drained() const { return drained_; }
-  const std::set<std::string>& judgedOut() const { return judgedOut_; }
+  const std::set<std::string>& peerExclusions() const { return peerExclusions_; }
 
  private:
   Change mark(const std::string& id, bool excluded, double nowMs);
@@ -67,7 +67,7 @@
   std::map<leverrelay::EngineId, leverrelay::ListEntry> listed_;  // as the list says it
   std::map<std::string, double> missingSince_;                    // marked, but not listed
   std::set<std::string> drained_;                                 // by the maintenance
-  std::set<std::string> judgedOut_;                               // by what other conductors saw
+  std::set<std::string> peerExclusions_;                          // by what other conductors saw
   std::map<std::string, double> returned_;                        // from either, lately: when
 };
 
--- a/src/shared/digest_task.cpp
+++ b/src/shared/digest_task.cpp
@@ -181,27 +181,28 @@
   }
 }
 
-void DigestTask::judgeBoxes(Digest& digest, const std::map<Origin, Read>& parts) {
-  std::map<std::string, std::vector<Sight>> heard;
+void DigestTask::updateVerdicts(Digest& digest, const std::map<Origin, Read>& parts) {
+  std::map<std::string, std::vector<HealthObservation>> heard;
   for (const auto& [origin, read] : parts) {
     if (read.ageMs >= terms_.silentMs) continue;
-    std::map<std::string, Sight> now;
-    for (const auto& [box, sight] : read.part.sights) now[box] = aged(sight, read.ageMs, terms_.sights);
-    if (terms_.guards.credibleOnly && !credible(now, terms_.sights)) {
+    std::map<std::string, HealthObservation> now;
+    for (const auto& [box, observation] : read.part.observations)
+      now[box] = decayed(observation, read.ageMs, terms_.observations);
+    if (terms_.guards.credibleOnly && !isCredible(now, terms_.observations)) {
       ++happened_.incredible;
       continue;
     }
-    for (const auto& [box, sight] : now) heard[box].push_back(sight);
+    for (const auto& [box, observation] : now) heard[box].push_back(observation);
   }
-  for (const auto& [box, judged] : digest.boxes) heard[box];
-  std::map<std::string, Judged> boxes;
-  for (const auto& [box, sights] : heard) {
+  for (const auto& [box, verdict] : digest.boxes) heard[box];
+  std::map<std::string, HealthVerdict> boxes;
+  for (const auto& [box, observations] : heard) {
     const auto before = digest.boxes.find(box);
-    const Judged now = judge(before == digest.boxes.end() ? Judged{} : before->second, sights, digest.beat,
-                             terms_.sights, terms_.judge);
+    const HealthVerdict now = nextVerdict(before == digest.boxes.end() ? HealthVerdict{} : before->second,
+                                          observations, digest.beat, terms_.observations, terms_.verdict);
     if (now.out || now.bad > 0) boxes[box] = now;
   }
-  while (boxes.size() > kMostBoxes)  // those that nobody leaves out say least
+  while (boxes.size() > kMaxInstances)  // those that nobody leaves out say least
     boxes.erase(std::min_element(boxes.begin(), boxes.end(), [](const auto& a, const auto& b) {
       return std::pair(a.second.out, a.second.bad) < std::pair(b.second.out, b.second.bad);
     }));
@@ -247,7 +248,7 @@
   std::vector<Write> writes = fold(digest, parts, nowMs);
   count(digest, parts);
   lendAll(digest, parts, fence, nowMs);
-  judgeBoxes(digest, parts);
+  updateVerdicts(digest, parts);
   std::string text = textOf(digest);
   // What is told to those that come back gives way, the older half first, and then what people read.
   while (text.size() > kLargestText && (!digest.folded.empty() || !digest.total.empty())) {
--- a/src/shared/digest_task.h
+++ b/src/shared/digest_task.h
@@ -45,7 +45,7 @@
   void settle(Digest& digest, const std::map<Origin, Read>& parts);
   std::vector<coordination::Write> fold(Digest& digest, std::map<Origin, Read>& parts, double nowMs);
   void lendAll(Digest& digest, const std::map<Origin, Read>& parts, std::uint64_t fence, double nowMs);
-  void judgeBoxes(Digest& digest, const std::map<Origin, Read>& parts);
+  void updateVerdicts(Digest& digest, const std::map<Origin, Read>& parts);
   void count(Digest& digest, const std::map<Origin, Read>& parts);
 
   coordination::TaskTerms task_;
--- /dev/null
+++ b/src/shared/health_observation.cpp
@@ -0,0 +1,152 @@
+#include "shared/health_observation.h"
+
+#include <algorithm>
+#include <array>
+#include <cmath>
+#include <tuple>
+
+namespace dahliastall::shared {
+
+namespace {
+
+constexpr double kNegligible = 0.05;  // evidence below this is none
+constexpr double kReversalFactor =
+    0.5;  // of what was seen before is left when the next answer says otherwise
+constexpr std::size_t kMinUnhealthyToDoubt =
+    2;  // bad boxes from which on a witness may be the one that is ill
+
+double decayFactor(double byMs, const ObservationTerms& terms) {
+  return std::exp2(-std::max(0.0, byMs) / terms.halfLifeMs);
+}
+
+}  // namespace
+
+const char* nameOf(FailureKind failure) {
+  constexpr std::array<const char*, 5> kNames{"none", "refused", "silent", "failing", "slow"};
+  return kNames[static_cast<std::size_t>(failure)];
+}
+
+LocalObservations::Entry& LocalObservations::decayedEntry(const std::string& box, double nowMs) {
+  Entry& entry = entries_.try_emplace(box).first->second;
+  const double left = decayFactor(nowMs - entry.atMs, terms_);
+  entry.good *= left;
+  entry.bad *= left;
+  entry.atMs = nowMs;
+  return entry;
+}
+
+void LocalObservations::recordSuccess(const std::string& box, double nowMs) {
+  if (entries_.count(box) == 0 && entries_.size() >= kMaxInstances) return;
+  Entry& entry = decayedEntry(box, nowMs);
+  entry.good += 1;
+  entry.bad *= kReversalFactor;
+  entry.goodMs = nowMs;
+}
+
+void LocalObservations::recordFailure(const std::string& box, FailureKind failure, double nowMs) {
+  if (entries_.count(box) == 0 && entries_.size() >= kMaxInstances) return;
+  Entry& entry = decayedEntry(box, nowMs);
+  entry.bad += 1;
+  entry.good *= kReversalFactor;
+  entry.badMs = nowMs;
+  entry.failure = failure;
+}
+
+void LocalObservations::prune(const std::set<std::string>& listed, double nowMs) {
+  std::erase_if(entries_, [&](const auto& entry) {
+    const double left = decayFactor(nowMs - entry.second.atMs, terms_);
+    return listed.count(entry.first) == 0 || (entry.second.good + entry.second.bad) * left < kNegligible;
+  });
+}
+
+std::map<std::string, HealthObservation> LocalObservations::snapshot(double nowMs) const {
+  std::map<std::string, HealthObservation> all;
+  for (const auto& [box, entry] : entries_) {
+    const double left = decayFactor(nowMs - entry.atMs, terms_);
+    const HealthObservation observation{entry.good * left, entry.bad * left,
+                                        entry.badMs < 0 ? 0 : nowMs - entry.badMs,
+                                        entry.goodMs < 0 ? 0 : nowMs - entry.goodMs, entry.failure};
+    if (observation.good + observation.bad >= kNegligible) all[box] = observation;
+  }
+  return all;
+}
+
+bool LocalObservations::recentlyHealthy(const std::string& box, double nowMs) const {
+  const auto it = entries_.find(box);
+  return it != entries_.end() && it->second.goodMs >= 0 && nowMs - it->second.goodMs <= terms_.freshMs &&
+         it->second.goodMs > it->second.badMs;
+}
+
+void keepStrongest(std::map<std::string, HealthObservation>& observations, std::size_t most) {
+  if (observations.size() <= most) return;
+  std::vector<std::tuple<double, double, std::string>> least;
+  for (const auto& [box, observation] : observations)
+    least.emplace_back(observation.bad, observation.good, box);
+  const auto end = least.begin() + static_cast<std::ptrdiff_t>(least.size() - most);
+  std::nth_element(least.begin(), end, least.end());
+  for (auto it = least.begin(); it != end; ++it) observations.erase(std::get<std::string>(*it));
+}
+
+HealthObservation decayed(const HealthObservation& observation, double byMs, const ObservationTerms& terms) {
+  HealthObservation next = observation;
+  next.good *= decayFactor(byMs, terms);
+  next.bad *= decayFactor(byMs, terms);
+  next.badAgeMs += std::max(0.0, byMs);
+  next.goodAgeMs += std::max(0.0, byMs);
+  return next;
+}
+
+Vote voteOf(const HealthObservation& observation, const ObservationTerms& terms) {
+  if (observation.bad >= terms.unhealthyFrom && observation.bad >= observation.good) return Vote::kUnhealthy;
+  // What answered after it had failed is good from the first answer on.
+  if (observation.good >= 0.5 &&
+      (observation.bad < kNegligible || observation.goodAgeMs < observation.badAgeMs))
+    return Vote::kHealthy;
+  return Vote::kAbstain;
+}
+
+bool isCredible(const std::map<std::string, HealthObservation>& observations, const ObservationTerms& terms) {
+  std::size_t bad = 0, known = 0;
+  for (const auto& [box, observation] : observations) {
+    const Vote vote = voteOf(observation, terms);
+    known += vote != Vote::kAbstain;
+    bad += vote == Vote::kUnhealthy;
+  }
+  return bad < kMinUnhealthyToDoubt ||
+         static_cast<double>(bad) <= terms.maxUnhealthyShare * static_cast<double>(known);
+}
+
+HealthVerdict nextVerdict(const HealthVerdict& previous, const std::vector<HealthObservation>& heard,
+                          std::uint64_t beat, const ObservationTerms& observations,
+                          const VerdictTerms& terms) {
+  HealthVerdict next = previous;
+  next.bad = next.good = 0;
+  next.evidence = 0;
+  std::vector<double> badAges;
+  double lastBad =
+      HUGE_VAL;  // also of what does not weigh enough to be a word, as a single trial that failed
+  for (const HealthObservation& observation : heard) {
+    if (observation.bad >= kNegligible) lastBad = std::min(lastBad, observation.badAgeMs);
+    if (voteOf(observation, observations) != Vote::kUnhealthy) continue;
+    ++next.bad;
+    next.evidence += observation.bad;
+    next.failure = observation.failure;
+    badAges.push_back(observation.badAgeMs);
+  }
+  std::sort(badAges.begin(), badAges.end());
+  // A good answer from before the trouble says nothing of it: what counts is later than the bad ones that it
+  // takes, and than all of them once the box is out, as a trial is.
+  const std::size_t needed = std::max<std::uint32_t>(1, terms.witnesses);
+  const double since = previous.out ? lastBad : badAges.size() < needed ? HUGE_VAL : badAges[needed - 1];
+  for (const HealthObservation& observation : heard)
+    next.good += voteOf(observation, observations) == Vote::kHealthy && observation.goodAgeMs < since;
+  if (!previous.out) {
+    next.out = next.bad >= terms.witnesses && next.bad > next.good;
+    if (next.out) next.sinceBeat = beat;
+    return next;
+  }
+  next.out = lastBad < terms.expiryMs && next.good == 0;
+  return next;
+}
+
+}  // namespace dahliastall::shared
--- a/src/shared/node.cpp
+++ b/src/shared/node.cpp
@@ -13,8 +13,8 @@
 
 constexpr double kHurryShare =
     0.25;  // of the pace, before which no word follows another even if one is wanted
-constexpr std::size_t kFewSights = 64;  // that a conductor may say in a fleet of any size
-constexpr std::size_t kMostSaid = 8;    // words whose answers are not known; older ones are taken for lost
+constexpr std::size_t kMinObservations = 64;  // that a conductor may say in a fleet of any size
+constexpr std::size_t kMostSaid = 8;  // words whose answers are not known; older ones are taken for lost
 
 }  // namespace
 
@@ -24,7 +24,7 @@
       self_{std::move(name), draw_()},
       hearing_(terms_.hearing, self_.incarnation, nowMs),
       purse_(terms_.budget),
-      sights_(terms_.sights) {
+      observations_(terms_.observations) {
   purse_.budgets(terms_.budgets);
 }
 
@@ -175,7 +175,7 @@
   part.period = purse_.period();
   part.spends = purse_.say(nowMs, leaving_);
   part.tallies = tallies_;
-  part.sights = sights_.said(nowMs);
+  part.observations = observations_.snapshot(nowMs);
   part.settled = settled_;
   said_.push_back({part.word, part.period, part.spends, part.tallies, nowMs});
   // The first is the last that was taken; of those in doubt the oldest can no more be the newest.
@@ -183,9 +183,9 @@
   writing_ = true;
   // The whole fleet's parts are read by one: its share of their bytes, for which sights give way.
   std::string text = textOf(part);
-  while (text.size() > kAllPartsBytes / nodes() && part.sights.size() > kFewSights) {
-    const std::size_t room = part.sights.size() * (kAllPartsBytes / nodes()) / text.size();
-    keepMostTelling(part.sights, std::max(kFewSights, room));
+  while (text.size() > kAllPartsBytes / nodes() && part.observations.size() > kMinObservations) {
+    const std::size_t room = part.observations.size() * (kAllPartsBytes / nodes()) / text.size();
+    keepStrongest(part.observations, std::max(kMinObservations, room));
     text = textOf(part);
   }
   return Write{part.key(), revision_, std::move(text)};
@@ -223,10 +223,10 @@
 
 std::map<std::string, Availability> SharedNode::availabilities(
     const std::map<std::string, KnownInstance>& boxes, double nowMs) const {
-  static const std::map<std::string, Judged> kNone;
+  static const std::map<std::string, HealthVerdict> kNone;
   const Degree degree = hearing_.degree();
   return shared::availabilities(
-      {digest_ ? digest_->boxes : kNone, boxes, sights_, nodes_, self_.name, beatSeen_,
+      {digest_ ? digest_->boxes : kNone, boxes, observations_, nodes_, self_.name, beatSeen_,
        degree == Degree::kConnected || degree == Degree::kLate, terms_.maxExcludedShare, terms_.probeDigests},
       nowMs);
 }
--- a/src/shared/node.h
+++ b/src/shared/node.h
@@ -39,7 +39,7 @@
   };
   void ended(const std::string& tenant, const std::string& cls, const Reservation& reservation,
              const Ended& how, double nowMs);
-  Sights& sights() { return sights_; }
+  LocalObservations& observations() { return observations_; }
 
   // ---- What the store says ----
   // The keys that this conductor has to read.
@@ -87,7 +87,7 @@
   Origin self_;
   Hearing hearing_;
   Purse purse_;
-  Sights sights_;
+  LocalObservations observations_;
   Tallies tallies_;  // of this incarnation
   std::optional<Digest> digest_;
   std::uint64_t digestRevision_ = 0, flawedRevision_ = 0;
--- a/src/shared/remote_health.cpp
+++ b/src/shared/remote_health.cpp
@@ -58,10 +58,10 @@
   }
   // What most witnesses speak against goes first, in the same order at every conductor.
   std::vector<std::tuple<double, double, std::string>> candidates;
-  for (const auto& [id, verdicts] : input.verdicts) {
+  for (const auto& [id, verdict] : input.verdicts) {
     const auto box = input.boxes.find(id);
-    if (verdicts.out && box != input.boxes.end() && box->second.serves)
-      candidates.emplace_back(-static_cast<double>(verdicts.bad), -verdicts.evidence, id);
+    if (verdict.out && box != input.boxes.end() && box->second.serves)
+      candidates.emplace_back(-static_cast<double>(verdict.bad), -verdict.evidence, id);
   }
   std::sort(candidates.begin(), candidates.end());
   for (const auto& [votes, evidence, id] : candidates) {
--- a/src/shared/remote_health.h
+++ b/src/shared/remote_health.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "coordination/maintenance.h"
-#include "shared/sights.h"
+#include "shared/health_observation.h"
 
 namespace dahliastall::shared {
 
@@ -35,9 +35,9 @@
 const char* nameOf(Availability availability);
 
 struct RemoteHealthInput {
-  const std::map<std::string, Judged>& verdicts;
+  const std::map<std::string, HealthVerdict>& verdicts;
   const std::map<std::string, KnownInstance>& boxes;
-  const Sights& own;
+  const LocalObservations& own;
   const std::vector<std::string>& nodes;  // that speak
   std::string self;
   std::uint64_t beat = 0;
--- a/src/shared/setup.cpp
+++ b/src/shared/setup.cpp
@@ -56,11 +56,11 @@
   terms.silentMs = seconds(given, "silent_s", terms.silentMs);
   terms.hearing.lateMs = seconds(given, "late_s", terms.hearing.lateMs);
   terms.hearing.aloneMs = seconds(given, "alone_s", terms.hearing.aloneMs);
-  terms.judge.fadesMs = seconds(given, "fades_s", terms.judge.fadesMs);
-  terms.judge.witnesses = given.value("witnesses", terms.judge.witnesses);
+  terms.verdict.expiryMs = seconds(given, "fades_s", terms.verdict.expiryMs);
+  terms.verdict.witnesses = given.value("witnesses", terms.verdict.witnesses);
   terms.maxExcludedShare = given.value("most_out", terms.maxExcludedShare);
   setup.hearsay = given.value("hearsay", setup.hearsay);
-  if (terms.judge.witnesses < 1) given.at("witnesses").fail("is under 1");
+  if (terms.verdict.witnesses < 1) given.at("witnesses").fail("is under 1");
   if (!(terms.maxExcludedShare >= 0 && terms.maxExcludedShare <= 0.5))
     given.at("most_out").fail("is no share from 0 to 0.5");
   if (terms.budget.sliceMs > terms.budget.aheadMs)
--- a/src/shared/terms.h
+++ b/src/shared/terms.h
@@ -7,8 +7,8 @@
 #include <string>
 
 #include "shared/budget.h"
+#include "shared/health_observation.h"
 #include "shared/hearing.h"
-#include "shared/sights.h"
 
 namespace dahliastall::shared {
 
@@ -32,8 +32,8 @@
   std::uint64_t probeDigests = 3;  // digests for which one conductor tries a box that is left out
   SharedGuards guards;
   BudgetTerms budget;
-  SightTerms sights;
-  JudgeTerms judge;
+  ObservationTerms observations;
+  VerdictTerms verdict;
   HearingTerms hearing;
 
   // Between two words of a conductor. However many there are, each speaks twice before it counts as silent or
--- a/src/shared/words.cpp
+++ b/src/shared/words.cpp
@@ -46,13 +46,13 @@
 constexpr std::size_t kTallies = kMany + kMostTallies * (kList + 2 * kWord + 7 * kNumber);
 constexpr std::size_t kAmounts = kMany + kMostTenants * (kWord + kNumber);
 constexpr std::size_t kLargestPart = kRest + kMany + kMostTenants * (kWord + kList + 6 * kNumber) + kTallies +
-                                     kMany + kMostBoxes * (kWord + kList + 4 * kNumber + 1) + kAmounts;
+                                     kMany + kMaxInstances * (kWord + kList + 4 * kNumber + 1) + kAmounts;
 constexpr std::size_t kLoans = kMany + kMostOrigins * (kList + kPlace + kNumber);
 // Without the sum of all counts, which is for people, and what is told to those that were folded: these two
 // are left out where there is no room.
 constexpr std::size_t kLeastDigest = kRest + kMany + kMostOrigins * (kOrigin + kNumber) +
                                      kMostTenants * (kWord + kRest / 16 + 3 * kNumber + kLoans) + kTallies +
-                                     kMany + kMostBoxes * (kWord + kList + 2 * kPlace + 2 + 2 * kNumber);
+                                     kMany + kMaxInstances * (kWord + kList + 2 * kPlace + 2 + 2 * kNumber);
 static_assert(kLargestPart <= kLargestText && kLeastDigest <= kLargestText);
 
 // The value in a text of this form, or what is wrong with it.
@@ -101,8 +101,8 @@
   return value;
 }
 
-Trouble troubleOf(const json& value) {
-  return static_cast<Trouble>(count(value, static_cast<std::uint64_t>(Trouble::kSlow)));
+FailureKind failureKindOf(const json& value) {
+  return static_cast<FailureKind>(count(value, static_cast<std::uint64_t>(FailureKind::kSlow)));
 }
 
 // ---- Parts of both -------------------------------------------------------------------------------------
@@ -169,14 +169,14 @@
 // ---- A conductor's part --------------------------------------------------------------------------------
 
 std::string textOf(const Part& part) {
-  json spends = json::object(), sights = json::object();
+  json spends = json::object(), observations = json::object();
   for (const auto& [tenant, s] : part.spends)
     spends[tenant] = {s.spent, s.reserved, s.ceiling, s.lentSeen, s.returned, s.wants};
-  for (const auto& [box, s] : part.sights)
-    sights[box] = {s.good, s.bad, s.goodAgeMs, s.badAgeMs, static_cast<std::uint64_t>(s.trouble)};
+  for (const auto& [box, s] : part.observations)
+    observations[box] = {s.good, s.bad, s.goodAgeMs, s.badAgeMs, static_cast<std::uint64_t>(s.failure)};
   json value{{"origin", jsonOf(part.origin)},   {"word", part.word},     {"beat", part.beatSeen},
              {"unix_ms", part.unixMs},          {"period", part.period}, {"spends", spends},
-             {"tallies", jsonOf(part.tallies)}, {"sights", sights}};
+             {"tallies", jsonOf(part.tallies)}, {"sights", observations}};
   if (part.settled)
     value["settled"] = {{"incarnation", part.settled->incarnation},
                         {"period", part.settled->period},
@@ -199,9 +199,10 @@
       part.spends[tenant] = {count(s.at(0)), count(s.at(1)), count(s.at(2)),
                              count(s.at(3)), count(s.at(4)), count(s.at(5))};
     part.tallies = talliesOf(whole.at("tallies"));
-    for (const auto& [box, s] : within(whole.at("sights"), kMostBoxes).items())
-      part.sights[box] = {amount(s.at(0), kMostEvidence), amount(s.at(1), kMostEvidence),
-                          amount(s.at(3), kLongestAgeMs), amount(s.at(2), kLongestAgeMs), troubleOf(s.at(4))};
+    for (const auto& [box, s] : within(whole.at("sights"), kMaxInstances).items())
+      part.observations[box] = {amount(s.at(0), kMostEvidence), amount(s.at(1), kMostEvidence),
+                                amount(s.at(3), kLongestAgeMs), amount(s.at(2), kLongestAgeMs),
+                                failureKindOf(s.at(4))};
     if (whole.contains("settled")) {
       const json& s = whole.at("settled");
       part.settled =
@@ -233,8 +234,10 @@
   }
   for (const Folded& one : digest.folded)
     folded.push_back({jsonOf(one.origin), one.word, one.period, jsonOf(one.charged)});
-  for (const auto& [box, j] : digest.boxes)
-    boxes[box] = {j.bad, j.good, j.out, static_cast<std::uint64_t>(j.trouble), j.evidence, j.sinceBeat};
+  for (const auto& [box, verdict] : digest.boxes)
+    boxes[box] = {verdict.bad,      verdict.good,
+                  verdict.out,      static_cast<std::uint64_t>(verdict.failure),
+                  verdict.evidence, verdict.sinceBeat};
   json value = digest.unknown;
   value.update({{"beat", digest.beat},
                 {"restored", digest.restored},
@@ -284,13 +287,13 @@
     for (const json& one : within(whole.at("folded"), kMostFolded))
       digest.folded.push_back(
           {originOf(one.at(0)), anyNumber(one.at(1)), anyNumber(one.at(2)), amountsOf(one.at(3))});
-    for (const auto& [box, j] : within(whole.at("boxes"), kMostBoxes).items())
-      digest.boxes[box] = {static_cast<std::uint32_t>(count(j.at(0), kMostNodes)),
-                           static_cast<std::uint32_t>(count(j.at(1), kMostNodes)),
-                           j.at(2).get<bool>(),
-                           troubleOf(j.at(3)),
-                           amount(j.at(4), kMostEvidence * kMostNodes),
-                           anyNumber(j.at(5))};
+    for (const auto& [box, verdict] : within(whole.at("boxes"), kMaxInstances).items())
+      digest.boxes[box] = {static_cast<std::uint32_t>(count(verdict.at(0), kMostNodes)),
+                           static_cast<std::uint32_t>(count(verdict.at(1), kMostNodes)),
+                           verdict.at(2).get<bool>(),
+                           failureKindOf(verdict.at(3)),
+                           amount(verdict.at(4), kMostEvidence * kMostNodes),
+                           anyNumber(verdict.at(5))};
     for (const auto& [field, rest] : whole.items()) digest.unknown[field] = rest;
     for (const char* known : {"beat", "restored", "lends_from", "fence", "period", "period_ends_ms", "nodes",
                               "budgets", "base", "total", "folded", "boxes"})
--- a/src/shared/words.h
+++ b/src/shared/words.h
@@ -13,7 +13,7 @@
 
 #include "coordination/store.h"
 #include "shared/budget.h"
-#include "shared/sights.h"
+#include "shared/health_observation.h"
 #include "shared/tallies.h"
 
 namespace dahliastall::shared {
@@ -47,7 +47,7 @@
   std::uint64_t period = 0;
   std::map<std::string, Spend> spends;
   Tallies tallies;
-  std::map<std::string, Sight> sights;
+  std::map<std::string, HealthObservation> observations;
   std::optional<Settled> settled;
 
   std::string key() const;
@@ -74,7 +74,7 @@
   Tallies total;                          // of all that are known, for people
   std::map<Origin, std::uint64_t> heard;  // conductors that speak, and the word of each that this rests on
   std::vector<Folded> folded;             // the newest last
-  std::map<std::string, Judged> boxes;
+  std::map<std::string, HealthVerdict> boxes;
   nlohmann::json unknown = nlohmann::json::object();  // fields of a later program
 
   const Folded* foldedOf(const Origin& origin) const;
--- a/tests/bounds_test.cpp
+++ b/tests/bounds_test.cpp
@@ -95,9 +95,11 @@
   now += 30'000;
   // Each saw a quarter of the instances well, and every tenth of all badly, twice.
   for (std::size_t i = 0; i < conductors; ++i) {
-    for (std::size_t k = i % 4; k < instances; k += 4) nodes[i]->sights().good(instance(k), now);
+    for (std::size_t k = i % 4; k < instances; k += 4)
+      nodes[i]->observations().recordSuccess(instance(k), now);
     for (std::size_t k = 0; k < instances; k += 10)
-      for (int twice = 0; twice < 2; ++twice) nodes[i]->sights().bad(instance(k), Trouble::kSilent, now);
+      for (int twice = 0; twice < 2; ++twice)
+        nodes[i]->observations().recordFailure(instance(k), FailureKind::kTimeout, now);
     for (const char* tenant : {"attiki", "patras"}) nodes[i]->reserve(tenant, 100, now);
     for (int cls = 0; cls < 4; ++cls)
       nodes[i]->ended(i % 2 == 0 ? "attiki" : "patras", "class-" + std::to_string(cls), {},
@@ -134,7 +136,7 @@
   for (const auto& [origin, word] : read->heard) names.push_back(origin.name);
   std::map<Availability, std::size_t> availabilities;
   for (const auto& [id, availability] : shared::availabilities(
-           {read->boxes, boxesOf(instances), Sights(), names, names.front(), read->beat}, now))
+           {read->boxes, boxesOf(instances), LocalObservations(), names, names.front(), read->beat}, now))
     ++availabilities[availability];
   EXPECT_EQ(availabilities[Availability::kInUse], instances - (instances + 9) / 10);
   EXPECT_GT(availabilities[Availability::kExcluded], instances / 20);
@@ -153,13 +155,14 @@
   for (std::size_t i = 0; i < conductors; ++i) digest.heard[{conductor(i), i}] = 1;
   node.read({{kDigestKey, {textOf(digest), 1}}}, 0, 0);
   for (std::size_t k = 0; k < instances; ++k)
-    k % 10 == 0 ? node.sights().bad(instance(k), Trouble::kSlow, 0) : node.sights().good(instance(k), 0);
+    k % 10 == 0 ? node.observations().recordFailure(instance(k), FailureKind::kSlow, 0)
+                : node.observations().recordSuccess(instance(k), 0);
   const auto write = node.next(0, 0);
   ASSERT_TRUE(write);
   EXPECT_LE(write->value->size(), kAllPartsBytes / conductors);
   const auto part = partOf(*write->value).part;
   ASSERT_TRUE(part);
-  for (std::size_t k = 0; k < instances; k += 10) EXPECT_EQ(part->sights.count(instance(k)), 1u);
+  for (std::size_t k = 0; k < instances; k += 10) EXPECT_EQ(part->observations.count(instance(k)), 1u);
 }
 
 // A plan over every instance is written, read, and goes its way while all conductors have to hear of it.
@@ -228,8 +231,8 @@
   const auto marks = fleet::Marks::parse(text);
   ASSERT_TRUE(marks);
   EXPECT_EQ(other.merge(*marks)->entries.size(), instances);
-  EXPECT_EQ(other.planned(all, 2)->entries.size(), instances);
-  EXPECT_EQ(other.judged(all, 2)->entries.size(), instances);
+  EXPECT_EQ(other.setPlannedDrains(all, 2)->entries.size(), instances);
+  EXPECT_EQ(other.setPeerExclusions(all, 2)->entries.size(), instances);
   for (const std::string& id : all) EXPECT_TRUE(drains.stateOf(id).drained && members.excluded({id}));
 }
 
--- a/tests/coordination_test.cpp
+++ b/tests/coordination_test.cpp
@@ -615,22 +615,22 @@
   using leverrelay::Presence, leverrelay::engine, leverrelay::kReader;
   fleet::Membership members(1);
   members.told({1, leverrelay::ListForm::kFull, {engine("a", kReader), engine("b", kReader)}}, 0);
-  const auto out = members.planned({"a", "unlisted"}, 10);
+  const auto out = members.setPlannedDrains({"a", "unlisted"}, 10);
   ASSERT_TRUE(out);
   ASSERT_EQ(out->entries.size(), 1u);
   EXPECT_EQ(out->entries[0].presence, Presence::kLeaving);
-  EXPECT_FALSE(members.planned({"a", "unlisted"}, 20)) << "heard again it is no news";
+  EXPECT_FALSE(members.setPlannedDrains({"a", "unlisted"}, 20)) << "heard again it is no news";
   EXPECT_EQ(members.told({2, leverrelay::ListForm::kChanges, {engine("a", kReader)}}, 30).entries[0].presence,
             Presence::kLeaving);
   // An operator's exclusion holds beyond the plan.
   members.exclude("a", 40);
-  const auto back = members.planned({}, 50);
+  const auto back = members.setPlannedDrains({}, 50);
   ASSERT_TRUE(back);
   EXPECT_EQ(back->entries[0].presence, Presence::kLeaving);
   const auto in = members.include("a", 60);
   EXPECT_EQ(in.news->entries[0].presence, Presence::kActive);
-  members.planned({"b"}, 70);
-  EXPECT_EQ(members.planned({}, 80)->entries[0].started, core::toModuleTime(80));
+  members.setPlannedDrains({"b"}, 70);
+  EXPECT_EQ(members.setPlannedDrains({}, 80)->entries[0].started, core::toModuleTime(80));
 }
 
 // ---- The operator's file and the door --------------------------------------------------------------
--- a/tests/shared_test.cpp
+++ b/tests/shared_test.cpp
@@ -473,24 +473,24 @@
 
 TEST(Fading, OnlyEverTakesAway) {
   EXPECT_TRUE(rc::check([] {
-    const SightTerms terms;
-    Sights sights(terms);
+    const ObservationTerms terms;
+    LocalObservations observations(terms);
     double now = 0;
     for (int i = 0; i < 10; ++i) {
       now += *rc::gen::inRange(0, 3000);
-      if (*rc::gen::inRange(0, 2) == 0) sights.good("b", now);
-      else sights.bad("b", Trouble::kFailing, now);
+      if (*rc::gen::inRange(0, 2) == 0) observations.recordSuccess("b", now);
+      else observations.recordFailure("b", FailureKind::kError, now);
     }
-    const auto said = sights.said(now);
-    const Sight at = said.empty() ? Sight{} : said.at("b");
+    const auto said = observations.snapshot(now);
+    const HealthObservation at = said.empty() ? HealthObservation{} : said.at("b");
     double before = at.bad, beforeGood = at.good;
     for (double by = 0; by < 60'000; by += *rc::gen::inRange(1, 9000)) {
-      const Sight later = aged(at, by, terms);
+      const HealthObservation later = decayed(at, by, terms);
       RC_ASSERT(later.bad <= before);
       RC_ASSERT(later.good <= beforeGood);
-      RC_ASSERT(std::abs(later.bad -
-                         (sights.said(now + by).empty() ? later.bad : sights.said(now + by).at("b").bad)) <
-                1e-9);
+      RC_ASSERT(std::abs(later.bad - (observations.snapshot(now + by).empty()
+                                          ? later.bad
+                                          : observations.snapshot(now + by).at("b").bad)) < 1e-9);
       before = later.bad;
       beforeGood = later.good;
     }
@@ -560,7 +560,7 @@
   part.period = 60'000;
   part.spends["attiki"] = {10, 20, 50, 100, 5, 70};
   part.tallies[{"attiki", "chat"}] = {1, 2, 3, 4, 5, 6, 7};
-  part.sights["b"] = {1.5, 0.5, 10, 20, Trouble::kSilent};
+  part.observations["b"] = {1.5, 0.5, 10, 20, FailureKind::kTimeout};
   part.settled = Settled{16, 60'000, {{"attiki", 9}}};
   return part;
 }
@@ -591,7 +591,7 @@
   nameless.origin.name = "";
   EXPECT_EQ(partOf(textOf(nameless)).flaw, Flaw::kBeyondBounds);
   Part negative = somePart();
-  negative.sights["b"].bad = -1;
+  negative.observations["b"].bad = -1;
   EXPECT_EQ(partOf(textOf(negative)).flaw, Flaw::kBeyondBounds);
 }
 
@@ -606,7 +606,7 @@
   folded.period = 60'000;
   folded.charged["attiki"] = 10;
   digest.folded.push_back(folded);
-  digest.boxes["b"] = {3, 1, true, Trouble::kSlow, 4.5, 2};
+  digest.boxes["b"] = {3, 1, true, FailureKind::kSlow, 4.5, 2};
   digest.unknown["weather"] = "fair";
   const auto back = digestOf(textOf(digest)).digest;
   ASSERT_TRUE(back);
--- a/tests/support/shared_world.h
+++ b/tests/support/shared_world.h
@@ -29,7 +29,7 @@
     unsigned seed = 1;
     double load = 1;    // of each budget, asked for by all together within a period
     double kept = 0.9;  // share of requests that are served
-    bool sights = true;
+    bool observations = true;
     Way way = Way::kLent;
     bool believeAny = false;  // a box is left out as soon as anybody finds it bad
     SharedTerms terms = worldTerms();
@@ -255,12 +255,12 @@
   std::map<std::string, KnownInstance> boxes;
   std::set<std::string> badBoxes;
   void look(std::size_t i) {
-    if (!options.sights || boxes.empty()) return;
+    if (!options.observations || boxes.empty()) return;
     Node& node = nodes[i];
     auto availability = node.shared->availabilities(boxes, now);
     if (options.believeAny && node.shared->digest())
-      for (const auto& [box, judged] : node.shared->digest()->boxes)
-        if (judged.bad > 0 && availability.count(box) != 0) availability[box] = Availability::kExcluded;
+      for (const auto& [box, verdict] : node.shared->digest()->boxes)
+        if (verdict.bad > 0 && availability.count(box) != 0) availability[box] = Availability::kExcluded;
     std::map<std::string, std::size_t> in;
     for (const auto& [box, at] : availability) in[boxes.at(box).role] += at != Availability::kExcluded;
     for (const auto& [role, left] : in) fewestIn = std::min(fewestIn, left);
@@ -269,8 +269,8 @@
       if (at == Availability::kExcluded || at == Availability::kOperator || !chance(0.04)) continue;
       const bool well = badBoxes.count(box) == 0 && !node.badLink;
       ++(well ? goodTries : badTries);
-      if (well) node.shared->sights().good(box, now);
-      else node.shared->sights().bad(box, Trouble::kSilent, now);
+      if (well) node.shared->observations().recordSuccess(box, now);
+      else node.shared->observations().recordFailure(box, FailureKind::kTimeout, now);
     }
   }
   std::uint64_t goodTries = 0, badTries = 0;
