--- a/src/app/sharer.cpp
+++ b/src/app/sharer.cpp
@@ -25,7 +25,7 @@
     : engine_(engine),
       site_(site),
       setup_(std::move(setup)),
-      node_(setup_.terms, name, freshNumber, engine.clock.nowMs()) {
+      node_(setup_.config, name, freshNumber, engine.clock.nowMs()) {
   engine_.conductor.onEvent([this](const leverrelay::Event& event) { witness(event); });
   tick();
 }
@@ -37,13 +37,13 @@
 
 void Sharer::reconfigure(SharedSetup setup) {
   setup_ = std::move(setup);
-  node_.reconfigure(setup_.terms);
+  node_.reconfigure(setup_.config);
 }
 
 std::unique_ptr<coordination::FleetTask> Sharer::task(double longestStepMs) {
   auto task = std::make_unique<DigestTask>(
-      coordination::TaskTerms{"digest", setup_.terms.digestMs, longestStepMs, /*quiet=*/true},
-      [this] { return setup_.terms; }, [this] { return engine_.clock.nowMs(); });
+      coordination::TaskConfig{"digest", setup_.config.digestMs, longestStepMs, /*quiet=*/true},
+      [this] { return setup_.config; }, [this] { return engine_.clock.nowMs(); });
   task_ = task.get();
   return task;
 }
@@ -142,7 +142,7 @@
   const double now = engine_.clock.nowMs();
   const auto configured = static_cast<std::size_t>(site_.settings.nodes);
   std::size_t among = std::max(configured, node_.nodes());
-  if (node_.degree(now) != Degree::kConnected) among = std::max(among, splitAmong_);
+  if (node_.connectivityState(now) != ConnectivityState::kConnected) among = std::max(among, splitAmong_);
   if (among == splitAmong_) return;
   splitAmong_ = among;
   leverrelay::Settings settings = site_.settings;
@@ -155,7 +155,7 @@
 std::optional<fronts::BudgetDenied> Sharer::reserve(const std::string& tenant, const std::string& cls,
                                                     std::uint64_t tokens, Reservation& to) {
   const double now = engine_.clock.nowMs();
-  const Purse::Answer answer = node_.reserve(tenant, tokens, now);
+  const TokenBudgets::Answer answer = node_.reserve(tenant, tokens, now);
   to = answer.reservation;
   if (answer.denial == Denial::kNone) return std::nullopt;
   ++engine_.counters[std::string("shared.denied.") + nameOf(answer.denial)];
@@ -169,7 +169,7 @@
                                   std::max(kLeastWaitMs, node_.periodEndsMs() - now)};
     case Denial::kTooLarge:
       return fronts::BudgetDenied{"the request may need more tokens than the whole budget of " + tenant, 0};
-    case Denial::kLapsed:
+    case Denial::kLoanExpired:
       return fronts::BudgetDenied{"this conductor does not hear of the token budget of " + tenant,
                                   kComeAgainMs};
     default:
@@ -187,26 +187,26 @@
 
 void Sharer::say() {
   const double now = engine_.clock.nowMs();
-  const Degree degree = node_.degree(now);
-  if (degree != saidDegree_)
-    spdlog::info("shared degree={} was={} silence_ms={:.0f}", nameOf(degree), nameOf(saidDegree_),
+  const ConnectivityState state = node_.connectivityState(now);
+  if (state != loggedState_)
+    spdlog::info("shared degree={} was={} silence_ms={:.0f}", nameOf(state), nameOf(loggedState_),
                  node_.silenceMs(now));
-  saidDegree_ = degree;
+  loggedState_ = state;
   if (node_.trouble() != saidTrouble_ && !node_.trouble().empty())
     spdlog::warn("shared: {}", node_.trouble());
   saidTrouble_ = node_.trouble();
   auto& counters = engine_.counters;
-  const SharedNode::Happened& node = node_.happened();
-  counters["shared.words"] = node.words;
+  const SharedNode::Stats& node = node_.stats();
+  counters["shared.words"] = node.reports;
   counters["shared.conflicts"] = node.conflicts;
-  counters["shared.folded_away"] = node.foldedAway;
+  counters["shared.folded_away"] = node.evicted;
   counters["shared.digests"] = node.digests;
-  counters["shared.went_back"] = node.wentBack;
+  counters["shared.went_back"] = node.rolledBack;
   counters["shared.unreadable"] = node.unreadable;
   if (task_ == nullptr) return;
-  const DigestTask::Happened& made = task_->happened();
+  const DigestTask::Stats& made = task_->stats();
   counters["shared.folded"] = made.folded;
-  counters["shared.restored"] = made.wentBack;
+  counters["shared.restored"] = made.rolledBack;
   counters["shared.backwards"] = made.backwards;
   counters["shared.incredible"] = made.incredible;
   for (const auto& [flaw, count] : made.unread) counters["shared.unread." + flaw] = count;
@@ -214,9 +214,9 @@
 
 namespace {
 
-json jsonOf(const Tallies& tallies) {
+json jsonOf(const UsageTable& usage) {
   json list = json::array();
-  for (const auto& [key, t] : tallies)
+  for (const auto& [key, t] : usage)
     list.push_back({{"tenant", key.first},
                     {"class", key.second},
                     {"served", t.served},
@@ -234,14 +234,14 @@
 std::string Sharer::report(bool asJson) {
   const double now = engine_.clock.nowMs();
   const auto& digest = node_.digest();
-  const Degree degree = node_.degree(now);
+  const ConnectivityState state = node_.connectivityState(now);
   json budgets = json::array(), boxes = json::array();
-  for (const auto& [tenant, here] : node_.purse().seen()) {
+  for (const auto& [tenant, here] : node_.budgets().snapshot()) {
     const auto line =
         digest ? digest->budgets.find(tenant) : std::map<std::string, BudgetLine>::const_iterator();
     const bool known = digest && line != digest->budgets.end();
     budgets.push_back({{"tenant", tenant},
-                       {"limit", known ? line->second.limit : setup_.terms.budgets.at(tenant)},
+                       {"limit", known ? line->second.limit : setup_.config.budgets.at(tenant)},
                        {"charged", known ? line->second.charged : 0},
                        {"left", known ? line->second.left : 0},
                        {"lent_to", known ? line->second.lent.size() : 0},
@@ -264,21 +264,21 @@
   }
   const json whole{{"conductor", node_.self().name},
                    {"incarnation", node_.self().incarnation},
-                   {"degree", nameOf(degree)},
+                   {"degree", nameOf(state)},
                    {"silence_ms", node_.silenceMs(now)},
-                   {"digest", digest ? digest->beat : 0},
+                   {"digest", digest ? digest->sequence : 0},
                    {"period_ends_in_s", digest ? std::max(0.0, digest->periodEndsMs - now) / 1000 : 0},
                    {"conductors", node_.nodes()},
                    {"restored", digest ? digest->restored : 0},
                    {"trouble", node_.trouble()},
                    {"budgets", budgets},
                    {"boxes", boxes},
-                   {"fleet", jsonOf(digest ? digest->total : Tallies{})},
-                   {"here", jsonOf(node_.tallies())}};
+                   {"fleet", jsonOf(digest ? digest->total : UsageTable{})},
+                   {"here", jsonOf(node_.usage())}};
   if (asJson) return whole.dump(-1, ' ', true, json::error_handler_t::replace) + "\n";
   std::string text =
       fmt::format("conductor {} {} silence_ms={:.0f} digest={} conductors={} period_ends_in_s={:.0f}{}\n",
-                  node_.self().name, nameOf(degree), node_.silenceMs(now), digest ? digest->beat : 0,
+                  node_.self().name, nameOf(state), node_.silenceMs(now), digest ? digest->sequence : 0,
                   node_.nodes(), whole["period_ends_in_s"].get<double>(),
                   node_.trouble().empty() ? "" : " trouble=\"" + node_.trouble() + "\"");
   for (const json& b : budgets)
--- a/src/app/sharer.h
+++ b/src/app/sharer.h
@@ -61,7 +61,7 @@
   Put put_;
   std::map<std::string, shared::Availability> availabilities_;
   std::size_t splitAmong_ = 0;
-  shared::Degree saidDegree_ = shared::Degree::kReturning;
+  shared::ConnectivityState loggedState_ = shared::ConnectivityState::kRejoining;
   std::string saidTrouble_;
   std::optional<core::Deadlines::Key> next_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/coordination/cleanup.cpp
+++ b/src/coordination/cleanup.cpp
@@ -7,7 +7,7 @@
 
 std::optional<Step> Cleanup::next(const View& view, std::uint64_t, double nowMs) {
   // Who did not look for a while, as a holder that was stopped, knows nothing of what has happened since.
-  if (nowMs - lookedMs_ > terms_.goneMs / 2) seen_.forget([](const std::string&) { return true; });
+  if (nowMs - lookedMs_ > config_.goneMs / 2) seen_.forget([](const std::string&) { return true; });
   lookedMs_ = nowMs;
   seen_.forget([&](const std::string& key) { return view.docs.count(key) == 0; });
   for (const auto& [key, doc] : view.docs) {
@@ -18,7 +18,7 @@
       ended = plan && plan->over();
     }
     if (!node && !ended) continue;
-    if (seen_.forMs(key, doc.revision, nowMs) < (node ? terms_.goneMs : terms_.planMs)) continue;
+    if (seen_.forMs(key, doc.revision, nowMs) < (node ? config_.goneMs : config_.planMs)) continue;
     return Step{"removing " + key, {{key, doc.revision, std::nullopt}}};
   }
   return std::nullopt;
--- a/src/coordination/cleanup.h
+++ b/src/coordination/cleanup.h
@@ -10,19 +10,19 @@
 
 class Cleanup final : public FleetTask {
  public:
-  struct Terms {
-    TaskTerms task{"cleanup", 2'000, 1'000};
+  struct Config {
+    TaskConfig task{"cleanup", 2'000, 1'000};
     double goneMs = 120'000;
     double planMs = 3'600'000;  // that an ended plan stays to be looked at
   };
 
-  explicit Cleanup(Terms terms) : terms_(std::move(terms)) {}
+  explicit Cleanup(Config config) : config_(std::move(config)) {}
 
-  const TaskTerms& terms() const override { return terms_.task; }
+  const TaskConfig& config() const override { return config_.task; }
   std::optional<Step> next(const View& view, std::uint64_t fence, double nowMs) override;
 
  private:
-  Terms terms_;
+  Config config_;
   Seen seen_;
   double lookedMs_ = 0;
 };
--- a/src/coordination/lease.cpp
+++ b/src/coordination/lease.cpp
@@ -19,23 +19,25 @@
 
 }  // namespace
 
-std::optional<std::string> problemWith(const LeaseTerms& terms) {
-  if (terms.task.empty() || terms.task.size() > kLongestName) return "a task has a name of 1 to 128 bytes";
-  if (!(terms.drift >= 0 && terms.drift <= kMostDrift)) return "drift is a share from 0 to 0.2";
-  if (!(terms.ttlMs > 0 && std::isfinite(terms.ttlMs))) return "the lease is no time above 0";
-  if (!(terms.askMs > 0 && terms.longestStepMs > 0 && terms.workMs > 0 && terms.spreadMs >= 0))
+std::optional<std::string> problemWith(const LeaseConfig& config) {
+  if (config.task.empty() || config.task.size() > kLongestName) return "a task has a name of 1 to 128 bytes";
+  if (!(config.drift >= 0 && config.drift <= kMostDrift)) return "drift is a share from 0 to 0.2";
+  if (!(config.ttlMs > 0 && std::isfinite(config.ttlMs))) return "the lease is no time above 0";
+  if (!(config.askMs > 0 && config.longestStepMs > 0 && config.workMs > 0 && config.spreadMs >= 0))
     return "times are above 0";
   // A holder that has just renewed in time must be able to do its longest step before the next renewal is
   // lost.
-  const double left = validitySpan(terms) * (1 - kRenewShare * (1 + terms.renewJitter)) - terms.askMs;
-  if (left < terms.longestStepMs)
+  const double left = validitySpan(config) * (1 - kRenewShare * (1 + config.renewJitter)) - config.askMs;
+  if (left < config.longestStepMs)
     return "the lease is too short: what is left of it at its renewal, less the drift and " +
-           std::to_string(std::lround(terms.askMs)) + " ms for an answer, is under the longest step of " +
-           std::to_string(std::lround(terms.longestStepMs)) + " ms";
+           std::to_string(std::lround(config.askMs)) + " ms for an answer, is under the longest step of " +
+           std::to_string(std::lround(config.longestStepMs)) + " ms";
   return std::nullopt;
 }
 
-double validitySpan(const LeaseTerms& terms) { return terms.ttlMs * (1 - terms.drift) / (1 + terms.drift); }
+double validitySpan(const LeaseConfig& config) {
+  return config.ttlMs * (1 - config.drift) / (1 + config.drift);
+}
 
 const char* nameOf(LeaseState state) {
   constexpr std::array<const char*, 7> kNames{"candidate", "asking",    "holding",    "doubtful",
@@ -63,8 +65,8 @@
   return false;
 }
 
-Lease::Lease(LeaseTerms terms, Holder who, std::uint64_t seed, double nowMs, LeaseGuards guards)
-    : terms_(std::move(terms)),
+Lease::Lease(LeaseConfig config, Holder who, std::uint64_t seed, double nowMs, LeaseGuards guards)
+    : config_(std::move(config)),
       who_(std::move(who)),
       guards_(guards),
       random_(static_cast<std::minstd_rand::result_type>(seed ^ (seed >> 32))),
@@ -77,7 +79,7 @@
   return most > least ? std::uniform_real_distribution<>(least, most)(random_) : least;
 }
 
-double Lease::spread() const { return terms_.spreadMs * static_cast<double>(terms_.candidates - 1); }
+double Lease::spread() const { return config_.spreadMs * static_cast<double>(config_.candidates - 1); }
 
 void Lease::enter(LeaseState state, double nowMs, std::string why) {
   if (state_ == S::kDoubtful) counts_.doubtfulMs += nowMs - sinceMs_;
@@ -97,8 +99,8 @@
   asked_[1] = asked_[0];
   asked_[0] = {++number_, verb, nowMs};
   waiting_ = true;
-  return {verb,         terms_.task, who_, number_, verb == Verb::kAcquire ? seenFence_ : fence_,
-          terms_.ttlMs, progress_};
+  return {verb,          config_.task, who_, number_, verb == Verb::kAcquire ? seenFence_ : fence_,
+          config_.ttlMs, progress_};
 }
 
 std::optional<LeaseAsk> Lease::tick(double nowMs) {
@@ -113,17 +115,17 @@
       return ask(Verb::kAcquire, nowMs);
     case S::kAsking:
       // It may have been granted all the same; the next ask of this process gets it then, with a fence above.
-      if (unanswered(nowMs)) backOff(nowMs, terms_.askMs, "the store did not answer");
+      if (unanswered(nowMs)) backOff(nowMs, config_.askMs, "the store did not answer");
       return std::nullopt;
     case S::kHolding:
     case S::kDoubtful:
       return whileHolding(nowMs);
     case S::kLapsed:
-      backOff(nowMs, terms_.askMs, why_);
+      backOff(nowMs, config_.askMs, why_);
       return std::nullopt;
     case S::kReleasing:
       // Unanswered, it is let lapse by the store: whoever is next waits a little longer, no more.
-      if (unanswered(nowMs)) backOff(nowMs, terms_.ttlMs, "released, not confirmed");
+      if (unanswered(nowMs)) backOff(nowMs, config_.ttlMs, "released, not confirmed");
       return std::nullopt;
   }
   return std::nullopt;
@@ -135,7 +137,7 @@
     enter(S::kLapsed, nowMs, "could not be renewed in time");
     return std::nullopt;
   }
-  if (!stepping_ && !resigned_ && nowMs - workedMs_ >= terms_.workMs) {
+  if (!stepping_ && !resigned_ && nowMs - workedMs_ >= config_.workMs) {
     ++counts_.gaveWay;
     giveWay_ = true;
   }
@@ -148,12 +150,12 @@
     if (state_ == S::kHolding) enter(S::kDoubtful, nowMs, "a renewal is not answered");
   }
   if (waiting_ || nowMs < nextAskMs_) return std::nullopt;
-  nextAskMs_ = nowMs + validitySpan(terms_) * kRetryShare;
+  nextAskMs_ = nowMs + validitySpan(config_) * kRetryShare;
   return ask(Verb::kRenew, nowMs);
 }
 
 double Lease::nextMs() const {
-  const double lost = waiting_ ? asked_[0].sentMs + terms_.askMs : HUGE_VAL;
+  const double lost = waiting_ ? asked_[0].sentMs + config_.askMs : HUGE_VAL;
   switch (state_) {
     case S::kCandidate:
       return resigned_ ? HUGE_VAL : nextAskMs_;
@@ -168,7 +170,7 @@
     case S::kDoubtful:
       if ((resigned_ || giveWay_) && !stepping_) return sinceMs_;
       return std::min({validUntilMs_, waiting_ ? lost : nextAskMs_,
-                       stepping_ || resigned_ ? HUGE_VAL : workedMs_ + terms_.workMs});
+                       stepping_ || resigned_ ? HUGE_VAL : workedMs_ + config_.workMs});
   }
   return HUGE_VAL;
 }
@@ -190,7 +192,7 @@
   if (state_ != S::kReleasing) return;
   ++counts_.released;
   // Fair: whoever had it stays behind those who wait.
-  backOff(nowMs, giveWay_ ? terms_.ttlMs * kGiveWayTimes : terms_.ttlMs, why_);
+  backOff(nowMs, giveWay_ ? config_.ttlMs * kGiveWayTimes : config_.ttlMs, why_);
   giveWay_ = false;
 }
 
@@ -199,21 +201,21 @@
   if (answer.found == Found::kHeld) {
     seenFence_ = std::max(seenFence_, answer.fence);
     enter(S::kCandidate, nowMs, "held by another");
-    nextAskMs_ = nowMs + std::clamp(answer.leftMs, 0.0, terms_.ttlMs) + draw(0, spread());
+    nextAskMs_ = nowMs + std::clamp(answer.leftMs, 0.0, config_.ttlMs) + draw(0, spread());
     return;
   }
-  if (answer.found != Found::kGranted) return backOff(nowMs, terms_.askMs, "the store cannot be used");
+  if (answer.found != Found::kGranted) return backOff(nowMs, config_.askMs, "the store cannot be used");
   // A store that has forgotten fences would let two act under one number.
-  if (answer.fence <= seenFence_) return backOff(nowMs, terms_.ttlMs, "the fence would go down");
+  if (answer.fence <= seenFence_) return backOff(nowMs, config_.ttlMs, "the fence would go down");
   seenFence_ = fence_ = answer.fence;
   ++counts_.acquired;
   workedMs_ = nowMs;
   const double from = guards_.fromBeforeAsking ? asked.sentMs : nowMs;
-  validUntilMs_ = from + (guards_.driftMargin ? validitySpan(terms_) : terms_.ttlMs);
+  validUntilMs_ = from + (guards_.driftMargin ? validitySpan(config_) : config_.ttlMs);
   if (nowMs >= validUntilMs_) return enter(S::kLapsed, nowMs, "granted too late");
   enter(S::kHolding, nowMs, "acquired");
   nextAskMs_ = asked.sentMs +
-               validitySpan(terms_) * kRenewShare * draw(1 - terms_.renewJitter, 1 + terms_.renewJitter);
+               validitySpan(config_) * kRenewShare * draw(1 - config_.renewJitter, 1 + config_.renewJitter);
 }
 
 void Lease::onRenewal(const Asked& asked, const LeaseAnswer& answer, double nowMs) {
@@ -229,19 +231,20 @@
   }
   ++counts_.renewed;
   const double from = guards_.fromBeforeAsking ? asked.sentMs : nowMs;
-  validUntilMs_ = std::max(validUntilMs_, from + (guards_.driftMargin ? validitySpan(terms_) : terms_.ttlMs));
+  validUntilMs_ =
+      std::max(validUntilMs_, from + (guards_.driftMargin ? validitySpan(config_) : config_.ttlMs));
   if (nowMs >= validUntilMs_) return;  // tick() says so
   // One that was answered late has little left: the next one goes out at once.
   nextAskMs_ = asked.sentMs +
-               validitySpan(terms_) * kRenewShare * draw(1 - terms_.renewJitter, 1 + terms_.renewJitter);
+               validitySpan(config_) * kRenewShare * draw(1 - config_.renewJitter, 1 + config_.renewJitter);
   if (state_ == S::kDoubtful && nowMs < nextAskMs_) enter(S::kHolding, nowMs, "renewed");
 }
 
 std::optional<Fence> Lease::beginStep(double nowMs) {
   if (!withinValidity(nowMs) || stepping_ || resigned_ || giveWay_) return std::nullopt;
-  if (nowMs + terms_.longestStepMs > validUntilMs_) return std::nullopt;
+  if (nowMs + config_.longestStepMs > validUntilMs_) return std::nullopt;
   stepping_ = true;
-  return Fence(terms_.task, who_, fence_);
+  return Fence(config_.task, who_, fence_);
 }
 
 void Lease::stepEnded(bool progress, double nowMs) {
--- a/src/coordination/lease.h
+++ b/src/coordination/lease.h
@@ -61,7 +61,7 @@
 
 // ---- The candidate ----------------------------------------------------------------------------------
 
-struct LeaseTerms {
+struct LeaseConfig {
   std::string task;
   double ttlMs = 5'000;
   double drift = 0.01;           // no clock gains or loses more than this share against another
@@ -74,11 +74,11 @@
 };
 
 // Plain words on why these terms cannot be used; nothing if they can.
-std::optional<std::string> problemWith(const LeaseTerms& terms);
+std::optional<std::string> problemWith(const LeaseConfig& config);
 
 // How long a holder counts itself as one, from before it asked: the store lets go after ttlMs of its own
 // clock, and neither clock is off by more than the drift.
-double validitySpan(const LeaseTerms& terms);
+double validitySpan(const LeaseConfig& config);
 
 enum class LeaseState { kCandidate, kAsking, kHolding, kDoubtful, kLapsed, kReleasing, kBackingOff };
 const char* nameOf(LeaseState state);
@@ -115,7 +115,7 @@
     double doubtfulMs = 0;
   };
 
-  Lease(LeaseTerms terms, Holder who, std::uint64_t seed, double nowMs, LeaseGuards guards = {});
+  Lease(LeaseConfig config, Holder who, std::uint64_t seed, double nowMs, LeaseGuards guards = {});
 
   // Call at least whenever nextMs() has come. At most one ask comes of each call.
   std::optional<LeaseAsk> tick(double nowMs);
@@ -134,7 +134,7 @@
   // Gives the lease away in order, and asks for it no more until again() is called.
   void resign(double nowMs);
   void again(double nowMs);
-  void candidates(std::size_t count) { terms_.candidates = std::max<std::size_t>(1, count); }
+  void candidates(std::size_t count) { config_.candidates = std::max<std::size_t>(1, count); }
 
   LeaseState state() const { return state_; }
   bool withinValidity(double nowMs) const { return holds() && nowMs < validUntilMs_; }
@@ -150,7 +150,7 @@
   const std::string& why() const { return why_; }
   const std::optional<LeaseRecord>& seen() const { return seen_; }  // who holds it, as last heard
   const Counts& counts() const { return counts_; }
-  const LeaseTerms& terms() const { return terms_; }
+  const LeaseConfig& config() const { return config_; }
   const Holder& who() const { return who_; }
 
   // All that decides what comes next, times relative to now: two machines with the same key go on alike.
@@ -173,11 +173,11 @@
   void onAcquire(const Asked& asked, const LeaseAnswer& answer, double nowMs);
   void onRenewal(const Asked& asked, const LeaseAnswer& answer, double nowMs);
   std::optional<LeaseAsk> whileHolding(double nowMs);
-  bool unanswered(double nowMs) const { return waiting_ && nowMs - asked_[0].sentMs >= terms_.askMs; }
+  bool unanswered(double nowMs) const { return waiting_ && nowMs - asked_[0].sentMs >= config_.askMs; }
   double draw(double least, double most);
   double spread() const;
 
-  LeaseTerms terms_;
+  LeaseConfig config_;
   Holder who_;
   LeaseGuards guards_;
   std::minstd_rand random_;
--- a/src/coordination/maintenance.cpp
+++ b/src/coordination/maintenance.cpp
@@ -73,7 +73,7 @@
       if (since < plan.holdMs || (plan.confirm && !item.back)) return "";
       return reach(plan, item, ItemState::kWarming);
     case ItemState::kWarming:
-      return since < terms_.coldMs ? "" : reach(plan, item, ItemState::kDone);
+      return since < config_.coldMs ? "" : reach(plan, item, ItemState::kDone);
     default:
       return "";
   }
@@ -115,7 +115,7 @@
   for (const auto& [key, doc] : view.docs) {
     if (key.rfind(kNodePrefix, 0) != 0) continue;
     const auto node = Presence::parse(doc.value);
-    if (!node || seen_.forMs(key, doc.revision, nowMs) >= terms_.silentNodeMs) continue;
+    if (!node || seen_.forMs(key, doc.revision, nowMs) >= config_.silentNodeMs) continue;
     any = true;
     if (node->plan != plan.id || node->steps < item.changed) return false;
     const auto open = node->open.find(item.box);
--- a/src/coordination/maintenance.h
+++ b/src/coordination/maintenance.h
@@ -22,8 +22,8 @@
 };
 using FleetBoxes = std::map<std::string, FleetBox>;
 
-struct MaintenanceTerms {
-  TaskTerms task{"maintenance", 500, 1'000};
+struct MaintenanceConfig {
+  TaskConfig task{"maintenance", 500, 1'000};
   double coldMs = 13'000;        // that a box takes to be warm
   double silentNodeMs = 30'000;  // a conductor that has not spoken for so long is not waited for
 };
@@ -31,10 +31,10 @@
 class Maintenance final : public FleetTask {
  public:
   // boxes: as this conductor sees the fleet, without the plan's own drains.
-  Maintenance(MaintenanceTerms terms, std::function<FleetBoxes()> boxes)
-      : terms_(std::move(terms)), boxes_(std::move(boxes)) {}
+  Maintenance(MaintenanceConfig config, std::function<FleetBoxes()> boxes)
+      : config_(std::move(config)), boxes_(std::move(boxes)) {}
 
-  const TaskTerms& terms() const override { return terms_.task; }
+  const TaskConfig& config() const override { return config_.task; }
   std::optional<Step> next(const View& view, std::uint64_t fence, double nowMs) override;
 
  private:
@@ -43,7 +43,7 @@
   std::string beginNext(Plan& plan, const FleetBoxes& boxes, double nowMs);
   bool letGo(const Plan& plan, const PlanItem& item, const View& view, double nowMs);
 
-  MaintenanceTerms terms_;
+  MaintenanceConfig config_;
   std::function<FleetBoxes()> boxes_;
   // A new holder counts from when it first looked, so a box is out or warming longer after a change of
   // holders, and never shorter.
--- a/src/coordination/runner.cpp
+++ b/src/coordination/runner.cpp
@@ -16,8 +16,8 @@
 
 }  // namespace
 
-Runner::Runner(Parts parts, Holder who, std::uint64_t seed, LeaseTerms terms, double watchMs)
-    : parts_(parts), who_(std::move(who)), seed_(seed), terms_(std::move(terms)), watchMs_(watchMs) {}
+Runner::Runner(Parts parts, Holder who, std::uint64_t seed, LeaseConfig config, double watchMs)
+    : parts_(parts), who_(std::move(who)), seed_(seed), config_(std::move(config)), watchMs_(watchMs) {}
 
 Runner::~Runner() {
   *alive_ = false;
@@ -25,14 +25,14 @@
 }
 
 void Runner::add(std::unique_ptr<FleetTask> task) {
-  LeaseTerms terms = terms_;
-  terms.task = task->terms().name;
-  terms.longestStepMs = task->terms().longestStepMs;
-  if (const auto problem = problemWith(terms))
-    throw std::invalid_argument("task " + terms.task + ": " + *problem);
-  const std::uint64_t seed = seed_ + std::hash<std::string>()(terms.task);
+  LeaseConfig config = config_;
+  config.task = task->config().name;
+  config.longestStepMs = task->config().longestStepMs;
+  if (const auto problem = problemWith(config))
+    throw std::invalid_argument("task " + config.task + ": " + *problem);
+  const std::uint64_t seed = seed_ + std::hash<std::string>()(config.task);
   slots_.push_back(std::make_unique<Slot>(Slot{
-      std::move(task), Lease(terms, who_, seed, parts_.clock.nowMs()), 0, 0, 0, LeaseState::kCandidate}));
+      std::move(task), Lease(config, who_, seed, parts_.clock.nowMs()), 0, 0, 0, LeaseState::kCandidate}));
 }
 
 void Runner::start() { tick(); }
@@ -56,7 +56,7 @@
 }
 
 bool Runner::hears() const {
-  return trouble_.empty() && parts_.clock.nowMs() - view_.readMs <= watchMs_ * kStaleReads + terms_.askMs;
+  return trouble_.empty() && parts_.clock.nowMs() - view_.readMs <= watchMs_ * kStaleReads + config_.askMs;
 }
 
 void Runner::tick() {
@@ -85,7 +85,7 @@
   const double now = parts_.clock.nowMs();
   if (!slot.lease.withinValidity(now) || now < slot.nextLookMs || !hears()) return;
   if (!whole_) return read();  // it held nothing when it last read
-  slot.nextLookMs = now + slot.task->terms().periodMs;
+  slot.nextLookMs = now + slot.task->config().periodMs;
   const auto step = slot.task->next(view_, slot.lease.fenceNumber(), now);
   if (!step) return slot.lease.idle(now);
   const auto fence = slot.lease.beginStep(now);
@@ -97,9 +97,9 @@
 
 void Runner::committed(Slot& slot, const Step& step, const CommitAnswer& answer) {
   const double now = parts_.clock.nowMs();
-  const bool plain = slot.task->terms().quiet && answer.how == Committed::kDone;
+  const bool plain = slot.task->config().quiet && answer.how == Committed::kDone;
   spdlog::log(plain ? spdlog::level::debug : spdlog::level::info,
-              "step task={} fence={} answer={} revision={} what=\"{}\"", slot.task->terms().name,
+              "step task={} fence={} answer={} revision={} what=\"{}\"", slot.task->config().name,
               slot.lease.fenceNumber(), nameOf(answer.how), answer.revision, step.what);
   if (answer.how == Committed::kStaleFence) {
     ++slot.refusedByFence;
@@ -110,7 +110,7 @@
     if (answer.how == Committed::kDone) ++slot.steps, ++parts_.counters["tasks.steps"];
   }
   // Before what was written is read again, the next step would rest on what was there before.
-  slot.nextLookMs = now + slot.task->terms().periodMs;
+  slot.nextLookMs = now + slot.task->config().periodMs;
   follow(slot);
   refresh();
 }
@@ -182,7 +182,7 @@
              state != LeaseState::kBackingOff;
     };
     if (told(slot.lease.state()) || told(slot.logged))
-      spdlog::info("lease task={} state={} fence={} why=\"{}\"", slot.task->terms().name,
+      spdlog::info("lease task={} state={} fence={} why=\"{}\"", slot.task->config().name,
                    nameOf(slot.lease.state()), slot.lease.fenceNumber(), slot.lease.why());
     slot.logged = slot.lease.state();
   }
@@ -219,7 +219,7 @@
     const double heldMs = lease.seen() ? lease.seen()->sinceMs : 0;  // Unix time at which its holder got it
     const double held = heldMs > 0 ? std::max(0.0, now - heldMs) / 1000 : 0;
     const double since = (now - lease.sinceMs()) / 1000, renewal = own ? lease.nextRenewalMs() - now : 0;
-    list.push_back({{"task", slot->task->terms().name},
+    list.push_back({{"task", slot->task->config().name},
                     {"state", nameOf(lease.state())},
                     {"holder", holder},
                     {"fence", fence},
@@ -237,7 +237,7 @@
         "lease {} state={} holder={} fence={} held_s={:.0f} state_s={:.0f} renewal_in_ms={:.0f} steps={} "
         "lost={} refused={} "
         "why=\"{}\"\n",
-        slot->task->terms().name, nameOf(lease.state()), holder, fence, held, since, std::max(0.0, renewal),
+        slot->task->config().name, nameOf(lease.state()), holder, fence, held, since, std::max(0.0, renewal),
         slot->steps, lease.counts().lost, slot->refusedByFence, lease.why());
   }
   if (asJson)
--- a/src/coordination/runner.h
+++ b/src/coordination/runner.h
@@ -26,7 +26,7 @@
 
   // terms: of every task's lease, but for its name and longest step. Throws std::invalid_argument if a task's
   // lease would be too short for its step.
-  Runner(Parts parts, Holder who, std::uint64_t seed, LeaseTerms terms, double watchMs);
+  Runner(Parts parts, Holder who, std::uint64_t seed, LeaseConfig config, double watchMs);
   ~Runner();
   Runner(const Runner&) = delete;
   Runner& operator=(const Runner&) = delete;
@@ -71,7 +71,7 @@
   Parts parts_;
   Holder who_;
   std::uint64_t seed_;
-  LeaseTerms terms_;
+  LeaseConfig config_;
   double watchMs_, nextReadMs_ = 0;
   std::vector<std::unique_ptr<Slot>> slots_;
   std::function<void(const View&, bool)> told_;
--- a/src/coordination/setup.cpp
+++ b/src/coordination/setup.cpp
@@ -43,7 +43,7 @@
   Setup setup;
   setup.text = given.json().dump();
   setup.name = nameIn(given.at("name"));
-  LeaseTerms& lease = setup.lease;
+  LeaseConfig& lease = setup.lease;
   lease.ttlMs = given.above0("lease_s", lease.ttlMs / 1000) * 1000;
   lease.drift = given.value("drift", lease.drift);
   lease.askMs = given.above0("answer_ms", lease.askMs);
@@ -68,7 +68,7 @@
     store.at("kind").fail("is sqlite or etcd, not " + kind);
   }
   setup.maintenance.coldMs = coldMs;
-  for (TaskTerms* task : {&setup.maintenance.task, &setup.cleanup.task})
+  for (TaskConfig* task : {&setup.maintenance.task, &setup.cleanup.task})
     task->longestStepMs = lease.longestStepMs;
   if (given.has("maintenance")) {
     const core::Fields maintenance = given.at("maintenance");
--- a/src/coordination/setup.h
+++ b/src/coordination/setup.h
@@ -17,10 +17,10 @@
   std::string name;
   std::string sqlitePath;  // empty: etcd
   std::optional<EtcdPlace> etcd;
-  LeaseTerms lease;      // of every task; its name and longest step are the task's
+  LeaseConfig lease;     // of every task; its name and longest step are the task's
   double watchMs = 500;  // between two readings of the store
-  MaintenanceTerms maintenance;
-  Cleanup::Terms cleanup;
+  MaintenanceConfig maintenance;
+  Cleanup::Config cleanup;
   std::string text;  // as it stood in the file: a change is known by it
 };
 
--- a/src/coordination/task.h
+++ b/src/coordination/task.h
@@ -11,7 +11,7 @@
 
 namespace dahliastall::coordination {
 
-struct TaskTerms {
+struct TaskConfig {
   std::string name;
   double periodMs = 1'000;       // between looks for a step
   double longestStepMs = 1'000;  // from the check of the lease to the answer of the store
@@ -33,7 +33,7 @@
 class FleetTask {
  public:
   virtual ~FleetTask() = default;
-  virtual const TaskTerms& terms() const = 0;
+  virtual const TaskConfig& config() const = 0;
   // The next step by this view, as the holder under this fence; nothing if there is none now. Only ever asked
   // of the holder.
   virtual std::optional<Step> next(const View& view, std::uint64_t fence, double nowMs) = 0;
--- a/src/fronts/openai/openai_front.cpp
+++ b/src/fronts/openai/openai_front.cpp
@@ -140,7 +140,7 @@
     const auto tokens = [&usage](const char* name, std::uint64_t& to) {
       const auto count = usage->find(name);
       if (count != usage->end() && count->is_number_unsigned() &&
-          count->get<std::uint64_t>() < shared::kMostTokens)
+          count->get<std::uint64_t>() < shared::kMaxTokens)
         to = count->get<std::uint64_t>();
     };
     tokens("prompt_tokens", promptTokens_);
@@ -263,7 +263,7 @@
                                            double answerTokens) {
   if (!meter_ || key.tenant.empty()) return nullptr;
   const auto tokens = static_cast<std::uint64_t>(
-      std::min(std::ceil(promptTokens) + std::ceil(answerTokens), static_cast<double>(shared::kMostTokens)));
+      std::min(std::ceil(promptTokens) + std::ceil(answerTokens), static_cast<double>(shared::kMaxTokens)));
   shared::Reservation reservation;
   const auto denied = meter_->reserve(key.tenant, cls, tokens, reservation);
   if (denied)
--- a/src/shared/budget.cpp
+++ b/src/shared/budget.cpp
@@ -9,11 +9,13 @@
 
 namespace {
 
-constexpr double kKeepTimes = 2;  // of what is wanted; a conductor returns what it was lent beyond that
+constexpr double kRetainFactor = 2;  // of what is wanted; a conductor returns what it was lent beyond that
 
 std::uint64_t rounded(double tokens) { return static_cast<std::uint64_t>(std::max(0.0, std::ceil(tokens))); }
 
-std::uint64_t less(std::uint64_t from, std::uint64_t what) { return from > what ? from - what : 0; }
+std::uint64_t saturatingSubtract(std::uint64_t from, std::uint64_t what) {
+  return from > what ? from - what : 0;
+}
 
 }  // namespace
 
@@ -24,121 +26,127 @@
 
 // ---- The conductor's side --------------------------------------------------------------------------------
 
-void Purse::budgets(const std::map<std::string, std::uint64_t>& limits) {
+void TokenBudgets::setLimits(const std::map<std::string, std::uint64_t>& limits) {
   std::erase_if(tenants_, [&](const auto& entry) { return limits.count(entry.first) == 0; });
   for (const auto& [tenant, limit] : limits) tenants_[tenant].limit = limit;
 }
 
-double Purse::flowAt(const One& one, double nowMs) const {
-  return one.flow * std::exp(-std::max(0.0, nowMs - one.flowMs) / terms_.rateMs);
+double TokenBudgets::recentTokensAt(const Account& account, double nowMs) const {
+  return account.recentTokens * std::exp(-std::max(0.0, nowMs - account.recentMs) / config_.rateMs);
 }
 
-void Purse::demand(One& one, std::uint64_t tokens, double nowMs) {
-  one.flow = flowAt(one, nowMs) + static_cast<double>(tokens);
-  one.flowMs = nowMs;
-  if (tokens >= one.largest || nowMs - one.largestMs > terms_.aheadMs) {
-    one.largest = tokens;
-    one.largestMs = nowMs;
+void TokenBudgets::recordDemand(Account& account, std::uint64_t tokens, double nowMs) {
+  account.recentTokens = recentTokensAt(account, nowMs) + static_cast<double>(tokens);
+  account.recentMs = nowMs;
+  if (tokens >= account.largest || nowMs - account.largestMs > config_.prefetchMs) {
+    account.largest = tokens;
+    account.largestMs = nowMs;
   }
 }
 
-Purse::Answer Purse::reserve(const std::string& tenant, std::uint64_t tokens, double nowMs) {
+TokenBudgets::Answer TokenBudgets::reserve(const std::string& tenant, std::uint64_t tokens, double nowMs) {
   const auto it = tenants_.find(tenant);
   if (it == tenants_.end()) return {};
-  One& one = it->second;
-  if (tokens > one.limit) return {Denial::kTooLarge, {}};
+  Account& account = it->second;
+  if (tokens > account.limit) return {Denial::kTooLarge, {}};
   // What is refused counts as wanted as well: it is what a loan is asked for by.
-  demand(one, tokens, nowMs);
+  recordDemand(account, tokens, nowMs);
   Denial why = Denial::kNone;
-  if (lapsed(nowMs)) why = Denial::kLapsed;
-  else if (one.used() + tokens > (terms_.ceilingFirst ? one.allowed : one.out()))
-    why = one.used() + tokens > one.out() && one.left == 0 ? Denial::kUsedUp : Denial::kNoLoan;
+  if (loanExpired(nowMs)) why = Denial::kLoanExpired;
+  else if (account.used() + tokens > (config_.ceilingFirst ? account.acceptedCeiling : account.outstanding()))
+    why = account.used() + tokens > account.outstanding() && account.left == 0 ? Denial::kUsedUp
+                                                                               : Denial::kNoLoan;
   if (why != Denial::kNone) {
-    one.denied = true;
+    account.denied = true;
     return {why, {}};
   }
-  one.word.reserved += tokens;
-  return {Denial::kNone, {tenant, tokens, term_}};
+  account.spend.reserved += tokens;
+  return {Denial::kNone, {tenant, tokens, epoch_}};
 }
 
-void Purse::settle(const Reservation& reservation, std::uint64_t spent, double) {
+void TokenBudgets::settle(const Reservation& reservation, std::uint64_t spent, double) {
   const auto it = tenants_.find(reservation.tenant);
-  if (it == tenants_.end() || reservation.term != term_) return;
-  Spend& word = it->second.word;
-  word.reserved = less(word.reserved, reservation.tokens);
-  word.spent += spent;
+  if (it == tenants_.end() || reservation.epoch != epoch_) return;
+  Spend& spend = it->second.spend;
+  spend.reserved = saturatingSubtract(spend.reserved, reservation.tokens);
+  spend.spent += spent;
 }
 
-void Purse::told(std::uint64_t period, const std::map<std::string, Told>& lent) {
+void TokenBudgets::onDigest(std::uint64_t period, const std::map<std::string, LoanUpdate>& lent) {
   if (period < period_) return;
   if (period > period_) {
     period_ = period;
-    ++term_;
-    for (auto& [tenant, one] : tenants_) {
-      one.word = {};
-      one.allowed = one.left = 0;
+    ++epoch_;
+    for (auto& [tenant, account] : tenants_) {
+      account.spend = {};
+      account.acceptedCeiling = account.left = 0;
     }
   }
-  for (auto& [tenant, one] : tenants_) {
+  for (auto& [tenant, account] : tenants_) {
     const auto it = lent.find(tenant);
     if (it == lent.end()) continue;
-    one.word.lentSeen = std::max(one.word.lentSeen, it->second.lent);
-    one.left = it->second.left;
+    account.spend.lentSeen = std::max(account.spend.lentSeen, it->second.lent);
+    account.left = it->second.left;
   }
 }
 
-std::map<std::string, Spend> Purse::say(double nowMs, bool leaving) {
-  std::map<std::string, Spend> words;
-  for (auto& [tenant, one] : tenants_) {
-    const double rate = leaving ? 0 : flowAt(one, nowMs) / terms_.rateMs;  // tokens a millisecond
-    const std::uint64_t largest = !leaving && nowMs - one.largestMs <= terms_.aheadMs ? one.largest : 0;
-    const std::uint64_t ahead = rounded(rate * terms_.aheadMs) + largest;
-    one.word.wants = one.used() + ahead;
+std::map<std::string, Spend> TokenBudgets::prepareReport(double nowMs, bool leaving) {
+  std::map<std::string, Spend> spends;
+  for (auto& [tenant, account] : tenants_) {
+    const double rate =
+        leaving ? 0 : recentTokensAt(account, nowMs) / config_.rateMs;  // tokens a millisecond
+    const std::uint64_t largest =
+        !leaving && nowMs - account.largestMs <= config_.prefetchMs ? account.largest : 0;
+    const std::uint64_t ahead = rounded(rate * config_.prefetchMs) + largest;
+    account.spend.wants = account.used() + ahead;
     // What lies idle goes back: it may be wanted elsewhere.
-    const std::uint64_t keep = one.used() + rounded(static_cast<double>(ahead) * kKeepTimes);
-    if (one.out() > keep) one.word.returned += one.out() - keep;
-    one.word.ceiling =
-        std::max(one.used(), std::min(one.out(), one.used() + rounded(rate * terms_.sliceMs) + largest));
+    const std::uint64_t keep = account.used() + rounded(static_cast<double>(ahead) * kRetainFactor);
+    if (account.outstanding() > keep) account.spend.returned += account.outstanding() - keep;
+    account.spend.ceiling = std::max(
+        account.used(),
+        std::min(account.outstanding(), account.used() + rounded(rate * config_.ceilingMs) + largest));
     // A lower ceiling holds from now on, a higher one once it was taken.
-    if (terms_.returnsKept) one.allowed = std::min(one.allowed, one.word.ceiling);
-    one.denied = false;
-    words[tenant] = one.word;
+    if (config_.returnsKept)
+      account.acceptedCeiling = std::min(account.acceptedCeiling, account.spend.ceiling);
+    account.denied = false;
+    spends[tenant] = account.spend;
   }
-  return words;
+  return spends;
 }
 
-void Purse::taken(std::uint64_t period, const std::map<std::string, Spend>& word, double begunMs) {
-  takenMs_ = std::max(takenMs_.value_or(begunMs), begunMs);
+void TokenBudgets::onReportAccepted(std::uint64_t period, const std::map<std::string, Spend>& spend,
+                                    double writeBegunMs) {
+  acceptedMs_ = std::max(acceptedMs_.value_or(writeBegunMs), writeBegunMs);
   if (period != period_) return;
-  for (const auto& [tenant, said] : word) {
+  for (const auto& [tenant, reported] : spend) {
     const auto it = tenants_.find(tenant);
     if (it == tenants_.end()) continue;
-    One& one = it->second;
-    one.allowed =
-        terms_.returnsKept ? std::min(said.ceiling, one.out()) : std::max(said.ceiling, one.allowed);
+    Account& account = it->second;
+    account.acceptedCeiling = config_.returnsKept ? std::min(reported.ceiling, account.outstanding())
+                                                  : std::max(reported.ceiling, account.acceptedCeiling);
   }
 }
 
-std::map<std::string, std::uint64_t> Purse::foldedAway() {
+std::map<std::string, std::uint64_t> TokenBudgets::resetAfterEviction() {
   std::map<std::string, std::uint64_t> used;
-  ++term_;
-  for (auto& [tenant, one] : tenants_) {
-    used[tenant] = one.used();
-    one.word = {};
-    one.allowed = 0;
+  ++epoch_;
+  for (auto& [tenant, account] : tenants_) {
+    used[tenant] = account.used();
+    account.spend = {};
+    account.acceptedCeiling = 0;
   }
   return used;
 }
 
-bool Purse::wanting() const {
+bool TokenBudgets::needsLoan() const {
   return std::any_of(tenants_.begin(), tenants_.end(), [](const auto& entry) { return entry.second.denied; });
 }
 
-std::map<std::string, Purse::Seen> Purse::seen() const {
-  std::map<std::string, Seen> all;
-  for (const auto& [tenant, one] : tenants_)
-    all[tenant] = {one.word.spent,    one.word.reserved, one.allowed,
-                   one.word.lentSeen, one.word.returned, one.left};
+std::map<std::string, TokenBudgets::Snapshot> TokenBudgets::snapshot() const {
+  std::map<std::string, Snapshot> all;
+  for (const auto& [tenant, account] : tenants_)
+    all[tenant] = {account.spend.spent,    account.spend.reserved, account.acceptedCeiling,
+                   account.spend.lentSeen, account.spend.returned, account.left};
   return all;
 }
 
@@ -146,62 +154,63 @@
 
 namespace {
 
-const Spend* wordOf(const std::map<Origin, Spend>& words, const Origin& who) {
-  const auto it = words.find(who);
-  return it == words.end() ? nullptr : &it->second;
+const Spend* spendOf(const std::map<Origin, Spend>& spends, const Origin& who) {
+  const auto it = spends.find(who);
+  return it == spends.end() ? nullptr : &it->second;
 }
 
 // What may still be spent, or was: all that was lent and not returned, and no less than its own word says.
-std::uint64_t outOf(std::uint64_t lent, const Spend* word) {
-  if (word == nullptr) return lent;
-  return std::max(
-      {less(std::max(lent, word->lentSeen), word->returned), word->ceiling, word->spent + word->reserved});
+std::uint64_t outstandingOf(std::uint64_t lent, const Spend* spend) {
+  if (spend == nullptr) return lent;
+  return std::max({saturatingSubtract(std::max(lent, spend->lentSeen), spend->returned), spend->ceiling,
+                   spend->spent + spend->reserved});
 }
 
 }  // namespace
 
-std::uint64_t outOf(const BudgetLine& line, const std::map<Origin, Spend>& words) {
+std::uint64_t outstandingOf(const BudgetLine& line, const std::map<Origin, Spend>& spends) {
   std::uint64_t sum = 0;
-  for (const auto& [who, lent] : line.lent) sum += outOf(lent, wordOf(words, who));
-  for (const auto& [who, word] : words)
-    if (line.lent.count(who) == 0) sum += outOf(0, &word);
+  for (const auto& [who, lent] : line.lent) sum += outstandingOf(lent, spendOf(spends, who));
+  for (const auto& [who, spend] : spends)
+    if (line.lent.count(who) == 0) sum += outstandingOf(0, &spend);
   return sum;
 }
 
-std::uint64_t leftOf(const BudgetLine& line, const std::map<Origin, Spend>& words) {
-  return less(line.limit, line.charged + outOf(line, words));
+std::uint64_t leftOf(const BudgetLine& line, const std::map<Origin, Spend>& spends) {
+  return saturatingSubtract(line.limit, line.charged + outstandingOf(line, spends));
 }
 
-void lend(BudgetLine& line, const std::map<Origin, Spend>& words) {
+void lend(BudgetLine& line, const std::map<Origin, Spend>& spends) {
   // Nothing that a conductor knows to have been lent is forgotten, whatever the store has come back to.
-  for (const auto& [who, word] : words)
-    if (word.lentSeen > 0) line.lent[who] = std::max(line.lent[who], word.lentSeen);
-  std::uint64_t left = leftOf(line, words);
+  for (const auto& [who, spend] : spends)
+    if (spend.lentSeen > 0) line.lent[who] = std::max(line.lent[who], spend.lentSeen);
+  std::uint64_t left = leftOf(line, spends);
   // Who has least first, and each as much as it wants: a part of what one answer may need would be of no use.
-  std::vector<std::tuple<std::uint64_t, std::uint64_t, Origin>> wishes;
-  for (const auto& [who, word] : words) {
+  std::vector<std::tuple<std::uint64_t, std::uint64_t, Origin>> requests;
+  for (const auto& [who, spend] : spends) {
     const auto lent = line.lent.find(who);
-    const std::uint64_t has = outOf(lent == line.lent.end() ? 0 : lent->second, &word);
-    if (word.wants > has) wishes.emplace_back(less(has, word.spent), word.wants - has, who);
+    const std::uint64_t held = outstandingOf(lent == line.lent.end() ? 0 : lent->second, &spend);
+    if (spend.wants > held)
+      requests.emplace_back(saturatingSubtract(held, spend.spent), spend.wants - held, who);
   }
-  std::sort(wishes.begin(), wishes.end());
-  for (const auto& [idle, wish, who] : wishes) {
-    const std::uint64_t part = std::min(wish, left);
+  std::sort(requests.begin(), requests.end());
+  for (const auto& [idle, request, who] : requests) {
+    const std::uint64_t part = std::min(request, left);
     if (part > 0) line.lent[who] += part;
     left -= part;
   }
 }
 
-void charge(BudgetLine& line, const Origin& gone, const std::optional<Spend>& lastWord) {
+void charge(BudgetLine& line, const Origin& gone, const std::optional<Spend>& lastSpend) {
   const auto lent = line.lent.find(gone);
   const std::uint64_t most = lent == line.lent.end() ? 0 : lent->second;
   // Without a word nothing is known but that it had no more than it was lent.
-  line.charged += lastWord ? std::max(lastWord->ceiling, lastWord->spent + lastWord->reserved) : most;
+  line.charged += lastSpend ? std::max(lastSpend->ceiling, lastSpend->spent + lastSpend->reserved) : most;
   if (lent != line.lent.end()) line.lent.erase(lent);
 }
 
 void refund(BudgetLine& line, std::uint64_t charged, std::uint64_t used) {
-  line.charged = less(line.charged + used, charged);
+  line.charged = saturatingSubtract(line.charged + used, charged);
 }
 
 }  // namespace dahliastall::shared
--- a/src/shared/digest_task.cpp
+++ b/src/shared/digest_task.cpp
@@ -12,82 +12,82 @@
 
 namespace {
 
-constexpr std::size_t kMostFolds = 64;  // in one step
-static_assert(kMostFolds < coordination::kMostWrites);
-constexpr double kSettlePaces = 2;    // words' paces that a new holder waits before it lends
-constexpr double kLapseMargin = 1.1;  // times a loan's time: drift, and a step under way
+constexpr std::size_t kMaxFoldsPerStep = 64;  // in one step
+static_assert(kMaxFoldsPerStep < coordination::kMostWrites);
+constexpr double kIntervalsBeforeLending = 2;  // words' paces that a new holder waits before it lends
+constexpr double kLoanExpiryMargin = 1.1;      // times a loan's time: drift, and a step under way
 
 }  // namespace
 
-DigestTask::DigestTask(coordination::TaskTerms task, std::function<SharedTerms()> terms,
+DigestTask::DigestTask(coordination::TaskConfig task, std::function<SharedConfig()> config,
                        std::function<double()> unixMs)
-    : task_(std::move(task)), read_(std::move(terms)), unixMs_(std::move(unixMs)), terms_(read_()) {}
+    : task_(std::move(task)), read_(std::move(config)), unixMs_(std::move(unixMs)), config_(read_()) {}
 
-void DigestTask::note(const std::string& key, std::uint64_t revision, Flaw flaw) {
-  std::uint64_t& last = noted_[key];
+void DigestTask::countUndecodable(const std::string& key, std::uint64_t revision, DecodeError error) {
+  std::uint64_t& last = countedRevisions_[key];
   if (last == revision) return;
   last = revision;
-  ++happened_.unread[nameOf(flaw)];
+  ++stats_.unread[nameOf(error)];
 }
 
-std::map<Origin, DigestTask::Read> DigestTask::partsIn(const View& view, double nowMs) {
+std::map<Origin, DigestTask::Read> DigestTask::readParts(const View& view, double nowMs) {
   std::map<Origin, Read> parts;
   const std::string prefix = kPartPrefix;
   for (auto it = view.docs.lower_bound(prefix); it != view.docs.end() && it->first.rfind(prefix, 0) == 0;
        ++it) {
-    const PartRead read = partOf(it->second.value);
+    const DecodedPart read = decodePart(it->second.value);
     // One that lies under another's key is nobody's word.
     const bool own = read.part && read.part->key() == it->first;
-    if (!own || parts.size() >= kMostOrigins) {
-      note(it->first, it->second.revision,
-           read.part ? (own ? Flaw::kBeyondBounds : Flaw::kForeign) : read.flaw);
+    if (!own || parts.size() >= kMaxOrigins) {
+      countUndecodable(it->first, it->second.revision,
+                       read.part ? (own ? DecodeError::kBeyondBounds : DecodeError::kForeign) : read.error);
       continue;
     }
     parts[read.part->origin] = {*read.part, it->second.revision,
-                                seen_.forMs(it->first, it->second.revision, nowMs)};
+                                ages_.forMs(it->first, it->second.revision, nowMs)};
   }
-  seen_.forget(
+  ages_.forget(
       [&](const std::string& key) { return key.rfind(prefix, 0) == 0 && view.docs.count(key) == 0; });
-  std::erase_if(noted_, [&](const auto& entry) { return view.docs.count(entry.first) == 0; });
+  std::erase_if(countedRevisions_, [&](const auto& entry) { return view.docs.count(entry.first) == 0; });
   std::erase_if(known_, [&](const auto& entry) { return parts.count(entry.first) == 0; });
   return parts;
 }
 
 // A digest that is behind what somebody knows was put back. Nothing is lent until every loan that is not
 // known of any more must have lapsed; those that live say meanwhile what they were lent.
-void DigestTask::noticeRestored(Digest& digest, const std::map<Origin, Read>& parts) {
-  std::uint64_t newest = lastBeat_;
-  for (const auto& [origin, read] : parts) newest = std::max(newest, read.part.beatSeen);
-  if (newest <= digest.beat) return;
-  digest.beat = newest;
+void DigestTask::detectRollback(Digest& digest, const std::map<Origin, Read>& parts) {
+  std::uint64_t newest = lastSequence_;
+  for (const auto& [origin, read] : parts) newest = std::max(newest, read.part.digestSequenceSeen);
+  if (newest <= digest.sequence) return;
+  digest.sequence = newest;
   ++digest.restored;
-  ++happened_.wentBack;
-  const double loans = terms_.budget.loanMs * kLapseMargin / std::max(1.0, task_.periodMs);
-  digest.lendsFromBeat = digest.beat + static_cast<std::uint64_t>(std::ceil(loans)) + 1;
+  ++stats_.rolledBack;
+  const double loans = config_.budget.loanMs * kLoanExpiryMargin / std::max(1.0, task_.periodMs);
+  digest.lendsFromSequence = digest.sequence + static_cast<std::uint64_t>(std::ceil(loans)) + 1;
 }
 
 // By the clock in the middle of all that are told, so that one that is off changes nothing among three. A
 // period never goes back.
-void DigestTask::turnPeriod(Digest& digest, const std::map<Origin, Read>& parts) {
+void DigestTask::advancePeriod(Digest& digest, const std::map<Origin, Read>& parts) {
   std::vector<double> clocks{unixMs_()};
   for (const auto& [origin, read] : parts)
-    if (read.ageMs < terms_.silentMs) clocks.push_back(read.part.unixMs + read.ageMs);
+    if (read.ageMs < config_.silentMs) clocks.push_back(read.part.unixMs + read.ageMs);
   const auto middle = clocks.begin() + static_cast<std::ptrdiff_t>((clocks.size() - 1) / 2);
   std::nth_element(clocks.begin(), middle, clocks.end());
-  const double start = std::floor(*middle / terms_.periodMs) * terms_.periodMs;
+  const double start = std::floor(*middle / config_.periodMs) * config_.periodMs;
   const auto period = static_cast<std::uint64_t>(std::max(1.0, start));
   if (period > digest.period) {
     digest.period = period;
     digest.budgets.clear();
   }
-  digest.periodEndsMs = static_cast<double>(digest.period) + terms_.periodMs;
-  for (const auto& [tenant, limit] : terms_.budgets) digest.budgets[tenant].limit = limit;
+  digest.periodEndsMs = static_cast<double>(digest.period) + config_.periodMs;
+  for (const auto& [tenant, limit] : config_.budgets) digest.budgets[tenant].limit = limit;
 }
 
 void DigestTask::settle(Digest& digest, const std::map<Origin, Read>& parts) {
   for (const auto& [origin, read] : parts) {
-    if (!read.part.settled) continue;
-    const Settled& said = *read.part.settled;
+    if (!read.part.finalUsage) continue;
+    const FinalUsage& said = *read.part.finalUsage;
     const Origin before{origin.name, said.incarnation};
     const Folded* folded = digest.foldedOf(before);
     if (folded == nullptr) continue;
@@ -98,7 +98,7 @@
         if (used != said.used.end() && line != digest.budgets.end())
           refund(line->second, charged, used->second);
       }
-    ++happened_.refunded;
+    ++stats_.refunded;
     std::erase_if(digest.folded, [&](const Folded& one) { return one.origin == before; });
   }
 }
@@ -107,17 +107,17 @@
 // lives it finds its document gone and begins anew.
 std::vector<Write> DigestTask::fold(Digest& digest, std::map<Origin, Read>& parts, double nowMs) {
   std::vector<Write> writes;
-  for (auto it = parts.begin(); it != parts.end() && writes.size() < kMostFolds;) {
+  for (auto it = parts.begin(); it != parts.end() && writes.size() < kMaxFoldsPerStep;) {
     const auto& [origin, read] = *it;
     const bool replaced = std::any_of(parts.begin(), parts.end(), [&, &self = *it](const auto& other) {
       return other.first.name == self.first.name && other.first.incarnation != self.first.incarnation &&
              other.second.ageMs < self.second.ageMs;
     });
-    if (read.ageMs < (replaced ? std::min(terms_.replacedMs, terms_.goneMs) : terms_.goneMs)) {
+    if (read.ageMs < (replaced ? std::min(config_.replacedMs, config_.goneMs) : config_.goneMs)) {
       ++it;
       continue;
     }
-    Folded folded{origin, read.part.word, read.part.period, {}};
+    Folded folded{origin, read.part.sequence, read.part.period, {}};
     for (auto& [tenant, line] : digest.budgets) {
       const bool now = read.part.period == digest.period;
       const auto spend = read.part.spends.find(tenant);
@@ -125,19 +125,18 @@
       // A part of an earlier period, or without a word on this budget, holds no ceiling in it.
       last = now && spend != read.part.spends.end() ? spend->second : Spend{};
       const std::uint64_t before = line.charged;
-      if (terms_.guards.chargeCeiling || !last) charge(line, origin, last);
+      if (config_.guards.chargeCeiling || !last) charge(line, origin, last);
       else charge(line, origin, Spend{last->spent, 0, 0, 0, 0, 0});
       folded.charged[tenant] = line.charged - before;
     }
-    addTo(digest.base, read.part.tallies);
+    addUsage(digest.base, read.part.usage);
     digest.folded.push_back(std::move(folded));
     writes.push_back({it->second.part.key(), read.revision, std::nullopt});
-    ++happened_.folded;
+    ++stats_.folded;
     it = parts.erase(it);
   }
-  if (digest.folded.size() > kMostFolded)
-    digest.folded.erase(digest.folded.begin(),
-                        digest.folded.end() - static_cast<std::ptrdiff_t>(kMostFolded));
+  if (digest.folded.size() > kMaxFolded)
+    digest.folded.erase(digest.folded.begin(), digest.folded.end() - static_cast<std::ptrdiff_t>(kMaxFolded));
   // Loans of which no part tells, as after a document was removed by hand.
   std::set<std::string> missing;
   for (auto& [tenant, line] : digest.budgets) {
@@ -148,24 +147,24 @@
       part.origin = origin;
       const std::string mark = "lent " + part.key();
       missing.insert(mark);
-      if (seen_.forMs(mark, 0, nowMs) >= terms_.goneMs) lost.push_back(origin);
+      if (ages_.forMs(mark, 0, nowMs) >= config_.goneMs) lost.push_back(origin);
     }
     for (const Origin& origin : lost) charge(line, origin, std::nullopt);
   }
-  seen_.forget([&](const std::string& key) { return key.rfind("lent ", 0) == 0 && missing.count(key) == 0; });
+  ages_.forget([&](const std::string& key) { return key.rfind("lent ", 0) == 0 && missing.count(key) == 0; });
   return writes;
 }
 
-void DigestTask::lendAll(Digest& digest, const std::map<Origin, Read>& parts, std::uint64_t fence,
-                         double nowMs) {
+void DigestTask::lendBudgets(Digest& digest, const std::map<Origin, Read>& parts, std::uint64_t fence,
+                             double nowMs) {
   if (fence != fence_) {
     fence_ = fence;
     fenceSinceMs_ = nowMs;
   }
   // Who has just become the holder has not heard yet whether anybody knows of more than the store does.
-  const double settleMs = kSettlePaces * terms_.paceMs(digest.heard.size());
-  const bool mayLend = !terms_.guards.settleFirst ||
-                       (nowMs - fenceSinceMs_ >= settleMs && digest.beat >= digest.lendsFromBeat);
+  const double settleMs = kIntervalsBeforeLending * config_.reportIntervalMs(digest.heard.size());
+  const bool mayLend = !config_.guards.waitBeforeLending ||
+                       (nowMs - fenceSinceMs_ >= settleMs && digest.sequence >= digest.lendsFromSequence);
   for (auto& [tenant, line] : digest.budgets) {
     std::map<Origin, Spend> words;
     for (const auto& [origin, read] : parts) {
@@ -174,22 +173,22 @@
       if (spend == read.part.spends.end()) continue;
       words[origin] = spend->second;
       // Who has gone silent keeps what it has, and is lent nothing more.
-      if (!mayLend || read.ageMs >= terms_.silentMs) words[origin].wants = 0;
+      if (!mayLend || read.ageMs >= config_.silentMs) words[origin].wants = 0;
     }
     lend(line, words);
-    line.left = digest.beat >= digest.lendsFromBeat ? leftOf(line, words) : 0;
+    line.left = digest.sequence >= digest.lendsFromSequence ? leftOf(line, words) : 0;
   }
 }
 
 void DigestTask::updateVerdicts(Digest& digest, const std::map<Origin, Read>& parts) {
   std::map<std::string, std::vector<HealthObservation>> heard;
   for (const auto& [origin, read] : parts) {
-    if (read.ageMs >= terms_.silentMs) continue;
+    if (read.ageMs >= config_.silentMs) continue;
     std::map<std::string, HealthObservation> now;
     for (const auto& [box, observation] : read.part.observations)
-      now[box] = decayed(observation, read.ageMs, terms_.observations);
-    if (terms_.guards.credibleOnly && !isCredible(now, terms_.observations)) {
-      ++happened_.incredible;
+      now[box] = decayed(observation, read.ageMs, config_.observations);
+    if (config_.guards.credibleOnly && !isCredible(now, config_.observations)) {
+      ++stats_.incredible;
       continue;
     }
     for (const auto& [box, observation] : now) heard[box].push_back(observation);
@@ -198,8 +197,9 @@
   std::map<std::string, HealthVerdict> boxes;
   for (const auto& [box, observations] : heard) {
     const auto before = digest.boxes.find(box);
-    const HealthVerdict now = nextVerdict(before == digest.boxes.end() ? HealthVerdict{} : before->second,
-                                          observations, digest.beat, terms_.observations, terms_.verdict);
+    const HealthVerdict now =
+        nextVerdict(before == digest.boxes.end() ? HealthVerdict{} : before->second, observations,
+                    digest.sequence, config_.observations, config_.verdict);
     if (now.out || now.bad > 0) boxes[box] = now;
   }
   while (boxes.size() > kMaxInstances)  // those that nobody leaves out say least
@@ -213,52 +213,52 @@
   digest.total = digest.base;
   digest.heard.clear();
   for (const auto& [origin, read] : parts) {
-    Tallies& known = known_[origin];
-    if (!grew(read.part.tallies, known)) ++happened_.backwards;
-    merge(known, read.part.tallies);
-    addTo(digest.total, known);
-    if (read.ageMs < terms_.silentMs) digest.heard[origin] = read.part.word;
+    UsageTable& known = known_[origin];
+    if (!isMonotonic(read.part.usage, known)) ++stats_.backwards;
+    merge(known, read.part.usage);
+    addUsage(digest.total, known);
+    if (read.ageMs < config_.silentMs) digest.heard[origin] = read.part.sequence;
   }
   // Bounded, whatever names were counted under.
-  for (Tallies* tallies : {&digest.base, &digest.total})
-    while (tallies->size() > kMostTallies) tallies->erase(std::prev(tallies->end()));
+  for (UsageTable* usage : {&digest.base, &digest.total})
+    while (usage->size() > kMaxUsageRows) usage->erase(std::prev(usage->end()));
 }
 
 std::optional<Step> DigestTask::next(const View& view, std::uint64_t fence, double nowMs) {
-  terms_ = read_();
+  config_ = read_();
   Digest digest;
   std::uint64_t revision = 0;
   if (const auto doc = view.docs.find(kDigestKey); doc != view.docs.end()) {
-    const DigestRead read = digestOf(doc->second.value);
+    const DecodedDigest read = decodeDigest(doc->second.value);
     // Of a later program, or damaged: what it knew of loans cannot be made up, so nothing is written over it.
     if (!read.digest) {
-      note(kDigestKey, doc->second.revision, read.flaw);
+      countUndecodable(kDigestKey, doc->second.revision, read.error);
       return std::nullopt;
     }
     digest = *read.digest;
     revision = doc->second.revision;
   }
-  std::map<Origin, Read> parts = partsIn(view, nowMs);
-  noticeRestored(digest, parts);
-  lastBeat_ = std::max(lastBeat_, digest.beat);
-  ++digest.beat;
+  std::map<Origin, Read> parts = readParts(view, nowMs);
+  detectRollback(digest, parts);
+  lastSequence_ = std::max(lastSequence_, digest.sequence);
+  ++digest.sequence;
   digest.fence = fence;
-  turnPeriod(digest, parts);
+  advancePeriod(digest, parts);
   settle(digest, parts);
   std::vector<Write> writes = fold(digest, parts, nowMs);
   count(digest, parts);
-  lendAll(digest, parts, fence, nowMs);
+  lendBudgets(digest, parts, fence, nowMs);
   updateVerdicts(digest, parts);
-  std::string text = textOf(digest);
+  std::string text = encode(digest);
   // What is told to those that come back gives way, the older half first, and then what people read.
-  while (text.size() > kLargestText && (!digest.folded.empty() || !digest.total.empty())) {
+  while (text.size() > kMaxDocumentBytes && (!digest.folded.empty() || !digest.total.empty())) {
     if (digest.folded.empty()) digest.total.clear();
     const auto half = static_cast<std::ptrdiff_t>((digest.folded.size() + 1) / 2);
     digest.folded.erase(digest.folded.begin(), digest.folded.begin() + half);
-    text = textOf(digest);
+    text = encode(digest);
   }
   writes.insert(writes.begin(), Write{kDigestKey, revision, std::move(text)});
-  return Step{"digest " + std::to_string(digest.beat), std::move(writes)};
+  return Step{"digest " + std::to_string(digest.sequence), std::move(writes)};
 }
 
 }  // namespace dahliastall::shared
--- a/src/shared/health_observation.cpp
+++ b/src/shared/health_observation.cpp
@@ -15,8 +15,8 @@
 constexpr std::size_t kMinUnhealthyToDoubt =
     2;  // bad boxes from which on a witness may be the one that is ill
 
-double decayFactor(double byMs, const ObservationTerms& terms) {
-  return std::exp2(-std::max(0.0, byMs) / terms.halfLifeMs);
+double decayFactor(double byMs, const ObservationConfig& config) {
+  return std::exp2(-std::max(0.0, byMs) / config.halfLifeMs);
 }
 
 }  // namespace
@@ -28,7 +28,7 @@
 
 LocalObservations::Entry& LocalObservations::decayedEntry(const std::string& box, double nowMs) {
   Entry& entry = entries_.try_emplace(box).first->second;
-  const double left = decayFactor(nowMs - entry.atMs, terms_);
+  const double left = decayFactor(nowMs - entry.atMs, config_);
   entry.good *= left;
   entry.bad *= left;
   entry.atMs = nowMs;
@@ -54,7 +54,7 @@
 
 void LocalObservations::prune(const std::set<std::string>& listed, double nowMs) {
   std::erase_if(entries_, [&](const auto& entry) {
-    const double left = decayFactor(nowMs - entry.second.atMs, terms_);
+    const double left = decayFactor(nowMs - entry.second.atMs, config_);
     return listed.count(entry.first) == 0 || (entry.second.good + entry.second.bad) * left < kNegligible;
   });
 }
@@ -62,7 +62,7 @@
 std::map<std::string, HealthObservation> LocalObservations::snapshot(double nowMs) const {
   std::map<std::string, HealthObservation> all;
   for (const auto& [box, entry] : entries_) {
-    const double left = decayFactor(nowMs - entry.atMs, terms_);
+    const double left = decayFactor(nowMs - entry.atMs, config_);
     const HealthObservation observation{entry.good * left, entry.bad * left,
                                         entry.badMs < 0 ? 0 : nowMs - entry.badMs,
                                         entry.goodMs < 0 ? 0 : nowMs - entry.goodMs, entry.failure};
@@ -73,7 +73,7 @@
 
 bool LocalObservations::recentlyHealthy(const std::string& box, double nowMs) const {
   const auto it = entries_.find(box);
-  return it != entries_.end() && it->second.goodMs >= 0 && nowMs - it->second.goodMs <= terms_.freshMs &&
+  return it != entries_.end() && it->second.goodMs >= 0 && nowMs - it->second.goodMs <= config_.freshMs &&
          it->second.goodMs > it->second.badMs;
 }
 
@@ -87,17 +87,18 @@
   for (auto it = least.begin(); it != end; ++it) observations.erase(std::get<std::string>(*it));
 }
 
-HealthObservation decayed(const HealthObservation& observation, double byMs, const ObservationTerms& terms) {
+HealthObservation decayed(const HealthObservation& observation, double byMs,
+                          const ObservationConfig& config) {
   HealthObservation next = observation;
-  next.good *= decayFactor(byMs, terms);
-  next.bad *= decayFactor(byMs, terms);
+  next.good *= decayFactor(byMs, config);
+  next.bad *= decayFactor(byMs, config);
   next.badAgeMs += std::max(0.0, byMs);
   next.goodAgeMs += std::max(0.0, byMs);
   return next;
 }
 
-Vote voteOf(const HealthObservation& observation, const ObservationTerms& terms) {
-  if (observation.bad >= terms.unhealthyFrom && observation.bad >= observation.good) return Vote::kUnhealthy;
+Vote voteOf(const HealthObservation& observation, const ObservationConfig& config) {
+  if (observation.bad >= config.unhealthyFrom && observation.bad >= observation.good) return Vote::kUnhealthy;
   // What answered after it had failed is good from the first answer on.
   if (observation.good >= 0.5 &&
       (observation.bad < kNegligible || observation.goodAgeMs < observation.badAgeMs))
@@ -105,20 +106,21 @@
   return Vote::kAbstain;
 }
 
-bool isCredible(const std::map<std::string, HealthObservation>& observations, const ObservationTerms& terms) {
+bool isCredible(const std::map<std::string, HealthObservation>& observations,
+                const ObservationConfig& config) {
   std::size_t bad = 0, known = 0;
   for (const auto& [box, observation] : observations) {
-    const Vote vote = voteOf(observation, terms);
+    const Vote vote = voteOf(observation, config);
     known += vote != Vote::kAbstain;
     bad += vote == Vote::kUnhealthy;
   }
   return bad < kMinUnhealthyToDoubt ||
-         static_cast<double>(bad) <= terms.maxUnhealthyShare * static_cast<double>(known);
+         static_cast<double>(bad) <= config.maxUnhealthyShare * static_cast<double>(known);
 }
 
 HealthVerdict nextVerdict(const HealthVerdict& previous, const std::vector<HealthObservation>& heard,
-                          std::uint64_t beat, const ObservationTerms& observations,
-                          const VerdictTerms& terms) {
+                          std::uint64_t sequence, const ObservationConfig& observations,
+                          const VerdictConfig& config) {
   HealthVerdict next = previous;
   next.bad = next.good = 0;
   next.evidence = 0;
@@ -136,16 +138,16 @@
   std::sort(badAges.begin(), badAges.end());
   // A good answer from before the trouble says nothing of it: what counts is later than the bad ones that it
   // takes, and than all of them once the box is out, as a trial is.
-  const std::size_t needed = std::max<std::uint32_t>(1, terms.witnesses);
+  const std::size_t needed = std::max<std::uint32_t>(1, config.witnesses);
   const double since = previous.out ? lastBad : badAges.size() < needed ? HUGE_VAL : badAges[needed - 1];
   for (const HealthObservation& observation : heard)
     next.good += voteOf(observation, observations) == Vote::kHealthy && observation.goodAgeMs < since;
   if (!previous.out) {
-    next.out = next.bad >= terms.witnesses && next.bad > next.good;
-    if (next.out) next.sinceBeat = beat;
+    next.out = next.bad >= config.witnesses && next.bad > next.good;
+    if (next.out) next.sinceSequence = sequence;
     return next;
   }
-  next.out = lastBad < terms.expiryMs && next.good == 0;
+  next.out = lastBad < config.expiryMs && next.good == 0;
   return next;
 }
 
--- a/src/shared/health_observation.h
+++ b/src/shared/health_observation.h
@@ -23,7 +23,7 @@
   FailureKind failure = FailureKind::kNone;  // of the last that was bad
 };
 
-struct ObservationTerms {
+struct ObservationConfig {
   double halfLifeMs = 10'000;  // in which evidence loses half its say
   double unhealthyFrom =
       1.5;  // evidence from which a witness says that a box is bad: two failures, a little faded
@@ -40,7 +40,7 @@
 // A conductor's own sights.
 class LocalObservations {
  public:
-  explicit LocalObservations(ObservationTerms terms = {}) : terms_(terms) {}
+  explicit LocalObservations(ObservationConfig config = {}) : config_(config) {}
 
   void recordSuccess(const std::string& box, double nowMs);
   void recordFailure(const std::string& box, FailureKind failure, double nowMs);
@@ -59,38 +59,39 @@
   };
   Entry& decayedEntry(const std::string& box, double nowMs);
 
-  ObservationTerms terms_;
+  ObservationConfig config_;
   std::map<std::string, Entry> entries_;
 };
 
 // A sight that was said so long ago, as it counts now. Never grows.
-HealthObservation decayed(const HealthObservation& observation, double byMs, const ObservationTerms& terms);
+HealthObservation decayed(const HealthObservation& observation, double byMs, const ObservationConfig& config);
 
 enum class Vote : std::uint8_t { kAbstain, kHealthy, kUnhealthy };
-Vote voteOf(const HealthObservation& observation, const ObservationTerms& terms);
+Vote voteOf(const HealthObservation& observation, const ObservationConfig& config);
 
 // Whether this witness is heard at all: one that finds more than its share of the boxes that it knows bad,
 // and at least two, more likely has a bad link of its own.
-bool isCredible(const std::map<std::string, HealthObservation>& observations, const ObservationTerms& terms);
+bool isCredible(const std::map<std::string, HealthObservation>& observations,
+                const ObservationConfig& config);
 
 // What all say of one box.
 struct HealthVerdict {
   std::uint32_t bad = 0, good = 0;  // distinct witnesses
   bool out = false;                 // the fleet leaves it out
   FailureKind failure = FailureKind::kNone;
-  double evidence = 0;          // of the bad ones
-  std::uint64_t sinceBeat = 0;  // of the digest at which it went out
+  double evidence = 0;              // of the bad ones
+  std::uint64_t sinceSequence = 0;  // of the digest at which it went out
   bool operator==(const HealthVerdict&) const = default;
 };
 
-struct VerdictTerms {
+struct VerdictConfig {
   std::uint32_t witnesses = 2;  // that it takes at least
   double expiryMs = 60'000;     // without anything bad seen after which a judgement ends by itself
 };
 
 // The next judgement on a box, from the last one and what credible witnesses say now.
 HealthVerdict nextVerdict(const HealthVerdict& previous, const std::vector<HealthObservation>& heard,
-                          std::uint64_t beat, const ObservationTerms& observations,
-                          const VerdictTerms& terms);
+                          std::uint64_t sequence, const ObservationConfig& observations,
+                          const VerdictConfig& config);
 
 }  // namespace dahliastall::shared
--- a/src/shared/remote_health.cpp
+++ b/src/shared/remote_health.cpp
@@ -32,9 +32,9 @@
   return std::min(boxes - 1, static_cast<std::size_t>(std::floor(static_cast<double>(boxes) * share + 1e-9)));
 }
 
-std::string probingNode(const std::string& box, std::uint64_t beat, std::uint64_t probeDigests,
+std::string probingNode(const std::string& box, std::uint64_t sequence, std::uint64_t probeDigests,
                         const std::vector<std::string>& nodes) {
-  const std::uint64_t turn = beat / std::max<std::uint64_t>(1, probeDigests);
+  const std::uint64_t turn = sequence / std::max<std::uint64_t>(1, probeDigests);
   const auto best =
       std::max_element(nodes.begin(), nodes.end(), [&](const std::string& node, const std::string& other) {
         return std::pair(drawFor(box, node, turn), node) < std::pair(drawFor(box, other, turn), other);
@@ -82,7 +82,7 @@
     ++cell.out;
     availability = Availability::kExcluded;
     if (input.own.recentlyHealthy(id, nowMs)) availability = Availability::kLocallyHealthy;
-    else if (probingNode(id, input.beat, input.probeDigests, input.nodes) == input.self)
+    else if (probingNode(id, input.sequence, input.probeDigests, input.nodes) == input.self)
       availability = Availability::kProbing;
   }
   return decisions;
--- a/src/shared/remote_health.h
+++ b/src/shared/remote_health.h
@@ -20,7 +20,7 @@
 std::size_t maxExcluded(std::size_t boxes, double share);
 
 // Who tries a box that is left out, at this digest: the same for all, and each in its turn.
-std::string probingNode(const std::string& box, std::uint64_t beat, std::uint64_t probeDigests,
+std::string probingNode(const std::string& box, std::uint64_t sequence, std::uint64_t probeDigests,
                         const std::vector<std::string>& nodes);
 
 enum class Availability : std::uint8_t {
@@ -40,7 +40,7 @@
   const LocalObservations& own;
   const std::vector<std::string>& nodes;  // that speak
   std::string self;
-  std::uint64_t beat = 0;
+  std::uint64_t sequence = 0;
   bool connected = true;  // this conductor is connected, or late by a little
   double maxExcludedShare = 0.34;
   std::uint64_t probeDigests = 3;
--- a/src/shared/setup.cpp
+++ b/src/shared/setup.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "shared/words.h"
+#include "shared/codec.h"
 
 namespace dahliastall::shared {
 
@@ -30,10 +30,10 @@
     if (std::find(tenants.begin(), tenants.end(), tenant) == tenants.end())
       one.fail("is for a tenant that the settings do not name");
     const auto tokens = one.as<std::uint64_t>();
-    if (tokens == 0 || tokens > kMostTokens) one.fail("is no number of tokens from 1 to 2^50");
+    if (tokens == 0 || tokens > kMaxTokens) one.fail("is no number of tokens from 1 to 2^50");
     budgets[tenant] = tokens;
   }
-  if (budgets.size() > kMostTenants) given.fail("has more than 32 tenants");
+  if (budgets.size() > kMaxTenants) given.fail("has more than 32 tenants");
   return budgets;
 }
 
@@ -43,36 +43,36 @@
   given.only({"budgets", "period_s", "ahead_s", "slice_s", "loan_s", "word_ms", "digest_ms", "gone_s",
               "silent_s", "late_s", "alone_s", "most_out", "witnesses", "fades_s", "hearsay"});
   SharedSetup setup;
-  SharedTerms& terms = setup.terms;
-  if (given.has("budgets")) terms.budgets = budgetsOf(given.at("budgets"), tenants);
-  terms.periodMs = seconds(given, "period_s", terms.periodMs);
-  terms.budget.aheadMs = seconds(given, "ahead_s", terms.budget.aheadMs);
-  terms.budget.rateMs = terms.budget.aheadMs;
-  terms.budget.sliceMs = seconds(given, "slice_s", terms.budget.sliceMs);
-  terms.budget.loanMs = seconds(given, "loan_s", terms.budget.loanMs);
-  terms.wordMs = paceOf(given, "word_ms", terms.wordMs);
-  terms.digestMs = paceOf(given, "digest_ms", terms.digestMs);
-  terms.goneMs = seconds(given, "gone_s", terms.goneMs);
-  terms.silentMs = seconds(given, "silent_s", terms.silentMs);
-  terms.hearing.lateMs = seconds(given, "late_s", terms.hearing.lateMs);
-  terms.hearing.aloneMs = seconds(given, "alone_s", terms.hearing.aloneMs);
-  terms.verdict.expiryMs = seconds(given, "fades_s", terms.verdict.expiryMs);
-  terms.verdict.witnesses = given.value("witnesses", terms.verdict.witnesses);
-  terms.maxExcludedShare = given.value("most_out", terms.maxExcludedShare);
+  SharedConfig& config = setup.config;
+  if (given.has("budgets")) config.budgets = budgetsOf(given.at("budgets"), tenants);
+  config.periodMs = seconds(given, "period_s", config.periodMs);
+  config.budget.prefetchMs = seconds(given, "ahead_s", config.budget.prefetchMs);
+  config.budget.rateMs = config.budget.prefetchMs;
+  config.budget.ceilingMs = seconds(given, "slice_s", config.budget.ceilingMs);
+  config.budget.loanMs = seconds(given, "loan_s", config.budget.loanMs);
+  config.reportMs = paceOf(given, "word_ms", config.reportMs);
+  config.digestMs = paceOf(given, "digest_ms", config.digestMs);
+  config.goneMs = seconds(given, "gone_s", config.goneMs);
+  config.silentMs = seconds(given, "silent_s", config.silentMs);
+  config.connectivity.delayedMs = seconds(given, "late_s", config.connectivity.delayedMs);
+  config.connectivity.isolatedMs = seconds(given, "alone_s", config.connectivity.isolatedMs);
+  config.verdict.expiryMs = seconds(given, "fades_s", config.verdict.expiryMs);
+  config.verdict.witnesses = given.value("witnesses", config.verdict.witnesses);
+  config.maxExcludedShare = given.value("most_out", config.maxExcludedShare);
   setup.hearsay = given.value("hearsay", setup.hearsay);
-  if (terms.verdict.witnesses < 1) given.at("witnesses").fail("is under 1");
-  if (!(terms.maxExcludedShare >= 0 && terms.maxExcludedShare <= 0.5))
+  if (config.verdict.witnesses < 1) given.at("witnesses").fail("is under 1");
+  if (!(config.maxExcludedShare >= 0 && config.maxExcludedShare <= 0.5))
     given.at("most_out").fail("is no share from 0 to 0.5");
-  if (terms.budget.sliceMs > terms.budget.aheadMs)
+  if (config.budget.ceilingMs > config.budget.prefetchMs)
     given.fail("cannot be used: slice_s is longer than ahead_s, out of which it is taken");
-  if (terms.budget.loanMs < 2 * (terms.wordMs + terms.digestMs))
+  if (config.budget.loanMs < 2 * (config.reportMs + config.digestMs))
     given.fail("cannot be used: a loan of loan_s lapses before a conductor can be heard twice");
-  if (terms.hearing.aloneMs < terms.hearing.lateMs)
+  if (config.connectivity.isolatedMs < config.connectivity.delayedMs)
     given.fail("cannot be used: alone_s is shorter than late_s");
-  if (terms.hearing.lateMs < terms.wordMs + terms.digestMs)
+  if (config.connectivity.delayedMs < config.reportMs + config.digestMs)
     given.fail("cannot be used: late_s is shorter than word_ms and digest_ms together");
-  if (terms.silentMs > terms.goneMs) given.fail("cannot be used: silent_s is longer than gone_s");
-  if (terms.periodMs < terms.budget.loanMs) given.fail("cannot be used: period_s is shorter than loan_s");
+  if (config.silentMs > config.goneMs) given.fail("cannot be used: silent_s is longer than gone_s");
+  if (config.periodMs < config.budget.loanMs) given.fail("cannot be used: period_s is shorter than loan_s");
   return setup;
 }
 
--- a/src/shared/setup.h
+++ b/src/shared/setup.h
@@ -7,12 +7,12 @@
 #include <vector>
 
 #include "core/fields.h"
-#include "shared/terms.h"
+#include "shared/config.h"
 
 namespace dahliastall::shared {
 
 struct SharedSetup {
-  SharedTerms terms;
+  SharedConfig config;
   bool hearsay = true;  // whether boxes are left out by what others saw
 };
 
--- a/src/shared/tallies.h
+++ b/src/shared/usage_counters.h
@@ -19,47 +19,47 @@
 };
 
 // Of one franchisee and class. Only ever counts up.
-struct Tally {
+struct UsageCounters {
   std::uint64_t served = 0, refused = 0, failed = 0;  // requests
   std::uint64_t promptTokens = 0, answerTokens = 0;   // of those served: what is billed
   std::uint64_t refusedTokens = 0, failedTokens = 0;  // asked for at most: never billed
-  bool operator==(const Tally&) const = default;
+  bool operator==(const UsageCounters&) const = default;
 
-  void add(const Tally& more);
+  void add(const UsageCounters& more);
   // Whether this is nowhere under the other.
-  bool covers(const Tally& other) const;
+  bool dominates(const UsageCounters& other) const;
   std::uint64_t billed() const { return promptTokens + answerTokens; }
 };
 
 // By franchisee and class, under their names: conductors may number them differently.
-using TallyKey = std::pair<std::string, std::string>;
-using Tallies = std::map<TallyKey, Tally>;
-constexpr std::size_t kMostTallies = 1024;
+using UsageKey = std::pair<std::string, std::string>;
+using UsageTable = std::map<UsageKey, UsageCounters>;
+constexpr std::size_t kMaxUsageRows = 1024;
 
-void addTo(Tallies& to, const Tallies& more);
+void addUsage(UsageTable& to, const UsageTable& more);
 // What `now` counts beyond `before`. A count that is lower than it was says nothing: it gives 0.
-Tallies beyond(const Tallies& now, const Tallies& before);
+UsageTable usageSince(const UsageTable& now, const UsageTable& before);
 // The larger of each count: a part only grows, so that this is its newest state whatever comes when.
-void merge(Tallies& to, const Tallies& from);
+void merge(UsageTable& to, const UsageTable& from);
 // Whether each count of `now` is where it was or above.
-bool grew(const Tallies& now, const Tallies& before);
+bool isMonotonic(const UsageTable& now, const UsageTable& before);
 
 // All parts, each under its process.
-class Counts {
+class FleetUsage {
  public:
   // False: some count was lower than it had been, as of a peer that counts backwards; the higher one stays.
-  bool merge(const Origin& from, const Tallies& part);
+  bool merge(const Origin& from, const UsageTable& part);
   // What a process that is gone counted becomes part of the base, once.
   void fold(const Origin& from);
-  void base(Tallies base) { base_ = std::move(base); }
+  void base(UsageTable base) { base_ = std::move(base); }
 
-  const Tallies& base() const { return base_; }
-  const std::map<Origin, Tallies>& parts() const { return parts_; }
-  Tallies total() const;
+  const UsageTable& base() const { return base_; }
+  const std::map<Origin, UsageTable>& parts() const { return parts_; }
+  UsageTable total() const;
 
  private:
-  Tallies base_;
-  std::map<Origin, Tallies> parts_;
+  UsageTable base_;
+  std::map<Origin, UsageTable> parts_;
 };
 
 }  // namespace dahliastall::shared
--- a/tests/bounds_test.cpp
+++ b/tests/bounds_test.cpp
@@ -56,18 +56,18 @@
 // loans and the bad instances in it, within the bytes that the store and a conductor's memory take.
 TEST_P(Fleet, SharesWhatItSawUsedAndWasLent) {
   using namespace shared;
-  SharedTerms terms;
-  terms.budgets = {{"attiki", 1u << 30}, {"patras", 1u << 30}};
+  SharedConfig config;
+  config.budgets = {{"attiki", 1u << 30}, {"patras", 1u << 30}};
   std::uint64_t drawn = 0, revision = 0;
   double now = 0;
   View view;
   std::vector<std::unique_ptr<SharedNode>> nodes;
   DigestTask task(
-      {"digest", 1000, 300}, [&] { return terms; }, [&] { return 1.7e12 + now; });
+      {"digest", 1000, 300}, [&] { return config; }, [&] { return 1.7e12 + now; });
   const Held each = heldBy([&] {
     for (std::size_t i = 0; i < conductors; ++i)
       nodes.push_back(std::make_unique<SharedNode>(
-          terms, conductor(i), [&] { return ++drawn; }, now));
+          config, conductor(i), [&] { return ++drawn; }, now));
   });
   const std::size_t every = conductors / 256 + 1;  // of them has heard of the period and so is lent something
   const auto speak = [&] {
@@ -108,7 +108,7 @@
   speak();
   std::size_t texts = 0;
   for (const auto& [key, doc] : view.docs) texts += doc.value.size();
-  EXPECT_LE(texts, kAllPartsBytes + kLargestText);
+  EXPECT_LE(texts, kMaxPartsBytes + kMaxDocumentBytes);
   const auto began = std::chrono::steady_clock::now();
   const Held holder = heldBy(digest);
   const std::chrono::duration<double, std::milli> took = std::chrono::steady_clock::now() - began;
@@ -117,16 +117,16 @@
             << ", the holder at most " << holder.most / conductors << " a conductor more, a node "
             << each.after / conductors << "; a digest took " << took.count() << " ms\n";
   EXPECT_LE(texts + holder.most, kMemory / 2);
-  const auto read = digestOf(view.docs.at(kDigestKey).value).digest;
+  const auto read = decodeDigest(view.docs.at(kDigestKey).value).digest;
   ASSERT_TRUE(read);
   EXPECT_EQ(read->heard.size(), conductors);
   EXPECT_EQ(read->budgets.at("attiki").lent.size() + read->budgets.at("patras").lent.size(),
             2 * ((conductors + every - 1) / every));
   std::uint64_t served = 0;
-  for (const auto& [key, tally] : read->total) served += tally.served;
+  for (const auto& [key, counters] : read->total) served += counters.served;
   EXPECT_EQ(served, 4 * conductors);
   EXPECT_EQ(read->boxes.size(), (instances + 9) / 10);
-  EXPECT_EQ(task.happened().unread.size(), 0u);
+  EXPECT_EQ(task.stats().unread.size(), 0u);
   now += 10;
   SharedNode& last = *nodes.back();
   last.read({{kDigestKey, view.docs.at(kDigestKey)}}, now, now);
@@ -136,13 +136,14 @@
   for (const auto& [origin, word] : read->heard) names.push_back(origin.name);
   std::map<Availability, std::size_t> availabilities;
   for (const auto& [id, availability] : shared::availabilities(
-           {read->boxes, boxesOf(instances), LocalObservations(), names, names.front(), read->beat}, now))
+           {read->boxes, boxesOf(instances), LocalObservations(), names, names.front(), read->sequence}, now))
     ++availabilities[availability];
   EXPECT_EQ(availabilities[Availability::kInUse], instances - (instances + 9) / 10);
   EXPECT_GT(availabilities[Availability::kExcluded], instances / 20);
   // However many speak, none counts as silent or as alone between two of its words.
-  EXPECT_LE(terms.paceMs(conductors), std::min(terms.silentMs, terms.hearing.aloneMs) / 2);
-  EXPECT_GE(terms.paceMs(conductors), terms.wordMs);
+  EXPECT_LE(config.reportIntervalMs(conductors),
+            std::min(config.silentMs, config.connectivity.isolatedMs) / 2);
+  EXPECT_GE(config.reportIntervalMs(conductors), config.reportMs);
 }
 
 // A conductor in a large fleet that saw everything says what fits its share, what is bad first.
@@ -151,16 +152,16 @@
   SharedNode node(
       {}, "c", [] { return 1u; }, 0);
   Digest digest;
-  digest.beat = 1;
+  digest.sequence = 1;
   for (std::size_t i = 0; i < conductors; ++i) digest.heard[{conductor(i), i}] = 1;
-  node.read({{kDigestKey, {textOf(digest), 1}}}, 0, 0);
+  node.read({{kDigestKey, {encode(digest), 1}}}, 0, 0);
   for (std::size_t k = 0; k < instances; ++k)
     k % 10 == 0 ? node.observations().recordFailure(instance(k), FailureKind::kSlow, 0)
                 : node.observations().recordSuccess(instance(k), 0);
   const auto write = node.next(0, 0);
   ASSERT_TRUE(write);
-  EXPECT_LE(write->value->size(), kAllPartsBytes / conductors);
-  const auto part = partOf(*write->value).part;
+  EXPECT_LE(write->value->size(), kMaxPartsBytes / conductors);
+  const auto part = decodePart(*write->value).part;
   ASSERT_TRUE(part);
   for (std::size_t k = 0; k < instances; k += 10) EXPECT_EQ(part->observations.count(instance(k)), 1u);
 }
@@ -176,8 +177,8 @@
   ASSERT_EQ(answer.problem, "");
   ASSERT_TRUE(acceptable({*answer.write}));
   view.docs[kPlanKey] = {*answer.write->value, 1};
-  MaintenanceTerms terms;
-  Maintenance holder(terms, [&] { return boxes; });
+  MaintenanceConfig config;
+  Maintenance holder(config, [&] { return boxes; });
   std::uint64_t revision = 1;
   std::size_t steps = 0;
   for (auto step = holder.next(view, 1, 0); step; step = holder.next(view, 1, 0), ++steps) {
--- a/tests/coordination_test.cpp
+++ b/tests/coordination_test.cpp
@@ -25,14 +25,14 @@
 using namespace coordination;
 using nlohmann::json;
 
-LeaseTerms shortTerms(const std::string& task = "maintenance") {
-  LeaseTerms terms;
-  terms.task = task;
-  terms.ttlMs = 2000;
-  terms.askMs = 300;
-  terms.longestStepMs = 300;
-  terms.renewJitter = 0;
-  return terms;
+LeaseConfig shortConfig(const std::string& task = "maintenance") {
+  LeaseConfig config;
+  config.task = task;
+  config.ttlMs = 2000;
+  config.askMs = 300;
+  config.longestStepMs = 300;
+  config.renewJitter = 0;
+  return config;
 }
 
 // ---- Both stores -----------------------------------------------------------------------------------
@@ -82,7 +82,7 @@
   }
   // A machine that holds the lease, by the store's own word.
   Lease holder(Store& store, const Holder& who, double nowMs) {
-    Lease lease(shortTerms(), who, 1, nowMs);
+    Lease lease(shortConfig(), who, 1, nowMs);
     lease.answered(ask(store, *lease.tick(nowMs)), nowMs);
     EXPECT_EQ(lease.state(), LeaseState::kHolding);
     return lease;
@@ -95,7 +95,7 @@
 TYPED_TEST(StoreOfAnyKind, GivesALeaseToOneAndTellsTheOtherWhoHasIt) {
   const auto one = this->place.open(this->stage), two = this->place.open(this->stage);
   Lease first = this->holder(*one, {"c1", 1}, 0);
-  Lease second(shortTerms(), {"c2", 2}, 1, 0);
+  Lease second(shortConfig(), {"c2", 2}, 1, 0);
   const LeaseAnswer answer = this->ask(*two, *second.tick(0));
   EXPECT_EQ(answer.found, Found::kHeld);
   ASSERT_TRUE(answer.record);
@@ -109,7 +109,7 @@
   first.resign(710);
   first.answered(this->ask(*one, *first.tick(710)), 720);
   EXPECT_EQ(first.counts().released, 1u);
-  Lease third(shortTerms(), {"c3", 3}, 1, 0);
+  Lease third(shortConfig(), {"c3", 3}, 1, 0);
   third.answered(this->ask(*two, *third.tick(0)), 1);
   EXPECT_EQ(third.state(), LeaseState::kHolding);
   EXPECT_GT(third.fenceNumber(), 1u);
@@ -279,10 +279,10 @@
 };
 
 TEST_F(OnEtcd, ALeaseLapsesAndTheNextFenceLiesAbove) {
-  Lease first(shortTerms(), {"c1", 1}, 1, stage.clock.nowMs());
+  Lease first(shortConfig(), {"c1", 1}, 1, stage.clock.nowMs());
   EXPECT_EQ(ask(first).found, Found::kGranted);
   stage.pass(2001);
-  Lease second(shortTerms(), {"c2", 2}, 1, stage.clock.nowMs());
+  Lease second(shortConfig(), {"c2", 2}, 1, stage.clock.nowMs());
   const LeaseAnswer taken = ask(second);
   EXPECT_EQ(taken.found, Found::kGranted);
   EXPECT_EQ(taken.fence, 2u);
@@ -290,7 +290,7 @@
 }
 
 TEST_F(OnEtcd, AnAnswerThatIsLostAfterItTookEffectCostsNoMoreThanAnotherAsk) {
-  Lease lease(shortTerms(), {"c1", 1}, 1, stage.clock.nowMs());
+  Lease lease(shortConfig(), {"c1", 1}, 1, stage.clock.nowMs());
   server.loseAnswer = [](const json& body) { return body.contains("compare"); };
   EXPECT_EQ(ask(lease).found, Found::kUnavailable);
   EXPECT_TRUE(server.value("test/lease/maintenance"));
@@ -301,7 +301,7 @@
 }
 
 TEST_F(OnEtcd, WithoutALeaderNothingIsKnownAndAfterItNothingIsLost) {
-  Lease lease(shortTerms(), {"c1", 1}, 1, stage.clock.nowMs());
+  Lease lease(shortConfig(), {"c1", 1}, 1, stage.clock.nowMs());
   ask(lease);
   server.noLeader = true;
   stage.pass(lease.nextMs() - stage.clock.nowMs());
@@ -316,9 +316,9 @@
 // Put back to an older copy: the holder is told, and whoever has seen a fence gets one above it.
 TEST_F(OnEtcd, AStoreThatWasPutBackGivesNoFenceTwiceToWhoHasSeenIt) {
   const auto older = server.copy();
-  Lease first(shortTerms(), {"c1", 1}, 1, stage.clock.nowMs());
+  Lease first(shortConfig(), {"c1", 1}, 1, stage.clock.nowMs());
   ask(first);
-  Lease second(shortTerms(), {"c2", 2}, 1, stage.clock.nowMs());
+  Lease second(shortConfig(), {"c2", 2}, 1, stage.clock.nowMs());
   EXPECT_EQ(ask(second).found, Found::kHeld);
   server.putBack(*older);
   stage.pass(first.nextMs() - stage.clock.nowMs());
@@ -345,7 +345,7 @@
             net::headText("POST /v3/kv/txn HTTP/1.1", {{"Content-Length", std::to_string(body->size())}}),
             body, reply);
   ASSERT_TRUE(stage.until([&] { return reply->over; }));
-  Lease lease(shortTerms(), {"c1", 1}, 1, stage.clock.nowMs());
+  Lease lease(shortConfig(), {"c1", 1}, 1, stage.clock.nowMs());
   EXPECT_EQ(ask(lease).found, Found::kHeld);
   EXPECT_EQ(stage.counters["coordination.foreign"], 1u);
 }
@@ -373,13 +373,13 @@
   View view;
   std::uint64_t revision = 0;
   double now = 0;
-  MaintenanceTerms terms;
+  MaintenanceConfig config;
   std::unique_ptr<Maintenance> holder = fresh();
 
   std::unique_ptr<Maintenance> fresh() {
-    terms.coldMs = 1000;
-    terms.silentNodeMs = 5000;
-    return std::make_unique<Maintenance>(terms, [this] { return boxes; });
+    config.coldMs = 1000;
+    config.silentNodeMs = 5000;
+    return std::make_unique<Maintenance>(config, [this] { return boxes; });
   }
   void put(const std::string& key, const std::string& value) { view.docs[key] = {value, ++revision}; }
   PlanAnswer say(PlanCommand command) {
@@ -538,7 +538,7 @@
 
 TEST(CleanUpAfterConductors, RemovesWhatHasNotSpokenForLongAndNothingElse) {
   Cleanup cleanup({});
-  const double gone = Cleanup::Terms{}.goneMs;
+  const double gone = Cleanup::Config{}.goneMs;
   View view;
   view.docs["node/lives"] = {"{}", 1};
   view.docs["node/dead"] = {"{}", 2};
--- a/tests/lease_test.cpp
+++ b/tests/lease_test.cpp
@@ -15,15 +15,15 @@
 
 // ---- Step by step ----------------------------------------------------------------------------------
 
-LeaseTerms plainTerms() {
-  LeaseTerms terms;
-  terms.task = "maintenance";
-  terms.renewJitter = 0;
-  return terms;
+LeaseConfig plainConfig() {
+  LeaseConfig config;
+  config.task = "maintenance";
+  config.renewJitter = 0;
+  return config;
 }
 
 struct Held {
-  explicit Held(LeaseTerms terms = plainTerms()) : lease(terms, {"c1", 7}, 1, 0) {
+  explicit Held(LeaseConfig config = plainConfig()) : lease(config, {"c1", 7}, 1, 0) {
     ask = *lease.tick(0);
     lease.answered(decide(cell, ask, 0, 0), 10);
   }
@@ -36,8 +36,8 @@
   Held held;
   EXPECT_EQ(held.lease.state(), LeaseState::kHolding);
   EXPECT_EQ(held.lease.fenceNumber(), 1u);
-  EXPECT_DOUBLE_EQ(held.lease.validUntilMs(), validitySpan(plainTerms()));
-  EXPECT_LT(validitySpan(plainTerms()), plainTerms().ttlMs);
+  EXPECT_DOUBLE_EQ(held.lease.validUntilMs(), validitySpan(plainConfig()));
+  EXPECT_LT(validitySpan(plainConfig()), plainConfig().ttlMs);
   const auto fence = held.lease.beginStep(10);
   ASSERT_TRUE(fence);
   EXPECT_EQ(fence->number(), 1u);
@@ -47,18 +47,18 @@
 TEST(LeaseOfOneCandidate, BeginsNoStepThatCouldOutlastIt) {
   Held held;
   const double until = held.lease.validUntilMs();
-  EXPECT_FALSE(held.lease.beginStep(until - plainTerms().longestStepMs + 1));
-  EXPECT_TRUE(held.lease.beginStep(until - plainTerms().longestStepMs));
+  EXPECT_FALSE(held.lease.beginStep(until - plainConfig().longestStepMs + 1));
+  EXPECT_TRUE(held.lease.beginStep(until - plainConfig().longestStepMs));
 }
 
 TEST(LeaseOfOneCandidate, IsDoubtfulWithoutAnAnswerAndLapsedAtItsEnd) {
   Held held;
   const double renewAt = held.lease.nextMs();
   ASSERT_TRUE(held.lease.tick(renewAt));
-  held.lease.tick(renewAt + plainTerms().askMs);
+  held.lease.tick(renewAt + plainConfig().askMs);
   EXPECT_EQ(held.lease.state(), LeaseState::kDoubtful);
-  EXPECT_TRUE(held.lease.beginStep(renewAt + plainTerms().askMs)) << "time enough is left";
-  held.lease.stepEnded(true, renewAt + plainTerms().askMs + 1);
+  EXPECT_TRUE(held.lease.beginStep(renewAt + plainConfig().askMs)) << "time enough is left";
+  held.lease.stepEnded(true, renewAt + plainConfig().askMs + 1);
   EXPECT_FALSE(held.lease.tick(held.lease.validUntilMs()));
   EXPECT_EQ(held.lease.state(), LeaseState::kLapsed);
   EXPECT_FALSE(held.lease.beginStep(held.lease.validUntilMs()));
@@ -71,10 +71,10 @@
   Held held;
   const double renewAt = held.lease.nextMs();
   const LeaseAsk first = *held.lease.tick(renewAt);
-  const auto second = held.lease.tick(renewAt + plainTerms().askMs);
+  const auto second = held.lease.tick(renewAt + plainConfig().askMs);
   ASSERT_TRUE(second);
   held.lease.answered(decide(held.cell, first, renewAt, 0), renewAt + 1500);
-  EXPECT_DOUBLE_EQ(held.lease.validUntilMs(), renewAt + validitySpan(plainTerms()));
+  EXPECT_DOUBLE_EQ(held.lease.validUntilMs(), renewAt + validitySpan(plainConfig()));
   // Heard twice, it says nothing new; nor does one that nobody asked for.
   held.lease.answered({first.number, Found::kLost, 9, 0, {}}, renewAt + 1600);
   held.lease.answered({77, Found::kLost, 9, 0, {}}, renewAt + 1600);
@@ -83,10 +83,10 @@
 
 TEST(LeaseOfOneCandidate, ALostAnswerToAnAcquireIsFollowedByOneWithAFenceAbove) {
   LeaseCell cell;
-  Lease lease(plainTerms(), {"c1", 7}, 1, 0);
+  Lease lease(plainConfig(), {"c1", 7}, 1, 0);
   const LeaseAsk lost = *lease.tick(0);
   decide(cell, lost, 0, 0);
-  lease.tick(plainTerms().askMs);
+  lease.tick(plainConfig().askMs);
   EXPECT_EQ(lease.state(), LeaseState::kBackingOff);
   const double again = lease.nextMs();
   const LeaseAsk ask = *lease.tick(again);
@@ -102,7 +102,7 @@
   Held held;
   LeaseCell older;
   held.cell.fence = 9;
-  Lease lease(plainTerms(), {"c2", 8}, 1, 0);
+  Lease lease(plainConfig(), {"c2", 8}, 1, 0);
   LeaseAsk ask = *lease.tick(0);
   lease.answered(decide(held.cell, ask, 100, 0), 100);  // held by another under a higher fence
   const double again = lease.nextMs();
@@ -130,17 +130,17 @@
   held.lease.answered(decide(held.cell, *release, 50, 0), 60);
   EXPECT_FALSE(held.cell.record);
   EXPECT_TRUE(held.lease.out());
-  EXPECT_FALSE(held.lease.tick(60 + 10 * plainTerms().ttlMs)) << "it has resigned";
+  EXPECT_FALSE(held.lease.tick(60 + 10 * plainConfig().ttlMs)) << "it has resigned";
   held.lease.again(1e6);
   EXPECT_TRUE(held.lease.tick(1e6));
 }
 
 TEST(LeaseOfOneCandidate, AHolderThatRenewsAndDoesNoWorkGivesWay) {
-  LeaseTerms terms = plainTerms();
-  Held held(terms);
+  LeaseConfig config = plainConfig();
+  Held held(config);
   double now = 10;
   std::optional<LeaseAsk> ask;
-  while (now < terms.workMs * 2) {
+  while (now < config.workMs * 2) {
     now = std::max(now + 1, held.lease.nextMs());
     ask = held.lease.tick(now);
     if (!ask) continue;
@@ -148,11 +148,11 @@
     held.lease.answered(decide(held.cell, *ask, now, 0), now + 1);
   }
   ASSERT_TRUE(ask && ask->verb == Verb::kRelease);
-  EXPECT_NEAR(now, terms.workMs, 20);
+  EXPECT_NEAR(now, config.workMs, 20);
   EXPECT_EQ(held.lease.counts().gaveWay, 1u);
   // One that has nothing to do, and says so, keeps it.
-  Held idle(terms);
-  for (now = 10; now < terms.workMs * 3;) {
+  Held idle(config);
+  for (now = 10; now < config.workMs * 3;) {
     now = std::max(now + 1, idle.lease.nextMs());
     idle.lease.idle(now);
     if (const auto renew = idle.lease.tick(now))
@@ -169,19 +169,19 @@
 }
 
 TEST(LeaseTermsOfATask, ThatCannotKeepThePromiseAreToldApart) {
-  EXPECT_FALSE(problemWith(plainTerms()));
-  LeaseTerms terms = plainTerms();
-  terms.longestStepMs = 4000;
-  EXPECT_TRUE(problemWith(terms)) << "shorter than its longest step";
-  terms = plainTerms();
-  terms.drift = 0.5;
-  EXPECT_TRUE(problemWith(terms));
-  terms = plainTerms();
-  terms.ttlMs = std::nan("");
-  EXPECT_TRUE(problemWith(terms));
-  terms = plainTerms();
-  terms.task.clear();
-  EXPECT_TRUE(problemWith(terms));
+  EXPECT_FALSE(problemWith(plainConfig()));
+  LeaseConfig config = plainConfig();
+  config.longestStepMs = 4000;
+  EXPECT_TRUE(problemWith(config)) << "shorter than its longest step";
+  config = plainConfig();
+  config.drift = 0.5;
+  EXPECT_TRUE(problemWith(config));
+  config = plainConfig();
+  config.ttlMs = std::nan("");
+  EXPECT_TRUE(problemWith(config));
+  config = plainConfig();
+  config.task.clear();
+  EXPECT_TRUE(problemWith(config));
 }
 
 // ---- Every order -----------------------------------------------------------------------------------
@@ -246,19 +246,19 @@
     std::uint64_t stepFence = 0;
   };
 
-  Fleet(std::size_t count, unsigned seed) : random(seed), terms(plainTerms()) {
-    terms.candidates = count;
-    terms.renewJitter = 0.1;
-    terms.drift = 0.05;
+  Fleet(std::size_t count, unsigned seed) : random(seed), config(plainConfig()) {
+    config.candidates = count;
+    config.renewJitter = 0.1;
+    config.drift = 0.05;
     for (std::size_t i = 0; i < count; ++i)
-      nodes.push_back({fresh(i), draw(1 - terms.drift, 1 + terms.drift)});
-    storeRate = 1 + terms.drift;
+      nodes.push_back({fresh(i), draw(1 - config.drift, 1 + config.drift)});
+    storeRate = 1 + config.drift;
   }
 
   double draw(double least, double most) { return std::uniform_real_distribution<>(least, most)(random); }
   bool chance(double share) { return draw(0, 1) < share; }
   Lease fresh(std::size_t i) {
-    return Lease(terms, {"n" + std::to_string(i), ++incarnations}, random(), local(i, now));
+    return Lease(config, {"n" + std::to_string(i), ++incarnations}, random(), local(i, now));
   }
   double local(std::size_t i, double at) const { return i < nodes.size() ? at * nodes[i].rate : at; }
 
@@ -285,7 +285,7 @@
       within += node.lease.withinValidity(mine);
       if (now < node.pausedUntil) continue;
       if (chance(killShare)) node = {fresh(i), node.rate};
-      if (chance(pauseShare)) node.pausedUntil = now + draw(0, 3 * terms.ttlMs);
+      if (chance(pauseShare)) node.pausedUntil = now + draw(0, 3 * config.ttlMs);
       if (const auto ask = node.lease.tick(mine)) deliver(i, *ask);
       if (mine >= node.stepEnds) {
         node.stepEnds = HUGE_VAL;
@@ -294,14 +294,14 @@
       }
       if (const auto fence = node.lease.beginStep(mine)) {
         node.stepFence = fence->number();
-        node.stepEnds = mine + draw(0, terms.longestStepMs);
+        node.stepEnds = mine + draw(0, config.longestStepMs);
       }
     }
     mostWithin = std::max(mostWithin, within);
   }
 
   std::mt19937 random;
-  LeaseTerms terms;
+  LeaseConfig config;
   std::vector<Node> nodes;
   LeaseCell cell;
   Witness witness;
@@ -334,7 +334,7 @@
       Fleet fleet(count, seed);
       fleet.lossShare = fleet.killShare = fleet.pauseShare = 0;
       fleet.slowMs = 20;
-      const double period = fleet.terms.ttlMs + fleet.terms.spreadMs * static_cast<double>(count - 1);
+      const double period = fleet.config.ttlMs + fleet.config.spreadMs * static_cast<double>(count - 1);
       while (fleet.effects == 0 && fleet.now < 3 * period) fleet.step(10);
       ASSERT_GT(fleet.effects, 0u);
       const double start = fleet.now;
@@ -352,7 +352,7 @@
       gaps.push_back(fleet.now - lost);
       // The bound of the design note.
       EXPECT_LE(gaps.back(),
-                fleet.terms.ttlMs + period / (1 - fleet.terms.drift) + fleet.terms.longestStepMs + 100);
+                fleet.config.ttlMs + period / (1 - fleet.config.drift) + fleet.config.longestStepMs + 100);
       // All restart.
       for (std::size_t i = 0; i < count; ++i) fleet.nodes[i] = {fleet.fresh(i), fleet.nodes[i].rate};
       const std::uint64_t wave = fleet.calls;
--- a/tests/shared_processes_test.cpp
+++ b/tests/shared_processes_test.cpp
@@ -6,7 +6,7 @@
 #include <iostream>
 #include <random>
 
-#include "shared/words.h"
+#include "shared/codec.h"
 #include "support/conductors.h"
 
 namespace dahliastall {
@@ -136,14 +136,15 @@
   std::size_t count = 0, unanswered = 0, twice = 0, overBudget = 0;
 };
 
-Digest digestOf(Conductors& fleet) {
+Digest decodeDigest(Conductors& fleet) {
   const auto text = fleet.store.value(kPrefix + "doc/digest");
-  return text ? shared::digestOf(*text).digest.value_or(Digest{}) : Digest{};
+  return text ? shared::decodeDigest(*text).digest.value_or(Digest{}) : Digest{};
 }
 
 std::uint64_t billed(Conductors& fleet, const std::string& tenant) {
   std::uint64_t sum = 0;
-  for (const auto& [key, tally] : digestOf(fleet).total) sum += key.first == tenant ? tally.billed() : 0;
+  for (const auto& [key, counters] : decodeDigest(fleet).total)
+    sum += key.first == tenant ? counters.billed() : 0;
   return sum;
 }
 
@@ -194,8 +195,8 @@
                         clients.go(200);
                         return judged();
                       }))
-      << digestOf(fleet).boxes.size() << fleet.logs();
-  EXPECT_TRUE(digestOf(fleet).boxes.at("box-2").out);
+      << decodeDigest(fleet).boxes.size() << fleet.logs();
+  EXPECT_TRUE(decodeDigest(fleet).boxes.at("box-2").out);
   EXPECT_TRUE(waitFor(fleet.io, 60, [&] {
     clients.go(200);
     for (std::size_t i = 0; i < count / 3; ++i)
@@ -219,7 +220,7 @@
   // The box comes back by a trial.
   EXPECT_TRUE(waitFor(fleet.io, 60, [&] {
     clients.go(200);
-    const auto boxes = digestOf(fleet).boxes;
+    const auto boxes = decodeDigest(fleet).boxes;
     return boxes.count("box-2") == 0 || !boxes.at("box-2").out;
   }));
   // A wave: most die at once, under way, and start anew. And on until the budget is used up.
@@ -228,7 +229,7 @@
   for (std::size_t i = 0; i + 2 < count; ++i) fleet.start(*fleet.all[i]);
   ASSERT_TRUE(waitFor(fleet.io, 60, [&] {
     clients.go(500);
-    return digestOf(fleet).budgets.at("attiki").left == 0 && clients.overBudget > 20;
+    return decodeDigest(fleet).budgets.at("attiki").left == 0 && clients.overBudget > 20;
   })) << clients.tokensOf("attiki");
   clients.go(3'000);
   clients.finish();
@@ -237,13 +238,13 @@
   // All that was made is accounted for: what lives has said it, what died is charged for all that it may have
   // used.
   EXPECT_TRUE(waitFor(fleet.io, 60, [&] {
-    const Digest digest = digestOf(fleet);
+    const Digest digest = decodeDigest(fleet);
     std::uint64_t known = digest.budgets.at("attiki").charged;
     for (const auto& [origin, lent] : digest.budgets.at("attiki").lent) {
       Part part;
       part.origin = origin;
       const auto text = fleet.store.value(kPrefix + "doc/" + part.key());
-      const auto own = text ? partOf(*text).part : std::nullopt;
+      const auto own = text ? decodePart(*text).part : std::nullopt;
       if (own && own->spends.count("attiki") != 0) known += own->spends.at("attiki").spent;
     }
     return known >= made && known <= kBudget;
@@ -279,12 +280,12 @@
     return ::waitpid(fleet.all[0]->process, &status, WNOHANG) == fleet.all[0]->process;
   }));
   fleet.all[0]->process = -1;
-  EXPECT_TRUE(waitFor(fleet.io, 60, [&] { return digestOf(fleet).foldedOf(first) != nullptr; }))
+  EXPECT_TRUE(waitFor(fleet.io, 60, [&] { return decodeDigest(fleet).foldedOf(first) != nullptr; }))
       << fleet.logs();
   EXPECT_EQ(billed(fleet, "attiki"), clients.tokensOf("attiki"));
   EXPECT_EQ(billed(fleet, "patras"), clients.tokensOf("patras"));
   // Charged is what it spent: the rest of its loan went back.
-  std::uint64_t spent = digestOf(fleet).budgets.at("attiki").charged;
+  std::uint64_t spent = decodeDigest(fleet).budgets.at("attiki").charged;
   EXPECT_LE(spent, clients.tokensOf("attiki"));
 }
 
@@ -293,7 +294,8 @@
   Conductors fleet(1, {"box-1"}, DAHLIASTALL_PROGRAM, false, sharedFile);
   Conductors::One& one = *fleet.all[0];
   const auto limit = [&] {
-    return digestOf(fleet).budgets.count("attiki") == 0 ? 0 : digestOf(fleet).budgets.at("attiki").limit;
+    return decodeDigest(fleet).budgets.count("attiki") == 0 ? 0
+                                                            : decodeDigest(fleet).budgets.at("attiki").limit;
   };
   ASSERT_TRUE(waitFor(fleet.io, 60, [&] { return limit() == kBudget; })) << fleet.logs();
   const auto rewrite = [&](const json& budget) {
--- a/tests/shared_test.cpp
+++ b/tests/shared_test.cpp
@@ -70,7 +70,7 @@
 
 Digest digestIn(const SharedWorld& world) {
   const auto doc = world.store.docs.find(kDigestKey);
-  return doc == world.store.docs.end() ? Digest{} : digestOf(doc->second.value).digest.value_or(Digest{});
+  return doc == world.store.docs.end() ? Digest{} : decodeDigest(doc->second.value).digest.value_or(Digest{});
 }
 
 // What the lender has out, by its own digest and by the parts as they lie in the store.
@@ -82,12 +82,12 @@
       Part part;
       part.origin = origin;
       const auto own = world.store.docs.find(part.key());
-      const auto said = own == world.store.docs.end() ? std::nullopt : partOf(own->second.value).part;
+      const auto said = own == world.store.docs.end() ? std::nullopt : decodePart(own->second.value).part;
       lent += tokens;
       if (said && said->period == digest.period && said->spends.count(tenant) != 0)
         returned += std::min(tokens, said->spends.at(tenant).returned);
     }
-    EXPECT_LE(line.charged + lent - returned, line.limit) << tenant << " at digest " << digest.beat;
+    EXPECT_LE(line.charged + lent - returned, line.limit) << tenant << " at digest " << digest.sequence;
   }
 }
 
@@ -109,14 +109,14 @@
   heal(world);
   world.traffic = false;
   // All answers end, all words are said, all that are gone are folded.
-  world.run(5'000 + 2 * world.options.terms.goneMs + 10'000);
+  world.run(5'000 + 2 * world.options.config.goneMs + 10'000);
   course.overshoot = world.overshoot();
-  const Tallies known = digestIn(world).total;
+  const UsageTable known = digestIn(world).total;
   // Never more than was counted, and what is missing is no more than died unsaid with its conductors.
-  course.countsHold = grew(world.counted, known);
-  Tallies with = known;
-  addTo(with, world.diedWith);
-  course.countsHold = course.countsHold && grew(with, world.counted);
+  course.countsHold = isMonotonic(world.counted, known);
+  UsageTable with = known;
+  addUsage(with, world.diedWith);
+  course.countsHold = course.countsHold && isMonotonic(with, world.counted);
   return course;
 }
 
@@ -126,15 +126,15 @@
   const auto [count, seed] = GetParam();
   if (kSlow && count >= 100) GTEST_SKIP() << "large fleets: in the release build only";
   SharedWorld::Options options{.nodes = count, .seed = seed, .load = 2};
-  if (count >= 100) options.terms.digestMs = 1'000;
+  if (count >= 100) options.config.digestMs = 1'000;
   SharedWorld world(options);
   const Course course = play(world, kSlow ? 20 : count > 100 ? 30 : count == 100 ? 60 : 200);
   EXPECT_LE(course.overshoot, 0) << "seed " << seed;
   EXPECT_TRUE(course.countsHold) << "seed " << seed;
   std::uint64_t known = 0, truly = 0, refused = 0;
   const Digest last = digestIn(world);
-  for (const auto& [key, tally] : last.total) known += tally.billed();
-  for (const auto& [key, tally] : world.counted) truly += tally.billed();
+  for (const auto& [key, counters] : last.total) known += counters.billed();
+  for (const auto& [key, counters] : world.counted) truly += counters.billed();
   for (const auto& [why, times] : world.denied) refused += times;
   std::cout << count << " nodes, seed " << seed << ": nearest to the budget " << -course.overshoot
             << " tokens below, billed " << known << " of " << truly << ", " << world.kills << " kills, "
@@ -162,7 +162,7 @@
     double least = 1;
     for (const auto& [key, one] : world.truth) {
       const double used =
-          static_cast<double>(one.promised) / static_cast<double>(world.options.terms.budgets.at(key.first));
+          static_cast<double>(one.promised) / static_cast<double>(world.options.config.budgets.at(key.first));
       if (key.second != 0 && static_cast<double>(key.second) < world.unix() - 70'000)
         least = std::min(least, used);
     }
@@ -234,11 +234,12 @@
     std::cout << "without " << what << ": " << worst << " tokens over a budget\n";
     EXPECT_GT(worst, 0) << what;
   };
-  found("a ceiling before spending", cutAndKilled, [](auto& o) { o.terms.budget.ceilingFirst = false; });
+  found("a ceiling before spending", cutAndKilled, [](auto& o) { o.config.budget.ceilingFirst = false; });
   found("charging the ceiling of those that are gone", cutAndKilled,
-        [](auto& o) { o.terms.guards.chargeCeiling = false; });
-  found("keeping to what was returned", moving, [](auto& o) { o.terms.budget.returnsKept = false; });
-  found("waiting after a store was put back", putBack, [](auto& o) { o.terms.guards.settleFirst = false; });
+        [](auto& o) { o.config.guards.chargeCeiling = false; });
+  found("keeping to what was returned", moving, [](auto& o) { o.config.budget.returnsKept = false; });
+  found("waiting after a store was put back", putBack,
+        [](auto& o) { o.config.guards.waitBeforeLending = false; });
 }
 
 // Each conductor by its own count; all by one counter to which each adds when it can. Both break what lending
@@ -304,7 +305,7 @@
   for (const bool believeAny : {false, true}) {
     SharedWorld::Options options = withBoxes(12, 4);
     options.believeAny = believeAny;
-    options.terms.guards.credibleOnly = !believeAny;
+    options.config.guards.credibleOnly = !believeAny;
     SharedWorld world(options);
     addBoxes(world, 6, 2);
     world.run(15'000);
@@ -358,48 +359,48 @@
 
 // ---- Properties ----------------------------------------------------------------------------------------
 
-Tallies drawnTallies() {
-  Tallies tallies;
+UsageTable drawnUsage() {
+  UsageTable usage;
   const auto count = *rc::gen::inRange(0, 4);
   for (int i = 0; i < count; ++i) {
-    Tally& tally = tallies[{"t" + std::to_string(*rc::gen::inRange(0, 3)),
-                            "c" + std::to_string(*rc::gen::inRange(0, 2))}];
-    tally = {*rc::gen::inRange<std::uint64_t>(0, 50),
-             *rc::gen::inRange<std::uint64_t>(0, 50),
-             0,
-             *rc::gen::inRange<std::uint64_t>(0, 5000),
-             *rc::gen::inRange<std::uint64_t>(0, 500),
-             0,
-             3};
+    UsageCounters& counters =
+        usage[{"t" + std::to_string(*rc::gen::inRange(0, 3)), "c" + std::to_string(*rc::gen::inRange(0, 2))}];
+    counters = {*rc::gen::inRange<std::uint64_t>(0, 50),
+                *rc::gen::inRange<std::uint64_t>(0, 50),
+                0,
+                *rc::gen::inRange<std::uint64_t>(0, 5000),
+                *rc::gen::inRange<std::uint64_t>(0, 500),
+                0,
+                3};
   }
-  return tallies;
+  return usage;
 }
 
 TEST(Merging, IsTheSameInAnyOrderRepeatedOrLate) {
   EXPECT_TRUE(rc::check([] {
     // Words of three processes, each growing; delivered in a drawn order, some of them twice, some never but
     // the last of each at least once.
-    std::vector<std::pair<Origin, Tallies>> words;
-    Tallies sum;
+    std::vector<std::pair<Origin, UsageTable>> words;
+    UsageTable sum;
     for (std::uint64_t node = 0; node < 3; ++node) {
-      Tallies now;
+      UsageTable now;
       const int count = *rc::gen::inRange(1, 5);
       for (int i = 0; i < count; ++i) {
-        addTo(now, drawnTallies());
+        addUsage(now, drawnUsage());
         words.emplace_back(Origin{"n", node}, now);
         if (i + 1 < count && *rc::gen::inRange(0, 3) == 0) words.pop_back();
       }
-      addTo(sum, now);
+      addUsage(sum, now);
     }
     const std::size_t kept = words.size();
     for (std::size_t i = 0; i < kept; ++i)
       if (*rc::gen::inRange(0, 2) == 0) words.push_back(words[i]);
-    Counts counts, other;
+    FleetUsage counts, other;
     std::mt19937 order(*rc::gen::arbitrary<unsigned>());
     std::shuffle(words.begin(), words.end(), order);
-    for (const auto& [origin, tallies] : words) counts.merge(origin, tallies);
+    for (const auto& [origin, usage] : words) counts.merge(origin, usage);
     std::shuffle(words.begin(), words.end(), order);
-    for (const auto& [origin, tallies] : words) other.merge(origin, tallies);
+    for (const auto& [origin, usage] : words) other.merge(origin, usage);
     RC_ASSERT(counts.total() == sum);
     RC_ASSERT(other.total() == sum);
     // Folded, in any order, once and once more, the sum stays.
@@ -411,12 +412,12 @@
 // Adding up what comes, as a merge without memory would, counts what comes twice twice: the property above is
 // one that can fail.
 TEST(Merging, WithoutMemoryIsFoundOut) {
-  Tallies part, naive;
+  UsageTable part, naive;
   part[{"t", "c"}].served = 2;
-  Counts counts;
+  FleetUsage counts;
   for (int i = 0; i < 2; ++i) {
     counts.merge({"n", 1}, part);
-    addTo(naive, part);
+    addUsage(naive, part);
   }
   EXPECT_EQ(counts.total(), part);
   EXPECT_NE(naive, part);
@@ -461,9 +462,9 @@
         }
       }
       const std::uint64_t left = leftOf(line, words);
-      RC_ASSERT(line.charged + outOf(line, words) + left == line.limit);
+      RC_ASSERT(line.charged + outstandingOf(line, words) + left == line.limit);
       lend(line, words);
-      RC_ASSERT(line.charged + outOf(line, words) <= line.limit);
+      RC_ASSERT(line.charged + outstandingOf(line, words) <= line.limit);
       std::uint64_t spent = line.charged;
       for (const auto& [origin, spend] : words) spent += spend.spent;
       RC_ASSERT(spent <= line.limit);
@@ -473,8 +474,8 @@
 
 TEST(Fading, OnlyEverTakesAway) {
   EXPECT_TRUE(rc::check([] {
-    const ObservationTerms terms;
-    LocalObservations observations(terms);
+    const ObservationConfig config;
+    LocalObservations observations(config);
     double now = 0;
     for (int i = 0; i < 10; ++i) {
       now += *rc::gen::inRange(0, 3000);
@@ -485,7 +486,7 @@
     const HealthObservation at = said.empty() ? HealthObservation{} : said.at("b");
     double before = at.bad, beforeGood = at.good;
     for (double by = 0; by < 60'000; by += *rc::gen::inRange(1, 9000)) {
-      const HealthObservation later = decayed(at, by, terms);
+      const HealthObservation later = decayed(at, by, config);
       RC_ASSERT(later.bad <= before);
       RC_ASSERT(later.good <= beforeGood);
       RC_ASSERT(std::abs(later.bad - (observations.snapshot(now + by).empty()
@@ -510,39 +511,39 @@
 // ---- Degrees of hearing --------------------------------------------------------------------------------
 
 TEST(HearingOfTheOthers, IsLostAndFoundBothWaysWithAMargin) {
-  Hearing hearing({3'000, 10'000, 0}, 1, 0);
-  EXPECT_EQ(hearing.degree(), Degree::kReturning);
+  Connectivity connectivity({3'000, 10'000, 0}, 1, 0);
+  EXPECT_EQ(connectivity.state(), ConnectivityState::kRejoining);
   std::uint64_t word = 0;
   double now = 0;
   const auto live = [&](double until, bool reads, bool writes) {
     for (; now < until; now += 500) {
-      if (writes) hearing.spoke(++word, now);
-      if (reads) hearing.digest(writes ? word : 0, now);
-      hearing.tick(now);
+      if (writes) connectivity.onReportAccepted(++word, now);
+      if (reads) connectivity.onDigest(writes ? word : 0, now);
+      connectivity.tick(now);
     }
   };
   live(2'000, true, true);
-  EXPECT_EQ(hearing.degree(), Degree::kConnected);
+  EXPECT_EQ(connectivity.state(), ConnectivityState::kConnected);
   live(5'500, true, false);
-  EXPECT_EQ(hearing.degree(), Degree::kLate) << "it reads, and its own word is not taken";
+  EXPECT_EQ(connectivity.state(), ConnectivityState::kDelayed) << "it reads, and its own word is not taken";
   live(13'000, true, false);
-  EXPECT_EQ(hearing.degree(), Degree::kAlone);
-  hearing.spoke(++word, now);
-  hearing.digest(word - 1, now);
-  EXPECT_EQ(hearing.degree(), Degree::kReturning) << "its new word is in no digest yet";
-  hearing.spoke(++word, now += 100);
-  hearing.digest(word, now);
-  EXPECT_EQ(hearing.degree(), Degree::kConnected);
+  EXPECT_EQ(connectivity.state(), ConnectivityState::kIsolated);
+  connectivity.onReportAccepted(++word, now);
+  connectivity.onDigest(word - 1, now);
+  EXPECT_EQ(connectivity.state(), ConnectivityState::kRejoining) << "its new word is in no digest yet";
+  connectivity.onReportAccepted(++word, now += 100);
+  connectivity.onDigest(word, now);
+  EXPECT_EQ(connectivity.state(), ConnectivityState::kConnected);
   live(now + 3'500, false, true);
-  EXPECT_EQ(hearing.degree(), Degree::kLate);
+  EXPECT_EQ(connectivity.state(), ConnectivityState::kDelayed);
 }
 
 TEST(HearingOfTheOthers, IsLostAtMomentsThatAreSpread) {
   std::set<double> moments;
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
-    Hearing hearing({3'000, 10'000, 0.2}, seed, 0);
+    Connectivity connectivity({3'000, 10'000, 0.2}, seed, 0);
     double now = 0;
-    while (hearing.degree() != Degree::kAlone && now < 20'000) hearing.tick(now += 10);
+    while (connectivity.state() != ConnectivityState::kIsolated && now < 20'000) connectivity.tick(now += 10);
     EXPECT_GE(now, 10'000);
     EXPECT_LE(now, 12'010);
     moments.insert(std::floor(now / 100));
@@ -555,60 +556,60 @@
 Part somePart() {
   Part part;
   part.origin = {"c1", 17};
-  part.word = 3;
+  part.sequence = 3;
   part.unixMs = 1.7e12;
   part.period = 60'000;
   part.spends["attiki"] = {10, 20, 50, 100, 5, 70};
-  part.tallies[{"attiki", "chat"}] = {1, 2, 3, 4, 5, 6, 7};
+  part.usage[{"attiki", "chat"}] = {1, 2, 3, 4, 5, 6, 7};
   part.observations["b"] = {1.5, 0.5, 10, 20, FailureKind::kTimeout};
-  part.settled = Settled{16, 60'000, {{"attiki", 9}}};
+  part.finalUsage = FinalUsage{16, 60'000, {{"attiki", 9}}};
   return part;
 }
 
 TEST(WordsInTheStore, ComeBackAsTheyWereAndDamageIsNeverBelieved) {
-  const std::string text = textOf(somePart());
-  const auto back = partOf(text).part;
+  const std::string text = encode(somePart());
+  const auto back = decodePart(text).part;
   ASSERT_TRUE(back);
-  EXPECT_EQ(textOf(*back), text);
+  EXPECT_EQ(encode(*back), text);
   EXPECT_EQ(back->spends.at("attiki"), (Spend{10, 20, 50, 100, 5, 70}));
-  EXPECT_EQ(back->settled, somePart().settled);
+  EXPECT_EQ(back->finalUsage, somePart().finalUsage);
   for (std::size_t i = 0; i < text.size(); ++i) {
     std::string damaged = text;
     damaged[i] = static_cast<char>(damaged[i] ^ 0x01);
-    EXPECT_FALSE(partOf(damaged).part) << "byte " << i;
-    EXPECT_FALSE(partOf(text.substr(0, i)).part) << "cut at " << i;
+    EXPECT_FALSE(decodePart(damaged).part) << "byte " << i;
+    EXPECT_FALSE(decodePart(text.substr(0, i)).part) << "cut at " << i;
   }
-  EXPECT_EQ(partOf("").flaw, Flaw::kForeign);
-  EXPECT_EQ(partOf("{\"form\":\"dahliastall-node-1\"}").flaw, Flaw::kForeign);
-  EXPECT_EQ(partOf(std::string(kLargestText + 1, 'x')).flaw, Flaw::kTooLarge);
+  EXPECT_EQ(decodePart("").error, DecodeError::kForeign);
+  EXPECT_EQ(decodePart("{\"form\":\"dahliastall-node-1\"}").error, DecodeError::kForeign);
+  EXPECT_EQ(decodePart(std::string(kMaxDocumentBytes + 1, 'x')).error, DecodeError::kTooLarge);
   std::string later = text;
   later.replace(later.find("/1 "), 3, "/2 ");
-  EXPECT_EQ(partOf(later).flaw, Flaw::kVersion);
+  EXPECT_EQ(decodePart(later).error, DecodeError::kUnsupportedVersion);
   Part huge = somePart();
-  huge.spends["attiki"].spent = kMostTokens + 1;
-  EXPECT_EQ(partOf(textOf(huge)).flaw, Flaw::kBeyondBounds);
+  huge.spends["attiki"].spent = kMaxTokens + 1;
+  EXPECT_EQ(decodePart(encode(huge)).error, DecodeError::kBeyondBounds);
   Part nameless = somePart();
   nameless.origin.name = "";
-  EXPECT_EQ(partOf(textOf(nameless)).flaw, Flaw::kBeyondBounds);
+  EXPECT_EQ(decodePart(encode(nameless)).error, DecodeError::kBeyondBounds);
   Part negative = somePart();
   negative.observations["b"].bad = -1;
-  EXPECT_EQ(partOf(textOf(negative)).flaw, Flaw::kBeyondBounds);
+  EXPECT_EQ(decodePart(encode(negative)).error, DecodeError::kBeyondBounds);
 }
 
 TEST(WordsInTheStore, KeepFieldsOfALaterProgram) {
   Digest digest;
-  digest.beat = 5;
+  digest.sequence = 5;
   digest.heard[{"c1", 17}] = 3;
   digest.budgets["attiki"] = {100, 10, 40, {{{"c1", 17}, 50}, {{"c2", 9}, 0}}};
   Folded folded;
   folded.origin = {"c0", 3};
-  folded.word = 8;
+  folded.sequence = 8;
   folded.period = 60'000;
   folded.charged["attiki"] = 10;
   digest.folded.push_back(folded);
   digest.boxes["b"] = {3, 1, true, FailureKind::kSlow, 4.5, 2};
   digest.unknown["weather"] = "fair";
-  const auto back = digestOf(textOf(digest)).digest;
+  const auto back = decodeDigest(encode(digest)).digest;
   ASSERT_TRUE(back);
   EXPECT_EQ(back->unknown, digest.unknown);
   EXPECT_EQ(back->budgets, digest.budgets);
@@ -620,38 +621,38 @@
 // What stands under others' names, damaged, of another version, or counting backwards: not believed, counted
 // once, and the others go on.
 TEST(AHolder, BelievesNothingThatIsForeignDamagedOrCountsBackwards) {
-  SharedTerms terms = SharedWorld::worldTerms();
+  SharedConfig config = SharedWorld::worldConfig();
   DigestTask task(
-      {"digest", 500, 300}, [&] { return terms; }, [] { return 1.7e12; });
+      {"digest", 500, 300}, [&] { return config; }, [] { return 1.7e12; });
   coordination::View view;
   const auto put = [&](const std::string& key, const std::string& value) {
     view.docs[key] = {value, ++view.revision};
   };
   Part good = somePart();
-  good.settled.reset();
-  put(good.key(), textOf(good));
-  put("part/c9/1", textOf(good));
+  good.finalUsage.reset();
+  put(good.key(), encode(good));
+  put("part/c9/1", encode(good));
   put("part/c8/1", "noise");
-  std::string later = textOf(good);
+  std::string later = encode(good);
   later.replace(later.find("/1 "), 3, "/7 ");
   put("part/c7/1", later);
   const auto next = [&](double now) {
     const auto step = task.next(view, 1, now);
     EXPECT_TRUE(step);
     put(kDigestKey, *step->writes.front().value);
-    return *digestOf(*step->writes.front().value).digest;
+    return *decodeDigest(*step->writes.front().value).digest;
   };
   Digest digest = next(0);
   EXPECT_EQ(digest.heard.size(), 1u);
-  EXPECT_EQ(digest.total, good.tallies);
+  EXPECT_EQ(digest.total, good.usage);
   next(500);
-  EXPECT_EQ(task.happened().unread, (std::map<std::string, std::uint64_t>{{"foreign", 2}, {"version", 1}}));
-  good.word = 4;
-  good.tallies[{"attiki", "chat"}].promptTokens = 1;
-  put(good.key(), textOf(good));
+  EXPECT_EQ(task.stats().unread, (std::map<std::string, std::uint64_t>{{"foreign", 2}, {"version", 1}}));
+  good.sequence = 4;
+  good.usage[{"attiki", "chat"}].promptTokens = 1;
+  put(good.key(), encode(good));
   digest = next(1000);
   EXPECT_EQ(digest.total.at({"attiki", "chat"}).promptTokens, 4u) << "the higher count stays";
-  EXPECT_EQ(task.happened().backwards, 1u);
+  EXPECT_EQ(task.stats().backwards, 1u);
   // A digest of a later program is not written over.
   std::string text = view.docs.at(kDigestKey).value;
   text.replace(text.find("/1 "), 3, "/2 ");
@@ -661,24 +662,24 @@
 
 // One clock that is off changes no period among three; and a period never goes back.
 TEST(AHolder, TurnsThePeriodByTheClockInTheMiddle) {
-  SharedTerms terms = SharedWorld::worldTerms();
+  SharedConfig config = SharedWorld::worldConfig();
   double unix = 1'000'000;
   DigestTask task(
-      {"digest", 500, 300}, [&] { return terms; }, [&] { return unix; });
+      {"digest", 500, 300}, [&] { return config; }, [&] { return unix; });
   coordination::View view;
   const auto put = [&](const std::string& key, const std::string& value) {
     view.docs[key] = {value, ++view.revision};
   };
   const auto next = [&](double now) {
     put(kDigestKey, *task.next(view, 1, now)->writes.front().value);
-    return digestOf(view.docs.at(kDigestKey).value).digest->period;
+    return decodeDigest(view.docs.at(kDigestKey).value).digest->period;
   };
   for (std::uint64_t i = 1; i <= 2; ++i) {
     Part part;
     part.origin = {"c" + std::to_string(i), i};
-    part.word = 1;
+    part.sequence = 1;
     part.unixMs = 1'000'000;
-    put(part.key(), textOf(part));
+    put(part.key(), encode(part));
   }
   EXPECT_EQ(next(0), 960'000u);
   unix = 9'000'000;  // the holder's own clock is set wrong
@@ -700,10 +701,10 @@
   ASSERT_EQ(node.reserve("attiki", 100, world.now).denial, Denial::kNone);
   world.nodes[1].stoppedUntil = world.now + 30'000;
   world.run(29'500);
-  EXPECT_EQ(node.reserve("attiki", 100, world.now).denial, Denial::kLapsed);
+  EXPECT_EQ(node.reserve("attiki", 100, world.now).denial, Denial::kLoanExpired);
   world.run(15'000);
   EXPECT_NE(node.self().incarnation, before);
-  EXPECT_EQ(node.happened().foldedAway, 1u);
+  EXPECT_EQ(node.stats().evicted, 1u);
   EXPECT_EQ(digestIn(world).foldedOf({"n1", before}), nullptr) << "what it really used was taken in";
   world.traffic = false;
   world.run(15'000);
@@ -716,7 +717,7 @@
 TEST(ABudget, ThatIsLoweredBelowWhatIsSpentLendsNothingMore) {
   SharedWorld world({.nodes = 3, .seed = 10, .load = 1});
   world.run(40'000);
-  world.options.terms.budgets["attiki"] = 10;
+  world.options.config.budgets["attiki"] = 10;
   world.run(5'000);
   const BudgetLine line = digestIn(world).budgets.at("attiki");
   EXPECT_EQ(line.left, 0u);
--- a/tests/support/lease_world.h
+++ b/tests/support/lease_world.h
@@ -54,17 +54,17 @@
 
 struct World {
   static constexpr double kTickMs = 200, kDrift = 0.2;
-  static LeaseTerms terms() {
-    LeaseTerms terms;
-    terms.task = "t";
-    terms.ttlMs = 400;
-    terms.drift = kDrift;
-    terms.longestStepMs = 50;
-    terms.askMs = 100;
-    terms.workMs = 1e9;
-    terms.spreadMs = 0;
-    terms.renewJitter = 0;
-    return terms;
+  static LeaseConfig config() {
+    LeaseConfig config;
+    config.task = "t";
+    config.ttlMs = 400;
+    config.drift = kDrift;
+    config.longestStepMs = 50;
+    config.askMs = 100;
+    config.workMs = 1e9;
+    config.spreadMs = 0;
+    config.renewJitter = 0;
+    return config;
   }
 
   struct Effect {
@@ -87,7 +87,7 @@
   void add(std::size_t i) {
     const Holder who{std::string(1, static_cast<char>('a' + i)), ++incarnations};
     const LeaseGuards guards{mutant != Mutant::kNoDriftMargin, mutant != Mutant::kValidFromAnswer};
-    Lease lease(terms(), who, 1, 0, guards);
+    Lease lease(config(), who, 1, 0, guards);
     if (i < leases.size()) {
       leases[i] = lease;
       now[i] = 0;
@@ -198,7 +198,7 @@
         --budget.restarts;
         // What a store has said is kept; a lease that it held for somebody may live on a whole time longer.
         if (mutant == Mutant::kFenceForgotten) cell = LeaseCell{};
-        else if (cell.record) cell.untilMs = storeNow + terms().ttlMs;
+        else if (cell.record) cell.untilMs = storeNow + config().ttlMs;
         asks.clear();
         break;
     }
--- a/tests/support/shared_world.h
+++ b/tests/support/shared_world.h
@@ -32,21 +32,21 @@
     bool observations = true;
     Way way = Way::kLent;
     bool believeAny = false;  // a box is left out as soon as anybody finds it bad
-    SharedTerms terms = worldTerms();
+    SharedConfig config = worldConfig();
   };
-  static SharedTerms worldTerms() {
-    SharedTerms terms;
-    terms.wordMs = 500;
-    terms.wordPerNodeMs = 5;
-    terms.digestMs = 500;
-    terms.goneMs = 15'000;
-    terms.silentMs = 5'000;
-    terms.periodMs = 60'000;
-    terms.budgets = {{"attiki", 400'000}, {"patras", 90'000}};
-    terms.budget.aheadMs = 4'000;
-    terms.budget.sliceMs = 1'500;
-    terms.budget.loanMs = 12'000;
-    return terms;
+  static SharedConfig worldConfig() {
+    SharedConfig config;
+    config.reportMs = 500;
+    config.reportPerNodeMs = 5;
+    config.digestMs = 500;
+    config.goneMs = 15'000;
+    config.silentMs = 5'000;
+    config.periodMs = 60'000;
+    config.budgets = {{"attiki", 400'000}, {"patras", 90'000}};
+    config.budget.prefetchMs = 4'000;
+    config.budget.ceilingMs = 1'500;
+    config.budget.loanMs = 12'000;
+    return config;
   }
 
   // ---- The store -----------------------------------------------------------------------------------
@@ -123,9 +123,9 @@
     Node& node = nodes[i];
     ++lives[i];
     node.shared = std::make_unique<SharedNode>(
-        options.terms, node.name, [this] { return ++drawn; }, now);
+        options.config, node.name, [this] { return ++drawn; }, now);
     node.task = std::make_unique<DigestTask>(
-        coordination::TaskTerms{"digest", options.terms.digestMs, 300}, [this] { return options.terms; },
+        coordination::TaskConfig{"digest", options.config.digestMs, 300}, [this] { return options.config; },
         [this, i] { return unix() + nodes[i].offsetMs; });
     node.downUntil = node.stoppedUntil = 0;
     node.readMs = now + draw(0, 300);
@@ -136,8 +136,8 @@
     Node& node = nodes[i];
     if (!alive(i)) return;
     // What it counted since its last word is gone with it; what it had promised may have been produced.
-    Tallies unsaid = node.shared->tallies();
-    addTo(diedWith, unsaid);
+    UsageTable unsaid = node.shared->usage();
+    addUsage(diedWith, unsaid);
     node.open.clear();
     node.again.clear();
     node.shared.reset();
@@ -158,14 +158,14 @@
     std::uint64_t most = 0;
   };
   std::map<std::pair<std::string, std::uint64_t>, Truth> truth;  // by franchisee and period
-  Tallies counted;                                               // by all, ever
+  UsageTable counted;                                            // by all, ever
   std::map<std::string, std::uint64_t> denied;
   std::uint64_t asked = 0, granted = 0;
   // Beyond the budget, at worst, over all budgets and periods.
   std::int64_t overshoot() const {
     std::int64_t worst = INT64_MIN;
     for (const auto& [key, one] : truth) {
-      const auto limit = static_cast<std::int64_t>(options.terms.budgets.at(key.first));
+      const auto limit = static_cast<std::int64_t>(options.config.budgets.at(key.first));
       worst = std::max(worst, static_cast<std::int64_t>(one.most) - limit);
     }
     return worst;
@@ -178,20 +178,20 @@
   void ask(std::size_t i, Again asked_) {
     Node& node = nodes[i];
     const auto& [tenant, prompt, most, at, times] = asked_;
-    const std::uint64_t period = node.shared->purse().period();
+    const std::uint64_t period = node.shared->budgets().period();
     auto answer = node.shared->reserve(tenant, prompt + most, now);
     if (options.way != Way::kLent) {
       answer = {};
       Naive& naive = naives[{i, tenant}];
       if (naive.period != period) naive = {period, 0, 0};
-      if (naive.others + naive.own + prompt + most > options.terms.budgets.at(tenant))
+      if (naive.others + naive.own + prompt + most > options.config.budgets.at(tenant))
         answer.denial = Denial::kUsedUp;
       else naive.own += prompt + most;
     }
     ++asked;
     if (answer.denial != Denial::kNone) {
       ++denied[nameOf(answer.denial)];
-      Tally refused;
+      UsageCounters refused;
       refused.refused = 1;
       refused.refusedTokens = prompt + most;
       counted[{tenant, "chat"}].add(refused);
@@ -216,18 +216,18 @@
       const bool served = chance(options.kept);
       const auto used = static_cast<std::uint64_t>(static_cast<double>(it->tokens) * draw(0.6, 1));
       SharedNode::Ended how;
-      Tally tally;
+      UsageCounters counters;
       if (served) {
         how = {SharedNode::Ended::How::kServed, used / 2, used - used / 2, it->tokens};
-        tally.served = 1;
-        tally.promptTokens = how.promptTokens;
-        tally.answerTokens = how.answerTokens;
+        counters.served = 1;
+        counters.promptTokens = how.promptTokens;
+        counters.answerTokens = how.answerTokens;
       } else {
         how = {SharedNode::Ended::How::kFailed, 0, 0, it->tokens};
-        tally.failed = 1;
-        tally.failedTokens = it->tokens;
+        counters.failed = 1;
+        counters.failedTokens = it->tokens;
       }
-      counted[{it->tenant, "chat"}].add(tally);
+      counted[{it->tenant, "chat"}].add(counters);
       Truth& t = truth[{it->tenant, it->period}];
       t.promised -= it->tokens - (served ? used : 0);
       node.shared->ended(it->tenant, "chat", it->reservation, how, now);
@@ -307,7 +307,7 @@
   double lossShare = 0;
   double now = 0;
   std::uint64_t kills = 0, writesAsked = 0, bytes = 0, digests = 0;
-  Tallies diedWith;
+  UsageTable diedWith;
   Options options;
   std::mt19937 random;
 
@@ -323,8 +323,8 @@
       ask(i, due);
     }
     if (!nodes[i].asked) return;
-    const double ticks = options.terms.periodMs / kTickMs;
-    for (const auto& [tenant, limit] : options.terms.budgets) {
+    const double ticks = options.config.periodMs / kTickMs;
+    for (const auto& [tenant, limit] : options.config.budgets) {
       const double mean =
           static_cast<double>(limit) * options.load / 1000 / ticks / static_cast<double>(nodes.size());
       const int count = std::poisson_distribution<int>(mean)(random);
@@ -354,7 +354,7 @@
     }
     // Whoever believes to hold the lease goes on by what it last read; the store looks at its fence.
     if (node.fence == 0 || !node.view || now < node.taskMs) return;
-    node.taskMs = now + options.terms.digestMs;
+    node.taskMs = now + options.config.digestMs;
     const auto step = node.task->next(*node.view, node.fence, now);
     if (!step || !storeUp || !node.writes) return;
     const auto how = commit(step->writes, node.fence);
