--- a/src/app/conductor_app.cpp
+++ b/src/app/conductor_app.cpp
@@ -218,7 +218,7 @@
   fronts::PlatformFront front(engine.conductor, config.setup.names, engine.clock, engine.counters);
   fronts::Discovery discovery(engine.io, engine.clock, engine.deadlines, engine.counters, engine,
                               engine.directory, engine.pool, config.setup.names,
-                              fleet::Pace(config.setup.settings.nodes, config.seed));
+                              fleet::DiscoveryBackoff(config.setup.settings.nodes, config.seed));
   discovery.accountTo(engine.ledger);
   traceTo(engine, telemetry);
   if (!config.known.is_null()) discovery.known(config.known);
--- a/src/app/operations.cpp
+++ b/src/app/operations.cpp
@@ -41,7 +41,7 @@
 
 void Operations::start() {
   if (folder_) {
-    readMarks();
+    readExclusions();
     share(folder_->others());
   }
   if (others_.serving == 0) openDoor();
@@ -58,10 +58,10 @@
 void Operations::tick() {
   if (folder_) {
     share(folder_->others());
-    readMarks();
+    readExclusions();
   }
   if (!parts_.listener.isOpen() && mayServe()) openDoor();
-  if (parts_.doors) followBoxes();
+  if (parts_.doors) reconcileLifecycles();
   next_ = parts_.engine.deadlines.add(parts_.engine.clock.nowMs() + kLookMs, [this] { tick(); });
 }
 
@@ -102,22 +102,22 @@
   parts_.engine.conductor.list(*news);
 }
 
-void Operations::readMarks() {
+void Operations::readExclusions() {
   const auto text = folder_->freshText();
   if (!text) return;
-  const auto marks = fleet::Marks::parse(*text);
-  if (!marks) {
+  const auto exclusions = fleet::Exclusions::parse(*text);
+  if (!exclusions) {
     spdlog::error("the shared file of exclusions cannot be read; it is ignored");
     ++parts_.engine.counters["marks.unreadable"];
     return;
   }
-  tell(parts_.engine.membership.merge(*marks));
+  tell(parts_.engine.membership.merge(*exclusions));
   // Written by both at once, one's news may be missing from it.
-  if (!(parts_.engine.membership.marks() == *marks)) writeMarks();
+  if (!(parts_.engine.membership.exclusions() == *exclusions)) writeExclusions();
 }
 
-void Operations::writeMarks() {
-  if (!folder_ || folder_->write(parts_.engine.membership.marks().text())) return;
+void Operations::writeExclusions() {
+  if (!folder_ || folder_->write(parts_.engine.membership.exclusions().text())) return;
   spdlog::error("the shared file of exclusions cannot be written");
   ++parts_.engine.counters["marks.unwritten"];
 }
@@ -128,20 +128,20 @@
   return {true, "ready"};
 }
 
-control::Service::Done Operations::marked(const std::string& id, bool out) {
-  if (folder_) readMarks();  // what the other process was told comes before this
+control::Service::Done Operations::setExcluded(const std::string& id, bool out) {
+  if (folder_) readExclusions();  // what the other process was told comes before this
   const double now = parts_.engine.clock.nowMs();
   fleet::Membership& members = parts_.engine.membership;
   const auto change = out ? members.exclude(id, now) : members.include(id, now);
   if (change.verdict == fleet::Membership::Verdict::kUnknown) return {false, "no instance has this id"};
   if (change.verdict == fleet::Membership::Verdict::kNoRoom) return {false, "too many instances are marked"};
-  writeMarks();
+  writeExclusions();
   tell(change.news);
   return {true, id + (out ? " is excluded" : " is included")};
 }
 
-control::Service::Done Operations::exclude(const std::string& id) { return marked(id, true); }
-control::Service::Done Operations::include(const std::string& id) { return marked(id, false); }
+control::Service::Done Operations::exclude(const std::string& id) { return setExcluded(id, true); }
+control::Service::Done Operations::include(const std::string& id) { return setExcluded(id, false); }
 
 control::Service::Done Operations::evacuate() {
   if (!parts_.listener.evacuated()) spdlog::info("evacuating: clients are sent away");
@@ -171,15 +171,15 @@
 }
 
 // What is listed now, and how each box has got there.
-void Operations::followBoxes() {
+void Operations::reconcileLifecycles() {
   const double now = parts_.engine.clock.nowMs();
-  if (now - followedMs_ < kFollowMs) return;
-  followedMs_ = now;
+  if (now - reconciledMs_ < kFollowMs) return;
+  reconciledMs_ = now;
   const auto& members = parts_.engine.membership;
   const double coldMs = core::toMs(parts_.setup.settings.contract.coldFor);
   for (const auto& [id, entry] : members.listed()) {
     const leverrelay::ListEntry effective = members.effectiveOf(id).value_or(entry);
-    fleet::LifeFacts facts;
+    fleet::InstanceFacts facts;
     facts.listed = true;
     facts.warm = !effective.started || now - core::toMs(*effective.started) >= coldMs;
     if (members.excluded(id)) facts.drainedBy = "operator";
@@ -189,27 +189,27 @@
     if (const fronts::Box* box = parts_.engine.directory.find(id))
       facts.reachable = box->failedMs <= box->heardMs;
     facts.open = parts_.engine.conductor.openAt(id);
-    const auto life = lives_.try_emplace(id, !facts.warm, now).first;
-    fleet::follow(life->second, facts, now);
+    const auto lifecycle = lifecycles_.try_emplace(id, !facts.warm, now).first;
+    fleet::reconcile(lifecycle->second, facts, now);
   }
-  for (auto& [id, life] : lives_)
-    if (members.listed().count(id) == 0) fleet::follow(life, {}, now);
-  std::erase_if(lives_, [now](const auto& entry) {
-    return entry.second.state() == fleet::LifeState::kGone && now - entry.second.sinceMs() > kGoneMs;
+  for (auto& [id, lifecycle] : lifecycles_)
+    if (members.listed().count(id) == 0) fleet::reconcile(lifecycle, {}, now);
+  std::erase_if(lifecycles_, [now](const auto& entry) {
+    return entry.second.state() == fleet::LifecycleState::kGone && now - entry.second.sinceMs() > kGoneMs;
   });
 }
 
 std::string Operations::boxes() {
-  followedMs_ = 0;
-  followBoxes();
+  reconciledMs_ = 0;
+  reconcileLifecycles();
   const double now = parts_.engine.clock.nowMs();
   std::string text;
-  for (const auto& [id, life] : lives_)
-    text += "box " + id.value + " " + fleet::nameOf(life.state()) +
-            " for_s=" + std::to_string(static_cast<long>((now - life.sinceMs()) / 1000)) +
+  for (const auto& [id, lifecycle] : lifecycles_)
+    text += "box " + id.value + " " + fleet::nameOf(lifecycle.state()) +
+            " for_s=" + std::to_string(static_cast<long>((now - lifecycle.sinceMs()) / 1000)) +
             " open=" + std::to_string(parts_.engine.conductor.openAt(id)) +
-            " revision=" + std::to_string(life.revision()) + " by=" + (life.by().empty() ? "-" : life.by()) +
-            " why=\"" + life.why() + "\"\n";
+            " revision=" + std::to_string(lifecycle.revision()) +
+            " by=" + (lifecycle.by().empty() ? "-" : lifecycle.by()) + " why=\"" + lifecycle.why() + "\"\n";
   return text;
 }
 
--- a/src/app/operations.h
+++ b/src/app/operations.h
@@ -13,7 +13,7 @@
 #include "app/handover.h"
 #include "app/shared_folder.h"
 #include "control/commands.h"
-#include "fleet/life.h"
+#include "fleet/lifecycle.h"
 
 namespace dahliastall::app {
 
@@ -67,13 +67,13 @@
  private:
   void tick();
   void share(SharedFolder::Others others);
-  void readMarks();
-  void writeMarks();
+  void readExclusions();
+  void writeExclusions();
   void tell(const std::optional<leverrelay::ListNews>& news);
-  Done marked(const std::string& id, bool out);
+  Done setExcluded(const std::string& id, bool out);
   bool mayServe() const;
   void openDoor();
-  void followBoxes();
+  void reconcileLifecycles();
 
   Parts parts_;
   std::unique_ptr<SharedFolder> folder_;
@@ -83,9 +83,9 @@
   AdmissionWatch* admission_ = nullptr;
   Coordinator* coordinator_ = nullptr;  // none: this conductor shares nothing
   Sharer* sharer_ = nullptr;            // none: nothing but leases
-  std::map<leverrelay::EngineId, fleet::Life>
-      lives_;  // of the boxes that are listed, and of a few that are gone
-  double followedMs_ = 0;
+  std::map<leverrelay::EngineId, fleet::InstanceLifecycle>
+      lifecycles_;  // of the boxes that are listed, and of a few that are gone
+  double reconciledMs_ = 0;
   std::optional<core::Deadlines::Key> next_;
   double startedMs_;
 };
--- a/src/app/shared_folder.cpp
+++ b/src/app/shared_folder.cpp
@@ -11,13 +11,13 @@
 #include <memory>
 #include <utility>
 
-#include "fleet/marks.h"
+#include "fleet/exclusions.h"
 
 namespace dahliastall::app {
 
 namespace {
 
-constexpr std::size_t kLargestFile = fleet::Marks::kLargestText;
+constexpr std::size_t kLargestFile = fleet::Exclusions::kMaxTextBytes;
 
 std::string plainName(std::string name) {
   std::replace_if(
@@ -60,7 +60,7 @@
       receiverPrefix_("dahliastall-" + plainName(name) + ".receiver."),
       ownName_(prefix_ + std::to_string(::getpid())),
       receiver_(receiverPrefix_ + std::to_string(::getpid())),
-      marksPath_(folder_ + "/dahliastall-" + plainName(name) + ".marks") {
+      exclusionsPath_(folder_ + "/dahliastall-" + plainName(name) + ".marks") {
   const std::string unnamed =
       folder_ + "/dahliastall-" + plainName(name) + ".new." + std::to_string(::getpid());
   File file(unnamed, O_RDWR | O_CREAT | O_TRUNC);
@@ -114,7 +114,7 @@
 
 std::optional<std::string> SharedFolder::freshText() {
   if (!usable()) return std::nullopt;
-  const File file(marksPath_, O_RDONLY);
+  const File file(exclusionsPath_, O_RDONLY);
   if (file.get() < 0) return std::nullopt;
   const auto stamp = stampOf(file.get());
   if (!stamp || stamp == seen_) return std::nullopt;
@@ -133,10 +133,10 @@
 
 bool SharedFolder::write(const std::string& text) {
   if (!usable()) return false;
-  const std::string whole = marksPath_ + ".new." + std::to_string(::getpid());
+  const std::string whole = exclusionsPath_ + ".new." + std::to_string(::getpid());
   const File file(whole, O_WRONLY | O_CREAT | O_TRUNC);
   if (file.get() < 0) return false;
-  if (!writeAll(file.get(), text) || std::rename(whole.c_str(), marksPath_.c_str()) != 0) {
+  if (!writeAll(file.get(), text) || std::rename(whole.c_str(), exclusionsPath_.c_str()) != 0) {
     ::unlink(whole.c_str());
     return false;
   }
--- a/src/app/shared_folder.h
+++ b/src/app/shared_folder.h
@@ -43,7 +43,7 @@
   };
   std::optional<Stamp> stampOf(int descriptor) const;
 
-  std::string folder_, prefix_, receiverPrefix_, ownName_, receiver_, marksPath_;
+  std::string folder_, prefix_, receiverPrefix_, ownName_, receiver_, exclusionsPath_;
   int own_ = -1;
   std::optional<Stamp> seen_;
 };
--- a/src/fleet/marks.h
+++ b/src/fleet/exclusions.h
@@ -12,50 +12,51 @@
 
 namespace dahliastall::fleet {
 
-struct Mark {
+struct Exclusion {
   bool excluded = false;
   std::uint64_t version = 0;  // one more than the highest that its writer had seen of this instance
   std::uint64_t writer = 0;   // decides between two of the same version
-  double atMs = 0;            // when it was said, by the machine's clock
+  double updatedMs = 0;       // when it was said, by the machine's clock
 
-  bool supersedes(const Mark& other) const {
+  bool supersedes(const Exclusion& other) const {
     return std::tie(version, writer) > std::tie(other.version, other.writer);
   }
-  bool operator==(const Mark&) const = default;
+  bool operator==(const Exclusion&) const = default;
 };
 
-class Marks {
+class Exclusions {
  public:
   // As many instances as there may be: an operator's mistake in a loop must not fill memory.
-  static constexpr std::size_t kMost = 1024;
-  static constexpr std::size_t kLongestId = 256;
-  static constexpr std::size_t kLargestText = kMost * (6 * kLongestId + 160);  // each byte of an id escaped
-
-  const Mark* find(const std::string& id) const {
-    const auto it = marks_.find(id);
-    return it == marks_.end() ? nullptr : &it->second;
+  static constexpr std::size_t kMaxEntries = 1024;
+  static constexpr std::size_t kMaxIdBytes = 256;
+  static constexpr std::size_t kMaxTextBytes =
+      kMaxEntries * (6 * kMaxIdBytes + 160);  // each byte of an id escaped
+
+  const Exclusion* find(const std::string& id) const {
+    const auto it = exclusions_.find(id);
+    return it == exclusions_.end() ? nullptr : &it->second;
   }
   bool excluded(const std::string& id) const {
-    const Mark* mark = find(id);
-    return mark != nullptr && mark->excluded;
+    const Exclusion* exclusion = find(id);
+    return exclusion != nullptr && exclusion->excluded;
   }
-  std::size_t size() const { return marks_.size(); }
-  const std::map<std::string, Mark>& all() const { return marks_; }
+  std::size_t size() const { return exclusions_.size(); }
+  const std::map<std::string, Exclusion>& all() const { return exclusions_; }
 
   // False if there is no room for another instance.
   bool set(const std::string& id, bool excluded, std::uint64_t writer, double nowMs);
   // The instances whose mark is another now.
-  std::vector<std::string> merge(const Marks& others);
-  void forget(const std::string& id) { marks_.erase(id); }
+  std::vector<std::string> merge(const Exclusions& others);
+  void forget(const std::string& id) { exclusions_.erase(id); }
 
   // The form in which they are kept, and back; nothing if that is no whole text of this form.
   std::string text() const;
-  static std::optional<Marks> parse(std::string_view text);
+  static std::optional<Exclusions> parse(std::string_view text);
 
-  bool operator==(const Marks&) const = default;
+  bool operator==(const Exclusions&) const = default;
 
  private:
-  std::map<std::string, Mark> marks_;
+  std::map<std::string, Exclusion> exclusions_;
 };
 
 }  // namespace dahliastall::fleet
--- /dev/null
+++ b/src/fleet/lifecycle.cpp
@@ -0,0 +1,89 @@
+#include "fleet/lifecycle.h"
+
+#include <array>
+
+namespace dahliastall::fleet {
+
+const char* nameOf(LifecycleState state) {
+  constexpr std::array<const char*, 7> kNames{"warming",     "active",  "draining", "drained",
+                                              "unreachable", "avoided", "gone"};
+  return kNames[static_cast<std::size_t>(state)];
+}
+
+const char* nameOf(LifecycleEvent event) {
+  constexpr std::array<const char*, 10> kNames{"listed",  "warm",    "drain asked", "idle",    "drain over",
+                                               "avoided", "trusted", "lost",        "reached", "delisted"};
+  return kNames[static_cast<std::size_t>(event)];
+}
+
+// A drain outranks trouble: a draining box that cannot be reached is still draining, and what is gone only
+// the list brings back.
+std::optional<LifecycleState> InstanceLifecycle::next(LifecycleEvent event) const {
+  using S = LifecycleState;
+  const bool serving = state_ == S::kWarming || state_ == S::kActive;
+  const bool troubled = state_ == S::kAvoided || state_ == S::kUnreachable;
+  const bool draining = state_ == S::kDraining || state_ == S::kDrained;
+  switch (event) {
+    case LifecycleEvent::kListed:
+      return state_ == S::kGone ? std::optional(S::kWarming) : std::nullopt;
+    case LifecycleEvent::kWarm:
+      return state_ == S::kWarming ? std::optional(S::kActive) : std::nullopt;
+    case LifecycleEvent::kDrainAsked:
+      return serving || troubled ? std::optional(S::kDraining) : std::nullopt;
+    case LifecycleEvent::kIdle:
+      return state_ == S::kDraining ? std::optional(S::kDrained) : std::nullopt;
+    case LifecycleEvent::kDrainOver:
+      return draining ? std::optional(S::kWarming) : std::nullopt;
+    case LifecycleEvent::kAvoided:
+      return serving ? std::optional(S::kAvoided) : std::nullopt;
+    case LifecycleEvent::kTrusted:
+      return state_ == S::kAvoided ? std::optional(resumeState_) : std::nullopt;
+    case LifecycleEvent::kLost:
+      return serving || state_ == S::kAvoided ? std::optional(S::kUnreachable) : std::nullopt;
+    case LifecycleEvent::kReached:
+      return state_ == S::kUnreachable ? std::optional(resumeState_) : std::nullopt;
+    case LifecycleEvent::kDelisted:
+      return state_ != S::kGone ? std::optional(S::kGone) : std::nullopt;
+  }
+  return std::nullopt;
+}
+
+InstanceLifecycle::Outcome InstanceLifecycle::apply(LifecycleEvent event, double nowMs,
+                                                    const std::string& why, const std::string& by) {
+  const auto to = next(event);
+  if (!to) return {false, std::string(nameOf(event)) + " cannot follow while it is " + nameOf(state_)};
+  if (state_ == LifecycleState::kWarming || state_ == LifecycleState::kActive) resumeState_ = state_;
+  state_ = *to;
+  sinceMs_ = nowMs;
+  why_ = why.empty() ? nameOf(event) : why;
+  by_ = by;
+  ++revision_;
+  return {true, nameOf(state_)};
+}
+
+void reconcile(InstanceLifecycle& lifecycle, const InstanceFacts& facts, double nowMs) {
+  using S = LifecycleState;
+  using E = LifecycleEvent;
+  if (!facts.listed) {
+    if (lifecycle.state() != S::kGone) lifecycle.apply(E::kDelisted, nowMs, "", "list");
+    return;
+  }
+  if (lifecycle.state() == S::kGone) lifecycle.apply(E::kListed, nowMs, "", "list");
+  const bool draining = lifecycle.state() == S::kDraining || lifecycle.state() == S::kDrained;
+  if (!facts.drainedBy.empty()) {
+    if (!draining) lifecycle.apply(E::kDrainAsked, nowMs, "", facts.drainedBy);
+    if (lifecycle.state() == S::kDraining && facts.open == 0)
+      lifecycle.apply(E::kIdle, nowMs, "", facts.drainedBy);
+    return;
+  }
+  if (draining) lifecycle.apply(E::kDrainOver, nowMs, "", "operator");
+  if (lifecycle.state() == S::kUnreachable && facts.reachable)
+    lifecycle.apply(E::kReached, nowMs, "", "links");
+  if (lifecycle.state() == S::kAvoided && !facts.avoided) lifecycle.apply(E::kTrusted, nowMs, "", "module");
+  if (lifecycle.state() == S::kWarming && facts.warm) lifecycle.apply(E::kWarm, nowMs, "", "time");
+  if (!facts.reachable && lifecycle.state() != S::kUnreachable) lifecycle.apply(E::kLost, nowMs, "", "links");
+  else if (facts.avoided && lifecycle.state() != S::kAvoided && lifecycle.state() != S::kUnreachable)
+    lifecycle.apply(E::kAvoided, nowMs, "", "module");
+}
+
+}  // namespace dahliastall::fleet
--- a/src/fleet/life.h
+++ b/src/fleet/lifecycle.h
@@ -9,10 +9,10 @@
 
 namespace dahliastall::fleet {
 
-enum class LifeState { kWarming, kActive, kDraining, kDrained, kUnreachable, kAvoided, kGone };
-const char* nameOf(LifeState state);
+enum class LifecycleState { kWarming, kActive, kDraining, kDrained, kUnreachable, kAvoided, kGone };
+const char* nameOf(LifecycleState state);
 
-enum class LifeEvent {
+enum class LifecycleEvent {
   kListed,      // the list has it, and it may be cold
   kWarm,        // it has been up long enough
   kDrainAsked,  // by an operator or by the list
@@ -24,38 +24,39 @@
   kReached,     // one did
   kDelisted     // it is gone
 };
-const char* nameOf(LifeEvent event);
+const char* nameOf(LifecycleEvent event);
 
-class Life {
+class InstanceLifecycle {
  public:
   // A box that has just been listed.
-  Life(bool cold, double nowMs) : state_(cold ? LifeState::kWarming : LifeState::kActive), sinceMs_(nowMs) {}
+  InstanceLifecycle(bool cold, double nowMs)
+      : state_(cold ? LifecycleState::kWarming : LifecycleState::kActive), sinceMs_(nowMs) {}
 
   // What followed from it, or why it cannot follow here: then nothing has changed.
   struct Outcome {
     bool legal;
     std::string why;
   };
-  Outcome apply(LifeEvent event, double nowMs, const std::string& why = "", const std::string& by = "");
+  Outcome apply(LifecycleEvent event, double nowMs, const std::string& why = "", const std::string& by = "");
 
-  LifeState state() const { return state_; }
+  LifecycleState state() const { return state_; }
   double sinceMs() const { return sinceMs_; }
   const std::string& why() const { return why_; }
   const std::string& by() const { return by_; }
   std::uint64_t revision() const { return revision_; }
 
  private:
-  std::optional<LifeState> next(LifeEvent event) const;
+  std::optional<LifecycleState> next(LifecycleEvent event) const;
 
-  LifeState state_;
-  LifeState before_ = LifeState::kActive;  // what an avoided or unreachable one comes back to
+  LifecycleState state_;
+  LifecycleState resumeState_ = LifecycleState::kActive;  // what an avoided or unreachable one comes back to
   double sinceMs_;
   std::string why_ = "listed", by_ = "list";
   std::uint64_t revision_ = 1;
 };
 
 // What is so now, from which the events of a box follow.
-struct LifeFacts {
+struct InstanceFacts {
   bool listed = false;
   bool warm = false;
   std::string drainedBy;  // empty: nobody asked for a drain
@@ -65,6 +66,6 @@
 };
 
 // Brings a life up to the facts: the events that lead there, each of them legal.
-void follow(Life& life, const LifeFacts& facts, double nowMs);
+void reconcile(InstanceLifecycle& lifecycle, const InstanceFacts& facts, double nowMs);
 
 }  // namespace dahliastall::fleet
--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -26,13 +26,13 @@
     const Time back = core::toModuleTime(returned->second);
     entry.started = entry.started ? std::max(*entry.started, back) : back;
   }
-  const Mark* mark = marks_.find(entry.engine.value);
-  if (mark == nullptr) return entry;
-  if (mark->excluded) {
+  const Exclusion* exclusion = exclusions_.find(entry.engine.value);
+  if (exclusion == nullptr) return entry;
+  if (exclusion->excluded) {
     if (entry.presence == Presence::kActive) entry.presence = Presence::kLeaving;
   } else {
     // It may have been started anew at any moment until now, whatever the list says of that.
-    const Time included = core::toModuleTime(mark->atMs);
+    const Time included = core::toModuleTime(exclusion->updatedMs);
     entry.started = entry.started ? std::max(*entry.started, included) : included;
   }
   return entry;
@@ -51,7 +51,7 @@
   return out;
 }
 
-std::optional<ListNews> Membership::newsOf(const std::vector<std::string>& ids) {
+std::optional<ListNews> Membership::changesOf(const std::vector<std::string>& ids) {
   ListNews news{version_ + 1, ListForm::kChanges, {}};
   for (const std::string& id : ids) {
     const auto it = listed_.find({id});
@@ -62,18 +62,18 @@
   return news;
 }
 
-Membership::Change Membership::mark(const std::string& id, bool excluded, double nowMs) {
-  const bool known = listed_.count({id}) != 0 || marks_.excluded(id);
-  if (!known || id.empty() || id.size() > Marks::kLongestId) return {Verdict::kUnknown, std::nullopt};
+Membership::Change Membership::setExcluded(const std::string& id, bool excluded, double nowMs) {
+  const bool known = listed_.count({id}) != 0 || exclusions_.excluded(id);
+  if (!known || id.empty() || id.size() > Exclusions::kMaxIdBytes) return {Verdict::kUnknown, std::nullopt};
   // Said again, it is no news; a second include in particular must not make a warm instance cold.
-  if (marks_.excluded(id) == excluded) return {Verdict::kDone, std::nullopt};
-  if (!marks_.set(id, excluded, writer_, nowMs)) return {Verdict::kNoRoom, std::nullopt};
+  if (exclusions_.excluded(id) == excluded) return {Verdict::kDone, std::nullopt};
+  if (!exclusions_.set(id, excluded, writer_, nowMs)) return {Verdict::kNoRoom, std::nullopt};
   tidy(nowMs);
-  return {Verdict::kDone, newsOf({id})};
+  return {Verdict::kDone, changesOf({id})};
 }
 
-std::optional<ListNews> Membership::leaveOut(std::set<std::string>& layer, const std::set<std::string>& now,
-                                             double nowMs) {
+std::optional<ListNews> Membership::replaceLayer(std::set<std::string>& layer,
+                                                 const std::set<std::string>& now, double nowMs) {
   std::vector<std::string> changed;
   for (const std::string& id : now)
     if (layer.count(id) == 0) changed.push_back(id);
@@ -83,29 +83,31 @@
     changed.push_back(id);
   }
   layer = now;
-  return changed.empty() ? std::nullopt : newsOf(changed);
+  return changed.empty() ? std::nullopt : changesOf(changed);
 }
 
 std::optional<ListNews> Membership::setPlannedDrains(const std::set<std::string>& drained, double nowMs) {
-  return leaveOut(drained_, drained, nowMs);
+  return replaceLayer(drained_, drained, nowMs);
 }
 
 std::optional<ListNews> Membership::setPeerExclusions(const std::set<std::string>& out, double nowMs) {
-  return leaveOut(peerExclusions_, out, nowMs);
+  return replaceLayer(peerExclusions_, out, nowMs);
 }
 
-std::optional<ListNews> Membership::merge(const Marks& others) { return newsOf(marks_.merge(others)); }
+std::optional<ListNews> Membership::merge(const Exclusions& others) {
+  return changesOf(exclusions_.merge(others));
+}
 
 void Membership::tidy(double nowMs) {
   std::vector<std::string> spent;
-  for (const auto& [id, mark] : marks_.all()) {
+  for (const auto& [id, exclusion] : exclusions_.all()) {
     if (listed_.count({id}) != 0) missingSince_.erase(id);
     else if (nowMs - missingSince_.try_emplace(id, nowMs).first->second > kMissingMs) spent.push_back(id);
-    if (!mark.excluded && nowMs - mark.atMs > kIncludedMs) spent.push_back(id);
+    if (!exclusion.excluded && nowMs - exclusion.updatedMs > kIncludedMs) spent.push_back(id);
   }
   std::erase_if(returned_, [nowMs](const auto& entry) { return nowMs - entry.second > kIncludedMs; });
   for (const std::string& id : spent) {
-    marks_.forget(id);
+    exclusions_.forget(id);
     missingSince_.erase(id);
   }
 }
--- a/src/fleet/membership.h
+++ b/src/fleet/membership.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "fleet/marks.h"
+#include "fleet/exclusions.h"
 #include "leverrelay/router.h"
 
 namespace dahliastall::fleet {
@@ -27,8 +27,8 @@
     Verdict verdict;
     std::optional<leverrelay::ListNews> news;  // nothing: the module need not hear of it
   };
-  Change exclude(const std::string& id, double nowMs) { return mark(id, true, nowMs); }
-  Change include(const std::string& id, double nowMs) { return mark(id, false, nowMs); }
+  Change exclude(const std::string& id, double nowMs) { return setExcluded(id, true, nowMs); }
+  Change include(const std::string& id, double nowMs) { return setExcluded(id, false, nowMs); }
 
   // The boxes that the fleet's maintenance has out: those that are new to it leave, and those that are in it
   // no more come back as boxes that have just started.
@@ -39,31 +39,31 @@
   std::optional<leverrelay::ListNews> setPeerExclusions(const std::set<std::string>& out, double nowMs);
 
   // What other processes marked.
-  std::optional<leverrelay::ListNews> merge(const Marks& others);
+  std::optional<leverrelay::ListNews> merge(const Exclusions& others);
   // Lets go of marks that say nothing any more, or whose instance has been gone for long.
   void tidy(double nowMs);
 
-  const Marks& marks() const { return marks_; }
+  const Exclusions& exclusions() const { return exclusions_; }
   const std::map<leverrelay::EngineId, leverrelay::ListEntry>& listed() const { return listed_; }
   // As the module is told of it; nothing if it is not listed.
   std::optional<leverrelay::ListEntry> effectiveOf(const leverrelay::EngineId& id) const {
     const auto it = listed_.find(id);
     return it == listed_.end() ? std::nullopt : std::optional(effective(it->second));
   }
-  bool excluded(const leverrelay::EngineId& id) const { return marks_.excluded(id.value); }
+  bool excluded(const leverrelay::EngineId& id) const { return exclusions_.excluded(id.value); }
   const std::set<std::string>& drained() const { return drained_; }
   const std::set<std::string>& peerExclusions() const { return peerExclusions_; }
 
  private:
-  Change mark(const std::string& id, bool excluded, double nowMs);
-  std::optional<leverrelay::ListNews> leaveOut(std::set<std::string>& layer, const std::set<std::string>& now,
-                                               double nowMs);
+  Change setExcluded(const std::string& id, bool excluded, double nowMs);
+  std::optional<leverrelay::ListNews> replaceLayer(std::set<std::string>& layer,
+                                                   const std::set<std::string>& now, double nowMs);
   leverrelay::ListEntry effective(leverrelay::ListEntry entry) const;
-  std::optional<leverrelay::ListNews> newsOf(const std::vector<std::string>& ids);
+  std::optional<leverrelay::ListNews> changesOf(const std::vector<std::string>& ids);
 
   std::uint64_t writer_;
   std::uint64_t version_ = 0;  // of what the module was told
-  Marks marks_;
+  Exclusions exclusions_;
   std::map<leverrelay::EngineId, leverrelay::ListEntry> listed_;  // as the list says it
   std::map<std::string, double> missingSince_;                    // marked, but not listed
   std::set<std::string> drained_;                                 // by the maintenance
--- a/src/fleet/release_course.h
+++ b/src/fleet/release_retry.h
@@ -13,7 +13,7 @@
 // connections: a read may still end well, and a place may still be taken, after a round has passed. So there
 // are two rounds at least, and more for as long as a place that was asked for is neither held nor refused:
 // what comes to be held waits for one round's time at the most, whatever becomes of an answer.
-class ReleaseCourse {
+class ReleaseRetry {
  public:
   static constexpr double kWaveMs = 40;  // without an answer before more are asked
   static constexpr std::size_t kMostOut = 16;
@@ -21,7 +21,7 @@
   static constexpr int kRounds = 2;
 
   // Between two rounds half of the time passes in which what is held has to be let go of.
-  ReleaseCourse(double nowMs, double withinMs) : beganMs_(nowMs), waveMs_(nowMs), settleMs_(withinMs / 2) {}
+  ReleaseRetry(double nowMs, double withinMs) : beganMs_(nowMs), waveMs_(nowMs), settleMs_(withinMs / 2) {}
 
   // How many instances more to ask now, if so many calls of this release have no answer yet.
   std::size_t due(double nowMs, std::size_t out) {
@@ -60,7 +60,7 @@
   // The last one that was asked cannot be heard: the next are asked without waiting.
   void failed(double nowMs) { waveMs_ = nowMs; }
   // Something may have come to be held since it began.
-  void anew(double nowMs) { *this = ReleaseCourse(nowMs, settleMs_ * 2); }
+  void restart(double nowMs) { *this = ReleaseRetry(nowMs, settleMs_ * 2); }
 
   bool settling() const { return settling_; }
   bool over(double nowMs) const { return done() || (!settling() && nowMs - beganMs_ >= kGiveUpMs); }
--- a/src/fronts/boxes/releases.cpp
+++ b/src/fronts/boxes/releases.cpp
@@ -71,7 +71,7 @@
   if (!fresh) {
     it->second.attempted = false;
     // Between two rounds nothing is under way, so that the next one can begin at once.
-    if (it->second.course.settling()) it->second.course.anew(clock_.nowMs());
+    if (it->second.course.settling()) it->second.course.restart(clock_.nowMs());
     else it->second.again = true;
   }
   step(request);
@@ -203,7 +203,7 @@
   state.tried.clear();
   state.heard = by;
   state.first = calls_ + 1;
-  if (std::exchange(state.again, false)) state.course.anew(clock_.nowMs());
+  if (std::exchange(state.again, false)) state.course.restart(clock_.nowMs());
   else state.course.taken(clock_.nowMs(), placesOut_.count(request) != 0);
   for (const auto& go : std::exchange(state.after, {})) go();
   step(request);
--- a/src/fronts/boxes/releases.h
+++ b/src/fronts/boxes/releases.h
@@ -1,5 +1,5 @@
 // Carries releases to the instances: everything that is held for a request is let go of, whoever holds it,
-// and whatever was under way when it was decided. When to ask how many is fleet::ReleaseCourse's; whom, is
+// and whatever was under way when it was decided. When to ask how many is fleet::ReleaseRetry's; whom, is
 // here.
 #pragma once
 
@@ -15,7 +15,7 @@
 #include "core/clock.h"
 #include "core/counters.h"
 #include "core/deadlines.h"
-#include "fleet/release_course.h"
+#include "fleet/release_retry.h"
 #include "fronts/boxes/directory.h"
 #include "net/pool.h"
 
@@ -55,7 +55,7 @@
   class Carrier;
   struct Releasing {
     Releasing(double nowMs, double withinMs) : course(nowMs, withinMs) {}
-    fleet::ReleaseCourse course;
+    fleet::ReleaseRetry course;
     std::map<std::uint64_t, std::shared_ptr<net::Call>> calls;  // without an answer yet
     std::set<leverrelay::EngineId> tried;                       // since all were asked once
     std::uint64_t first = 0;  // of the calls of this round: an answer to an earlier one proves nothing for it
--- a/src/fronts/platform/discovery.cpp
+++ b/src/fronts/platform/discovery.cpp
@@ -32,7 +32,7 @@
   explicit Watch(Discovery& owner) : owner_(owner) {}
   void hold(std::shared_ptr<net::Call> call) {
     call_ = std::move(call);
-    sign(fleet::Pace::kFirstWordMs);
+    sign(fleet::DiscoveryBackoff::kFirstByteTimeoutMs);
   }
 
   void close() {
@@ -42,7 +42,7 @@
 
   void head(const net::ResponseHead& head) override { good_ = head.result_int() == 200; }
   bool body(std::string_view part) override {
-    sign(fleet::Pace::kSilentMs);
+    sign(fleet::DiscoveryBackoff::kWatchTimeoutMs);
     if (!good_) return true;
     text_ += part;
     while (const std::size_t end = gate_.partOf(text_)) {
@@ -86,7 +86,7 @@
 
 Discovery::Discovery(boost::asio::io_context& io, const core::Clock& clock, core::Deadlines& deadlines,
                      core::Counters& counters, core::ListSink& lists, Directory& directory,
-                     net::Pool& droppable, const wire::Vocabulary& names, fleet::Pace pace)
+                     net::Pool& droppable, const wire::Vocabulary& names, fleet::DiscoveryBackoff pace)
     : clock_(clock),
       deadlines_(deadlines),
       counters_(counters),
@@ -94,7 +94,7 @@
       directory_(directory),
       boxes_(droppable),
       names_(names),
-      own_(io, clock, deadlines, counters, {2, fleet::Pace::kDialMs, 1000}),
+      own_(io, clock, deadlines, counters, {2, fleet::DiscoveryBackoff::kConnectTimeoutMs, 1000}),
       pace_(pace) {}  // the watch, and the next while moving
 
 // A call and its sink hold each other while it runs.
@@ -132,7 +132,7 @@
   if (&watch == watch_.get() && std::exchange(doubted_, false)) leaveNext();
   if (&watch != next_.get()) return;
   doubted_ = false;
-  pace_.wentWell();
+  pace_.reset();
   const auto old = std::exchange(watch_, std::exchange(next_, nullptr));
   spokenFor_ = address_;
   if (old) old->close();
@@ -163,7 +163,7 @@
 }
 
 void Discovery::openLater() {
-  reopen_ = deadlines_.add(clock_.nowMs() + pace_.pauseMs(), [this] {
+  reopen_ = deadlines_.add(clock_.nowMs() + pace_.nextDelayMs(), [this] {
     reopen_.reset();
     open();
   });
@@ -172,7 +172,7 @@
 void Discovery::leaveNext() {
   deadlines_.cancel(reopen_);
   if (next_) std::exchange(next_, nullptr)->close();
-  pace_.wentWell();
+  pace_.reset();
 }
 
 bool Discovery::line(std::string_view text) {
--- a/src/fronts/platform/discovery.h
+++ b/src/fronts/platform/discovery.h
@@ -12,7 +12,7 @@
 #include "core/counters.h"
 #include "core/deadlines.h"
 #include "core/ports.h"
-#include "fleet/pace.h"
+#include "fleet/discovery_backoff.h"
 #include "fronts/boxes/directory.h"
 #include "net/pool.h"
 #include "wire.h"
@@ -24,7 +24,7 @@
   // droppable: the pool of the boxes, whose idle connections go when a box restarts or leaves.
   Discovery(boost::asio::io_context& io, const core::Clock& clock, core::Deadlines& deadlines,
             core::Counters& counters, core::ListSink& lists, Directory& directory, net::Pool& droppable,
-            const leverrelay::wire::Vocabulary& names, fleet::Pace pace);
+            const leverrelay::wire::Vocabulary& names, fleet::DiscoveryBackoff pace);
 
   ~Discovery();
 
@@ -60,7 +60,7 @@
   std::shared_ptr<Watch> watch_, next_;  // the one that speaks, and the one that has not spoken yet
   std::optional<core::Deadlines::Key> reopen_;
   bool doubted_ = false;  // the watch has gone silent, and another is tried beside it
-  fleet::Pace pace_;
+  fleet::DiscoveryBackoff pace_;
   std::uint64_t revision_ = 0;
 };
 
--- a/tests/bounds_test.cpp
+++ b/tests/bounds_test.cpp
@@ -227,11 +227,11 @@
     EXPECT_EQ(drains.handle({id, "anna", id, true, 0, {}, false}, {true, 1, "read", 0}, 1).code,
               fleet::DrainCode::kDone);
   }
-  const std::string text = members.marks().text();
-  EXPECT_LE(text.size(), fleet::Marks::kLargestText);
-  const auto marks = fleet::Marks::parse(text);
-  ASSERT_TRUE(marks);
-  EXPECT_EQ(other.merge(*marks)->entries.size(), instances);
+  const std::string text = members.exclusions().text();
+  EXPECT_LE(text.size(), fleet::Exclusions::kMaxTextBytes);
+  const auto exclusions = fleet::Exclusions::parse(text);
+  ASSERT_TRUE(exclusions);
+  EXPECT_EQ(other.merge(*exclusions)->entries.size(), instances);
   EXPECT_EQ(other.setPlannedDrains(all, 2)->entries.size(), instances);
   EXPECT_EQ(other.setPeerExclusions(all, 2)->entries.size(), instances);
   for (const std::string& id : all) EXPECT_TRUE(drains.stateOf(id).drained && members.excluded({id}));
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -1,5 +1,5 @@
 // Two events that cross, each pair forced on real sockets: what docs/design/crossings.md lists.
-#include "fleet/release_course.h"
+#include "fleet/release_retry.h"
 #include "support/site.h"
 
 namespace dahliastall {
@@ -10,11 +10,11 @@
 
 // ---- What is held for a request --------------------------------------------------------------------
 
-TEST(ReleaseCourse, AsksTwiceAsManyEachTimeAndASecondTimeOnceAnswered) {
-  fleet::ReleaseCourse course(1'000, 300);
+TEST(ReleaseRetry, AsksTwiceAsManyEachTimeAndASecondTimeOnceAnswered) {
+  fleet::ReleaseRetry course(1'000, 300);
   std::size_t out = 0;
   std::vector<std::size_t> asked;
-  for (double now = 1'000; now < 1'200; now += fleet::ReleaseCourse::kWaveMs)
+  for (double now = 1'000; now < 1'200; now += fleet::ReleaseRetry::kWaveMs)
     asked.push_back(course.due(now, out)), out += asked.back();
   EXPECT_EQ(asked, (std::vector<std::size_t>{1, 2, 4, 8, 1}));  // sixteen without an answer at the most
   course.taken(1'200, false);
@@ -26,15 +26,15 @@
   EXPECT_EQ(course.due(1'350, 0), 1U);
   course.taken(1'351, false);
   EXPECT_TRUE(course.done());
-  fleet::ReleaseCourse unheard(0, 300);
-  EXPECT_FALSE(unheard.over(fleet::ReleaseCourse::kGiveUpMs - 1));
-  EXPECT_TRUE(unheard.over(fleet::ReleaseCourse::kGiveUpMs));
+  fleet::ReleaseRetry unheard(0, 300);
+  EXPECT_FALSE(unheard.over(fleet::ReleaseRetry::kGiveUpMs - 1));
+  EXPECT_TRUE(unheard.over(fleet::ReleaseRetry::kGiveUpMs));
 }
 
 // While something may yet come to be held there is another round; what is decided during one makes it too
 // early.
-TEST(ReleaseCourse, GoesOnWhileSomethingIsOpen) {
-  fleet::ReleaseCourse course(0, 300);
+TEST(ReleaseRetry, GoesOnWhileSomethingIsOpen) {
+  fleet::ReleaseRetry course(0, 300);
   for (int i = 0; i < 5; ++i) {
     course.go(i * 150);
     EXPECT_EQ(course.due(i * 150, 0), 1U) << i;
@@ -112,7 +112,7 @@
   held.last->abandon();
   ASSERT_TRUE(held.until([&] { return held.releases() == 1; }));
   for (int waves = 0; waves < 4 && last->count("DELETE", "/") == 0; ++waves) {
-    held.pass(fleet::ReleaseCourse::kWaveMs);
+    held.pass(fleet::ReleaseRetry::kWaveMs);
     held.settle();
   }
   EXPECT_GE(last->count("DELETE", "/bootstrap/rooms/a"), 1);
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -7,21 +7,22 @@
 #include <tuple>
 #include <vector>
 
+#include "fleet/discovery_backoff.h"
 #include "fleet/drains.h"
-#include "fleet/life.h"
-#include "fleet/pace.h"
+#include "fleet/lifecycle.h"
 
 namespace dahliastall::fleet {
 namespace {
 
-// ---- Pace ------------------------------------------------------------------------------------------
+// ---- DiscoveryBackoff ---------------------------------------------------------------------------
 
 // When each node asks in vain, from the same moment on: tries of all in each tenth of a second.
 std::map<int, int> triesOf(int nodes, double forMs) {
   std::map<int, int> tries;
   for (int node = 0; node < nodes; ++node) {
-    Pace pace(nodes, static_cast<std::uint64_t>(node));
-    for (double at = pace.pauseMs(); at < forMs; at += pace.pauseMs()) ++tries[static_cast<int>(at / 100)];
+    DiscoveryBackoff backoff(nodes, static_cast<std::uint64_t>(node));
+    for (double at = backoff.nextDelayMs(); at < forMs; at += backoff.nextDelayMs())
+      ++tries[static_cast<int>(at / 100)];
   }
   return tries;
 }
@@ -48,138 +49,144 @@
   const auto drawn = [&](double most) { return std::uniform_real_distribution<>(0, most)(random); };
   double worst = 0;
   for (int run = 0; run < 20'000; ++run) {
-    Pace pace(run % 2 == 0 ? 3 : 300, random());
+    DiscoveryBackoff backoff(run % 2 == 0 ? 3 : 300, random());
     const double back = drawn(30'000);  // from here on it can be reached, and has what is to be told
     double now = 0;
-    if (run % 3 == 0) now = back + Pace::kSilentMs;  // an open watch fell silent just then
+    if (run % 3 == 0) now = back + DiscoveryBackoff::kWatchTimeoutMs;  // an open watch fell silent just then
     while (now <= back && run % 3 != 0) {
       // Begun before: it may hang to its limits although discovery is back meanwhile.
-      now += random() % 2 == 0 ? drawn(Pace::kDialMs) : Pace::kDialMs + drawn(Pace::kFirstWordMs);
-      now += pace.pauseMs();
+      now += random() % 2 == 0
+                 ? drawn(DiscoveryBackoff::kConnectTimeoutMs)
+                 : DiscoveryBackoff::kConnectTimeoutMs + drawn(DiscoveryBackoff::kFirstByteTimeoutMs);
+      now += backoff.nextDelayMs();
     }
-    if (run % 3 == 0) now += pace.pauseMs();
-    worst = std::max(worst, now + Pace::kCallMs - back);
+    if (run % 3 == 0) now += backoff.nextDelayMs();
+    worst = std::max(worst, now + DiscoveryBackoff::kCallTimeoutMs - back);
   }
-  EXPECT_LE(worst, Pace::kToldAfterMs - Pace::kSpareMs);
-  EXPECT_GE(worst, Pace::kWorstHungMs * 0.9);  // the orders played come near it
+  EXPECT_LE(worst, DiscoveryBackoff::kDeliveryLimitMs - DiscoveryBackoff::kMarginMs);
+  EXPECT_GE(worst, DiscoveryBackoff::kWorstHungCallMs * 0.9);  // the orders played come near it
 }
 
 TEST(PaceOfAFleet, AFewNodesAskAtOnceAndGoOnAskingOften) {
-  Pace pace(2, 7);
-  EXPECT_LE(pace.pauseMs(), 150);
-  for (int i = 0; i < 50; ++i) EXPECT_LE(pace.pauseMs(), Pace::kMostMs * (1 + Pace::kSpread));
-  pace.wentWell();
-  EXPECT_LE(pace.pauseMs(), 150);
+  DiscoveryBackoff backoff(2, 7);
+  EXPECT_LE(backoff.nextDelayMs(), 150);
+  for (int i = 0; i < 50; ++i)
+    EXPECT_LE(backoff.nextDelayMs(), DiscoveryBackoff::kMaxMs * (1 + DiscoveryBackoff::kJitterShare));
+  backoff.reset();
+  EXPECT_LE(backoff.nextDelayMs(), 150);
 }
 
-// ---- Life ------------------------------------------------------------------------------------------
+// ---- InstanceLifecycle --------------------------------------------------------------------------
 
-LifeFacts listed(bool warm = true) {
-  LifeFacts facts;
+InstanceFacts listed(bool warm = true) {
+  InstanceFacts facts;
   facts.listed = true;
   facts.warm = warm;
   return facts;
 }
 
 TEST(LifeOfABox, GoesFromWarmingToDrainedAndComesBackCold) {
-  Life life(/*cold=*/true, 0);
-  EXPECT_EQ(life.state(), LifeState::kWarming);
-  follow(life, listed(), 10);
-  EXPECT_EQ(life.state(), LifeState::kActive);
-  LifeFacts facts = listed();
+  InstanceLifecycle lifecycle(/*cold=*/true, 0);
+  EXPECT_EQ(lifecycle.state(), LifecycleState::kWarming);
+  reconcile(lifecycle, listed(), 10);
+  EXPECT_EQ(lifecycle.state(), LifecycleState::kActive);
+  InstanceFacts facts = listed();
   facts.drainedBy = "maria";
   facts.open = 2;
-  follow(life, facts, 20);
-  EXPECT_EQ(life.state(), LifeState::kDraining);
-  EXPECT_EQ(life.by(), "maria");
-  EXPECT_EQ(life.sinceMs(), 20);
+  reconcile(lifecycle, facts, 20);
+  EXPECT_EQ(lifecycle.state(), LifecycleState::kDraining);
+  EXPECT_EQ(lifecycle.by(), "maria");
+  EXPECT_EQ(lifecycle.sinceMs(), 20);
   facts.open = 0;
-  follow(life, facts, 30);
-  EXPECT_EQ(life.state(), LifeState::kDrained);
-  follow(life, listed(/*warm=*/false), 40);
-  EXPECT_EQ(life.state(), LifeState::kWarming);
+  reconcile(lifecycle, facts, 30);
+  EXPECT_EQ(lifecycle.state(), LifecycleState::kDrained);
+  reconcile(lifecycle, listed(/*warm=*/false), 40);
+  EXPECT_EQ(lifecycle.state(), LifecycleState::kWarming);
 }
 
 TEST(LifeOfABox, ADrainOfAWarmingBoxAndABoxThatVanishesInMidDrain) {
-  Life life(true, 0);
-  LifeFacts facts = listed(false);
+  InstanceLifecycle lifecycle(true, 0);
+  InstanceFacts facts = listed(false);
   facts.drainedBy = "list";
   facts.open = 1;
-  follow(life, facts, 5);
-  EXPECT_EQ(life.state(), LifeState::kDraining);
+  reconcile(lifecycle, facts, 5);
+  EXPECT_EQ(lifecycle.state(), LifecycleState::kDraining);
   facts.reachable = false;  // trouble does not end a drain
   facts.avoided = true;
-  follow(life, facts, 6);
-  EXPECT_EQ(life.state(), LifeState::kDraining);
+  reconcile(lifecycle, facts, 6);
+  EXPECT_EQ(lifecycle.state(), LifecycleState::kDraining);
   facts.listed = false;
-  follow(life, facts, 7);
-  EXPECT_EQ(life.state(), LifeState::kGone);
-  EXPECT_EQ(life.by(), "list");
-  follow(life, listed(false), 8);
-  EXPECT_EQ(life.state(), LifeState::kWarming);
+  reconcile(lifecycle, facts, 7);
+  EXPECT_EQ(lifecycle.state(), LifecycleState::kGone);
+  EXPECT_EQ(lifecycle.by(), "list");
+  reconcile(lifecycle, listed(false), 8);
+  EXPECT_EQ(lifecycle.state(), LifecycleState::kWarming);
 }
 
 TEST(LifeOfABox, AvoidedAndUnreachableComeBackToWhatWasBefore) {
-  Life life(true, 0);
-  LifeFacts facts = listed(false);
+  InstanceLifecycle lifecycle(true, 0);
+  InstanceFacts facts = listed(false);
   facts.avoided = true;
-  follow(life, facts, 1);
-  EXPECT_EQ(life.state(), LifeState::kAvoided);
+  reconcile(lifecycle, facts, 1);
+  EXPECT_EQ(lifecycle.state(), LifecycleState::kAvoided);
   facts.reachable = false;
-  follow(life, facts, 2);
-  EXPECT_EQ(life.state(), LifeState::kUnreachable);
-  follow(life, listed(false), 3);
-  EXPECT_EQ(life.state(), LifeState::kWarming);
+  reconcile(lifecycle, facts, 2);
+  EXPECT_EQ(lifecycle.state(), LifecycleState::kUnreachable);
+  reconcile(lifecycle, listed(false), 3);
+  EXPECT_EQ(lifecycle.state(), LifecycleState::kWarming);
 }
 
 TEST(LifeOfABox, WhatCannotFollowIsRejectedAndChangesNothing) {
-  Life life(false, 0);
-  for (const LifeEvent event : {LifeEvent::kListed, LifeEvent::kWarm, LifeEvent::kIdle, LifeEvent::kDrainOver,
-                                LifeEvent::kTrusted, LifeEvent::kReached}) {
-    const auto outcome = life.apply(event, 9);
+  InstanceLifecycle lifecycle(false, 0);
+  for (const LifecycleEvent event :
+       {LifecycleEvent::kListed, LifecycleEvent::kWarm, LifecycleEvent::kIdle, LifecycleEvent::kDrainOver,
+        LifecycleEvent::kTrusted, LifecycleEvent::kReached}) {
+    const auto outcome = lifecycle.apply(event, 9);
     EXPECT_FALSE(outcome.legal);
     EXPECT_NE(outcome.why.find("active"), std::string::npos);
   }
-  EXPECT_EQ(life.state(), LifeState::kActive);
-  EXPECT_EQ(life.revision(), 1U);
-  EXPECT_EQ(life.sinceMs(), 0);
+  EXPECT_EQ(lifecycle.state(), LifecycleState::kActive);
+  EXPECT_EQ(lifecycle.revision(), 1U);
+  EXPECT_EQ(lifecycle.sinceMs(), 0);
 }
 
 // Whatever the facts do: the state is the one that they call for, and each change of it is one revision or
 // more.
 TEST(LifeOfABox, FollowsWhateverHappens) {
   rc::check([](const std::vector<unsigned char>& steps) {
-    Life life(true, 0);
+    InstanceLifecycle lifecycle(true, 0);
     double now = 0;
     for (const unsigned char step : steps) {
       now += 1;
-      LifeFacts facts;
+      InstanceFacts facts;
       facts.listed = step % 8 != 0;
       facts.warm = (step & 1) != 0;
       facts.drainedBy = (step & 6) == 6 ? "maria" : "";
       facts.avoided = (step & 8) != 0;
       facts.reachable = (step & 48) != 48;
       facts.open = step >> 6;
-      const LifeState before = life.state();
-      const std::uint64_t revision = life.revision();
-      follow(life, facts, now);
-      RC_ASSERT((life.state() == before) <= (life.revision() >= revision));
-      if (life.state() != before) RC_ASSERT(life.revision() > revision);
+      const LifecycleState before = lifecycle.state();
+      const std::uint64_t revision = lifecycle.revision();
+      reconcile(lifecycle, facts, now);
+      RC_ASSERT((lifecycle.state() == before) <= (lifecycle.revision() >= revision));
+      if (lifecycle.state() != before) RC_ASSERT(lifecycle.revision() > revision);
       if (!facts.listed) {
-        RC_ASSERT(life.state() == LifeState::kGone);
+        RC_ASSERT(lifecycle.state() == LifecycleState::kGone);
       } else if (!facts.drainedBy.empty()) {
-        RC_ASSERT(life.state() == LifeState::kDraining || life.state() == LifeState::kDrained);
-        if (facts.open == 0) RC_ASSERT(life.state() == LifeState::kDrained);
+        RC_ASSERT(lifecycle.state() == LifecycleState::kDraining ||
+                  lifecycle.state() == LifecycleState::kDrained);
+        if (facts.open == 0) RC_ASSERT(lifecycle.state() == LifecycleState::kDrained);
       } else if (!facts.reachable) {
-        RC_ASSERT(life.state() == LifeState::kUnreachable);
+        RC_ASSERT(lifecycle.state() == LifecycleState::kUnreachable);
       } else if (facts.avoided) {
-        RC_ASSERT(life.state() == LifeState::kAvoided);
+        RC_ASSERT(lifecycle.state() == LifecycleState::kAvoided);
       } else {
-        RC_ASSERT(life.state() == LifeState::kWarming || life.state() == LifeState::kActive);
+        RC_ASSERT(lifecycle.state() == LifecycleState::kWarming ||
+                  lifecycle.state() == LifecycleState::kActive);
       }
-      const std::uint64_t after = life.revision();
-      follow(life, facts, now + 0.5);  // the same facts again are no news
-      RC_ASSERT(life.revision() == after);
+      const std::uint64_t after = lifecycle.revision();
+      reconcile(lifecycle, facts, now + 0.5);  // the same facts again are no news
+      RC_ASSERT(lifecycle.revision() == after);
     }
   });
 }
--- a/tests/fronts_test.cpp
+++ b/tests/fronts_test.cpp
@@ -510,8 +510,8 @@
   net::Pool pool{io, clock, deadlines, counters, {10, 250, 18'000}};
   fronts::Directory directory;
   fronts::Boxes boxes{fronts::platformDialect(), conductor, pool, directory, clock, deadlines, counters, 300};
-  fronts::Discovery discovery{io,        clock, deadlines,   counters,         conductor,
-                              directory, pool,  setup.names, fleet::Pace(2, 7)};
+  fronts::Discovery discovery{
+      io, clock, deadlines, counters, conductor, directory, pool, setup.names, fleet::DiscoveryBackoff(2, 7)};
 };
 
 std::string listOf(int revision, bool whole, const std::string& phase) {
@@ -651,7 +651,7 @@
 }
 
 // An open watch falls silent as something changes: the next is there, and has been told, within what the sum
-// in fleet/pace.h says, whatever the draws.
+// in fleet/discovery_backoff.h says, whatever the draws.
 TEST(DiscoveryWatch, ASilentWatchIsReplacedWithinTheTimeAfterWhichAChangeCountsAsTold) {
   Watching watching;
   RawPeer agent(watching.io);
@@ -669,7 +669,7 @@
   }
   double passed = 0;
   for (; watching.counters["discovery.watches"] < 2; passed += 10) {
-    ASSERT_LT(passed, fleet::Pace::kToldAfterMs);
+    ASSERT_LT(passed, fleet::DiscoveryBackoff::kDeliveryLimitMs);
     watching.pass(10);
   }
   agent.accept();  // the old one is left open: only the other side has ended it
@@ -678,7 +678,7 @@
   agent.write(head + net::chunkOf(listOf(42, false, "leaving")));
   ASSERT_TRUE(watching.until([&] { return watching.counters["discovery.lists"] == 2; }));
   EXPECT_EQ(watching.directory.find({"a"})->presence, leverrelay::Presence::kLeaving);
-  EXPECT_LE(passed, fleet::Pace::kWorstSilentMs - fleet::Pace::kCallMs);
+  EXPECT_LE(passed, fleet::DiscoveryBackoff::kWorstSilentWatchMs - fleet::DiscoveryBackoff::kCallTimeoutMs);
 }
 
 // A discovery that was put back to an older state, or a peer of it that lags: what is told last is what there
@@ -925,8 +925,9 @@
     void list(leverrelay::ListNews told) override { news = std::move(told); }
   } told;
   Watching watching;
-  fronts::Discovery discovery{watching.io,        watching.clock, watching.deadlines, watching.counters, told,
-                              watching.directory, watching.pool,  setup.names,        fleet::Pace(2, 7)};
+  fronts::Discovery discovery{watching.io,       watching.clock, watching.deadlines,
+                              watching.counters, told,           watching.directory,
+                              watching.pool,     setup.names,    fleet::DiscoveryBackoff(2, 7)};
   const auto entry = [](const char* id, const char* zone, const char* kind, unsigned cell,
                         const char* phase) {
     return json{{"id", id},         {"host_port", "127.0.0.1:9"},
--- a/tests/ops_test.cpp
+++ b/tests/ops_test.cpp
@@ -18,10 +18,10 @@
 namespace {
 
 using namespace leverrelay;
-using fleet::Marks;
+using fleet::Exclusions;
 using fleet::Membership;
 
-// ---- Marks -----------------------------------------------------------------------------------------
+// ---- Exclusions -----------------------------------------------------------------------------------------
 
 // Whoever hears what in whatever order and however often: in the end all say the same, and the last word
 // counts.
@@ -29,42 +29,43 @@
   for (unsigned seed = 1; seed <= 50; ++seed) {
     SCOPED_TRACE(seed);
     std::mt19937 random(seed);
-    std::vector<Marks> writers(3);
-    std::vector<Marks> said;
+    std::vector<Exclusions> writers(3);
+    std::vector<Exclusions> said;
     for (int step = 0; step < 60; ++step) {
       const std::size_t who = random() % writers.size();
       writers[who].set(numbered("i", static_cast<int>(random() % 5)), random() % 2 == 0, who, step);
       said.push_back(writers[who]);
       if (random() % 3 == 0) writers[random() % writers.size()].merge(said[random() % said.size()]);
     }
-    Marks forwards, backwards;
-    for (const Marks& marks : said) forwards.merge(marks);
+    Exclusions forwards, backwards;
+    for (const Exclusions& exclusions : said) forwards.merge(exclusions);
     for (auto it = said.rbegin(); it != said.rend(); ++it) backwards.merge(*it);
     EXPECT_EQ(forwards, backwards);
     EXPECT_TRUE(forwards.merge(backwards).empty());
-    EXPECT_EQ(Marks::parse(forwards.text()), forwards);
+    EXPECT_EQ(Exclusions::parse(forwards.text()), forwards);
   }
 }
 
 TEST(MarksOfOperators, ADamagedOrForeignTextIsNoMarks) {
-  Marks marks;
-  marks.set("a", true, 1, 5);
-  marks.set("b", false, 1, 6);
-  const std::string text = marks.text();
-  for (std::size_t cut = 0; cut + 2 < text.size(); ++cut) EXPECT_FALSE(Marks::parse(text.substr(0, cut)));
+  Exclusions exclusions;
+  exclusions.set("a", true, 1, 5);
+  exclusions.set("b", false, 1, 6);
+  const std::string text = exclusions.text();
+  for (std::size_t cut = 0; cut + 2 < text.size(); ++cut)
+    EXPECT_FALSE(Exclusions::parse(text.substr(0, cut)));
   for (const char* other : {"{}", "[]", "null", R"({"form":"dahliastall-marks-2","marks":[]})",
                             R"({"form":"dahliastall-marks-1","marks":[{"id":"a"}]})",
                             R"({"form":"dahliastall-marks-1","marks":{}})"})
-    EXPECT_FALSE(Marks::parse(other)) << other;
+    EXPECT_FALSE(Exclusions::parse(other)) << other;
 }
 
 TEST(MarksOfOperators, ATableThatIsFullTakesNoMoreAndKeepsWhatItHas) {
-  Marks marks;
-  for (std::size_t i = 0; i < Marks::kMost; ++i)
-    ASSERT_TRUE(marks.set(numbered("i", static_cast<int>(i)), true, 1, 0));
-  EXPECT_FALSE(marks.set("one more", true, 1, 0));
-  EXPECT_TRUE(marks.set("i7", false, 1, 0));
-  EXPECT_EQ(marks.size(), Marks::kMost);
+  Exclusions exclusions;
+  for (std::size_t i = 0; i < Exclusions::kMaxEntries; ++i)
+    ASSERT_TRUE(exclusions.set(numbered("i", static_cast<int>(i)), true, 1, 0));
+  EXPECT_FALSE(exclusions.set("one more", true, 1, 0));
+  EXPECT_TRUE(exclusions.set("i7", false, 1, 0));
+  EXPECT_EQ(exclusions.size(), Exclusions::kMaxEntries);
 }
 
 // ---- Membership ------------------------------------------------------------------------------------
@@ -119,7 +120,7 @@
     EXPECT_EQ(members.exclude(id, 1).verdict, Membership::Verdict::kUnknown);
     EXPECT_EQ(members.include(id, 1).verdict, Membership::Verdict::kUnknown);
   }
-  EXPECT_EQ(members.marks().size(), 0U);
+  EXPECT_EQ(members.exclusions().size(), 0U);
 }
 
 TEST(EffectiveMembership, AnInstanceUnderRepairMayBeOffTheListButNotForGood) {
@@ -132,18 +133,18 @@
             Presence::kLeaving);
   members.told(listOf(ListForm::kFull, {engine("b", kReader)}), 3000);
   for (double now = 3000; now < 3 * 3'600'000; now += 60'000) members.tidy(now);
-  EXPECT_EQ(members.marks().size(), 0U);
+  EXPECT_EQ(members.exclusions().size(), 0U);
 }
 
 TEST(EffectiveMembership, WhatAnotherProcessWasToldHoldsHereToo) {
   Membership one(1), two(2);
   for (Membership* members : {&one, &two}) members->told(listOf(ListForm::kFull, {engine("a", kReader)}), 0);
   one.exclude("a", 10);
-  EXPECT_EQ(presenceIn(two.merge(one.marks()), "a"), Presence::kLeaving);
-  EXPECT_FALSE(two.merge(one.marks()));
+  EXPECT_EQ(presenceIn(two.merge(one.exclusions()), "a"), Presence::kLeaving);
+  EXPECT_FALSE(two.merge(one.exclusions()));
   const auto back = two.include("a", 20);
   EXPECT_EQ(presenceIn(back.news, "a"), Presence::kActive);
-  const auto news = one.merge(two.marks());
+  const auto news = one.merge(two.exclusions());
   EXPECT_EQ(presenceIn(news, "a"), Presence::kActive);
   EXPECT_EQ(news->entries[0].started, core::toModuleTime(20));
 }
@@ -259,7 +260,7 @@
     std::string boxes() override {
       std::string text;
       for (std::size_t i = 0; i < coordination::kMostInstances; ++i)
-        text += "box " + std::string(fleet::Marks::kLongestId, 'i') + " draining why=\"maintenance\"\n";
+        text += "box " + std::string(fleet::Exclusions::kMaxIdBytes, 'i') + " draining why=\"maintenance\"\n";
       return text;
     }
     void maintenance(const std::vector<std::string>& words, std::function<void(Done)> reply) override {
