--- a/benchmarks/gate_cost.cpp
+++ b/benchmarks/gate_cost.cpp
@@ -3,7 +3,7 @@
 
 #include <nlohmann/json.hpp>
 
-#include "admission/gate.h"
+#include "admission/admission_controller.h"
 
 namespace {
 
@@ -26,7 +26,7 @@
 }
 
 // Addresses that are not quiet, so that none can be let go of.
-void fill(Gate& gate, unsigned addresses) {
+void fill(AdmissionController& gate, unsigned addresses) {
   for (unsigned n = 0; n < addresses; ++n) {
     const Decision d = gate.connect(numbered(n), Level::kNormal, 1000);
     if (d.admit && gate.open() > 300) gate.closed(d.visitor, 1000);
@@ -34,7 +34,7 @@
 }
 
 void admitAndClose(benchmark::State& state) {
-  Gate gate(rules());
+  AdmissionController gate(rules());
   const auto addresses = static_cast<unsigned>(state.range(0));
   fill(gate, addresses);
   double now = 1000;
@@ -49,7 +49,7 @@
 BENCHMARK(admitAndClose)->Arg(1)->Arg(1000)->Arg(4096);
 
 void refuseOne(benchmark::State& state) {
-  Gate gate(rules());
+  AdmissionController gate(rules());
   fill(gate, static_cast<unsigned>(state.range(0)));
   for (int i = 0; i < 100; ++i) gate.connect(numbered(0), Level::kNormal, 1000);
   for (auto _ : state) benchmark::DoNotOptimize(gate.connect(numbered(0), Level::kNormal, 1000));
@@ -58,7 +58,7 @@
 
 // Ever new addresses on a full table, none of them quiet.
 void refuseNewOnes(benchmark::State& state) {
-  Gate gate(rules());
+  AdmissionController gate(rules());
   fill(gate, 4096);
   unsigned n = 5000;
   for (auto _ : state) benchmark::DoNotOptimize(gate.connect(numbered(n++), Level::kNormal, 1000));
--- a/src/admission/ledger.cpp
+++ b/src/admission/descriptor_budget.cpp
@@ -1,4 +1,4 @@
-#include "admission/ledger.h"
+#include "admission/descriptor_budget.h"
 
 #include <algorithm>
 
@@ -12,13 +12,13 @@
 constexpr std::size_t kDiscovery = 4, kControl = 40, kTelemetry = 2;
 constexpr double kTightFrom = 0.9, kTightUntil = 0.8;
 constexpr double kExhaustedFrom = 0.98, kExhaustedUntil = 0.9;
-constexpr double kOutMs = 1'000;  // believed so long: descriptors come back as connections end
+constexpr double kExhaustedHoldMs = 1'000;  // believed so long: descriptors come back as connections end
 
 }  // namespace
 
 const char* nameOf(Account account) {
-  constexpr std::array<const char*, Ledger::kAccounts> kNames{"clients",   "boxes", "discovery", "control",
-                                                              "telemetry", "own",   "refusals"};
+  constexpr std::array<const char*, DescriptorBudget::kAccounts> kNames{
+      "clients", "boxes", "discovery", "control", "telemetry", "own", "refusals"};
   return kNames[static_cast<std::size_t>(account)];
 }
 
@@ -26,7 +26,7 @@
   return level == Level::kNormal ? "normal" : level == Level::kTight ? "tight" : "exhausted";
 }
 
-Ledger::Shares Ledger::sharesOf(std::size_t limit) {
+DescriptorBudget::Shares DescriptorBudget::sharesOf(std::size_t limit) {
   const std::size_t rest = limit > kFixed ? limit - kFixed : 0;
   Shares shares;
   shares.limit = limit;
@@ -41,7 +41,7 @@
   return shares;
 }
 
-bool Ledger::take(Account account) {
+bool DescriptorBudget::take(Account account) {
   if (!may(account)) {
     ++refused_[at(account)];
     return false;
@@ -50,28 +50,28 @@
   return true;
 }
 
-void Ledger::force(Account account) {
+void DescriptorBudget::force(Account account) {
   ++held_[at(account)];
   ++total_;
 }
 
-void Ledger::give(Account account) {
+void DescriptorBudget::give(Account account) {
   if (held_[at(account)] == 0) return;
   --held_[at(account)];
   --total_;
 }
 
-void Ledger::ranOut(double nowMs) { outUntilMs_ = nowMs + kOutMs; }
+void DescriptorBudget::ranOut(double nowMs) { exhaustedUntilMs_ = nowMs + kExhaustedHoldMs; }
 
 // By whichever is fuller: the process, or the clients' share of it. With hysteresis, or each close would flip
 // it.
-Level Ledger::level(double nowMs) {
+Level DescriptorBudget::level(double nowMs) {
   const auto part = [](std::size_t held, std::size_t most) {
     return most == 0 ? 1.0 : static_cast<double>(held) / static_cast<double>(most);
   };
   const double full = std::max(part(total_, shares_.limit),
                                part(held(Account::kClients), shares_.most[at(Account::kClients)]));
-  if (nowMs < outUntilMs_ || full >= kExhaustedFrom) level_ = Level::kExhausted;
+  if (nowMs < exhaustedUntilMs_ || full >= kExhaustedFrom) level_ = Level::kExhausted;
   else if (level_ == Level::kExhausted && full >= kExhaustedUntil) level_ = Level::kExhausted;
   else if (full >= kTightFrom || (level_ != Level::kNormal && full >= kTightUntil)) level_ = Level::kTight;
   else level_ = Level::kNormal;
--- a/src/admission/ledger.h
+++ b/src/admission/descriptor_budget.h
@@ -14,7 +14,7 @@
 const char* nameOf(Account account);
 const char* nameOf(Level level);
 
-class Ledger {
+class DescriptorBudget {
  public:
   static constexpr std::size_t kAccounts = 7;
 
@@ -27,7 +27,7 @@
   // boxes, so that whatever was accepted can be sent on.
   static Shares sharesOf(std::size_t limit);
 
-  explicit Ledger(const Shares& shares) : shares_(shares) {}
+  explicit DescriptorBudget(const Shares& shares) : shares_(shares) {}
 
   bool may(Account account) const {
     return held(account) < shares_.most[at(account)] && total_ < shares_.limit;
@@ -52,7 +52,7 @@
   std::array<std::uint64_t, kAccounts> refused_{};
   std::size_t total_ = 0;
   Level level_ = Level::kNormal;
-  double outUntilMs_ = 0;
+  double exhaustedUntilMs_ = 0;
 };
 
 }  // namespace dahliastall::admission
--- a/src/app/door_call.cpp
+++ b/src/app/admin_client.cpp
@@ -1,4 +1,4 @@
-#include "app/door_call.h"
+#include "app/admin_client.h"
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/read.hpp>
@@ -8,29 +8,29 @@
 
 namespace dahliastall::app {
 
-std::string callDoor(const net::Endpoint& door, const std::string& line, double withinMs) {
+std::string callAdmin(const net::Endpoint& endpoint, const std::string& line, double withinMs) {
   boost::asio::io_context io;
   boost::asio::ip::tcp::socket socket(io);
   const std::string text = line + "\n";
   std::string answer;
-  bool over = false;
+  bool closed = false;
   boost::system::error_code trouble;
-  socket.async_connect(door, [&](const boost::system::error_code& error) {
+  socket.async_connect(endpoint, [&](const boost::system::error_code& error) {
     if ((trouble = error)) return;
     boost::asio::async_write(
         socket, boost::asio::buffer(text), [&](const boost::system::error_code& failed, std::size_t) {
           if ((trouble = failed)) return;
           boost::asio::async_read(socket, boost::asio::dynamic_buffer(answer),
                                   [&](const boost::system::error_code& end, std::size_t) {
-                                    over = end == boost::asio::error::eof;
-                                    if (!over) trouble = end;
+                                    closed = end == boost::asio::error::eof;
+                                    if (!closed) trouble = end;
                                   });
         });
   });
   io.run_for(std::chrono::milliseconds(static_cast<long>(withinMs)));
-  const std::string where = door.address().to_string() + ":" + std::to_string(door.port());
+  const std::string where = endpoint.address().to_string() + ":" + std::to_string(endpoint.port());
   if (trouble) throw std::runtime_error("the door at " + where + " cannot be used: " + trouble.message());
-  if (!over || answer.empty()) throw std::runtime_error("the door at " + where + " does not answer");
+  if (!closed || answer.empty()) throw std::runtime_error("the door at " + where + " does not answer");
   return answer;
 }
 
--- a/src/app/door_call.h
+++ b/src/app/admin_client.h
@@ -8,6 +8,6 @@
 namespace dahliastall::app {
 
 // The whole answer. Blocks; throws std::runtime_error if there is none within the time.
-std::string callDoor(const net::Endpoint& door, const std::string& line, double withinMs = 10'000);
+std::string callAdmin(const net::Endpoint& endpoint, const std::string& line, double withinMs = 10'000);
 
 }  // namespace dahliastall::app
--- a/src/app/admission_watch.cpp
+++ b/src/app/admission_watch.cpp
@@ -10,7 +10,8 @@
 
 }  // namespace
 
-AdmissionWatch::AdmissionWatch(Engine& engine, admission::Gate* gate) : engine_(engine), gate_(gate) {
+AdmissionWatch::AdmissionWatch(Engine& engine, admission::AdmissionController* gate)
+    : engine_(engine), gate_(gate) {
   if (gate_ != nullptr) tick();
 }
 
@@ -56,7 +57,7 @@
   }
   for (const auto& [address, count] : gate_->mostRefused())
     text += labelled("admission_refused_most", "address", address, count);
-  for (std::size_t i = 0; i < admission::Ledger::kAccounts; ++i) {
+  for (std::size_t i = 0; i < admission::DescriptorBudget::kAccounts; ++i) {
     const auto account = static_cast<admission::Account>(i);
     text += labelled("descriptors_held", "account", admission::nameOf(account), engine_.ledger.held(account));
     text +=
--- a/src/app/admission_watch.h
+++ b/src/app/admission_watch.h
@@ -6,14 +6,14 @@
 #include <optional>
 #include <string>
 
-#include "admission/gate.h"
+#include "admission/admission_controller.h"
 #include "app/conductor_app.h"
 
 namespace dahliastall::app {
 
 class AdmissionWatch {
  public:
-  AdmissionWatch(Engine& engine, admission::Gate* gate);
+  AdmissionWatch(Engine& engine, admission::AdmissionController* gate);
   ~AdmissionWatch();
 
   // Empty without a gate.
@@ -23,7 +23,7 @@
   void tick();
 
   Engine& engine_;
-  admission::Gate* gate_;
+  admission::AdmissionController* gate_;
   std::array<std::uint64_t, admission::kReasons> said_{};
   admission::Level level_ = admission::Level::kNormal;
   std::optional<core::Deadlines::Key> next_;
--- a/src/app/conductor_app.cpp
+++ b/src/app/conductor_app.cpp
@@ -11,7 +11,7 @@
 #include "app/operations.h"
 #include "app/otlp.h"
 #include "app/trace.h"
-#include "net/line_door.h"
+#include "net/line_server.h"
 
 namespace dahliastall::app {
 
@@ -60,7 +60,7 @@
                double idleCloseMs, fronts::BoxDialect dialect, std::size_t descriptors)
     : io(context),
       clock(time),
-      ledger(admission::Ledger::sharesOf(descriptors)),
+      ledger(admission::DescriptorBudget::sharesOf(descriptors)),
       loop(io, clock, deadlines),
       conductor(setup.settings, seed, clock, deadlines, counters),
       membership(seed),
@@ -162,16 +162,16 @@
   return exporter;
 }
 
-std::unique_ptr<net::LineDoor> doorFor(const std::optional<net::Endpoint>& address, Operations& operations,
-                                       Engine& engine) {
+std::unique_ptr<net::LineServer> doorFor(const std::optional<net::Endpoint>& address, Operations& operations,
+                                         Engine& engine) {
   if (!address) return nullptr;
-  auto door = std::make_unique<net::LineDoor>(
+  auto door = std::make_unique<net::LineServer>(
       engine.io, *address,
-      net::LineDoor::LaterAnswer([&operations](std::string_view line, net::LineDoor::Reply reply) {
+      net::LineServer::LaterAnswer([&operations](std::string_view line, net::LineServer::Reply reply) {
         control::handle(operations, line, std::move(reply));
       }),
       engine.clock, engine.deadlines, engine.counters,
-      net::LineDoor::Limits{.lineBytes = control::kLongestPlanLine});
+      net::LineServer::Limits{.lineBytes = control::kLongestPlanLine});
   door->accountTo(engine.ledger);
   return door;
 }
@@ -280,12 +280,12 @@
   const Limits limits{descriptorsOf(site.sockets)};
   Engine engine(io, clock, site.setup, site.seed, limits.boxes(), site.idleCloseMs,
                 fronts::openaiDialect(site), limits.sockets);
-  std::unique_ptr<admission::Gate> gate;
+  std::unique_ptr<admission::AdmissionController> gate;
   if (site.admission) {
     if (site.admission->total > fronts::mostAdmitted(limits.sockets))
       throw ConfigError("admission.connections.total cannot be met: the system gives only " +
                         std::to_string(limits.sockets) + " descriptors");
-    gate = std::make_unique<admission::Gate>(*site.admission);
+    gate = std::make_unique<admission::AdmissionController>(*site.admission);
   }
   traceTo(engine, telemetry);
   engine.directory = site.directory;
--- a/src/app/conductor_app.h
+++ b/src/app/conductor_app.h
@@ -49,7 +49,7 @@
   const core::Clock& clock;
   core::Deadlines deadlines;
   core::Counters counters;
-  admission::Ledger ledger;
+  admission::DescriptorBudget ledger;
   net::Loop loop;
   core::Conductor conductor;
   fleet::Membership membership;
--- a/src/app/otlp.h
+++ b/src/app/otlp.h
@@ -20,7 +20,9 @@
   OtlpExporter(boost::asio::io_context& io, const core::Clock& clock, core::Deadlines& deadlines,
                core::Counters& counters, const net::Endpoint& collector, double intervalMs);
 
-  void accountTo(admission::Ledger& ledger) { pool_.accountTo(ledger, admission::Account::kTelemetry); }
+  void accountTo(admission::DescriptorBudget& ledger) {
+    pool_.accountTo(ledger, admission::Account::kTelemetry);
+  }
 
   // One export now; one that is still under way is given up for it, as sums say all there is to say.
   void send();
--- a/src/coordination/etcd_store.h
+++ b/src/coordination/etcd_store.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "admission/ledger.h"
+#include "admission/descriptor_budget.h"
 #include "coordination/store.h"
 #include "core/clock.h"
 #include "core/counters.h"
@@ -29,7 +29,9 @@
   EtcdStore(boost::asio::io_context& io, const core::Clock& clock, core::Deadlines& deadlines,
             core::Counters& counters, EtcdPlace place);
   ~EtcdStore() override;
-  void accountTo(admission::Ledger& ledger) { pool_.accountTo(ledger, admission::Account::kControl); }
+  void accountTo(admission::DescriptorBudget& ledger) {
+    pool_.accountTo(ledger, admission::Account::kControl);
+  }
 
   std::string describe() const override;
   void ask(const LeaseAsk& ask, std::function<void(const LeaseAnswer&)> answer) override;
--- a/src/fronts/openai/operator_file.cpp
+++ b/src/fronts/openai/operator_file.cpp
@@ -5,7 +5,7 @@
 #include <set>
 #include <stdexcept>
 
-#include "admission/ledger.h"
+#include "admission/descriptor_budget.h"
 #include "core/clock.h"
 #include "core/fields.h"
 #include "fronts/settings_json.h"
@@ -82,7 +82,7 @@
 }  // namespace
 
 std::size_t mostAdmitted(std::size_t sockets) {
-  const admission::Ledger::Shares shares = admission::Ledger::sharesOf(sockets);
+  const admission::DescriptorBudget::Shares shares = admission::DescriptorBudget::sharesOf(sockets);
   return shares.most[static_cast<std::size_t>(admission::Account::kClients)];
 }
 
--- a/src/fronts/platform/discovery.h
+++ b/src/fronts/platform/discovery.h
@@ -32,7 +32,9 @@
   void known(const nlohmann::json& list);
   // Also while another address is watched: the list stays, and that watch too, until the new one speaks.
   void watch(const net::Endpoint& address);
-  void accountTo(admission::Ledger& ledger) { own_.accountTo(ledger, admission::Account::kDiscovery); }
+  void accountTo(admission::DescriptorBudget& ledger) {
+    own_.accountTo(ledger, admission::Account::kDiscovery);
+  }
   bool spoken() const { return watch_ != nullptr; }  // whether a watch has said anything
   // One line of the watch; false if it is no list.
   bool line(std::string_view text);
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -8,9 +8,9 @@
 #include <string>
 #include <vector>
 
+#include "app/admin_client.h"
 #include "app/conductor_app.h"
 #include "app/config.h"
-#include "app/door_call.h"
 
 namespace {
 
@@ -142,7 +142,7 @@
   if (given.count("words") != 0)
     for (const std::string& word : given["words"].as<std::vector<std::string>>()) line += " " + word;
   if (given["json"].as<bool>()) line += " json";
-  std::string answer = app::callDoor(net::endpointOf(given["door"].as<std::string>()), line);
+  std::string answer = app::callAdmin(net::endpointOf(given["door"].as<std::string>()), line);
   const bool no = answer.rfind("fail", 0) == 0;
   constexpr std::string_view kEnd = "eof\n";
   if (answer.size() >= kEnd.size() && answer.compare(answer.size() - kEnd.size(), kEnd.size(), kEnd) == 0)
--- a/src/net/line_door.cpp
+++ b/src/net/line_server.cpp
@@ -1,4 +1,4 @@
-#include "net/line_door.h"
+#include "net/line_server.h"
 
 #include <array>
 #include <boost/asio/write.hpp>
@@ -13,9 +13,10 @@
 
 }  // namespace
 
-class LineDoor::Caller final : public std::enable_shared_from_this<Caller> {
+class LineServer::Caller final : public std::enable_shared_from_this<Caller> {
  public:
-  Caller(LineDoor& door, boost::asio::ip::tcp::socket socket) : door_(&door), socket_(std::move(socket)) {}
+  Caller(LineServer& server, boost::asio::ip::tcp::socket socket)
+      : door_(&server), socket_(std::move(socket)) {}
 
   void start() {
     limit_ =
@@ -28,12 +29,12 @@
 
   void shut() {
     if (door_ == nullptr) return;
-    LineDoor& door = *std::exchange(door_, nullptr);
-    door.deadlines_.cancel(limit_);
+    LineServer& server = *std::exchange(door_, nullptr);
+    server.deadlines_.cancel(limit_);
     boost::system::error_code ignored;
     socket_.close(ignored);
-    if (door.ledger_ != nullptr) door.ledger_->give(admission::Account::kControl);
-    door.calls_.remove(shared_from_this());
+    if (server.ledger_ != nullptr) server.ledger_->give(admission::Account::kControl);
+    server.calls_.remove(shared_from_this());
   }
 
  private:
@@ -83,7 +84,7 @@
         });
   }
 
-  LineDoor* door_;  // none once closed
+  LineServer* door_;  // none once closed
   boost::asio::ip::tcp::socket socket_;
   std::array<char, kReadSize> part_{};
   std::string line_, text_;
@@ -91,9 +92,9 @@
   bool answered_ = false;
 };
 
-LineDoor::LineDoor(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address,
-                   LaterAnswer answer, const core::Clock& clock, core::Deadlines& deadlines,
-                   core::Counters& counters, Limits limits)
+LineServer::LineServer(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address,
+                       LaterAnswer answer, const core::Clock& clock, core::Deadlines& deadlines,
+                       core::Counters& counters, Limits limits)
     : io_(io),
       acceptor_(io, address, /*reuse_addr=*/true),
       answer_(std::move(answer)),
@@ -104,12 +105,12 @@
   accept();
 }
 
-LineDoor::~LineDoor() {
+LineServer::~LineServer() {
   deadlines_.cancel(pause_);
   while (!calls_.empty()) calls_.front()->shut();
 }
 
-void LineDoor::accept() {
+void LineServer::accept() {
   acceptor_.async_accept([this](const boost::system::error_code& error, boost::asio::ip::tcp::socket socket) {
     if (error == boost::asio::error::operation_aborted) return;
     if (error) {
--- a/src/net/line_door.h
+++ b/src/net/line_server.h
@@ -9,14 +9,14 @@
 #include <string>
 #include <string_view>
 
-#include "admission/ledger.h"
+#include "admission/descriptor_budget.h"
 #include "core/clock.h"
 #include "core/counters.h"
 #include "core/deadlines.h"
 
 namespace dahliastall::net {
 
-class LineDoor {
+class LineServer {
  public:
   struct Limits {
     std::size_t connections = 32;  // at a time; beyond it the one that has been silent longest gives way
@@ -31,23 +31,23 @@
   using LaterAnswer = std::function<void(std::string_view line, Reply reply)>;
 
   // Throws boost::system::system_error if the address cannot be listened on.
-  LineDoor(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address, LaterAnswer answer,
-           const core::Clock& clock, core::Deadlines& deadlines, core::Counters& counters, Limits limits);
-  LineDoor(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address, Answer answer,
-           const core::Clock& clock, core::Deadlines& deadlines, core::Counters& counters, Limits limits)
-      : LineDoor(io, address,
-                 LaterAnswer([answer = std::move(answer)](std::string_view line, const Reply& reply) {
-                   reply(answer(line));
-                 }),
-                 clock, deadlines, counters, limits) {}
-  LineDoor(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address, Answer answer,
-           const core::Clock& clock, core::Deadlines& deadlines, core::Counters& counters)
-      : LineDoor(io, address, std::move(answer), clock, deadlines, counters, Limits{}) {}
-  ~LineDoor();
+  LineServer(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address, LaterAnswer answer,
+             const core::Clock& clock, core::Deadlines& deadlines, core::Counters& counters, Limits limits);
+  LineServer(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address, Answer answer,
+             const core::Clock& clock, core::Deadlines& deadlines, core::Counters& counters, Limits limits)
+      : LineServer(io, address,
+                   LaterAnswer([answer = std::move(answer)](std::string_view line, const Reply& reply) {
+                     reply(answer(line));
+                   }),
+                   clock, deadlines, counters, limits) {}
+  LineServer(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address, Answer answer,
+             const core::Clock& clock, core::Deadlines& deadlines, core::Counters& counters)
+      : LineServer(io, address, std::move(answer), clock, deadlines, counters, Limits{}) {}
+  ~LineServer();
 
   boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
   std::size_t size() const { return calls_.size(); }
-  void accountTo(admission::Ledger& ledger) { ledger_ = &ledger; }
+  void accountTo(admission::DescriptorBudget& ledger) { ledger_ = &ledger; }
 
  private:
   class Caller;
@@ -63,7 +63,7 @@
   Limits limits_;
   std::list<std::shared_ptr<Caller>> calls_;  // in the order they came
   std::optional<core::Deadlines::Key> pause_;
-  admission::Ledger* ledger_ = nullptr;
+  admission::DescriptorBudget* ledger_ = nullptr;
 };
 
 }  // namespace dahliastall::net
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -182,9 +182,9 @@
   const double now = clock_.nowMs();
   const auto level = ledger_ != nullptr ? ledger_->level(now) : admission::Level::kNormal;
   const admission::Decision decision = gate_->connect(addressOf(peer), level, now);
-  if (decision.giveWay) close({*decision.giveWay});
+  if (decision.evict) close({*decision.evict});
   if (!decision.admit) return refuse(std::move(socket), decision);
-  letIn(std::move(socket), decision.visitor);
+  letIn(std::move(socket), decision.id);
 }
 
 void Listener::refuse(boost::asio::ip::tcp::socket socket, const admission::Decision& decision) {
@@ -206,7 +206,7 @@
   refusal->start();
 }
 
-void Listener::letIn(boost::asio::ip::tcp::socket socket, admission::Visitor visitor) {
+void Listener::letIn(boost::asio::ip::tcp::socket socket, admission::ConnectionId visitor) {
   ++counters_["clients.accepted"];
   if (ledger_ != nullptr) ledger_->force(admission::Account::kClients);
   const auto connection =
@@ -217,8 +217,8 @@
   connection->start();
 }
 
-void Listener::close(const std::vector<admission::Visitor>& visitors) {
-  for (const admission::Visitor visitor : visitors) {
+void Listener::close(const std::vector<admission::ConnectionId>& visitors) {
+  for (const admission::ConnectionId visitor : visitors) {
     const auto it = visitors_.find(visitor);
     const auto connection = it == visitors_.end() ? nullptr : it->second.lock();
     if (connection) connection->evict();
@@ -230,7 +230,7 @@
 }
 
 void Listener::rests(ClientConnection& connection) {
-  if (gate_ != nullptr) gate_->rests(connection.number, clock_.nowMs());
+  if (gate_ != nullptr) gate_->idle(connection.number, clock_.nowMs());
 }
 
 void Listener::identified(ClientConnection& connection, const std::string& who) {
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -9,7 +9,7 @@
 #include <optional>
 #include <set>
 
-#include "admission/gate.h"
+#include "admission/admission_controller.h"
 #include "core/clock.h"
 #include "core/counters.h"
 #include "core/deadlines.h"
@@ -20,10 +20,10 @@
 class Listener final : public ClientConnection::Owner {
  public:
   struct Options {
-    bool sharedPort = false;              // another process may listen on the same address at the same time
-    bool open = true;                     // at once; else open() does it, and until then nobody can connect
-    admission::Gate* gate = nullptr;      // who may connect; none: whoever finds room
-    admission::Ledger* ledger = nullptr;  // of the process's descriptors
+    bool sharedPort = false;  // another process may listen on the same address at the same time
+    bool open = true;         // at once; else open() does it, and until then nobody can connect
+    admission::AdmissionController* gate = nullptr;  // who may connect; none: whoever finds room
+    admission::DescriptorBudget* ledger = nullptr;   // of the process's descriptors
   };
 
   // Throws boost::system::system_error if the address cannot be listened on.
@@ -62,7 +62,7 @@
   void rests(ClientConnection& connection) override;
   void identified(ClientConnection& connection, const std::string& who) override;
   // Closes those that a change of rules left no room for.
-  void close(const std::vector<admission::Visitor>& visitors);
+  void close(const std::vector<admission::ConnectionId>& visitors);
   std::size_t turningAway() const { return refusals_.size(); }
   bool draining() const override { return doorClosed_ || evacuated_; }
   std::size_t size() const { return connections_.size(); }
@@ -73,7 +73,7 @@
   void admit(boost::asio::ip::tcp::socket socket);
   void refuse(boost::asio::ip::tcp::socket socket, const admission::Decision& decision);
   void turnAwayOnSpare();
-  void letIn(boost::asio::ip::tcp::socket socket, admission::Visitor visitor);
+  void letIn(boost::asio::ip::tcp::socket socket, admission::ConnectionId visitor);
   void emptyQueue();
   void sweepIdle();
   void makeRoom();
@@ -90,9 +90,9 @@
   core::Counters& counters_;
   std::set<std::shared_ptr<ClientConnection>> connections_;
   std::function<void()> done_;
-  admission::Gate* gate_;
-  admission::Ledger* ledger_;
-  std::map<admission::Visitor, std::weak_ptr<ClientConnection>> visitors_;
+  admission::AdmissionController* gate_;
+  admission::DescriptorBudget* ledger_;
+  std::map<admission::ConnectionId, std::weak_ptr<ClientConnection>> visitors_;
   class Refusal;
   std::set<std::shared_ptr<Refusal>> refusals_;  // being read by their clients
   int spare_ = -1;  // given up for a moment when the system has no descriptor left
--- a/src/net/pool.h
+++ b/src/net/pool.h
@@ -17,7 +17,7 @@
 #include <string>
 #include <string_view>
 
-#include "admission/ledger.h"
+#include "admission/descriptor_budget.h"
 #include "core/clock.h"
 #include "core/counters.h"
 #include "core/deadlines.h"
@@ -146,7 +146,7 @@
   void dropIdle(const Endpoint& to);
   void dialWithin(double ms) { limits_.dialMs = ms; }
   // Where its descriptors are accounted for; what is open already is not.
-  void accountTo(admission::Ledger& ledger, admission::Account account) {
+  void accountTo(admission::DescriptorBudget& ledger, admission::Account account) {
     ledger_ = &ledger;
     account_ = account;
   }
@@ -182,7 +182,7 @@
   Limits limits_;
   Idle idle_;
   std::deque<std::shared_ptr<Call>> waiting_;  // the urgent ones first
-  admission::Ledger* ledger_ = nullptr;
+  admission::DescriptorBudget* ledger_ = nullptr;
   admission::Account account_ = admission::Account::kBoxes;
   std::function<void(const std::string&)> wire_;
   std::uint64_t links_ = 0;
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -7,7 +7,7 @@
 #include <nlohmann/json.hpp>
 #include <random>
 
-#include "admission/gate.h"
+#include "admission/admission_controller.h"
 #include "app/conductor_app.h"
 #include "support/program.h"
 
@@ -85,9 +85,9 @@
   const Rules rules = rulesOf(file(), {"desk", "app"}, 200);
   EXPECT_NE(explain(rules, at("127.0.1.9"), {}).find("127.0.1.0/24 is in admission.known.ranges"),
             std::string::npos);
-  const std::string stranger = explain(rules, at("10.0.0.1"), "app");
-  EXPECT_NE(stranger.find("at most 10 connections"), std::string::npos);
-  EXPECT_NE(stranger.find("room: 80 of 100"), std::string::npos);
+  const std::string unknownCandidate = explain(rules, at("10.0.0.1"), "app");
+  EXPECT_NE(unknownCandidate.find("at most 10 connections"), std::string::npos);
+  EXPECT_NE(unknownCandidate.find("room: 80 of 100"), std::string::npos);
   EXPECT_NE(explain(rules, at("10.0.0.1"), "desk").find("known by key: desk"), std::string::npos);
 }
 
@@ -95,8 +95,8 @@
 
 Rules rules() { return rulesOf(file(), {"desk"}, 200); }
 
-TEST(Gate, AnAddressThatLoopsIsHeldToItsRateAndItsCapAndOthersAreNot) {
-  Gate gate(rules());
+TEST(AdmissionController, AnAddressThatLoopsIsHeldToItsRateAndItsCapAndOthersAreNot) {
+  AdmissionController gate(rules());
   int in = 0, rate = 0, cap = 0;
   for (int i = 0; i < 1000; ++i) {
     const Decision d = gate.connect(at("10.0.0.1"), Level::kNormal, 1000.0 + i);
@@ -112,20 +112,20 @@
   EXPECT_EQ(gate.mostRefused().front().first, "10.0.0.1");
 }
 
-TEST(Gate, AWholeClubBehindOneAddressIsNoFloodIfItsRangeIsKnown) {
-  Gate gate(rules());
+TEST(AdmissionController, AWholeClubBehindOneAddressIsNoFloodIfItsRangeIsKnown) {
+  AdmissionController gate(rules());
   for (int i = 0; i < 100; ++i) EXPECT_TRUE(gate.connect(at("127.0.1.5"), Level::kNormal, 1000).admit) << i;
   EXPECT_EQ(gate.connect(at("127.0.1.5"), Level::kNormal, 1000).reason, Reason::kFull);  // all are young
 }
 
-TEST(Gate, TheReserveIsForKnownClientsAndAKeyEndsBorrowing) {
-  Gate gate(rules());
-  std::vector<Visitor> in;
+TEST(AdmissionController, TheReserveIsForKnownClientsAndAKeyEndsBorrowing) {
+  AdmissionController gate(rules());
+  std::vector<ConnectionId> in;
   for (int i = 0; i < 80; ++i) {
     const Decision d = gate.connect(at("10.0.1." + std::to_string(i)), Level::kNormal, 1000);
     ASSERT_TRUE(d.admit);
-    gate.busy(d.visitor);
-    in.push_back(d.visitor);
+    gate.busy(d.id);
+    in.push_back(d.id);
   }
   EXPECT_EQ(gate.connect(at("10.0.2.1"), Level::kNormal, 5000).reason, Reason::kReserved);
   EXPECT_TRUE(gate.connect(at("127.0.1.1"), Level::kNormal, 5000).admit);
@@ -135,30 +135,30 @@
   EXPECT_TRUE(gate.connect(at("10.0.2.1"), Level::kNormal, 5000).admit);
 }
 
-TEST(Gate, WhoHoldsMostIdleConnectionsGivesWayAndNobodyWithARequest) {
+TEST(AdmissionController, WhoHoldsMostIdleConnectionsGivesWayAndNobodyWithARequest) {
   Rules r = rules();
   r.reserve = 0;
   r.total = 6;
-  Gate gate(r);
+  AdmissionController gate(r);
   const auto connect = [&](const char* address, double now) {
     return gate.connect(at(address), Level::kNormal, now);
   };
-  const Visitor a1 = connect("10.0.0.1", 1000).visitor;
-  const Visitor a2 = connect("10.0.0.1", 1010).visitor;
-  const Visitor a3 = connect("10.0.0.1", 1020).visitor;
-  const Visitor b = connect("10.0.0.2", 1000).visitor;
-  const Visitor known = connect("127.0.1.1", 1000).visitor;
-  const Visitor busy = connect("10.0.0.3", 700).visitor;
+  const ConnectionId a1 = connect("10.0.0.1", 1000).id;
+  const ConnectionId a2 = connect("10.0.0.1", 1010).id;
+  const ConnectionId a3 = connect("10.0.0.1", 1020).id;
+  const ConnectionId b = connect("10.0.0.2", 1000).id;
+  const ConnectionId known = connect("127.0.1.1", 1000).id;
+  const ConnectionId busy = connect("10.0.0.3", 700).id;
   gate.busy(busy);
   gate.busy(a1);
   EXPECT_EQ(connect("10.0.0.4", 1050).reason, Reason::kFull) << "whoever is idle there came a moment ago";
-  EXPECT_EQ(connect("10.0.0.4", 2000).giveWay, a2);
-  gate.rests(a1, 2100);
-  EXPECT_EQ(connect("127.0.1.2", 3000).giveWay, a3) << "idle longer than a1";
-  std::set<Visitor> gone;
+  EXPECT_EQ(connect("10.0.0.4", 2000).evict, a2);
+  gate.idle(a1, 2100);
+  EXPECT_EQ(connect("127.0.1.2", 3000).evict, a3) << "idle longer than a1";
+  std::set<ConnectionId> gone;
   for (int i = 0; i < 3; ++i) {
     const auto d = connect("127.0.1.3", 4000 + i);
-    if (d.giveWay) gone.insert(*d.giveWay);
+    if (d.evict) gone.insert(*d.evict);
   }
   EXPECT_TRUE(gone.count(b) != 0 && gone.count(a1) != 0);
   EXPECT_EQ(gone.count(known) + gone.count(busy), 0U);
@@ -167,20 +167,20 @@
 }
 
 // Addresses by the thousand can neither push a penalty out of the table nor make it grow.
-TEST(Gate, ManyAddressesCannotResetAPenalty) {
+TEST(AdmissionController, ManyAddressesCannotResetAPenalty) {
   Rules r = rules();
   r.table = 64;
-  Gate gate(r);
+  AdmissionController gate(r);
   const Address loud = at("10.9.9.9");
   for (int i = 0; i < 50; ++i) {
     const Decision d = gate.connect(loud, Level::kNormal, 1000);
-    if (d.admit) gate.closed(d.visitor, 1000);
+    if (d.admit) gate.closed(d.id, 1000);
   }
   ASSERT_EQ(gate.connect(loud, Level::kNormal, 1000).reason, Reason::kRate);
   for (int i = 0; i < 5000; ++i) {
     const Decision d = gate.connect(at("10." + std::to_string(i / 250) + ".7." + std::to_string(i % 250)),
                                     Level::kNormal, 1000 + i * 0.01);
-    if (d.admit) gate.closed(d.visitor, 1000);
+    if (d.admit) gate.closed(d.id, 1000);
     ASSERT_LE(gate.addresses(), 64U);
   }
   EXPECT_EQ(gate.connect(loud, Level::kNormal, 1051).reason, Reason::kRate);
@@ -189,14 +189,14 @@
   EXPECT_TRUE(gate.connect(at("10.200.0.1"), Level::kNormal, 60'000).admit);
 }
 
-TEST(Gate, AClockThatJumpsGivesNobodyMoreThanABurst) {
-  Gate gate(rules());
+TEST(AdmissionController, AClockThatJumpsGivesNobodyMoreThanABurst) {
+  AdmissionController gate(rules());
   const auto burst = [&](double now) {
     int in = 0;
     for (int i = 0; i < 100; ++i) {
       const Decision d = gate.connect(at("10.0.0.1"), Level::kNormal, now);
       in += d.admit;
-      if (d.admit) gate.closed(d.visitor, now);
+      if (d.admit) gate.closed(d.id, now);
     }
     return in;
   };
@@ -206,15 +206,15 @@
   EXPECT_EQ(burst(1e12 + 1000), 5);
 }
 
-TEST(Gate, ALoweredCapLetsOpenRequestsFinish) {
-  Gate gate(rules());
-  std::vector<Visitor> in;
-  for (int i = 0; i < 10; ++i) in.push_back(gate.connect(at("10.0.0.1"), Level::kNormal, 1000).visitor);
+TEST(AdmissionController, ALoweredCapLetsOpenRequestsFinish) {
+  AdmissionController gate(rules());
+  std::vector<ConnectionId> in;
+  for (int i = 0; i < 10; ++i) in.push_back(gate.connect(at("10.0.0.1"), Level::kNormal, 1000).id);
   for (int i = 0; i < 6; ++i) gate.busy(in[static_cast<std::size_t>(i)]);
   Rules lower = rules();
   lower.perAddress = 3;
-  const auto leaving = gate.reconfigure(lower, 2000);
-  EXPECT_EQ(leaving, std::vector<Visitor>(in.begin() + 6, in.end()));
+  const auto evicted = gate.reconfigure(lower, 2000);
+  EXPECT_EQ(evicted, std::vector<ConnectionId>(in.begin() + 6, in.end()));
   EXPECT_EQ(gate.open(), 6U);
   EXPECT_EQ(gate.connect(at("10.0.0.1"), Level::kNormal, 9000).reason, Reason::kAddress);
   for (int i = 0; i < 4; ++i) gate.closed(in[static_cast<std::size_t>(i)], 9000);
@@ -223,7 +223,7 @@
 
 // Whatever comes: caps and reserve hold, nobody with a request gives way, and the counts are those of a plain
 // list.
-TEST(Gate, KeepsItsBoundsWhateverHappens) {
+TEST(AdmissionController, KeepsItsBoundsWhateverHappens) {
   rc::check([](const std::vector<std::tuple<unsigned char, unsigned char, unsigned char>>& steps) {
     json text = file();
     text["connections"] = {
@@ -231,12 +231,12 @@
     text["known"]["reserve"] = 4;
     text["table"] = 16;
     Rules r = rulesOf(text, {"desk"}, 200);
-    Gate gate(r);
+    AdmissionController gate(r);
     struct Seen {
       std::string address;
       bool known, busy;
     };
-    std::map<Visitor, Seen> model;
+    std::map<ConnectionId, Seen> model;
     double now = 1000;
     for (const auto& [what, who, pause] : steps) {
       now += pause;
@@ -246,37 +246,37 @@
       const auto chosen = model.empty() ? model.end() : std::next(model.begin(), who % model.size());
       if (what % 6 < 3) {
         const Decision d = gate.connect(at(address), what % 30 == 0 ? Level::kTight : Level::kNormal, now);
-        if (d.giveWay) {
-          const auto it = model.find(*d.giveWay);
+        if (d.evict) {
+          const auto it = model.find(*d.evict);
           RC_ASSERT(it != model.end());
           RC_ASSERT(!it->second.busy);
           RC_ASSERT(!it->second.known || address.rfind("127", 0) == 0);
           model.erase(it);
         }
-        if (d.admit) model[d.visitor] = {address, address.rfind("127", 0) == 0, false};
+        if (d.admit) model[d.id] = {address, address.rfind("127", 0) == 0, false};
         RC_ASSERT(d.admit == (d.reason == Reason::kNone));
       } else if (chosen != model.end()) {
-        const Visitor visitor = chosen->first;
+        const ConnectionId id = chosen->first;
         if (what % 6 == 3) {
-          gate.busy(visitor);
+          gate.busy(id);
           chosen->second.busy = true;
         } else if (what % 6 == 4) {
-          gate.rests(visitor, now);
+          gate.idle(id, now);
           chosen->second.busy = false;
           if (what % 12 == 4) {
-            gate.identified(visitor, "desk", now);
+            gate.identified(id, "desk", now);
             chosen->second.known = true;
           }
         } else {
-          gate.closed(visitor, now);
-          gate.closed(visitor, now);
+          gate.closed(id, now);
+          gate.closed(id, now);
           model.erase(chosen);
         }
       }
       std::map<std::string, std::size_t> strangersFrom;
       std::size_t unknown = 0, network = 0;
-      for (const auto& [visitor, seen] : model) {
-        RC_ASSERT(gate.known(visitor) == seen.known);
+      for (const auto& [id, seen] : model) {
+        RC_ASSERT(gate.known(id) == seen.known);
         unknown += !seen.known;
         if (seen.address.rfind("127", 0) != 0) ++strangersFrom[seen.address];
         network += seen.address.rfind("10.0.", 0) == 0;
@@ -294,13 +294,13 @@
 
 // ---- The ledger ------------------------------------------------------------------------------------
 
-TEST(Ledger, SumsToWhatIsOpenAndKeepsEveryShare) {
+TEST(DescriptorBudget, SumsToWhatIsOpenAndKeepsEveryShare) {
   rc::check([](const std::vector<std::pair<unsigned char, bool>>& steps) {
-    Ledger ledger(Ledger::sharesOf(160));
-    std::array<std::size_t, Ledger::kAccounts> model{};
+    DescriptorBudget ledger(DescriptorBudget::sharesOf(160));
+    std::array<std::size_t, DescriptorBudget::kAccounts> model{};
     for (int again = 0; again < 4; ++again)
       for (const auto& [which, take] : steps) {
-        const std::size_t i = which % Ledger::kAccounts;
+        const std::size_t i = which % DescriptorBudget::kAccounts;
         const auto account = static_cast<Account>(i);
         if (take) model[i] += ledger.take(account);
         else if (model[i] > 0) {
@@ -321,8 +321,8 @@
   });
 }
 
-TEST(Ledger, LevelsChangeWithHysteresis) {
-  Ledger ledger(Ledger::sharesOf(296));  // 100 for clients
+TEST(DescriptorBudget, LevelsChangeWithHysteresis) {
+  DescriptorBudget ledger(DescriptorBudget::sharesOf(296));  // 100 for clients
   const auto to = [&](std::size_t held) {
     while (ledger.held(Account::kClients) < held) ledger.take(Account::kClients);
     while (ledger.held(Account::kClients) > held) ledger.give(Account::kClients);
@@ -344,14 +344,14 @@
 // ---- The listener under floods ---------------------------------------------------------------------
 
 struct House : Stage, net::RequestHandler {
-  explicit House(const json& change = {}) : ledger(Ledger::sharesOf(512)), gate(make(change)) {}
+  explicit House(const json& change = {}) : ledger(DescriptorBudget::sharesOf(512)), gate(make(change)) {}
   static Rules make(const json& change) {
     json text = file();
     if (!change.is_null()) text.merge_patch(change);
     return rulesOf(text, {"desk"}, 200);
   }
-  Ledger ledger;
-  Gate gate;
+  DescriptorBudget ledger;
+  AdmissionController gate;
   std::vector<std::shared_ptr<net::ClientConnection>> asked;
   bool answers = true;
   int left = 0;
@@ -616,7 +616,7 @@
   };
   writeFile(json::object());
   const pid_t program = programs.start({"serve", "--operator", folder.path + "/site.json"}, {});
-  ASSERT_TRUE(stage.until([&] { return callDoor(stage.io, door, "readyz").rfind("ok", 0) == 0; }));
+  ASSERT_TRUE(stage.until([&] { return callAdmin(stage.io, door, "readyz").rfind("ok", 0) == 0; }));
 
   const std::string body = R"({"model":"ask","stream":true,"messages":[{"role":"user","content":"When?"}]})";
   const std::string ask =
@@ -645,7 +645,7 @@
     storm();
     ASSERT_TRUE(knownIsServed(i)) << i;
   }
-  ASSERT_EQ(callDoor(stage.io, door, "exclude m2").rfind("ok", 0), 0U);
+  ASSERT_EQ(callAdmin(stage.io, door, "exclude m2").rfind("ok", 0), 0U);
   const auto told = std::chrono::steady_clock::now();
   for (int i = 20; std::chrono::steady_clock::now() - told < std::chrono::milliseconds(1'100); ++i) {
     storm();
@@ -665,7 +665,7 @@
   ::kill(program, SIGHUP);
   ASSERT_TRUE(stage.until([&] {
     storm();
-    return callDoor(stage.io, door, "admission").find("admission_refused_total{reason=\"address\"} 0\n") ==
+    return callAdmin(stage.io, door, "admission").find("admission_refused_total{reason=\"address\"} 0\n") ==
            std::string::npos;
   }));
   writeFile({{"admission", {{"connections", {{"total", 4000}}}}}});  // cannot be met: the old ones stay
@@ -718,7 +718,7 @@
     void drained(net::ClientConnection&) override {}
     void reject(net::ClientConnection&, unsigned, std::string_view) override {}
   } plain;
-  Ledger ledger(Ledger::sharesOf(512));
+  DescriptorBudget ledger(DescriptorBudget::sharesOf(512));
   net::Listener listener(stage.io, anyPort(), 216, plain, stage.clock, stage.deadlines, stage.counters,
                          {.sharedPort = false, .open = true, .gate = nullptr, .ledger = &ledger});
   std::vector<std::unique_ptr<RawPeer>> peers;
--- a/tests/coordination_test.cpp
+++ b/tests/coordination_test.cpp
@@ -15,7 +15,7 @@
 #include "coordination/sqlite_store.h"
 #include "fleet.h"
 #include "fleet/membership.h"
-#include "net/line_door.h"
+#include "net/line_server.h"
 #include "support/plan_checker.h"
 #include "support/program.h"
 
@@ -693,14 +693,14 @@
 TEST(DoorForFleetTasks, AnswersWhenTheStoreHas) {
   Stage stage;
   Talker service;
-  net::LineDoor door(stage.io, anyPort(),
-                     net::LineDoor::LaterAnswer([&](std::string_view line, net::LineDoor::Reply reply) {
-                       control::handle(service, line, std::move(reply));
-                     }),
-                     stage.clock, stage.deadlines, stage.counters, net::LineDoor::Limits{});
-  EXPECT_EQ(callDoor(stage.io, door.address(), "leases"), "lease t\neof\n");
-  EXPECT_EQ(callDoor(stage.io, door.address(), "maintenance"), "plan none\neof\n");
-  EXPECT_EQ(callDoor(stage.io, door.address(), "leases all").substr(0, 4), "fail");
+  net::LineServer door(stage.io, anyPort(),
+                       net::LineServer::LaterAnswer([&](std::string_view line, net::LineServer::Reply reply) {
+                         control::handle(service, line, std::move(reply));
+                       }),
+                       stage.clock, stage.deadlines, stage.counters, net::LineServer::Limits{});
+  EXPECT_EQ(callAdmin(stage.io, door.address(), "leases"), "lease t\neof\n");
+  EXPECT_EQ(callAdmin(stage.io, door.address(), "maintenance"), "plan none\neof\n");
+  EXPECT_EQ(callAdmin(stage.io, door.address(), "leases all").substr(0, 4), "fail");
   RawPeer caller(stage.io);
   caller.connect(door.address());
   caller.write("maintenance start june r1\n");
@@ -715,7 +715,7 @@
   gone.write("maintenance pause\n");
   ASSERT_TRUE(stage.until([&] { return static_cast<bool>(service.later); }));
   gone.reset();
-  stage.pass(net::LineDoor::Limits{}.callMs + 1);
+  stage.pass(net::LineServer::Limits{}.callMs + 1);
   EXPECT_EQ(door.size(), 0u) << "a store that never answers does not keep callers";
   service.later({true, "too late"});
 }
--- a/tests/fleet_processes_test.cpp
+++ b/tests/fleet_processes_test.cpp
@@ -227,7 +227,7 @@
 
 // What the conductor itself says of the maintenance's lease.
 json leaseOf(Conductors& fleet, Conductors::One& one) {
-  std::string text = callDoor(fleet.io, one.door, "leases json");
+  std::string text = callAdmin(fleet.io, one.door, "leases json");
   const std::size_t end = text.rfind("eof\n");
   if (end == std::string::npos) return json{{"state", "none"}, {"holder", ""}, {"fence", 0}};
   return json::parse(text.substr(0, end))["leases"][0];
@@ -304,7 +304,7 @@
   const std::string second = fleet.folder.path + "/second.db";
   rewrite([&](json& part) { part["store"]["path"] = second; });
   ASSERT_TRUE(waitFor(fleet.io, 60, [&] {
-    return callDoor(fleet.io, one.door, "leases").find(second) != std::string::npos && holds();
+    return callAdmin(fleet.io, one.door, "leases").find(second) != std::string::npos && holds();
   })) << fleet.logs();
   const auto first = opened(fleet.folder.path + "/shared.db");
   std::string cell;
--- a/tests/fronts_test.cpp
+++ b/tests/fronts_test.cpp
@@ -748,7 +748,7 @@
   Watching watching;
   constexpr std::size_t kSockets = 160;
   const app::Limits limits{kSockets};
-  admission::Ledger ledger(admission::Ledger::sharesOf(kSockets));
+  admission::DescriptorBudget ledger(admission::DescriptorBudget::sharesOf(kSockets));
   for (int i = 0; i < 14; ++i) ledger.force(admission::Account::kOwn);
   watching.pool.capAt(limits.boxes());
   watching.pool.accountTo(ledger, admission::Account::kBoxes);
--- a/tests/ops_test.cpp
+++ b/tests/ops_test.cpp
@@ -11,7 +11,7 @@
 #include "coordination/plan.h"
 #include "fleet.h"
 #include "fleet/membership.h"
-#include "net/line_door.h"
+#include "net/line_server.h"
 #include "support/program.h"
 
 namespace dahliastall {
@@ -214,23 +214,23 @@
 
 struct Door : Stage {
   std::vector<std::string> lines;
-  net::LineDoor door{io,
-                     anyPort(),
-                     [this](std::string_view line) {
-                       lines.emplace_back(line);
-                       return "ok " + std::to_string(line.size()) + "\n";
-                     },
-                     clock,
-                     deadlines,
-                     counters,
-                     {4, 64, 5'000}};
+  net::LineServer door{io,
+                       anyPort(),
+                       [this](std::string_view line) {
+                         lines.emplace_back(line);
+                         return "ok " + std::to_string(line.size()) + "\n";
+                       },
+                       clock,
+                       deadlines,
+                       counters,
+                       {4, 64, 5'000}};
   std::string answerTo(RawPeer& peer) {
     EXPECT_TRUE(until([&] { return peer.ended(); }));
     return peer.seen;
   }
 };
 
-TEST(LineDoor, TakesALineThatComesByteByByteOrWithItsEndMissing) {
+TEST(LineServer, TakesALineThatComesByteByByteOrWithItsEndMissing) {
   for (const std::string& sent :
        {std::string("readyz\n"), std::string("readyz\r\n"), std::string("readyz\nmore\n")}) {
     Door stage;
@@ -245,7 +245,7 @@
   }
 }
 
-TEST(LineDoor, AnOverlongLineIsHandedOverCutAndNotKeptWaitingFor) {
+TEST(LineServer, AnOverlongLineIsHandedOverCutAndNotKeptWaitingFor) {
   Door stage;
   RawPeer peer(stage.io);
   peer.connect(stage.door.address());
@@ -255,7 +255,7 @@
 
 // A plan over every instance is one line, and its longest answer a line for each: both pass whole. No other
 // call may be as long.
-TEST(LineDoor, CarriesAPlanOverAsManyInstancesAsThereMayBe) {
+TEST(LineServer, CarriesAPlanOverAsManyInstancesAsThereMayBe) {
   struct Planned final : Played {
     std::string boxes() override {
       std::string text;
@@ -268,11 +268,11 @@
     }
   } planned;
   Stage stage;
-  net::LineDoor door(stage.io, anyPort(),
-                     net::LineDoor::LaterAnswer([&](std::string_view line, net::LineDoor::Reply reply) {
-                       control::handle(planned, line, std::move(reply));
-                     }),
-                     stage.clock, stage.deadlines, stage.counters, {32, control::kLongestPlanLine, 10'000});
+  net::LineServer door(stage.io, anyPort(),
+                       net::LineServer::LaterAnswer([&](std::string_view line, net::LineServer::Reply reply) {
+                         control::handle(planned, line, std::move(reply));
+                       }),
+                       stage.clock, stage.deadlines, stage.counters, {32, control::kLongestPlanLine, 10'000});
   const auto answerTo = [&](const std::string& line) {
     RawPeer peer(stage.io);
     peer.connect(door.address());
@@ -294,7 +294,7 @@
 }
 
 // Callers who never finish cost one place each, the oldest of them first; nobody waits behind them.
-TEST(LineDoor, SilentCallersHoldUpNobodyAndAreClosedInTime) {
+TEST(LineServer, SilentCallersHoldUpNobodyAndAreClosedInTime) {
   Door stage;
   std::vector<std::unique_ptr<RawPeer>> silent;
   for (int i = 0; i < 12; ++i) {
--- a/tests/shared_processes_test.cpp
+++ b/tests/shared_processes_test.cpp
@@ -149,7 +149,7 @@
 }
 
 json sharedAt(Conductors& fleet, Conductors::One& one) {
-  std::string text = callDoor(fleet.io, one.door, "shared json");
+  std::string text = callAdmin(fleet.io, one.door, "shared json");
   const std::size_t end = text.rfind("eof\n");
   return end == std::string::npos ? json{{"degree", "none"}, {"boxes", json::array()}}
                                   : json::parse(text.substr(0, end));
@@ -271,7 +271,7 @@
   Clients clients(fleet, 1);
   clients.go(3'000);
   clients.finish();
-  const std::string text = callDoor(fleet.io, fleet.all[0]->door, "shared");
+  const std::string text = callAdmin(fleet.io, fleet.all[0]->door, "shared");
   EXPECT_NE(text.find("budget attiki limit=40000"), std::string::npos) << text;
   const Origin first{fleet.all[0]->name, sharedAt(fleet, *fleet.all[0])["incarnation"]};
   fleet.signal(*fleet.all[0], SIGTERM);
--- a/tests/support/conductors.h
+++ b/tests/support/conductors.h
@@ -126,7 +126,7 @@
   bool say(const std::string& line) {
     return waitFor(io, 60, [&] {
       for (auto& one : all)
-        if (one->process > 0 && !one->stopped && callDoor(io, one->door, line).rfind("ok", 0) == 0)
+        if (one->process > 0 && !one->stopped && callAdmin(io, one->door, line).rfind("ok", 0) == 0)
           return true;
       rest(50);
       return false;
@@ -136,7 +136,7 @@
   bool allReady() {
     return waitFor(io, 60, [&] {
       return std::all_of(all.begin(), all.end(),
-                         [&](auto& one) { return callDoor(io, one->door, "readyz").rfind("ok", 0) == 0; });
+                         [&](auto& one) { return callAdmin(io, one->door, "readyz").rfind("ok", 0) == 0; });
     });
   }
 
--- a/tests/support/program.h
+++ b/tests/support/program.h
@@ -88,7 +88,8 @@
 };
 
 // One call at the operators' door.
-inline std::string callDoor(boost::asio::io_context& io, const net::Endpoint& door, const std::string& line) {
+inline std::string callAdmin(boost::asio::io_context& io, const net::Endpoint& door,
+                             const std::string& line) {
   RawPeer peer(io);
   try {
     peer.connect(door);
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -277,7 +277,7 @@
     return status.value_or(-1);
   }
 
-  std::string call(const net::Endpoint& door, const std::string& line) { return callDoor(io, door, line); }
+  std::string call(const net::Endpoint& door, const std::string& line) { return callAdmin(io, door, line); }
   bool ready(const net::Endpoint& door) {
     return until([&] { return call(door, "readyz").rfind("ok", 0) == 0; });
   }
