--- a/src/admission/admission_controller.cpp
+++ b/src/admission/admission_controller.cpp
@@ -79,8 +79,8 @@
   IdlePool& pool = poolOf(connection);
   Idle& idle = pool.idle[connection.client];
   pool.ranking.erase({idle.size(), connection.client});
-  idle.emplace(connection.sinceMs, id);
-  pool.ranking.emplace(idle.size(), connection.client);
+  idle.insert({connection.sinceMs, id});
+  pool.ranking.insert({idle.size(), connection.client});
 }
 
 void AdmissionController::removeIdle(ConnectionId id, const Connection& connection) {
@@ -90,13 +90,13 @@
   pool.ranking.erase({it->second.size(), connection.client});
   it->second.erase({connection.sinceMs, id});
   if (it->second.empty()) pool.idle.erase(it);
-  else pool.ranking.emplace(it->second.size(), connection.client);
+  else pool.ranking.insert({it->second.size(), connection.client});
 }
 
 std::optional<ConnectionId> AdmissionController::oldestIdle(const IdlePool& pool, double nowMs) const {
   std::size_t looked = 0;
   for (auto it = pool.ranking.rbegin(); it != pool.ranking.rend() && looked < kMaxExamined; ++it, ++looked) {
-    const auto& [since, id] = *pool.idle.at(it->second).begin();
+    const auto& [since, id] = *pool.idle.at(it->address).begin();
     if (nowMs - since >= kMinIdleMs) return id;
   }
   return std::nullopt;
@@ -222,11 +222,12 @@
   mostRefused_[client] = from + 1;
 }
 
-std::vector<std::pair<std::string, std::uint64_t>> AdmissionController::mostRefused() const {
-  std::vector<std::pair<std::string, std::uint64_t>> list;
-  for (const auto& [address, count] : mostRefused_) list.emplace_back(address.text(), count);
-  std::stable_sort(list.begin(), list.end(),
-                   [](const auto& a, const auto& b) { return a.second > b.second; });
+std::vector<RefusalCount> AdmissionController::mostRefused() const {
+  std::vector<RefusalCount> list;
+  for (const auto& [address, count] : mostRefused_) list.push_back({address.text(), count});
+  std::stable_sort(list.begin(), list.end(), [](const RefusalCount& one, const RefusalCount& other) {
+    return one.refusals > other.refusals;
+  });
   return list;
 }
 
--- a/src/admission/admission_controller.h
+++ b/src/admission/admission_controller.h
@@ -31,6 +31,12 @@
   double retryAfterMs = 0;
 };
 
+// A client address and how often it was refused, at the most.
+struct RefusalCount {
+  std::string address;
+  std::uint64_t refusals = 0;
+};
+
 class AdmissionController {
  public:
   explicit AdmissionController(Rules rules) : rules_(std::move(rules)) {}
@@ -56,7 +62,7 @@
   std::uint64_t refused(Reason reason) const { return refused_[static_cast<std::size_t>(reason)]; }
   std::uint64_t admitted() const { return admitted_; }
   std::uint64_t gaveWay() const { return evicted_; }
-  std::vector<std::pair<std::string, std::uint64_t>> mostRefused() const;  // most first; counts at the most
+  std::vector<RefusalCount> mostRefused() const;  // most first; counts at the most
 
  private:
   struct Client {
@@ -69,10 +75,20 @@
     bool known = false, busy = false, shared = false;  // shared: counted with all that found no place
     double sinceMs = 0;                                // of its rest
   };
-  using Idle = std::set<std::pair<double, ConnectionId>>;
+  struct IdleConnection {  // the longest idle first
+    double sinceMs = 0;
+    ConnectionId id = 0;
+    auto operator<=>(const IdleConnection&) const = default;
+  };
+  using Idle = std::set<IdleConnection>;
+  struct IdleCount {  // of one address
+    std::size_t connections = 0;
+    Address address;
+    auto operator<=>(const IdleCount&) const = default;
+  };
   struct IdlePool {  // known or unknown clients: their idle connections, and who holds most
     std::map<Address, Idle> idle;
-    std::set<std::pair<std::size_t, Address>> ranking;
+    std::set<IdleCount> ranking;
   };
 
   Client& clientFor(const Address& client, double nowMs, bool& shared);
--- a/src/app/admission_watch.cpp
+++ b/src/app/admission_watch.cpp
@@ -29,7 +29,7 @@
   if (!reasons.empty()) {
     const auto top = gate_->mostRefused();
     spdlog::warn("admission refused{} open={} unknown={} most={}", reasons, gate_->open(), gate_->unknown(),
-                 top.empty() ? "-" : top.front().first);
+                 top.empty() ? "-" : top.front().address);
   }
   const admission::Level now = engine_.ledger.level(engine_.clock.nowMs());
   if (now != level_)
--- a/src/app/sharer.cpp
+++ b/src/app/sharer.cpp
@@ -217,8 +217,8 @@
 json jsonOf(const UsageTable& usage) {
   json list = json::array();
   for (const auto& [key, t] : usage)
-    list.push_back({{"tenant", key.first},
-                    {"class", key.second},
+    list.push_back({{"tenant", key.tenant},
+                    {"class", key.requestClass},
                     {"served", t.served},
                     {"refused", t.refused},
                     {"failed", t.failed},
--- a/src/shared/budget.cpp
+++ b/src/shared/budget.cpp
@@ -3,7 +3,6 @@
 #include <algorithm>
 #include <array>
 #include <cmath>
-#include <tuple>
 
 namespace dahliastall::shared {
 
@@ -180,23 +179,35 @@
   return saturatingSubtract(line.limit, line.charged + outstandingOf(line, spends));
 }
 
+namespace {
+
+// Sorted so that whoever has least idle is served first.
+struct LoanRequest {
+  std::uint64_t idle;
+  std::uint64_t tokens;
+  Origin who;
+  auto operator<=>(const LoanRequest&) const = default;
+};
+
+}  // namespace
+
 void lend(BudgetLine& line, const std::map<Origin, Spend>& spends) {
   // Nothing that a conductor knows to have been lent is forgotten, whatever the store has come back to.
   for (const auto& [who, spend] : spends)
     if (spend.lentSeen > 0) line.lent[who] = std::max(line.lent[who], spend.lentSeen);
   std::uint64_t left = leftOf(line, spends);
   // Who has least first, and each as much as it wants: a part of what one answer may need would be of no use.
-  std::vector<std::tuple<std::uint64_t, std::uint64_t, Origin>> requests;
+  std::vector<LoanRequest> requests;
   for (const auto& [who, spend] : spends) {
     const auto lent = line.lent.find(who);
     const std::uint64_t held = outstandingOf(lent == line.lent.end() ? 0 : lent->second, &spend);
     if (spend.wants > held)
-      requests.emplace_back(saturatingSubtract(held, spend.spent), spend.wants - held, who);
+      requests.push_back({saturatingSubtract(held, spend.spent), spend.wants - held, who});
   }
   std::sort(requests.begin(), requests.end());
-  for (const auto& [idle, request, who] : requests) {
-    const std::uint64_t part = std::min(request, left);
-    if (part > 0) line.lent[who] += part;
+  for (const LoanRequest& request : requests) {
+    const std::uint64_t part = std::min(request.tokens, left);
+    if (part > 0) line.lent[request.who] += part;
     left -= part;
   }
 }
--- a/src/shared/codec.cpp
+++ b/src/shared/codec.cpp
@@ -58,8 +58,12 @@
     kMaxInstances * (kIdentifier + kShortList + 2 * kIndex + 2 + 2 * kNumber);
 static_assert(kLargestPart <= kMaxDocumentBytes && kLeastDigest <= kMaxDocumentBytes);
 
-// The value in a text of this form, or what is wrong with it.
-std::pair<DecodeError, json> open(std::string_view header, std::string_view text) {
+struct OpenedDocument {
+  DecodeError error = DecodeError::kNone;
+  json value;
+};
+// Checks header, version and checksum, and unpacks the value.
+OpenedDocument open(std::string_view header, std::string_view text) {
   if (text.size() > kMaxDocumentBytes) return {DecodeError::kTooLarge, {}};
   if (text.substr(0, header.size()) != header) return {DecodeError::kForeign, {}};
   text.remove_prefix(header.size());
@@ -116,8 +120,8 @@
 json jsonOf(const UsageTable& usage) {
   json list = json::array();
   for (const auto& [key, t] : usage)
-    list.push_back({key.first, key.second, t.served, t.refused, t.failed, t.promptTokens, t.answerTokens,
-                    t.refusedTokens, t.failedTokens});
+    list.push_back({key.tenant, key.requestClass, t.served, t.refused, t.failed, t.promptTokens,
+                    t.answerTokens, t.refusedTokens, t.failedTokens});
   return list;
 }
 UsageTable usageTableOf(const json& value) {
@@ -140,8 +144,15 @@
   return amounts;
 }
 
+template <class Document>
+struct Decoded {
+  DecodeError error = DecodeError::kNone;
+  std::optional<Document> document;
+};
+
+// Runs a decoder and turns what it throws into an error.
 template <class Read>
-auto decodeGuarded(const Read& read) -> std::pair<DecodeError, std::optional<decltype(read())>> {
+auto decodeGuarded(const Read& read) -> Decoded<decltype(read())> {
   try {
     return {DecodeError::kNone, read()};
   } catch (const OutOfBounds&) {
--- a/src/shared/health_observation.cpp
+++ b/src/shared/health_observation.cpp
@@ -3,7 +3,6 @@
 #include <algorithm>
 #include <array>
 #include <cmath>
-#include <tuple>
 
 namespace dahliastall::shared {
 
@@ -77,14 +76,25 @@
          it->second.goodMs > it->second.badMs;
 }
 
+namespace {
+
+// Evidence on one box: failures weigh before successes.
+struct Strength {
+  double bad = 0, good = 0;
+  std::string box;
+  auto operator<=>(const Strength&) const = default;
+};
+
+}  // namespace
+
 void keepStrongest(std::map<std::string, HealthObservation>& observations, std::size_t most) {
   if (observations.size() <= most) return;
-  std::vector<std::tuple<double, double, std::string>> least;
+  std::vector<Strength> weakest;
   for (const auto& [box, observation] : observations)
-    least.emplace_back(observation.bad, observation.good, box);
-  const auto end = least.begin() + static_cast<std::ptrdiff_t>(least.size() - most);
-  std::nth_element(least.begin(), end, least.end());
-  for (auto it = least.begin(); it != end; ++it) observations.erase(std::get<std::string>(*it));
+    weakest.push_back({observation.bad, observation.good, box});
+  const auto end = weakest.begin() + static_cast<std::ptrdiff_t>(weakest.size() - most);
+  std::nth_element(weakest.begin(), end, weakest.end());
+  for (auto it = weakest.begin(); it != end; ++it) observations.erase(it->box);
 }
 
 HealthObservation decayed(const HealthObservation& observation, double byMs,
--- a/src/shared/node.cpp
+++ b/src/shared/node.cpp
@@ -71,11 +71,11 @@
   return {kDigestKey, own.key()};
 }
 
-void SharedNode::read(const std::map<std::string, Doc>& docs, double writeBegunMs, double nowMs) {
+void SharedNode::read(const std::map<std::string, Doc>& docs, double readBegunMs, double nowMs) {
   const auto digest = docs.find(kDigestKey);
   if (digest != docs.end()) readDigest(digest->second, nowMs);
   // A reading that was asked for before its own write was answered may show what was there before.
-  if (writing_ || writeBegunMs < lastWriteMs_) return;
+  if (writing_ || readBegunMs < lastWriteMs_) return;
   Part own;
   own.origin = self_;
   const auto doc = docs.find(own.key());
--- a/src/shared/node.h
+++ b/src/shared/node.h
@@ -45,7 +45,7 @@
   // The keys that this conductor has to read.
   std::vector<std::string> keys() const;
   // What was read; begunMs is when the reading was asked for. An empty document is one that is not there.
-  void read(const std::map<std::string, coordination::Doc>& docs, double writeBegunMs, double nowMs);
+  void read(const std::map<std::string, coordination::Doc>& docs, double readBegunMs, double nowMs);
 
   // What to write, if it is time; nothing while a write is under way.
   std::optional<coordination::Write> next(double unixMs, double nowMs);
--- a/src/shared/remote_health.cpp
+++ b/src/shared/remote_health.cpp
@@ -42,13 +42,55 @@
   return best == nodes.end() ? std::string() : *best;
 }
 
+namespace {
+
+// One role within one cell, which has an exclusion limit of its own.
+struct CellRole {
+  std::string role;
+  std::uint32_t cell = 0;
+  auto operator<=>(const CellRole&) const = default;
+};
+
+struct Group {
+  std::size_t boxes = 0, out = 0;
+  bool full(double maxExcludedShare) const { return out >= maxExcluded(boxes, maxExcludedShare); }
+};
+
+struct ExclusionCandidate {
+  std::uint32_t votes = 0;
+  double evidence = 0;
+  std::string id;
+};
+
+// Most votes first, then most evidence: the same order at every conductor.
+bool goesFirst(const ExclusionCandidate& one, const ExclusionCandidate& other) {
+  return std::tie(other.votes, other.evidence, one.id) < std::tie(one.votes, one.evidence, other.id);
+}
+
+std::vector<ExclusionCandidate> candidatesIn(const RemoteHealthInput& input) {
+  std::vector<ExclusionCandidate> candidates;
+  for (const auto& [id, verdict] : input.verdicts) {
+    const auto box = input.boxes.find(id);
+    if (verdict.out && box != input.boxes.end() && box->second.serves)
+      candidates.push_back({verdict.bad, verdict.evidence, id});
+  }
+  std::sort(candidates.begin(), candidates.end(), goesFirst);
+  return candidates;
+}
+
+// For a box that the fleet excludes, within the limits.
+Availability excludedOrProbed(const RemoteHealthInput& input, const std::string& id, double nowMs) {
+  if (input.own.recentlyHealthy(id, nowMs)) return Availability::kLocallyHealthy;
+  const bool probing = probingNode(id, input.sequence, input.probeDigests, input.nodes) == input.self;
+  return probing ? Availability::kProbing : Availability::kExcluded;
+}
+
+}  // namespace
+
 std::map<std::string, Availability> availabilities(const RemoteHealthInput& input, double nowMs) {
   std::map<std::string, Availability> decisions;
-  struct Group {
-    std::size_t boxes = 0, out = 0;
-  };
   std::map<std::string, Group> roles;
-  std::map<std::pair<std::string, std::uint32_t>, Group> cells;
+  std::map<CellRole, Group> cells;
   for (const auto& [id, box] : input.boxes) {
     for (Group* group : {&roles[box.role], &cells[{box.role, box.cell}]}) {
       ++group->boxes;
@@ -56,34 +98,23 @@
     }
     decisions[id] = box.serves ? Availability::kInUse : Availability::kOperator;
   }
-  // What most witnesses speak against goes first, in the same order at every conductor.
-  std::vector<std::tuple<double, double, std::string>> candidates;
-  for (const auto& [id, verdict] : input.verdicts) {
-    const auto box = input.boxes.find(id);
-    if (verdict.out && box != input.boxes.end() && box->second.serves)
-      candidates.emplace_back(-static_cast<double>(verdict.bad), -verdict.evidence, id);
-  }
-  std::sort(candidates.begin(), candidates.end());
-  for (const auto& [votes, evidence, id] : candidates) {
-    Availability& availability = decisions[id];
-    const KnownInstance& box = input.boxes.at(id);
-    Group &role = roles[box.role], &cell = cells[{box.role, box.cell}];
+  for (const ExclusionCandidate& candidate : candidatesIn(input)) {
+    Availability& availability = decisions[candidate.id];
+    const KnownInstance& box = input.boxes.at(candidate.id);
+    Group& role = roles[box.role];
+    Group& cell = cells[{box.role, box.cell}];
     if (!input.connected) {
       availability = Availability::kDisconnected;
       continue;
     }
-    if (role.out >= maxExcluded(role.boxes, input.maxExcludedShare) ||
-        cell.out >= maxExcluded(cell.boxes, input.maxExcludedShare)) {
+    if (role.full(input.maxExcludedShare) || cell.full(input.maxExcludedShare)) {
       availability = Availability::kExclusionLimit;
       continue;
     }
-    // Its place within the bound is taken at every conductor alike, whoever tries it.
+    // It counts towards the limits at every conductor alike, also at the one that probes it.
     ++role.out;
     ++cell.out;
-    availability = Availability::kExcluded;
-    if (input.own.recentlyHealthy(id, nowMs)) availability = Availability::kLocallyHealthy;
-    else if (probingNode(id, input.sequence, input.probeDigests, input.nodes) == input.self)
-      availability = Availability::kProbing;
+    availability = excludedOrProbed(input, candidate.id, nowMs);
   }
   return decisions;
 }
--- a/src/shared/usage_counters.h
+++ b/src/shared/usage_counters.h
@@ -31,8 +31,12 @@
   std::uint64_t billed() const { return promptTokens + answerTokens; }
 };
 
-// By franchisee and class, under their names: conductors may number them differently.
-using UsageKey = std::pair<std::string, std::string>;
+// One row of the usage table: names rather than indices, as conductors may number them differently.
+struct UsageKey {
+  std::string tenant;
+  std::string requestClass;
+  auto operator<=>(const UsageKey&) const = default;
+};
 using UsageTable = std::map<UsageKey, UsageCounters>;
 constexpr std::size_t kMaxUsageRows = 1024;
 
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -109,7 +109,7 @@
   EXPECT_GE(cap, 10);
   EXPECT_GT(rate, 900);
   EXPECT_TRUE(gate.connect(at("10.0.0.2"), Level::kNormal, 2000).admit);
-  EXPECT_EQ(gate.mostRefused().front().first, "10.0.0.1");
+  EXPECT_EQ(gate.mostRefused().front().address, "10.0.0.1");
 }
 
 TEST(AdmissionController, AWholeClubBehindOneAddressIsNoFloodIfItsRangeIsKnown) {
@@ -430,7 +430,7 @@
   EXPECT_EQ(served, 100U);
   for (std::size_t i = 1; i < kReasons; ++i) turnedAway += house.gate.refused(static_cast<Reason>(i));
   EXPECT_GT(turnedAway, 9'500U);
-  EXPECT_EQ(house.gate.mostRefused().front().first, "127.0.0.9");
+  EXPECT_EQ(house.gate.mostRefused().front().address, "127.0.0.9");
   flood.clear();
   house.pass(3'000);
   ASSERT_TRUE(house.until([&] { return house.gate.open() == 0; }));
--- a/tests/shared_processes_test.cpp
+++ b/tests/shared_processes_test.cpp
@@ -144,7 +144,7 @@
 std::uint64_t billed(Conductors& fleet, const std::string& tenant) {
   std::uint64_t sum = 0;
   for (const auto& [key, counters] : decodeDigest(fleet).total)
-    sum += key.first == tenant ? counters.billed() : 0;
+    sum += key.tenant == tenant ? counters.billed() : 0;
   return sum;
 }
 
