--- a/src/admission/address.h
+++ b/src/admission/address.h
@@ -1,5 +1,5 @@
-// Addresses of clients, and ranges of them. IPv4 is kept as IPv4-mapped IPv6, so that one client is one
-// address whichever way its socket says it.
+// Client addresses and address ranges. IPv4 addresses are kept as IPv4-mapped IPv6, so that a client has one
+// address whatever kind of socket it came by.
 #pragma once
 
 #include <array>
@@ -10,20 +10,23 @@
 
 namespace dahliastall::admission {
 
+// An IPv6 address in network byte order.
 struct Address {
   std::array<std::uint8_t, 16> bytes{};
 
+  // Nothing if the text is neither an IPv4 nor an IPv6 address.
   static std::optional<Address> parse(const std::string& text);
   bool isV4() const;
-  Address masked(int bits) const;  // the first so many of 128 bits
+  Address masked(int bits) const;  // the first `bits` of 128 bits
   std::string text() const;
   auto operator<=>(const Address&) const = default;
 };
 
+// A CIDR range.
 class Range {
  public:
-  // "10.0.0.0/8", "2001:db8::/32", or one address. Nothing if it is none, or if bits are set behind the
-  // prefix.
+  // "10.0.0.0/8", "2001:db8::/32", or a single address. Nothing if the text is none of these, or if bits
+  // after the prefix are set.
   static std::optional<Range> parse(const std::string& text);
   bool holds(const Address& address) const { return address.masked(bits_) == base_; }
   bool overlaps(const Range& other) const { return holds(other.base_) || other.holds(base_); }
--- a/src/admission/admission_controller.h
+++ b/src/admission/admission_controller.h
@@ -1,5 +1,6 @@
-// Decides who may connect, and who gives way. Every connection that is let in has a number here until it is
-// closed.
+// Decides which client connections are admitted, and which idle connection is evicted when there is no room:
+// a token bucket and a cap per address, caps per network, a total, and a reserve for known clients. Every
+// admitted connection has an id until it is closed. No I/O; times in milliseconds.
 #pragma once
 
 #include <array>
@@ -17,17 +18,20 @@
 
 namespace dahliastall::admission {
 
+// Why a connection was refused.
 enum class Reason { kNone, kRate, kAddress, kNetwork, kFull, kReserved, kDescriptors };
 constexpr std::size_t kReasons = 7;
+// The name in reports.
 const char* nameOf(Reason reason);
 
 using ConnectionId = std::uint64_t;
 
+// The decision on one connection.
 struct Decision {
   bool admit = false;
-  ConnectionId id = 0;                // if let in
-  std::optional<ConnectionId> evict;  // has to be closed for it
-  Reason reason = Reason::kNone;      // if not
+  ConnectionId id = 0;                // if admitted
+  std::optional<ConnectionId> evict;  // connection to close in its favour
+  Reason reason = Reason::kNone;      // if refused
   double retryAfterMs = 0;
 };
 
@@ -37,20 +41,23 @@
   std::uint64_t refusals = 0;
 };
 
+// Memory is bounded by the rules' `table` of addresses and by the connections that are open.
 class AdmissionController {
  public:
   explicit AdmissionController(Rules rules) : rules_(std::move(rules)) {}
 
-  // level: of the descriptors. Whoever is told to give way counts as closed from then on.
+  // Decides on a new connection. level: of the descriptor budget. An evicted connection counts as closed.
   Decision connect(const Address& address, Level level, double nowMs);
+  // The connection authenticated with this API key, which may make its client a known one.
   void identified(ConnectionId id, const std::string& keyName, double nowMs);
-  void busy(ConnectionId id);                  // a request of it is open
-  void idle(ConnectionId id, double nowMs);    // none is
-  void closed(ConnectionId id, double nowMs);  // also of one that is not known any more
+  void busy(ConnectionId id);                  // a request is open on it
+  void idle(ConnectionId id, double nowMs);    // no request is
+  void closed(ConnectionId id, double nowMs);  // an unknown id is ignored
+  // Counts a refusal that was decided elsewhere.
   void refusedOtherwise(Reason reason, const Address& address);
 
-  // Other rules from now on. Who has to go for them: idle connections above the caps; open requests end
-  // first.
+  // Changes the rules. Returns the idle connections that exceed the new caps and are to be closed; busy ones
+  // finish their request first.
   std::vector<ConnectionId> reconfigure(Rules rules, double nowMs);
 
   const Rules& rules() const { return rules_; }
@@ -62,7 +69,7 @@
   std::uint64_t refused(Reason reason) const { return refused_[static_cast<std::size_t>(reason)]; }
   std::uint64_t admitted() const { return admitted_; }
   std::uint64_t gaveWay() const { return evicted_; }
-  std::vector<RefusalCount> mostRefused() const;  // most first; counts at the most
+  std::vector<RefusalCount> mostRefused() const;  // most first; the counts are upper bounds
 
  private:
   struct Client {
@@ -72,8 +79,8 @@
   };
   struct Connection {
     Address address, client;
-    bool known = false, busy = false, shared = false;  // shared: counted with all that found no place
-    double sinceMs = 0;                                // of its rest
+    bool known = false, busy = false, shared = false;  // shared: counted in overflow_
+    double sinceMs = 0;                                // start of its idle time
   };
   struct IdleConnection {  // the longest idle first
     double sinceMs = 0;
@@ -86,7 +93,7 @@
     Address address;
     auto operator<=>(const IdleCount&) const = default;
   };
-  struct IdlePool {  // known or unknown clients: their idle connections, and who holds most
+  struct IdlePool {  // idle connections by address, and addresses by their number
     std::map<Address, Idle> idle;
     std::set<IdleCount> ranking;
   };
@@ -106,9 +113,10 @@
   Rules rules_;
   std::map<ConnectionId, Connection> connections_;
   std::map<Address, Client> clients_;
-  std::list<Address> recency_;  // of the table, by when they last came
+  std::list<Address> recency_;  // addresses, least recently seen first
+  // Shared by all addresses that found no room in clients_; tokens < 0: not used yet.
   Client overflow_{0, -1, 0, {}};
-  std::map<std::size_t, std::size_t> openPerNetwork_;  // by its number
+  std::map<std::size_t, std::size_t> openPerNetwork_;  // by index in rules
   IdlePool knownIdle_, unknownIdle_;
   std::map<Address, std::uint64_t> mostRefused_;
   std::array<std::uint64_t, kReasons> refused_{};
--- a/src/admission/rules.h
+++ b/src/admission/rules.h
@@ -1,4 +1,4 @@
-// Who may connect, as the operator's file says it.
+// The admission rules of the operator's file.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -11,34 +11,37 @@
 
 namespace dahliastall::admission {
 
+// Validated rules; see docs/operators/connection-admission.md for their meaning.
 struct Rules {
   struct Network {
     Range range;
     std::size_t connections;
   };
 
-  std::size_t total = 0;  // of all clients
+  std::size_t total = 0;  // connections of all clients
   std::size_t perAddress = 0;
-  int ipv6Prefix = 64;  // so much of an IPv6 address is one client
+  int ipv6Prefix = 64;  // bits of an IPv6 address that identify a client
   std::vector<Network> networks;
-  double perSecond = 0, burst = 0;  // connects of one address
-  std::size_t reserve = 0;          // of the total, for known clients alone
+  double perSecond = 0, burst = 0;  // token bucket of one address, in connects
+  std::size_t reserve = 0;          // connections of the total for known clients only
   std::vector<Range> knownRanges;
   std::set<std::string> knownKeys;  // by their names
-  std::size_t table = 4096;         // addresses remembered
+  std::size_t table = 4096;         // largest number of addresses remembered
 
-  // The address as a client is counted by it.
+  // The address under which a client is counted.
   Address clientOf(const Address& address) const {
     return address.isV4() ? address : address.masked(ipv6Prefix);
   }
+  // The range of known clients that holds the address; null if none does.
   const Range* knownRange(const Address& address) const;
 };
 
-// From the object `admission` of the operator's file. names: of the file's API keys; mostClients: what
-// descriptors allow. Throws std::invalid_argument, whose text begins with the path of what is wrong.
+// Parses the object `admission` of the operator's file. names: of the file's API keys; mostClients: the
+// largest total that descriptors allow. Throws std::invalid_argument; its text begins with the path of the
+// field.
 Rules rulesOf(const nlohmann::json& admission, const std::set<std::string>& names, std::size_t mostClients);
 
-// Which rules apply to whom, and why, line by line.
+// Explains to an operator which rules apply to an address, line by line.
 std::string explain(const Rules& rules, const Address& address, const std::optional<std::string>& keyName);
 
 }  // namespace dahliastall::admission
--- a/src/app/admin_client.h
+++ b/src/app/admin_client.h
@@ -1,4 +1,4 @@
-// One call at the operators' door of a conductor that runs, for the sub-commands that stand on it.
+// A client of the admin endpoint of a running conductor, for sub-commands of the program.
 #pragma once
 
 #include <string>
@@ -7,7 +7,8 @@
 
 namespace dahliastall::app {
 
-// The whole answer. Blocks; throws std::runtime_error if there is none within the time.
+// Sends one line and returns the whole answer. Blocks; throws std::runtime_error if the endpoint cannot be
+// reached or does not answer within withinMs.
 std::string callAdmin(const net::Endpoint& endpoint, const std::string& line, double withinMs = 10'000);
 
 }  // namespace dahliastall::app
--- a/src/control/commands.h
+++ b/src/control/commands.h
@@ -1,4 +1,4 @@
-// What operators may ask for, and the answers. Knows no wire: the one-line door stands on it.
+// The commands of the admin endpoint and their answers, independent of the transport.
 #pragma once
 
 #include <cstddef>
@@ -10,13 +10,15 @@
 
 namespace dahliastall::control {
 
-// What commands act on; whoever runs the program provides it.
+// What commands act on; implemented by app::Operations.
 class Service {
  public:
+  // The result of a command.
   struct Done {
     bool ok;
-    std::string why;  // for people: what was done, or why not
+    std::string why;  // for the operator: what was done, or why not
   };
+  // The number of instances.
   struct Pool {
     std::size_t listed, avoided;
   };
@@ -33,28 +35,27 @@
   virtual const std::vector<std::string>& classes() = 0;
   virtual std::string boxes() = 0;                // a line each
   virtual std::string admission() { return ""; }  // lines; empty where none is set up
-  // Lines, or one of JSON; empty where conductors share nothing.
+  // Lines, or one line of JSON; empty if conductors share nothing.
   virtual std::string leases(bool /*json*/) { return ""; }
   virtual std::string plan() { return ""; }
   virtual std::string shared(bool /*json*/) { return ""; }
-  // What an operator says of the fleet's maintenance, without the first word; answered once it is written
-  // down, or cannot be.
+  // A maintenance command without its first word; answered once it is stored or has failed.
   virtual void maintenance(const std::vector<std::string>& /*words*/, std::function<void(Done)> reply) {
     reply({false, "no coordination is set up here"});
   }
 };
 
 constexpr std::size_t kLongestLine = 1024;
-// A plan may name each instance that there can be, at the longest of ids.
+// A maintenance plan may name every instance, with ids of the largest size.
 constexpr std::size_t kLongestPlanLine = kLongestLine + 1024 * (128 + 1);
 
-// One line, without its end, to the whole text of the answer. A line that is not understood changes nothing.
+// Executes one line, without its line end, and returns the whole answer. An invalid line has no effect.
 std::string answer(Service& service, std::string_view line);
 
-// The same, also for calls whose answer comes later.
+// The same, also for commands that are answered asynchronously; reply is called exactly once.
 void handle(Service& service, std::string_view line, std::function<void(std::string)> reply);
 
-// The figures alone.
+// The counters in exposition format.
 std::string telemetry(Service& service);
 
 }  // namespace dahliastall::control
--- a/src/fleet/discovery_backoff.h
+++ b/src/fleet/discovery_backoff.h
@@ -1,22 +1,18 @@
-// How a node asks the fleet's one discovery again after a call that failed, and when it takes a watch for
-// broken. No I/O; times in milliseconds.
+// Timeouts of the watch on discovery, and the backoff between retries. No I/O; times in milliseconds.
 //
-// What discovery has to tell counts as told 6 s after it had it and could be reached, whether or not it
-// arrived, and whatever failed before. So the limits here add up to less in the worst order of events:
+// A change counts as delivered kDeliveryLimitMs after discovery had it and was reachable, whatever failed
+// before. The timeouts therefore add up to less in the worst order of events:
 //
-//   a watch falls silent as something changes:  kSilentMs + first pause + kDialMs + kFirstWordMs
-//   a call hangs as discovery comes back:       (kDialMs + kFirstWordMs) + pause + (kDialMs + kFirstWordMs)
-//   half a line, then nothing:                  as a silent watch, from the last byte on
-//   at a new address (told 4 s later):          (kDialMs + kFirstWordMs) + first pause + (kDialMs +
-//   kFirstWordMs)
+//   the watch falls silent as something changes:  kWatchTimeoutMs + initial delay + kCallTimeoutMs
+//   a call hangs as discovery comes back:         kCallTimeoutMs + longest delay + kCallTimeoutMs
+//   half a line, then nothing:                    as a silent watch, from the last byte on
+//   discovery moves to another address (4 s):     kCallTimeoutMs + initial delay + kCallTimeoutMs
 //
-// These are kWorstSilentMs, kWorstHungMs and kWorstMovedMs, with the longest pauses; tests play the orders. A
-// watch that speaks sets the pauses back, so that one that falls silent is followed by the first.
+// These sums are kWorstSilentWatchMs, kWorstHungCallMs and kWorstMoveMs; tests play the orders. Data on the
+// watch resets the backoff.
 //
-// One node that asks ten times a second does no harm; a hundred that do keep a discovery down that could
-// serve each of them once. So the pauses grow with each failure, up to what the sums allow, and are drawn, as
-// nodes that lost the same discovery at the same moment would go on in step; with many nodes they begin
-// longer.
+// Many nodes that retry quickly can keep an overloaded discovery down. The delays therefore double with each
+// failure up to kMaxMs, are jittered, and start longer in a larger fleet.
 #pragma once
 
 #include <algorithm>
@@ -25,16 +21,17 @@
 
 namespace dahliastall::fleet {
 
+// The delay before the next retry. One object per watch.
 class DiscoveryBackoff {
  public:
-  static constexpr double kDeliveryLimitMs = 6'000;  // and what of it stays free for a busy core
+  static constexpr double kDeliveryLimitMs = 6'000;  // kept free for scheduling delays
   static constexpr double kMarginMs = 300;
-  static constexpr double kWatchTimeoutMs = 2'600;      // an empty line is due every 2 s
-  static constexpr double kConnectTimeoutMs = 500;      // for a connection to come up
-  static constexpr double kFirstByteTimeoutMs = 1'000;  // what is held is told at once when a watch opens
-  static constexpr double kJitterShare = 0.5;           // of the mean, to either side
-  static constexpr double kMaxInitialMs = 460;          // the longest mean of a first pause,
-  static constexpr double kMaxMs = 1'800;               // and of any
+  static constexpr double kWatchTimeoutMs = 2'600;  // discovery sends an empty line every 2 s
+  static constexpr double kConnectTimeoutMs = 500;
+  static constexpr double kFirstByteTimeoutMs = 1'000;  // discovery sends its state when a watch opens
+  static constexpr double kJitterShare = 0.5;           // of the mean delay, to either side
+  static constexpr double kMaxInitialMs = 460;          // bound of the initial mean delay
+  static constexpr double kMaxMs = 1'800;               // bound of any mean delay
 
   static constexpr double kCallTimeoutMs = kConnectTimeoutMs + kFirstByteTimeoutMs;
   static constexpr double kWorstSilentWatchMs =
@@ -45,22 +42,24 @@
                 kWorstHungCallMs <= kDeliveryLimitMs - kMarginMs);
   static_assert(kWorstMoveMs <= 4'000 - kMarginMs);
 
+  // nodes: size of the fleet; seed: of the jitter.
   DiscoveryBackoff(int nodes, std::uint64_t seed)
       : initialMs_(std::clamp(nodes * kInitialPerNodeMs, kInitialMs, kMaxInitialMs)),
         meanMs_(initialMs_),
         random_(seed) {}
 
-  // The pause before the next try, which follows a failure.
+  // The delay before the next retry after a failure; doubles the mean.
   double nextDelayMs() {
     const double pause =
         meanMs_ * std::uniform_real_distribution<>(1 - kJitterShare, 1 + kJitterShare)(random_);
     meanMs_ = std::min(kMaxMs, meanMs_ * 2);
     return pause;
   }
+  // After a success.
   void reset() { meanMs_ = initialMs_; }
 
  private:
-  // The second try comes soon however many nodes there are: after a move of discovery 4 s are all there is.
+  // Bounded by kMaxInitialMs in any fleet, as a move of discovery allows 4 s in total.
   static constexpr double kInitialMs = 100, kInitialPerNodeMs = 5;
 
   double initialMs_, meanMs_;
--- a/src/fleet/drains.h
+++ b/src/fleet/drains.h
@@ -1,6 +1,7 @@
-// Commands of operators to drain and undrain boxes. Each carries the revision of the box's drain that its
-// sender saw: of two that contradict each other on the same one wins, and the other is told the present state
-// and who set it. A command that comes again is answered as it was the first time. No I/O.
+// Commands of operators to drain and undrain instances, with optimistic concurrency control: each carries the
+// revision of the drain state that the sender saw of the drain that its sender saw, so that of two
+// conflicting commands one wins and the other is told the present state and who set it. Commands are
+// idempotent by sender and id. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -11,19 +12,21 @@
 
 namespace dahliastall::fleet {
 
+// A command of an operator. Times in milliseconds of the caller's clock.
 struct DrainCommand {
-  std::string id;  // of the command, by its sender
+  std::string id;  // unique per sender
   std::string by;
   std::string box;
   bool drain = true;
   std::uint64_t seen = 0;          // revision
-  std::optional<double> doneByMs;  // of a drain: when it is to be done
-  bool force = false;              // although it is the last of its role
+  std::optional<double> doneByMs;  // drain: deadline
+  bool force = false;              // even if it is the last instance of its role
 };
 
+// Whether an instance is drained, and by whom.
 struct DrainState {
   bool drained = false;
-  std::uint64_t revision = 0;  // 0: nobody ever said anything
+  std::uint64_t revision = 0;  // 0: never drained
   std::string by;
   double sinceMs = 0;
   std::optional<double> doneByMs;
@@ -33,32 +36,35 @@
 enum class DrainCode { kDone, kConflict, kUnknownBox, kLastOfRole, kBadCommand };
 const char* nameOf(DrainCode code);
 
+// The answer to a command.
 struct DrainAnswer {
   DrainCode code;
-  DrainState state;  // as it is now
+  DrainState state;  // after the command
   std::string why;
   bool operator==(const DrainAnswer&) const = default;
 };
 
+// The drain state of all instances.
 class Drains {
  public:
-  static constexpr std::size_t kRemembered = 1024;  // commands, the latest
+  static constexpr std::size_t kRemembered = 1024;  // latest commands, for repeated ones
   static constexpr std::size_t kLongestWord = 128;
 
-  // What the fleet says of a box, as far as a command needs it.
+  // The facts of an instance that a command is checked against.
   struct Box {
     bool known = false;
-    std::size_t othersOfRole = 0;  // that serve and are not drained
+    std::size_t othersOfRole = 0;  // other instances that serve its role
     std::string role;
-    std::size_t open = 0;  // requests on it now
+    std::size_t open = 0;  // requests in flight
   };
 
+  // Executes a command, or repeats the answer to one that was executed before.
   DrainAnswer handle(const DrainCommand& command, const Box& box, double nowMs);
   DrainState stateOf(const std::string& box) const;
-  // What was kept from before; the numbers go on from there.
+  // Restores a persisted state; revisions continue from there.
   void restore(const std::string& box, const DrainState& state) { states_[box] = state; }
   void forget(const std::string& box) { states_.erase(box); }
-  // Drains that should be done by now and are not, given what is open: only said, nothing is cut.
+  // Whether a drain is past its deadline with requests open. Reported only; no request is cut.
   bool overdue(const std::string& box, std::size_t open, double nowMs) const;
 
  private:
--- a/src/fleet/exclusions.h
+++ b/src/fleet/exclusions.h
@@ -1,5 +1,5 @@
-// What operators said of instances: a last-writer-wins map, so that what several processes have written can
-// be merged in any order and as often as one likes. No I/O.
+// Exclusions of instances by operators: a last-writer-wins map, so that the maps of several processes can be
+// merged in any order and repeatedly. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -12,11 +12,12 @@
 
 namespace dahliastall::fleet {
 
+// The last decision on one instance; excluded is false after an inclusion.
 struct Exclusion {
   bool excluded = false;
-  std::uint64_t version = 0;  // one more than the highest that its writer had seen of this instance
-  std::uint64_t writer = 0;   // decides between two of the same version
-  double updatedMs = 0;       // when it was said, by the machine's clock
+  std::uint64_t version = 0;  // one more than the highest version known to its writer
+  std::uint64_t writer = 0;   // breaks ties between equal versions
+  double updatedMs = 0;       // by the machine's clock
 
   bool supersedes(const Exclusion& other) const {
     return std::tie(version, writer) > std::tie(other.version, other.writer);
@@ -24,13 +25,14 @@
   bool operator==(const Exclusion&) const = default;
 };
 
+// The exclusions of all instances.
 class Exclusions {
  public:
-  // As many instances as there may be: an operator's mistake in a loop must not fill memory.
+  // As many as there may be instances, so that a runaway script cannot fill memory.
   static constexpr std::size_t kMaxEntries = 1024;
   static constexpr std::size_t kMaxIdBytes = 256;
   static constexpr std::size_t kMaxTextBytes =
-      kMaxEntries * (6 * kMaxIdBytes + 160);  // each byte of an id escaped
+      kMaxEntries * (6 * kMaxIdBytes + 160);  // with every byte of an id escaped
 
   const Exclusion* find(const std::string& id) const {
     const auto it = exclusions_.find(id);
@@ -43,13 +45,13 @@
   std::size_t size() const { return exclusions_.size(); }
   const std::map<std::string, Exclusion>& all() const { return exclusions_; }
 
-  // False if there is no room for another instance.
+  // Returns false if the map is full.
   bool set(const std::string& id, bool excluded, std::uint64_t writer, double nowMs);
-  // The instances whose mark is another now.
+  // Returns the instances whose entry changed.
   std::vector<std::string> merge(const Exclusions& others);
   void forget(const std::string& id) { exclusions_.erase(id); }
 
-  // The form in which they are kept, and back; nothing if that is no whole text of this form.
+  // The text form in the shared file, and back; nothing if the text is not a complete one.
   std::string text() const;
   static std::optional<Exclusions> parse(std::string_view text);
 
--- a/src/fleet/lifecycle.h
+++ b/src/fleet/lifecycle.h
@@ -1,5 +1,5 @@
-// The life of a model box as operators see it: one state machine, fed by facts. It decides nothing about
-// routing; the module sees the effective membership only. No I/O; the clock is passed in.
+// The lifecycle of an instance as operators see it: a state machine that is reconciled with observed facts.
+// It does not influence routing, which uses the effective membership. No I/O; the clock is passed in.
 #pragma once
 
 #include <cstddef>
@@ -9,34 +9,38 @@
 
 namespace dahliastall::fleet {
 
+// Names in reports are given by nameOf.
 enum class LifecycleState { kWarming, kActive, kDraining, kDrained, kUnreachable, kAvoided, kGone };
 const char* nameOf(LifecycleState state);
 
+// What moves an instance from one state to another.
 enum class LifecycleEvent {
-  kListed,      // the list has it, and it may be cold
-  kWarm,        // it has been up long enough
-  kDrainAsked,  // by an operator or by the list
-  kIdle,        // nothing is open on it any more
-  kDrainOver,   // lifted: it counts as freshly started
-  kAvoided,     // the module passes it over
-  kTrusted,     // and does not any more
-  kLost,        // no connection to it comes up
-  kReached,     // one did
-  kDelisted     // it is gone
+  kListed,      // discovery lists it; it may be cold
+  kWarm,        // it has been up for the warm-up time
+  kDrainAsked,  // by an operator or by discovery
+  kIdle,        // no request is open on it
+  kDrainOver,   // undrained: counts as freshly started
+  kAvoided,     // routing avoids it
+  kTrusted,     // routing uses it again
+  kLost,        // no connection succeeds
+  kReached,     // a connection succeeded
+  kDelisted     // discovery lists it no more
 };
 const char* nameOf(LifecycleEvent event);
 
+// The state machine of one instance.
 class InstanceLifecycle {
  public:
-  // A box that has just been listed.
+  // An instance that was just listed.
   InstanceLifecycle(bool cold, double nowMs)
       : state_(cold ? LifecycleState::kWarming : LifecycleState::kActive), sinceMs_(nowMs) {}
 
-  // What followed from it, or why it cannot follow here: then nothing has changed.
+  // legal: the transition was made; otherwise nothing changed and `why` says why.
   struct Outcome {
     bool legal;
     std::string why;
   };
+  // why, by: for operators; by default the name of the event.
   Outcome apply(LifecycleEvent event, double nowMs, const std::string& why = "", const std::string& by = "");
 
   LifecycleState state() const { return state_; }
@@ -49,23 +53,23 @@
   std::optional<LifecycleState> next(LifecycleEvent event) const;
 
   LifecycleState state_;
-  LifecycleState resumeState_ = LifecycleState::kActive;  // what an avoided or unreachable one comes back to
+  LifecycleState resumeState_ = LifecycleState::kActive;  // state after kAvoided or kUnreachable
   double sinceMs_;
   std::string why_ = "listed", by_ = "list";
   std::uint64_t revision_ = 1;
 };
 
-// What is so now, from which the events of a box follow.
+// The observed facts of an instance, from which its events are derived.
 struct InstanceFacts {
   bool listed = false;
   bool warm = false;
-  std::string drainedBy;  // empty: nobody asked for a drain
+  std::string drainedBy;  // empty: not drained
   bool avoided = false;
   bool reachable = true;
   std::size_t open = 0;
 };
 
-// Brings a life up to the facts: the events that lead there, each of them legal.
+// Applies the events that lead from the present state to the facts.
 void reconcile(InstanceLifecycle& lifecycle, const InstanceFacts& facts, double nowMs);
 
 }  // namespace dahliastall::fleet
--- a/src/fleet/membership.h
+++ b/src/fleet/membership.h
@@ -1,6 +1,6 @@
-// The effective membership: what discovery or the operator's file lists, overlaid with what operators said.
-// The module sees nothing else, so there is one notion of a drain: an excluded instance reads as leaving, and
-// one that is included again as started at that moment, hence cold. No I/O.
+// The effective membership: what discovery or the operator's file lists, overlaid with the exclusions of
+// operators, the drains of a maintenance and the exclusions by peers. The decision module sees nothing else:
+// an excluded instance reads as leaving, and one that is included again as just started, hence cold. No I/O.
 #pragma once
 
 #include <map>
@@ -16,36 +16,36 @@
 
 class Membership {
  public:
-  // writer: tells this process from others that mark the same instances.
+  // writer: identifies this process among those that write exclusions.
   explicit Membership(std::uint64_t writer) : writer_(writer) {}
 
-  // What a list says, as the module is to hear it.
+  // Applies a list of discovery; returns it as the module is to see it.
   leverrelay::ListNews told(const leverrelay::ListNews& news, double nowMs);
 
   enum class Verdict { kDone, kUnknown, kNoRoom };
   struct Change {
     Verdict verdict;
-    std::optional<leverrelay::ListNews> news;  // nothing: the module need not hear of it
+    std::optional<leverrelay::ListNews> news;  // nothing: no change for the module
   };
   Change exclude(const std::string& id, double nowMs) { return setExcluded(id, true, nowMs); }
   Change include(const std::string& id, double nowMs) { return setExcluded(id, false, nowMs); }
 
-  // The boxes that the fleet's maintenance has out: those that are new to it leave, and those that are in it
-  // no more come back as boxes that have just started.
+  // Replaces the instances that a maintenance drains. Instances that are no longer drained return as just
+  // started.
   std::optional<leverrelay::ListNews> setPlannedDrains(const std::set<std::string>& drained, double nowMs);
 
-  // The boxes that are left out because others found them bad. Those that come back are cold for all that is
-  // known: they may have been started anew meanwhile.
+  // Replaces the instances that are excluded because other conductors found them unhealthy. Instances that
+  // return count as cold, as they may have been restarted.
   std::optional<leverrelay::ListNews> setPeerExclusions(const std::set<std::string>& out, double nowMs);
 
-  // What other processes marked.
+  // Merges the exclusions of other processes.
   std::optional<leverrelay::ListNews> merge(const Exclusions& others);
-  // Lets go of marks that say nothing any more, or whose instance has been gone for long.
+  // Drops exclusions without effect, and those of instances that have been gone for long.
   void tidy(double nowMs);
 
   const Exclusions& exclusions() const { return exclusions_; }
   const std::map<leverrelay::EngineId, leverrelay::ListEntry>& listed() const { return listed_; }
-  // As the module is told of it; nothing if it is not listed.
+  // The entry as the module sees it; nothing if it is not listed.
   std::optional<leverrelay::ListEntry> effectiveOf(const leverrelay::EngineId& id) const {
     const auto it = listed_.find(id);
     return it == listed_.end() ? std::nullopt : std::optional(effective(it->second));
@@ -62,13 +62,13 @@
   std::optional<leverrelay::ListNews> changesOf(const std::vector<std::string>& ids);
 
   std::uint64_t writer_;
-  std::uint64_t version_ = 0;  // of what the module was told
+  std::uint64_t version_ = 0;  // of the list that the module has
   Exclusions exclusions_;
-  std::map<leverrelay::EngineId, leverrelay::ListEntry> listed_;  // as the list says it
-  std::map<std::string, double> missingSince_;                    // marked, but not listed
+  std::map<leverrelay::EngineId, leverrelay::ListEntry> listed_;  // as discovery lists them
+  std::map<std::string, double> missingSince_;                    // excluded, but not listed: since when
   std::set<std::string> drained_;                                 // by the maintenance
-  std::set<std::string> peerExclusions_;                          // by what other conductors saw
-  std::map<std::string, double> returned_;                        // from either, lately: when
+  std::set<std::string> peerExclusions_;                          // by observations of other conductors
+  std::map<std::string, double> returned_;                        // from either, recently: when
 };
 
 }  // namespace dahliastall::fleet
--- a/src/shared/budget.h
+++ b/src/shared/budget.h
@@ -1,11 +1,10 @@
-// Token budgets that the fleet shares, lent out in parts. Two sides that never meet but through the store:
-// - the conductor spends only below a ceiling that it has written down itself and that was taken by the
-// store,
-//   and the ceiling lies within what it was lent;
-// - the lender gives no more than what is left of the budget once all that is lent, and all that conductors
-//   that are gone may have spent, is taken off.
-// What was lent and what was returned only ever grow, so an old word of either side errs towards too little.
-// No I/O.
+// Token budgets that the fleet shares by loans. The two sides meet only through the store:
+// - a conductor spends only up to a ceiling that it has reported and the store has accepted, and the ceiling
+//   lies within what it was lent;
+// - the lender lends no more than what is left of the budget after all outstanding loans, and after all that
+//   evicted conductors may have spent.
+// Lent and returned amounts only grow, so a stale report of either side errs towards lending too little.
+// Amounts are tokens. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -18,86 +17,92 @@
 
 namespace dahliastall::shared {
 
-constexpr std::size_t kMaxTenants = 32;  // with a budget
+constexpr std::size_t kMaxTenants = 32;  // that may have a budget
 
-// What a conductor says of one budget, within the period that its word names. Tokens.
+// A conductor's report on one budget, within the period that the report names.
 struct Spend {
-  std::uint64_t spent = 0;     // of answers that have ended
-  std::uint64_t reserved = 0;  // the most that those under way may need
-  std::uint64_t ceiling = 0;   // spent and reserved together stay within this until another word is taken
-  std::uint64_t lentSeen = 0;  // the most that it was told it has been lent, over the period
-  std::uint64_t returned = 0;  // of that, over the period
-  std::uint64_t wants = 0;     // to have out in all: used, and what its traffic needs ahead
+  std::uint64_t spent = 0;     // by requests that have ended
+  std::uint64_t reserved = 0;  // upper bound for requests in flight
+  std::uint64_t ceiling = 0;   // limit of spent + reserved until another report is accepted
+  std::uint64_t lentSeen = 0;  // total of loans in the period, as far as it knows
+  std::uint64_t returned = 0;  // total of returns in the period
+  std::uint64_t wants = 0;     // loan it asks for: used, and what its traffic needs ahead
   bool operator==(const Spend&) const = default;
 };
 
+// Settings of loans. Durations in milliseconds.
 struct BudgetConfig {
-  double prefetchMs = 10'000;  // of its traffic, that a conductor is lent ahead
-  double ceilingMs = 3'000;    // of its traffic, by which its ceiling lies above what is in use
-  double loanMs = 30'000;      // a loan lapses so long after the last word of its conductor that was taken
-  double rateMs = 10'000;      // over which its traffic is seen
-  // Guards that tests take away one by one.
-  bool ceilingFirst = true;  // what was lent is spent only below a ceiling that the store has taken
-  bool returnsKept = true;   // what was returned is not spent any more
+  double prefetchMs = 10'000;  // traffic that a conductor borrows ahead for
+  double ceilingMs = 3'000;    // traffic by which the ceiling exceeds what is in use
+  double loanMs = 30'000;      // a loan expires so long after the last accepted report
+  double rateMs = 10'000;      // time constant of the measured token rate
+  // Safety checks that tests switch off one by one.
+  bool ceilingFirst = true;  // spend only up to the accepted ceiling
+  bool returnsKept = true;   // do not spend what was returned
 };
 
-// A promise of the most that one answer may need; ended once.
+// Tokens reserved for one request; settled exactly once.
 struct Reservation {
   std::string tenant;
   std::uint64_t tokens = 0;
-  std::uint64_t epoch =
-      0;  // of the purse: after a change of period or incarnation an old one changes nothing
+  std::uint64_t epoch = 0;  // settling one of an earlier period or incarnation has no effect
 };
 
+// Why a reservation was denied.
 enum class Denial : std::uint8_t {
   kNone,
-  kUsedUp,       // nothing of the budget is left for this period
-  kNoLoan,       // the fleet may have some left, this conductor has none at hand
-  kLoanExpired,  // it has not been heard for so long that it may spend nothing
+  kUsedUp,       // the budget is used up for this period
+  kNoLoan,       // the fleet may have tokens left, this conductor has none
+  kLoanExpired,  // no report was accepted for loanMs: nothing may be spent
   kTooLarge,     // more than the whole budget
 };
 const char* nameOf(Denial why);
 
-// ---- The conductor's side --------------------------------------------------------------------------------
+// ---- Borrower: each conductor
+// --------------------------------------------------------------------------------
 
+// The budgets of all tenants, as one conductor borrows and spends them.
 class TokenBudgets {
  public:
   explicit TokenBudgets(BudgetConfig config = {}) : config_(config) {}
 
-  // Which franchisees have a budget, by this conductor's own file: without a word of the fleet they get
-  // nothing. A changed limit alone changes nothing here.
+  // The tenants with a budget, by this conductor's file. Without a loan they may spend nothing; the limit
+  // only rejects requests that exceed the whole budget.
   void setLimits(const std::map<std::string, std::uint64_t>& limits);
   bool isLimited(const std::string& tenant) const { return tenants_.count(tenant) != 0; }
 
+  // denial is kNone if the reservation holds.
   struct Answer {
     Denial denial = Denial::kNone;
     Reservation reservation;
   };
+  // Reserves tokens for a request. A tenant without a budget is never denied.
   Answer reserve(const std::string& tenant, std::uint64_t tokens, double nowMs);
-  // What it came to in the end; more than was reserved counts as it is.
+  // Ends a reservation with what was really spent, which may exceed what was reserved.
   void settle(const Reservation& reservation, std::uint64_t spent, double nowMs);
 
-  // What the fleet's digest says: the period, what this incarnation was lent in it, and how much of the
-  // budget is left to lend. A period that lies before the known one is passed over.
+  // What a digest says of one budget: the total lent to this incarnation, and what is left to lend.
   struct LoanUpdate {
     std::uint64_t lent = 0, left = 0;
   };
+  // Takes the loans of a digest, by tenant. A digest of an earlier period is ignored.
   void onDigest(std::uint64_t period, const std::map<std::string, LoanUpdate>& lent);
 
-  // Its own word, as it would be written now, and once it was taken: the words sent from then on count. A
-  // loan lapses by when the word was begun, which the store cannot have taken earlier. leaving: it takes
-  // nothing more, and gives back all that is not in use.
+  // The report to write now, by tenant; lowers ceilings at once. leaving: return all that is not in use.
   std::map<std::string, Spend> prepareReport(double nowMs, bool leaving = false);
+  // The store accepted a report; raises ceilings. writeBegunMs: when its write was begun, from which the
+  // expiry of loans counts, as the store cannot have accepted it earlier.
   void onReportAccepted(std::uint64_t period, const std::map<std::string, Spend>& spend, double writeBegunMs);
 
-  // Its part was folded: all that was lent is gone, and what is open stays reckoned there. What was really
-  // used goes back with the next word.
+  // This incarnation was evicted: drops all loans and reservations, and returns what was really used, by
+  // tenant, for the lender to refund.
   std::map<std::string, std::uint64_t> resetAfterEviction();
 
-  // Something was denied since the last word for want of a loan: a new word is worth writing now.
+  // Whether a request was denied since the last report, so that another report should be written soon.
   bool needsLoan() const;
   std::uint64_t period() const { return period_; }
   bool loanExpired(double nowMs) const { return !acceptedMs_ || nowMs - *acceptedMs_ >= config_.loanMs; }
+  // The state of one budget, for reports.
   struct Snapshot {
     std::uint64_t spent, reserved, ceiling, lent, returned, left;
   };
@@ -105,14 +110,14 @@
 
  private:
   struct Account {
-    Spend spend;                        // but for `wants`, as it is now
-    std::uint64_t acceptedCeiling = 0;  // the ceiling that was taken, or a lower one that is being written
-    std::uint64_t left = 0;             // of the fleet's budget, as last heard
+    Spend spend;                        // current, except for `wants`
+    std::uint64_t acceptedCeiling = 0;  // accepted, or a lower one that is being written
+    std::uint64_t left = 0;             // of the fleet's budget, by the last digest
     std::uint64_t limit = 0;
-    double recentTokens = 0, recentMs = 0;  // reserved of late, fading
-    std::uint64_t largest = 0;              // of late
+    double recentTokens = 0, recentMs = 0;  // reserved recently, decaying
+    std::uint64_t largest = 0;              // recent request
     double largestMs = 0;
-    bool denied = false;  // since the last word
+    bool denied = false;  // since the last report
     std::uint64_t used() const { return spend.spent + spend.reserved; }
     std::uint64_t outstanding() const {
       return spend.lentSeen > spend.returned ? spend.lentSeen - spend.returned : 0;
@@ -127,30 +132,33 @@
   std::optional<double> acceptedMs_;
 };
 
-// ---- The lender's side -----------------------------------------------------------------------------------
+// ---- Lender: the holder of the digest's lease
+// -----------------------------------------------------------------------------------
 
-// One budget as the digest has it. At each moment charged + lent - returned <= limit, unless the limit itself
-// was lowered under that.
+// One budget in the digest. Invariant: charged + lent - returned <= limit, unless the limit itself was
+// lowered below that.
 struct BudgetLine {
   std::uint64_t limit = 0;
-  std::uint64_t charged = 0;             // to conductors that are gone: all that they may have spent
-  std::uint64_t left = 0;                // to be lent, as the lender reckoned last
-  std::map<Origin, std::uint64_t> lent;  // in this period, to each that may still spend
+  std::uint64_t charged = 0;             // upper bound of what evicted conductors spent
+  std::uint64_t left = 0;                // available for loans
+  std::map<Origin, std::uint64_t> lent;  // in this period, by borrower
   bool operator==(const BudgetLine&) const = default;
 };
 
-std::uint64_t outstandingOf(const BudgetLine& line,
-                            const std::map<Origin, Spend>& spends);  // lent and not returned
+// Loans that were not returned.
+std::uint64_t outstandingOf(const BudgetLine& line, const std::map<Origin, Spend>& spends);
+// What may still be lent.
 std::uint64_t leftOf(const BudgetLine& line, const std::map<Origin, Spend>& spends);
 
-// Lends what is wanted; where there is too little, whole wishes as far as it goes, of those with least at
-// hand first.
+// Grants loans. If there is too little, whole requests are granted as far as it goes, beginning with the
+// conductors that hold the fewest unspent tokens.
 void lend(BudgetLine& line, const std::map<Origin, Spend>& spends);
 
-// A conductor's part is taken out: its last word is all that it can have spent, and the rest is free again.
+// Evicts a borrower: it is charged what its last report says it may have spent, or its whole loan without a
+// report; the rest becomes available.
 void charge(BudgetLine& line, const Origin& gone, const std::optional<Spend>& lastSpend);
 
-// What a conductor that was taken for gone really used, in place of what it was charged.
+// Replaces the charge of an evicted conductor that came back by what it really used.
 void refund(BudgetLine& line, std::uint64_t charged, std::uint64_t used);
 
 }  // namespace dahliastall::shared
--- a/src/shared/codec.h
+++ b/src/shared/codec.h
@@ -1,6 +1,7 @@
-// What lies in the store: each conductor's own part, and the digest that the holder of the digest's lease
-// makes of all parts. In a form with a version and a checksum; fields that are not known are kept by whoever
-// writes a digest anew, so that an older and a newer program can share one store. No I/O.
+// The documents of shared state and their encoding: each conductor's part, and the digest that the holder of
+// the digest's lease makes of all parts. A document is a header with a format version, a checksum and a
+// MessagePack value. Unknown fields of a digest are kept when it is rewritten, so that an older and a newer
+// program can share one store. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -18,86 +19,94 @@
 
 namespace dahliastall::shared {
 
+// Keys in the store.
 inline constexpr const char* kPartPrefix = "part/";
 inline constexpr const char* kDigestKey = "digest";
 
+// Bounds of documents; what exceeds them is rejected with kBeyondBounds.
 constexpr std::size_t kMaxNodes = coordination::kMostConductors;
-constexpr std::size_t kMaxOrigins = 2 * kMaxNodes;  // that may still spend: as many again have just ended
+constexpr std::size_t kMaxOrigins = 2 * kMaxNodes;  // live ones, and as many that just ended
 constexpr std::size_t kMaxFolded = kMaxNodes;
-constexpr std::size_t kMaxIdentifierBytes = 128;  // of a franchisee, a class or an instance
-constexpr std::size_t kMaxNodeNameBytes = 64;     // of a conductor, as a file may give it
+constexpr std::size_t kMaxIdentifierBytes = 128;  // of a tenant, a class or an instance
+constexpr std::size_t kMaxNodeNameBytes = 64;     // of a conductor
 constexpr std::size_t kMaxDocumentBytes = coordination::kMostValueBytes;
-// Of all parts together: whoever makes the digest holds them as text and again as read, some five times their
-// text (tests/bounds_test.cpp), which has to stay within half of its 192 MiB.
+// Of all parts together. Whoever makes the digest holds them encoded and decoded, about five times their
+// encoded size (tests/bounds_test.cpp), which has to stay within half of its 192 MiB.
 constexpr std::size_t kMaxPartsBytes = 16 << 20;
-constexpr std::uint64_t kMaxTokens = 1ULL << 50;  // of anything: what is above was not counted
+constexpr std::uint64_t kMaxTokens = 1ULL << 50;  // largest plausible number of tokens
 
-// What an incarnation that was folded really used of each budget.
+// What an evicted incarnation really used of each budget, for the lender to refund.
 struct FinalUsage {
   std::uint64_t incarnation = 0, period = 0;
   std::map<std::string, std::uint64_t> used;
   bool operator==(const FinalUsage&) const = default;
 };
 
+// A conductor's document: its report on budgets, usage and health.
 struct Part {
   Origin origin;
-  std::uint64_t sequence = 0;            // counts up with each that is written
-  std::uint64_t digestSequenceSeen = 0;  // of the newest digest that it knows
-  double unixMs = 0;                     // by its own clock
+  std::uint64_t sequence = 0;            // grows with each report
+  std::uint64_t digestSequenceSeen = 0;  // of the newest digest that it read
+  double unixMs = 0;                     // by the conductor's clock
   std::uint64_t period = 0;
   std::map<std::string, Spend> spends;
   UsageTable usage;
   std::map<std::string, HealthObservation> observations;
   std::optional<FinalUsage> finalUsage;
 
+  // The key in the store, from the origin.
   std::string key() const;
 };
 
-// An incarnation whose part was folded, for it to learn of if it lives.
+// An evicted incarnation whose part was folded into the base; it learns of this if it is alive.
 struct Folded {
   Origin origin;
-  std::uint64_t sequence = 0, period = 0;  // its last word that counts
+  std::uint64_t sequence = 0, period = 0;  // of its last report that counts
   std::map<std::string, std::uint64_t> charged;
   bool operator==(const Folded&) const = default;
 };
 
+// The fleet's document, made of all parts.
 struct Digest {
-  std::uint64_t sequence = 0;  // counts up with each that is written
-  std::uint64_t restored = 0;  // times that the store was found to have gone back
-  std::uint64_t lendsFromSequence =
-      0;                    // nothing is lent before: what was lent and is not known of has lapsed by then
-  std::uint64_t fence = 0;  // of the lease under which it was written
+  std::uint64_t sequence = 0;  // grows with each digest
+  std::uint64_t restored = 0;  // times that a rollback of the store was detected
+  // No loans before this digest: after a rollback, forgotten loans have expired by then.
+  std::uint64_t lendsFromSequence = 0;
+  std::uint64_t fence = 0;  // of the lease of its writer
   std::uint64_t period = 0;
-  double periodEndsMs = 0;  // Unix time, for people and for what is told to clients
+  double periodEndsMs = 0;  // Unix time, for reports and for clients
   std::map<std::string, BudgetLine> budgets;
-  UsageTable base;                        // of all that were folded
-  UsageTable total;                       // of all that are known, for people
-  std::map<Origin, std::uint64_t> heard;  // conductors that speak, and the word of each that this rests on
+  UsageTable base;                        // of all folded parts
+  UsageTable total;                       // of base and parts, for reports
+  std::map<Origin, std::uint64_t> heard;  // live conductors, and the report of each in this digest
   std::vector<Folded> folded;             // the newest last
   std::map<std::string, HealthVerdict> boxes;
   nlohmann::json unknown = nlohmann::json::object();  // fields of a later program
 
+  // The entry of an evicted incarnation; null if there is none.
   const Folded* foldedOf(const Origin& origin) const;
 };
 
-// Why a text is none of these; each is counted by its name, and never believed.
+// Why a document was rejected; counted by its name.
 enum class DecodeError : std::uint8_t {
   kNone,
   kTooLarge,
-  kForeign,
-  kDamaged,
+  kForeign,  // no document of this kind, or under another's key
+  kDamaged,  // the checksum does not match
   kUnsupportedVersion,
-  kMalformed,
-  kBeyondBounds
+  kMalformed,  // the value is not of the expected shape
+  kBeyondBounds,
 };
 const char* nameOf(DecodeError error);
 
 std::string encode(const Part& part);
 std::string encode(const Digest& digest);
+// part is set exactly if error is kNone.
 struct DecodedPart {
   DecodeError error = DecodeError::kNone;
   std::optional<Part> part;
 };
+// digest is set exactly if error is kNone.
 struct DecodedDigest {
   DecodeError error = DecodeError::kNone;
   std::optional<Digest> digest;
--- a/src/shared/config.h
+++ b/src/shared/config.h
@@ -1,4 +1,4 @@
-// How shared state is kept, by an operator's file.
+// Settings of shared state, as an operator's file gives them. Durations in milliseconds.
 #pragma once
 
 #include <algorithm>
@@ -12,32 +12,34 @@
 
 namespace dahliastall::shared {
 
-// Guards that tests take away one by one, to see that what they guard against is then found.
+// Safety checks that tests switch off one by one, to show that the tests then fail.
 struct SharedGuards {
-  bool chargeCeiling = true;      // a conductor that is gone is charged all that it may have spent
-  bool waitBeforeLending = true;  // a new holder, or one of a store that went back, waits before it lends
-  bool credibleOnly = true;       // who finds most boxes bad is not heard
+  bool chargeCeiling = true;      // an evicted conductor is charged its whole ceiling
+  bool waitBeforeLending = true;  // a new lease holder, or one after a rollback, lends nothing at first
+  bool credibleOnly = true;       // observations of non-credible witnesses are ignored
 };
 
+// All settings of shared state.
 struct SharedConfig {
-  double reportMs = 1'000;                       // between two words of a conductor, in a small fleet
-  double reportPerNodeMs = 20;                   // and so much more for each conductor in it
+  double reportMs = 1'000;                       // between two reports of a conductor in a small fleet
+  double reportPerNodeMs = 20;                   // added for each conductor in the fleet
   double digestMs = 1'000;                       // between two digests
-  double goneMs = 30'000;                        // a part that has not changed for so long is folded
-  double replacedMs = 3'000;                     // one whose conductor has started anew
-  double silentMs = 10'000;                      // what a conductor saw counts so long after its last word
-  double periodMs = 86'400'000;                  // of all budgets, from the Unix epoch on
-  std::map<std::string, std::uint64_t> budgets;  // tokens in a period, by franchisee
-  double maxExcludedShare = 0.34;  // share of a role, and of a role in a cell, that hearsay may leave out
-  std::uint64_t probeDigests = 3;  // digests for which one conductor tries a box that is left out
+  double goneMs = 30'000;                        // a part unchanged for so long is folded
+  double replacedMs = 3'000;                     // the same, where the conductor has restarted
+  double silentMs = 10'000;                      // observations count for so long after the last report
+  double periodMs = 86'400'000;                  // of all budgets, aligned to the Unix epoch
+  std::map<std::string, std::uint64_t> budgets;  // tokens per period, by tenant
+  // Largest share of a role, and of a role within a cell, that verdicts may exclude.
+  double maxExcludedShare = 0.34;
+  std::uint64_t probeDigests = 3;  // digests for which one conductor probes an instance
   SharedGuards guards;
   BudgetConfig budget;
   ObservationConfig observations;
   VerdictConfig verdict;
   ConnectivityConfig connectivity;
 
-  // Between two words of a conductor. However many there are, each speaks twice before it counts as silent or
-  // as alone.
+  // The time between two reports. It grows with the fleet, but always leaves room for two reports before a
+  // conductor counts as silent or as isolated.
   double reportIntervalMs(std::size_t conductors) const {
     return std::max(reportMs, std::min(reportMs + reportPerNodeMs * static_cast<double>(conductors),
                                        std::min(silentMs, connectivity.isolatedMs) / 2));
--- a/src/shared/connectivity.h
+++ b/src/shared/connectivity.h
@@ -1,6 +1,7 @@
-// How well a conductor hears of the others: connected, late, alone, returning. What it does with shared state
-// hangs on this. Entered and left with a margin between, and at moments that are drawn for each conductor, so
-// that a fleet that is cut off does not change its ways in one instant. No I/O.
+// How well this conductor is connected to the rest of the fleet, as a state machine over two signals: the
+// last digest that was read and the last report of its own that the store accepted. States are left at half
+// of the limit at which they are entered (hysteresis), and the limits are jittered per conductor, so that a
+// fleet that is partitioned does not change its behaviour in one instant. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -8,28 +9,37 @@
 
 namespace dahliastall::shared {
 
-enum class ConnectivityState : std::uint8_t { kConnected, kDelayed, kIsolated, kRejoining };
+enum class ConnectivityState : std::uint8_t {
+  kConnected,
+  kDelayed,    // no digest, or no accepted report, for delayedMs
+  kIsolated,   // the same for isolatedMs: shared state is not relied upon
+  kRejoining,  // messages flow again, but no digest contains a report written since
+};
+// The name in logs and reports.
 const char* nameOf(ConnectivityState state);
 
+// Durations in milliseconds.
 struct ConnectivityConfig {
-  double delayedMs = 3'000;    // without a new digest, or without a word of one's own taken: late
-  double isolatedMs = 10'000;  // alone
-  double jitterShare = 0.2;    // of either, drawn once for each conductor and added
+  double delayedMs = 3'000;    // of silence until kDelayed
+  double isolatedMs = 10'000;  // of silence until kIsolated
+  double jitterShare = 0.2;    // of either limit, drawn once per conductor and added
 };
 
 class Connectivity {
  public:
+  // seed: of the jitter; nowMs: the start, from which silence is counted.
   Connectivity(ConnectivityConfig config, std::uint64_t seed, double nowMs);
 
-  // A digest that is newer than the last, and how many words of this conductor it rests on.
+  // A newer digest was read; acknowledged: the sequence of this conductor's newest report in it, 0 if none.
   void onDigest(std::uint64_t acknowledged, double nowMs);
-  // A word of its own was taken by the store.
+  // The store accepted this conductor's report with this sequence.
   void onReportAccepted(std::uint64_t reportSequence, double nowMs);
+  // Applies the passing of time; call before state().
   void tick(double nowMs);
 
   ConnectivityState state() const { return state_; }
   double sinceMs() const { return sinceMs_; }
-  // For how long it has heard nothing: the older of the last digest and of the last word taken.
+  // Time since the older of the last digest and the last accepted report.
   double silenceMs(double nowMs) const;
 
  private:
@@ -40,7 +50,7 @@
   ConnectivityState state_ = ConnectivityState::kRejoining;
   double sinceMs_, digestMs_, reportMs_;
   std::uint64_t reportSequence_ = 0, acknowledged_ = 0;
-  std::uint64_t rejoinSequence_ = 0;  // words up to the moment at which it began to return
+  std::uint64_t rejoinSequence_ = 0;  // the last report before kRejoining was entered
 };
 
 }  // namespace dahliastall::shared
--- a/src/shared/digest_task.h
+++ b/src/shared/digest_task.h
@@ -1,6 +1,7 @@
-// The task of the one conductor that makes a digest of all parts: it lends budgets, folds the parts of those
-// that are gone, and judges boxes by all that was seen. Each step is one change of documents, from the digest
-// that it read and under the lease's fence; a step from an old view is refused by the store. No I/O.
+// The task of the one conductor that holds the digest's lease: it makes a digest of all parts, lends budgets,
+// folds the parts of conductors that are gone, and decides the verdicts on instances. Each step is one
+// transaction on the documents that it read, under the lease's fence; the store rejects a step from a stale
+// view. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -18,12 +19,13 @@
 
 class DigestTask final : public coordination::FleetTask {
  public:
+  // Counters since the start.
   struct Stats {
     std::uint64_t folded = 0, rolledBack = 0, refunded = 0, incredible = 0, backwards = 0;
-    std::map<std::string, std::uint64_t> unread;  // by flaw, each revision of a document once
+    std::map<std::string, std::uint64_t> unread;  // by decode error, each revision of a document once
   };
 
-  // unixMs: the machine's wall clock. terms: read at each step, as a reload may change them.
+  // config: read at each step, as a reload may change it. unixMs: the machine's wall clock.
   DigestTask(coordination::TaskConfig task, std::function<SharedConfig()> config,
              std::function<double()> unixMs);
 
@@ -36,16 +38,22 @@
   struct Read {
     Part part;
     std::uint64_t revision;
-    double ageMs;  // for how long this holder has seen it unchanged: never too long
+    double ageMs;  // for how long this process has seen it unchanged
   };
+  // Decodes the parts of a view; ignores and counts those that are invalid.
   std::map<Origin, Read> readParts(const coordination::View& view, double nowMs);
   void countUndecodable(const std::string& key, std::uint64_t revision, DecodeError error);
+  // Suspends lending if some part knows a newer digest than the store has.
   void detectRollback(Digest& digest, const std::map<Origin, Read>& parts);
+  // Begins the period of the median clock; never goes back.
   void advancePeriod(Digest& digest, const std::map<Origin, Read>& parts);
+  // Refunds evicted incarnations that reported what they really used.
   void settle(Digest& digest, const std::map<Origin, Read>& parts);
+  // Folds the parts of conductors that are gone; returns the removals.
   std::vector<coordination::Write> fold(Digest& digest, std::map<Origin, Read>& parts, double nowMs);
   void lendBudgets(Digest& digest, const std::map<Origin, Read>& parts, std::uint64_t fence, double nowMs);
   void updateVerdicts(Digest& digest, const std::map<Origin, Read>& parts);
+  // Sums the usage of all parts.
   void count(Digest& digest, const std::map<Origin, Read>& parts);
 
   coordination::TaskConfig task_;
@@ -53,8 +61,8 @@
   std::function<double()> unixMs_;
   SharedConfig config_;
   coordination::Seen ages_;
-  std::map<std::string, std::uint64_t> countedRevisions_;  // flawed documents: the revision that was counted
-  std::map<Origin, UsageTable> known_;                     // of each part, the most that it ever said
+  std::map<std::string, std::uint64_t> countedRevisions_;  // of undecodable documents
+  std::map<Origin, UsageTable> known_;                     // highest usage of each part
   std::uint64_t lastSequence_ = 0, fence_ = 0;
   double fenceSinceMs_ = 0;
   Stats stats_;
--- a/src/shared/health_observation.h
+++ b/src/shared/health_observation.h
@@ -1,6 +1,6 @@
-// What one conductor saw of each box, and what the fleet makes of all sights together. A judgement rests on
-// distinct witnesses; one that finds most boxes bad is taken to have a bad link of its own and is not heard.
-// No I/O.
+// Health observations: what one conductor measured of each instance, and how the fleet combines the
+// observations of all conductors into a verdict. A verdict needs several distinct witnesses; a witness that
+// finds most instances unhealthy is taken to have a network problem of its own and is ignored. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -13,42 +13,46 @@
 
 namespace dahliastall::shared {
 
+// Why an attempt at an instance failed.
 enum class FailureKind : std::uint8_t { kNone, kConnectionRefused, kTimeout, kError, kSlow };
 const char* nameOf(FailureKind failure);
 
-// Evidence of one conductor on one box, faded to the moment at which it is said.
+// Evidence of one conductor on one instance: decayed counts of successes and failures, as of now.
 struct HealthObservation {
   double good = 0, bad = 0;
-  double badAgeMs = 0, goodAgeMs = 0;        // since the last of each, by the witness's own clock
-  FailureKind failure = FailureKind::kNone;  // of the last that was bad
+  double badAgeMs = 0, goodAgeMs = 0;        // time since the last of each, by the witness's clock
+  FailureKind failure = FailureKind::kNone;  // of the last failure
 };
 
+// How evidence decays and is weighed.
 struct ObservationConfig {
-  double halfLifeMs = 10'000;  // in which evidence loses half its say
-  double unhealthyFrom =
-      1.5;  // evidence from which a witness says that a box is bad: two failures, a little faded
-  double freshMs = 5'000;  // in which a conductor's own good answer goes before what others say
-  double maxUnhealthyShare =
-      0.5;  // share of the boxes that a witness knows; who finds more of them bad is not heard
+  double halfLifeMs = 10'000;  // half-life of evidence
+  // Failures from which a witness votes unhealthy: two, slightly decayed.
+  double unhealthyFrom = 1.5;
+  // For how long a conductor's own success overrides the verdict of the fleet.
+  double freshMs = 5'000;
+  // A witness that finds a larger share of its known instances unhealthy is ignored.
+  double maxUnhealthyShare = 0.5;
 };
 
 constexpr std::size_t kMaxInstances = coordination::kMostInstances;
 
-// Leaves so many sights, those with most evidence, bad before good.
+// Keeps at most `most` observations: those with the most failures, then the most successes.
 void keepStrongest(std::map<std::string, HealthObservation>& observations, std::size_t most);
 
-// A conductor's own sights.
+// The observations of this conductor, at most kMaxInstances.
 class LocalObservations {
  public:
   explicit LocalObservations(ObservationConfig config = {}) : config_(config) {}
 
   void recordSuccess(const std::string& box, double nowMs);
   void recordFailure(const std::string& box, FailureKind failure, double nowMs);
-  // What is not listed any more, or says nothing any more, is let go of.
+  // Drops instances that are no longer listed, and evidence that has decayed to nothing.
   void prune(const std::set<std::string>& listed, double nowMs);
 
+  // All observations, decayed to nowMs, by instance.
   std::map<std::string, HealthObservation> snapshot(double nowMs) const;
-  // Whether it answered lately, and nothing went wrong there since.
+  // Whether the last result was a success, within freshMs.
   bool recentlyHealthy(const std::string& box, double nowMs) const;
 
  private:
@@ -63,33 +67,36 @@
   std::map<std::string, Entry> entries_;
 };
 
-// A sight that was said so long ago, as it counts now. Never grows.
+// The observation, `byMs` milliseconds later. Its evidence never grows.
 HealthObservation decayed(const HealthObservation& observation, double byMs, const ObservationConfig& config);
 
+// What a witness says of one instance.
 enum class Vote : std::uint8_t { kAbstain, kHealthy, kUnhealthy };
 Vote voteOf(const HealthObservation& observation, const ObservationConfig& config);
 
-// Whether this witness is heard at all: one that finds more than its share of the boxes that it knows bad,
-// and at least two, more likely has a bad link of its own.
+// Whether this witness counts: one that finds at least two instances, and more than maxUnhealthyShare of
+// those that it knows, unhealthy more likely has a network problem of its own.
 bool isCredible(const std::map<std::string, HealthObservation>& observations,
                 const ObservationConfig& config);
 
-// What all say of one box.
+// The verdict of the fleet on one instance.
 struct HealthVerdict {
-  std::uint32_t bad = 0, good = 0;  // distinct witnesses
-  bool out = false;                 // the fleet leaves it out
+  std::uint32_t bad = 0, good = 0;  // votes of distinct witnesses
+  bool out = false;                 // the instance is excluded
   FailureKind failure = FailureKind::kNone;
-  double evidence = 0;              // of the bad ones
-  std::uint64_t sinceSequence = 0;  // of the digest at which it went out
+  double evidence = 0;              // sum over the unhealthy votes
+  std::uint64_t sinceSequence = 0;  // digest at which it was excluded
   bool operator==(const HealthVerdict&) const = default;
 };
 
+// When a verdict excludes an instance, and when it ends.
 struct VerdictConfig {
-  std::uint32_t witnesses = 2;  // that it takes at least
-  double expiryMs = 60'000;     // without anything bad seen after which a judgement ends by itself
+  std::uint32_t witnesses = 2;  // least number of unhealthy votes
+  double expiryMs = 60'000;     // without a failure, after which an exclusion ends
 };
 
-// The next judgement on a box, from the last one and what credible witnesses say now.
+// The next verdict on an instance, from the previous one and the observations of credible witnesses.
+// sequence: of the digest that is being made.
 HealthVerdict nextVerdict(const HealthVerdict& previous, const std::vector<HealthObservation>& heard,
                           std::uint64_t sequence, const ObservationConfig& observations,
                           const VerdictConfig& config);
--- a/src/shared/node.h
+++ b/src/shared/node.h
@@ -1,5 +1,6 @@
-// One conductor's share in what the fleet knows: it is told what the store has, and says what to write there
-// next. Puts the parts together; carries nothing itself. No I/O.
+// One conductor's participation in shared state: it reads the digest and its own part from the store, and
+// decides what to write there next. Combines budgets, usage, observations and connectivity; the caller does
+// the I/O. Times are milliseconds of the caller's monotonic clock, unless named unixMs.
 #pragma once
 
 #include <cstdint>
@@ -17,49 +18,55 @@
 
 namespace dahliastall::shared {
 
+// Not thread-safe; owned by app::Sharer.
 class SharedNode {
  public:
-  struct Stats {  // counted since the start
+  // Counters since the start.
+  struct Stats {
     std::uint64_t reports = 0, conflicts = 0, evicted = 0, digests = 0, rolledBack = 0, unreadable = 0;
-    std::map<std::string, std::uint64_t> denied;  // by reason
+    std::map<std::string, std::uint64_t> denied;  // by the name of the denial
   };
 
-  // draw: numbers for incarnations; each has to be new.
+  // draw: yields incarnation numbers, each of which has to be new.
   SharedNode(SharedConfig config, std::string name, std::function<std::uint64_t()> draw, double nowMs);
 
-  // New terms under way: budgets, shares, times.
+  // Applies changed settings while running.
   void reconfigure(SharedConfig config);
 
-  // ---- What the front and the core say ----
+  // ---- Input from requests ----
+  // Reserves tokens of a tenant's budget for one request.
   TokenBudgets::Answer reserve(const std::string& tenant, std::uint64_t tokens, double nowMs);
+  // How a request ended.
   struct Ended {
     enum class How : std::uint8_t { kServed, kRefused, kFailed } how = How::kFailed;
-    std::uint64_t promptTokens = 0, answerTokens = 0;  // served: as the box counted them
-    std::uint64_t askedTokens = 0;                     // the most that it could have come to
+    std::uint64_t promptTokens = 0, answerTokens = 0;  // served: as the instance counted them
+    std::uint64_t askedTokens = 0;                     // upper bound of the request
   };
+  // Settles the reservation and counts the usage.
   void ended(const std::string& tenant, const std::string& cls, const Reservation& reservation,
              const Ended& how, double nowMs);
   LocalObservations& observations() { return observations_; }
 
-  // ---- What the store says ----
-  // The keys that this conductor has to read.
+  // ---- Input from the store ----
+  // The keys of the documents that this conductor has to read.
   std::vector<std::string> keys() const;
-  // What was read; begunMs is when the reading was asked for. An empty document is one that is not there.
+  // Documents that were read; readBegunMs is when the read was issued. A missing key is a missing document.
   void read(const std::map<std::string, coordination::Doc>& docs, double readBegunMs, double nowMs);
 
-  // What to write, if it is time; nothing while a write is under way.
+  // The report to write, if one is due; nothing while a write is in flight.
   std::optional<coordination::Write> next(double unixMs, double nowMs);
-  // It takes no more requests, so that its next word gives back what it does not need; or does so again.
+  // leaving: no more requests are taken, so that the next report returns all unused loans; false undoes it.
   void leave(bool leaving) {
     leaving_ = leaving;
     nextMs_ = 0;
   }
+  // The result of the write that next() asked for.
   void written(const coordination::CommitAnswer& answer, double nowMs);
 
-  // ---- What follows ----
+  // ---- Decisions and state ----
   std::map<std::string, Availability> availabilities(const std::map<std::string, KnownInstance>& boxes,
                                                      double nowMs) const;
-  // How many conductors speak, with this one; at least one.
+  // The number of live conductors by the last digest; at least one.
   std::size_t nodes() const { return std::max<std::size_t>(1, nodes_.size()); }
   ConnectivityState connectivityState(double nowMs);
   double silenceMs(double nowMs) const { return connectivity_.silenceMs(nowMs); }
@@ -71,7 +78,7 @@
   const UsageTable& usage() const { return usage_; }
   const Stats& stats() const { return stats_; }
   const SharedConfig& config() const { return config_; }
-  // Plain words on what was last found wrong in the store; empty if nothing is.
+  // What was last found wrong in the store, for operators; empty if nothing is.
   const std::string& trouble() const { return trouble_; }
 
  private:
@@ -94,20 +101,20 @@
   std::uint64_t digestSequenceSeen_ = 0;
   std::vector<std::string> nodes_;
 
-  // Its own document: as it was last known, and the words that the store may have.
+  // A report that was written and may have been accepted.
   struct PendingReport {
     std::uint64_t sequence = 0, period = 0;
     std::map<std::string, Spend> spends;
     UsageTable usage;
     double writeBegunMs = 0;
   };
-  std::deque<PendingReport>
-      pendingReports_;  // the last that was taken first, then those whose answer is not known
+  // The last accepted report first, then those whose result is unknown.
+  std::deque<PendingReport> pendingReports_;
   std::uint64_t revision_ = 0, sequence_ = 0;
   bool ownRecordKnown_ = false, writing_ = false, leaving_ = false;
   double nextMs_ = 0, lastWriteMs_ = 0;
-  std::optional<FinalUsage>
-      finalUsage_;  // of an incarnation that was folded, until the lender has taken it in
+  // Of an evicted incarnation, reported until the lender has refunded it.
+  std::optional<FinalUsage> finalUsage_;
   std::string trouble_;
   Stats stats_;
 };
--- a/src/shared/remote_health.h
+++ b/src/shared/remote_health.h
@@ -1,5 +1,6 @@
-// Which boxes a conductor leaves out because others found them bad: within bounds that hold whatever is said,
-// and with one conductor at a time to try each. No I/O.
+// Which instances a conductor excludes because of the fleet's verdicts. The number of excluded instances is
+// limited per role and per role within a cell, whatever the verdicts say, and one conductor at a time probes
+// each excluded instance. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -13,39 +14,46 @@
 
 namespace dahliastall::shared {
 
-// serves: not out by an operator or a maintenance, which go before all that is said.
+// An instance as this conductor knows it. serves: not taken out by an operator or a maintenance, which take
+// precedence over verdicts.
 using KnownInstance = coordination::FleetBox;
 
-// How many of so many boxes may be left out, those that an operator has out counted in: never all.
+// The largest number of instances that may be out of `boxes`, counting those that an operator took out.
+// Always leaves at least one.
 std::size_t maxExcluded(std::size_t boxes, double share);
 
-// Who tries a box that is left out, at this digest: the same for all, and each in its turn.
+// The conductor that probes an excluded instance at this digest: every conductor computes the same one, and
+// the turn changes every `probeDigests` digests. Empty if there are no nodes.
 std::string probingNode(const std::string& box, std::uint64_t sequence, std::uint64_t probeDigests,
                         const std::vector<std::string>& nodes);
 
+// Whether this conductor sends to an instance, and why.
 enum class Availability : std::uint8_t {
-  kInUse,           // nobody leaves it out
-  kExcluded,        // the fleet leaves it out, and so does this conductor
-  kLocallyHealthy,  // the fleet does; this conductor had a good answer lately
-  kProbing,         // the fleet does; it is this conductor's turn to try
-  kExclusionLimit,  // the fleet would, but too much of its role or cell is out already
-  kDisconnected,    // the fleet did, when this conductor last heard
-  kOperator,        // an operator or a maintenance has it out
+  kInUse,           // not excluded
+  kExcluded,        // excluded by the fleet's verdict
+  kLocallyHealthy,  // excluded by others, but this conductor had a recent success
+  kProbing,         // excluded, and it is this conductor's turn to probe it
+  kExclusionLimit,  // kept in: too much of its role or cell is out already
+  kDisconnected,    // kept in: this conductor is not connected to the fleet
+  kOperator,        // taken out by an operator or a maintenance
 };
+// The name in logs and reports.
 const char* nameOf(Availability availability);
 
+// All that the decision rests on; references are borrowed for the call.
 struct RemoteHealthInput {
   const std::map<std::string, HealthVerdict>& verdicts;
   const std::map<std::string, KnownInstance>& boxes;
   const LocalObservations& own;
-  const std::vector<std::string>& nodes;  // that speak
+  const std::vector<std::string>& nodes;  // conductors that report
   std::string self;
   std::uint64_t sequence = 0;
-  bool connected = true;  // this conductor is connected, or late by a little
+  bool connected = true;  // to the fleet, possibly with a delay
   double maxExcludedShare = 0.34;
   std::uint64_t probeDigests = 3;
 };
 
+// The availability of each known instance, by id.
 std::map<std::string, Availability> availabilities(const RemoteHealthInput& input, double nowMs);
 
 }  // namespace dahliastall::shared
--- a/src/shared/usage_counters.h
+++ b/src/shared/usage_counters.h
@@ -1,6 +1,6 @@
-// What was used, counted so that it can be added up over the whole fleet: each process counts up by itself,
-// its part is merged in any order, repeated or late, and the sum is the same. Parts of processes that are
-// gone are folded into one. No I/O.
+// Usage counters that can be summed over the fleet: a state-based grow-only counter (G-counter) per process.
+// Merging takes the larger value of each counter, so reports may arrive late, repeated or out of order. The
+// counters of processes that have ended are folded into one base. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -10,23 +10,23 @@
 
 namespace dahliastall::shared {
 
-// One process of one conductor: a number that is new with each start, and with each fold of a part that is
-// not gone after all.
+// Identifies one process of one conductor. The incarnation is new with each start, and with each eviction of
+// a process that turns out to be alive.
 struct Origin {
   std::string name;
   std::uint64_t incarnation = 0;
   auto operator<=>(const Origin&) const = default;
 };
 
-// Of one franchisee and class. Only ever counts up.
+// Counters of one tenant and request class. They only grow.
 struct UsageCounters {
-  std::uint64_t served = 0, refused = 0, failed = 0;  // requests
-  std::uint64_t promptTokens = 0, answerTokens = 0;   // of those served: what is billed
-  std::uint64_t refusedTokens = 0, failedTokens = 0;  // asked for at most: never billed
+  std::uint64_t served = 0, refused = 0, failed = 0;  // number of requests
+  std::uint64_t promptTokens = 0, answerTokens = 0;   // of served requests; billed
+  std::uint64_t refusedTokens = 0, failedTokens = 0;  // upper bound of what was requested; never billed
   bool operator==(const UsageCounters&) const = default;
 
   void add(const UsageCounters& more);
-  // Whether this is nowhere under the other.
+  // Whether every counter is at least that of `other`.
   bool dominates(const UsageCounters& other) const;
   std::uint64_t billed() const { return promptTokens + answerTokens; }
 };
@@ -40,20 +40,21 @@
 using UsageTable = std::map<UsageKey, UsageCounters>;
 constexpr std::size_t kMaxUsageRows = 1024;
 
+// Adds each row of `more` to `to`.
 void addUsage(UsageTable& to, const UsageTable& more);
-// What `now` counts beyond `before`. A count that is lower than it was says nothing: it gives 0.
+// The difference `now` - `before`, row by row; a counter that went backwards yields 0.
 UsageTable usageSince(const UsageTable& now, const UsageTable& before);
-// The larger of each count: a part only grows, so that this is its newest state whatever comes when.
+// Takes the larger value of each counter. Idempotent, commutative and associative.
 void merge(UsageTable& to, const UsageTable& from);
-// Whether each count of `now` is where it was or above.
+// Whether no counter of `before` is larger than that of `now`.
 bool isMonotonic(const UsageTable& now, const UsageTable& before);
 
-// All parts, each under its process.
+// The usage of the whole fleet: one table per live process, and the base of those that have ended.
 class FleetUsage {
  public:
-  // False: some count was lower than it had been, as of a peer that counts backwards; the higher one stays.
+  // Returns false if a counter went backwards; the higher value is kept.
   bool merge(const Origin& from, const UsageTable& part);
-  // What a process that is gone counted becomes part of the base, once.
+  // Moves the usage of a process that has ended into the base; a second call has no effect.
   void fold(const Origin& from);
   void base(UsageTable base) { base_ = std::move(base); }
 
