--- a/src/admission/admission_controller.cpp
+++ b/src/admission/admission_controller.cpp
@@ -233,15 +233,10 @@
 
 // ---- Other rules -----------------------------------------------------------------------------------
 
-// Everybody is counted anew by the new rules. Penalties stay: a reload must not forgive a flood.
-std::vector<ConnectionId> AdmissionController::reconfigure(Rules rules, double nowMs) {
-  const std::map<ConnectionId, Connection> connections = std::exchange(connections_, {});
+// Rebuilds the table of addresses by the new rules. Token counts are kept: a reload must not forgive a flood.
+void AdmissionController::rebuildClients() {
   const std::map<Address, Client> before = std::exchange(clients_, {});
   const std::list<Address> order = std::exchange(recency_, {});
-  rules_ = std::move(rules);
-  knownIdle_ = unknownIdle_ = {};
-  openPerNetwork_.clear();
-  overflow_.open = openUnknown_ = 0;
   for (const Address& address : order) {
     if (clients_.size() >= rules_.table) break;
     const Address client = rules_.clientOf(address);
@@ -251,33 +246,44 @@
     entry.filledMs = before.at(address).filledMs;
     entry.place = recency_.insert(recency_.end(), client);
   }
+}
+
+void AdmissionController::recount(ConnectionId id, Connection connection, double nowMs) {
+  connection.client = rules_.clientOf(connection.address);
+  // A client that is known by a key stays known for as long as the connection lasts.
+  connection.known = connection.known || rules_.knownRange(connection.address) != nullptr;
+  Client& counted = clientFor(connection.client, nowMs, connection.shared);
+  ++counted.open;
+  if (!connection.known) ++openUnknown_;
+  for (std::size_t i = 0; i < rules_.networks.size(); ++i)
+    if (rules_.networks[i].range.holds(connection.address)) ++openPerNetwork_[i];
+  connections_[id] = connection;
+  if (!connection.busy) addIdle(id, connection);
+}
+
+bool AdmissionController::exceedsCaps(const Connection& connection) const {
+  const Client& counted = connection.shared ? overflow_ : clients_.at(connection.client);
+  if (!connection.known && counted.open > rules_.perAddress) return true;
+  for (std::size_t i = 0; i < rules_.networks.size(); ++i)
+    if (rules_.networks[i].range.holds(connection.address) &&
+        openPerNetwork_.at(i) > rules_.networks[i].connections)
+      return true;
+  if (connections_.size() > rules_.total) return true;
+  return !connection.known && openUnknown_ > rules_.total - rules_.reserve;
+}
+
+std::vector<ConnectionId> AdmissionController::reconfigure(Rules rules, double nowMs) {
+  const std::map<ConnectionId, Connection> connections = std::exchange(connections_, {});
+  rules_ = std::move(rules);
+  knownIdle_ = unknownIdle_ = {};
+  openPerNetwork_.clear();
+  overflow_.open = openUnknown_ = 0;
+  rebuildClients();
+  for (const auto& [id, connection] : connections) recount(id, connection, nowMs);
   std::vector<ConnectionId> evicted;
-  for (const auto& [id, old] : connections) {
-    Connection connection = old;
-    connection.client = rules_.clientOf(connection.address);
-    // Who is known by a key stays so for as long as the connection lasts.
-    connection.known = old.known || rules_.knownRange(connection.address) != nullptr;
-    Client& counted = clientFor(connection.client, nowMs, connection.shared);
-    ++counted.open;
-    if (!connection.known) ++openUnknown_;
-    for (std::size_t i = 0; i < rules_.networks.size(); ++i)
-      if (rules_.networks[i].range.holds(connection.address)) ++openPerNetwork_[i];
-    connections_[id] = connection;
-    if (!connection.busy) addIdle(id, connection);
-  }
-  const auto over = [this](const Connection& connection) {
-    const Client& counted = connection.shared ? overflow_ : clients_.at(connection.client);
-    if (!connection.known && counted.open > rules_.perAddress) return true;
-    for (std::size_t i = 0; i < rules_.networks.size(); ++i)
-      if (rules_.networks[i].range.holds(connection.address) &&
-          openPerNetwork_[i] > rules_.networks[i].connections)
-        return true;
-    return connections_.size() > rules_.total ||
-           (!connection.known && openUnknown_ > rules_.total - rules_.reserve);
-  };
-  for (const auto& [id, old] : connections) {
+  for (const auto& [id, previous] : connections) {
     const Connection& connection = connections_.at(id);
-    if (connection.busy || !over(connection)) continue;
+    if (connection.busy || !exceedsCaps(connection)) continue;
     remove(id, nowMs);
     evicted.push_back(id);
   }
--- a/src/admission/admission_controller.h
+++ b/src/admission/admission_controller.h
@@ -98,7 +98,8 @@
     std::set<IdleCount> ranking;
   };
 
-  Client& clientFor(const Address& client, double nowMs, bool& shared);
+  // shared: set if the address found no room and is counted with all others of that kind.
+  Client& clientFor(const Address& address, double nowMs, bool& shared);
   double refill(Client& client, double nowMs) const;
   bool isQuiet(Client& client, double nowMs) const;
   IdlePool& poolOf(const Connection& connection) { return connection.known ? knownIdle_ : unknownIdle_; }
@@ -109,6 +110,9 @@
   void remove(ConnectionId id, double nowMs);
   Decision refuse(Reason reason, const Address& client, double retryAfterMs);
   void countRefusal(const Address& client);
+  void rebuildClients();
+  void recount(ConnectionId id, Connection connection, double nowMs);
+  bool exceedsCaps(const Connection& connection) const;
 
   Rules rules_;
   std::map<ConnectionId, Connection> connections_;
--- a/src/admission/descriptor_budget.cpp
+++ b/src/admission/descriptor_budget.cpp
@@ -71,10 +71,10 @@
   };
   const double full = std::max(part(total_, shares_.limit),
                                part(held(Account::kClients), shares_.most[at(Account::kClients)]));
-  if (nowMs < exhaustedUntilMs_ || full >= kExhaustedFrom) level_ = Level::kExhausted;
-  else if (level_ == Level::kExhausted && full >= kExhaustedUntil) level_ = Level::kExhausted;
-  else if (full >= kTightFrom || (level_ != Level::kNormal && full >= kTightUntil)) level_ = Level::kTight;
-  else level_ = Level::kNormal;
+  const bool exhausted =
+      nowMs < exhaustedUntilMs_ || full >= (level_ == Level::kExhausted ? kExhaustedUntil : kExhaustedFrom);
+  const bool tight = full >= (level_ == Level::kNormal ? kTightFrom : kTightUntil);
+  level_ = exhausted ? Level::kExhausted : tight ? Level::kTight : Level::kNormal;
   return level_;
 }
 
--- a/src/admission/rules.cpp
+++ b/src/admission/rules.cpp
@@ -18,10 +18,17 @@
   throw std::invalid_argument(path + ": " + why);
 }
 
+std::string fieldOf(const std::string& path, const std::string& key) {
+  std::string field = path;
+  field += '.';
+  field += key;
+  return field;
+}
+
 void onlyKnown(const json& object, const std::string& path, std::initializer_list<const char*> keys) {
   if (!object.is_object()) wrong(path, "is no object");
   for (const auto& [key, value] : object.items())
-    if (std::find(keys.begin(), keys.end(), key) == keys.end()) wrong(path + "." + key, "is no setting");
+    if (std::find(keys.begin(), keys.end(), key) == keys.end()) wrong(fieldOf(path, key), "is no setting");
 }
 
 std::size_t count(const json& object, const std::string& path, const char* key, std::size_t least,
@@ -74,12 +81,12 @@
   return nullptr;
 }
 
-Rules rulesOf(const json& file, const std::set<std::string>& names, std::size_t mostClients) {
-  const std::string root = "admission";
-  onlyKnown(file, root, {"connections", "rate", "known", "table"});
-  Rules rules;
+namespace {
+
+const std::string kRoot = "admission";
 
-  const std::string open = root + ".connections";
+void parseConnections(const json& file, std::size_t mostClients, Rules& rules) {
+  const std::string open = kRoot + ".connections";
   const json caps = file.value("connections", json::object());
   onlyKnown(caps, open, {"total", "per_address", "ipv6_prefix", "networks"});
   rules.total = count(caps, open, "total", 1, mostClients);
@@ -104,15 +111,19 @@
     if (most > rules.total) wrong(at + ".connections", "is over the total");
     rules.networks.push_back({one, most});
   }
+}
 
-  const std::string rate = root + ".rate";
+void parseRate(const json& file, Rules& rules) {
+  const std::string rate = kRoot + ".rate";
   if (!file.contains("rate")) wrong(rate, "is missing");
   onlyKnown(file.at("rate"), rate, {"per_second", "burst"});
   rules.perSecond = number(file.at("rate"), rate, "per_second");
   rules.burst = number(file.at("rate"), rate, "burst");
   if (rules.burst < 1) wrong(rate + ".burst", "is under 1, so nobody could connect");
+}
 
-  const std::string known = root + ".known";
+void parseKnown(const json& file, const std::set<std::string>& names, Rules& rules) {
+  const std::string known = kRoot + ".known";
   const json who = file.value("known", json::object());
   onlyKnown(who, known, {"reserve", "ranges", "keys"});
   rules.reserve = count(who, known, "reserve", 0, 0);
@@ -135,9 +146,18 @@
   }
   if (rules.reserve > 0 && rules.knownRanges.empty() && rules.knownKeys.empty())
     wrong(known + ".reserve", "is for nobody: neither ranges nor keys are given");
+}
 
-  rules.table = count(file, root, "table", 16, rules.table);
-  if (rules.table > kMostAddresses) wrong(root + ".table", "is over " + std::to_string(kMostAddresses));
+}  // namespace
+
+Rules rulesOf(const json& admission, const std::set<std::string>& names, std::size_t mostClients) {
+  onlyKnown(admission, kRoot, {"connections", "rate", "known", "table"});
+  Rules rules;
+  parseConnections(admission, mostClients, rules);
+  parseRate(admission, rules);
+  parseKnown(admission, names, rules);
+  rules.table = count(admission, kRoot, "table", 16, rules.table);
+  if (rules.table > kMostAddresses) wrong(kRoot + ".table", "is over " + std::to_string(kMostAddresses));
   return rules;
 }
 
--- a/src/control/commands.h
+++ b/src/control/commands.h
@@ -40,20 +40,22 @@
   virtual std::string plan() { return ""; }
   virtual std::string shared(bool /*json*/) { return ""; }
   // A maintenance command without its first word; answered once it is stored or has failed.
-  virtual void maintenance(const std::vector<std::string>& /*words*/, std::function<void(Done)> reply) {
+  virtual void maintenance(
+      const std::vector<std::string>& /*words*/,
+      std::function<void(Done)> reply) {  // NOLINT(performance-unnecessary-value-param): overrides keep it
     reply({false, "no coordination is set up here"});
   }
 };
 
 constexpr std::size_t kLongestLine = 1024;
 // A maintenance plan may name every instance, with ids of the largest size.
-constexpr std::size_t kLongestPlanLine = kLongestLine + 1024 * (128 + 1);
+constexpr std::size_t kLongestPlanLine = kLongestLine + 1024UL * (128 + 1);
 
 // Executes one line, without its line end, and returns the whole answer. An invalid line has no effect.
-std::string answer(Service& service, std::string_view line);
+std::string answer(Service& service, std::string_view text);
 
 // The same, also for commands that are answered asynchronously; reply is called exactly once.
-void handle(Service& service, std::string_view line, std::function<void(std::string)> reply);
+void handle(Service& service, std::string_view text, std::function<void(std::string)> reply);
 
 // The counters in exposition format.
 std::string telemetry(Service& service);
--- a/src/coordination/etcd_store.cpp
+++ b/src/coordination/etcd_store.cpp
@@ -204,18 +204,18 @@
 // ---- Leases ----------------------------------------------------------------------------------------
 
 void EtcdStore::ask(const LeaseAsk& ask, std::function<void(const LeaseAnswer&)> answer) {
-  if (ask.verb == Verb::kAcquire) return acquire(ask, std::move(answer));
+  if (ask.verb == Verb::kAcquire) return acquire(ask, answer);
   const auto own = own_.find(ask.task);
   if (own == own_.end() || own->second.fence != ask.fence) {
     LeaseAnswer lost = nothingKnown(ask);
     lost.found = Found::kLost;
     return answer(lost);
   }
-  if (ask.verb == Verb::kRenew) renew(ask, own->second, std::move(answer));
-  else release(ask, own->second, std::move(answer));
+  if (ask.verb == Verb::kRenew) renew(ask, own->second, answer);
+  else release(ask, own->second, answer);
 }
 
-void EtcdStore::acquire(const LeaseAsk& ask, LeaseReply answer) {
+void EtcdStore::acquire(const LeaseAsk& ask, const LeaseReply& answer) {
   const json look{{"success", {rangeOf(leaseKey(ask.task)), rangeOf(fenceKey(ask.task))}}};
   call("/v3/kv/txn", look, [this, ask, answer](std::optional<json> now) {
     if (!now) return answer(nothingKnown(ask));
@@ -243,7 +243,7 @@
 // For how long another's lease lives if nothing renews it, so that a candidate comes back when it ends and
 // not a whole time later. The API rounds down to seconds: half of one is put on top. Without an answer the
 // most it can be stays.
-void EtcdStore::askLeft(const std::string& lease, LeaseAnswer held, LeaseReply answer) {
+void EtcdStore::askLeft(const std::string& lease, LeaseAnswer held, const LeaseReply& answer) {
   call("/v3/lease/timetolive", {{"ID", lease}}, [held, answer](std::optional<json> left) mutable {
     const std::string seconds = left ? numberText(*left, "TTL") : "";
     double whole = 0;
@@ -255,7 +255,8 @@
 }
 
 // The key is created, or taken over from an earlier ask of this process, only if all is as it was seen.
-void EtcdStore::take(const LeaseAsk& ask, const json& before, const std::string& lease, LeaseReply answer) {
+void EtcdStore::take(const LeaseAsk& ask, const json& before, const std::string& lease,
+                     const LeaseReply& answer) {
   const json held = firstOf(before, 0), last = firstOf(before, 1);
   const std::uint64_t fence = std::max(fenceOf(valueOf(last)), ask.fence) + 1;
   const LeaseRecord record{ask.who, fence, ask.number, ask.progress, clock_.nowMs()};
@@ -288,7 +289,7 @@
 }
 
 // The key first: a keep-alive alone says nothing of whose key it is.
-void EtcdStore::renew(const LeaseAsk& ask, const Own& own, LeaseReply answer) {
+void EtcdStore::renew(const LeaseAsk& ask, const Own& own, const LeaseReply& answer) {
   const LeaseRecord record{ask.who, ask.fence, ask.number, ask.progress, own.sinceMs};
   const json txn{{"compare",
                   {wasCreated(leaseKey(ask.task), own.created),
@@ -316,7 +317,7 @@
   });
 }
 
-void EtcdStore::release(const LeaseAsk& ask, const Own& own, LeaseReply answer) {
+void EtcdStore::release(const LeaseAsk& ask, const Own& own, const LeaseReply& answer) {
   const json txn{{"compare",
                   {wasCreated(leaseKey(ask.task), own.created),
                    hasValue(fenceKey(ask.task), std::to_string(ask.fence))}},
@@ -340,15 +341,15 @@
 
 void EtcdStore::commit(const Fence& fence, std::vector<Write> writes,
                        std::function<void(CommitAnswer)> answer) {
-  write(&fence, writes, std::move(answer));
+  write(&fence, writes, answer);
 }
 
-void EtcdStore::put(Write one, std::function<void(CommitAnswer)> answer) {
-  write(nullptr, {one}, std::move(answer));
+void EtcdStore::put(Write write, std::function<void(CommitAnswer)> answer) {
+  this->write(nullptr, {std::move(write)}, answer);
 }
 
 void EtcdStore::write(const Fence* fence, const std::vector<Write>& writes,
-                      std::function<void(CommitAnswer)> answer) {
+                      const std::function<void(CommitAnswer)>& answer) {
   if (!acceptable(writes)) return answer({Committed::kRefused, 0});
   json compares = json::array(), changes = json::array(), looks = json::array();
   if (fence != nullptr) {
--- a/src/coordination/etcd_store.h
+++ b/src/coordination/etcd_store.h
@@ -54,14 +54,16 @@
   };
 
   void call(const std::string& path, const nlohmann::json& body, Reply reply);
-  void acquire(const LeaseAsk& ask, LeaseReply answer);
-  void askLeft(const std::string& lease, LeaseAnswer held, LeaseReply answer);
-  void take(const LeaseAsk& ask, const nlohmann::json& before, const std::string& lease, LeaseReply answer);
-  void renew(const LeaseAsk& ask, const Own& own, LeaseReply answer);
-  void release(const LeaseAsk& ask, const Own& own, LeaseReply answer);
+  void acquire(const LeaseAsk& ask, const LeaseReply& answer);
+  void askLeft(const std::string& lease, LeaseAnswer held, const LeaseReply& answer);
+  void take(const LeaseAsk& ask, const nlohmann::json& before, const std::string& lease,
+            const LeaseReply& answer);
+  void renew(const LeaseAsk& ask, const Own& own, const LeaseReply& answer);
+  void release(const LeaseAsk& ask, const Own& own, const LeaseReply& answer);
   void revoke(const std::string& lease);
   void addTo(Listing& all, const nlohmann::json& range) const;
-  void write(const Fence* fence, const std::vector<Write>& writes, std::function<void(CommitAnswer)> answer);
+  void write(const Fence* fence, const std::vector<Write>& writes,
+             const std::function<void(CommitAnswer)>& answer);
   std::string leaseKey(const std::string& task) const { return place_.prefix + "lease/" + task; }
   std::string fenceKey(const std::string& task) const { return place_.prefix + "fence/" + task; }
   std::string docKey(const std::string& key) const { return place_.prefix + "doc/" + key; }
--- a/src/coordination/lease.cpp
+++ b/src/coordination/lease.cpp
@@ -56,7 +56,6 @@
     case S::kDoubtful:
       return to == S::kHolding || to == S::kLapsed || to == S::kReleasing;
     case S::kLapsed:
-      return to == S::kBackingOff;
     case S::kReleasing:
       return to == S::kBackingOff;
     case S::kBackingOff:
--- a/src/coordination/maintenance.cpp
+++ b/src/coordination/maintenance.cpp
@@ -48,11 +48,11 @@
 std::string Maintenance::advance(Plan& plan, const View& view, double nowMs) {
   for (PlanItem& item : plan.items) {
     if (!underWay(item.state)) continue;
-    const std::string what = advanceItem(plan, item, view, nowMs);
+    std::string what = advanceItem(plan, item, view, nowMs);
     if (!what.empty()) return what;
   }
   if (plan.state == PlanState::kRunning)
-    if (const std::string what = beginNext(plan, boxes_(), nowMs); !what.empty()) return what;
+    if (std::string what = beginNext(plan, boxes_(), nowMs); !what.empty()) return what;
   const bool left = std::any_of(plan.items.begin(), plan.items.end(), [](const PlanItem& item) {
     return item.state == ItemState::kWaiting || underWay(item.state);
   });
--- a/src/coordination/records.cpp
+++ b/src/coordination/records.cpp
@@ -29,9 +29,9 @@
 
 LeaseRecord recordOf(const json& value) {
   if (value.at("form") != kRecordForm) throw std::invalid_argument("another form");
-  const LeaseRecord record{holderOf(value.at("holder")), value.at("fence").get<std::uint64_t>(),
-                           value.at("number").get<std::uint64_t>(), value.at("progress").get<std::uint64_t>(),
-                           value.at("since_ms").get<double>()};
+  LeaseRecord record{holderOf(value.at("holder")), value.at("fence").get<std::uint64_t>(),
+                     value.at("number").get<std::uint64_t>(), value.at("progress").get<std::uint64_t>(),
+                     value.at("since_ms").get<double>()};
   if (record.fence == 0 || !std::isfinite(record.sinceMs)) throw std::invalid_argument("no lease");
   return record;
 }
--- a/src/coordination/setup.cpp
+++ b/src/coordination/setup.cpp
@@ -12,7 +12,7 @@
 
 // It becomes part of keys.
 std::string nameIn(const core::Fields& given) {
-  const auto name = given.as<std::string>();
+  auto name = given.as<std::string>();
   const bool plain =
       !name.empty() && name.size() <= kLongestName && std::all_of(name.begin(), name.end(), [](char c) {
         return std::isalnum(static_cast<unsigned char>(c)) != 0 || c == '-' || c == '_' || c == '.';
--- a/src/coordination/sqlite_store.cpp
+++ b/src/coordination/sqlite_store.cpp
@@ -166,7 +166,7 @@
   Transaction whole(db_);
   LeaseCell now = cell(ask.task);
   const LeaseCell before = now;
-  const LeaseAnswer answer = decide(now, ask, time_.monotonicMs(), time_.unixMs());
+  LeaseAnswer answer = decide(now, ask, time_.monotonicMs(), time_.unixMs());
   if (now == before) return answer;
   Statement(db_, "INSERT OR REPLACE INTO lease VALUES(?,?,?)")
       .bind(ask.task)
--- a/src/coordination/store.h
+++ b/src/coordination/store.h
@@ -21,7 +21,7 @@
 
 constexpr std::size_t kLongestKey = 200;
 // Of one change: etcd takes 1.5 MiB and 128 conditions as it comes; a fence needs two of these.
-constexpr std::size_t kMostChangeBytes = 1536 * 1024;
+constexpr std::size_t kMostChangeBytes = 1536UL * 1024;
 constexpr std::size_t kMostWrites = 96;
 // The largest text, with all that may be removed by the same change.
 constexpr std::size_t kMostValueBytes = kMostChangeBytes - kMostWrites * 2 * kLongestKey;
--- a/src/fleet/drains.cpp
+++ b/src/fleet/drains.cpp
@@ -44,7 +44,7 @@
   const std::string key = command.by + "\n" + command.id;
   const auto before = answered_.find(key);
   if (before != answered_.end()) return before->second;
-  const DrainAnswer answer = decide(command, box, nowMs);
+  DrainAnswer answer = decide(command, box, nowMs);
   if (order_.size() >= kRemembered) {
     answered_.erase(order_.front());
     order_.pop_front();
--- a/src/shared/health_observation.cpp
+++ b/src/shared/health_observation.cpp
@@ -90,6 +90,7 @@
 void keepStrongest(std::map<std::string, HealthObservation>& observations, std::size_t most) {
   if (observations.size() <= most) return;
   std::vector<Strength> weakest;
+  weakest.reserve(observations.size());
   for (const auto& [box, observation] : observations)
     weakest.push_back({observation.bad, observation.good, box});
   const auto end = weakest.begin() + static_cast<std::ptrdiff_t>(weakest.size() - most);
--- a/src/shared/node.cpp
+++ b/src/shared/node.cpp
@@ -38,7 +38,7 @@
 // ---- What the front and the core say -------------------------------------------------------------------
 
 TokenBudgets::Answer SharedNode::reserve(const std::string& tenant, std::uint64_t tokens, double nowMs) {
-  const TokenBudgets::Answer answer = budgets_.reserve(tenant, tokens, nowMs);
+  TokenBudgets::Answer answer = budgets_.reserve(tenant, tokens, nowMs);
   if (answer.denial != Denial::kNone) ++stats_.denied[nameOf(answer.denial)];
   return answer;
 }
