--- a/src/admission/admission_controller.cpp
+++ b/src/admission/admission_controller.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-constexpr double kMinIdleMs = 100;        // for a new connection, or a new rest, before it has to give way
-constexpr std::size_t kMaxExamined = 8;   // of the table's oldest, and of addresses with many idle ones
-constexpr std::size_t kMaxReported = 16;  // addresses in the list of those refused most
+constexpr double kMinIdleMs = 100;        // a connection is not evicted earlier
+constexpr std::size_t kMaxExamined = 8;   // entries examined per decision
+constexpr std::size_t kMaxReported = 16;  // addresses in mostRefused()
 constexpr double kRoomRetryMs = 1'000, kCapRetryMs = 2'000;
 
 }  // namespace
@@ -22,7 +22,7 @@
 
 // ---- The table of addresses ------------------------------------------------------------------------
 
-// A clock that jumps back fills nothing; one that jumps ahead fills a bucket and no more.
+// A clock that jumps back adds no tokens; one that jumps ahead fills the bucket at most.
 double AdmissionController::refill(Client& client, double nowMs) const {
   const double gone = std::max(0.0, nowMs - client.filledMs);
   client.tokens = std::min(rules_.burst, client.tokens + gone / 1000 * rules_.perSecond);
@@ -48,7 +48,7 @@
       clients_.erase(oldest);
       recency_.pop_front();
     } else {
-      recency_.splice(recency_.end(), recency_, recency_.begin());  // it is looked at again in its turn
+      recency_.splice(recency_.end(), recency_, recency_.begin());  // examined again later
     }
   }
   if (clients_.size() >= rules_.table) {
@@ -205,7 +205,8 @@
   refuse(reason, rules_.clientOf(address), 0);
 }
 
-// Space-saving: a newcomer takes the place and the count of the least, so counts are never too low.
+// The space-saving algorithm: a new address replaces the one with the lowest count and inherits the count, so
+// counts are never too low.
 void AdmissionController::countRefusal(const Address& client) {
   const auto it = mostRefused_.find(client);
   if (it != mostRefused_.end()) {
--- a/src/admission/descriptor_budget.cpp
+++ b/src/admission/descriptor_budget.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-constexpr std::size_t kFixed = 64;  // of all accounts but clients and boxes together
-constexpr std::size_t kRefusals =
-    16;  // apart from clients, or a flood of refusals would look like a full house
+constexpr std::size_t kFixed = 64;  // of all accounts but clients and instances
+// Apart from clients, or a flood of refusals would use up the clients' account.
+constexpr std::size_t kRefusals = 16;
 constexpr std::size_t kDiscovery = 4, kControl = 40, kTelemetry = 2;
 constexpr double kTightFrom = 0.9, kTightUntil = 0.8;
 constexpr double kExhaustedFrom = 0.98, kExhaustedUntil = 0.9;
-constexpr double kExhaustedHoldMs = 1'000;  // believed so long: descriptors come back as connections end
+constexpr double kExhaustedHoldMs = 1'000;  // after ranOut(); descriptors are returned meanwhile
 
 }  // namespace
 
@@ -63,8 +63,6 @@
 
 void DescriptorBudget::ranOut(double nowMs) { exhaustedUntilMs_ = nowMs + kExhaustedHoldMs; }
 
-// By whichever is fuller: the process, or the clients' share of it. With hysteresis, or each close would flip
-// it.
 Level DescriptorBudget::level(double nowMs) {
   const auto part = [](std::size_t held, std::size_t most) {
     return most == 0 ? 1.0 : static_cast<double>(held) / static_cast<double>(most);
--- a/src/admission/rules.cpp
+++ b/src/admission/rules.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::size_t kMostNetworks = 64;  // looked through on each connect
+constexpr std::size_t kMostNetworks = 64;  // searched on each connect
 constexpr std::size_t kMostRanges = 256;
 constexpr std::size_t kMostAddresses = 65'536;
 
--- a/src/app/fleet_boxes.h
+++ b/src/app/fleet_boxes.h
@@ -1,5 +1,5 @@
-// What both the coordinator and the sharer need of this process: the fleet's boxes as it sees them, and a
-// number that is new with each start.
+// Helpers of the coordinator and the sharer: the fleet's instances as this process sees them, and random
+// numbers for incarnations.
 #pragma once
 
 #include <array>
@@ -16,7 +16,7 @@
   return (static_cast<std::uint64_t>(source()) << 20) ^ source();
 }
 
-// Without the drains of a maintenance.
+// The listed instances, without the drains of a maintenance.
 inline coordination::FleetBoxes fleetBoxes(const fleet::Membership& members,
                                            const leverrelay::Settings& settings) {
   constexpr std::array<const char*, 3> kRoles{"read", "write", "both"};
--- a/src/app/sharer.cpp
+++ b/src/app/sharer.cpp
@@ -14,8 +14,8 @@
 
 namespace {
 
-constexpr double kTickMs = 50;          // between looks; what it does has paces of its own
-constexpr double kComeAgainMs = 2'000;  // for a loan to be lent
+constexpr double kTickMs = 50;          // between checks of what is due
+constexpr double kComeAgainMs = 2'000;  // retry after a denial for want of a loan
 constexpr double kLeastWaitMs = 1'000;
 
 }  // namespace
@@ -74,7 +74,7 @@
 
 // ---- Boxes ---------------------------------------------------------------------------------------------
 
-// What the core saw, whoever decided it. A box that turns away or was called off says nothing of its health.
+// Records the result of an attempt. Rejections and cancellations say nothing of the instance's health.
 void Sharer::witness(const leverrelay::Event& event) {
   const double now = engine_.clock.nowMs();
   if (const auto* opened = std::get_if<leverrelay::StreamOpened>(&event))
@@ -93,7 +93,7 @@
       return node_.observations().recordFailure(box, FailureKind::kConnectionRefused, now);
     case Outcome::kTimeout:
       return node_.observations().recordFailure(box, FailureKind::kTimeout, now);
-    // Called off for its silence, and not because its client has gone or was refused.
+    // Cancelled because it was silent, not because its client is gone or was refused.
     case Outcome::kCancelled:
       if (!ended->concluded && engine_.conductor.avoids(ended->engine))
         node_.observations().recordFailure(box, FailureKind::kTimeout, now);
@@ -136,8 +136,8 @@
   engine_.conductor.list(*news);
 }
 
-// What a cold box may get, and all else that the module holds to over the fleet, is split among so many as
-// are known to live. Alone, a conductor goes on with the number that it knew.
+// Fleet-wide limits of the decision module, such as the budget of a cold instance, are split among the live
+// conductors. An isolated conductor keeps the last number that it knew.
 void Sharer::split() {
   const double now = engine_.clock.nowMs();
   const auto configured = static_cast<std::size_t>(site_.settings.nodes);
--- a/src/app/sharer.h
+++ b/src/app/sharer.h
@@ -1,5 +1,5 @@
-// What this conductor shares with the others, put together: the node's state, its carriage by the
-// coordinator's store, what the core saw of boxes, the front's accounts, and the judgements in the
+// Connects shared state to the program: it carries the node's reports through the coordinator's store,
+// records the results of attempts, meters the tokens of the front's requests, and applies verdicts to the
 // membership.
 #pragma once
 
@@ -25,13 +25,13 @@
          const std::string& name);
   ~Sharer() override;
 
-  // The store that carries it, from now on.
+  // Sets how documents are written from now on.
   void carriedBy(Put put) { put_ = std::move(put); }
   void reconfigure(shared::SharedSetup setup);
-  // It takes no more requests, or does so again.
+  // leaving: no more requests are taken; false undoes it.
   void leave(bool leaving) { node_.leave(leaving); }
 
-  // The task of the one that makes the digest.
+  // The task that makes the digest, for the conductor that holds its lease.
   std::unique_ptr<coordination::FleetTask> task(double longestStepMs);
   std::vector<std::string> keys() const { return node_.keys(); }
   std::size_t nodes() const { return node_.nodes(); }
@@ -57,7 +57,7 @@
   const leverrelay::wire::Setup& site_;
   shared::SharedSetup setup_;
   shared::SharedNode node_;
-  shared::DigestTask* task_ = nullptr;  // the runner has it, and its next one takes its place
+  shared::DigestTask* task_ = nullptr;  // owned by the runner; replaced by the next call of task()
   Put put_;
   std::map<std::string, shared::Availability> availabilities_;
   std::size_t splitAmong_ = 0;
--- a/src/fleet/drains.cpp
+++ b/src/fleet/drains.cpp
@@ -29,7 +29,7 @@
     return {DrainCode::kLastOfRole, now,
             "it is the last box that can " + box.role + ": without it nothing is served, and " +
                 std::to_string(box.open) + " requests are open on it; say so by force"};
-  // Asked for what is so already, the state stays, and with it the revision that others have seen.
+  // No change: the state and its revision stay.
   if (command.drain == now.drained && command.doneByMs == now.doneByMs) return {DrainCode::kDone, now, ""};
   const DrainState next{command.drain, now.revision + 1, command.by,
                         command.drain == now.drained ? now.sinceMs : nowMs, command.doneByMs};
@@ -40,7 +40,7 @@
 DrainAnswer Drains::handle(const DrainCommand& command, const Box& box, double nowMs) {
   if (command.id.empty() || command.id.size() > kLongestWord || command.by.size() > kLongestWord)
     return {DrainCode::kBadCommand, stateOf(command.box), "a command has an id of 1 to 128 bytes"};
-  // By sender and id, so that two senders who count from 1 do not meet.
+  // By sender and id, so that two senders may both count from 1.
   const std::string key = command.by + "\n" + command.id;
   const auto before = answered_.find(key);
   if (before != answered_.end()) return before->second;
--- a/src/fleet/exclusions.cpp
+++ b/src/fleet/exclusions.cpp
@@ -41,7 +41,7 @@
                     {"version", exclusion.version},
                     {"writer", exclusion.writer},
                     {"at_ms", exclusion.updatedMs}});
-  // An id is whatever a list called an instance: what is no UTF-8 must not stop the others from being kept.
+  // Ids come from discovery: one that is not UTF-8 must not prevent the others from being stored.
   return json{{"form", kFormat}, {"marks", list}}.dump(-1, ' ', true, json::error_handler_t::replace) + "\n";
 }
 
--- a/src/fleet/lifecycle.cpp
+++ b/src/fleet/lifecycle.cpp
@@ -16,8 +16,8 @@
   return kNames[static_cast<std::size_t>(event)];
 }
 
-// A drain outranks trouble: a draining box that cannot be reached is still draining, and what is gone only
-// the list brings back.
+// A drain takes precedence over failures: a draining instance that cannot be reached is still draining. Only
+// discovery brings back an instance that is gone.
 std::optional<LifecycleState> InstanceLifecycle::next(LifecycleEvent event) const {
   using S = LifecycleState;
   const bool serving = state_ == S::kWarming || state_ == S::kActive;
--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-// An instance under repair may be off the list for long; past this its id is taken to be gone for good.
+// An instance under repair may be unlisted for long; after this time its exclusion is dropped.
 constexpr double kMissingMs = 30 * 60'000;
-// An inclusion matters while the instance is cold and while another process may still hold the exclusion
+// An inclusion is kept while the instance is cold and while another process may still have the exclusion
 // before it.
 constexpr double kIncludedMs = 10 * 60'000;
 
@@ -31,7 +31,7 @@
   if (exclusion->excluded) {
     if (entry.presence == Presence::kActive) entry.presence = Presence::kLeaving;
   } else {
-    // It may have been started anew at any moment until now, whatever the list says of that.
+    // It may have been restarted at any time before its inclusion, whatever discovery says.
     const Time included = core::toModuleTime(exclusion->updatedMs);
     entry.started = entry.started ? std::max(*entry.started, included) : included;
   }
@@ -65,7 +65,7 @@
 Membership::Change Membership::setExcluded(const std::string& id, bool excluded, double nowMs) {
   const bool known = listed_.count({id}) != 0 || exclusions_.excluded(id);
   if (!known || id.empty() || id.size() > Exclusions::kMaxIdBytes) return {Verdict::kUnknown, std::nullopt};
-  // Said again, it is no news; a second include in particular must not make a warm instance cold.
+  // A repeated command has no effect; a second include in particular must not make a warm instance cold.
   if (exclusions_.excluded(id) == excluded) return {Verdict::kDone, std::nullopt};
   if (!exclusions_.set(id, excluded, writer_, nowMs)) return {Verdict::kNoRoom, std::nullopt};
   tidy(nowMs);
--- a/src/shared/budget.cpp
+++ b/src/shared/budget.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr double kRetainFactor = 2;  // of what is wanted; a conductor returns what it was lent beyond that
+constexpr double kRetainFactor = 2;  // times the demand; a conductor returns loans beyond that
 
 std::uint64_t rounded(double tokens) { return static_cast<std::uint64_t>(std::max(0.0, std::ceil(tokens))); }
 
@@ -48,7 +48,7 @@
   if (it == tenants_.end()) return {};
   Account& account = it->second;
   if (tokens > account.limit) return {Denial::kTooLarge, {}};
-  // What is refused counts as wanted as well: it is what a loan is asked for by.
+  // Denied requests count as demand as well, as the size of a loan follows from the demand.
   recordDemand(account, tokens, nowMs);
   Denial why = Denial::kNone;
   if (loanExpired(nowMs)) why = Denial::kLoanExpired;
@@ -93,18 +93,18 @@
   std::map<std::string, Spend> spends;
   for (auto& [tenant, account] : tenants_) {
     const double rate =
-        leaving ? 0 : recentTokensAt(account, nowMs) / config_.rateMs;  // tokens a millisecond
+        leaving ? 0 : recentTokensAt(account, nowMs) / config_.rateMs;  // tokens per millisecond
     const std::uint64_t largest =
         !leaving && nowMs - account.largestMs <= config_.prefetchMs ? account.largest : 0;
     const std::uint64_t ahead = rounded(rate * config_.prefetchMs) + largest;
     account.spend.wants = account.used() + ahead;
-    // What lies idle goes back: it may be wanted elsewhere.
+    // Idle loans are returned, as other conductors may need them.
     const std::uint64_t keep = account.used() + rounded(static_cast<double>(ahead) * kRetainFactor);
     if (account.outstanding() > keep) account.spend.returned += account.outstanding() - keep;
     account.spend.ceiling = std::max(
         account.used(),
         std::min(account.outstanding(), account.used() + rounded(rate * config_.ceilingMs) + largest));
-    // A lower ceiling holds from now on, a higher one once it was taken.
+    // A lower ceiling applies at once, a higher one when the store has accepted the report.
     if (config_.returnsKept)
       account.acceptedCeiling = std::min(account.acceptedCeiling, account.spend.ceiling);
     account.denied = false;
@@ -158,7 +158,7 @@
   return it == spends.end() ? nullptr : &it->second;
 }
 
-// What may still be spent, or was: all that was lent and not returned, and no less than its own word says.
+// What a borrower may spend or has spent: loans not returned, and no less than its own report says.
 std::uint64_t outstandingOf(std::uint64_t lent, const Spend* spend) {
   if (spend == nullptr) return lent;
   return std::max({saturatingSubtract(std::max(lent, spend->lentSeen), spend->returned), spend->ceiling,
@@ -192,11 +192,11 @@
 }  // namespace
 
 void lend(BudgetLine& line, const std::map<Origin, Spend>& spends) {
-  // Nothing that a conductor knows to have been lent is forgotten, whatever the store has come back to.
+  // After a rollback of the store, borrowers report loans that the digest has forgotten.
   for (const auto& [who, spend] : spends)
     if (spend.lentSeen > 0) line.lent[who] = std::max(line.lent[who], spend.lentSeen);
   std::uint64_t left = leftOf(line, spends);
-  // Who has least first, and each as much as it wants: a part of what one answer may need would be of no use.
+  // Whole requests, the smallest holders first: part of what one request may need would be of no use.
   std::vector<LoanRequest> requests;
   for (const auto& [who, spend] : spends) {
     const auto lent = line.lent.find(who);
@@ -215,7 +215,7 @@
 void charge(BudgetLine& line, const Origin& gone, const std::optional<Spend>& lastSpend) {
   const auto lent = line.lent.find(gone);
   const std::uint64_t most = lent == line.lent.end() ? 0 : lent->second;
-  // Without a word nothing is known but that it had no more than it was lent.
+  // Without a report, all that is known is the loan.
   line.charged += lastSpend ? std::max(lastSpend->ceiling, lastSpend->spent + lastSpend->reserved) : most;
   if (lent != line.lent.end()) line.lent.erase(lent);
 }
--- a/src/shared/codec.cpp
+++ b/src/shared/codec.cpp
@@ -14,8 +14,8 @@
 
 namespace {
 
-// "dahliastall-part/1 1a2b3c4d " and MessagePack: the sum is over what follows it. The number after the slash
-// is the form; a program that only adds fields leaves it as it is.
+// A document reads "dahliastall-part/1 1a2b3c4d " and then MessagePack, over which the checksum is computed.
+// The number after the slash is the format version; adding fields does not change it.
 constexpr std::string_view kPartHeader = "dahliastall-part/", kDigestHeader = "dahliastall-digest/";
 constexpr std::string_view kFormatVersion = "1";
 constexpr std::size_t kChecksumDigits = 8;
@@ -42,7 +42,7 @@
 
 constexpr std::size_t kNumber = 9, kIndex = 3, kShortList = 1, kContainer = 5,
                       kIdentifier = kMaxIdentifierBytes + 2;
-constexpr std::size_t kFixedFields = 1024;  // form, sum, the names of fields, single numbers
+constexpr std::size_t kFixedFields = 1024;  // header, checksum, field names, single numbers
 constexpr std::size_t kOrigin = kShortList + kMaxNodeNameBytes + 2 + kNumber;
 constexpr std::size_t kUsageRows = kContainer + kMaxUsageRows * (kShortList + 2 * kIdentifier + 7 * kNumber);
 constexpr std::size_t kAmounts = kContainer + kMaxTenants * (kIdentifier + kNumber);
@@ -50,8 +50,7 @@
     kFixedFields + kContainer + kMaxTenants * (kIdentifier + kShortList + 6 * kNumber) + kUsageRows +
     kContainer + kMaxInstances * (kIdentifier + kShortList + 4 * kNumber + 1) + kAmounts;
 constexpr std::size_t kLoans = kContainer + kMaxOrigins * (kShortList + kIndex + kNumber);
-// Without the sum of all counts, which is for people, and what is told to those that were folded: these two
-// are left out where there is no room.
+// Without `total` and `folded`, which are left out if there is no room.
 constexpr std::size_t kLeastDigest =
     kFixedFields + kContainer + kMaxOrigins * (kOrigin + kNumber) +
     kMaxTenants * (kIdentifier + kFixedFields / 16 + 3 * kNumber + kLoans) + kUsageRows + kContainer +
@@ -230,7 +229,7 @@
 // ---- The digest ----------------------------------------------------------------------------------------
 
 std::string encode(const Digest& digest) {
-  // Conductors are named once, and all else goes by their place in that list.
+  // Conductors are named once; everything else refers to their index in that list.
   json nodes = json::array();
   std::map<Origin, std::size_t> indexOf;
   const auto name = [&](const Origin& origin, std::uint64_t sequence) {
--- a/src/shared/connectivity.cpp
+++ b/src/shared/connectivity.cpp
@@ -28,7 +28,7 @@
   if (state == ConnectivityState::kRejoining) rejoinSequence_ = reportSequence_;
 }
 
-// A conductor that was away is heard again once a digest rests on a word that it has written since.
+// A conductor that was isolated has rejoined once a digest contains a report that it wrote since.
 void Connectivity::onDigest(std::uint64_t acknowledged, double nowMs) {
   digestMs_ = nowMs;
   acknowledged_ = std::max(acknowledged_, acknowledged);
@@ -46,12 +46,13 @@
 void Connectivity::tick(double nowMs) {
   const double silence = silenceMs(nowMs);
   if (silence >= isolatedMs_) return enter(ConnectivityState::kIsolated, nowMs);
-  // Both ways have to be open: who reads and cannot write is as unknown to the others as who does neither.
+  // Reads and writes both have to work: without writes a conductor is as unknown to the others as without
+  // both.
   if (state_ == ConnectivityState::kIsolated && silence < isolatedMs_ / 2)
     enter(ConnectivityState::kRejoining, nowMs);
   if (state_ == ConnectivityState::kConnected && silence >= delayedMs_)
     return enter(ConnectivityState::kDelayed, nowMs);
-  // Left at half of what it was entered at.
+  // Left at half of the limit at which it was entered.
   if (state_ == ConnectivityState::kDelayed && silence < delayedMs_ / 2)
     enter(ConnectivityState::kConnected, nowMs);
 }
--- a/src/shared/digest_task.cpp
+++ b/src/shared/digest_task.cpp
@@ -12,10 +12,10 @@
 
 namespace {
 
-constexpr std::size_t kMaxFoldsPerStep = 64;  // in one step
+constexpr std::size_t kMaxFoldsPerStep = 64;
 static_assert(kMaxFoldsPerStep < coordination::kMostWrites);
-constexpr double kIntervalsBeforeLending = 2;  // words' paces that a new holder waits before it lends
-constexpr double kLoanExpiryMargin = 1.1;      // times a loan's time: drift, and a step under way
+constexpr double kIntervalsBeforeLending = 2;  // report intervals that a new holder waits
+constexpr double kLoanExpiryMargin = 1.1;      // times loanMs: clock drift, and a step in flight
 
 }  // namespace
 
@@ -36,7 +36,7 @@
   for (auto it = view.docs.lower_bound(prefix); it != view.docs.end() && it->first.rfind(prefix, 0) == 0;
        ++it) {
     const DecodedPart read = decodePart(it->second.value);
-    // One that lies under another's key is nobody's word.
+    // A part under the key of another origin is invalid.
     const bool own = read.part && read.part->key() == it->first;
     if (!own || parts.size() >= kMaxOrigins) {
       countUndecodable(it->first, it->second.revision,
@@ -53,8 +53,8 @@
   return parts;
 }
 
-// A digest that is behind what somebody knows was put back. Nothing is lent until every loan that is not
-// known of any more must have lapsed; those that live say meanwhile what they were lent.
+// A digest that is older than one that some part has seen was restored from a copy. Nothing is lent until
+// every forgotten loan has expired; live conductors report their loans meanwhile.
 void DigestTask::detectRollback(Digest& digest, const std::map<Origin, Read>& parts) {
   std::uint64_t newest = lastSequence_;
   for (const auto& [origin, read] : parts) newest = std::max(newest, read.part.digestSequenceSeen);
@@ -66,8 +66,8 @@
   digest.lendsFromSequence = digest.sequence + static_cast<std::uint64_t>(std::ceil(loans)) + 1;
 }
 
-// By the clock in the middle of all that are told, so that one that is off changes nothing among three. A
-// period never goes back.
+// Uses the median of all reported clocks, so that one wrong clock among three has no effect. The period never
+// goes back.
 void DigestTask::advancePeriod(Digest& digest, const std::map<Origin, Read>& parts) {
   std::vector<double> clocks{unixMs_()};
   for (const auto& [origin, read] : parts)
@@ -103,8 +103,8 @@
   }
 }
 
-// Taking out a part needs no proof that its conductor is gone: what it may have spent is charged, and if it
-// lives it finds its document gone and begins anew.
+// Evicting a conductor needs no proof that it is gone: what it may have spent is charged, and if it is alive,
+// it finds its document gone and restarts under a new incarnation.
 std::vector<Write> DigestTask::fold(Digest& digest, std::map<Origin, Read>& parts, double nowMs) {
   std::vector<Write> writes;
   for (auto it = parts.begin(); it != parts.end() && writes.size() < kMaxFoldsPerStep;) {
@@ -122,7 +122,7 @@
       const bool now = read.part.period == digest.period;
       const auto spend = read.part.spends.find(tenant);
       std::optional<Spend> last;
-      // A part of an earlier period, or without a word on this budget, holds no ceiling in it.
+      // A part of an earlier period, or without a report on this budget, has no ceiling in it.
       last = now && spend != read.part.spends.end() ? spend->second : Spend{};
       const std::uint64_t before = line.charged;
       if (config_.guards.chargeCeiling || !last) charge(line, origin, last);
@@ -137,7 +137,7 @@
   }
   if (digest.folded.size() > kMaxFolded)
     digest.folded.erase(digest.folded.begin(), digest.folded.end() - static_cast<std::ptrdiff_t>(kMaxFolded));
-  // Loans of which no part tells, as after a document was removed by hand.
+  // Loans without a part, as after a document was removed by hand.
   std::set<std::string> missing;
   for (auto& [tenant, line] : digest.budgets) {
     std::vector<Origin> lost;
@@ -161,7 +161,7 @@
     fence_ = fence;
     fenceSinceMs_ = nowMs;
   }
-  // Who has just become the holder has not heard yet whether anybody knows of more than the store does.
+  // A new holder does not know yet whether some conductor has seen a newer digest than the store has.
   const double settleMs = kIntervalsBeforeLending * config_.reportIntervalMs(digest.heard.size());
   const bool mayLend = !config_.guards.waitBeforeLending ||
                        (nowMs - fenceSinceMs_ >= settleMs && digest.sequence >= digest.lendsFromSequence);
@@ -172,7 +172,7 @@
       const auto spend = read.part.spends.find(tenant);
       if (spend == read.part.spends.end()) continue;
       words[origin] = spend->second;
-      // Who has gone silent keeps what it has, and is lent nothing more.
+      // A silent conductor keeps its loans, but gets no more.
       if (!mayLend || read.ageMs >= config_.silentMs) words[origin].wants = 0;
     }
     lend(line, words);
@@ -202,7 +202,7 @@
                     digest.sequence, config_.observations, config_.verdict);
     if (now.out || now.bad > 0) boxes[box] = now;
   }
-  while (boxes.size() > kMaxInstances)  // those that nobody leaves out say least
+  while (boxes.size() > kMaxInstances)  // drops instances that are not excluded first
     boxes.erase(std::min_element(boxes.begin(), boxes.end(), [](const auto& a, const auto& b) {
       return std::pair(a.second.out, a.second.bad) < std::pair(b.second.out, b.second.bad);
     }));
@@ -219,7 +219,7 @@
     addUsage(digest.total, known);
     if (read.ageMs < config_.silentMs) digest.heard[origin] = read.part.sequence;
   }
-  // Bounded, whatever names were counted under.
+  // Bounded, whatever names the parts use.
   for (UsageTable* usage : {&digest.base, &digest.total})
     while (usage->size() > kMaxUsageRows) usage->erase(std::prev(usage->end()));
 }
@@ -230,7 +230,7 @@
   std::uint64_t revision = 0;
   if (const auto doc = view.docs.find(kDigestKey); doc != view.docs.end()) {
     const DecodedDigest read = decodeDigest(doc->second.value);
-    // Of a later program, or damaged: what it knew of loans cannot be made up, so nothing is written over it.
+    // Of a later version, or damaged: its loans cannot be reconstructed, so it is not overwritten.
     if (!read.digest) {
       countUndecodable(kDigestKey, doc->second.revision, read.error);
       return std::nullopt;
@@ -250,7 +250,7 @@
   lendBudgets(digest, parts, fence, nowMs);
   updateVerdicts(digest, parts);
   std::string text = encode(digest);
-  // What is told to those that come back gives way, the older half first, and then what people read.
+  // If there is no room, entries of evicted conductors go first, the older half at a time, then the totals.
   while (text.size() > kMaxDocumentBytes && (!digest.folded.empty() || !digest.total.empty())) {
     if (digest.folded.empty()) digest.total.clear();
     const auto half = static_cast<std::ptrdiff_t>((digest.folded.size() + 1) / 2);
--- a/src/shared/health_observation.cpp
+++ b/src/shared/health_observation.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-constexpr double kNegligible = 0.05;  // evidence below this is none
-constexpr double kReversalFactor =
-    0.5;  // of what was seen before is left when the next answer says otherwise
-constexpr std::size_t kMinUnhealthyToDoubt =
-    2;  // bad boxes from which on a witness may be the one that is ill
+constexpr double kNegligible = 0.05;  // evidence below this counts as none
+// Share of the opposite evidence that remains after a result.
+constexpr double kReversalFactor = 0.5;
+// Unhealthy votes from which a witness may have a network problem of its own.
+constexpr std::size_t kMinUnhealthyToDoubt = 2;
 
 double decayFactor(double byMs, const ObservationConfig& config) {
   return std::exp2(-std::max(0.0, byMs) / config.halfLifeMs);
@@ -78,7 +78,7 @@
 
 namespace {
 
-// Evidence on one box: failures weigh before successes.
+// Evidence on one instance, ordered by failures, then by successes.
 struct Strength {
   double bad = 0, good = 0;
   std::string box;
@@ -110,7 +110,7 @@
 
 Vote voteOf(const HealthObservation& observation, const ObservationConfig& config) {
   if (observation.bad >= config.unhealthyFrom && observation.bad >= observation.good) return Vote::kUnhealthy;
-  // What answered after it had failed is good from the first answer on.
+  // The first success after a failure makes it healthy again.
   if (observation.good >= 0.5 &&
       (observation.bad < kNegligible || observation.goodAgeMs < observation.badAgeMs))
     return Vote::kHealthy;
@@ -136,8 +136,8 @@
   next.bad = next.good = 0;
   next.evidence = 0;
   std::vector<double> badAges;
-  double lastBad =
-      HUGE_VAL;  // also of what does not weigh enough to be a word, as a single trial that failed
+  // Also of observations too weak for a vote, such as a single failed probe.
+  double lastBad = HUGE_VAL;
   for (const HealthObservation& observation : heard) {
     if (observation.bad >= kNegligible) lastBad = std::min(lastBad, observation.badAgeMs);
     if (voteOf(observation, observations) != Vote::kUnhealthy) continue;
@@ -147,8 +147,8 @@
     badAges.push_back(observation.badAgeMs);
   }
   std::sort(badAges.begin(), badAges.end());
-  // A good answer from before the trouble says nothing of it: what counts is later than the bad ones that it
-  // takes, and than all of them once the box is out, as a trial is.
+  // A success counts only if it is later than the failures that the verdict needs, and later than all of them
+  // once the instance is excluded, as a successful probe is.
   const std::size_t needed = std::max<std::uint32_t>(1, config.witnesses);
   const double since = previous.out ? lastBad : badAges.size() < needed ? HUGE_VAL : badAges[needed - 1];
   for (const HealthObservation& observation : heard)
--- a/src/shared/node.cpp
+++ b/src/shared/node.cpp
@@ -11,11 +11,11 @@
 
 namespace {
 
-constexpr double kMinIntervalShare =
-    0.25;  // of the pace, before which no word follows another even if one is wanted
-constexpr std::size_t kMinObservations = 64;  // that a conductor may say in a fleet of any size
-constexpr std::size_t kMaxPendingReports =
-    8;  // words whose answers are not known; older ones are taken for lost
+// Share of the report interval that always passes between two reports, even urgent ones.
+constexpr double kMinIntervalShare = 0.25;
+constexpr std::size_t kMinObservations = 64;  // per report, in a fleet of any size
+// Reports whose result is unknown; older ones are given up.
+constexpr std::size_t kMaxPendingReports = 8;
 
 }  // namespace
 
@@ -35,7 +35,7 @@
   budgets_.setLimits(config_.budgets);
 }
 
-// ---- What the front and the core say -------------------------------------------------------------------
+// ---- Input from requests --------------------------------------------------------------------------------
 
 TokenBudgets::Answer SharedNode::reserve(const std::string& tenant, std::uint64_t tokens, double nowMs) {
   TokenBudgets::Answer answer = budgets_.reserve(tenant, tokens, nowMs);
@@ -63,7 +63,7 @@
   }
 }
 
-// ---- What the store says -------------------------------------------------------------------------------
+// ---- Input from the store -------------------------------------------------------------------------------
 
 std::vector<std::string> SharedNode::keys() const {
   Part own;
@@ -74,7 +74,7 @@
 void SharedNode::read(const std::map<std::string, Doc>& docs, double readBegunMs, double nowMs) {
   const auto digest = docs.find(kDigestKey);
   if (digest != docs.end()) readDigest(digest->second, nowMs);
-  // A reading that was asked for before its own write was answered may show what was there before.
+  // A read that was issued before the last write was answered may show the state before it.
   if (writing_ || readBegunMs < lastWriteMs_) return;
   Part own;
   own.origin = self_;
@@ -94,8 +94,8 @@
   const DecodedDigest read = decodeDigest(doc.value);
   if (!read.digest) return recordDecodeError(read.error, "the digest", doc.revision);
   digestRevision_ = doc.revision;
-  // From before what is known already: the store went back, or somebody works from an old view. What this
-  // conductor knows stays until a digest goes beyond it.
+  // Older than what is known: the store was rolled back, or a holder works on a stale view. The known digest
+  // stays until a newer one arrives.
   if (read.digest->sequence <= digestSequenceSeen_) {
     if (read.digest->sequence < digestSequenceSeen_) {
       ++stats_.rolledBack;
@@ -128,8 +128,8 @@
   if (doc == nullptr) {
     const Folded* folded = digest_ ? digest_->foldedOf(self_) : nullptr;
     if (folded != nullptr) return restartAfterEviction(folded->sequence, folded->period, nowMs);
-    // Never written, or lost with a store that went back: written anew as it is. Else somebody removed it,
-    // and nothing tells how: what was taken last is counted already.
+    // Never written, or lost in a rollback: it is written again. Otherwise somebody removed it without a
+    // trace: the last accepted report counts as folded.
     const bool rolledBack = digestRevision_ != 0 && revision_ > digestRevision_;
     if (revision_ != 0 && !rolledBack)
       return restartAfterEviction(pendingReports_.empty() ? 0 : pendingReports_.front().sequence, 0, nowMs);
@@ -144,19 +144,19 @@
   else recordDecodeError(read.error, "this conductor's own part", doc->revision);
 }
 
-// All that it counted up to its last word is in the digest's base now, and all that it might have spent is
-// charged: it goes on as a new incarnation with what it counted since, and says what it really used.
+// The usage up to the last report is in the digest's base, and all that it might have spent is charged: it
+// goes on as a new incarnation with the usage since, and reports what it really spent.
 void SharedNode::restartAfterEviction(std::uint64_t lastSequence, std::uint64_t period, double nowMs) {
   ++stats_.evicted;
-  // A store that went back may have folded a word from before those that are remembered: what was taken last
-  // is the nearest, and errs towards too little.
+  // After a rollback, a report may have been folded that is no longer remembered: the last accepted one is
+  // the nearest, and errs towards counting too little.
   auto pending = std::find_if(pendingReports_.begin(), pendingReports_.end(),
                               [&](const PendingReport& report) { return report.sequence == lastSequence; });
   if (pending == pendingReports_.end()) pending = pendingReports_.begin();
   if (pending != pendingReports_.end()) usage_ = usageSince(usage_, pending->usage);
   const auto used = budgets_.resetAfterEviction();
-  // Of another period there is nothing to reckon; it is said all the same, so that the fold is told of no
-  // more.
+  // Of another period there is nothing to refund; it is reported all the same, so that the lender drops the
+  // entry.
   if (period != 0)
     finalUsage_ = FinalUsage{self_.incarnation, period,
                              period == budgets_.period() ? used : std::map<std::string, std::uint64_t>()};
@@ -184,10 +184,10 @@
   part.observations = observations_.snapshot(nowMs);
   part.finalUsage = finalUsage_;
   pendingReports_.push_back({part.sequence, part.period, part.spends, part.usage, nowMs});
-  // The first is the last that was taken; of those in doubt the oldest can no more be the newest.
+  // The first is the last accepted one; of the others, the oldest is the least likely to be current.
   if (pendingReports_.size() > kMaxPendingReports) pendingReports_.erase(pendingReports_.begin() + 1);
   writing_ = true;
-  // The whole fleet's parts are read by one: its share of their bytes, for which sights give way.
+  // One conductor reads all parts, so each has a share of the bytes; observations are dropped to keep it.
   std::string text = encode(part);
   while (text.size() > kMaxPartsBytes / nodes() && part.observations.size() > kMinObservations) {
     const std::size_t room = part.observations.size() * (kMaxPartsBytes / nodes()) / text.size();
@@ -200,7 +200,7 @@
 void SharedNode::onReportAccepted(std::uint64_t sequence, double nowMs) {
   const auto it = std::find_if(pendingReports_.begin(), pendingReports_.end(),
                                [&](const PendingReport& report) { return report.sequence == sequence; });
-  if (it == pendingReports_.end()) return;  // of a store that went back, from before what is remembered
+  if (it == pendingReports_.end()) return;  // no longer remembered, after a rollback
   budgets_.onReportAccepted(it->period, it->spends, it->writeBegunMs);
   connectivity_.onReportAccepted(sequence, nowMs);
   pendingReports_.erase(pendingReports_.begin(), it);
@@ -216,12 +216,12 @@
     onReportAccepted(sequence_, nowMs);
     return;
   }
-  // Whether it was written, and over what, the next reading tells.
+  // The next read tells whether it was written.
   if (answer.how == Committed::kConflict) ++stats_.conflicts;
   ownRecordKnown_ = false;
 }
 
-// ---- What follows --------------------------------------------------------------------------------------
+// ---- Decisions and state --------------------------------------------------------------------------------
 
 ConnectivityState SharedNode::connectivityState(double nowMs) {
   connectivity_.tick(nowMs);
--- a/src/shared/remote_health.cpp
+++ b/src/shared/remote_health.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// The same at every conductor: a sum and a generator that are both written down in standards.
+// The same at every conductor: the checksum and the generator are both standardised.
 std::uint_fast32_t drawFor(const std::string& box, const std::string& node, std::uint64_t turn) {
   const std::string text = box + '\n' + node + '\n' + std::to_string(turn);
   boost::crc_32_type sum;
--- a/src/shared/setup.cpp
+++ b/src/shared/setup.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr double kShortestMs = 50;  // between words or digests
+constexpr double kShortestMs = 50;  // between reports or digests
 
 double seconds(const core::Fields& given, const char* name, double otherwiseMs) {
   return given.above0(name, otherwiseMs / 1000) * 1000;
