--- /dev/null
+++ b/src/app/admin_client.h
@@ -0,0 +1,14 @@
+// A client of the admin endpoint of a running conductor, for sub-commands of the program.
+#pragma once
+
+#include <string>
+
+#include "net/endpoint.h"
+
+namespace dahliastall::app {
+
+// Sends one line and returns the whole answer. Blocks; throws std::runtime_error if the endpoint cannot be
+// reached or does not answer within withinMs.
+std::string callAdmin(const net::Endpoint& endpoint, const std::string& line, double withinMs = 10'000);
+
+}  // namespace dahliastall::app
--- a/src/app/sharer.cpp
+++ b/src/app/sharer.cpp
@@ -14,8 +14,8 @@
 
 namespace {
 
-constexpr double kTickMs = 50;          // between looks; what it does has paces of its own
-constexpr double kComeAgainMs = 2'000;  // for a loan to be lent
+constexpr double kTickMs = 50;          // between checks of what is due
+constexpr double kComeAgainMs = 2'000;  // retry after a denial for want of a loan
 constexpr double kLeastWaitMs = 1'000;
 
 }  // namespace
@@ -25,7 +25,7 @@
     : engine_(engine),
       site_(site),
       setup_(std::move(setup)),
-      node_(setup_.terms, name, freshNumber, engine.clock.nowMs()) {
+      node_(setup_.config, name, freshNumber, engine.clock.nowMs()) {
   engine_.conductor.onEvent([this](const leverrelay::Event& event) { witness(event); });
   tick();
 }
@@ -37,13 +37,13 @@
 
 void Sharer::reconfigure(SharedSetup setup) {
   setup_ = std::move(setup);
-  node_.reconfigure(setup_.terms);
+  node_.reconfigure(setup_.config);
 }
 
 std::unique_ptr<coordination::FleetTask> Sharer::task(double longestStepMs) {
   auto task = std::make_unique<DigestTask>(
-      coordination::TaskTerms{"digest", setup_.terms.digestMs, longestStepMs, /*quiet=*/true},
-      [this] { return setup_.terms; }, [this] { return engine_.clock.nowMs(); });
+      coordination::TaskConfig{"digest", setup_.config.digestMs, longestStepMs, /*quiet=*/true},
+      [this] { return setup_.config; }, [this] { return engine_.clock.nowMs(); });
   task_ = task.get();
   return task;
 }
@@ -74,36 +74,36 @@
 
 // ---- Boxes ---------------------------------------------------------------------------------------------
 
-// What the core saw, whoever decided it. A box that turns away or was called off says nothing of its health.
+// Records the result of an attempt. Rejections and cancellations say nothing of the instance's health.
 void Sharer::witness(const leverrelay::Event& event) {
   const double now = engine_.clock.nowMs();
   if (const auto* opened = std::get_if<leverrelay::StreamOpened>(&event))
-    return node_.sights().good(opened->engine.value, now);
+    return node_.observations().recordSuccess(opened->engine.value, now);
   const auto* ended = std::get_if<leverrelay::AttemptEnded>(&event);
   if (ended == nullptr) return;
   const std::string& box = ended->engine.value;
   switch (ended->outcome) {
     case Outcome::kServed:
     case Outcome::kRead:
-      return node_.sights().good(box, now);
+      return node_.observations().recordSuccess(box, now);
     case Outcome::kError:
     case Outcome::kConnectionLost:
-      return node_.sights().bad(box, Trouble::kFailing, now);
+      return node_.observations().recordFailure(box, FailureKind::kError, now);
     case Outcome::kNoConnection:
-      return node_.sights().bad(box, Trouble::kRefused, now);
+      return node_.observations().recordFailure(box, FailureKind::kConnectionRefused, now);
     case Outcome::kTimeout:
-      return node_.sights().bad(box, Trouble::kSilent, now);
-    // Called off for its silence, and not because its client has gone or was refused.
+      return node_.observations().recordFailure(box, FailureKind::kTimeout, now);
+    // Cancelled because it was silent, not because its client is gone or was refused.
     case Outcome::kCancelled:
       if (!ended->concluded && engine_.conductor.avoids(ended->engine))
-        node_.sights().bad(box, Trouble::kSilent, now);
+        node_.observations().recordFailure(box, FailureKind::kTimeout, now);
       return;
     default:
       return;
   }
 }
 
-std::map<std::string, KnownBox> Sharer::boxes() const {
+std::map<std::string, KnownInstance> Sharer::boxes() const {
   auto found = fleetBoxes(engine_.membership, site_.settings);
   for (const std::string& id : engine_.membership.drained())
     if (const auto box = found.find(id); box != found.end()) box->second.serves = false;
@@ -112,22 +112,22 @@
 
 void Sharer::judge() {
   const double now = engine_.clock.nowMs();
-  const auto boxes = setup_.hearsay ? this->boxes() : std::map<std::string, KnownBox>();
+  const auto boxes = setup_.hearsay ? this->boxes() : std::map<std::string, KnownInstance>();
   std::set<std::string> listed, out;
   for (const auto& [id, box] : boxes) listed.insert(id);
-  node_.sights().tidy(listed, now);
-  auto standings = node_.standings(boxes, now);
-  for (const auto& [id, standing] : standings) {
-    if (standing == Standing::kOut) out.insert(id);
-    const auto before = standings_.find(id);
-    const Standing was = before == standings_.end() ? Standing::kIn : before->second;
-    if (was == standing) continue;
-    const bool turn = was == Standing::kTrial || standing == Standing::kTrial;
+  node_.observations().prune(listed, now);
+  auto availabilities = node_.availabilities(boxes, now);
+  for (const auto& [id, availability] : availabilities) {
+    if (availability == Availability::kExcluded) out.insert(id);
+    const auto before = availabilities_.find(id);
+    const Availability was = before == availabilities_.end() ? Availability::kInUse : before->second;
+    if (was == availability) continue;
+    const bool turn = was == Availability::kProbing || availability == Availability::kProbing;
     spdlog::log(turn ? spdlog::level::debug : spdlog::level::info, "shared box={} standing={} was={}", id,
-                nameOf(standing), nameOf(was));
+                nameOf(availability), nameOf(was));
   }
-  standings_ = std::move(standings);
-  const auto news = engine_.membership.judged(out, now);
+  availabilities_ = std::move(availabilities);
+  const auto news = engine_.membership.setPeerExclusions(out, now);
   if (!news) return;
   for (const leverrelay::ListEntry& entry : news->entries) {
     const fronts::Box* box = engine_.directory.find(entry.engine);
@@ -136,13 +136,13 @@
   engine_.conductor.list(*news);
 }
 
-// What a cold box may get, and all else that the module holds to over the fleet, is split among so many as
-// are known to live. Alone, a conductor goes on with the number that it knew.
+// Fleet-wide limits of the decision module, such as the budget of a cold instance, are split among the live
+// conductors. An isolated conductor keeps the last number that it knew.
 void Sharer::split() {
   const double now = engine_.clock.nowMs();
   const auto configured = static_cast<std::size_t>(site_.settings.nodes);
   std::size_t among = std::max(configured, node_.nodes());
-  if (node_.degree(now) != Degree::kConnected) among = std::max(among, splitAmong_);
+  if (node_.connectivityState(now) != ConnectivityState::kConnected) among = std::max(among, splitAmong_);
   if (among == splitAmong_) return;
   splitAmong_ = among;
   leverrelay::Settings settings = site_.settings;
@@ -155,7 +155,7 @@
 std::optional<fronts::BudgetDenied> Sharer::reserve(const std::string& tenant, const std::string& cls,
                                                     std::uint64_t tokens, Reservation& to) {
   const double now = engine_.clock.nowMs();
-  const Purse::Answer answer = node_.reserve(tenant, tokens, now);
+  const TokenBudgets::Answer answer = node_.reserve(tenant, tokens, now);
   to = answer.reservation;
   if (answer.denial == Denial::kNone) return std::nullopt;
   ++engine_.counters[std::string("shared.denied.") + nameOf(answer.denial)];
@@ -169,7 +169,7 @@
                                   std::max(kLeastWaitMs, node_.periodEndsMs() - now)};
     case Denial::kTooLarge:
       return fronts::BudgetDenied{"the request may need more tokens than the whole budget of " + tenant, 0};
-    case Denial::kLapsed:
+    case Denial::kLoanExpired:
       return fronts::BudgetDenied{"this conductor does not hear of the token budget of " + tenant,
                                   kComeAgainMs};
     default:
@@ -187,26 +187,26 @@
 
 void Sharer::say() {
   const double now = engine_.clock.nowMs();
-  const Degree degree = node_.degree(now);
-  if (degree != saidDegree_)
-    spdlog::info("shared degree={} was={} silence_ms={:.0f}", nameOf(degree), nameOf(saidDegree_),
+  const ConnectivityState state = node_.connectivityState(now);
+  if (state != loggedState_)
+    spdlog::info("shared degree={} was={} silence_ms={:.0f}", nameOf(state), nameOf(loggedState_),
                  node_.silenceMs(now));
-  saidDegree_ = degree;
+  loggedState_ = state;
   if (node_.trouble() != saidTrouble_ && !node_.trouble().empty())
     spdlog::warn("shared: {}", node_.trouble());
   saidTrouble_ = node_.trouble();
   auto& counters = engine_.counters;
-  const SharedNode::Happened& node = node_.happened();
-  counters["shared.words"] = node.words;
+  const SharedNode::Stats& node = node_.stats();
+  counters["shared.words"] = node.reports;
   counters["shared.conflicts"] = node.conflicts;
-  counters["shared.folded_away"] = node.foldedAway;
+  counters["shared.folded_away"] = node.evicted;
   counters["shared.digests"] = node.digests;
-  counters["shared.went_back"] = node.wentBack;
+  counters["shared.went_back"] = node.rolledBack;
   counters["shared.unreadable"] = node.unreadable;
   if (task_ == nullptr) return;
-  const DigestTask::Happened& made = task_->happened();
+  const DigestTask::Stats& made = task_->stats();
   counters["shared.folded"] = made.folded;
-  counters["shared.restored"] = made.wentBack;
+  counters["shared.restored"] = made.rolledBack;
   counters["shared.backwards"] = made.backwards;
   counters["shared.incredible"] = made.incredible;
   for (const auto& [flaw, count] : made.unread) counters["shared.unread." + flaw] = count;
@@ -214,11 +214,11 @@
 
 namespace {
 
-json jsonOf(const Tallies& tallies) {
+json jsonOf(const UsageTable& usage) {
   json list = json::array();
-  for (const auto& [key, t] : tallies)
-    list.push_back({{"tenant", key.first},
-                    {"class", key.second},
+  for (const auto& [key, t] : usage)
+    list.push_back({{"tenant", key.tenant},
+                    {"class", key.requestClass},
                     {"served", t.served},
                     {"refused", t.refused},
                     {"failed", t.failed},
@@ -234,14 +234,14 @@
 std::string Sharer::report(bool asJson) {
   const double now = engine_.clock.nowMs();
   const auto& digest = node_.digest();
-  const Degree degree = node_.degree(now);
+  const ConnectivityState state = node_.connectivityState(now);
   json budgets = json::array(), boxes = json::array();
-  for (const auto& [tenant, here] : node_.purse().seen()) {
+  for (const auto& [tenant, here] : node_.budgets().snapshot()) {
     const auto line =
         digest ? digest->budgets.find(tenant) : std::map<std::string, BudgetLine>::const_iterator();
     const bool known = digest && line != digest->budgets.end();
     budgets.push_back({{"tenant", tenant},
-                       {"limit", known ? line->second.limit : setup_.terms.budgets.at(tenant)},
+                       {"limit", known ? line->second.limit : setup_.config.budgets.at(tenant)},
                        {"charged", known ? line->second.charged : 0},
                        {"left", known ? line->second.left : 0},
                        {"lent_to", known ? line->second.lent.size() : 0},
@@ -252,32 +252,33 @@
                          {"spent", here.spent},
                          {"reserved", here.reserved}}}});
   }
-  for (const auto& [id, standing] : standings_) {
-    const auto judged = digest ? digest->boxes.find(id) : std::map<std::string, Judged>::const_iterator();
-    const bool known = digest && judged != digest->boxes.end();
+  for (const auto& [id, availability] : availabilities_) {
+    const auto verdict =
+        digest ? digest->boxes.find(id) : std::map<std::string, HealthVerdict>::const_iterator();
+    const bool known = digest && verdict != digest->boxes.end();
     boxes.push_back({{"box", id},
-                     {"standing", nameOf(standing)},
-                     {"bad", known ? judged->second.bad : 0},
-                     {"good", known ? judged->second.good : 0},
-                     {"trouble", known ? nameOf(judged->second.trouble) : "none"}});
+                     {"standing", nameOf(availability)},
+                     {"bad", known ? verdict->second.bad : 0},
+                     {"good", known ? verdict->second.good : 0},
+                     {"trouble", known ? nameOf(verdict->second.failure) : "none"}});
   }
   const json whole{{"conductor", node_.self().name},
                    {"incarnation", node_.self().incarnation},
-                   {"degree", nameOf(degree)},
+                   {"degree", nameOf(state)},
                    {"silence_ms", node_.silenceMs(now)},
-                   {"digest", digest ? digest->beat : 0},
+                   {"digest", digest ? digest->sequence : 0},
                    {"period_ends_in_s", digest ? std::max(0.0, digest->periodEndsMs - now) / 1000 : 0},
                    {"conductors", node_.nodes()},
                    {"restored", digest ? digest->restored : 0},
                    {"trouble", node_.trouble()},
                    {"budgets", budgets},
                    {"boxes", boxes},
-                   {"fleet", jsonOf(digest ? digest->total : Tallies{})},
-                   {"here", jsonOf(node_.tallies())}};
+                   {"fleet", jsonOf(digest ? digest->total : UsageTable{})},
+                   {"here", jsonOf(node_.usage())}};
   if (asJson) return whole.dump(-1, ' ', true, json::error_handler_t::replace) + "\n";
   std::string text =
       fmt::format("conductor {} {} silence_ms={:.0f} digest={} conductors={} period_ends_in_s={:.0f}{}\n",
-                  node_.self().name, nameOf(degree), node_.silenceMs(now), digest ? digest->beat : 0,
+                  node_.self().name, nameOf(state), node_.silenceMs(now), digest ? digest->sequence : 0,
                   node_.nodes(), whole["period_ends_in_s"].get<double>(),
                   node_.trouble().empty() ? "" : " trouble=\"" + node_.trouble() + "\"");
   for (const json& b : budgets)
--- a/src/coordination/etcd_store.h
+++ b/src/coordination/etcd_store.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "admission/ledger.h"
+#include "admission/descriptor_budget.h"
 #include "coordination/store.h"
 #include "core/clock.h"
 #include "core/counters.h"
@@ -29,7 +29,9 @@
   EtcdStore(boost::asio::io_context& io, const core::Clock& clock, core::Deadlines& deadlines,
             core::Counters& counters, EtcdPlace place);
   ~EtcdStore() override;
-  void accountTo(admission::Ledger& ledger) { pool_.accountTo(ledger, admission::Account::kControl); }
+  void accountTo(admission::DescriptorBudget& ledger) {
+    pool_.accountTo(ledger, admission::Account::kControl);
+  }
 
   std::string describe() const override;
   void ask(const LeaseAsk& ask, std::function<void(const LeaseAnswer&)> answer) override;
@@ -52,14 +54,16 @@
   };
 
   void call(const std::string& path, const nlohmann::json& body, Reply reply);
-  void acquire(const LeaseAsk& ask, LeaseReply answer);
-  void askLeft(const std::string& lease, LeaseAnswer held, LeaseReply answer);
-  void take(const LeaseAsk& ask, const nlohmann::json& before, const std::string& lease, LeaseReply answer);
-  void renew(const LeaseAsk& ask, const Own& own, LeaseReply answer);
-  void release(const LeaseAsk& ask, const Own& own, LeaseReply answer);
+  void acquire(const LeaseAsk& ask, const LeaseReply& answer);
+  void askLeft(const std::string& lease, LeaseAnswer held, const LeaseReply& answer);
+  void take(const LeaseAsk& ask, const nlohmann::json& before, const std::string& lease,
+            const LeaseReply& answer);
+  void renew(const LeaseAsk& ask, const Own& own, const LeaseReply& answer);
+  void release(const LeaseAsk& ask, const Own& own, const LeaseReply& answer);
   void revoke(const std::string& lease);
   void addTo(Listing& all, const nlohmann::json& range) const;
-  void write(const Fence* fence, const std::vector<Write>& writes, std::function<void(CommitAnswer)> answer);
+  void write(const Fence* fence, const std::vector<Write>& writes,
+             const std::function<void(CommitAnswer)>& answer);
   std::string leaseKey(const std::string& task) const { return place_.prefix + "lease/" + task; }
   std::string fenceKey(const std::string& task) const { return place_.prefix + "fence/" + task; }
   std::string docKey(const std::string& key) const { return place_.prefix + "doc/" + key; }
--- a/src/coordination/maintenance.cpp
+++ b/src/coordination/maintenance.cpp
@@ -48,11 +48,11 @@
 std::string Maintenance::advance(Plan& plan, const View& view, double nowMs) {
   for (PlanItem& item : plan.items) {
     if (!underWay(item.state)) continue;
-    const std::string what = advanceItem(plan, item, view, nowMs);
+    std::string what = advanceItem(plan, item, view, nowMs);
     if (!what.empty()) return what;
   }
   if (plan.state == PlanState::kRunning)
-    if (const std::string what = beginNext(plan, boxes_(), nowMs); !what.empty()) return what;
+    if (std::string what = beginNext(plan, boxes_(), nowMs); !what.empty()) return what;
   const bool left = std::any_of(plan.items.begin(), plan.items.end(), [](const PlanItem& item) {
     return item.state == ItemState::kWaiting || underWay(item.state);
   });
@@ -73,7 +73,7 @@
       if (since < plan.holdMs || (plan.confirm && !item.back)) return "";
       return reach(plan, item, ItemState::kWarming);
     case ItemState::kWarming:
-      return since < terms_.coldMs ? "" : reach(plan, item, ItemState::kDone);
+      return since < config_.coldMs ? "" : reach(plan, item, ItemState::kDone);
     default:
       return "";
   }
@@ -115,7 +115,7 @@
   for (const auto& [key, doc] : view.docs) {
     if (key.rfind(kNodePrefix, 0) != 0) continue;
     const auto node = Presence::parse(doc.value);
-    if (!node || seen_.forMs(key, doc.revision, nowMs) >= terms_.silentNodeMs) continue;
+    if (!node || seen_.forMs(key, doc.revision, nowMs) >= config_.silentNodeMs) continue;
     any = true;
     if (node->plan != plan.id || node->steps < item.changed) return false;
     const auto open = node->open.find(item.box);
--- /dev/null
+++ b/src/shared/remote_health.cpp
@@ -0,0 +1,122 @@
+#include "shared/remote_health.h"
+
+#include <algorithm>
+#include <array>
+#include <boost/crc.hpp>
+#include <cmath>
+#include <random>
+#include <tuple>
+
+namespace dahliastall::shared {
+
+namespace {
+
+// The same at every conductor: the checksum and the generator are both standardised.
+std::uint_fast32_t drawFor(const std::string& box, const std::string& node, std::uint64_t turn) {
+  const std::string text = box + '\n' + node + '\n' + std::to_string(turn);
+  boost::crc_32_type sum;
+  sum.process_bytes(text.data(), text.size());
+  return std::minstd_rand(sum.checksum())();
+}
+
+}  // namespace
+
+const char* nameOf(Availability availability) {
+  constexpr std::array<const char*, 7> kNames{"in",    "out",       "own_word", "trial",
+                                              "bound", "not_heard", "operator"};
+  return kNames[static_cast<std::size_t>(availability)];
+}
+
+std::size_t maxExcluded(std::size_t boxes, double share) {
+  if (boxes <= 1) return 0;
+  return std::min(boxes - 1, static_cast<std::size_t>(std::floor(static_cast<double>(boxes) * share + 1e-9)));
+}
+
+std::string probingNode(const std::string& box, std::uint64_t sequence, std::uint64_t probeDigests,
+                        const std::vector<std::string>& nodes) {
+  const std::uint64_t turn = sequence / std::max<std::uint64_t>(1, probeDigests);
+  const auto best =
+      std::max_element(nodes.begin(), nodes.end(), [&](const std::string& node, const std::string& other) {
+        return std::pair(drawFor(box, node, turn), node) < std::pair(drawFor(box, other, turn), other);
+      });
+  return best == nodes.end() ? std::string() : *best;
+}
+
+namespace {
+
+// One role within one cell, which has an exclusion limit of its own.
+struct CellRole {
+  std::string role;
+  std::uint32_t cell = 0;
+  auto operator<=>(const CellRole&) const = default;
+};
+
+struct Group {
+  std::size_t boxes = 0, out = 0;
+  bool full(double maxExcludedShare) const { return out >= maxExcluded(boxes, maxExcludedShare); }
+};
+
+struct ExclusionCandidate {
+  std::uint32_t votes = 0;
+  double evidence = 0;
+  std::string id;
+};
+
+// Most votes first, then most evidence: the same order at every conductor.
+bool goesFirst(const ExclusionCandidate& one, const ExclusionCandidate& other) {
+  return std::tie(other.votes, other.evidence, one.id) < std::tie(one.votes, one.evidence, other.id);
+}
+
+std::vector<ExclusionCandidate> candidatesIn(const RemoteHealthInput& input) {
+  std::vector<ExclusionCandidate> candidates;
+  for (const auto& [id, verdict] : input.verdicts) {
+    const auto box = input.boxes.find(id);
+    if (verdict.out && box != input.boxes.end() && box->second.serves)
+      candidates.push_back({verdict.bad, verdict.evidence, id});
+  }
+  std::sort(candidates.begin(), candidates.end(), goesFirst);
+  return candidates;
+}
+
+// For a box that the fleet excludes, within the limits.
+Availability excludedOrProbed(const RemoteHealthInput& input, const std::string& id, double nowMs) {
+  if (input.own.recentlyHealthy(id, nowMs)) return Availability::kLocallyHealthy;
+  const bool probing = probingNode(id, input.sequence, input.probeDigests, input.nodes) == input.self;
+  return probing ? Availability::kProbing : Availability::kExcluded;
+}
+
+}  // namespace
+
+std::map<std::string, Availability> availabilities(const RemoteHealthInput& input, double nowMs) {
+  std::map<std::string, Availability> decisions;
+  std::map<std::string, Group> roles;
+  std::map<CellRole, Group> cells;
+  for (const auto& [id, box] : input.boxes) {
+    for (Group* group : {&roles[box.role], &cells[{box.role, box.cell}]}) {
+      ++group->boxes;
+      group->out += !box.serves;
+    }
+    decisions[id] = box.serves ? Availability::kInUse : Availability::kOperator;
+  }
+  for (const ExclusionCandidate& candidate : candidatesIn(input)) {
+    Availability& availability = decisions[candidate.id];
+    const KnownInstance& box = input.boxes.at(candidate.id);
+    Group& role = roles[box.role];
+    Group& cell = cells[{box.role, box.cell}];
+    if (!input.connected) {
+      availability = Availability::kDisconnected;
+      continue;
+    }
+    if (role.full(input.maxExcludedShare) || cell.full(input.maxExcludedShare)) {
+      availability = Availability::kExclusionLimit;
+      continue;
+    }
+    // It counts towards the limits at every conductor alike, also at the one that probes it.
+    ++role.out;
+    ++cell.out;
+    availability = excludedOrProbed(input, candidate.id, nowMs);
+  }
+  return decisions;
+}
+
+}  // namespace dahliastall::shared
