--- a/src/estimates/stable_hash.cpp
+++ b/src/estimates/stable_hash.cpp
@@ -23,6 +23,13 @@
   return hash ^ hash >> kFinalizerShift;
 }
 
+double stableDraw(std::uint64_t seed, std::int64_t index) {
+  std::uint64_t bits = seed + static_cast<std::uint64_t>(index);
+  bits = (bits ^ bits >> 30) * 0xbf58476d1ce4e5b9ULL;
+  bits = (bits ^ bits >> 27) * 0x94d049bb133111ebULL;
+  return static_cast<double>((bits ^ bits >> 31) >> kDroppedBits) / kDraws;
+}
+
 double stableDraw(const std::string& first, const std::string& second) {
   return (static_cast<double>(stableHash(first, second) >> kDroppedBits) + 0.5) / kDraws;
 }
--- a/src/estimates/stable_hash.h
+++ b/src/estimates/stable_hash.h
@@ -12,4 +12,7 @@
 /// A number between 0 and 1, both excluded, that is drawn uniformly by stableHash().
 double stableDraw(const std::string& first, const std::string& second);
 
+/// The same for a pair of numbers (finalizer of splitmix64); 0 is possible.
+double stableDraw(std::uint64_t seed, std::int64_t index);
+
 }  // namespace leverrelay
--- a/src/policy/slow_start_budget.cpp
+++ b/src/policy/slow_start_budget.cpp
@@ -4,6 +4,7 @@
 #include <cmath>
 
 #include "estimates/duration_math.h"
+#include "estimates/stable_hash.h"
 
 namespace leverrelay {
 namespace {
@@ -27,16 +28,9 @@
   return (time.time_since_epoch() + Duration(seed_ % static_cast<std::uint64_t>(slot.count()))) / slot;
 }
 
-double SlowStartBudget::drawOf(std::int64_t slot) const {  // in [0, 1), by the finaliser of splitmix64
-  std::uint64_t bits = seed_ + static_cast<std::uint64_t>(slot);
-  bits = (bits ^ bits >> 30) * 0xbf58476d1ce4e5b9ULL;
-  bits = (bits ^ bits >> 27) * 0x94d049bb133111ebULL;
-  return std::ldexp(static_cast<double>((bits ^ bits >> 31) >> 11), -53);
-}
-
 void SlowStartBudget::reset(std::uint64_t seed, int processes, Time now) {
   seed_ = seed;
-  tokens_ = std::min(1.0, drawOf(-1) + 1.0 / processes);
+  tokens_ = std::min(1.0, stableDraw(seed_, -1) + 1.0 / processes);
   refilledAt_ = now;
 }
 
@@ -56,7 +50,7 @@
   const double any = std::min(1.0, factor * kDrawnSafety * offer.share);
   const double probability = 1 - std::pow(1 - any, offer.part);
   const auto times = static_cast<double>(1 + slot - slotOf(contract, offer.since));
-  return slot != usedSlot_ && drawOf(slot) < std::pow(probability, times);
+  return slot != usedSlot_ && stableDraw(seed_, slot) < std::pow(probability, times);
 }
 
 void SlowStartBudget::countSend(const Contract& contract, Time now) {
--- a/src/policy/slow_start_budget.h
+++ b/src/policy/slow_start_budget.h
@@ -33,7 +33,6 @@
 
  private:
   std::int64_t slotOf(const Contract& contract, Time time) const;
-  double drawOf(std::int64_t slot) const;
 
   std::uint64_t seed_ = 0;
   double tokens_ = 0;
--- a/src/rules.cpp
+++ b/src/rules.cpp
@@ -9,6 +9,7 @@
 #include "estimates/decaying_sum.h"
 #include "estimates/duration_math.h"
 #include "estimates/fading_average.h"
+#include "estimates/key_popularity.h"
 #include "estimates/stable_hash.h"
 #include "leverrelay/router.h"
 #include "policy/slow_start_budget.h"
@@ -52,13 +53,11 @@
 constexpr double kFadeArrivals = 4;  // or so many arrivals, where a node sees few, but no longer than
 constexpr seconds kLongestFade{3};   // this, as a jam passes whether or not it is looked at
 constexpr seconds kFlowMemory{20};   // over which a node's own few requests show where work goes
-constexpr double kFlowPrior = 10;    // requests that the plan counts for beside them
 constexpr double kKeyPart = 0.5;     // of a reader's share of traffic that one key may fill
-constexpr std::size_t kKeysCounted = 500;  // whose traffic is remembered
-constexpr double kRateKept = 0.98;         // of the fastest reading seen, with each read that is slower
-constexpr double kAdvice = 0.1;            // of the longest wait that clients heed, advised with a refusal
-constexpr double kTiny = 1e-9;             // keeps divisions by nothing apart from nothing
-constexpr seconds kAskPause{1};            // between tries to reach the list
+constexpr double kRateKept = 0.98;   // of the fastest reading seen, with each read that is slower
+constexpr double kAdvice = 0.1;      // of the longest wait that clients heed, advised with a refusal
+constexpr double kTiny = 1e-9;       // keeps divisions by nothing apart from nothing
+constexpr seconds kAskPause{1};      // between tries to reach the list
 constexpr double kHandOverFrom = 0.6;  // share of the grace of a node that ends: its streams move from here,
 constexpr double kHandOverTo = 0.9;    // when a peer that ended before it is back, until here
 constexpr double kLastCall = 0.93;     // what has no stream by then gets its answer
@@ -314,13 +313,6 @@
     return std::max(kTiny, writers * cell.share * e.info.weight / std::max(kTiny, cell.readers));
   }
 
-  void countKey(const Request& r) {
-    arrivals_.add(1, now_, kFlowMemory);
-    keyFlow_[keyOf(r)].add(1, now_, kFlowMemory);
-    if (keyFlow_.size() > kKeysCounted)
-      std::erase_if(keyFlow_, [this](const auto& k) { return k.second.at(now_, kFlowMemory) < 0.5; });
-  }
-
   // Weighted rendezvous hashing, the same at every node.
   void rank(std::vector<Engine*>& engines, std::size_t first, const std::string& key) const {
     std::multimap<double, Engine*> scored;
@@ -341,10 +333,8 @@
       all += hashWeight(e);
     }
     rank(order, order.size(), keyOf(r));
-    const auto flow = keyFlow_.find(keyOf(r));
-    if (flow == keyFlow_.end() || r.told.session.empty()) return order;
-    const double others = flow->second.at(now_, kFlowMemory) - 1;  // a request says nothing of its own key
-    const double wanted = others / (arrivals_.at(now_, kFlowMemory) + kFlowPrior);
+    if (r.told.session.empty()) return order;
+    const double wanted = popularity_.shareOfOthers(keyOf(r), now_);
     std::size_t homes = 0;
     while (homes < order.size() && carried * kKeyPart < wanted * all) carried += hashWeight(*order[homes++]);
     rank(order, homes, r.told.session);
@@ -779,7 +769,8 @@
     // Whoever asks for the rest had its first token: the mean pace counts, and a refusal loses it all.
     r.aim = now_ + classOf(r).aim + scaled(classOf(r).aimPer1000, told.promptTokens / 1000);
     if (told.resumed) r.aim = r.deadline;
-    countKey(r);
+    arrivals_.add(1, now_, kFlowMemory);
+    popularity_.count(keyOf(r), now_);
     const double seen = kRetryShare * arrivals_.at(now_, kFlowMemory) + 1;
     retries_ = std::min({kRetryBurst, retries_ + kRetryShare, seen});
     if (tooBig(r) || hopeless(r)) finish(r);
@@ -991,7 +982,7 @@
   FadingAverage answer_[3];  // by role, microseconds to the end of a read or the first token
   std::map<EngineId, Engine> engines_;
   std::map<CellIndex, Cell> cells_;
-  std::map<std::string, DecayingSum> keyFlow_;             // arrivals of a key
+  KeyPopularity popularity_{kFlowMemory};
   double readRate_ = 0;                                    // unread tokens a microsecond where nothing waits
   double held_ = 0, streams_ = 0, retries_ = kRetryBurst;  // own answers' tokens, and how many; spare retries
   DecayingSum arrivals_, sends_[3], writerReads_;          // sends by role; tokens sent to be read by writers
--- a/tests/estimates_test.cpp
+++ b/tests/estimates_test.cpp
@@ -6,6 +6,7 @@
 #include "estimates/decaying_sum.h"
 #include "estimates/duration_math.h"
 #include "estimates/fading_average.h"
+#include "estimates/key_popularity.h"
 #include "estimates/stable_hash.h"
 
 namespace leverrelay {
@@ -64,6 +65,24 @@
   EXPECT_NEAR(sum.at(at(now + 5), seconds(5)), 100 * 5 * std::exp(-1), 1);
 }
 
+TEST(KeyPopularity, LeavesTheLatestArrivalOutAndAssumesTenOthers) {
+  KeyPopularity popularity(seconds(20));
+  EXPECT_DOUBLE_EQ(popularity.shareOfOthers("a", at(1)), 0);
+  popularity.count("a", at(1));
+  EXPECT_DOUBLE_EQ(popularity.shareOfOthers("a", at(1)), 0);
+  popularity.count("a", at(1));
+  EXPECT_DOUBLE_EQ(popularity.shareOfOthers("a", at(1)), 1.0 / 12);
+  EXPECT_DOUBLE_EQ(popularity.shareOfOthers("b", at(1)), 0);
+}
+
+TEST(KeyPopularity, FindsThePopularKeyOfManyRareOnes) {
+  KeyPopularity popularity(seconds(20));
+  for (int i = 0; i < 4'000; ++i)
+    popularity.count(i % 4 == 0 ? "popular" : "rare" + std::to_string(i), at(i * 0.01));
+  EXPECT_NEAR(popularity.shareOfOthers("popular", at(40)), 0.25, 0.01);
+  EXPECT_DOUBLE_EQ(popularity.shareOfOthers("rare3999", at(40)), 0);
+}
+
 // The figures are part of the contract: nodes of different releases must order instances alike.
 TEST(StableHash, NeverChangesItsFigures) {
   EXPECT_EQ(stableHash("", ""), 689861552466052133ULL);
@@ -90,5 +109,20 @@
   EXPECT_EQ(distinct.size(), static_cast<std::size_t>(kDraws));
 }
 
+TEST(StableDraw, OfNumbersIsEvenlySpreadToo) {
+  constexpr int kDraws = 20'000;
+  double sum = 0;
+  std::set<double> distinct;
+  for (int i = 0; i < kDraws; ++i) {
+    const double draw = stableDraw(std::uint64_t{12345}, std::int64_t{i});
+    ASSERT_GE(draw, 0);
+    ASSERT_LT(draw, 1);
+    sum += draw;
+    distinct.insert(draw);
+  }
+  EXPECT_NEAR(sum / kDraws, 0.5, 0.01);
+  EXPECT_EQ(distinct.size(), static_cast<std::size_t>(kDraws));
+}
+
 }  // namespace
 }  // namespace leverrelay
