--- /dev/null
+++ b/src/records/request_record.cpp
@@ -0,0 +1,24 @@
+#include "records/request_record.h"
+
+#include <algorithm>
+
+namespace leverrelay {
+
+const AttemptRecord* RequestRecord::mayHaveRun() const {
+  const auto found = std::find_if(attempts.begin(), attempts.end(),
+                                  [](const AttemptRecord& a) { return a.writes && !a.harmless; });
+  return found == attempts.end() ? nullptr : &*found;
+}
+
+AttemptRecord* RequestRecord::attempt(int number) {
+  const auto index = static_cast<std::size_t>(number);
+  return number < 0 || index >= attempts.size() ? nullptr : &attempts[index];
+}
+
+bool RequestRecord::refersTo(const Engine& engine) const {
+  if (place == &engine || reader == &engine || home == &engine || booked == &engine) return true;
+  return std::any_of(attempts.begin(), attempts.end(),
+                     [&engine](const AttemptRecord& a) { return a.engine == &engine; });
+}
+
+}  // namespace leverrelay
--- a/src/rules.cpp
+++ b/src/rules.cpp
@@ -13,6 +13,7 @@
 #include "estimates/stable_hash.h"
 #include "leverrelay/router.h"
 #include "policy/slow_start_budget.h"
+#include "records/request_record.h"
 
 namespace leverrelay {
 namespace {
@@ -64,6 +65,19 @@
 
 std::size_t at(Role role) { return static_cast<std::size_t>(role); }
 
+// What a cell has of the fleet, by the list alone, so that every node reckons the same.
+struct Cell {
+  double readers = 0, writers = 0;  // weight of each
+  double share = 0, writes = 0;     // of all reads and of all answers that it is to do
+};
+
+// Of the engines that do a step: when all of the fleet is there, listed now, and of these in slow start.
+struct RoleWeights {
+  double whole = 0, listed = 0, cold = 0;
+};
+
+}  // namespace
+
 struct Engine {
   ListEntry info;
   Role role = Role::kReader;
@@ -84,48 +98,6 @@
   SlowStartBudget slowStart;
 };
 
-// What a cell has of the fleet, by the list alone, so that every node reckons the same.
-struct Cell {
-  double readers = 0, writers = 0;  // weight of each
-  double share = 0, writes = 0;     // of all reads and of all answers that it is to do
-};
-
-// Of the engines that do a step: when all of the fleet is there, listed now, and of these in slow start.
-struct RoleWeights {
-  double whole = 0, listed = 0, cold = 0;
-};
-
-enum class Phase { kWaiting, kReading, kRead, kWriting, kStreaming, kOver };
-
-struct Attempt {
-  Engine* engine;
-  Time sentAt;
-  bool writes;                         // at a writer or mixed engine: may have an effect
-  double tokens;                       // booked as waiting to be read
-  bool home;                           // at the first reader of its order, which keeps its text for all nodes
-  bool out = true, calledOff = false;  // out: only the last one of a request can be
-  int overtaken = 0;                   // later sends there that were answered well ahead of it
-  bool harmless = false;               // its outcome proved that it never ran
-};
-
-struct Request {
-  Arrival told;
-  Time arrivedAt, deadline, aim, readAt{};  // last: since when a state waits unused
-  Phase phase = Phase::kWaiting;
-  std::vector<Attempt> attempts;
-  std::set<EngineId> avoid;                    // engines that failed it
-  Engine *place = nullptr, *reader = nullptr;  // asked or held; whose memory holds the state
-  int placesRefused = 0;
-  std::map<Phase, Time> offeredAt;  // when engines in slow start were first looked at for a step
-  const Engine* home = nullptr;     // the first reader of its order
-  bool pinned = false;              // a state or place may be held
-  Engine* booked = nullptr;         // writer whose load it counts in
-  double bookedTokens = 0;
-  std::optional<Time> openedAt;
-};
-
-}  // namespace
-
 class Router::Impl {
  public:
   Impl(const Settings& settings, std::uint64_t seed)
@@ -155,7 +127,7 @@
  private:
   // ---- 2 Fleet view --------------------------------------------------------------------------------
 
-  const ClassSettings& classOf(const Request& r) const { return set_.classes[r.told.cls.value]; }
+  const ClassSettings& classOf(const RequestRecord& r) const { return set_.classes[r.told.cls.value]; }
 
   bool listed(const Engine& e) const { return !e.toldOff; }
 
@@ -175,7 +147,7 @@
 
   double memoryOf(const Engine& e) const { return set_.kinds[e.info.kind.value].memoryTokens; }
 
-  bool eligible(const Request& r, const Engine& e) const {
+  bool eligible(const RequestRecord& r, const Engine& e) const {
     return fit(e) && r.avoid.count(e.info.engine) == 0 && r.told.promptTokens <= memoryOf(e);
   }
 
@@ -199,7 +171,7 @@
   bool young() const { return now_ - startedAt_ < set_.contract.coldFor; }
 
   // Guards rule four. Offered: the weight of the engines that share this request, and this one's part of it.
-  bool slowStartAllows(Request& r, Engine& e, const RoleWeights& weights, double offered, double part) {
+  bool slowStartAllows(RequestRecord& r, Engine& e, const RoleWeights& weights, double offered, double part) {
     if (warmShare(e) >= 1) return true;
     const Duration seen = std::max(now_ - startedAt_, set_.contract.fallFor);
     const double demand = (young() ? arrivals_ : sends_[at(e.role)]).at(now_, kFlowMemory) /
@@ -251,7 +223,7 @@
 
   // ---- 3 Reader choice -----------------------------------------------------------------------------
 
-  double unread(const Request& r, const Engine& e) const {
+  double unread(const RequestRecord& r, const Engine& e) const {
     return r.told.promptTokens * (1 - kept_[r.home == &e ? 1 : 0].mean());
   }
 
@@ -273,9 +245,11 @@
 
   void noteWait(Engine& e, Duration wait) { std::tie(e.wait, e.waitAt) = std::pair(wait, now_); }
 
-  Duration readTime(const Request& r, const Engine& e) const { return waitAt(e) + timeFor(unread(r, e)); }
+  Duration readTime(const RequestRecord& r, const Engine& e) const {
+    return waitAt(e) + timeFor(unread(r, e));
+  }
 
-  const std::string& keyOf(const Request& r) const {
+  const std::string& keyOf(const RequestRecord& r) const {
     if (!r.told.prefix.empty()) return r.told.prefix;
     return r.told.session.empty() ? r.told.request.value : r.told.session;
   }
@@ -324,7 +298,7 @@
 
   // The key's order. A popular key, by this node's sample, has as many homes as carry it together; a session
   // picks one of them, the same at every node, and so keeps its text.
-  std::vector<Engine*> readersInOrder(const Request& r) {
+  std::vector<Engine*> readersInOrder(const RequestRecord& r) {
     std::vector<Engine*> order;
     double all = 0, carried = 0;
     for (auto& [id, e] : engines_) {
@@ -343,7 +317,7 @@
 
   // The first in the key's order whose reads wait within the bound, or an earlier one that would be done
   // sooner, as it keeps the text: a jam must not feed itself by moving keys.
-  Engine* chooseReader(Request& r) {
+  Engine* chooseReader(RequestRecord& r) {
     const Duration bound = scaled(timeFor(r.told.promptTokens), kReadBound);
     const std::vector<Engine*> order = readersInOrder(r);
     if (!order.empty()) r.home = order.front();
@@ -367,7 +341,9 @@
 
   double load(const Engine& e) const { return e.streams / (std::max(e.info.weight, kTiny) * warmShare(e)); }
 
-  double tokensOf(const Request& r) const { return r.told.promptTokens + kOutputShare * r.told.maxTokens; }
+  double tokensOf(const RequestRecord& r) const {
+    return r.told.promptTokens + kOutputShare * r.told.maxTokens;
+  }
 
   // Share of all answers that is at a place of this weight: what own answers show, as far as they are many.
   double shareOf(double own, double weight) const {
@@ -393,7 +369,7 @@
   }
 
   // Fewest own streams for its size; nodes break ties differently, so that they do not herd.
-  Engine* leastLoaded(Request& r, std::optional<CellIndex> cell) {
+  Engine* leastLoaded(RequestRecord& r, std::optional<CellIndex> cell) {
     Engine* best = nullptr;
     const RoleWeights weights = weightsFor(Role::kWriter);
     const double offered = kSlowStartOffers * weights.cold;
@@ -411,7 +387,7 @@
   }
 
   // The reader's cell, or one with room if that cell's readers do more than its writers can write.
-  CellIndex writingCell(const Request& r) const {
+  CellIndex writingCell(const RequestRecord& r) const {
     CellIndex best = r.reader->info.cell;
     const auto home = cells_.find(best);  // none: nothing of it is listed any more
     if (home != cells_.end() &&
@@ -428,14 +404,14 @@
   }
 
   // The writer of the planned cell; another cell's only when this one has none with room (the spill).
-  Engine* chooseWriter(Request& r) {
+  Engine* chooseWriter(RequestRecord& r) {
     Engine* near = leastLoaded(r, writingCell(r));
     if (near != nullptr && !full(*near)) return near;
     Engine* any = leastLoaded(r, {});
     return any != nullptr && !full(*any) ? any : near;
   }
 
-  void book(Request& r, Engine& e) {
+  void book(RequestRecord& r, Engine& e) {
     if (r.booked == &e) return;
     unbook(r);
     r.booked = &e;
@@ -446,7 +422,7 @@
     held_ += r.bookedTokens;
   }
 
-  void unbook(Request& r) {
+  void unbook(RequestRecord& r) {
     if (r.booked == nullptr) return;
     r.booked->streams -= 1;
     r.booked->heldTokens -= r.bookedTokens;
@@ -455,7 +431,7 @@
     r.booked = nullptr;
   }
 
-  void askPlace(Request& r) {
+  void askPlace(RequestRecord& r) {
     Engine* writer = set_.placesAhead ? chooseWriter(r) : nullptr;
     if (writer == nullptr) return;
     countSend(*writer);
@@ -466,14 +442,14 @@
   }
 
   // A place on a draining writer is still used early in the grace: the state may exist only there.
-  bool placeUsable(const Request& r) const {
+  bool placeUsable(const RequestRecord& r) const {
     if (r.place == nullptr || r.avoid.count(r.place->info.engine) != 0) return false;
     if (!r.place->toldOff) return fit(*r.place);
     return now_ - *r.place->toldOff < set_.contract.drainGrace / 2 &&
            r.place->info.presence == Presence::kLeaving;
   }
 
-  void startWrite(Request& r) {
+  void startWrite(RequestRecord& r) {
     r.phase = Phase::kRead;
     Engine* writer = placeUsable(r) ? r.place : chooseWriter(r);
     if (writer == nullptr) return;  // pump() tries again or lets go
@@ -495,7 +471,7 @@
   Duration usual(Role role) const { return microseconds(answer_[at(role)].decayedMean(now_, fade())); }
 
   // Early refusal: late answers earn little and make those behind them late.
-  bool worthless(const Request& r, const Engine& reader) const {
+  bool worthless(const RequestRecord& r, const Engine& reader) const {
     const Duration rest = reader.role == Role::kReader ? usual(Role::kWriter) : Duration::zero();
     const Duration others = r.told.resumed ? Duration::max() : shortestAim(classOf(r).worth);
     const Duration left = std::min(r.aim - now_, others);
@@ -503,7 +479,7 @@
   }
 
   // Readers may be too few or fail while writers rest, which read too, more slowly: between their steps.
-  bool readAtWriter(Request& r) {
+  bool readAtWriter(RequestRecord& r) {
     Engine* best = nullptr;
     for (auto& [id, e] : engines_) {
       const bool rests = !e.ejected && warmShare(e) >= 1 && !full(e, kRoomToRead);
@@ -525,13 +501,13 @@
 
   // Guards against a jam that many nodes keep up with a few reads each. Who cannot know each reader reads
   // little more than was read in time at any, and its part of some trials that show the jam's end.
-  bool throttled(const Request& r) const {
+  bool throttled(const RequestRecord& r) const {
     const double tried = reads_.at(now_, kJamMemory), known = kKnownReads * count_[at(Role::kReader)];
     const double allowed = kJamTimes * timely_.at(now_, kJamMemory) + std::max(1.0, known / set_.nodes);
     return tried < known && stableDraw(r.told.request.value, "throttle") * tried > allowed;
   }
 
-  void startRead(Request& r) {
+  void startRead(RequestRecord& r) {
     Engine* reader = chooseReader(r);
     const bool late = reader != nullptr && worthless(r, *reader);
     const bool slow = reader == nullptr || readTime(r, *reader) > scaled(r.aim - now_, kLongRead);
@@ -546,7 +522,7 @@
   }
 
   // A prompt needs the memory of a kind that reads it and of one that writes its answer.
-  bool tooBig(const Request& r) const {
+  bool tooBig(const RequestRecord& r) const {
     bool read = false, written = false;
     for (const KindSettings& kind : set_.kinds) {
       if (r.told.promptTokens > kind.memoryTokens) continue;
@@ -558,7 +534,7 @@
 
   // What cannot be answered any more is told so while a retry elsewhere may help, in the last pulse at
   // latest.
-  bool hopeless(const Request& r) const {
+  bool hopeless(const RequestRecord& r) const {
     const Duration least =
         r.phase == Phase::kRead ? usual(Role::kWriter) : usual(Role::kReader) + usual(Role::kWriter);
     return r.deadline - now_ < std::max(least, Duration(kPulse + 2 * set_.tick));
@@ -567,32 +543,32 @@
   // ---- 6 Deadlines and further attempts ------------------------------------------------------------
 
   // Leaves time for another attempt and no more: a time-out in a jam only reads the prompt twice.
-  Time patience(const Request& r, const Engine& e) const {
+  Time patience(const RequestRecord& r, const Engine& e) const {
     const bool last = static_cast<int>(r.attempts.size()) + 1 >= set_.limits.maxAttempts;
     if (last || (classOf(r).effect == Effect::kUnsafe && e.role != Role::kReader)) return r.deadline;
     return now_ + scaled(r.deadline - now_, kSpareShare);
   }
 
   // What an engine swallows is overtaken: by others sent later, well ahead for their size. Jams hold all up.
-  void overtake(const Attempt& by, Duration took) {
+  void overtake(const AttemptRecord& by, Duration took) {
     for (auto& [id, r] : requests_) {
       if (r.phase != Phase::kReading && r.phase != Phase::kWriting) continue;
-      Attempt& a = r.attempts.back();
+      AttemptRecord& a = r.attempts.back();
       if (!a.out || a.engine != by.engine || a.sentAt >= by.sentAt) continue;
       const double size = std::max(1.0, (a.tokens + 1) / (by.tokens + 1));
       if (now_ - a.sentAt > scaled(took, size * kOvertakenTimes)) ++a.overtaken;
     }
   }
 
-  bool anotherFor(const Request& r, const Engine& e) const {
+  bool anotherFor(const RequestRecord& r, const Engine& e) const {
     for (const auto& [id, x] : engines_)
       if (&x != &e && (x.role == Role::kReader) == (e.role == Role::kReader) && eligible(r, x)) return true;
     return false;
   }
 
   // Calls off what waits at a silent engine, or was swallowed, while another could take it.
-  void rescue(Request& r) {
-    Attempt& a = r.attempts.back();
+  void rescue(RequestRecord& r) {
+    AttemptRecord& a = r.attempts.back();
     if (!set_.limits.cancel || retries_ < 1 || !a.out || a.calledOff) return;
     if (a.writes && classOf(r).effect == Effect::kUnsafe) return;  // a read has no effect
     const bool longOut = now_ - a.sentAt >= scaled(r.aim - r.arrivedAt, kSilentAims);
@@ -603,42 +579,34 @@
     emit(Cancel{r.told.request, static_cast<int>(r.attempts.size()) - 1});
   }
 
-  const Attempt* mayHaveRun(const Request& r) const {  // the first that may have had its effect
-    for (const Attempt& a : r.attempts)
-      if (a.writes && !a.harmless) return &a;
-    return nullptr;
-  }
-
-  bool attemptOut(const Request& r) const { return !r.attempts.empty() && r.attempts.back().out; }
-
   static bool sameGroup(const ListEntry& a, const ListEntry& b, Group group) {
     return group == Group::kAll || (group == Group::kZone ? a.zone == b.zone : a.cell == b.cell);
   }
 
   // Until when what may have run may go out again, as repeats of it do no harm or are discarded.
-  Time repeatsUntil(const Request& r) const {
-    const Attempt* first = mayHaveRun(r);
+  Time repeatsUntil(const RequestRecord& r) const {
+    const AttemptRecord* first = r.mayHaveRun();
     if (first == nullptr || classOf(r).effect == Effect::kSafe) return Time::max();
     return classOf(r).effect == Effect::kKeyed ? first->sentAt + classOf(r).dedupWindow : now_;
   }
 
   // Guards rule two for sends: of a keyed class, all that may have run is in the group of the first of it.
-  bool effectAllows(const Request& r, const Engine& e) const {
-    const Attempt* first = classOf(r).effect == Effect::kKeyed ? mayHaveRun(r) : nullptr;
+  bool effectAllows(const RequestRecord& r, const Engine& e) const {
+    const AttemptRecord* first = classOf(r).effect == Effect::kKeyed ? r.mayHaveRun() : nullptr;
     const bool apart = first != nullptr && !sameGroup(first->engine->info, e.info, classOf(r).group);
     return now_ < repeatsUntil(r) && !apart;
   }
 
   // Guards rule two for refusals, which tell the client that a repeat is harmless.
-  bool mayRefuse(const Request& r) const {
+  bool mayRefuse(const RequestRecord& r) const {
     const bool everywhere = classOf(r).effect == Effect::kKeyed && classOf(r).group == Group::kAll;
     return everywhere || repeatsUntil(r) == Time::max();
   }
 
   // The one gate for sends: rules one (nothing after the end), two, three and the attempt limits.
-  bool sendTo(Request& r, Engine& e, Phase next) {
+  bool sendTo(RequestRecord& r, Engine& e, Phase next) {
     if (r.phase == Phase::kOver || r.phase == Phase::kStreaming || now_ >= r.deadline) return false;
-    if (attemptOut(r) || static_cast<int>(r.attempts.size()) >= set_.limits.maxAttempts) return false;
+    if (r.attemptOut() || static_cast<int>(r.attempts.size()) >= set_.limits.maxAttempts) return false;
     if ((e.toldOff && !(&e == r.place && placeUsable(r))) || !effectAllows(r, e)) return false;
     const bool reads = next == Phase::kReading || (e.role == Role::kWriter && r.reader == nullptr);
     const double tokens = reads ? unread(r, e) : 0;
@@ -653,7 +621,7 @@
   }
 
   // After a failure: another engine, within the attempts, the time and the budget that cannot feed a jam.
-  void again(Request& r, Engine& failed, bool stateLives) {
+  void again(RequestRecord& r, Engine& failed, bool stateLives) {
     r.avoid.insert(failed.info.engine);
     r.offeredAt.clear();
     const bool spent = static_cast<int>(r.attempts.size()) + (stateLives ? 1 : 2) > set_.limits.maxAttempts;
@@ -669,20 +637,20 @@
   // ---- 7 Release -----------------------------------------------------------------------------------
 
   // Guards rule five: whatever may be held for it anywhere is let go.
-  void letGo(Request& r) {
+  void letGo(RequestRecord& r) {
     if (r.pinned) emit(Release{r.told.request});
     r.pinned = false;
     r.place = r.reader = nullptr;
     unbook(r);
   }
 
-  void callOff(const Request& r) {
-    if (set_.limits.cancel && attemptOut(r))
+  void callOff(const RequestRecord& r) {
+    if (set_.limits.cancel && r.attemptOut())
       emit(Cancel{r.told.request, static_cast<int>(r.attempts.size()) - 1});
   }
 
   // The one gate for endings: one final answer, nothing after it, nothing left out or held.
-  void finish(Request& r) {
+  void finish(RequestRecord& r) {
     if (r.phase == Phase::kOver) return;
     callOff(r);
     letGo(r);  // first, as a refusal says that nothing is under way anywhere
@@ -692,14 +660,14 @@
     close(r);
   }
 
-  void close(Request& r) {  // a read still out may yet leave a state: it stays known
+  void close(RequestRecord& r) {  // a read still out may yet leave a state: it stays known
     r.phase = Phase::kOver;
     letGo(r);
   }
 
   void forgetIfDone(const RequestId& id) {
-    const Request* r = held(id);
-    if (r != nullptr && r->phase == Phase::kOver && !attemptOut(*r)) requests_.erase(id);
+    const RequestRecord* r = held(id);
+    if (r != nullptr && r->phase == Phase::kOver && !r->attemptOut()) requests_.erase(id);
   }
 
   // ---- 8 Event handlers ----------------------------------------------------------------------------
@@ -734,12 +702,8 @@
       const Engine& e = entry.second;
       const bool gone = e.toldOff && e.info.presence == Presence::kGone;
       if (!gone || now_ - *e.toldOff <= set_.contract.coldFor) return false;
-      const auto tried = [&e](const Attempt& a) { return a.engine == &e; };
-      return std::none_of(requests_.begin(), requests_.end(), [&](const auto& request) {
-        const Request& r = request.second;
-        return r.place == &e || r.reader == &e || r.home == &e || r.booked == &e ||
-               std::any_of(r.attempts.begin(), r.attempts.end(), tried);
-      });
+      return std::none_of(requests_.begin(), requests_.end(),
+                          [&e](const auto& request) { return request.second.refersTo(e); });
     });
   }
 
@@ -762,7 +726,7 @@
     if (problem_ || told.cls.value >= set_.classes.size()) return emit(Fail{told.request});
     auto [it, fresh] = requests_.try_emplace(told.request);
     if (!fresh) return;
-    Request& r = it->second;
+    RequestRecord& r = it->second;
     r.told = told;
     r.arrivedAt = now_;
     r.deadline = now_ + told.timeLeft;
@@ -778,8 +742,8 @@
   }
 
   void on(const StreamOpened& opened) {
-    Request* r = held(opened.request);
-    Attempt* a = attemptOf(r, opened.attempt);
+    RequestRecord* r = held(opened.request);
+    AttemptRecord* a = r == nullptr ? nullptr : r->attempt(opened.attempt);
     if (a == nullptr) return;
     signOfLife(*a, opened.took, a->out && a->tokens <= 0);
     noteGood(*a->engine, a->sentAt);
@@ -791,7 +755,7 @@
   }
 
   void on(const PlaceNote& note) {
-    Request* r = held(note.request);
+    RequestRecord* r = held(note.request);
     if (r == nullptr || r->place == nullptr || r->place->info.engine != note.engine || note.held) return;
     r->place->fullUntil = now_ + scaled(shortestAim(), kFullAims);  // no slot or memory, or some wait already
     r->place = nullptr;
@@ -803,7 +767,7 @@
   void on(const StreamAdopted& stream) {
     const auto e = engines_.find(stream.engine);
     if (e == engines_.end()) return;
-    Request& r = requests_[stream.told.request];
+    RequestRecord& r = requests_[stream.told.request];
     r.told = stream.told;
     r.openedAt = r.arrivedAt = r.deadline = r.aim = now_;
     r.phase = Phase::kStreaming;
@@ -812,8 +776,8 @@
   }
 
   void on(const AttemptEnded& ended) {
-    Request* r = held(ended.request);
-    Attempt* a = attemptOf(r, ended.attempt);
+    RequestRecord* r = held(ended.request);
+    AttemptRecord* a = r == nullptr ? nullptr : r->attempt(ended.attempt);
     if (a == nullptr || !a->out) return;
     Engine& e = *a->engine;
     if (!r->openedAt) signOfLife(*a, ended.took, ended.outcome == Outcome::kRead);
@@ -825,7 +789,7 @@
     forgetIfDone(ended.request);
   }
 
-  void judge(Request& r, Attempt& a, const AttemptEnded& ended) {
+  void judge(RequestRecord& r, AttemptRecord& a, const AttemptEnded& ended) {
     Engine& e = *a.engine;
     const Outcome outcome = ended.outcome;
     if (outcome == Outcome::kRead) learnRead(r, a, ended);
@@ -845,7 +809,7 @@
                  (outcome == Outcome::kFull && !ended.doubtful);
   }
 
-  void settle(Request& r, Engine& e, const AttemptEnded& ended) {
+  void settle(RequestRecord& r, Engine& e, const AttemptEnded& ended) {
     if (r.phase == Phase::kOver || ended.concluded) {
       // A release skips what an attempt still waits for, so each late outcome brings another.
       r.pinned = !r.openedAt;
@@ -863,7 +827,7 @@
     again(r, e, wrote && !ended.stateGone && (sent || tried - r.readAt < set_.contract.releaseWithin));
   }
 
-  void learnRead(const Request& r, const Attempt& a, const AttemptEnded& ended) {
+  void learnRead(const RequestRecord& r, const AttemptRecord& a, const AttemptEnded& ended) {
     Engine& e = *a.engine;
     kept_[a.home ? 1 : 0].add(std::clamp(ended.keptTokens / std::max(1.0, r.told.promptTokens), 0.0, 1.0));
     const double done = std::max(1.0, r.told.promptTokens - ended.keptTokens);
@@ -873,7 +837,7 @@
     noteWait(e, std::max(Duration::zero(), ended.took - timeFor(done)));
   }
 
-  void signOfLife(Attempt& a, Duration took, bool counts) {
+  void signOfLife(AttemptRecord& a, Duration took, bool counts) {
     Engine& e = *a.engine;
     if (counts) answer_[at(e.role)].add(static_cast<double>(took.count()), now_);
     std::tie(e.quietSince, e.out) = std::pair(now_, std::max(0, e.out - 1));
@@ -890,23 +854,18 @@
   }
 
   void on(const Lapsed& lapsed) {
-    Request* r = held(lapsed.request);
+    RequestRecord* r = held(lapsed.request);
     if (r == nullptr || r->phase == Phase::kOver) return;
     callOff(*r);
     close(*r);
     forgetIfDone(lapsed.request);
   }
 
-  Request* held(const RequestId& id) {
+  RequestRecord* held(const RequestId& id) {
     const auto it = requests_.find(id);
     return it == requests_.end() ? nullptr : &it->second;
   }
 
-  static Attempt* attemptOf(Request* r, int attempt) {
-    const auto n = static_cast<std::size_t>(attempt);
-    return r == nullptr || attempt < 0 || n >= r->attempts.size() ? nullptr : &r->attempts[n];
-  }
-
   // Work that waits: states first, for they pin memory; then by worth and by the order of their ends.
   void pump() {
     std::vector<std::tuple<bool, double, Time, RequestId>> work;
@@ -942,13 +901,13 @@
     const auto stay = static_cast<std::size_t>(left * static_cast<double>(mostStreams_));
     std::sort(streams.rbegin(), streams.rend());
     for (std::size_t i = 0; i + stay < streams.size(); ++i) {
-      Request& r = requests_.at(std::get<RequestId>(streams[i]));
+      RequestRecord& r = requests_.at(std::get<RequestId>(streams[i]));
       r.attempts.back().calledOff = true;
       emit(MoveStream{r.told.request});
     }
   }
 
-  void advance(Request& r) {
+  void advance(RequestRecord& r) {
     if (hopeless(r)) return finish(r);
     if (r.phase == Phase::kRead) {
       startWrite(r);
@@ -988,7 +947,7 @@
   DecayingSum arrivals_, sends_[3], writerReads_;          // sends by role; tokens sent to be read by writers
   DecayingSum reads_, timely_;                             // reads that ended, and those of them in time
   std::array<double, 3> weight_{}, mostWeight_{}, count_{};  // by role: listed, the most ever, how many
-  std::map<RequestId, Request> requests_;
+  std::map<RequestId, RequestRecord> requests_;
   std::optional<Time> askAgainAt_, stopsAt_;
   Duration grace_{};
   std::uint64_t alarms_ = 0, mostStreams_ = 0;  // seen since they began to move
