--- a/src/policy/slow_start_budget.cpp
+++ b/src/policy/slow_start_budget.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr double kCountedSafety = 0.7;   // share of the budget that is used where sends are counted,
-constexpr double kDrawnSafety = 0.38;    // and where they are drawn: the rest is for chance and for a surge
+constexpr double kDrawnSafety = 0.34;    // and where they are drawn: the rest is for chance and for a surge
 constexpr double kBucketWindows = 0.25;  // of sends that may be saved up
 constexpr int kSlotsPerWindow = 8;
 constexpr double kLeastFraction = 1e-9;  // a load is divided by it
