--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -3,13 +3,15 @@
 #include <poll.h>
 #include <sys/socket.h>
 
+#include <array>
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/write.hpp>
 #include <boost/beast/http/error.hpp>
-#include <boost/beast/http/read.hpp>
 #include <cmath>
 #include <utility>
 
+#include "net/last_answer.h"
+
 namespace dahliastall::net {
 
 namespace http = boost::beast::http;
@@ -20,16 +22,19 @@
 constexpr double kFirstRequestMs = 2'000;  // for the first request to arrive whole, from connecting
 constexpr double kSlowInputMs = 2'000;     // for a later one, from its first byte
 constexpr double kIdleMs = 5'000;          // between two requests: some clients keep theirs for good
-constexpr double kLastMs = 500;            // for the request of who connected just before the door closed
+constexpr double kLastMs = 500;            // for a request that begins as its time ends, or the door closes
 constexpr double kYoungMs = 100;           // for a new connection before it has to give way
 constexpr double kSlowOutputMs = 30'000;   // without any progress of what is written
 constexpr double kBreakOffMs = 2'000;      // for what was passed on before a break; 5 s are allowed
 constexpr double kLingerMs = 500;          // for a client to close, once it has been told of the end
 constexpr std::size_t kLingerBytes = 256 * 1024;  // and as much as is read of it until then
-constexpr double kAheadLookMs = 50;  // between looks for a client's end behind what is not read yet
-constexpr std::size_t kAheadLimit = 16 * 1024;  // bytes kept of requests ahead of their turn
-constexpr std::size_t kHighMark = 64 * 1024;    // bytes waiting for a slow reader before its stream is held
-constexpr std::size_t kReadSize = 8 * 1024;
+constexpr double kAheadLookMs = 50;           // between looks for a client's end behind what is not read yet
+constexpr double kRoomRetryMs = 1'000;        // told to who has to make room
+constexpr std::size_t kHighMark = 64 * 1024;  // bytes waiting for a slow reader before its stream is held
+constexpr std::size_t kDropSize = 8 * 1024;   // read at a time of what is dropped
+// Requests that stand in line on a connection as it is to close are served up to this number: a client that
+// never stops sending must not keep the process.
+constexpr int kMostWhileClosing = 64;
 
 // Guards against a request that hides another: what a message with both lengths, or with a coding that is not
 // understood here, holds for its body is read differently elsewhere. Repeated and negative lengths and
@@ -64,9 +69,7 @@
 
 std::optional<ClientConnection::Rest> ClientConnection::rest() {
   if (state_ != State::kStreaming || writes_ || !waiting_.empty()) return std::nullopt;
-  const auto data = buffer_.data();
-  return Rest{socket_.native_handle(), std::string(static_cast<const char*>(data.data()), data.size()),
-              keepAlive_};
+  return Rest{socket_.native_handle(), reader_.carried(), keepAlive_};
 }
 
 // Without a shutdown, which would end the connection for the other process as well.
@@ -74,6 +77,7 @@
   if (state_ == State::kClosed) return;
   state_ = State::kClosed;
   deadlines_.cancel(slow_);
+  deadlines_.cancel(look_);
   boost::system::error_code ignored;
   socket_.close(ignored);
   owner_.closed(shared_from_this());
@@ -85,8 +89,7 @@
   owner_.asks(*this);
   keepAlive_ = rest.keepAlive;
   state_ = State::kStreaming;
-  buffer_.commit(
-      boost::asio::buffer_copy(buffer_.prepare(rest.ahead.size()), boost::asio::buffer(rest.ahead)));
+  reader_.carry(rest.ahead);
   watch();
 }
 
@@ -98,12 +101,30 @@
 }
 
 // Room is needed now, so who is being waited for to close is closed at once, and so is who has not asked yet.
-void ClientConnection::giveWay() {
-  if (room() != Room::kNone) shut();
+bool ClientConnection::giveWay() {
+  if (room() == Room::kNone || (state_ == State::kIdle && hasUnread())) return false;
+  if (state_ == State::kReading) turnAway();
+  else shut();
+  return true;
 }
 
 void ClientConnection::evict() {
-  if (state_ == State::kIdle || state_ == State::kReading || lingering_) shut();
+  if (lingering_) return shut();
+  if (state_ == State::kReading || (state_ == State::kIdle && hasUnread())) turnAway();
+  else if (state_ == State::kIdle) shut();
+}
+
+// Guards a request, or what has been read of one, against a close without any answer.
+void ClientConnection::turnAway() {
+  sendLastAnswer(socket_.native_handle(),
+                 handler_.turnedAway(503, "room is needed for other connections", kRoomRetryMs));
+  shut();
+}
+
+bool ClientConnection::hasUnread() const {
+  const int descriptor = const_cast<boost::asio::ip::tcp::socket&>(socket_).native_handle();
+  char byte = 0;
+  return ::recv(descriptor, &byte, 1, MSG_PEEK | MSG_DONTWAIT) > 0;
 }
 
 // The second question costs another call, and is needed only where bytes stand before an end.
@@ -121,36 +142,42 @@
 
 void ClientConnection::read() {
   state_ = State::kIdle;
-  parser_.emplace();
-  parser_->body_limit(kBodyLimit);
-  parser_->header_limit(kHeadLimit);
-  if (buffer_.size() > 0) {  // the next request came early; its time counts from here
-    firstByte_ = clock_.nowMs();
-    state_ = State::kReading;
-    if (asked_) owner_.asks(*this);
-  }
+  reader_.begin();
+  expire(asked_ ? kIdleMs : kFirstRequestMs - (clock_.nowMs() - connected_));
+  if (!reader_.carried().empty()) return onInput();
+  awaitInput();
+}
+
+// Only readiness is waited for: an operation that reads may have its bytes already when the connection is
+// closed, before its handler has run.
+void ClientConnection::awaitInput() {
   const auto self = shared_from_this();
-  const auto whole = [self](const boost::system::error_code& error, std::size_t) { self->onRead(error); };
-  const auto begin = [self, whole] {
-    if (self->asked_) self->expire(kSlowInputMs);
-    http::async_read(self->socket_, self->buffer_, *self->parser_, whole);
-  };
-  if (!asked_) expire(kFirstRequestMs - (clock_.nowMs() - connected_));
-  if (state_ == State::kReading) return begin();
-  if (asked_) expire(kIdleMs);
-  socket_.async_read_some(buffer_.prepare(kReadSize),
-                          [self, begin](const boost::system::error_code& error, std::size_t count) {
-                            if (self->state_ != State::kIdle) return;
-                            if (error == boost::asio::error::operation_aborted && self->leaving_)
-                              return self->leaveIfQuiet();
-                            self->leaving_ = false;
-                            if (error) return self->shut();
-                            self->buffer_.commit(count);
-                            self->firstByte_ = self->clock_.nowMs();
-                            self->state_ = State::kReading;
-                            if (self->asked_) self->owner_.asks(*self);
-                            begin();
-                          });
+  socket_.async_wait(boost::asio::ip::tcp::socket::wait_read, [self](const boost::system::error_code& error) {
+    if (!error) self->onInput();
+  });
+}
+
+void ClientConnection::onInput() {
+  if (state_ != State::kIdle && state_ != State::kReading) return;
+  boost::system::error_code error;
+  const RequestReader::Progress progress = reader_.read(socket_.native_handle(), error);
+  if (progress == RequestReader::Progress::kNothing) return awaitInput();
+  if (progress == RequestReader::Progress::kFailed) return refuseInput(error);
+  if (state_ == State::kIdle) startRequest();
+  if (progress == RequestReader::Progress::kWhole) takeRequest();
+  else awaitInput();
+}
+
+// The time of a client's first request runs from connecting.
+void ClientConnection::startRequest() {
+  firstByte_ = clock_.nowMs();
+  state_ = State::kReading;
+  if (asked_) {
+    owner_.asks(*this);
+    expire(kSlowInputMs);
+  } else if (!slow_) {
+    expire(kLastMs);
+  }
 }
 
 // Half a request gets a 408; who has sent nothing gets a close.
@@ -159,20 +186,18 @@
   slow_ = deadlines_.add(clock_.nowMs() + afterMs, [self = shared_from_this()] {
     self->slow_.reset();
     if (self->state_ == State::kReading) return self->refuseInput(boost::asio::error::timed_out);
-    if (self->state_ == State::kIdle) self->partOnceRead();
+    if (self->state_ == State::kIdle) self->partIfQuiet();
   });
 }
 
-void ClientConnection::onRead(const boost::system::error_code& error) {
-  if (state_ != State::kReading) return;
+void ClientConnection::takeRequest() {
   deadlines_.cancel(slow_);
-  if (error) return refuseInput(error);
-  if (!framedPlainly(parser_->get())) return refuseInput(http::error::bad_transfer_encoding);
+  HttpRequest request = reader_.release();
+  if (!framedPlainly(request)) return refuseInput(http::error::bad_transfer_encoding);
   asked_ = true;
   owner_.asks(*this);
-  keepAlive_ = parser_->keep_alive();
+  keepAlive_ = request.keep_alive();
   state_ = State::kAnswering;
-  HttpRequest request = parser_->release();
   handler_.request(shared_from_this(), std::move(request), firstByte_);
   watch();
 }
@@ -185,6 +210,7 @@
       (!parsed || error == http::error::end_of_stream || error == http::error::partial_message))
     return shut();
   keepAlive_ = false;
+  refused_ = true;
   state_ = State::kAnswering;
   if (error == boost::asio::error::timed_out)
     handler_.reject(*this, 408, "the request took too long to arrive");
@@ -194,7 +220,7 @@
 }
 
 // While an answer is under way nothing is read, yet a client that closes must be noticed: bytes that are
-// there belong to its next request and wait in the kernel.
+// there belong to its next request and wait in the kernel, as the answer may turn out to be the last.
 void ClientConnection::watch() {
   if (watching_ || (state_ != State::kAnswering && state_ != State::kStreaming)) return;
   watching_ = true;
@@ -202,26 +228,17 @@
   socket_.async_wait(boost::asio::ip::tcp::socket::wait_read, [self](const boost::system::error_code& error) {
     self->watching_ = false;
     if (error || (self->state_ != State::kAnswering && self->state_ != State::kStreaming)) return;
-    char byte = 0;
-    const auto seen = ::recv(self->socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-    if (seen > 0) {
-      // A request ahead of its turn. It is taken out of the kernel, as a close behind it shows only then.
-      if (self->buffer_.size() >= kAheadLimit) return self->watchByClock();
-      boost::system::error_code fault;
-      const std::size_t room = kAheadLimit - self->buffer_.size();
-      self->buffer_.commit(self->socket_.read_some(self->buffer_.prepare(room), fault));
-      if (fault) return self->shut();
-      return self->watch();
-    }
-    if (seen < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) return self->watch();
-    self->shut();
+    if (!self->present()) return self->shut();
+    if (self->hasUnread()) self->watchByClock();
+    else self->watch();
   });
 }
 
-// With more ahead than is kept, readiness says nothing any more: there is always something to read.
+// With a request ahead of its turn, readiness says nothing any more: there is always something to read.
 void ClientConnection::watchByClock() {
-  const auto self = shared_from_this();
-  deadlines_.add(clock_.nowMs() + kAheadLookMs, [self] {
+  deadlines_.cancel(look_);
+  look_ = deadlines_.add(clock_.nowMs() + kAheadLookMs, [self = shared_from_this()] {
+    self->look_.reset();
     if (self->state_ != State::kAnswering && self->state_ != State::kStreaming) return;
     if (!self->present()) return self->shut();
     self->watchByClock();
@@ -230,9 +247,17 @@
 
 // ---- Writing ---------------------------------------------------------------------------------------
 
+// Whether the answer that is about to begin is the last on this connection. While it is to close, requests
+// that have come behind are served first.
+bool ClientConnection::isLastAnswer() {
+  if (!keepAlive_ || !owner_.draining()) return !keepAlive_;
+  if (reader_.carried().empty() && !hasUnread()) return true;
+  return ++servedWhileClosing_ > kMostWhileClosing;
+}
+
 void ClientConnection::answer(unsigned status, Fields fields, std::string_view body) {
   if (state_ != State::kAnswering) return;
-  if (owner_.draining()) keepAlive_ = false;
+  keepAlive_ = !isLastAnswer();
   fields.emplace_back("Content-Length", std::to_string(body.size()));
   if (!keepAlive_) fields.emplace_back("Connection", "close");
   std::string bytes =
@@ -244,7 +269,7 @@
 
 void ClientConnection::beginStream(Fields fields) {
   if (state_ != State::kAnswering) return;
-  if (owner_.draining()) keepAlive_ = false;
+  keepAlive_ = !isLastAnswer();
   fields.emplace_back("Transfer-Encoding", "chunked");
   if (!keepAlive_) fields.emplace_back("Connection", "close");
   state_ = State::kStreaming;
@@ -280,22 +305,11 @@
 void ClientConnection::closeIdle() {
   if (state_ != State::kIdle) return;
   if (!asked_ && clock_.nowMs() - connected_ < kYoungMs) return expire(kLastMs);
-  partOnceRead();
+  partIfQuiet();
 }
 
-// The read under way may have its bytes already, though its handler has not run: it says so when it is called
-// off.
-void ClientConnection::partOnceRead() {
-  leaving_ = true;
-  boost::system::error_code ignored;
-  socket_.cancel(ignored);
-}
-
-void ClientConnection::leaveIfQuiet() {
-  leaving_ = false;
-  char byte = 0;
-  if (::recv(socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT) > 0) return read();
-  part();
+void ClientConnection::partIfQuiet() {
+  if (!hasUnread()) part();
 }
 
 void ClientConnection::put(std::string_view bytes) {
@@ -331,13 +345,13 @@
   idleSince_ = clock_.nowMs();
   owner_.rests(*this);
   // The watch on the answered request must not take the next one's bytes for a close; it ends by itself.
-  if (owner_.draining() && buffer_.size() == 0) return part();
+  if (owner_.draining() && reader_.carried().empty() && !hasUnread()) return part();
   read();
 }
 
 // The end of a connection from this side. Closing with input unread, or as input arrives, would reset it and
-// take what was written last from the client's hands: so this side ends its sending, reads and drops what
-// still comes, and closes when the client has, within bounds. Nothing that is read from here on is a request.
+// take what was written last from the client's hands: so this side ends its sending and closes when the
+// client has, within bounds. No request is read from here on.
 void ClientConnection::part() {
   if (state_ == State::kClosed || lingering_) return;
   state_ = State::kFlushing;
@@ -355,14 +369,22 @@
 
 void ClientConnection::linger() {
   const auto self = shared_from_this();
-  buffer_.clear();
-  socket_.async_read_some(buffer_.prepare(kReadSize),
-                          [self](const boost::system::error_code& error, std::size_t count) {
-                            if (self->state_ == State::kClosed) return;
-                            self->dropped_ += count;
-                            if (error || self->dropped_ > kLingerBytes) return self->shut();
-                            self->linger();
-                          });
+  socket_.async_wait(boost::asio::ip::tcp::socket::wait_read, [self](const boost::system::error_code& error) {
+    if (self->state_ == State::kClosed) return;
+    if (error) return self->shut();
+    if (self->hasUnread() && !self->refused_) return;  // another request: left unread until the time is over
+    if (!self->refused_ || self->dropInput()) return self->shut();
+    self->linger();
+  });
+}
+
+// What follows input that was refused belongs to it. True once the client has ended, or has sent too much.
+bool ClientConnection::dropInput() {
+  std::array<char, kDropSize> dropped;
+  const auto count = ::recv(socket_.native_handle(), dropped.data(), dropped.size(), MSG_DONTWAIT);
+  if (count < 0) return errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR;
+  dropped_ += static_cast<std::size_t>(count);
+  return count == 0 || dropped_ > kLingerBytes;
 }
 
 void ClientConnection::shut() {
@@ -371,6 +393,7 @@
                     (state_ == State::kFlushing && !lingering_);
   state_ = State::kClosed;
   deadlines_.cancel(slow_);
+  deadlines_.cancel(look_);
   boost::system::error_code ignored;
   socket_.shutdown(boost::asio::ip::tcp::socket::shutdown_both, ignored);
   socket_.close(ignored);
--- a/src/net/client_connection.h
+++ b/src/net/client_connection.h
@@ -2,10 +2,6 @@
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
-#include <boost/beast/core/flat_buffer.hpp>
-#include <boost/beast/http/message.hpp>
-#include <boost/beast/http/parser.hpp>
-#include <boost/beast/http/string_body.hpp>
 #include <memory>
 #include <optional>
 #include <string>
@@ -14,11 +10,10 @@
 #include "core/clock.h"
 #include "core/deadlines.h"
 #include "net/message.h"
+#include "net/request_reader.h"
 
 namespace dahliastall::net {
 
-using HttpRequest = boost::beast::http::request<boost::beast::http::string_body>;
-
 class ClientConnection;
 
 // What stands behind the listener: a front.
@@ -33,7 +28,7 @@
   virtual void drained(ClientConnection& connection) = 0;  // after pass() said to wait
   // What is not to be understood as a request; the connection closes after the answer.
   virtual void reject(ClientConnection& connection, unsigned status, std::string_view why) = 0;
-  // The whole answer for a connection that is turned away before it has said anything.
+  // The whole answer for a connection that is turned away before its request was taken.
   virtual std::string turnedAway(unsigned status, std::string_view why, double retryAfterMs) const;
 };
 
@@ -71,7 +66,7 @@
   // A stream under way, as it passes from one process to another.
   struct Rest {
     int descriptor = -1;
-    std::string ahead;  // read of the next requests
+    std::string ahead;  // read of the next request; empty, but for processes of earlier versions
     bool keepAlive = true;
   };
   std::optional<Rest> rest();     // nothing while anything waits to be written
@@ -84,12 +79,19 @@
   void endStream();
   void breakOff();   // closes without a last chunk
   void closeIdle();  // closes between two requests, unless one has come already or may be about to
-  void giveWay();    // closes what room() named
-  void evict();      // closes unless a request is open
+  // Closes what room() named; false if a request has come on it meanwhile. Part of a request gets an answer.
+  bool giveWay();
+  void evict();  // closes unless a request is open; one that has come, or part of one, gets an answer
 
  private:
   void read();
-  void onRead(const boost::system::error_code& error);
+  void awaitInput();
+  void onInput();
+  void startRequest();
+  void takeRequest();
+  void turnAway();
+  bool hasUnread() const;
+  bool isLastAnswer();
   void refuseInput(const boost::system::error_code& error);
   void watch();
   void watchByClock();
@@ -98,25 +100,25 @@
   void flush();
   void finished();
   void part();
-  void partOnceRead();
+  void partIfQuiet();
   void linger();
+  bool dropInput();
   void shut();
-  void leaveIfQuiet();
 
   boost::asio::ip::tcp::socket socket_;
   RequestHandler& handler_;
   Owner& owner_;
   const core::Clock& clock_;
   core::Deadlines& deadlines_;
-  boost::beast::flat_buffer buffer_;
-  std::optional<boost::beast::http::request_parser<boost::beast::http::string_body>> parser_;
+  RequestReader reader_;
   std::string waiting_, writing_;
-  std::optional<core::Deadlines::Key> slow_;
+  std::optional<core::Deadlines::Key> slow_, look_;
   State state_ = State::kIdle;
   double connected_ = 0, idleSince_ = 0, firstByte_ = 0;
   std::size_t dropped_ = 0;  // bytes read after a refusal
+  int servedWhileClosing_ = 0;
   bool keepAlive_ = true, writes_ = false, held_ = false, watching_ = false, asked_ = false,
-       lingering_ = false, leaving_ = false;
+       lingering_ = false, refused_ = false;
 };
 
 }  // namespace dahliastall::net
--- /dev/null
+++ b/src/net/last_answer.h
@@ -0,0 +1,12 @@
+// The answer to a client whose connection is closed right behind it.
+#pragma once
+
+#include <string_view>
+
+namespace dahliastall::net {
+
+// Writes what the socket takes at once and drops what has come by now, within bounds: closing over unread
+// bytes would reset the connection and take the answer from the client's hands. The caller closes.
+void sendLastAnswer(int descriptor, std::string_view answer);
+
+}  // namespace dahliastall::net
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -1,6 +1,7 @@
 #include "net/listener.h"
 
 #include <fcntl.h>
+#include <linux/filter.h>
 #include <sys/socket.h>
 #include <unistd.h>
 
@@ -10,6 +11,8 @@
 #include <cerrno>
 #include <vector>
 
+#include "net/last_answer.h"
+
 namespace dahliastall::net {
 
 using admission::Address;
@@ -19,9 +22,12 @@
 constexpr double kAcceptPauseMs = 20;  // after accept failed, as when descriptors ran out
 // After an evacuation the front layer learns within 0.1 s that it is to stop and sends for 0.2 s more: idle
 // connections are left until then, and looked at again as others fall idle.
-constexpr std::size_t kRefusals = 16;  // read by their clients at a time; beyond, a refusal is a close
+constexpr std::size_t kRefusals =
+    16;  // read by their clients at a time; beyond, closed right behind the answer
 constexpr double kRefusalMs = 300;
-constexpr int kOnSpare = 16;  // turned away on the spare descriptor before the next pause
+constexpr double kHandshakeMs = 5;      // for handshakes that are under way as no further ones are taken
+constexpr double kFullRetryMs = 1'000;  // told to who finds no room as the door closes
+constexpr int kOnSpare = 16;            // turned away on the spare descriptor before the next pause
 constexpr double kFrontLearnsMs = 400, kSweepMs = 200;
 
 Address addressOf(const boost::asio::ip::tcp::endpoint& peer) {
@@ -34,13 +40,19 @@
   return address;
 }
 
-// Closing with input unread resets the connection and takes the refusal from the client's hands: what has
-// come by now is read first, up to a bound.
-void closeReadingAll(int descriptor) {
-  std::array<char, 4096> dropped{};
-  for (int i = 0; i < 16 && ::recv(descriptor, dropped.data(), dropped.size(), MSG_DONTWAIT) > 0; ++i) {
-  }
-  ::close(descriptor);
+// Has the kernel drop further attempts to connect to a listening socket. Handshakes under way go on, and what
+// stands in its accept queue stays there.
+void takeNoMore(int listening) {
+  constexpr std::uint32_t kFlagsOffset = 13, kSyn = 0x02, kAck = 0x10;
+  std::array<sock_filter, 5> program{{
+      BPF_STMT(BPF_LD | BPF_B | BPF_ABS, kFlagsOffset),
+      BPF_STMT(BPF_ALU | BPF_AND | BPF_K, kSyn | kAck),
+      BPF_JUMP(BPF_JMP | BPF_JEQ | BPF_K, kSyn, 0, 1),
+      BPF_STMT(BPF_RET | BPF_K, 0),
+      BPF_STMT(BPF_RET | BPF_K, UINT32_MAX),
+  }};
+  const sock_fprog filter{static_cast<unsigned short>(program.size()), program.data()};
+  ::setsockopt(listening, SOL_SOCKET, SO_ATTACH_FILTER, &filter, sizeof filter);
 }
 
 unsigned statusFor(admission::Reason reason) {
@@ -158,20 +170,22 @@
   deadlines_.add(clock_.nowMs() + kAcceptPauseMs, [this] { accept(); });
 }
 
-// Guards clients against waiting in the queue of a process that cannot take them: each is told so.
-void Listener::turnAwayOnSpare() {
+// Guards clients against waiting in the queue of a process that cannot take them: each is told so. False once
+// the queue is empty.
+bool Listener::turnAwayOnSpare() {
   const std::string text = handler_.turnedAway(503, "no descriptor is left for another connection", 1000);
   for (int i = 0; i < kOnSpare && spare_ >= 0; ++i) {
     ::close(std::exchange(spare_, -1));
     const int taken = ::accept4(acceptor_.native_handle(), nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK);
     if (taken >= 0) {
       ++counters_["admission.refused.descriptors"];
-      [[maybe_unused]] const auto sent = ::send(taken, text.data(), text.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
-      closeReadingAll(taken);
+      sendLastAnswer(taken, text);
+      ::close(taken);
     }
     spare_ = ::open("/dev/null", O_RDONLY | O_CLOEXEC);
-    if (taken < 0) return;
+    if (taken < 0) return false;
   }
+  return spare_ >= 0;
 }
 
 void Listener::admit(boost::asio::ip::tcp::socket socket) {
@@ -190,13 +204,13 @@
 void Listener::refuse(boost::asio::ip::tcp::socket socket, const admission::Decision& decision) {
   const char* why = admission::nameOf(decision.reason);
   ++counters_[std::string("admission.refused.") + why];
+  const std::string text = handler_.turnedAway(
+      statusFor(decision.reason), std::string("too many connections: ") + why, decision.retryAfterMs);
   if (refusals_.size() >= kRefusals ||
       (ledger_ != nullptr && !ledger_->take(admission::Account::kRefusals))) {
-    ++counters_["admission.closed_unanswered"];
-    return;
+    ++counters_["admission.closed_at_once"];
+    return sendLastAnswer(socket.native_handle(), text);
   }
-  const std::string text = handler_.turnedAway(
-      statusFor(decision.reason), std::string("too many connections: ") + why, decision.retryAfterMs);
   [[maybe_unused]] const auto sent =
       ::send(socket.native_handle(), text.data(), text.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
   boost::system::error_code ignored;
@@ -254,31 +268,43 @@
   return connection;
 }
 
-// Guards clients whose connection stands in the accept queue: closing the listener would reset them.
+// Guards clients whose connection stands in the accept queue: closing the listener would reset them. Each is
+// let in, or told that there is no room.
 void Listener::emptyQueue() {
   boost::system::error_code error;
   acceptor_.non_blocking(true, error);
-  while (!error && (gate_ != nullptr || connections_.size() < cap_)) {
+  while (!error) {
     boost::asio::ip::tcp::socket socket(io_);
     acceptor_.accept(socket, error);
-    if (!error) admit(std::move(socket));
+    if (error == boost::asio::error::connection_aborted || error == boost::asio::error::interrupted)
+      error = {};
+    else if (!error) admitOrTurnAway(std::move(socket));
   }
+  const bool ranOut = error == boost::asio::error::no_descriptors || error.value() == ENFILE;
+  while (ranOut && turnAwayOnSpare()) {
+  }
+}
+
+void Listener::admitOrTurnAway(boost::asio::ip::tcp::socket socket) {
+  const auto full = [this] { return gate_ == nullptr && connections_.size() >= cap_; };
+  if (full()) makeRoom();
+  if (!full()) return admit(std::move(socket));
+  ++counters_["clients.turned_away"];
+  sendLastAnswer(socket.native_handle(), handler_.turnedAway(503, "too many connections", kFullRetryMs));
 }
 
 // At the cap a client without an open request makes room: first who never sent a whole one, then who has been
-// idle longest. Closing between requests is allowed.
+// idle longest. Closing between requests is allowed; one whose next request has come already stays.
 void Listener::makeRoom() {
-  std::shared_ptr<ClientConnection> least;
-  const auto before = [](const ClientConnection& a, const ClientConnection& b) {
-    return a.room() != b.room() ? a.room() > b.room() : a.idleSinceMs() < b.idleSinceMs();
-  };
-  for (const auto& connection : connections_) {
-    if (connection->room() == ClientConnection::Room::kNone) continue;
-    if (!least || before(*connection, *least)) least = connection;
-  }
-  if (!least) return;
-  ++counters_["clients.made_room"];
-  least->giveWay();
+  std::vector<std::shared_ptr<ClientConnection>> idle;
+  for (const auto& connection : connections_)
+    if (connection->room() != ClientConnection::Room::kNone) idle.push_back(connection);
+  std::sort(idle.begin(), idle.end(), [](const auto& a, const auto& b) {
+    return a->room() != b->room() ? a->room() > b->room() : a->idleSinceMs() < b->idleSinceMs();
+  });
+  const bool made =
+      std::any_of(idle.begin(), idle.end(), [](const auto& connection) { return connection->giveWay(); });
+  if (made) ++counters_["clients.made_room"];
 }
 
 void Listener::closed(const std::shared_ptr<ClientConnection>& connection) {
@@ -323,11 +349,17 @@
   done_ = std::move(done);
   draining_ = true;
   if (doorOpenMs <= 0) return closeDoor();
+  deadlines_.add(clock_.nowMs() + std::max(0.0, doorOpenMs - kHandshakeMs), [this] {
+    if (isOpen()) takeNoMore(acceptor_.native_handle());
+  });
   deadlines_.add(clock_.nowMs() + doorOpenMs, [this] { closeDoor(); });
 }
 
 void Listener::closeDoor() {
-  if (isOpen()) emptyQueue();
+  if (isOpen()) {
+    takeNoMore(acceptor_.native_handle());
+    emptyQueue();
+  }
   doorClosed_ = true;
   boost::system::error_code ignored;
   acceptor_.close(ignored);
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -72,9 +72,10 @@
   void failed(const boost::system::error_code& error);
   void admit(boost::asio::ip::tcp::socket socket);
   void refuse(boost::asio::ip::tcp::socket socket, const admission::Decision& decision);
-  void turnAwayOnSpare();
+  bool turnAwayOnSpare();
   void letIn(boost::asio::ip::tcp::socket socket, admission::Visitor visitor);
   void emptyQueue();
+  void admitOrTurnAway(boost::asio::ip::tcp::socket socket);
   void sweepIdle();
   void makeRoom();
   void closeDoor();
--- /dev/null
+++ b/src/net/request_reader.h
@@ -0,0 +1,45 @@
+// Reads one request at a time from a client's socket, and not a byte of the next one: what stands behind the
+// request stays in the kernel, so that a connection that closes after an answer has read nothing else.
+#pragma once
+
+#include <boost/beast/http/message.hpp>
+#include <boost/beast/http/parser.hpp>
+#include <boost/beast/http/string_body.hpp>
+#include <boost/system/error_code.hpp>
+#include <cstddef>
+#include <optional>
+#include <string>
+
+namespace dahliastall::net {
+
+using HttpRequest = boost::beast::http::request<boost::beast::http::string_body>;
+
+class RequestReader {
+ public:
+  enum class Progress {
+    kNothing,  // nothing has come
+    kPart,     // the request has begun and is not whole
+    kWhole,    // release() gives it
+    kFailed,   // the connection has ended, or what came is no request: the error says which
+  };
+
+  // Makes ready for the next request.
+  void begin();
+  // Reads what has come of the request; never blocks.
+  Progress read(int descriptor, boost::system::error_code& error);
+  HttpRequest release() { return parser_->release(); }
+  bool keepAlive() const { return parser_->keep_alive(); }
+
+  // Bytes that another process had read when it passed the connection on; they come before those of the
+  // socket.
+  void carry(std::string bytes) { input_ = std::move(bytes); }
+  const std::string& carried() const { return input_; }
+
+ private:
+  Progress parse(boost::system::error_code& error);
+
+  std::optional<boost::beast::http::request_parser<boost::beast::http::string_body>> parser_;
+  std::string input_;  // read, and not parsed: a head or a chunk's size line that is not whole yet
+};
+
+}  // namespace dahliastall::net
