--- a/src/fronts/boxes/boxes.cpp
+++ b/src/fronts/boxes/boxes.cpp
@@ -101,10 +101,11 @@
         last_.reset();
         call_->garbled();
       });
-    begun_ = begun_ || !events->empty();
-    parts_ += events->empty() ? 0 : 1;
+    if (events->empty()) return true;  // part of an event is no sign of life to the client
+    begun_ = true;
+    ++parts_;
     watchForStall();
-    if (events->empty() || boxes_.conductor_.passed(key_, *events)) return true;
+    if (boxes_.conductor_.passed(key_, *events)) return true;
     boxes_.deadlines_.cancel(stall_);  // a slow client holds the stream back, not its box
     return false;
   }
