--- a/src/app/handover.cpp
+++ b/src/app/handover.cpp
@@ -45,6 +45,7 @@
       {"box_keeps", stream.box.call.keepAlive},
       {"event", binary(stream.box.event)},
       {"ahead", binary(stream.client.ahead)},
+      {"ahead_came", stream.client.aheadCameMs},
       {"client_keeps", stream.client.keepAlive}};
   const auto packed = json::to_msgpack(whole);
   return {packed.begin(), packed.end()};
@@ -69,6 +70,7 @@
   stream.box.call.keepAlive = whole.at("box_keeps").get<bool>();
   stream.box.event = bytesOf(whole.at("event"));
   stream.client.ahead = bytesOf(whole.at("ahead"));
+  stream.client.aheadCameMs = whole.value("ahead_came", 0.0);  // earlier versions do not say it
   stream.client.keepAlive = whole.at("client_keeps").get<bool>();
   return stream;
 }
--- a/src/fronts/boxes/boxes.cpp
+++ b/src/fronts/boxes/boxes.cpp
@@ -34,6 +34,7 @@
         key_(dispatch.attempt),
         request_(dispatch.request),
         engine_(dispatch.engine),
+        untilMs_(dispatch.untilMs),
         reads_(dispatch.reads) {}
 
   ~AttemptCall() override {
@@ -74,6 +75,12 @@
 
   bool ready() override { return boxes_.conductor_.maySend(key_); }
 
+  // Rounded down: its instance is told no more than its client has left.
+  net::Fields fieldsAsWritten() override {
+    const double leftMs = std::max(0.0, std::floor(untilMs_ - boxes_.clock_.nowMs()));
+    return {{boxes_.dialect_.budgetHeader, std::to_string(static_cast<long>(leftMs))}};
+  }
+
   void written() override {
     writtenMs_ = boxes_.clock_.nowMs();
     if (!reads_) watchForTaking();
@@ -185,6 +192,7 @@
   UsageReader usage_;
   EventGate gate_;
   std::optional<core::Deadlines::Key> last_, stall_, taken_;
+  double untilMs_;               // its answer is waited for
   double writtenMs_ = HUGE_VAL;  // its last byte; until then in no time
   int parts_ = 0;                // in which whole events came
   unsigned status_ = 0;
@@ -337,10 +345,7 @@
   const Box* box = directory_.find(dispatch.engine);
   if (box == nullptr) return conductor_.ended(dispatch.attempt, {Outcome::kNotSent});
   const auto& payload = static_cast<const ChatPayload&>(*dispatch.payload);
-  const double left =
-      std::max(0.0, std::floor(dispatch.untilMs - std::max(clock_.nowMs(), dispatch.afterMs)));
   net::Fields fields{{dialect_.idHeader, dispatch.request.value},
-                     {dialect_.budgetHeader, std::to_string(static_cast<long>(left))},
                      {"Content-Length", std::to_string(payload.body->size())}};
   if (!payload.contentType.empty()) fields.emplace_back("Content-Type", payload.contentType);
   fields.insert(fields.end(), payload.passed.begin(), payload.passed.end());
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -1,8 +1,12 @@
 #include "net/client_connection.h"
 
+#include <netinet/in.h>
+#include <netinet/tcp.h>
 #include <poll.h>
 #include <sys/socket.h>
 
+#include <algorithm>
+#include <array>
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/write.hpp>
 #include <boost/beast/http/error.hpp>
@@ -26,9 +30,15 @@
 constexpr double kBreakOffMs = 2'000;      // for what was passed on before a break; 5 s are allowed
 constexpr double kLingerMs = 500;          // for a client to close, once it has been told of the end
 constexpr std::size_t kLingerBytes = 256 * 1024;  // and as much as is read of it until then
-constexpr double kAheadLookMs = 50;  // between looks for a client's end behind what is not read yet
-constexpr std::size_t kAheadLimit = 16 * 1024;  // bytes kept of requests ahead of their turn
-constexpr std::size_t kHighMark = 64 * 1024;    // bytes waiting for a slow reader before its stream is held
+// Bytes kept of requests ahead of their turn: one of the largest that is taken at all. What comes behind them
+// is read and dropped, as the close of its client would not reach this machine otherwise; so much at a time.
+constexpr std::size_t kAheadLimit = kHeadLimit + kBodyLimit;
+constexpr std::size_t kDropBytes = 2 * 1024 * 1024;
+constexpr double kAheadLookMs = 20;  // until so much more may be dropped
+// Bytes that came so long ago stood unread meanwhile; below that it is the usual way of a message, and the
+// system's clock is coarse.
+constexpr double kUnreadMs = 100;
+constexpr std::size_t kHighMark = 64 * 1024;  // bytes waiting for a slow reader before its stream is held
 constexpr std::size_t kReadSize = 8 * 1024;
 
 // Guards against a request that hides another: what a message with both lengths, or with a coding that is not
@@ -63,10 +73,10 @@
 }
 
 std::optional<ClientConnection::Rest> ClientConnection::rest() {
-  if (state_ != State::kStreaming || writes_ || !waiting_.empty()) return std::nullopt;
+  if (state_ != State::kStreaming || writes_ || !waiting_.empty() || overflowed_) return std::nullopt;
   const auto data = buffer_.data();
   return Rest{socket_.native_handle(), std::string(static_cast<const char*>(data.data()), data.size()),
-              keepAlive_};
+              aheadCame_.empty() ? 0 : aheadCame_.firstMs(), keepAlive_};
 }
 
 // Without a shutdown, which would end the connection for the other process as well.
@@ -87,6 +97,7 @@
   state_ = State::kStreaming;
   buffer_.commit(
       boost::asio::buffer_copy(buffer_.prepare(rest.ahead.size()), boost::asio::buffer(rest.ahead)));
+  aheadCame_.add(rest.ahead.size(), rest.aheadCameMs > 0 ? rest.aheadCameMs : clock_.nowMs());
   watch();
 }
 
@@ -124,13 +135,16 @@
   parser_.emplace();
   parser_->body_limit(kBodyLimit);
   parser_->header_limit(kHeadLimit);
-  if (buffer_.size() > 0) {  // the next request came early; its time counts from here
-    firstByte_ = clock_.nowMs();
+  if (buffer_.size() > 0) {  // the next request came early
+    firstByte_ = aheadCame_.firstMs();
     state_ = State::kReading;
     if (asked_) owner_.asks(*this);
   }
+  if (overflowed_) return readKept();
   const auto self = shared_from_this();
-  const auto whole = [self](const boost::system::error_code& error, std::size_t) { self->onRead(error); };
+  const auto whole = [self](const boost::system::error_code& error, std::size_t parsed) {
+    self->onRead(error, parsed);
+  };
   const auto begin = [self, whole] {
     if (self->asked_) self->expire(kSlowInputMs);
     http::async_read(self->socket_, self->buffer_, *self->parser_, whole);
@@ -145,8 +159,9 @@
                               return self->leaveIfQuiet();
                             self->leaving_ = false;
                             if (error) return self->shut();
+                            self->firstByte_ = self->cameMs();
                             self->buffer_.commit(count);
-                            self->firstByte_ = self->clock_.nowMs();
+                            self->aheadCame_.add(count, self->firstByte_);
                             self->state_ = State::kReading;
                             if (self->asked_) self->owner_.asks(*self);
                             begin();
@@ -163,10 +178,24 @@
   });
 }
 
-void ClientConnection::onRead(const boost::system::error_code& error) {
+// When the bytes that are read now came. They may have stood in this machine, with its queue of connections
+// full or this process stopped, and their client's time went on.
+double ClientConnection::cameMs() const {
+  tcp_info info{};
+  socklen_t size = sizeof info;
+  const int descriptor = const_cast<boost::asio::ip::tcp::socket&>(socket_).native_handle();
+  const bool known = ::getsockopt(descriptor, IPPROTO_TCP, TCP_INFO, &info, &size) == 0;
+  const double agoMs = known ? info.tcpi_last_data_recv : 0;
+  return clock_.nowMs() - (agoMs > kUnreadMs ? agoMs : 0);
+}
+
+// parsed: bytes of the request, of which those that came ahead are the first.
+void ClientConnection::onRead(const boost::system::error_code& error, std::size_t parsed) {
   if (state_ != State::kReading) return;
   deadlines_.cancel(slow_);
   if (error) return refuseInput(error);
+  aheadCame_.remove(parsed);
+  if (buffer_.size() > aheadCame_.bytes()) aheadCame_.add(buffer_.size() - aheadCame_.bytes(), cameMs());
   if (!framedPlainly(parser_->get())) return refuseInput(http::error::bad_transfer_encoding);
   asked_ = true;
   owner_.asks(*this);
@@ -204,30 +233,69 @@
     if (error || (self->state_ != State::kAnswering && self->state_ != State::kStreaming)) return;
     char byte = 0;
     const auto seen = ::recv(self->socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-    if (seen > 0) {
-      // A request ahead of its turn. It is taken out of the kernel, as a close behind it shows only then.
-      if (self->buffer_.size() >= kAheadLimit) return self->watchByClock();
-      boost::system::error_code fault;
-      const std::size_t room = kAheadLimit - self->buffer_.size();
-      self->buffer_.commit(self->socket_.read_some(self->buffer_.prepare(room), fault));
-      if (fault) return self->shut();
-      return self->watch();
-    }
+    if (seen > 0) return self->readAhead();
     if (seen < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) return self->watch();
     self->shut();
   });
 }
 
-// With more ahead than is kept, readiness says nothing any more: there is always something to read.
+// A request ahead of its turn. It is taken out of the kernel, as a close behind it shows only then.
+void ClientConnection::readAhead() {
+  if (overflowed_ || buffer_.size() >= kAheadLimit) return dropAhead();
+  const double atMs = cameMs();
+  const std::size_t room = std::min(kReadSize, kAheadLimit - buffer_.size());
+  boost::system::error_code fault;
+  const std::size_t count = socket_.read_some(buffer_.prepare(room), fault);
+  if (fault) return shut();
+  buffer_.commit(count);
+  aheadCame_.add(count, atMs);
+  watch();
+}
+
+// With so much dropped the clock says when there may be more: otherwise a client that never stops sending
+// would have the loop to itself.
 void ClientConnection::watchByClock() {
   const auto self = shared_from_this();
-  deadlines_.add(clock_.nowMs() + kAheadLookMs, [self] {
+  deadlines_.cancel(look_);
+  look_ = deadlines_.add(clock_.nowMs() + kAheadLookMs, [self] {
+    self->look_.reset();
     if (self->state_ != State::kAnswering && self->state_ != State::kStreaming) return;
     if (!self->present()) return self->shut();
-    self->watchByClock();
+    self->mayDrop_ = kDropBytes;
+    self->watch();
   });
 }
 
+void ClientConnection::dropAhead() {
+  if (mayDrop_ == 0) return watchByClock();
+  std::array<char, 64 * 1024> dropped{};
+  const std::size_t most = std::min(dropped.size(), mayDrop_);
+  const auto count = ::recv(socket_.native_handle(), dropped.data(), most, MSG_DONTWAIT);
+  if (count > 0) {
+    overflowed_ = true;
+    mayDrop_ -= static_cast<std::size_t>(count);
+  }
+  watch();
+}
+
+// After a gap nothing that comes can be read: the requests before it are served in turn, and the one that it
+// cuts off is refused.
+void ClientConnection::readKept() {
+  state_ = State::kReading;
+  boost::system::error_code error;
+  std::size_t parsed = 0;
+  while (buffer_.size() > 0 && !parser_->is_done() && !error) {
+    const std::size_t used = parser_->put(buffer_.data(), error);
+    buffer_.consume(used);
+    parsed += used;
+  }
+  if (parser_->is_done()) return onRead({}, parsed);
+  if (error && error != http::error::need_more) return refuseInput(error);
+  keepAlive_ = false;
+  state_ = State::kAnswering;
+  handler_.reject(*this, 503, "more was sent ahead than is kept");
+}
+
 // ---- Writing ---------------------------------------------------------------------------------------
 
 void ClientConnection::answer(unsigned status, Fields fields, std::string_view body) {
--- a/src/net/client_connection.h
+++ b/src/net/client_connection.h
@@ -13,6 +13,7 @@
 
 #include "core/clock.h"
 #include "core/deadlines.h"
+#include "net/arrival_times.h"
 #include "net/message.h"
 
 namespace dahliastall::net {
@@ -25,7 +26,7 @@
 class RequestHandler {
  public:
   virtual ~RequestHandler() = default;
-  // Answers through the connection, now or later. arrivedMs: when the request's first byte was read.
+  // Answers through the connection, now or later. arrivedMs: when the request's first byte came.
   virtual void request(const std::shared_ptr<ClientConnection>& connection, HttpRequest&& request,
                        double arrivedMs) = 0;
   // The client closed, or its connection broke, before the answer was complete.
@@ -71,7 +72,8 @@
   // A stream under way, as it passes from one process to another.
   struct Rest {
     int descriptor = -1;
-    std::string ahead;  // read of the next requests
+    std::string ahead;       // read of the next requests
+    double aheadCameMs = 0;  // its first byte; 0: not known, or there is none
     bool keepAlive = true;
   };
   std::optional<Rest> rest();     // nothing while anything waits to be written
@@ -89,10 +91,14 @@
 
  private:
   void read();
-  void onRead(const boost::system::error_code& error);
+  void onRead(const boost::system::error_code& error, std::size_t parsed);
+  double cameMs() const;
   void refuseInput(const boost::system::error_code& error);
   void watch();
+  void readAhead();
   void watchByClock();
+  void dropAhead();
+  void readKept();
   void expire(double afterMs);
   void put(std::string_view bytes);
   void flush();
@@ -109,14 +115,17 @@
   const core::Clock& clock_;
   core::Deadlines& deadlines_;
   boost::beast::flat_buffer buffer_;
+  ArrivalTimes aheadCame_;  // of what the buffer holds between two requests
   std::optional<boost::beast::http::request_parser<boost::beast::http::string_body>> parser_;
   std::string waiting_, writing_;
-  std::optional<core::Deadlines::Key> slow_;
+  std::optional<core::Deadlines::Key> slow_, look_;
   State state_ = State::kIdle;
   double connected_ = 0, idleSince_ = 0, firstByte_ = 0;
   std::size_t dropped_ = 0;  // bytes read after a refusal
+  std::size_t mayDrop_ = 0;  // of what comes behind the kept requests, until the clock allows more
   bool keepAlive_ = true, writes_ = false, held_ = false, watching_ = false, asked_ = false,
-       lingering_ = false, leaving_ = false;
+       lingering_ = false, leaving_ = false,
+       overflowed_ = false;  // bytes behind those that are kept were dropped
 };
 
 }  // namespace dahliastall::net
--- a/src/net/message.cpp
+++ b/src/net/message.cpp
@@ -8,19 +8,36 @@
 
 namespace dahliastall::net {
 
-std::string headText(std::string_view firstLine, const Fields& fields) {
-  std::string text(firstLine);
-  text += "\r\n";
+namespace {
+
+constexpr std::string_view kLineEnd = "\r\n";
+
+void append(std::string& text, const Fields& fields) {
   for (const auto& [name, value] : fields) {
     text += name;
     text += ": ";
     text += value;
-    text += "\r\n";
+    text += kLineEnd;
   }
-  text += "\r\n";
+}
+
+}  // namespace
+
+std::string headText(std::string_view firstLine, const Fields& fields) {
+  std::string text(firstLine);
+  text += kLineEnd;
+  append(text, fields);
+  text += kLineEnd;
   return text;
 }
 
+std::string withFields(std::string head, const Fields& fields) {
+  head.resize(head.size() - kLineEnd.size());  // of the empty line that ends it
+  append(head, fields);
+  head += kLineEnd;
+  return head;
+}
+
 std::string chunkOf(std::string_view part) {
   std::array<char, 16> size{};
   const auto written = std::to_chars(size.data(), size.data() + size.size(), part.size(), 16);
--- a/src/net/pool.cpp
+++ b/src/net/pool.cpp
@@ -1,5 +1,7 @@
 #include "net/pool.h"
 
+#include <linux/sockios.h>
+#include <sys/ioctl.h>
 #include <sys/socket.h>
 #include <unistd.h>
 
@@ -18,20 +20,31 @@
 namespace {
 
 constexpr std::size_t kReadSize = 16 * 1024;
-constexpr std::uint32_t kHeadLimit = 32 * 1024;
+constexpr std::uint32_t kAnswerHeadLimit = 32 * 1024;
 constexpr int kInterimLimit = 8;  // 1xx heads before an answer
 // A head or chunk comes at once or in quick pieces: one that stops midway this long has a wrong size.
 constexpr double kStuckMs = 800;
 // A connection rests so long before its next request: bytes that do not belong to the answer just read come
 // right behind it, and would be taken for the answer to that request.
 constexpr double kRestMs = 4;
-constexpr std::size_t kTold = 160;  // of a message's head, with the request's id in it
+// For a request's last byte to follow its first. Its head tells how long its client waits as of that moment,
+// and a peer that does not read the rest would run it with that time long gone.
+constexpr double kWriteMs = 100;
+constexpr double kCancelAgainMs = 10;  // a cancel may fall between two pieces of a write, and meet neither
+constexpr std::size_t kTold = 160;     // of a message's head, with the request's id in it
 
-// Whether an idle connection can carry a request: nothing came on it, and its end neither.
+// Whether bytes that were written still stand in this machine because the peer does not read them.
+bool hasUnsent(int descriptor) {
+  int unsent = 0;
+  return ::ioctl(descriptor, SIOCOUTQNSD, &unsent) == 0 && unsent > 0;
+}
+
+// Whether an idle connection can carry a request: nothing came on it, its end neither, and what is written on
+// it goes out at once.
 bool quiet(boost::asio::ip::tcp::socket& socket) {
   char byte = 0;
   const auto seen = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  return seen < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+  return seen < 0 && (errno == EAGAIN || errno == EWOULDBLOCK) && !hasUnsent(socket.native_handle());
 }
 
 }  // namespace
@@ -59,7 +72,7 @@
 void Call::expectAnswer() {
   parser_.emplace();
   parser_->eager(true);
-  parser_->header_limit(kHeadLimit);
+  parser_->header_limit(kAnswerHeadLimit);
   // Never boost::none: with it Boost 1.74 fails a body of known length that comes apart from its head. A
   // chunk that claims more than the limit is refused by its size line.
   parser_->body_limit(pool_.limits_.answerBytes);
@@ -99,11 +112,15 @@
     return sink->failed(CallFailure::kWithdrawn);
   }
   if (state_ != State::kWriting) return;
+  const Fields late = keep->fieldsAsWritten();
+  if (!late.empty()) head_ = withFields(std::move(head_), late);
+  limitWrite(kWriteMs);
   const std::array<boost::asio::const_buffer, 2> parts{
       boost::asio::buffer(head_), body_ ? boost::asio::buffer(*body_) : boost::asio::const_buffer()};
   const auto self = shared_from_this();
   boost::asio::async_write(link_->socket, parts, [self](const boost::system::error_code& error, std::size_t) {
     if (self->state_ != State::kWriting) return;
+    self->pool_.deadlines_.cancel(self->write_);
     if (error) return self->fail(CallFailure::kNoConnection);
     self->state_ = State::kHead;
     self->tell("written");
@@ -113,6 +130,17 @@
   });
 }
 
+// Ends a write where it stands. Its handler alone tells how it went: a write whose last byte was out by then
+// is whole, although that handler has still to run.
+void Call::limitWrite(double withinMs) {
+  write_ = pool_.deadlines_.add(pool_.clock_.nowMs() + withinMs, [self = shared_from_this()] {
+    self->write_.reset();
+    boost::system::error_code ignored;
+    self->link_->socket.cancel(ignored);
+    self->limitWrite(kCancelAgainMs);
+  });
+}
+
 void Call::read() {
   if (reading_ || paused_) return;
   if (quiet_) return std::exchange(quiet_, nullptr)();
@@ -288,6 +316,7 @@
 std::shared_ptr<CallSink> Call::finish() {
   state_ = State::kOver;
   pool_.deadlines_.cancel(dial_);
+  pool_.deadlines_.cancel(write_);
   pool_.deadlines_.cancel(stuck_);
   return std::move(sink_);
 }
--- a/src/net/pool.h
+++ b/src/net/pool.h
@@ -22,6 +22,7 @@
 #include "core/counters.h"
 #include "core/deadlines.h"
 #include "net/endpoint.h"
+#include "net/message.h"
 
 namespace dahliastall::net {
 
@@ -34,13 +35,16 @@
   kWithdrawn      // the sink took it back when its connection was ready
 };
 
-// Who made a call. Called in this order: ready, written, head, body..., then done or failed; never after
-// Call::abandon().
+// Who made a call. Called in this order: ready, fieldsAsWritten, written, head, body..., then done or failed;
+// never after Call::abandon().
 class CallSink {
  public:
   virtual ~CallSink() = default;
   virtual bool ready() { return true; }  // a connection is there; false takes the call back
-  virtual void written() {}              // the request's last byte is out
+  // Further fields of the request's head whose values depend on when it goes out: asked for right before its
+  // first byte is written.
+  virtual Fields fieldsAsWritten() { return {}; }
+  virtual void written() {}  // the request's last byte is out
   virtual void head(const ResponseHead&) {}
   virtual bool body(std::string_view) { return true; }  // false: read no more until Call::resume()
   virtual void done() = 0;                              // the answer is whole
@@ -94,6 +98,7 @@
   void begin(std::shared_ptr<Link> link, bool fresh);
   void connect();
   void write();
+  void limitWrite(double withinMs);
   void read();
   void expectAnswer();
   void parse();
@@ -113,7 +118,7 @@
   std::shared_ptr<Link> link_;
   std::optional<Parser> parser_;
   std::function<void(std::uint64_t, boost::beast::string_view, boost::beast::error_code&)> onChunk_;
-  std::optional<core::Deadlines::Key> dial_, stuck_;
+  std::optional<core::Deadlines::Key> dial_, write_, stuck_;
   std::function<void()> quiet_;
   std::uint64_t announced_ = 0, received_ = 0;  // bytes of chunks
   int interim_ = 0;
--- a/tests/support/program.h
+++ b/tests/support/program.h
@@ -1,5 +1,4 @@
-// The program itself, as tests start it: a folder of its own, ports of the loopback, processes that end with
-// the test.
+// The program itself, as tests start it: ports of the loopback, processes that end with the test.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -7,26 +6,17 @@
 #include <unistd.h>
 
 #include <csignal>
-#include <filesystem>
 #include <string>
 #include <string_view>
 #include <vector>
 
+#include "support/folder.h"
 #include "support/stage.h"
 
 extern char** environ;
 
 namespace dahliastall {
 
-struct Folder {
-  Folder() {
-    std::string name = (std::filesystem::temp_directory_path() / "dahliastall-test-XXXXXX").string();
-    path = ::mkdtemp(name.data());
-  }
-  ~Folder() { std::filesystem::remove_all(path); }
-  std::string path;
-};
-
 inline std::string textOf(const net::Endpoint& at) {
   return at.address().to_string() + ":" + std::to_string(at.port());
 }
--- a/tests/support/stage.h
+++ b/tests/support/stage.h
@@ -97,6 +97,14 @@
     socket_.set_option(tcp::no_delay(true));
   }
   void write(const std::string& bytes) { boost::asio::write(socket_, boost::asio::buffer(bytes)); }
+  // Writes as the other side reads, while the loop runs.
+  void writeLater(std::string bytes) {
+    later_ = std::move(bytes);
+    boost::asio::async_write(
+        socket_, boost::asio::buffer(later_),
+        [this](const boost::system::error_code& error, std::size_t) { wroteAll_ = !error; });
+  }
+  bool wroteAll() const { return wroteAll_; }
   std::string readSome() {
     std::string bytes(64 * 1024, '\0');
     boost::system::error_code error;
@@ -121,6 +129,7 @@
     }
   }
   void close() { socket_.close(); }
+  void endSending() { socket_.shutdown(tcp::socket::shutdown_send); }
   void reset() {
     socket_.set_option(boost::asio::socket_base::linger(true, 0));
     socket_.close();
@@ -133,6 +142,8 @@
   boost::asio::io_context& io_;
   tcp::acceptor acceptor_;
   tcp::socket socket_;
+  std::string later_;
+  bool wroteAll_ = false;
 };
 
 // A model box of our own, on the server side of the program's network code.
