--- a/src/core/conductor.cpp
+++ b/src/core/conductor.cpp
@@ -188,15 +188,23 @@
   return request.cls < repeatsFreely_.size() && repeatsFreely_[request.cls];
 }
 
-// A client's close may have come while its handler still waits for its turn: no attempt begins for who has
-// gone.
 bool Conductor::maySend(AttemptKey key) {
   const Attempt* a = attempts_.find(key);
   if (a == nullptr || !within(a->engine) || toModuleTime(clock_.nowMs()) >= a->before) return false;
-  const Request* r = requests_.find(a->request);
+  return clientWaits(a->request);
+}
+
+bool Conductor::attemptIsWanted(AttemptKey key) {
+  const Attempt* a = attempts_.find(key);
+  return a != nullptr && clientWaits(a->request);
+}
+
+// A client's close may have come while its handler still waits for its turn: nothing begins for who has gone.
+bool Conductor::clientWaits(RequestKey key) {
+  const Request* r = requests_.find(key);
   if (r == nullptr || !r->answerer || clock_.nowMs() >= r->deadlineMs) return false;
   if (r->answerer->present()) return true;
-  clientGone(a->request);
+  clientGone(key);
   return false;
 }
 
--- a/src/core/conductor.h
+++ b/src/core/conductor.h
@@ -50,6 +50,8 @@
 
   // From the engines' side.
   bool maySend(AttemptKey key);  // asked again just before a send that had to wait is written
+  // Whether the client of this attempt is there and waits, by what its machine has said up to this moment.
+  bool attemptIsWanted(AttemptKey key);
   bool mayHold(const leverrelay::EngineId& engine) const;
   // Whether nothing that is held for a request can be of use to it any more: it streams, or is over.
   bool needsNothingHeld(const leverrelay::RequestId& request) const;
@@ -117,6 +119,7 @@
     std::optional<Deadlines::Key> overdue;
   };
 
+  bool clientWaits(RequestKey key);
   void learn(const leverrelay::Settings& settings);
   bool repeatsFreely(const Request& request) const;
   double closesArriveMs(const Request& request, bool safeToo) const;
--- a/src/fronts/boxes/boxes.cpp
+++ b/src/fronts/boxes/boxes.cpp
@@ -211,8 +211,11 @@
     boxes_.releases_.placeAsked(request_);
   }
 
-  // After its read has ended a place would only be pinned.
-  bool ready() override { return boxes_.attempt(reading_) && boxes_.conductor_.mayHold(engine_); }
+  // After its read has ended, or its client has left, a place would only be pinned.
+  bool ready() override {
+    return boxes_.attempt(reading_) && boxes_.conductor_.mayHold(engine_) &&
+           boxes_.conductor_.attemptIsWanted(reading_);
+  }
   void written() override {
     written_ = true;
     open_ = boxes_.deadlines_.add(boxes_.clock_.nowMs() + boxes_.releaseWithinMs_, [self = weak_from_this()] {
