--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -3,6 +3,7 @@
 #include <poll.h>
 #include <sys/socket.h>
 
+#include <algorithm>
 #include <array>
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/write.hpp>
@@ -11,6 +12,7 @@
 #include <utility>
 
 #include "net/last_answer.h"
+#include "net/socket_input.h"
 
 namespace dahliastall::net {
 
@@ -28,10 +30,22 @@
 constexpr double kBreakOffMs = 2'000;      // for what was passed on before a break; 5 s are allowed
 constexpr double kLingerMs = 500;          // for a client to close, once it has been told of the end
 constexpr std::size_t kLingerBytes = 256 * 1024;  // and as much as is read of it until then
-constexpr double kAheadLookMs = 50;           // between looks for a client's end behind what is not read yet
-constexpr double kRoomRetryMs = 1'000;        // told to who has to make room
-constexpr std::size_t kHighMark = 64 * 1024;  // bytes waiting for a slow reader before its stream is held
-constexpr std::size_t kDropSize = 8 * 1024;   // read at a time of what is dropped
+// Bytes that stand unread behind a request whose answer is under way, and as many of them as are kept once
+// more have come: one of the largest requests that is taken. A client's close shows behind unread bytes only
+// while they have room here, and waits in the client's own system otherwise: so there is room for twice as
+// many, and from this number on they are read. Each request that is read and not kept gets a refusal.
+constexpr std::size_t kAheadLimit = kHeadLimit + kBodyLimit;
+constexpr std::size_t kInputRoom = 2 * kAheadLimit;
+// A client that never stops sending must not have the loop to itself.
+constexpr std::size_t kMostReadAhead = 2 * 1024 * 1024;  // until the next look
+constexpr double kAheadLookMs = 20;                      // between two looks
+// Bytes that came so long ago stood unread meanwhile; below that it is the usual way of a message, and the
+// system's clock is coarse.
+constexpr double kUnreadMs = 100;
+constexpr double kRoomRetryMs = 1'000;         // told to who has to make room
+constexpr std::size_t kHighMark = 64 * 1024;   // bytes waiting for a slow reader before its stream is held
+constexpr std::size_t kDropSize = 8 * 1024;    // read at a time of what is dropped
+constexpr std::size_t kAheadSize = 64 * 1024;  // read at a time ahead of its turn
 // Requests that stand in line on a connection as it is to close are served up to this number: a client that
 // never stops sending must not keep the process.
 constexpr int kMostWhileClosing = 64;
@@ -63,13 +77,15 @@
 void ClientConnection::start() {
   boost::system::error_code ignored;
   socket_.set_option(boost::asio::ip::tcp::no_delay(true), ignored);
+  readAheadFrom_ = std::min(kAheadLimit, reserveInput(descriptor(), kInputRoom) / 2);
   connected_ = idleSince_ = clock_.nowMs();
   read();
 }
 
 std::optional<ClientConnection::Rest> ClientConnection::rest() {
-  if (state_ != State::kStreaming || writes_ || !waiting_.empty()) return std::nullopt;
-  return Rest{socket_.native_handle(), reader_.carried(), keepAlive_};
+  if (state_ != State::kStreaming || writes_ || !waiting_.empty() || shed_) return std::nullopt;
+  noteArrivals();
+  return Rest{descriptor(), reader_.carried(), came_.empty() ? 0 : came_.firstMs(), keepAlive_};
 }
 
 // Without a shutdown, which would end the connection for the other process as well.
@@ -78,6 +94,7 @@
   state_ = State::kClosed;
   deadlines_.cancel(slow_);
   deadlines_.cancel(look_);
+  wakeAt(1);
   boost::system::error_code ignored;
   socket_.close(ignored);
   owner_.closed(shared_from_this());
@@ -90,6 +107,8 @@
   keepAlive_ = rest.keepAlive;
   state_ = State::kStreaming;
   reader_.carry(rest.ahead);
+  readAheadFrom_ = std::min(kAheadLimit, reserveInput(descriptor(), kInputRoom) / 2);
+  if (rest.aheadCameMs > 0) came_.add(rest.ahead.size() + unreadBytes(descriptor()), rest.aheadCameMs);
   watch();
 }
 
@@ -116,25 +135,32 @@
 
 // Guards a request, or what has been read of one, against a close without any answer.
 void ClientConnection::turnAway() {
-  sendLastAnswer(socket_.native_handle(),
+  sendLastAnswer(descriptor(),
                  handler_.turnedAway(503, "room is needed for other connections", kRoomRetryMs));
   shut();
 }
 
 bool ClientConnection::hasUnread() const {
-  const int descriptor = const_cast<boost::asio::ip::tcp::socket&>(socket_).native_handle();
   char byte = 0;
-  return ::recv(descriptor, &byte, 1, MSG_PEEK | MSG_DONTWAIT) > 0;
+  return ::recv(descriptor(), &byte, 1, MSG_PEEK | MSG_DONTWAIT) > 0;
+}
+
+bool ClientConnection::hasNextRequest() const {
+  if (shed_) return shed_->unanswered() > 0;
+  return !reader_.carried().empty() || hasUnread();
+}
+
+int ClientConnection::descriptor() const {
+  return const_cast<boost::asio::ip::tcp::socket&>(socket_).native_handle();
 }
 
 // The second question costs another call, and is needed only where bytes stand before an end.
 bool ClientConnection::present() const {
   if (state_ == State::kClosed) return false;
-  const int descriptor = const_cast<boost::asio::ip::tcp::socket&>(socket_).native_handle();
   char byte = 0;
-  const auto seen = ::recv(descriptor, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+  const auto seen = ::recv(descriptor(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   if (seen <= 0) return seen < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR);
-  pollfd ask{descriptor, POLLRDHUP, 0};
+  pollfd ask{descriptor(), POLLRDHUP, 0};
   return ::poll(&ask, 1, 0) <= 0 || (ask.revents & (POLLRDHUP | POLLHUP | POLLERR)) == 0;
 }
 
@@ -143,6 +169,7 @@
 void ClientConnection::read() {
   state_ = State::kIdle;
   reader_.begin();
+  if (shed_) return readKept();
   expire(asked_ ? kIdleMs : kFirstRequestMs - (clock_.nowMs() - connected_));
   if (!reader_.carried().empty()) return onInput();
   awaitInput();
@@ -151,6 +178,7 @@
 // Only readiness is waited for: an operation that reads may have its bytes already when the connection is
 // closed, before its handler has run.
 void ClientConnection::awaitInput() {
+  wakeAt(1);
   const auto self = shared_from_this();
   socket_.async_wait(boost::asio::ip::tcp::socket::wait_read, [self](const boost::system::error_code& error) {
     if (!error) self->onInput();
@@ -159,8 +187,9 @@
 
 void ClientConnection::onInput() {
   if (state_ != State::kIdle && state_ != State::kReading) return;
+  noteArrivals();
   boost::system::error_code error;
-  const RequestReader::Progress progress = reader_.read(socket_.native_handle(), error);
+  const RequestReader::Progress progress = reader_.read(descriptor(), error);
   if (progress == RequestReader::Progress::kNothing) return awaitInput();
   if (progress == RequestReader::Progress::kFailed) return refuseInput(error);
   if (state_ == State::kIdle) startRequest();
@@ -168,9 +197,18 @@
   else awaitInput();
 }
 
+// Bytes that have come since the last look. They may have stood in this machine, with its queue of
+// connections full or this process stopped, and their client's time went on.
+void ClientConnection::noteArrivals() {
+  const std::size_t bytes = reader_.size() + reader_.carried().size() + unreadBytes(descriptor());
+  if (bytes <= came_.bytes()) return;
+  const double agoMs = lastArrivalAgoMs(descriptor());
+  came_.add(bytes - came_.bytes(), clock_.nowMs() - (agoMs > kUnreadMs ? agoMs : 0));
+}
+
 // The time of a client's first request runs from connecting.
 void ClientConnection::startRequest() {
-  firstByte_ = clock_.nowMs();
+  firstByte_ = came_.empty() ? clock_.nowMs() : came_.firstMs();
   state_ = State::kReading;
   if (asked_) {
     owner_.asks(*this);
@@ -192,7 +230,9 @@
 
 void ClientConnection::takeRequest() {
   deadlines_.cancel(slow_);
+  came_.remove(reader_.size());
   HttpRequest request = reader_.release();
+  reader_.begin();
   if (!framedPlainly(request)) return refuseInput(http::error::bad_transfer_encoding);
   asked_ = true;
   owner_.asks(*this);
@@ -219,39 +259,115 @@
   else handler_.reject(*this, 400, "not an HTTP/1.1 request");
 }
 
+// After a gap nothing that comes can be read: the requests that were kept whole are served in turn, and those
+// behind them refused.
+void ClientConnection::readKept() {
+  boost::system::error_code error;
+  const RequestReader::Progress progress = reader_.readCarried(error);
+  if (shed_->unanswered() == 0) return part();
+  shed_->answered();
+  startRequest();
+  if (progress == RequestReader::Progress::kWhole) takeRequest();
+  else if (progress == RequestReader::Progress::kFailed) refuseInput(error);
+  else refuseShed();
+}
+
+void ClientConnection::refuseShed() {
+  deadlines_.cancel(slow_);
+  came_ = {};
+  reader_.dropCarried();
+  reader_.begin();
+  keepAlive_ = shed_->unanswered() > 0;
+  refused_ = !keepAlive_ && shed_->endsMidway();
+  state_ = State::kAnswering;
+  handler_.reject(*this, 503, "more was sent ahead than is kept");
+}
+
+bool ClientConnection::answerIsUnderWay() const {
+  return state_ == State::kAnswering || state_ == State::kStreaming;
+}
+
 // While an answer is under way nothing is read, yet a client that closes must be noticed: bytes that are
-// there belong to its next request and wait in the kernel, as the answer may turn out to be the last.
+// there belong to its next request and wait in the kernel, as the answer may turn out to be the last. The
+// system tells of more bytes and of an end behind them.
 void ClientConnection::watch() {
-  if (watching_ || (state_ != State::kAnswering && state_ != State::kStreaming)) return;
+  if (watching_ || !answerIsUnderWay()) return;
   watching_ = true;
+  noteArrivals();
+  wakeAt(readsAhead() ? 1 : unreadBytes(descriptor()) + 1);
   const auto self = shared_from_this();
   socket_.async_wait(boost::asio::ip::tcp::socket::wait_read, [self](const boost::system::error_code& error) {
     self->watching_ = false;
-    if (error || (self->state_ != State::kAnswering && self->state_ != State::kStreaming)) return;
-    if (!self->present()) return self->shut();
-    if (self->hasUnread()) self->watchByClock();
-    else self->watch();
+    if (!error && self->answerIsUnderWay()) self->onAhead();
   });
 }
 
-// With a request ahead of its turn, readiness says nothing any more: there is always something to read.
+void ClientConnection::onAhead() {
+  if (!present()) return shut();
+  const std::size_t known = came_.bytes();
+  noteArrivals();
+  if (readsAhead()) return readAhead();
+  if (came_.bytes() > known) return watch();
+  // The system is short of room and says so again and again, or another process that had the connection has
+  // set the socket anew.
+  wokenAt_ = 0;
+  watchByClock();
+}
+
+bool ClientConnection::readsAhead() const {
+  return shed_ || reader_.carried().size() + unreadBytes(descriptor()) >= readAheadFrom_;
+}
+
+// With so much ahead of its turn the system may have no room for more, and for a close behind it.
+void ClientConnection::readAhead() {
+  if (mayReadAhead_ == 0) return watchByClock();
+  std::array<char, kAheadSize> bytes;
+  const auto count = ::recv(descriptor(), bytes.data(), std::min(bytes.size(), mayReadAhead_), MSG_DONTWAIT);
+  if (count > 0) {
+    mayReadAhead_ -= static_cast<std::size_t>(count);
+    keepOrShed({bytes.data(), static_cast<std::size_t>(count)});
+  }
+  watch();
+}
+
+// Behind a last answer there is no request any more.
+void ClientConnection::keepOrShed(std::string_view bytes) {
+  if (!keepAlive_) return;
+  const std::size_t room = kAheadLimit - std::min(kAheadLimit, reader_.carried().size());
+  if (shed_) return shed_->read(bytes);
+  reader_.carry(bytes.substr(0, room));
+  if (bytes.size() <= room) return;
+  shed_.emplace();
+  shed_->read(reader_.carried());
+  shed_->read(bytes.substr(room));
+}
+
 void ClientConnection::watchByClock() {
   deadlines_.cancel(look_);
   look_ = deadlines_.add(clock_.nowMs() + kAheadLookMs, [self = shared_from_this()] {
     self->look_.reset();
-    if (self->state_ != State::kAnswering && self->state_ != State::kStreaming) return;
+    if (!self->answerIsUnderWay()) return;
     if (!self->present()) return self->shut();
-    self->watchByClock();
+    self->mayReadAhead_ = kMostReadAhead;
+    self->watch();
   });
 }
 
+void ClientConnection::wakeAt(std::size_t unread) {
+  if (unread == wokenAt_) return;
+  wokenAt_ = unread;
+  setReadableFrom(descriptor(), unread);
+}
+
 // ---- Writing ---------------------------------------------------------------------------------------
 
 // Whether the answer that is about to begin is the last on this connection. While it is to close, requests
 // that have come behind are served first.
 bool ClientConnection::isLastAnswer() {
-  if (!keepAlive_ || !owner_.draining()) return !keepAlive_;
-  if (reader_.carried().empty() && !hasUnread()) return true;
+  if (!keepAlive_) return true;
+  if (shed_) return shed_->unanswered() == 0;
+  if (!owner_.draining()) return false;
+  if (!hasNextRequest()) return true;
   return ++servedWhileClosing_ > kMostWhileClosing;
 }
 
@@ -345,7 +461,7 @@
   idleSince_ = clock_.nowMs();
   owner_.rests(*this);
   // The watch on the answered request must not take the next one's bytes for a close; it ends by itself.
-  if (owner_.draining() && reader_.carried().empty() && !hasUnread()) return part();
+  if (owner_.draining() && !hasNextRequest()) return part();
   read();
 }
 
@@ -356,6 +472,7 @@
   if (state_ == State::kClosed || lingering_) return;
   state_ = State::kFlushing;
   lingering_ = true;
+  wakeAt(1);
   const auto self = shared_from_this();
   boost::system::error_code ignored;
   socket_.shutdown(boost::asio::ip::tcp::socket::shutdown_send, ignored);
@@ -381,7 +498,7 @@
 // What follows input that was refused belongs to it. True once the client has ended, or has sent too much.
 bool ClientConnection::dropInput() {
   std::array<char, kDropSize> dropped;
-  const auto count = ::recv(socket_.native_handle(), dropped.data(), dropped.size(), MSG_DONTWAIT);
+  const auto count = ::recv(descriptor(), dropped.data(), dropped.size(), MSG_DONTWAIT);
   if (count < 0) return errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR;
   dropped_ += static_cast<std::size_t>(count);
   return count == 0 || dropped_ > kLingerBytes;
--- a/src/net/client_connection.h
+++ b/src/net/client_connection.h
@@ -9,8 +9,10 @@
 
 #include "core/clock.h"
 #include "core/deadlines.h"
+#include "net/arrival_times.h"
 #include "net/message.h"
 #include "net/request_reader.h"
+#include "net/shed_requests.h"
 
 namespace dahliastall::net {
 
@@ -20,7 +22,7 @@
 class RequestHandler {
  public:
   virtual ~RequestHandler() = default;
-  // Answers through the connection, now or later. arrivedMs: when the request's first byte was read.
+  // Answers through the connection, now or later. arrivedMs: when the request's first byte came.
   virtual void request(const std::shared_ptr<ClientConnection>& connection, HttpRequest&& request,
                        double arrivedMs) = 0;
   // The client closed, or its connection broke, before the answer was complete.
@@ -66,7 +68,8 @@
   // A stream under way, as it passes from one process to another.
   struct Rest {
     int descriptor = -1;
-    std::string ahead;  // read of the next request; empty, but for processes of earlier versions
+    std::string ahead;       // read of the next requests; mostly empty, as they stand unread until their turn
+    double aheadCameMs = 0;  // the first byte of these, read or not; 0: not known, or there is none
     bool keepAlive = true;
   };
   std::optional<Rest> rest();     // nothing while anything waits to be written
@@ -89,11 +92,22 @@
   void onInput();
   void startRequest();
   void takeRequest();
+  void refuseShed();
+  void readKept();
   void turnAway();
   bool hasUnread() const;
+  bool hasNextRequest() const;
+  int descriptor() const;
+  void noteArrivals();
+  void wakeAt(std::size_t unread);
   bool isLastAnswer();
   void refuseInput(const boost::system::error_code& error);
+  bool answerIsUnderWay() const;
   void watch();
+  void onAhead();
+  bool readsAhead() const;
+  void readAhead();
+  void keepOrShed(std::string_view bytes);
   void watchByClock();
   void expire(double afterMs);
   void put(std::string_view bytes);
@@ -111,11 +125,16 @@
   const core::Clock& clock_;
   core::Deadlines& deadlines_;
   RequestReader reader_;
+  ArrivalTimes came_;                 // of the bytes that are not a request yet, read or not
+  std::optional<ShedRequests> shed_;  // once more was sent ahead than is kept
   std::string waiting_, writing_;
   std::optional<core::Deadlines::Key> slow_, look_;
   State state_ = State::kIdle;
   double connected_ = 0, idleSince_ = 0, firstByte_ = 0;
-  std::size_t dropped_ = 0;  // bytes read after a refusal
+  std::size_t dropped_ = 0;        // bytes read after a refusal
+  std::size_t readAheadFrom_ = 0;  // so many bytes that wait for their turn
+  std::size_t mayReadAhead_ = 0;   // until the clock allows more
+  std::size_t wokenAt_ = 1;        // so many bytes unread, as the socket was told; 0: not known
   int servedWhileClosing_ = 0;
   bool keepAlive_ = true, writes_ = false, held_ = false, watching_ = false, asked_ = false,
        lingering_ = false, refused_ = false;
--- a/src/net/request_reader.cpp
+++ b/src/net/request_reader.cpp
@@ -26,6 +26,7 @@
 
 void RequestReader::begin() {
   parser_.emplace();
+  size_ = 0;
   parser_->eager(true);
   parser_->body_limit(kBodyLimit);
   parser_->header_limit(kHeadLimit);
@@ -62,6 +63,7 @@
     if (used == 0) break;
   }
   input_.erase(0, parsed);
+  size_ += parsed;
   return parser_->is_done() ? Progress::kWhole : Progress::kPart;
 }
 
--- a/src/net/request_reader.h
+++ b/src/net/request_reader.h
@@ -9,6 +9,7 @@
 #include <cstddef>
 #include <optional>
 #include <string>
+#include <string_view>
 
 namespace dahliastall::net {
 
@@ -27,18 +28,23 @@
   void begin();
   // Reads what has come of the request; never blocks.
   Progress read(int descriptor, boost::system::error_code& error);
+  // The same for carried bytes alone: the socket is not looked at.
+  Progress readCarried(boost::system::error_code& error) { return parse(error); }
   HttpRequest release() { return parser_->release(); }
   bool keepAlive() const { return parser_->keep_alive(); }
+  std::size_t size() const { return size_; }  // bytes of the request that are read so far
 
-  // Bytes that another process had read when it passed the connection on; they come before those of the
-  // socket.
-  void carry(std::string bytes) { input_ = std::move(bytes); }
+  // Bytes that were read before their request's turn, here or by the process that passed the connection on;
+  // they come before those of the socket.
+  void carry(std::string_view bytes) { input_ += bytes; }
+  void dropCarried() { input_.clear(); }
   const std::string& carried() const { return input_; }
 
  private:
   Progress parse(boost::system::error_code& error);
 
   std::optional<boost::beast::http::request_parser<boost::beast::http::string_body>> parser_;
+  std::size_t size_ = 0;
   std::string input_;  // read, and not parsed: a head or a chunk's size line that is not whole yet
 };
 
--- /dev/null
+++ b/src/net/shed_requests.cpp
@@ -0,0 +1,23 @@
+#include "net/shed_requests.h"
+
+namespace dahliastall::net {
+
+void ShedRequests::read(std::string_view bytes) {
+  if (unreadable_) return;
+  reader_.carry(bytes);
+  while (!reader_.carried().empty()) {
+    if (!midway_) {
+      reader_.begin();
+      midway_ = true;
+      ++begun_;
+    }
+    boost::system::error_code error;
+    const RequestReader::Progress progress = reader_.readCarried(error);
+    unreadable_ = progress == RequestReader::Progress::kFailed;
+    if (unreadable_) return reader_.dropCarried();
+    if (progress == RequestReader::Progress::kPart) return;
+    midway_ = false;
+  }
+}
+
+}  // namespace dahliastall::net
--- /dev/null
+++ b/src/net/shed_requests.h
@@ -0,0 +1,27 @@
+// The requests in bytes that were read of a connection and not kept: each of them is owed a refusal.
+#pragma once
+
+#include <cstddef>
+#include <string_view>
+
+#include "net/request_reader.h"
+
+namespace dahliastall::net {
+
+class ShedRequests {
+ public:
+  // The next bytes of the connection, from the beginning of a request on. What cannot be read as a request
+  // counts as one, with all that follows.
+  void read(std::string_view bytes);
+  void answered() { ++answered_; }
+
+  std::size_t unanswered() const { return begun_ - answered_; }
+  bool endsMidway() const { return midway_; }  // the last request is not whole
+
+ private:
+  RequestReader reader_;
+  std::size_t begun_ = 0, answered_ = 0;
+  bool midway_ = false, unreadable_ = false;
+};
+
+}  // namespace dahliastall::net
--- a/tests/unanswered_requests_test.cpp
+++ b/tests/unanswered_requests_test.cpp
@@ -13,6 +13,7 @@
 #include "admission/gate.h"
 #include "app/handover.h"
 #include "net/request_reader.h"
+#include "net/shed_requests.h"
 #include "support/program.h"
 #include "support/site.h"
 
@@ -281,6 +282,54 @@
   EXPECT_EQ(service.asked.size(), 1U);
 }
 
+// More is sent ahead than is kept, with a request whose rest is not sent at its end.
+TEST(Pipelines, EachRequestThatWasReadAndNotKeptIsRefused) {
+  Service service(3);
+  const std::string large =
+      "POST /v1 HTTP/1.1\r\nHost: x\r\nContent-Length: 200000\r\n\r\n" + std::string(200'000, 'p');
+  const auto client = service.client(kRequest);
+  ASSERT_TRUE(service.until([&] { return service.asked.size() == 1; }));
+  client->writeLater(large + large + kRequest + kRequest + kHalf);
+  ASSERT_TRUE(service.until([&] {
+    service.pass(1);
+    return client->wroteAll();
+  }));
+  for (int i = 0; i < 10; ++i) {
+    service.pass(21);
+    service.io.poll();
+  }
+  service.answers = true;
+  service.asked[0]->answer(200, {}, "served");
+  ASSERT_TRUE(service.until([&] { return client->ended(); }));
+  std::string statuses;
+  for (auto at = client->seen.find("HTTP/1.1 "); at != std::string::npos;
+       at = client->seen.find("HTTP/1.1 ", at + 1))
+    statuses += client->seen.substr(at + 9, 3) + " ";
+  EXPECT_EQ(statuses, "200 200 503 503 503 503 ");
+  EXPECT_EQ(service.asked.size(), 2U);
+}
+
+TEST(ShedRequests, AreCountedHoweverTheirBytesArrive) {
+  const std::string all = kRequest + kRequest + kHalf;
+  for (std::size_t cut = 0; cut <= all.size(); ++cut) {
+    net::ShedRequests shed;
+    shed.read(all.substr(0, cut));
+    shed.read(all.substr(cut));
+    EXPECT_EQ(shed.unanswered(), 3U) << cut;
+    EXPECT_TRUE(shed.endsMidway());
+    shed.read(kRequest.substr(kHalf.size()));
+    EXPECT_EQ(shed.unanswered(), 3U) << cut;
+    EXPECT_FALSE(shed.endsMidway());
+  }
+}
+
+TEST(ShedRequests, TakeWhatCannotBeReadForOne) {
+  net::ShedRequests shed;
+  shed.read(kRequest + "no request\r\n\r\n");
+  shed.read(kRequest);
+  EXPECT_EQ(shed.unanswered(), 2U);
+}
+
 // ---- Admission -------------------------------------------------------------------------------------
 
 admission::Rules rules(std::size_t total, std::size_t perAddress) {
