--- /dev/null
+++ b/src/net/socket_input.cpp
@@ -0,0 +1,43 @@
+#include "net/socket_input.h"
+
+#include <netinet/in.h>
+#include <netinet/tcp.h>
+#include <sys/ioctl.h>
+#include <sys/socket.h>
+
+namespace dahliastall::net {
+
+namespace {
+
+// The system counts its own bookkeeping in the size of a buffer: a half of it or more is left to the bytes.
+constexpr int kBookkeepingShare = 2;
+
+}  // namespace
+
+std::size_t unreadBytes(int descriptor) {
+  int count = 0;
+  return ::ioctl(descriptor, FIONREAD, &count) == 0 && count > 0 ? static_cast<std::size_t>(count) : 0;
+}
+
+double lastArrivalAgoMs(int descriptor) {
+  tcp_info info{};
+  socklen_t size = sizeof info;
+  const bool known = ::getsockopt(descriptor, IPPROTO_TCP, TCP_INFO, &info, &size) == 0;
+  return known ? info.tcpi_last_data_recv : 0;
+}
+
+std::size_t reserveInput(int descriptor, std::size_t bytes) {
+  const int asked = static_cast<int>(bytes);  // the system doubles it, for its bookkeeping
+  ::setsockopt(descriptor, SOL_SOCKET, SO_RCVBUF, &asked, sizeof asked);
+  int granted = 0;
+  socklen_t size = sizeof granted;
+  if (::getsockopt(descriptor, SOL_SOCKET, SO_RCVBUF, &granted, &size) != 0) return 0;
+  return static_cast<std::size_t>(granted / kBookkeepingShare);
+}
+
+void setReadableFrom(int descriptor, std::size_t bytes) {
+  const int least = static_cast<int>(bytes);
+  ::setsockopt(descriptor, SOL_SOCKET, SO_RCVLOWAT, &least, sizeof least);
+}
+
+}  // namespace dahliastall::net
--- a/tests/cold_sum_test.cpp
+++ b/tests/cold_sum_test.cpp
@@ -257,34 +257,56 @@
   }
 }
 
-// Whatever else is gone, cold or starting anew: what each cold engine gets is a part of what the fleet sends.
-TEST(ColdSum, HoldsForEveryKindAndSizeWithMostOfARoleColdAndNodesThatRestartInTheRamp) {
+// One play a scene and a number of nodes, so that they run side by side.
+struct ScenePlay {
+  int nodes;
+  Scene scene;
+};
+
+std::string nameOf(const testing::TestParamInfo<ScenePlay>& info) {
+  const Scene& scene = info.param.scene;
+  const std::string kind = scene.kind == kReader ? "prefill" : scene.kind == kWriter ? "decode" : "mixed";
+  return numbered("nodes", info.param.nodes) + '_' + kind + numbered("_", static_cast<int>(info.index));
+}
+
+std::vector<ScenePlay> playsOf(const std::vector<int>& nodeCounts, const std::vector<Scene>& scenes) {
+  std::vector<ScenePlay> plays;
+  for (const int nodes : nodeCounts)
+    for (const Scene& scene : scenes) plays.push_back({nodes, scene});
+  return plays;
+}
+
+std::vector<Scene> scenesWithMostOfARoleCold() {
   const std::vector<double> most(10, 1.0), sizes{0.5, 1, 2, 4};
-  const Scene scenes[]{{kReader, 0, {1}, true},   {kReader, 0, {1}, true, 2}, {kReader, 2, most, true},
-                       {kReader, 2, sizes, true}, {kWriter, 0, {1}, true},    {kWriter, 2, {1}, true, 2},
-                       {kWriter, 2, sizes, true}, {kMixed, 0, {1}, true},     {kMixed, 2, most, true}};
-  for (const int nodes : {30, 300}) {
-    for (const Scene& scene : scenes) {
-      for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-        WholeFleet fleet(nodes, seed, nodes, scene);
-        const auto sent = fleet.play(20, 10);
-        EXPECT_EQ(sent.size(), scene.cold.size()) << "some get nothing";
-        for (const auto& [id, when] : sent) {
-          const double size = sizeOf(scene, id);
-          EXPECT_LE(mostOver(when, fleet, rateOf(scene, size)), 0)
-              << nodes << " nodes, kind " << scene.kind << ", " << scene.cold.size() << " cold beside "
-              << scene.warmLeft << ", surge " << scene.surge << ", seed " << seed << ": " << id << " of size "
-              << size << " got " << when.size();
-        }
-      }
+  return {{kReader, 0, {1}, true},   {kReader, 0, {1}, true, 2}, {kReader, 2, most, true},
+          {kReader, 2, sizes, true}, {kWriter, 0, {1}, true},    {kWriter, 2, {1}, true, 2},
+          {kWriter, 2, sizes, true}, {kMixed, 0, {1}, true},     {kMixed, 2, most, true}};
+}
+
+class MostOfARoleCold : public testing::TestWithParam<ScenePlay> {};
+
+// Whatever else is gone, cold or starting anew: what each cold engine gets is a part of what the fleet sends.
+TEST_P(MostOfARoleCold, HoldsForEveryKindAndSizeWithNodesThatRestartInTheRamp) {
+  const auto& [nodes, scene] = GetParam();
+  for (std::uint64_t seed = 1; seed <= 4; ++seed) {
+    WholeFleet fleet(nodes, seed, nodes, scene);
+    const auto sent = fleet.play(20, 10);
+    EXPECT_EQ(sent.size(), scene.cold.size()) << "some get nothing";
+    for (const auto& [id, when] : sent) {
+      const double size = sizeOf(scene, id);
+      EXPECT_LE(mostOver(when, fleet, rateOf(scene, size)), 0)
+          << nodes << " nodes, kind " << scene.kind << ", " << scene.cold.size() << " cold beside "
+          << scene.warmLeft << ", surge " << scene.surge << ", seed " << seed << ": " << id << " of size "
+          << size << " got " << when.size();
     }
   }
 }
+INSTANTIATE_TEST_SUITE_P(ColdSum, MostOfARoleCold,
+                         testing::ValuesIn(playsOf({30, 300}, scenesWithMostOfARoleCold())), nameOf);
 
-// From one process to more than any deployment has: alone and with others, a surge, and a popular prefix.
-TEST(ColdSum, HoldsFromOneProcessToHundreds) {
+std::vector<Scene> scenesForAnyNumberOfProcesses() {
   const std::vector<double> most(10, 1.0);
-  const Scene scenes[]{
+  return {
       {.kind = kReader, .warmLeft = 11, .rolling = true},
       {.kind = kReader, .warmLeft = 11, .rolling = true, .surge = 2},
       {.kind = kReader, .warmLeft = 11, .rolling = true, .skewed = true},
@@ -295,23 +317,29 @@
       {.kind = kReader, .warmLeft = 0, .rolling = true, .skewed = true},
       {.kind = kMixed, .warmLeft = 0, .rolling = true},
   };
-  for (const int nodes : {1, 3, 30, 300, 350}) {
-    double closest = -HUGE_VAL;
-    for (const Scene& scene : scenes) {
-      for (std::uint64_t seed = 1; seed <= 2; ++seed) {
-        WholeFleet fleet(nodes, seed, nodes, scene);
-        for (const auto& [id, when] : fleet.play(20, 10)) {
-          const double over = mostOver(when, fleet, rateOf(scene, sizeOf(scene, id)), budgetBound);
-          closest = std::max(closest, over);
-          EXPECT_LE(over, 0) << nodes << " nodes, kind " << scene.kind << ", " << scene.cold.size()
-                             << " cold beside " << scene.warmLeft << ", surge " << scene.surge << ", skewed "
-                             << scene.skewed << ", seed " << seed << ": " << id << " got " << when.size();
-        }
-      }
+}
+
+class AnyNumberOfProcesses : public testing::TestWithParam<ScenePlay> {};
+
+// From one process to more than any deployment has: alone and with others, a surge, and a popular prefix.
+TEST_P(AnyNumberOfProcesses, HoldsFromOneToHundreds) {
+  const auto& [nodes, scene] = GetParam();
+  double closest = -HUGE_VAL;
+  for (std::uint64_t seed = 1; seed <= 2; ++seed) {
+    WholeFleet fleet(nodes, seed, nodes, scene);
+    for (const auto& [id, when] : fleet.play(20, 10)) {
+      const double over = mostOver(when, fleet, rateOf(scene, sizeOf(scene, id)), budgetBound);
+      closest = std::max(closest, over);
+      EXPECT_LE(over, 0) << nodes << " nodes, kind " << scene.kind << ", " << scene.cold.size()
+                         << " cold beside " << scene.warmLeft << ", surge " << scene.surge << ", skewed "
+                         << scene.skewed << ", seed " << seed << ": " << id << " got " << when.size();
     }
-    RecordProperty(numbered("closest_", nodes), static_cast<int>(closest));
   }
+  RecordProperty("closest", static_cast<int>(closest));
 }
+INSTANTIATE_TEST_SUITE_P(ColdSum, AnyNumberOfProcesses,
+                         testing::ValuesIn(playsOf({1, 3, 30, 300, 350}, scenesForAnyNumberOfProcesses())),
+                         nameOf);
 
 // A fleet that starts as a whole: nobody knows what a warm role looks like, and work has to begin.
 TEST(ColdSum, AFleetThatStartsAsAWholeHoldsItAndBegins) {
