--- a/tests/cold_sum_test.cpp
+++ b/tests/cold_sum_test.cpp
@@ -5,6 +5,7 @@
 #include <cmath>
 #include <map>
 #include <memory>
+#include <ostream>
 #include <queue>
 #include <random>
 #include <vector>
@@ -263,6 +264,11 @@
   Scene scene;
 };
 
+// Without it the names of the tests would hold the bytes of their parameters, which differ between builds.
+void PrintTo(const ScenePlay& play, std::ostream* out) {
+  *out << play.nodes << " nodes, " << play.scene.cold.size() << " cold beside " << play.scene.warmLeft;
+}
+
 std::string nameOf(const testing::TestParamInfo<ScenePlay>& info) {
   const Scene& scene = info.param.scene;
   const std::string kind = scene.kind == kReader ? "prefill" : scene.kind == kWriter ? "decode" : "mixed";
