--- a/tests/shared_processes_test.cpp
+++ b/tests/shared_processes_test.cpp
@@ -190,13 +190,18 @@
     }
     return true;
   };
+  // At one moment: observations fade, so the digest may lack the votes of parts that come late.
+  const auto digestLeavesOut = [&](const std::string& box) {
+    const Digest digest = decodeDigest(fleet);
+    const auto found = digest.boxes.find(box);
+    return found != digest.boxes.end() && found->second.out;
+  };
   EXPECT_TRUE(waitFor(fleet.io, 60,
                       [&] {
                         clients.go(200);
-                        return judged();
+                        return judged() && digestLeavesOut("box-2");
                       }))
       << decodeDigest(fleet).boxes.size() << fleet.logs();
-  EXPECT_TRUE(decodeDigest(fleet).boxes.at("box-2").out);
   EXPECT_TRUE(waitFor(fleet.io, 60, [&] {
     clients.go(200);
     for (std::size_t i = 0; i < count / 3; ++i)
