--- a/src/estimates/key_popularity.cpp
+++ b/src/estimates/key_popularity.cpp
@@ -23,7 +23,7 @@
   const auto found = keys_.find(key);
   if (found == keys_.end()) return 0;
   const double others = std::max(0.0, found->second.at(now, timeConstant_) - 1);
-  return others / (all_.at(now, timeConstant_) + kPriorArrivals);
+  return others / (arrivals(now) + kPriorArrivals);
 }
 
 }  // namespace leverrelay
--- a/src/estimates/key_popularity.h
+++ b/src/estimates/key_popularity.h
@@ -18,6 +18,9 @@
   /// Counts one arrival of `key`.
   void count(const std::string& key, Time now);
 
+  /// All arrivals, decayed by their age.
+  double arrivals(Time now) const { return all_.at(now, timeConstant_); }
+
   /// The share of all arrivals that `key` has, leaving out its latest one: the request being decided on says
   /// nothing of how popular its key is. Shrunk towards 0 while few arrivals were seen.
   double shareOfOthers(const std::string& key, Time now) const;
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -77,7 +77,7 @@
 void ClientConnection::start() {
   boost::system::error_code ignored;
   socket_.set_option(boost::asio::ip::tcp::no_delay(true), ignored);
-  readAheadFrom_ = std::min(kAheadLimit, reserveInput(descriptor(), kInputRoom) / 2);
+  reserveRoom();
   connected_ = idleSince_ = clock_.nowMs();
   read();
 }
@@ -107,7 +107,7 @@
   keepAlive_ = rest.keepAlive;
   state_ = State::kStreaming;
   reader_.carry(rest.ahead);
-  readAheadFrom_ = std::min(kAheadLimit, reserveInput(descriptor(), kInputRoom) / 2);
+  reserveRoom();
   if (rest.aheadCameMs > 0) came_.add(rest.ahead.size() + unreadBytes(descriptor()), rest.aheadCameMs);
   watch();
 }
@@ -353,6 +353,11 @@
   });
 }
 
+// The system may grant less room than is asked for: then reading ahead begins the sooner.
+void ClientConnection::reserveRoom() {
+  readAheadFrom_ = std::min(kAheadLimit, reserveInput(descriptor(), kInputRoom) / 2);
+}
+
 void ClientConnection::wakeAt(std::size_t unread) {
   if (unread == wokenAt_) return;
   wokenAt_ = unread;
--- a/src/net/client_connection.h
+++ b/src/net/client_connection.h
@@ -99,6 +99,7 @@
   bool hasNextRequest() const;
   int descriptor() const;
   void noteArrivals();
+  void reserveRoom();
   void wakeAt(std::size_t unread);
   bool isLastAnswer();
   void refuseInput(const boost::system::error_code& error);
--- a/src/rules.cpp
+++ b/src/rules.cpp
@@ -174,7 +174,7 @@
   bool slowStartAllows(RequestRecord& r, Engine& e, const RoleWeights& weights, double offered, double part) {
     if (warmShare(e) >= 1) return true;
     const Duration seen = std::max(now_ - startedAt_, set_.contract.fallFor);
-    const double demand = (young() ? arrivals_ : sends_[at(e.role)]).at(now_, kFlowMemory) /
+    const double demand = (young() ? popularity_.arrivals(now_) : sends_[at(e.role)].at(now_, kFlowMemory)) /
                           -std::expm1(-ratio(seen, kFlowMemory));
     const double usual = demand * ratio(set_.contract.fallFor, kFlowMemory) * e.info.weight / weights.whole;
     const Time since = r.offeredAt.try_emplace(r.phase, now_).first->second;
@@ -233,7 +233,7 @@
   }
 
   Duration fade() const {
-    const double seen = std::max(arrivals_.at(now_, kFlowMemory), kTiny);
+    const double seen = std::max(popularity_.arrivals(now_), kTiny);
     return std::clamp<Duration>(scaled(kFlowMemory, std::min(1.0, kFadeArrivals / seen)), kFade,
                                 kLongestFade);
   }
@@ -733,9 +733,8 @@
     // Whoever asks for the rest had its first token: the mean pace counts, and a refusal loses it all.
     r.aim = now_ + classOf(r).aim + scaled(classOf(r).aimPer1000, told.promptTokens / 1000);
     if (told.resumed) r.aim = r.deadline;
-    arrivals_.add(1, now_, kFlowMemory);
     popularity_.count(keyOf(r), now_);
-    const double seen = kRetryShare * arrivals_.at(now_, kFlowMemory) + 1;
+    const double seen = kRetryShare * popularity_.arrivals(now_) + 1;
     retries_ = std::min({kRetryBurst, retries_ + kRetryShare, seen});
     if (tooBig(r) || hopeless(r)) finish(r);
     forgetIfDone(told.request);
@@ -944,7 +943,7 @@
   KeyPopularity popularity_{kFlowMemory};
   double readRate_ = 0;                                    // unread tokens a microsecond where nothing waits
   double held_ = 0, streams_ = 0, retries_ = kRetryBurst;  // own answers' tokens, and how many; spare retries
-  DecayingSum arrivals_, sends_[3], writerReads_;          // sends by role; tokens sent to be read by writers
+  DecayingSum sends_[3], writerReads_;                     // sends by role; tokens sent to be read by writers
   DecayingSum reads_, timely_;                             // reads that ended, and those of them in time
   std::array<double, 3> weight_{}, mostWeight_{}, count_{};  // by role: listed, the most ever, how many
   std::map<RequestId, RequestRecord> requests_;
--- a/tests/estimates_test.cpp
+++ b/tests/estimates_test.cpp
@@ -94,34 +94,36 @@
   EXPECT_NE(stableHash("a", "b"), stableHash("b", "a"));
 }
 
-TEST(StableDraw, IsEvenlySpreadBetweenZeroAndOne) {
+// Checks that draws of consecutive indices differ and have the mean of an even spread.
+template <typename Draw>
+void expectEvenSpread(const Draw& draw) {
   constexpr int kDraws = 20'000;
   double sum = 0;
   std::set<double> distinct;
   for (int i = 0; i < kDraws; ++i) {
-    const double draw = stableDraw("key", std::to_string(i));
-    ASSERT_GT(draw, 0);
-    ASSERT_LT(draw, 1);
-    sum += draw;
-    distinct.insert(draw);
+    const double drawn = draw(i);
+    ASSERT_LT(drawn, 1);
+    sum += drawn;
+    distinct.insert(drawn);
   }
   EXPECT_NEAR(sum / kDraws, 0.5, 0.01);
   EXPECT_EQ(distinct.size(), static_cast<std::size_t>(kDraws));
 }
 
+TEST(StableDraw, IsEvenlySpreadBetweenZeroAndOne) {
+  expectEvenSpread([](int i) {
+    const double drawn = stableDraw("key", std::to_string(i));
+    EXPECT_GT(drawn, 0);
+    return drawn;
+  });
+}
+
 TEST(StableDraw, OfNumbersIsEvenlySpreadToo) {
-  constexpr int kDraws = 20'000;
-  double sum = 0;
-  std::set<double> distinct;
-  for (int i = 0; i < kDraws; ++i) {
-    const double draw = stableDraw(std::uint64_t{12345}, std::int64_t{i});
-    ASSERT_GE(draw, 0);
-    ASSERT_LT(draw, 1);
-    sum += draw;
-    distinct.insert(draw);
-  }
-  EXPECT_NEAR(sum / kDraws, 0.5, 0.01);
-  EXPECT_EQ(distinct.size(), static_cast<std::size_t>(kDraws));
+  expectEvenSpread([](int i) {
+    const double drawn = stableDraw(std::uint64_t{12345}, std::int64_t{i});
+    EXPECT_GE(drawn, 0);
+    return drawn;
+  });
 }
 
 }  // namespace
