--- a/adapter/host.cpp
+++ b/adapter/host.cpp
@@ -6,18 +6,22 @@
 namespace leverrelay::wire {
 
 bool Host::readLine(std::istream& in, std::string& text) {
-  if (!std::getline(in, text)) return false;
+  if (!std::getline(in, text))
+    return false;
   ++lineNumber_;
-  if (!text.empty() && text.back() == '\r') text.pop_back();
+  if (!text.empty() && text.back() == '\r')
+    text.pop_back();
   return true;
 }
 
 void Host::run(std::istream& in, std::ostream& out) {
   std::string text;
   while (readLine(in, text)) {
-    if (text.empty()) continue;
+    if (text.empty())
+      continue;
     const Line line(text, lineNumber_);
-    if (line.name() != "BEGIN_BATCH") line.complain(0, "expected BEGIN_BATCH");
+    if (line.name() != "BEGIN_BATCH")
+      line.complain(0, "expected BEGIN_BATCH");
     line.expect(2);
     playBatch(in, out, line);
     out.flush();
@@ -30,9 +34,11 @@
   std::string node, spoken, text;
   std::vector<Action> actions;
   for (;;) {
-    if (!readLine(in, text)) throw Malformed("the input ended inside batch " + batch);
+    if (!readLine(in, text))
+      throw Malformed("the input ended inside batch " + batch);
     const Line line(text, lineNumber_);
-    if (line.name() == "EOF_BATCH") break;
+    if (line.name() == "EOF_BATCH")
+      break;
     if (line.name() == "FOR") {
       line.expect(1);
       node = line.required(1);
@@ -40,19 +46,27 @@
     }
     actions.clear();
     playLine(in, line, node, now, actions);
-    if (!actions.empty() && spoken != node) out << "ON_BEHALF\t" << node << '\n';
-    if (!actions.empty()) spoken = node;
-    for (const Action& action : actions) out << formatAction(action) << '\n';
+    if (!actions.empty() && spoken != node)
+      out << "ON_BEHALF\t" << node << '\n';
+    if (!actions.empty())
+      spoken = node;
+    for (const Action& action : actions)
+      out << formatAction(action) << '\n';
   }
   out << "OK\t" << batch << '\n';
 }
 
-void Host::playLine(std::istream& in, const Line& line, const std::string& node, Time now,
+void Host::playLine(std::istream& in,
+                    const Line& line,
+                    const std::string& node,
+                    Time now,
                     std::vector<Action>& actions) {
-  if (node.empty()) line.complain(0, "an event before any FOR");
+  if (node.empty())
+    line.complain(0, "an event before any FOR");
   if (line.name() == "ENLIST") {
     Setup setup = parseSetup(line);
-    instances_[node] = {std::move(setup.names), std::make_unique<Router>(setup.settings, line.whole(1))};
+    instances_[node] = {std::move(setup.names),
+                        std::make_unique<Router>(setup.settings, line.whole(1))};
     return;
   }
   if (line.name() == "EXIT") {
@@ -61,10 +75,12 @@
     return;
   }
   const auto found = instances_.find(node);
-  if (found == instances_.end()) line.complain(0, "an event for " + node + ", which is not running");
+  if (found == instances_.end())
+    line.complain(0, "an event for " + node + ", which is not running");
   Instance& instance = found->second;
   const bool list = line.name() == "UPDATE";
-  const Event event = list ? Event(readList(in, line, instance.names)) : parseEvent(line, instance.names);
+  const Event event =
+      list ? Event(readList(in, line, instance.names)) : parseEvent(line, instance.names);
   instance.router->handle(now, event, actions);
 }
 
@@ -72,9 +88,11 @@
   ListNews news = parseListHead(head);
   std::string text;
   for (std::uint64_t left = head.whole(3); left > 0; --left) {
-    if (!readLine(in, text)) throw Malformed("the input ended inside a list");
+    if (!readLine(in, text))
+      throw Malformed("the input ended inside a list");
     const Line line(text, lineNumber_);
-    if (line.name() != "ITEM") line.complain(0, "expected ITEM");
+    if (line.name() != "ITEM")
+      line.complain(0, "expected ITEM");
     news.entries.push_back(parseItem(line, names));
   }
   return news;
--- a/adapter/host.h
+++ b/adapter/host.h
@@ -23,7 +23,10 @@
 
   bool readLine(std::istream& in, std::string& text);
   void playBatch(std::istream& in, std::ostream& out, const Line& opening);
-  void playLine(std::istream& in, const Line& line, const std::string& node, Time now,
+  void playLine(std::istream& in,
+                const Line& line,
+                const std::string& node,
+                Time now,
                 std::vector<Action>& actions);
   ListNews readList(std::istream& in, const Line& head, const Vocabulary& names);
 
--- a/adapter/wire.cpp
+++ b/adapter/wire.cpp
@@ -13,14 +13,16 @@
 constexpr double kLongestMs = 1e12;   // of a setting: sums of such times stay far from any overflow
 constexpr double kMostCounted = 1e6;  // of whatever a setting counts
 constexpr std::uint64_t kHintValid = 1, kRepeat = 2, kResumed = 16;
-constexpr std::string_view kAlphabet = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
+constexpr std::string_view kAlphabet =
+    "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
 
 Parts split(std::string_view text, char mark) {
   Parts parts;
   for (std::size_t from = 0;;) {
     const std::size_t to = text.find(mark, from);
     parts.push_back(text.substr(from, to - from));
-    if (to == std::string_view::npos) return parts;
+    if (to == std::string_view::npos)
+      return parts;
     from = to + 1;
   }
 }
@@ -28,7 +30,8 @@
 std::optional<double> toDecimal(std::string_view text) {
   double value = 0;
   const auto [end, fault] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (fault != std::errc() || end != text.data() + text.size() || !std::isfinite(value)) return {};
+  if (fault != std::errc() || end != text.data() + text.size() || !std::isfinite(value))
+    return {};
   return value;
 }
 
@@ -37,10 +40,13 @@
 }
 
 template <class Value, std::size_t N>
-Value lookUp(const std::array<std::pair<std::string_view, Value>, N>& table, const Line& line,
-             std::size_t field, std::string_view word) {
+Value lookUp(const std::array<std::pair<std::string_view, Value>, N>& table,
+             const Line& line,
+             std::size_t field,
+             std::string_view word) {
   for (const auto& [name, value] : table) {
-    if (name == word) return value;
+    if (name == word)
+      return value;
   }
   line.complain(field, "unknown word '" + std::string(word) + "'");
 }
@@ -58,12 +64,15 @@
 }};
 constexpr std::array<std::pair<std::string_view, Presence>, 3> kPresences{
     {{"active", Presence::kActive}, {"leaving", Presence::kLeaving}, {"left", Presence::kGone}}};
-constexpr std::array<std::pair<std::string_view, ListForm>, 4> kForms{{{"delta", ListForm::kChanges},
-                                                                       {"full", ListForm::kFull},
-                                                                       {"cached", ListForm::kCached},
-                                                                       {"failed", ListForm::kFailed}}};
+constexpr std::array<std::pair<std::string_view, ListForm>, 4> kForms{
+    {{"delta", ListForm::kChanges},
+     {"full", ListForm::kFull},
+     {"cached", ListForm::kCached},
+     {"failed", ListForm::kFailed}}};
 constexpr std::array<std::pair<std::string_view, Effect>, 3> kEffects{
-    {{"idempotent", Effect::kSafe}, {"deduplicated", Effect::kKeyed}, {"at_most_once", Effect::kUnsafe}}};
+    {{"idempotent", Effect::kSafe},
+     {"deduplicated", Effect::kKeyed},
+     {"at_most_once", Effect::kUnsafe}}};
 constexpr std::array<std::pair<std::string_view, Group>, 3> kGroups{
     {{"all", Group::kAll}, {"zone", Group::kZone}, {"cell", Group::kCell}}};
 constexpr std::array<std::pair<std::string_view, Role>, 3> kRoles{
@@ -80,7 +89,8 @@
     for (std::size_t field = 2; field <= line.fields(); ++field) {
       const std::string_view pair = line.raw(field);
       const std::size_t equals = pair.find('=');
-      if (equals == std::string_view::npos) line.complain(field, "a setting without '='");
+      if (equals == std::string_view::npos)
+        line.complain(field, "a setting without '='");
       found_[std::string(pair.substr(0, equals))] = {pair.substr(equals + 1), field};
     }
   }
@@ -99,21 +109,27 @@
   int whole(const std::string& path) const { return static_cast<int>(atMost(kMostCounted, path)); }
   bool flag(const std::string& path) const {
     const std::string_view value = at(path).first;
-    if (value == "true" || value == "1") return true;
-    if (value == "false" || value == "0") return false;
+    if (value == "true" || value == "1")
+      return true;
+    if (value == "false" || value == "0")
+      return false;
     line_.complain(field(path), path + " is neither true nor false");
   }
   std::vector<std::string> list(const std::string& path) const {
     std::vector<std::string> words;
     const std::string_view value = has(path) ? at(path).first : std::string_view();
-    if (value.empty() || value == "-") return words;
-    for (const std::string_view word : split(value, ',')) words.emplace_back(word);
+    if (value.empty() || value == "-")
+      return words;
+    for (const std::string_view word : split(value, ','))
+      words.emplace_back(word);
     return words;
   }
   std::vector<double> decimals(const std::string& path, std::size_t count) const {
     std::vector<double> values;
-    for (const std::string& word : list(path)) values.push_back(number(path, word));
-    if (values.size() != count) line_.complain(has(path) ? field(path) : 2, path + " has the wrong length");
+    for (const std::string& word : list(path))
+      values.push_back(number(path, word));
+    if (values.size() != count)
+      line_.complain(has(path) ? field(path) : 2, path + " has the wrong length");
     return values;
   }
   std::size_t count(const std::string& path) const {
@@ -127,18 +143,22 @@
  private:
   const std::pair<std::string_view, std::size_t>& at(const std::string& path) const {
     const auto it = found_.find(path);
-    if (it == found_.end()) line_.complain(2, "the setting " + path + " is missing");
+    if (it == found_.end())
+      line_.complain(2, "the setting " + path + " is missing");
     return it->second;
   }
   double number(const std::string& path, std::string_view text) const {
     const auto value = toDecimal(text);
-    if (!value) line_.complain(field(path), path + " is not a number");
-    if (*value < 0) line_.complain(field(path), path + " is below 0");
+    if (!value)
+      line_.complain(field(path), path + " is not a number");
+    if (*value < 0)
+      line_.complain(field(path), path + " is below 0");
     return *value;
   }
   double atMost(double most, const std::string& path) const {
     const double value = decimal(path);
-    if (value > most) line_.complain(field(path), path + " is too large");
+    if (value > most)
+      line_.complain(field(path), path + " is too large");
     return value;
   }
 
@@ -158,7 +178,8 @@
     const bool keyed = effect == Effect::kKeyed;
     classes.push_back({
         .effect = effect,
-        .group = keyed || pairs.has(at + "group") ? pairs.choice(at + "group", kGroups) : Group::kAll,
+        .group =
+            keyed || pairs.has(at + "group") ? pairs.choice(at + "group", kGroups) : Group::kAll,
         .dedupWindow = keyed ? pairs.span(at + "dedupWindowMs") : Duration::zero(),
         .aim = pairs.span(at + "goalTimeMs"),
         .aimPer1000 = fromMillis(std::min(per1000[i] / 1000, kLongestMs)),
@@ -176,10 +197,12 @@
   names.kinds = pairs.list("kinds");
   const auto duties = pairs.list("familyInfo.dutyByKind");
   const auto memory = pairs.decimals("familyInfo.memoryTokens", names.kinds.size());
-  if (duties.size() != names.kinds.size()) line.complain(2, "familyInfo.dutyByKind has the wrong length");
+  if (duties.size() != names.kinds.size())
+    line.complain(2, "familyInfo.dutyByKind has the wrong length");
   std::vector<KindSettings> kinds;
   for (std::size_t i = 0; i < duties.size(); ++i) {
-    kinds.push_back({lookUp(kRoles, line, pairs.field("familyInfo.dutyByKind"), duties[i]), memory[i]});
+    kinds.push_back(
+        {lookUp(kRoles, line, pairs.field("familyInfo.dutyByKind"), duties[i]), memory[i]});
   }
   return kinds;
 }
@@ -194,22 +217,33 @@
   return tenants;
 }
 
-std::optional<LoadReport> parseReport(const Line& line, std::size_t field, const Vocabulary& names) {
+std::optional<LoadReport> parseReport(const Line& line,
+                                      std::size_t field,
+                                      const Vocabulary& names) {
   const std::string_view text = line.raw(field);
-  if (text == "-" || text.empty()) return {};
+  if (text == "-" || text.empty())
+    return {};
   LoadReport report;
   for (const std::string_view pair : split(text, ',')) {
     const std::size_t colon = pair.find(':');
-    if (colon == std::string_view::npos) line.complain(field, "a report value without ':'");
+    if (colon == std::string_view::npos)
+      line.complain(field, "a report value without ':'");
     const std::string_view name = pair.substr(0, colon);
     const auto value = toDecimal(pair.substr(colon + 1));
-    if (!value) line.complain(field, "a report value that is not a number");
-    if (name == "active") report.held = value;
-    if (name == "waiting") report.queued = value;
-    if (name == "cpu") report.slotShare = value;
-    if (name == "avg_ms") report.latency = fromMillis(*value);
-    if (name == "x0" && names.x0Meaning == "share_of_memory_that_is_held") report.memoryShare = value;
-    if (name == "x1" && names.x1Meaning == "thousands_of_prompt_tokens_waiting_to_be_read_or_fetched") {
+    if (!value)
+      line.complain(field, "a report value that is not a number");
+    if (name == "active")
+      report.held = value;
+    if (name == "waiting")
+      report.queued = value;
+    if (name == "cpu")
+      report.slotShare = value;
+    if (name == "avg_ms")
+      report.latency = fromMillis(*value);
+    if (name == "x0" && names.x0Meaning == "share_of_memory_that_is_held")
+      report.memoryShare = value;
+    if (name == "x1" &&
+        names.x1Meaning == "thousands_of_prompt_tokens_waiting_to_be_read_or_fetched") {
       report.tokensWaiting = *value * 1000;
     }
   }
@@ -220,9 +254,11 @@
   line.expect(11);
   const std::string party = line.text(3);
   const std::size_t tenant = indexOf(names.tenants, party);
-  if (!party.empty() && tenant == names.tenants.size()) line.complain(3, "unknown tenant");
+  if (!party.empty() && tenant == names.tenants.size())
+    line.complain(3, "unknown tenant");
   const std::size_t cls = indexOf(names.classes, line.required(2));
-  if (cls == names.classes.size()) line.complain(2, "unknown class");
+  if (cls == names.classes.size())
+    line.complain(2, "unknown class");
   const std::uint64_t options = line.whole(11);
   Arrival arrival{
       .request = {line.required(1)},
@@ -238,8 +274,10 @@
       .repeat = (options & kRepeat) != 0,
       .resumed = (options & kResumed) != 0,
   };
-  if (!party.empty()) arrival.tenant = TenantIndex{static_cast<std::uint32_t>(tenant)};
-  if ((options & kHintValid) != 0) arrival.lengthHint = line.span(6);
+  if (!party.empty())
+    arrival.tenant = TenantIndex{static_cast<std::uint32_t>(tenant)};
+  if ((options & kHintValid) != 0)
+    arrival.lengthHint = line.span(6);
   return arrival;
 }
 
@@ -274,7 +312,8 @@
 
 }  // namespace
 
-Line::Line(std::string_view text, std::size_t number) : parts_(split(text, '\t')), number_(number) {}
+Line::Line(std::string_view text, std::size_t number)
+    : parts_(split(text, '\t')), number_(number) {}
 
 void Line::complain(std::size_t field, std::string_view what) const {
   throw Malformed("line " + std::to_string(number_) + " (" + std::string(name()) + "), field " +
@@ -282,7 +321,8 @@
 }
 
 void Line::expect(std::size_t count) const {
-  if (fields() == count) return;
+  if (fields() == count)
+    return;
   complain(std::min(fields(), count) + 1,
            "expected " + std::to_string(count) + " fields, found " + std::to_string(fields()));
 }
@@ -292,20 +332,24 @@
 }
 
 std::string Line::required(std::size_t field) const {
-  if (parts_.at(field) == "-" || parts_[field].empty()) complain(field, "is empty");
+  if (parts_.at(field) == "-" || parts_[field].empty())
+    complain(field, "is empty");
   return std::string(parts_[field]);
 }
 
 double Line::decimal(std::size_t field) const {
-  if (parts_.at(field) == "-") return 0;
+  if (parts_.at(field) == "-")
+    return 0;
   const auto value = toDecimal(parts_[field]);
-  if (!value) complain(field, "'" + std::string(parts_[field]) + "' is not a number");
+  if (!value)
+    complain(field, "'" + std::string(parts_[field]) + "' is not a number");
   return *value;
 }
 
 std::uint64_t Line::whole(std::size_t field) const {
   const std::string_view text = parts_.at(field);
-  if (text == "-") return 0;
+  if (text == "-")
+    return 0;
   std::uint64_t value = 0;
   const auto [end, fault] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (fault != std::errc() || end != text.data() + text.size()) {
@@ -315,15 +359,20 @@
 }
 
 bool Line::flag(std::size_t field) const {
-  if (parts_.at(field) == "1") return true;
-  if (parts_[field] == "0" || parts_[field] == "-") return false;
+  if (parts_.at(field) == "1")
+    return true;
+  if (parts_[field] == "0" || parts_[field] == "-")
+    return false;
   complain(field, "is neither 1 nor 0");
 }
 
-Duration Line::span(std::size_t field) const { return fromMillis(decimal(field)); }
+Duration Line::span(std::size_t field) const {
+  return fromMillis(decimal(field));
+}
 
 Setup parseSetup(const Line& line) {
-  if (line.fields() < 1) line.complain(1, "the seed is missing");
+  if (line.fields() < 1)
+    line.complain(1, "the seed is missing");
   const Pairs pairs(line);
   Setup setup{};
   Vocabulary& names = setup.names;
@@ -379,7 +428,8 @@
   names.x0Meaning = pairs.wordOr("familyInfo.reportX0", "");
   names.x1Meaning = pairs.wordOr("familyInfo.reportX1", "");
   const std::size_t zone = indexOf(names.zones, pairs.word("myZone"));
-  if (zone == names.zones.size()) line.complain(pairs.field("myZone"), "myZone is not among zones");
+  if (zone == names.zones.size())
+    line.complain(pairs.field("myZone"), "myZone is not among zones");
   to.zone = {static_cast<std::uint32_t>(zone)};
   return setup;
 }
@@ -392,7 +442,8 @@
 ListEntry parseItem(const Line& line, const Vocabulary& names) {
   line.expect(7);
   const std::size_t zone = indexOf(names.zones, line.required(2));
-  if (zone == names.zones.size()) line.complain(2, "unknown zone");
+  if (zone == names.zones.size())
+    line.complain(2, "unknown zone");
   const double started = line.decimal(7);
   return {
       .engine = {line.required(1)},
@@ -407,9 +458,12 @@
 
 Event parseEvent(const Line& line, const Vocabulary& names) {
   const std::string_view name = line.name();
-  if (name == "ARRIVAL") return parseArrival(line, names);
-  if (name == "ENDED") return parseEnded(line, names);
-  if (name == "HEALTH_RESULT") return parseProbe(line, names);
+  if (name == "ARRIVAL")
+    return parseArrival(line, names);
+  if (name == "ENDED")
+    return parseEnded(line, names);
+  if (name == "HEALTH_RESULT")
+    return parseProbe(line, names);
   if (name == "OPENED") {
     line.expect(4);
     return StreamOpened{
@@ -417,8 +471,10 @@
   }
   if (name == "PLACE_NOTE") {
     line.expect(5);
-    return PlaceNote{
-        {line.required(1)}, static_cast<int>(line.whole(4)), {line.required(2)}, line.whole(5) == 1};
+    return PlaceNote{{line.required(1)},
+                     static_cast<int>(line.whole(4)),
+                     {line.required(2)},
+                     line.whole(5) == 1};
   }
   if (name == "NEIGHBOUR_SAYS") {
     line.expect(2);
@@ -472,7 +528,9 @@
       action);
 }
 
-Duration fromMillis(double ms) { return Duration(std::llround(ms * 1000)); }
+Duration fromMillis(double ms) {
+  return Duration(std::llround(ms * 1000));
+}
 
 std::string toMillis(Duration span) {
   std::array<char, 32> text{};
@@ -496,18 +554,23 @@
 
 std::string decodeBase64(std::string_view text, const Line& line, std::size_t field) {
   std::string bytes;
-  if (text == "-") return bytes;
-  if (text.size() % 4 != 0) line.complain(field, "is not base64");
+  if (text == "-")
+    return bytes;
+  if (text.size() % 4 != 0)
+    line.complain(field, "is not base64");
   std::uint32_t group = 0;
   int bits = 0;
   const std::size_t end = std::min(text.find('='), text.size());
-  if (text.size() - end > 2) line.complain(field, "is not base64");
+  if (text.size() - end > 2)
+    line.complain(field, "is not base64");
   for (const char c : text.substr(0, end)) {
     const std::size_t value = kAlphabet.find(c);
-    if (value == std::string_view::npos) line.complain(field, "is not base64");
+    if (value == std::string_view::npos)
+      line.complain(field, "is not base64");
     group = group << 6 | static_cast<std::uint32_t>(value);
     bits += 6;
-    if (bits < 8) continue;
+    if (bits < 8)
+      continue;
     bits -= 8;
     bytes += static_cast<char>(group >> bits & 255);
   }
--- a/benchmarks/decision_cost.cpp
+++ b/benchmarks/decision_cost.cpp
@@ -1,5 +1,5 @@
-// What the module takes for a request, from its arrival to its end, and for a change of the list, by the
-// number of boxes that are listed.
+// What the module takes for a request, from its arrival to its end, and for a change of the list,
+// by the number of boxes that are listed.
 #include <benchmark/benchmark.h>
 
 #include "../tests/fleet.h"
@@ -12,8 +12,8 @@
 std::vector<ListEntry> boxes(int count) {
   std::vector<ListEntry> list;
   for (int i = 0; i < count; ++i)
-    list.push_back(
-        engine(numbered("box-", i), i % 3 == 0 ? kReader : kWriter, static_cast<std::uint32_t>(i / 5)));
+    list.push_back(engine(numbered("box-", i), i % 3 == 0 ? kReader : kWriter,
+                          static_cast<std::uint32_t>(i / 5)));
   return list;
 }
 
@@ -32,7 +32,13 @@
     ++n;
   }
 }
-BENCHMARK(wholeRequest)->Arg(12)->Arg(60)->Arg(100)->Arg(1000)->Repetitions(5)->ReportAggregatesOnly();
+BENCHMARK(wholeRequest)
+    ->Arg(12)
+    ->Arg(60)
+    ->Arg(100)
+    ->Arg(1000)
+    ->Repetitions(5)
+    ->ReportAggregatesOnly();
 
 void oneBoxChanges(benchmark::State& state) {
   Fleet fleet(hundredNodes());
@@ -45,14 +51,27 @@
     fleet.list({entry}, ListForm::kChanges);
   }
 }
-BENCHMARK(oneBoxChanges)->Arg(12)->Arg(60)->Arg(100)->Arg(1000)->Repetitions(5)->ReportAggregatesOnly();
+BENCHMARK(oneBoxChanges)
+    ->Arg(12)
+    ->Arg(60)
+    ->Arg(100)
+    ->Arg(1000)
+    ->Repetitions(5)
+    ->ReportAggregatesOnly();
 
 void wholeListAgain(benchmark::State& state) {
   Fleet fleet(hundredNodes());
   const std::vector<ListEntry> all = boxes(static_cast<int>(state.range(0)));
-  for (auto _ : state) fleet.list(all);
+  for (auto _ : state)
+    fleet.list(all);
 }
-BENCHMARK(wholeListAgain)->Arg(12)->Arg(60)->Arg(100)->Arg(1000)->Repetitions(5)->ReportAggregatesOnly();
+BENCHMARK(wholeListAgain)
+    ->Arg(12)
+    ->Arg(60)
+    ->Arg(100)
+    ->Arg(1000)
+    ->Repetitions(5)
+    ->ReportAggregatesOnly();
 
 }  // namespace
 
--- a/benchmarks/flood.cpp
+++ b/benchmarks/flood.cpp
@@ -1,11 +1,11 @@
-// Known clients under a flood: starts the programs that it is given by turns and measures what known clients
-// see with and without a flood from one address.
+// Known clients under a flood: starts the programs that it is given by turns and measures what
+// known clients see with and without a flood from one address.
 //
 //     flood ROUNDS TOY_BOX NAME=PROGRAM [NAME=PROGRAM ...]
 //
-// Each round plays every program without and with the flood, one after the other, so that they share whatever
-// else the machine does. A play takes 6 s; the flood is one thread that connects, sends half a request and
-// never ends it.
+// Each round plays every program without and with the flood, one after the other, so that they
+// share whatever else the machine does. A play takes 6 s; the flood is one thread that connects,
+// sends half a request and never ends it.
 #include <fcntl.h>
 #include <signal.h>
 #include <sys/resource.h>
@@ -52,12 +52,14 @@
 
 pid_t start(const std::vector<std::string>& words) {
   const pid_t process = ::fork();
-  if (process != 0) return process;
+  if (process != 0)
+    return process;
   const int quiet = ::open("/dev/null", O_RDWR);
   ::dup2(quiet, 1);
   ::dup2(quiet, 2);
   std::vector<char*> raw;
-  for (const std::string& word : words) raw.push_back(const_cast<char*>(word.c_str()));
+  for (const std::string& word : words)
+    raw.push_back(const_cast<char*>(word.c_str()));
   raw.push_back(nullptr);
   ::execv(raw[0], raw.data());
   ::_exit(127);
@@ -75,7 +77,8 @@
 json site(const tcp::endpoint& listen, const tcp::endpoint& box, bool admission) {
   json file = json::parse(std::ifstream("deploy/appliance.json"));
   file["listen"] = text(listen);
-  file["boxes"] = {{{"id", "box-1"}, {"address", text(box)}, {"role", "both"}, {"cell", 0}, {"size", 1.0}}};
+  file["boxes"] = {
+      {{"id", "box-1"}, {"address", text(box)}, {"role", "both"}, {"cell", 0}, {"size", 1.0}}};
   file["sockets"] = 256;
   file["settings"]["orgs"][0]["allowancePerS"] = 10'000;
   file.erase("admin_addr");
@@ -95,10 +98,13 @@
     const auto began = Clock::now();
     for (int tries = 0; tries < 2; ++tries) {  // a kept connection may have been closed meanwhile
       const bool kept = socket_.is_open();
-      if (!kept && !connect()) return std::nullopt;
-      if (exchange(began)) return lastMs_;
+      if (!kept && !connect())
+        return std::nullopt;
+      if (exchange(began))
+        return lastMs_;
       socket_.close();
-      if (!kept) return std::nullopt;
+      if (!kept)
+        return std::nullopt;
     }
     return std::nullopt;
   }
@@ -112,7 +118,8 @@
     ::setsockopt(socket_.native_handle(), SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof limit);
     ::setsockopt(socket_.native_handle(), SOL_SOCKET, SO_SNDTIMEO, &limit, sizeof limit);
     socket_.connect(to_, error);
-    if (error) socket_.close();
+    if (error)
+      socket_.close();
     return !error;
   }
   bool exchange(Clock::time_point began) {
@@ -130,14 +137,17 @@
     bool first = false;
     while (seen.find("\r\n0\r\n\r\n") == std::string::npos) {
       const auto count = ::recv(socket_.native_handle(), part.data(), part.size(), 0);
-      if (count <= 0) return false;
+      if (count <= 0)
+        return false;
       seen.append(part.data(), static_cast<std::size_t>(count));
       if (!first && seen.find("data:") != std::string::npos) {
         first = true;
         lastMs_ = std::chrono::duration<double, std::milli>(Clock::now() - began).count();
-        if (lastMs_ > kPatienceMs) return false;
+        if (lastMs_ > kPatienceMs)
+          return false;
       }
-      if (seen.rfind("HTTP/1.1 200", 0) != 0 && seen.size() > 12) return false;
+      if (seen.rfind("HTTP/1.1 200", 0) != 0 && seen.size() > 12)
+        return false;
     }
     return true;
   }
@@ -163,12 +173,14 @@
   const pid_t conductor = start({program, "serve", "--operator", path.string()});
   {
     Client probe(listen, "127.0.1.200");
-    for (int i = 0; i < 200 && !probe.ask(); ++i) std::this_thread::sleep_for(std::chrono::milliseconds(20));
+    for (int i = 0; i < 200 && !probe.ask(); ++i)
+      std::this_thread::sleep_for(std::chrono::milliseconds(20));
   }
   const auto end = Clock::now() + std::chrono::duration<double>(kPlayS);
   std::atomic<std::uint64_t> connects{0};
   std::thread flood([&] {
-    if (!flooded) return;
+    if (!flooded)
+      return;
     std::deque<int> held;
     while (Clock::now() < end) {
       const int one = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
@@ -185,7 +197,8 @@
       if (connects % 20 == 0)
         std::this_thread::sleep_for(std::chrono::milliseconds(4));  // some 4,000 a second
     }
-    for (const int one : held) ::close(one);
+    for (const int one : held)
+      ::close(one);
   });
   std::vector<std::vector<double>> seen(kKnown);
   std::atomic<std::uint64_t> failed{0}, asked{0};
@@ -195,19 +208,23 @@
       Client client(listen, "127.0.1." + std::to_string(1 + i));
       while (Clock::now() < end) {
         ++asked;
-        if (const auto ms = client.ask()) seen[static_cast<std::size_t>(i)].push_back(*ms);
-        else ++failed;
+        if (const auto ms = client.ask())
+          seen[static_cast<std::size_t>(i)].push_back(*ms);
+        else
+          ++failed;
         std::this_thread::sleep_for(std::chrono::duration<double, std::milli>(kRestMs));
       }
     });
-  for (std::thread& one : known) one.join();
+  for (std::thread& one : known)
+    one.join();
   flood.join();
   Play result;
   stop(conductor, &result.cpuS);
   stop(box);
   std::filesystem::remove(path);
   std::vector<double> all;
-  for (const auto& one : seen) all.insert(all.end(), one.begin(), one.end());
+  for (const auto& one : seen)
+    all.insert(all.end(), one.begin(), one.end());
   std::sort(all.begin(), all.end());
   if (!all.empty()) {
     result.medianMs = all[all.size() / 2];
@@ -215,7 +232,8 @@
   }
   result.asked = asked;
   result.connects = connects;
-  result.failedShare = static_cast<double>(failed) / static_cast<double>(std::max<std::uint64_t>(1, asked));
+  result.failedShare =
+      static_cast<double>(failed) / static_cast<double>(std::max<std::uint64_t>(1, asked));
   return result;
 }
 
@@ -223,9 +241,9 @@
 
 int main(int argc, char** argv) {
   if (argc < 4) {
-    std::cerr
-        << "usage: flood ROUNDS TOY_BOX NAME=PROGRAM [NAME=PROGRAM ...]; a NAME that begins with 'gate' has"
-           " admission rules\n";
+    std::cerr << "usage: flood ROUNDS TOY_BOX NAME=PROGRAM [NAME=PROGRAM ...]; a NAME that begins "
+                 "with 'gate' has"
+                 " admission rules\n";
     return 2;
   }
   const int rounds = std::stoi(argv[1]);
@@ -233,25 +251,28 @@
   for (int round = 0; round < rounds; ++round)
     for (int i = 3; i < argc; ++i) {
       const std::string word = argv[i];
-      const std::string name = word.substr(0, word.find('=')), program = word.substr(word.find('=') + 1);
+      const std::string name = word.substr(0, word.find('=')),
+                        program = word.substr(word.find('=') + 1);
       for (const bool flooded : {false, true})
         plays[name + (flooded ? ", flood" : ", no flood")].push_back(
             play(program, argv[2], name.rfind("gate", 0) == 0, flooded));
     }
   const auto spread = [](std::vector<Play> of, auto value) {
     std::vector<double> values;
-    for (const Play& one : of) values.push_back(value(one));
+    for (const Play& one : of)
+      values.push_back(value(one));
     std::sort(values.begin(), values.end());
     std::array<char, 64> line{};
-    std::snprintf(line.data(), line.size(), "%.2f (%.2f to %.2f)", values[values.size() / 2], values.front(),
-                  values.back());
+    std::snprintf(line.data(), line.size(), "%.2f (%.2f to %.2f)", values[values.size() / 2],
+                  values.front(), values.back());
     return std::string(line.data());
   };
-  std::cout << "| play | first event, median ms | 99th percentile ms | failed, % | connects of the flood |"
+  std::cout << "| play | first event, median ms | 99th percentile ms | failed, % | connects of the "
+               "flood |"
                " processor s |\n| --- | --- | --- | --- | --- | --- |\n";
   for (const auto& [name, of] : plays)
-    std::cout << "| " << name << " | " << spread(of, [](const Play& p) { return p.medianMs; }) << " | "
-              << spread(of, [](const Play& p) { return p.p99Ms; }) << " | "
+    std::cout << "| " << name << " | " << spread(of, [](const Play& p) { return p.medianMs; })
+              << " | " << spread(of, [](const Play& p) { return p.p99Ms; }) << " | "
               << spread(of, [](const Play& p) { return p.failedShare * 100; }) << " | "
               << spread(of, [](const Play& p) { return static_cast<double>(p.connects); }) << " | "
               << spread(of, [](const Play& p) { return p.cpuS; }) << " |\n";
--- a/benchmarks/gate_cost.cpp
+++ b/benchmarks/gate_cost.cpp
@@ -29,7 +29,8 @@
 void fill(AdmissionController& gate, unsigned addresses) {
   for (unsigned n = 0; n < addresses; ++n) {
     const Decision d = gate.connect(numbered(n), Level::kNormal, 1000);
-    if (d.admit && gate.open() > 300) gate.closed(d.visitor, 1000);
+    if (d.admit && gate.open() > 300)
+      gate.closed(d.visitor, 1000);
   }
 }
 
@@ -43,7 +44,8 @@
     now += 100;
     const Decision d = gate.connect(numbered(n++ % addresses), Level::kNormal, now);
     benchmark::DoNotOptimize(d);
-    if (d.admit) gate.closed(d.visitor, now);
+    if (d.admit)
+      gate.closed(d.visitor, now);
   }
 }
 BENCHMARK(admitAndClose)->Arg(1)->Arg(1000)->Arg(4096);
@@ -51,8 +53,10 @@
 void refuseOne(benchmark::State& state) {
   AdmissionController gate(rules());
   fill(gate, static_cast<unsigned>(state.range(0)));
-  for (int i = 0; i < 100; ++i) gate.connect(numbered(0), Level::kNormal, 1000);
-  for (auto _ : state) benchmark::DoNotOptimize(gate.connect(numbered(0), Level::kNormal, 1000));
+  for (int i = 0; i < 100; ++i)
+    gate.connect(numbered(0), Level::kNormal, 1000);
+  for (auto _ : state)
+    benchmark::DoNotOptimize(gate.connect(numbered(0), Level::kNormal, 1000));
 }
 BENCHMARK(refuseOne)->Arg(1)->Arg(1000)->Arg(4096);
 
@@ -61,7 +65,8 @@
   AdmissionController gate(rules());
   fill(gate, 4096);
   unsigned n = 5000;
-  for (auto _ : state) benchmark::DoNotOptimize(gate.connect(numbered(n++), Level::kNormal, 1000));
+  for (auto _ : state)
+    benchmark::DoNotOptimize(gate.connect(numbered(n++), Level::kNormal, 1000));
 }
 BENCHMARK(refuseNewOnes);
 
--- a/benchmarks/sharing_cost.cpp
+++ b/benchmarks/sharing_cost.cpp
@@ -1,12 +1,12 @@
-// What it costs a request that conductors hold leases or share state: one conductor and a box that answers at
-// once, by turns without a store, with leases, with shared state, and with either while the store's file is
-// locked.
+// What it costs a request that conductors hold leases or share state: one conductor and a box that
+// answers at once, by turns without a store, with leases, with shared state, and with either while
+// the store's file is locked.
 //
 //     sharing_cost ROUNDS PROGRAM
 //
-// Each round plays every way once, in a drawn order, with the same questions one after another on a kept
-// connection; so whatever else the machine does meets all ways alike. Prints per way the medians over the
-// rounds and their least and most.
+// Each round plays every way once, in a drawn order, with the same questions one after another on a
+// kept connection; so whatever else the machine does meets all ways alike. Prints per way the
+// medians over the rounds and their least and most.
 #include <signal.h>
 #include <sqlite3.h>
 #include <sys/resource.h>
@@ -52,11 +52,14 @@
 
 pid_t start(std::vector<std::string> words) {
   const pid_t process = ::fork();
-  if (process != 0) return process;
+  if (process != 0)
+    return process;
   std::vector<char*> raw;
-  for (std::string& word : words) raw.push_back(word.data());
+  for (std::string& word : words)
+    raw.push_back(word.data());
   raw.push_back(nullptr);
-  if (std::freopen("/dev/null", "w", stderr) == nullptr || std::freopen("/dev/null", "w", stdout) == nullptr)
+  if (std::freopen("/dev/null", "w", stderr) == nullptr ||
+      std::freopen("/dev/null", "w", stdout) == nullptr)
     ::_exit(126);
   ::execv(raw[0], raw.data());
   ::_exit(127);
@@ -88,7 +91,8 @@
  public:
   InstantBox() : acceptor_(io_, {boost::asio::ip::make_address("127.0.0.1"), 0}) {
     std::thread([this] {
-      for (;;) std::thread([socket = acceptor_.accept()]() mutable { serve(std::move(socket)); }).detach();
+      for (;;)
+        std::thread([socket = acceptor_.accept()]() mutable { serve(std::move(socket)); }).detach();
     }).detach();
   }
   tcp::endpoint address() const { return acceptor_.local_endpoint(); }
@@ -97,26 +101,31 @@
   static void serve(tcp::socket socket) {
     const std::string events =
         "data: "
-        "{\"id\":\"c\",\"choices\":[{\"index\":0,\"delta\":{\"content\":\"yes\"},\"finish_reason\":\"stop\"}]"
+        "{\"id\":\"c\",\"choices\":[{\"index\":0,\"delta\":{\"content\":\"yes\"},\"finish_reason\":"
+        "\"stop\"}]"
         "}\n\n"
         "data: "
-        "{\"id\":\"c\",\"choices\":[],\"usage\":{\"prompt_tokens\":8,\"completion_tokens\":1}}\n\ndata: "
+        "{\"id\":\"c\",\"choices\":[],\"usage\":{\"prompt_tokens\":8,\"completion_tokens\":1}}"
+        "\n\ndata: "
         "[DONE]\n\n";
     std::array<char, 32> size{};
     std::snprintf(size.data(), size.size(), "%zx\r\n", events.size());
-    const std::string answer = std::string("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n") +
-                               "Transfer-Encoding: chunked\r\n\r\n" + size.data() + events + "\r\n0\r\n\r\n";
+    const std::string answer =
+        std::string("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n") +
+        "Transfer-Encoding: chunked\r\n\r\n" + size.data() + events + "\r\n0\r\n\r\n";
     boost::system::error_code error;
     boost::asio::streambuf buffer;
     socket.set_option(tcp::no_delay(true));
     while (!error) {
       const std::size_t head = boost::asio::read_until(socket, buffer, "\r\n\r\n", error);
-      if (error) return;
+      if (error)
+        return;
       const std::string text(static_cast<const char*>(buffer.data().data()), head);
       const std::size_t at = text.find("Content-Length: ");
       const std::size_t body = at == std::string::npos ? 0 : std::stoul(text.substr(at + 16));
       if (buffer.size() < head + body)
-        boost::asio::read(socket, buffer, boost::asio::transfer_exactly(head + body - buffer.size()), error);
+        boost::asio::read(socket, buffer,
+                          boost::asio::transfer_exactly(head + body - buffer.size()), error);
       buffer.consume(head + body);
       boost::asio::write(socket, boost::asio::buffer(answer), error);
     }
@@ -129,22 +138,30 @@
   double firstMedianUs, first99Us, cpuUs;
 };
 
-// The time from the last byte of a question to the head of its answer, which comes with the first event.
-Play play(const std::string& program, const tcp::endpoint& box, const std::string& folder,
+// The time from the last byte of a question to the head of its answer, which comes with the first
+// event.
+Play play(const std::string& program,
+          const tcp::endpoint& box,
+          const std::string& folder,
           const std::string& way) {
   const tcp::endpoint listen = freePort();
   json file = json::parse(std::ifstream("deploy/fleet.json"));
   file["listen"] = text(listen);
   file.erase("admin_addr");
-  file["boxes"] = {{{"id", "box-1"}, {"address", text(box)}, {"role", "both"}, {"cell", 0}, {"size", 1.0}}};
+  file["boxes"] = {
+      {{"id", "box-1"}, {"address", text(box)}, {"role", "both"}, {"cell", 0}, {"size", 1.0}}};
   file["settings"]["orgs"][0]["allowancePerS"] = 100'000;
   const std::string db = folder + "/store.db";
   std::filesystem::remove(db);
   file["coordination"]["store"]["path"] = db;
-  file["shared"] = {
-      {"budgets", {{"athens-club", 1'000'000'000}}}, {"ahead_s", 60}, {"slice_s", 60}, {"loan_s", 600}};
-  if (way.find("shared") == std::string::npos) file.erase("shared");
-  if (way == "off") file.erase("coordination");
+  file["shared"] = {{"budgets", {{"athens-club", 1'000'000'000}}},
+                    {"ahead_s", 60},
+                    {"slice_s", 60},
+                    {"loan_s", 600}};
+  if (way.find("shared") == std::string::npos)
+    file.erase("shared");
+  if (way == "off")
+    file.erase("coordination");
   const std::string path = folder + "/conductor.json";
   std::ofstream(path) << file.dump();
   const pid_t process = start({program, "serve", "--operator", path});
@@ -166,13 +183,16 @@
     const double first = std::chrono::duration<double, std::micro>(Clock::now() - asked).count();
     const std::string head(static_cast<const char*>(buffer.data().data()), 12);
     const std::string end = head.substr(9) == "200" ? "0\r\n\r\n" : "}}";
-    if (head.substr(9) == "200") boost::asio::read_until(client, buffer, "\r\n0\r\n\r\n");
-    else boost::asio::read_until(client, buffer, "}}");
+    if (head.substr(9) == "200")
+      boost::asio::read_until(client, buffer, "\r\n0\r\n\r\n");
+    else
+      boost::asio::read_until(client, buffer, "}}");
     return head.substr(9) == "200" ? first : -1;
   };
   // With a budget the first questions wait for a loan, and for one that follows their pace.
   int before = 0;
-  for (int well = 0; well < kWarm; ++before) well = question() >= 0 ? well + 1 : 0;
+  for (int well = 0; well < kWarm; ++before)
+    well = question() >= 0 ? well + 1 : 0;
   if (way.find("stalled") != std::string::npos) {
     sqlite3_open(db.c_str(), &lock);
     sqlite3_busy_timeout(lock, 10'000);
@@ -181,22 +201,28 @@
   int refused = 0;
   for (int i = 0; i < kQuestions; ++i) {
     const double first = question();
-    if (first >= 0) firsts.push_back(first);
-    else ++refused;
+    if (first >= 0)
+      firsts.push_back(first);
+    else
+      ++refused;
   }
-  if (refused > 0) std::cerr << way << ": " << refused << " refused\n";
-  if (lock != nullptr) sqlite3_close(lock);
+  if (refused > 0)
+    std::cerr << way << ": " << refused << " refused\n";
+  if (lock != nullptr)
+    sqlite3_close(lock);
   const double cpu = stop(process);
   std::sort(firsts.begin(), firsts.end());
-  if (firsts.empty()) throw std::runtime_error(way + ": nothing was answered");
-  return {firsts[firsts.size() / 2], firsts[firsts.size() * 99 / 100], cpu * 1e6 / (kQuestions + before)};
+  if (firsts.empty())
+    throw std::runtime_error(way + ": nothing was answered");
+  return {firsts[firsts.size() / 2], firsts[firsts.size() * 99 / 100],
+          cpu * 1e6 / (kQuestions + before)};
 }
 
 std::string spread(std::vector<double> values) {
   std::sort(values.begin(), values.end());
   std::array<char, 64> line{};
-  std::snprintf(line.data(), line.size(), "%8.0f (%.0f to %.0f)", values[values.size() / 2], values.front(),
-                values.back());
+  std::snprintf(line.data(), line.size(), "%8.0f (%.0f to %.0f)", values[values.size() / 2],
+                values.front(), values.back());
   return line.data();
 }
 
@@ -207,15 +233,18 @@
     std::cerr << "usage: sharing_cost ROUNDS PROGRAM, from the project's root\n";
     return 2;
   }
-  std::string folder = (std::filesystem::temp_directory_path() / "dahliastall-cost-XXXXXX").string();
-  if (::mkdtemp(folder.data()) == nullptr) return 1;
+  std::string folder =
+      (std::filesystem::temp_directory_path() / "dahliastall-cost-XXXXXX").string();
+  if (::mkdtemp(folder.data()) == nullptr)
+    return 1;
   std::vector<std::string> ways{"off", "leases", "leases, stalled", "shared", "shared, stalled"};
   std::map<std::string, std::vector<Play>> plays;
   InstantBox box;
   std::mt19937 random(1);
   for (int round = 0; round < std::atoi(argv[1]); ++round) {
     std::shuffle(ways.begin(), ways.end(), random);
-    for (const std::string& way : ways) plays[way].push_back(play(argv[2], box.address(), folder, way));
+    for (const std::string& way : ways)
+      plays[way].push_back(play(argv[2], box.address(), folder, way));
   }
   std::printf("%-18s %-26s %-26s %s\n", "way", "first event, median us", "99th percentile us",
               "processor us a request");
--- a/example/toy_box.cpp
+++ b/example/toy_box.cpp
@@ -1,5 +1,5 @@
-// A toy model box: answers each chat request with a few streamed words. For trying the conductor, nothing
-// else.
+// A toy model box: answers each chat request with a few streamed words. For trying the conductor,
+// nothing else.
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/signal_set.hpp>
 #include <csignal>
@@ -24,7 +24,8 @@
           {"object", "chat.completion.chunk"},
           {"created", 0},
           {"model", model},
-          {"choices", {{{"index", 0}, {"delta", std::move(delta)}, {"finish_reason", std::move(finish)}}}}};
+          {"choices",
+           {{{"index", 0}, {"delta", std::move(delta)}, {"finish_reason", std::move(finish)}}}}};
 }
 
 class ToyBox final : public net::RequestHandler {
@@ -32,12 +33,15 @@
   ToyBox(std::string name, const core::Clock& clock, core::Deadlines& deadlines)
       : name_(std::move(name)), clock_(clock), deadlines_(deadlines) {}
 
-  void request(const std::shared_ptr<net::ClientConnection>& connection, net::HttpRequest&& request,
+  void request(const std::shared_ptr<net::ClientConnection>& connection,
+               net::HttpRequest&& request,
                double) override {
     std::cout << name_ << ": " << request.method_string() << ' ' << request.target() << std::endl;
-    if (request.method_string() == "DELETE") return connection->answer(204, {}, "");
+    if (request.method_string() == "DELETE")
+      return connection->answer(204, {}, "");
     const json body = json::parse(request.body(), nullptr, /*allow_exceptions=*/false);
-    if (!body.is_object() || !body.contains("messages")) return connection->answer(404, {}, "");
+    if (!body.is_object() || !body.contains("messages"))
+      return connection->answer(404, {}, "");
     connection->beginStream({{"Content-Type", "text/event-stream"}});
     word(connection, body.value("model", ""), 0);
   }
@@ -48,9 +52,11 @@
   }
 
  private:
-  void word(const std::shared_ptr<net::ClientConnection>& connection, const std::string& model,
+  void word(const std::shared_ptr<net::ClientConnection>& connection,
+            const std::string& model,
             std::size_t index) {
-    if (connection->state() != net::ClientConnection::State::kStreaming) return;
+    if (connection->state() != net::ClientConnection::State::kStreaming)
+      return;
     if (index < std::size(kWords)) {
       say(*connection, chunkOf(model, {{"content", kWords[index]}}, nullptr));
       deadlines_.add(clock_.nowMs() + kWordEveryMs,
--- a/include/leverrelay/router.h
+++ b/include/leverrelay/router.h
@@ -53,7 +53,8 @@
 enum class Discovery { kPush, kAsk };
 enum class Reports { kNone, kInline, kProbed };
 
-// ---- Settings ------------------------------------------------------------------------------------
+// ---- Settings
+// ------------------------------------------------------------------------------------
 
 struct ClassSettings {
   Effect effect;
@@ -140,7 +141,8 @@
 // Why settings cannot be used, in plain words; nothing if they can.
 std::optional<std::string> problemWith(const Settings& settings);
 
-// ---- Events --------------------------------------------------------------------------------------
+// ---- Events
+// --------------------------------------------------------------------------------------
 
 struct LoadReport {                     // what an engine said of itself, somewhat old and not exact
   std::optional<double> held;           // requests in hand, waiting states too
@@ -211,9 +213,9 @@
   bool doubtful = false;  // on kFull: the refusal may have been meant for an earlier request
 };
 
-// Whether an outcome proves that its attempt never ran: its connection did not come up, nothing of it went
-// out, or its instance turned it away. A refusal that may have been meant for an earlier request proves
-// nothing.
+// Whether an outcome proves that its attempt never ran: its connection did not come up, nothing of
+// it went out, or its instance turned it away. A refusal that may have been meant for an earlier
+// request proves nothing.
 constexpr bool provesNoRun(Outcome outcome, bool doubtful) {
   return outcome == Outcome::kNoConnection || outcome == Outcome::kNotSent ||
          (outcome == Outcome::kFull && !doubtful);
@@ -257,17 +259,28 @@
   EngineId engine;
 };  // a stream that another process of this node began; its attempt is number 0
 
-using Event = std::variant<ListNews, Arrival, StreamOpened, AttemptEnded, PlaceNote, ProbeEnded, PeerMessage,
-                           AlarmRang, Lapsed, Stopping, StreamAdopted>;
-
-// ---- Actions -------------------------------------------------------------------------------------
+using Event = std::variant<ListNews,
+                           Arrival,
+                           StreamOpened,
+                           AttemptEnded,
+                           PlaceNote,
+                           ProbeEnded,
+                           PeerMessage,
+                           AlarmRang,
+                           Lapsed,
+                           Stopping,
+                           StreamAdopted>;
+
+// ---- Actions
+// -------------------------------------------------------------------------------------
 
 struct Send {
   RequestId request;
   EngineId engine;
   Time until;
-  Time before = Time::max();  // nothing of it goes out from then on: a repeat might not be discarded
-};                            // attempts count from 0
+  Time before =
+      Time::max();  // nothing of it goes out from then on: a repeat might not be discarded
+};                  // attempts count from 0
 struct HoldPlace {
   RequestId request;
   EngineId engine;
@@ -305,14 +318,26 @@
   std::string text;
 };
 
-using Action = std::variant<Send, HoldPlace, Release, Refuse, Fail, Cancel, MoveStream, SetAlarm, Probe,
-                            TellPeers, Subscribe, FetchList, Log>;
-
-// ---- The router ----------------------------------------------------------------------------------
+using Action = std::variant<Send,
+                            HoldPlace,
+                            Release,
+                            Refuse,
+                            Fail,
+                            Cancel,
+                            MoveStream,
+                            SetAlarm,
+                            Probe,
+                            TellPeers,
+                            Subscribe,
+                            FetchList,
+                            Log>;
+
+// ---- The router
+// ----------------------------------------------------------------------------------
 
 // Settings that problemWith() names give a Router that fails every arrival at once and says why in
-// its log, and so is an arrival of an unknown class. Entries of an unknown kind are left out of the list;
-// an arrival of a known id, and any event for an id that is not held, are passed over.
+// its log, and so is an arrival of an unknown class. Entries of an unknown kind are left out of the
+// list; an arrival of a known id, and any event for an id that is not held, are passed over.
 class Router {
  public:
   Router(const Settings& settings, std::uint64_t seed);
--- a/soak/client.cpp
+++ b/soak/client.cpp
@@ -27,11 +27,15 @@
     view().whole = tail_.find("data: [DONE]") != std::string::npos;
     client_.over(id_, /*resend=*/false);
   }
-  // A connection that rests may end as the next request crosses its end: that one is sent once more.
+  // A connection that rests may end as the next request crosses its end: that one is sent once
+  // more.
   void failed(net::CallFailure) override {
-    if (view().status != 0) view().answeredMs = client_.environment_.clock.nowMs();
-    const bool crossed = view().status == 0 && !client_.resent_ && !(client_.call_ && client_.call_->first());
-    if (!written_ && !crossed) view().undecided = true;  // nobody has taken it
+    if (view().status != 0)
+      view().answeredMs = client_.environment_.clock.nowMs();
+    const bool crossed =
+        view().status == 0 && !client_.resent_ && !(client_.call_ && client_.call_->first());
+    if (!written_ && !crossed)
+      view().undecided = true;  // nobody has taken it
     client_.over(id_, crossed);
   }
 
@@ -42,13 +46,19 @@
   bool written_ = false;
 };
 
-Client::Client(Environment& environment, int conductor, int number, const net::Endpoint& to,
+Client::Client(Environment& environment,
+               int conductor,
+               int number,
+               const net::Endpoint& to,
                double longestDeadlineMs)
     : environment_(environment),
       conductor_(conductor),
       number_(number),
       to_(to),
-      pool_(environment.io, environment.clock, environment.deadlines, environment.counters,
+      pool_(environment.io,
+            environment.clock,
+            environment.deadlines,
+            environment.counters,
             {2, kClientDialMs, kClientIdleMs}),
       longestDeadlineMs_(longestDeadlineMs) {}
 
@@ -57,8 +67,10 @@
 }
 
 void Client::send() {
-  if (stopped_) return;
-  if (paused_ || (onlyOpen_ && !pool_.hasIdle(to_))) return start();
+  if (stopped_)
+    return;
+  if (paused_ || (onlyOpen_ && !pool_.hasIdle(to_)))
+    return start();
   const std::string id =
       std::to_string(conductor_) + "-" + std::to_string(number_) + "-" + std::to_string(++sent_);
   ClientView& view = environment_.ledger.of(id);
@@ -68,9 +80,11 @@
   view.sentMs = environment_.clock.nowMs();
   resent_ = false;
   open(id);
-  if (environment_.drawn(0, 1) >= kLeaverShare) return;
+  if (environment_.drawn(0, 1) >= kLeaverShare)
+    return;
   environment_.after(environment_.drawn(2, 400), [this, id] {
-    if (!call_ || id_ != id) return;
+    if (!call_ || id_ != id)
+      return;
     environment_.ledger.of(id).goneMs = environment_.clock.nowMs();
     call_->abandon();
     over(id, false);
@@ -80,27 +94,29 @@
 void Client::open(const std::string& id) {
   id_ = id;
   const std::string body = R"({"model":"m","stream":true,"messages":[]})";
-  const std::string head =
-      net::headText("POST /v1/chat/completions HTTP/1.1",
-                    {{"Host", "soak"},
-                     {"X-Call-Id", id},
-                     {"X-Call-Class", environment_.ledger.of(id).atMostOnce ? "change" : "ask"},
-                     {"X-Caller", "club"},
-                     {"X-Route-Hash", std::to_string(number_)},
-                     {"X-Budget-Ms", std::to_string(static_cast<long>(environment_.ledger.of(id).budgetMs))},
-                     {"X-Call-Info", "prompt_len=100,max_out=50"},
-                     {"Content-Length", std::to_string(body.size())}});
-  call_ =
-      pool_.call(to_, head, std::make_shared<const std::string>(body), std::make_shared<Exchange>(*this, id));
+  const std::string head = net::headText(
+      "POST /v1/chat/completions HTTP/1.1",
+      {{"Host", "soak"},
+       {"X-Call-Id", id},
+       {"X-Call-Class", environment_.ledger.of(id).atMostOnce ? "change" : "ask"},
+       {"X-Caller", "club"},
+       {"X-Route-Hash", std::to_string(number_)},
+       {"X-Budget-Ms", std::to_string(static_cast<long>(environment_.ledger.of(id).budgetMs))},
+       {"X-Call-Info", "prompt_len=100,max_out=50"},
+       {"Content-Length", std::to_string(body.size())}});
+  call_ = pool_.call(to_, head, std::make_shared<const std::string>(body),
+                     std::make_shared<Exchange>(*this, id));
   environment_.after(environment_.ledger.of(id).budgetMs + kPatienceMs, [this, id] {
-    if (!call_ || id_ != id) return;
+    if (!call_ || id_ != id)
+      return;
     call_->abandon();
     over(id, false);
   });
 }
 
 void Client::over(const std::string& id, bool resend) {
-  if (id_ != id) return;
+  if (id_ != id)
+    return;
   call_ = nullptr;
   if (resend) {
     resent_ = true;
--- a/soak/client.h
+++ b/soak/client.h
@@ -14,7 +14,10 @@
 /// A client of one conductor, which sends one request after the other.
 class Client {
  public:
-  Client(Environment& environment, int conductor, int number, const net::Endpoint& to,
+  Client(Environment& environment,
+         int conductor,
+         int number,
+         const net::Endpoint& to,
          double longestDeadlineMs);
   void start();
   void pause() { paused_ = true; }  ///< the front layer sends nothing there
--- a/soak/conductor_process.cpp
+++ b/soak/conductor_process.cpp
@@ -12,23 +12,27 @@
 
 namespace dahliastall::soak {
 
-ConductorProcess::ConductorProcess(Programs programs, std::string folder, net::Endpoint listen,
-                                   net::Endpoint discovery, nlohmann::json settings)
+ConductorProcess::ConductorProcess(Programs programs,
+                                   std::string folder,
+                                   net::Endpoint listen,
+                                   net::Endpoint discovery,
+                                   nlohmann::json settings)
     : programs_(std::move(programs)), folder_(std::move(folder)), listen_(std::move(listen)) {
   writeConfiguration(discovery, settings);
 }
 
 ConductorProcess::~ConductorProcess() {
-  if (!running()) return;
+  if (!running())
+    return;
   ::kill(process_, SIGKILL);
   ::waitpid(process_, nullptr, 0);
 }
 
 void ConductorProcess::writeConfiguration(const net::Endpoint& discovery,
                                           const nlohmann::json& settings) const {
-  std::ofstream(folder_ + "/config.json")
-      << nlohmann::json{{"name", "n0"}, {"listen", textOf(listen_)},    {"discovery", textOf(discovery)},
-                        {"seed", "7"},  {"limits", {{"sockets", 256}}}, {"settings", settings}};
+  std::ofstream(folder_ + "/config.json") << nlohmann::json{
+      {"name", "n0"}, {"listen", textOf(listen_)},    {"discovery", textOf(discovery)},
+      {"seed", "7"},  {"limits", {{"sockets", 256}}}, {"settings", settings}};
 }
 
 void ConductorProcess::start() {
@@ -36,16 +40,19 @@
                                      "ASAN_OPTIONS=verify_asan_link_order=0"};
   if (!rules_.empty()) {
     std::ofstream plan(folder_ + "/faults");
-    for (const std::string& rule : rules_) plan << rule << '\n';
+    for (const std::string& rule : rules_)
+      plan << rule << '\n';
     variables.push_back("LD_PRELOAD=" + programs_.faults);
     variables.push_back("SYSTEM_CALL_FAULTS=" + folder_ + "/faults");
   }
   std::vector<char*> environment;
-  for (std::string& variable : variables) environment.push_back(variable.data());
+  for (std::string& variable : variables)
+    environment.push_back(variable.data());
   environment.push_back(nullptr);
   const std::string log = folder_ + "/log";
   process_ = ::fork();
-  if (process_ != 0) return;
+  if (process_ != 0)
+    return;
   const int file = ::open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
   ::dup2(file, STDOUT_FILENO);
   ::dup2(file, STDERR_FILENO);
@@ -58,12 +65,14 @@
 }
 
 void ConductorProcess::signal(int number) const {
-  if (running()) ::kill(process_, number);
+  if (running())
+    ::kill(process_, number);
 }
 
 std::optional<int> ConductorProcess::ended() {
   int status = 0;
-  if (!running() || ::waitpid(process_, &status, WNOHANG) != process_) return std::nullopt;
+  if (!running() || ::waitpid(process_, &status, WNOHANG) != process_)
+    return std::nullopt;
   process_ = -1;
   return WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
 }
@@ -72,7 +81,8 @@
   std::vector<std::string> found;
   std::ifstream log(folder_ + "/log");
   for (std::string line; std::getline(log, line);)
-    if (line.find(text) != std::string::npos) found.push_back(line);
+    if (line.find(text) != std::string::npos)
+      found.push_back(line);
   return found;
 }
 
--- a/soak/conductor_process.h
+++ b/soak/conductor_process.h
@@ -1,4 +1,5 @@
-/// One conductor of the soak: the real program as a process, with the library of system call faults loaded.
+/// One conductor of the soak: the real program as a process, with the library of system call faults
+/// loaded.
 #pragma once
 
 #include <sys/types.h>
@@ -19,7 +20,10 @@
 class ConductorProcess {
  public:
   /// folder: its own, with its configuration, its shared files and its log.
-  ConductorProcess(Programs programs, std::string folder, net::Endpoint listen, net::Endpoint discovery,
+  ConductorProcess(Programs programs,
+                   std::string folder,
+                   net::Endpoint listen,
+                   net::Endpoint discovery,
                    nlohmann::json settings);
   ~ConductorProcess();
   ConductorProcess(const ConductorProcess&) = delete;
--- a/soak/discovery_agent.cpp
+++ b/soak/discovery_agent.cpp
@@ -13,17 +13,25 @@
 
 Agent::Agent(Environment& environment, const net::Endpoint& address)
     : environment_(environment),
-      listener_(environment.io, address, kConnections, *this, environment.clock, environment.deadlines,
+      listener_(environment.io,
+                address,
+                kConnections,
+                *this,
+                environment.clock,
+                environment.deadlines,
                 environment.counters) {
   beat();
 }
 
 void Agent::beat() {
-  for (const auto& watch : watches_) watch->pass("\n");
+  for (const auto& watch : watches_)
+    watch->pass("\n");
   environment_.after(kHeartbeatMs, [this] { beat(); });
 }
 
-void Agent::request(const std::shared_ptr<net::ClientConnection>& connection, net::HttpRequest&&, double) {
+void Agent::request(const std::shared_ptr<net::ClientConnection>& connection,
+                    net::HttpRequest&&,
+                    double) {
   if (down_) {
     waiting_.insert(connection);
     return;
@@ -45,13 +53,16 @@
 
 void Agent::list(std::string whole, const std::string& changes) {
   whole_ = std::move(whole);
-  if (changes.empty()) return;
-  for (const auto& watch : watches_) watch->pass(changes);
+  if (changes.empty())
+    return;
+  for (const auto& watch : watches_)
+    watch->pass(changes);
 }
 
 void Agent::down(double forMs) {
   down_ = true;
-  for (const auto& watch : std::exchange(watches_, {})) watch->breakOff();
+  for (const auto& watch : std::exchange(watches_, {}))
+    watch->breakOff();
   environment_.after(forMs, [this] {
     down_ = false;
     for (const auto& connection : std::exchange(waiting_, {})) {
--- a/soak/discovery_agent.h
+++ b/soak/discovery_agent.h
@@ -15,7 +15,8 @@
 class Agent final : public net::RequestHandler {
  public:
   Agent(Environment& environment, const net::Endpoint& address);
-  void request(const std::shared_ptr<net::ClientConnection>& connection, net::HttpRequest&& request,
+  void request(const std::shared_ptr<net::ClientConnection>& connection,
+               net::HttpRequest&& request,
                double arrivedMs) override;
   void gone(net::ClientConnection& connection) override;
   void drained(net::ClientConnection&) override {}
--- a/soak/environment.h
+++ b/soak/environment.h
@@ -21,8 +21,12 @@
   Ledger& ledger;
   std::mt19937_64 random;
 
-  double drawn(double least, double most) { return std::uniform_real_distribution<>(least, most)(random); }
-  void after(double ms, core::Deadlines::Task task) { deadlines.add(clock.nowMs() + ms, std::move(task)); }
+  double drawn(double least, double most) {
+    return std::uniform_real_distribution<>(least, most)(random);
+  }
+  void after(double ms, core::Deadlines::Task task) {
+    deadlines.add(clock.nowMs() + ms, std::move(task));
+  }
 };
 
 }  // namespace dahliastall::soak
--- a/soak/held_ledger.cpp
+++ b/soak/held_ledger.cpp
@@ -6,11 +6,15 @@
 
 namespace {
 
-std::string wholeMs(double ms) { return std::to_string(static_cast<long>(ms)); }
+std::string wholeMs(double ms) {
+  return std::to_string(static_cast<long>(ms));
+}
 
 }  // namespace
 
-HeldLedger::Entry& HeldLedger::note(const std::string& request, const char* what, int instance,
+HeldLedger::Entry& HeldLedger::note(const std::string& request,
+                                    const char* what,
+                                    int instance,
                                     double nowMs) {
   Entry& entry = requests_[request];
   measure(entry, nowMs);
@@ -19,7 +23,8 @@
 }
 
 void HeldLedger::measure(const Entry& entry, double nowMs) {
-  if (uncovered(entry)) longestMs_ = std::max(longestMs_, nowMs - entry.sinceMs);
+  if (uncovered(entry))
+    longestMs_ = std::max(longestMs_, nowMs - entry.sinceMs);
 }
 
 void HeldLedger::prefillArrived(const std::string& request, int instance, double nowMs) {
@@ -42,12 +47,16 @@
 }
 
 void HeldLedger::hold(const std::string& request, Kind kind, int instance, double nowMs) {
-  Entry& entry = note(request, kind == Kind::kState ? "state held" : "reservation held", instance, nowMs);
-  if (entry.held.empty()) entry.sinceMs = std::max(entry.sinceMs, nowMs);
+  Entry& entry =
+      note(request, kind == Kind::kState ? "state held" : "reservation held", instance, nowMs);
+  if (entry.held.empty())
+    entry.sinceMs = std::max(entry.sinceMs, nowMs);
   entry.held[kind] = instance;
 }
 
-void HeldLedger::drop(const std::string& request, Kind kind) { requests_[request].held.erase(kind); }
+void HeldLedger::drop(const std::string& request, Kind kind) {
+  requests_[request].held.erase(kind);
+}
 
 void HeldLedger::take(const std::string& request, int instance, double nowMs) {
   note(request, "taken", instance, nowMs).held.clear();
@@ -75,10 +84,12 @@
   std::vector<Break> found;
   for (auto& [request, entry] : requests_) {
     measure(entry, nowMs);
-    if (entry.reported || !uncovered(entry) || nowMs - entry.sinceMs <= limitMs_) continue;
+    if (entry.reported || !uncovered(entry) || nowMs - entry.sinceMs <= limitMs_)
+      continue;
     entry.reported = true;
     std::string detail = "held for over " + wholeMs(limitMs_) + " ms with no attempt out:";
-    for (const std::string& line : entry.history) detail += " [" + line + "]";
+    for (const std::string& line : entry.history)
+      detail += " [" + line + "]";
     found.push_back({"held", request, std::move(detail)});
   }
   return found;
--- a/soak/held_ledger.h
+++ b/soak/held_ledger.h
@@ -1,5 +1,6 @@
-/// What the emulated instances hold for requests, and the rule on it: while no attempt of a request is out at
-/// a running instance, a prefilled state or a reservation is taken or released within a time limit.
+/// What the emulated instances hold for requests, and the rule on it: while no attempt of a request
+/// is out at a running instance, a prefilled state or a reservation is taken or released within a
+/// time limit.
 #pragma once
 
 #include <functional>
@@ -45,7 +46,8 @@
     std::map<Kind, int> held;  ///< and the instance that holds it
     int out = 0;
     bool prefillArrived = false;
-    double sinceMs = 0;  ///< the last end of an attempt, call for a reservation or begin of what is held
+    double sinceMs =
+        0;  ///< the last end of an attempt, call for a reservation or begin of what is held
     bool reported = false;
     std::vector<std::string> history;
   };
--- a/soak/idle_clients.cpp
+++ b/soak/idle_clients.cpp
@@ -12,40 +12,48 @@
 
 IdleClients::IdleClients(Environment& environment, const net::Endpoint& to, int count)
     : environment_(environment), to_(to) {
-  for (int i = 0; i < count; ++i) connections_.push_back(std::make_shared<Connection>(environment.io));
+  for (int i = 0; i < count; ++i)
+    connections_.push_back(std::make_shared<Connection>(environment.io));
 }
 
 void IdleClients::start() {
   for (const auto& connection : connections_)
-    environment_.after(environment_.drawn(0, kAgainMs), [this, connection] { connect(connection); });
+    environment_.after(environment_.drawn(0, kAgainMs),
+                       [this, connection] { connect(connection); });
 }
 
 void IdleClients::stop() {
   stopped_ = true;
   boost::system::error_code ignored;
-  for (const auto& connection : connections_) connection->socket.close(ignored);
+  for (const auto& connection : connections_)
+    connection->socket.close(ignored);
 }
 
 void IdleClients::connect(const std::shared_ptr<Connection>& connection) {
-  if (stopped_) return;
+  if (stopped_)
+    return;
   connection->socket.async_connect(to_, [this, connection](const boost::system::error_code& error) {
-    if (error) return connectAgain(connection);
+    if (error)
+      return connectAgain(connection);
     read(connection);
   });
 }
 
 void IdleClients::read(const std::shared_ptr<Connection>& connection) {
-  connection->socket.async_read_some(boost::asio::buffer(connection->received),
-                                     [this, connection](const boost::system::error_code& error, std::size_t) {
-                                       if (error) return connectAgain(connection);
-                                       read(connection);
-                                     });
+  connection->socket.async_read_some(
+      boost::asio::buffer(connection->received),
+      [this, connection](const boost::system::error_code& error, std::size_t) {
+        if (error)
+          return connectAgain(connection);
+        read(connection);
+      });
 }
 
 void IdleClients::connectAgain(const std::shared_ptr<Connection>& connection) {
   boost::system::error_code ignored;
   connection->socket.close(ignored);
-  if (stopped_) return;
+  if (stopped_)
+    return;
   environment_.after(kAgainMs, [this, connection] { connect(connection); });
 }
 
--- a/soak/idle_clients.h
+++ b/soak/idle_clients.h
@@ -1,4 +1,5 @@
-/// A crowd of clients that connect to one conductor, send nothing and connect again once they are sent away.
+/// A crowd of clients that connect to one conductor, send nothing and connect again once they are
+/// sent away.
 #pragma once
 
 #include <array>
--- a/soak/instance.cpp
+++ b/soak/instance.cpp
@@ -9,14 +9,15 @@
 
 constexpr std::size_t kConnections = 4'000;
 constexpr int kEvents = 4;
-constexpr double kSilentShare = 0.3;    // of the connections of an instance that loses messages
-constexpr double kUnknownMs = 300;      // until a reservation is answered whose prefill is not known
+constexpr double kSilentShare = 0.3;  // of the connections of an instance that loses messages
+constexpr double kUnknownMs = 300;    // until a reservation is answered whose prefill is not known
 constexpr double kRefusedShare = 0.05;  // of reservations
 constexpr double kLongShare = 0.3;      // of prefills
 const std::string kRoomsPath = "/bootstrap/rooms/";
 
 const std::string kEvent =
-    "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"word\"},\"finish_reason\":null}]}\n\n";
+    "data: "
+    "{\"choices\":[{\"index\":0,\"delta\":{\"content\":\"word\"},\"finish_reason\":null}]}\n\n";
 const std::string kLastEvents =
     "data: {\"choices\":[{\"index\":0,\"delta\":{},\"finish_reason\":\"stop\"}]}\n\n"
     "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":8,\"completion_tokens\":4,"
@@ -25,15 +26,25 @@
 
 }  // namespace
 
-Instance::Instance(Environment& environment, HeldLedger& held, ReservationRule rule, int number,
-                   std::string kind, const net::Endpoint& address, DrainTold drainTold)
+Instance::Instance(Environment& environment,
+                   HeldLedger& held,
+                   ReservationRule rule,
+                   int number,
+                   std::string kind,
+                   const net::Endpoint& address,
+                   DrainTold drainTold)
     : environment_(environment),
       held_(held),
       rule_(rule),
       number_(number),
       kind_(std::move(kind)),
       drainTold_(std::move(drainTold)),
-      listener_(environment.io, address, kConnections, *this, environment.clock, environment.deadlines,
+      listener_(environment.io,
+                address,
+                kConnections,
+                *this,
+                environment.clock,
+                environment.deadlines,
                 environment.counters) {}
 
 void Instance::behave(Behaviour behaviour, double forMs) {
@@ -45,32 +56,41 @@
 }
 
 void Instance::readLate() {
-  for (const Call& call : std::exchange(unread_, {})) read(call);
+  for (const Call& call : std::exchange(unread_, {}))
+    read(call);
 }
 
-void Instance::request(const std::shared_ptr<net::ClientConnection>& connection, net::HttpRequest&& request,
+void Instance::request(const std::shared_ptr<net::ClientConnection>& connection,
+                       net::HttpRequest&& request,
                        double arrivedMs) {
   Call call{connection, std::move(request), arrivedMs};
-  if (behaviour_ != Behaviour::kReadsNothing) return read(call);
+  if (behaviour_ != Behaviour::kReadsNothing)
+    return read(call);
   if (kind_ == "reader" && std::string(call.request.target()).rfind(kRoomsPath, 0) != 0)
     held_.prefillArrived(std::string(call.request["X-Call-Id"]), number_, now());
   unread_.push_back(std::move(call));
 }
 
 Instance::Silence Instance::silenceOf(const net::ClientConnection* connection) {
-  const bool loses = behaviour_ == Behaviour::kLosesAnswers || behaviour_ == Behaviour::kLosesRequests;
+  const bool loses =
+      behaviour_ == Behaviour::kLosesAnswers || behaviour_ == Behaviour::kLosesRequests;
   const auto it = silence_.find(connection);
-  if (!loses) return it == silence_.end() ? Silence::kNone : it->second;
-  if (it != silence_.end()) return it->second;
+  if (!loses)
+    return it == silence_.end() ? Silence::kNone : it->second;
+  if (it != silence_.end())
+    return it->second;
   const Silence silence = environment_.drawn(0, 1) >= kSilentShare ? Silence::kNone
                           : behaviour_ == Behaviour::kLosesAnswers ? Silence::kAnswers
                                                                    : Silence::kBoth;
   return silence_[connection] = silence;
 }
 
-void Instance::answer(const Connection& connection, unsigned status, const net::Fields& fields,
+void Instance::answer(const Connection& connection,
+                      unsigned status,
+                      const net::Fields& fields,
                       const std::string& body) {
-  if (silenceOf(connection.get()) != Silence::kNone) return;
+  if (silenceOf(connection.get()) != Silence::kNone)
+    return;
   if (connection->state() == net::ClientConnection::State::kAnswering)
     connection->answer(status, fields, body);
 }
@@ -78,11 +98,15 @@
 void Instance::read(const Call& call) {
   const bool swallowed = silenceOf(call.connection.get()) == Silence::kBoth;
   const std::string target(call.request.target());
-  if (target.rfind(kRoomsPath, 0) != 0) return attempt(call, swallowed);
-  if (swallowed || behaviour_ == Behaviour::kHangs) return;
+  if (target.rfind(kRoomsPath, 0) != 0)
+    return attempt(call, swallowed);
+  if (swallowed || behaviour_ == Behaviour::kHangs)
+    return;
   const std::string request = target.substr(kRoomsPath.size());
-  if (call.request.method_string() == "DELETE") release(call.connection, request);
-  else reserve(call.connection, request);
+  if (call.request.method_string() == "DELETE")
+    release(call.connection, request);
+  else
+    reserve(call.connection, request);
 }
 
 void Instance::release(const Connection& connection, const std::string& request) {
@@ -90,16 +114,20 @@
   answer(connection, 204, {}, "");
 }
 
-// One reservation for each request: a further one replaces it. What is not known is held all the same.
+// One reservation for each request: a further one replaces it. What is not known is held all the
+// same.
 void Instance::reserve(const Connection& connection, const std::string& request) {
-  if (kind_ == "reader") return answer(connection, 404, {}, "");
+  if (kind_ == "reader")
+    return answer(connection, 404, {}, "");
   held_.reservationArrived(request, number_, now());
   held_.drop(request, HeldLedger::Kind::kReservation);
-  const bool known =
-      rule_ == ReservationRule::kByArrival ? held_.prefillHasArrived(request) : held_.attemptIsOut(request);
-  if (known && environment_.drawn(0, 1) < kRefusedShare) return answer(connection, 409, {}, "");
+  const bool known = rule_ == ReservationRule::kByArrival ? held_.prefillHasArrived(request)
+                                                          : held_.attemptIsOut(request);
+  if (known && environment_.drawn(0, 1) < kRefusedShare)
+    return answer(connection, 409, {}, "");
   held_.hold(request, HeldLedger::Kind::kReservation, number_, now());
-  if (known) return answer(connection, 200, {}, "");
+  if (known)
+    return answer(connection, 200, {}, "");
   environment_.after(kUnknownMs, [this, connection] { answer(connection, 204, {}, ""); });
 }
 
@@ -115,17 +143,22 @@
                            .rejected = behaviour_ == Behaviour::kRejects,
                            .reads = reads,
                            .drainToldMs = drainTold_(view.conductor, number_)});
-  if (reads) held_.prefillArrived(id, number_, now());
-  if (swallowed || call.connection->state() != net::ClientConnection::State::kAnswering) return;
+  if (reads)
+    held_.prefillArrived(id, number_, now());
+  if (swallowed || call.connection->state() != net::ClientConnection::State::kAnswering)
+    return;
   held_.attemptBegan(id, number_, now());
   running_[call.connection.get()] = {id, reads};
-  if (behaviour_ == Behaviour::kHangs) return;
+  if (behaviour_ == Behaviour::kHangs)
+    return;
   if (behaviour_ == Behaviour::kRejects || behaviour_ == Behaviour::kResets) {
     end(call.connection.get());
-    if (behaviour_ == Behaviour::kResets) return call.connection->breakOff();
+    if (behaviour_ == Behaviour::kResets)
+      return call.connection->breakOff();
     return answer(call.connection, 503, {{"X-Rejected", "1"}}, "");
   }
-  if (reads) return prefill(call.connection, id);
+  if (reads)
+    return prefill(call.connection, id);
   held_.take(id, number_, now());
   decode(call.connection, id);
 }
@@ -134,7 +167,8 @@
   const bool isLong = environment_.drawn(0, 1) < kLongShare;
   environment_.after(environment_.drawn(5, isLong ? 1'200 : 150), [this, connection, request] {
     const auto it = running_.find(connection.get());
-    if (it == running_.end() || it->second.request != request) return;
+    if (it == running_.end() || it->second.request != request)
+      return;
     end(connection.get());
     held_.hold(request, HeldLedger::Kind::kState, number_, now());
     answer(connection, 202, {{"Content-Type", "application/json"}}, "{\"cached_tokens\":0}");
@@ -144,8 +178,10 @@
 void Instance::decode(const Connection& connection, const std::string& request) {
   environment_.after(environment_.drawn(5, 150), [this, connection, request] {
     const auto it = running_.find(connection.get());
-    if (it == running_.end() || it->second.request != request) return;
-    if (silenceOf(connection.get()) != Silence::kNone) return;
+    if (it == running_.end() || it->second.request != request)
+      return;
+    if (silenceOf(connection.get()) != Silence::kNone)
+      return;
     held_.take(request, number_, now());  // the first event releases the rest
     connection->beginStream({{"Content-Type", "text/event-stream"}});
     stream(connection, kEvents);
@@ -153,19 +189,23 @@
 }
 
 void Instance::stream(const Connection& connection, int left) {
-  if (connection->state() != net::ClientConnection::State::kStreaming) return;
-  if (silenceOf(connection.get()) != Silence::kNone) return;
+  if (connection->state() != net::ClientConnection::State::kStreaming)
+    return;
+  if (silenceOf(connection.get()) != Silence::kNone)
+    return;
   connection->pass(left > 0 ? kEvent : kLastEvents);
   if (left == 0) {
     end(connection.get());
     return connection->endStream();
   }
-  environment_.after(environment_.drawn(5, 40), [this, connection, left] { stream(connection, left - 1); });
+  environment_.after(environment_.drawn(5, 40),
+                     [this, connection, left] { stream(connection, left - 1); });
 }
 
 void Instance::end(const net::ClientConnection* connection) {
   const auto it = running_.find(connection);
-  if (it == running_.end()) return;
+  if (it == running_.end())
+    return;
   held_.attemptEnded(it->second.request, number_, now());
   running_.erase(it);
 }
@@ -176,7 +216,8 @@
 }
 
 void Instance::reject(net::ClientConnection& connection, unsigned status, std::string_view why) {
-  environment_.ledger.breaks("malformed", "an instance got what is no request: " + std::string(why));
+  environment_.ledger.breaks("malformed",
+                             "an instance got what is no request: " + std::string(why));
   connection.answer(status, {}, "");
 }
 
--- a/soak/instance.h
+++ b/soak/instance.h
@@ -21,7 +21,8 @@
   kResets,
   kRejects,
   kReadsNothing,   ///< a process that is stopped: what arrives is read once it goes on
-  kLosesAnswers,   ///< some connections carry no answer any more, from some moment on until they close
+  kLosesAnswers,   ///< some connections carry no answer any more, from some moment on until they
+                   ///< close
   kLosesRequests,  ///< some connections carry nothing any more in either direction
 };
 
@@ -36,9 +37,15 @@
 
 class Instance final : public net::RequestHandler {
  public:
-  Instance(Environment& environment, HeldLedger& held, ReservationRule rule, int number, std::string kind,
-           const net::Endpoint& address, DrainTold drainTold);
-  void request(const std::shared_ptr<net::ClientConnection>& connection, net::HttpRequest&& request,
+  Instance(Environment& environment,
+           HeldLedger& held,
+           ReservationRule rule,
+           int number,
+           std::string kind,
+           const net::Endpoint& address,
+           DrainTold drainTold);
+  void request(const std::shared_ptr<net::ClientConnection>& connection,
+               net::HttpRequest&& request,
                double arrivedMs) override;
   void gone(net::ClientConnection& connection) override;
   void drained(net::ClientConnection&) override {}
@@ -71,7 +78,9 @@
   void stream(const Connection& connection, int left);
   void end(const net::ClientConnection* connection);
   Silence silenceOf(const net::ClientConnection* connection);
-  void answer(const Connection& connection, unsigned status, const net::Fields& fields,
+  void answer(const Connection& connection,
+              unsigned status,
+              const net::Fields& fields,
               const std::string& body);
   double now() const { return environment_.clock.nowMs(); }
 
--- a/soak/ledger.cpp
+++ b/soak/ledger.cpp
@@ -6,12 +6,15 @@
 
 namespace {
 
-constexpr double kGoneSlackMs = 150;  // 100 ms are allowed, and the way and this machine's load count here
+constexpr double kGoneSlackMs =
+    150;  // 100 ms are allowed, and the way and this machine's load count here
 constexpr double kBudgetSlackMs = 150;
 constexpr double kAnswerSlackMs = 600;  // after the request's time
 constexpr double kDrainSlackMs = 50;
 
-std::string number(double value) { return std::to_string(static_cast<long>(value)); }
+std::string number(double value) {
+  return std::to_string(static_cast<long>(value));
+}
 
 }  // namespace
 
@@ -21,17 +24,21 @@
     const auto add = [&, request = id](const char* rule, const std::string& detail) {
       found.push_back({rule, request, detail + ", conductor " + std::to_string(view.conductor)});
     };
-    const auto ran = std::count_if(view.arrivals.begin(), view.arrivals.end(), [](const Arrival& arrival) {
-      return !arrival.rejected && !arrival.reads;
-    });
-    if (view.atMostOnce && ran > 1) add("duplicate", std::to_string(ran) + " attempts may have run");
+    const auto ran =
+        std::count_if(view.arrivals.begin(), view.arrivals.end(),
+                      [](const Arrival& arrival) { return !arrival.rejected && !arrival.reads; });
+    if (view.atMostOnce && ran > 1)
+      add("duplicate", std::to_string(ran) + " attempts may have run");
     const bool refused = view.status == 429 || view.status == 503;
-    if (view.atMostOnce && refused && ran > 0) add("refused", "refused after an attempt that may have run");
+    if (view.atMostOnce && refused && ran > 0)
+      add("refused", "refused after an attempt that may have run");
     const bool owed = !view.goneMs && !view.undecided;
-    if (owed && !view.answeredMs) add("lost", "no answer to a client that stayed");
+    if (owed && !view.answeredMs)
+      add("lost", "no answer to a client that stayed");
     if (owed && view.answeredMs && view.status != 200 &&
         *view.answeredMs > view.sentMs + view.budgetMs + kAnswerSlackMs)
-      add("lost", "answered " + number(*view.answeredMs - view.sentMs - view.budgetMs) + " ms late");
+      add("lost",
+          "answered " + number(*view.answeredMs - view.sentMs - view.budgetMs) + " ms late");
     for (const Arrival& arrival : view.arrivals) {
       if (view.goneMs && arrival.atMs > *view.goneMs + kGoneSlackMs)
         add("gone", "begun " + number(arrival.atMs - *view.goneMs) + " ms after the client left, " +
@@ -41,21 +48,23 @@
       if (arrival.budgetMs > std::max(0.0, leftMs) + kBudgetSlackMs)
         add("deadline", "told " + number(arrival.budgetMs) + " of " + number(leftMs) + " ms");
       if (arrival.drainToldMs && arrival.atMs > *arrival.drainToldMs + drainGraceMs + kDrainSlackMs)
-        add("drain", "sent " + number(arrival.atMs - *arrival.drainToldMs) + " ms after it was told");
+        add("drain",
+            "sent " + number(arrival.atMs - *arrival.drainToldMs) + " ms after it was told");
     }
   }
   return found;
 }
 
 std::size_t Ledger::undecided() const {
-  return static_cast<std::size_t>(std::count_if(requests_.begin(), requests_.end(),
-                                                [](const auto& entry) { return entry.second.undecided; }));
+  return static_cast<std::size_t>(
+      std::count_if(requests_.begin(), requests_.end(),
+                    [](const auto& entry) { return entry.second.undecided; }));
 }
 
 std::size_t Ledger::served() const {
-  return static_cast<std::size_t>(std::count_if(requests_.begin(), requests_.end(), [](const auto& entry) {
-    return entry.second.status == 200 && entry.second.whole;
-  }));
+  return static_cast<std::size_t>(std::count_if(
+      requests_.begin(), requests_.end(),
+      [](const auto& entry) { return entry.second.status == 200 && entry.second.whole; }));
 }
 
 }  // namespace dahliastall::soak
--- a/soak/ledger.h
+++ b/soak/ledger.h
@@ -1,5 +1,5 @@
-/// What clients, instances and discovery of the soak saw, and the rules judged from that alone: the logs of
-/// the program are not asked.
+/// What clients, instances and discovery of the soak saw, and the rules judged from that alone: the
+/// logs of the program are not asked.
 #pragma once
 
 #include <map>
@@ -13,10 +13,11 @@
 struct Arrival {
   double atMs = 0;
   int instance = 0;
-  double budgetMs = 0;                ///< that the conductor told
-  bool rejected = false;              ///< the instance proved that it did not run
-  bool reads = false;                 ///< a prefill instance, where nothing has an effect
-  std::optional<double> drainToldMs;  ///< when the conductor's watch had been told that the instance drains
+  double budgetMs = 0;    ///< that the conductor told
+  bool rejected = false;  ///< the instance proved that it did not run
+  bool reads = false;     ///< a prefill instance, where nothing has an effect
+  std::optional<double>
+      drainToldMs;  ///< when the conductor's watch had been told that the instance drains
 };
 
 /// A request as its client saw it.
--- a/soak/main.cpp
+++ b/soak/main.cpp
@@ -1,4 +1,5 @@
-/// dahliastall_soak: plays conductors as real processes under drawn faults and judges them by their rules.
+/// dahliastall_soak: plays conductors as real processes under drawn faults and judges them by their
+/// rules.
 #include <algorithm>
 #include <array>
 #include <boost/program_options.hpp>
@@ -43,15 +44,16 @@
   std::ofstream report(folder + "/breaks");
   for (const Break& one : outcome.breaks)
     report << one.rule << ' ' << one.request << ": " << one.detail << '\n';
-  if (outcome.breaks.empty()) std::filesystem::remove_all(folder);
+  if (outcome.breaks.empty())
+    std::filesystem::remove_all(folder);
   return outcome;
 }
 
 void tell(const Plan& plan, const Outcome& outcome) {
   std::cout << "seed " << plan.seed << ": " << outcome.requests << " requests, " << outcome.served
             << " served, " << outcome.undecided << " undecided, held for "
-            << std::lround(outcome.longestHeldMs) << " ms at most, " << outcome.breaks.size() << " breaks"
-            << std::endl;
+            << std::lround(outcome.longestHeldMs) << " ms at most, " << outcome.breaks.size()
+            << " breaks" << std::endl;
   std::map<std::string, int> byRule;
   for (const Break& one : outcome.breaks)
     if (++byRule[one.rule] <= 3)
@@ -62,14 +64,15 @@
   std::ifstream file(path);
   const std::string text{std::istreambuf_iterator<char>(file), {}};
   const auto plan = planOf(text);
-  if (!plan) throw std::runtime_error("no plan can be read from " + path);
+  if (!plan)
+    throw std::runtime_error("no plan can be read from " + path);
   return *plan;
 }
 
 int run(const options::variables_map& given, const Session& session) {
   int broken = 0;
-  for (std::uint64_t seed = given["first"].as<std::uint64_t>(); seed <= given["last"].as<std::uint64_t>();
-       ++seed) {
+  for (std::uint64_t seed = given["first"].as<std::uint64_t>();
+       seed <= given["last"].as<std::uint64_t>(); ++seed) {
     const Plan plan = drawPlan(seed, given["conductors"].as<int>(), given["instances"].as<int>(),
                                given["length-ms"].as<double>());
     const Outcome outcome = playInto(plan, session);
@@ -83,7 +86,8 @@
 // Drops faults one by one while the same rule still breaks.
 void shrink(Plan plan, const Session& session) {
   const Outcome whole = playInto(plan, session);
-  if (whole.breaks.empty()) throw std::runtime_error("the plan breaks no rule");
+  if (whole.breaks.empty())
+    throw std::runtime_error("the plan breaks no rule");
   const std::string rule = whole.breaks.front().rule;
   for (std::size_t i = plan.faults.size(); i-- > 0;) {
     Plan less = plan;
@@ -91,7 +95,8 @@
     const Outcome outcome = playInto(less, session);
     const bool still = std::any_of(outcome.breaks.begin(), outcome.breaks.end(),
                                    [&](const Break& one) { return one.rule == rule; });
-    if (still) plan = less;
+    if (still)
+      plan = less;
   }
   std::cout << textOf(plan) << '\n';
 }
@@ -108,24 +113,31 @@
       "instances", options::value<int>()->default_value(30), "emulated instances")(
       "length-ms", options::value<double>()->default_value(12'000), "of a seed, in real time")(
       "order-only", "judge only rules that do not depend on the speed of this machine")(
-      "out", options::value<std::string>()->default_value("soak-out"), "folder for plans and logs of breaks")(
-      "program", options::value<std::string>()->required(), "path of dahliastall")(
-      "faults", options::value<std::string>()->required(), "path of the library of system call faults");
+      "out", options::value<std::string>()->default_value("soak-out"),
+      "folder for plans and logs of breaks")("program", options::value<std::string>()->required(),
+                                             "path of dahliastall")(
+      "faults", options::value<std::string>()->required(),
+      "path of the library of system call faults");
   options::positional_options_description first;
   first.add("command", 1);
   try {
     options::variables_map given;
-    options::store(options::command_line_parser(argc, argv).options(known).positional(first).run(), given);
-    if (given.count("command") == 0) throw std::runtime_error("no command");
+    options::store(options::command_line_parser(argc, argv).options(known).positional(first).run(),
+                   given);
+    if (given.count("command") == 0)
+      throw std::runtime_error("no command");
     options::notify(given);
     const Session session{{given["program"].as<std::string>(), given["faults"].as<std::string>()},
                           std::filesystem::absolute(given["out"].as<std::string>()).string(),
                           given.count("order-only") != 0};
     const auto command = given["command"].as<std::string>();
-    if (command == "run") return run(given, session);
+    if (command == "run")
+      return run(given, session);
     const Plan plan = readPlan(given["plan"].as<std::string>());
-    if (command == "shrink") return shrink(plan, session), 0;
-    if (command != "replay") throw std::runtime_error("no such command");
+    if (command == "shrink")
+      return shrink(plan, session), 0;
+    if (command != "replay")
+      throw std::runtime_error("no such command");
     const Outcome outcome = playInto(plan, session);
     tell(plan, outcome);
     return outcome.breaks.empty() ? 0 : 1;
--- a/soak/plan.cpp
+++ b/soak/plan.cpp
@@ -11,9 +11,10 @@
 
 namespace {
 
-constexpr std::array kNames{"system_calls", "terminate",    "kill",         "stop",   "reload",
-                            "drain",        "hang",         "reset",        "reject", "discovery_down",
-                            "read_nothing", "lose_answers", "lose_requests"};
+constexpr std::array kNames{"system_calls", "terminate",      "kill",         "stop",
+                            "reload",       "drain",          "hang",         "reset",
+                            "reject",       "discovery_down", "read_nothing", "lose_answers",
+                            "lose_requests"};
 
 // Of the settings' classes, in turn over the seeds.
 constexpr std::array kDeadlinesMs{3'000.0, 500.0, 7'000.0, 800.0, 1'500.0};
@@ -48,7 +49,9 @@
 
 }  // namespace
 
-const char* nameOf(FaultKind fault) { return kNames.at(static_cast<std::size_t>(fault)); }
+const char* nameOf(FaultKind fault) {
+  return kNames.at(static_cast<std::size_t>(fault));
+}
 
 Plan drawPlan(std::uint64_t seed, int conductors, int instances, double lengthMs) {
   std::mt19937_64 random(seed);
@@ -67,26 +70,30 @@
   const double centreMs = number(3'000, static_cast<int>(lengthMs) - 4'000);
   for (int left = number(kLeastFaults, kMostFaults); left > 0; --left) {
     PlannedFault next;
-    const int drawn = number(0, 2 * static_cast<int>(kNames.size()));  // half of them are system calls
-    next.kind =
-        drawn < static_cast<int>(kNames.size()) ? static_cast<FaultKind>(drawn) : FaultKind::kSystemCalls;
+    const int drawn =
+        number(0, 2 * static_cast<int>(kNames.size()));  // half of them are system calls
+    next.kind = drawn < static_cast<int>(kNames.size()) ? static_cast<FaultKind>(drawn)
+                                                        : FaultKind::kSystemCalls;
     next.target = number(0, 1'000'000);
     next.atMs = centreMs + number(-800, 800);
     next.forMs = number(static_cast<int>(kLeastMs), static_cast<int>(kMostMs));
     if (next.kind == FaultKind::kSystemCalls)
-      next.rule = kRules.at(static_cast<std::size_t>(number(0, static_cast<int>(kRules.size()) - 1)));
+      next.rule =
+          kRules.at(static_cast<std::size_t>(number(0, static_cast<int>(kRules.size()) - 1)));
     plan.faults.push_back(next);
   }
-  // Every seed has a drain, and messages of prefill or decode instances that are lost or late: what is drawn
-  // alone has them too seldom.
-  constexpr std::array kAlways{FaultKind::kReadNothing, FaultKind::kLoseAnswers, FaultKind::kLoseRequests};
+  // Every seed has a drain, and messages of prefill or decode instances that are lost or late: what
+  // is drawn alone has them too seldom.
+  constexpr std::array kAlways{FaultKind::kReadNothing, FaultKind::kLoseAnswers,
+                               FaultKind::kLoseRequests};
   constexpr int kRoles = 3, kRolesInTurn = 2;  // prefill, decode and mixed by number; the first two
   const int role = static_cast<int>(seed / 2 % kRolesInTurn);
   const int instance = number(0, 1'000'000) * kRoles + role;
   const double lastsMs = number(static_cast<int>(kMostMs) / 2, static_cast<int>(kMostMs));
   const FaultKind always = kAlways.at(seed / 2 % kAlways.size());
   plan.faults.push_back({always, instance, centreMs + number(-800, 800), lastsMs, {}});
-  plan.faults.push_back({FaultKind::kDrain, number(0, 1'000'000), centreMs + number(-800, 800), 0, {}});
+  plan.faults.push_back(
+      {FaultKind::kDrain, number(0, 1'000'000), centreMs + number(-800, 800), 0, {}});
   return plan;
 }
 
@@ -126,7 +133,8 @@
       PlannedFault next;
       const auto name = entry.at("fault").get<std::string>();
       const auto* const it = std::find(kNames.begin(), kNames.end(), name);
-      if (it == kNames.end()) return std::nullopt;
+      if (it == kNames.end())
+        return std::nullopt;
       next.kind = static_cast<FaultKind>(it - kNames.begin());
       next.target = entry.at("target");
       next.atMs = entry.at("at_ms");
--- a/soak/plan.h
+++ b/soak/plan.h
@@ -1,5 +1,5 @@
-/// What happens in one seed of the soak: faults and signals, each with its moment. Drawn from the seed alone,
-/// and kept as text, so that a play can be repeated and made smaller.
+/// What happens in one seed of the soak: faults and signals, each with its moment. Drawn from the
+/// seed alone, and kept as text, so that a play can be repeated and made smaller.
 #pragma once
 
 #include <cstdint>
@@ -22,7 +22,8 @@
   kDiscoveryDown,  ///< watches are closed and none is answered for a while
   kReadNothing,    ///< some instances of one role are stopped for a while, and go on
   kLoseAnswers,    ///< connections to some instances of one role carry no more answers
-  kLoseRequests,   ///< connections to some instances of one role carry nothing more, without an error
+  kLoseRequests,   ///< connections to some instances of one role carry nothing more, without an
+                   ///< error
 };
 const char* nameOf(FaultKind fault);
 
@@ -38,9 +39,10 @@
   std::uint64_t seed = 0;
   int conductors = 24, instances = 30, clients = 4;  ///< clients of each conductor
   double lengthMs = 12'000;
-  double longestDeadlineMs = 3'000;    ///< of the settings' classes
-  bool reservationsByArrival = false;  ///< a reservation is granted where the bytes of its prefill came
-  int idleClients = 0;                 ///< that connect to one conductor and send nothing
+  double longestDeadlineMs = 3'000;  ///< of the settings' classes
+  bool reservationsByArrival =
+      false;            ///< a reservation is granted where the bytes of its prefill came
+  int idleClients = 0;  ///< that connect to one conductor and send nothing
   std::vector<PlannedFault> faults;
 };
 
--- a/soak/scenario.cpp
+++ b/soak/scenario.cpp
@@ -24,12 +24,15 @@
 
 using nlohmann::json;
 
-constexpr double kReadyMs = 10'000;        // allowed from the start of a process
-constexpr double kFrontMs = 300;           // after SIGTERM the front layer goes on sending
-constexpr double kLongestGraceMs = 3'000;  // of the deadlines; SIGKILL follows SIGTERM so long after it
-constexpr double kKillAfterMs = 700;       // and this, at its earliest
-constexpr double kTakenAfterMs = 700;      // after SIGTERM; what came later has to be answered before SIGKILL
-constexpr double kHeldLimitMs = 650;  // 300 ms of the settings, 300 of the protocol page, 50 of the rules
+constexpr double kReadyMs = 10'000;  // allowed from the start of a process
+constexpr double kFrontMs = 300;     // after SIGTERM the front layer goes on sending
+constexpr double kLongestGraceMs =
+    3'000;                            // of the deadlines; SIGKILL follows SIGTERM so long after it
+constexpr double kKillAfterMs = 700;  // and this, at its earliest
+constexpr double kTakenAfterMs =
+    700;  // after SIGTERM; what came later has to be answered before SIGKILL
+constexpr double kHeldLimitMs =
+    650;  // 300 ms of the settings, 300 of the protocol page, 50 of the rules
 constexpr double kMachineSlackMs = 50;
 constexpr double kStopMs = 150;      // that a conductor may be held up
 constexpr double kWarmUpMs = 1'500;  // of clients, before any fault
@@ -59,12 +62,13 @@
     begin();
     runUntil(startedMs_ + kWarmUpMs + plan_.lengthMs, [] { return false; });
     for (auto& node : nodes_)
-      for (auto& client : node->clients) client->stop();
+      for (auto& client : node->clients)
+        client->stop();
     runUntil(clock_.nowMs() + 5'500, [this] { return allQuiet(); });
     runUntil(clock_.nowMs() + kSettleMs, [] { return false; });  // what is held has to go by itself
     finish();
-    Outcome outcome{ledger_.judge(kDrainGraceMs), ledger_.size(), ledger_.served(), ledger_.undecided(),
-                    held_.longestMs()};
+    Outcome outcome{ledger_.judge(kDrainGraceMs), ledger_.size(), ledger_.served(),
+                    ledger_.undecided(), held_.longestMs()};
     return outcome;
   }
 
@@ -103,8 +107,8 @@
     for (int i = 0; i < plan_.instances; ++i) {
       instances_.push_back(std::make_unique<Instance>(
           environment_, held_,
-          plan_.reservationsByArrival ? ReservationRule::kByArrival : ReservationRule::kByRunning, i,
-          kKinds.at(static_cast<std::size_t>(i) % kKinds.size()), nextAddress(),
+          plan_.reservationsByArrival ? ReservationRule::kByArrival : ReservationRule::kByRunning,
+          i, kKinds.at(static_cast<std::size_t>(i) % kKinds.size()), nextAddress(),
           [this](int node, int instance) { return drainTold(node, instance); }));
       leaving_.push_back(false);
     }
@@ -121,8 +125,8 @@
           programs_, own, nextAddress(), node->agent->address(), settings(plan_.longestDeadlineMs));
       node->process->faults(rulesOf(i));
       for (int k = 0; k < plan_.clients; ++k)
-        node->clients.push_back(
-            std::make_unique<Client>(environment_, i, k, node->process->address(), plan_.longestDeadlineMs));
+        node->clients.push_back(std::make_unique<Client>(
+            environment_, i, k, node->process->address(), plan_.longestDeadlineMs));
       nodes_.push_back(std::move(node));
     }
   }
@@ -130,7 +134,8 @@
   std::vector<std::string> rulesOf(int conductor) const {
     std::vector<std::string> rules;
     for (const PlannedFault& fault : plan_.faults) {
-      if (fault.kind != FaultKind::kSystemCalls || fault.target % plan_.conductors != conductor) continue;
+      if (fault.kind != FaultKind::kSystemCalls || fault.target % plan_.conductors != conductor)
+        continue;
       const double from = monotonicMs(startedMs_ + kWarmUpMs + fault.atMs);
       rules.push_back(fault.rule + " from=" + std::to_string(from) +
                       " until=" + std::to_string(from + fault.forMs));
@@ -140,7 +145,8 @@
 
   // The fault library counts on the machine's monotonic clock.
   double monotonicMs(double atMs) const {
-    const std::chrono::duration<double, std::milli> now = std::chrono::steady_clock::now().time_since_epoch();
+    const std::chrono::duration<double, std::milli> now =
+        std::chrono::steady_clock::now().time_since_epoch();
     return now.count() + (atMs - clock_.nowMs());
   }
 
@@ -165,18 +171,22 @@
   std::string listOf(bool complete, int only = -1) const {
     json members = json::array();
     for (int i = 0; i < plan_.instances; ++i)
-      if (only < 0 || only == i) members.push_back(memberOf(i));
-    return json{{"revision", revision_}, {"complete", complete}, {"members", members}}.dump() + "\n";
+      if (only < 0 || only == i)
+        members.push_back(memberOf(i));
+    return json{{"revision", revision_}, {"complete", complete}, {"members", members}}.dump() +
+           "\n";
   }
 
   void begin() {
-    for (auto& node : nodes_) startProcess(*node);
+    for (auto& node : nodes_)
+      startProcess(*node);
     for (const PlannedFault& fault : plan_.faults)
       environment_.after(kWarmUpMs + fault.atMs, [this, &fault] { inject(fault); });
     look();
-    if (plan_.idleClients == 0) return;
-    crowd_ =
-        std::make_unique<IdleClients>(environment_, nodes_.front()->process->address(), plan_.idleClients);
+    if (plan_.idleClients == 0)
+      return;
+    crowd_ = std::make_unique<IdleClients>(environment_, nodes_.front()->process->address(),
+                                           plan_.idleClients);
     environment_.after(kWarmUpMs, [this] { crowd_->start(); });
   }
 
@@ -186,30 +196,34 @@
     node.endsByMs.reset();
     node.expectedEnd = false;
     node.terminatedMs.reset();
-    for (auto& client : node.clients) client->pause();
+    for (auto& client : node.clients)
+      client->pause();
     ask(node);
   }
 
   void ask(Node& node) {
-    node.asking =
-        probes_.call(node.process->address(),
-                     net::headText("GET /-/ready HTTP/1.1", {{"Host", "soak"}, {"Connection", "close"}}),
-                     nullptr, std::make_shared<ReadyCall>(*this, node));
+    node.asking = probes_.call(
+        node.process->address(),
+        net::headText("GET /-/ready HTTP/1.1", {{"Host", "soak"}, {"Connection", "close"}}),
+        nullptr, std::make_shared<ReadyCall>(*this, node));
   }
 
   void asked(Node& node, bool ready) {
     node.asking = nullptr;
-    if (!node.readyByMs || !node.process->running()) return;
+    if (!node.readyByMs || !node.process->running())
+      return;
     if (!ready) {
       environment_.after(50, [this, &node] {
-        if (node.readyByMs && !node.asking) ask(node);
+        if (node.readyByMs && !node.asking)
+          ask(node);
       });
       return;
     }
     node.readyByMs.reset();
     for (auto& client : node.clients) {
       client->resume();
-      if (!begun_.count(client.get())) client->start();
+      if (!begun_.count(client.get()))
+        client->start();
       begun_.insert(client.get());
     }
   }
@@ -227,7 +241,8 @@
         return kill(node);
       case FaultKind::kStop:
         node.process->signal(SIGSTOP);
-        return environment_.after(std::min(fault.forMs, kStopMs), [&node] { node.process->signal(SIGCONT); });
+        return environment_.after(std::min(fault.forMs, kStopMs),
+                                  [&node] { node.process->signal(SIGCONT); });
       case FaultKind::kReload:
         return node.process->signal(SIGHUP);
       case FaultKind::kDrain:
@@ -259,7 +274,9 @@
     }
   }
 
-  double killAfterMs() const { return std::min(plan_.longestDeadlineMs, kLongestGraceMs) + kKillAfterMs; }
+  double killAfterMs() const {
+    return std::min(plan_.longestDeadlineMs, kLongestGraceMs) + kKillAfterMs;
+  }
 
   bool stops() const {
     return std::any_of(plan_.faults.begin(), plan_.faults.end(),
@@ -268,25 +285,31 @@
 
   // After the front layer has noticed, clients go on sending on the connections that stay open.
   void terminate(Node& node) {
-    if (!node.process->running() || node.readyByMs || node.endsByMs) return;
+    if (!node.process->running() || node.readyByMs || node.endsByMs)
+      return;
     node.process->signal(SIGTERM);
     node.expectedEnd = true;
     node.terminatedMs = clock_.nowMs();
     node.endsByMs = clock_.nowMs() + killAfterMs();
     environment_.after(kFrontMs, [&node] {
-      if (!node.terminatedMs) return;
-      for (auto& client : node.clients) client->useOpenConnections();
+      if (!node.terminatedMs)
+        return;
+      for (auto& client : node.clients)
+        client->useOpenConnections();
     });
     for (std::size_t i = 0; i < kFurtherSignals.size(); ++i)
       environment_.after(kFurtherSignalMs * static_cast<double>(i + 1), [this, &node, i] {
-        if (node.terminatedMs && (plan_.seed + i) % 2 == 0) node.process->signal(kFurtherSignals.at(i));
+        if (node.terminatedMs && (plan_.seed + i) % 2 == 0)
+          node.process->signal(kFurtherSignals.at(i));
       });
   }
 
   void kill(Node& node) {
-    if (!node.process->running()) return;
+    if (!node.process->running())
+      return;
     node.expectedEnd = true;
-    for (auto& client : node.clients) client->doubt();
+    for (auto& client : node.clients)
+      client->doubt();
     node.process->signal(SIGKILL);
   }
 
@@ -302,8 +325,10 @@
 
   // Processes that have ended, or should have.
   void look() {
-    for (auto& node : nodes_) lookAt(*node);
-    for (Break& one : held_.overdue(clock_.nowMs())) ledger_.add(std::move(one));
+    for (auto& node : nodes_)
+      lookAt(*node);
+    for (Break& one : held_.overdue(clock_.nowMs()))
+      ledger_.add(std::move(one));
     environment_.after(kLookMs, [this] { look(); });
   }
 
@@ -315,24 +340,31 @@
       node.readyByMs.reset();
     }
     if (node.endsByMs && now > *node.endsByMs) {
-      for (auto& client : node.clients) client->doubt(*node.terminatedMs + kTakenAfterMs);
-      if (!callsFail(node, now)) ledger_.breaks("end", name + " still runs when it is killed");
+      for (auto& client : node.clients)
+        client->doubt(*node.terminatedMs + kTakenAfterMs);
+      if (!callsFail(node, now))
+        ledger_.breaks("end", name + " still runs when it is killed");
       node.process->signal(SIGKILL);
       node.endsByMs.reset();
     }
     const auto status = node.process->ended();
-    if (!status) return;
+    if (!status)
+      return;
     if (!node.expectedEnd || (node.endsByMs && *status != 0))
       ledger_.breaks("crash", name + " ended with " + std::to_string(*status));
-    for (auto& client : node.clients) client->pause();
+    for (auto& client : node.clients)
+      client->pause();
     excuseHeldOf(node);
-    if (!finishing_) startProcess(node);
+    if (!finishing_)
+      startProcess(node);
   }
 
-  // Whether system calls of a conductor fail now: it tries on until it is killed, and cannot end before.
+  // Whether system calls of a conductor fail now: it tries on until it is killed, and cannot end
+  // before.
   bool callsFail(const Node& node, double nowMs) const {
     return std::any_of(plan_.faults.begin(), plan_.faults.end(), [&](const PlannedFault& fault) {
-      if (fault.kind != FaultKind::kSystemCalls) return false;
+      if (fault.kind != FaultKind::kSystemCalls)
+        return false;
       const auto target = static_cast<std::size_t>(fault.target % plan_.conductors);
       const double fromMs = startedMs_ + kWarmUpMs + fault.atMs;
       return nodes_.at(target).get() == &node && nowMs >= fromMs && nowMs < fromMs + fault.forMs;
@@ -349,14 +381,17 @@
   bool allQuiet() const {
     for (const auto& node : nodes_)
       for (const auto& client : node->clients)
-        if (client->busy()) return false;
+        if (client->busy())
+          return false;
     return true;
   }
 
   void finish() {
     finishing_ = true;
-    if (crowd_) crowd_->stop();
-    for (auto& node : nodes_) terminate(*node);
+    if (crowd_)
+      crowd_->stop();
+    for (auto& node : nodes_)
+      terminate(*node);
     runUntil(clock_.nowMs() + killAfterMs() + 500, [this] {
       return std::none_of(nodes_.begin(), nodes_.end(),
                           [](const auto& node) { return node->process->running(); });
@@ -368,7 +403,8 @@
 
   template <typename Met>
   void runUntil(double atMs, const Met& met) {
-    while (clock_.nowMs() < atMs && !met()) io_.run_one_for(std::chrono::milliseconds(5));
+    while (clock_.nowMs() < atMs && !met())
+      io_.run_one_for(std::chrono::milliseconds(5));
   }
 
   static constexpr double kToldSlackMs = 5;
--- a/soak/scenario.h
+++ b/soak/scenario.h
@@ -1,5 +1,5 @@
-/// One play of the soak: conductors as real processes between emulated instances, discovery and clients,
-/// under the faults of a plan.
+/// One play of the soak: conductors as real processes between emulated instances, discovery and
+/// clients, under the faults of a plan.
 #pragma once
 
 #include <map>
--- a/soak/system_call_faults.cpp
+++ b/soak/system_call_faults.cpp
@@ -55,18 +55,24 @@
 };
 
 constexpr std::array kCalls{
-    Named{"accept", static_cast<int>(Call::kAccept)},   Named{"clock", static_cast<int>(Call::kClock)},
-    Named{"connect", static_cast<int>(Call::kConnect)}, Named{"fsync", static_cast<int>(Call::kFsync)},
-    Named{"open", static_cast<int>(Call::kOpen)},       Named{"poll", static_cast<int>(Call::kPoll)},
-    Named{"read", static_cast<int>(Call::kRead)},       Named{"receive", static_cast<int>(Call::kReceive)},
-    Named{"rename", static_cast<int>(Call::kRename)},   Named{"send", static_cast<int>(Call::kSend)},
-    Named{"socket", static_cast<int>(Call::kSocket)},   Named{"write", static_cast<int>(Call::kWrite)},
+    Named{"accept", static_cast<int>(Call::kAccept)},
+    Named{"clock", static_cast<int>(Call::kClock)},
+    Named{"connect", static_cast<int>(Call::kConnect)},
+    Named{"fsync", static_cast<int>(Call::kFsync)},
+    Named{"open", static_cast<int>(Call::kOpen)},
+    Named{"poll", static_cast<int>(Call::kPoll)},
+    Named{"read", static_cast<int>(Call::kRead)},
+    Named{"receive", static_cast<int>(Call::kReceive)},
+    Named{"rename", static_cast<int>(Call::kRename)},
+    Named{"send", static_cast<int>(Call::kSend)},
+    Named{"socket", static_cast<int>(Call::kSocket)},
+    Named{"write", static_cast<int>(Call::kWrite)},
 };
 
 template <std::size_t N>
 std::optional<int> valueOf(const std::array<Named, N>& table, std::string_view name) {
-  const auto it =
-      std::find_if(table.begin(), table.end(), [name](const Named& entry) { return entry.name == name; });
+  const auto it = std::find_if(table.begin(), table.end(),
+                               [name](const Named& entry) { return entry.name == name; });
   return it == table.end() ? std::nullopt : std::optional(it->value);
 }
 
@@ -99,14 +105,19 @@
 // The rule that hits this call, if any does.
 const Rule* hit(Call call, const char* path = nullptr) {
   const std::size_t most = count.load();
-  if (most == 0) return nullptr;
+  if (most == 0)
+    return nullptr;
   double now = -1;
   for (std::size_t i = 0; i < most; ++i) {
     const Rule& rule = rules[i].rule;
-    if (rule.call != call || !names(rule, path)) continue;
-    if (now < 0) now = monotonicMs();
-    if (now < rule.fromMs || now >= rule.untilMs) continue;
-    if (rules[i].seen++ % static_cast<std::uint64_t>(std::max(1, rule.every)) != 0) continue;
+    if (rule.call != call || !names(rule, path))
+      continue;
+    if (now < 0)
+      now = monotonicMs();
+    if (now < rule.fromMs || now >= rule.untilMs)
+      continue;
+    if (rules[i].seen++ % static_cast<std::uint64_t>(std::max(1, rule.every)) != 0)
+      continue;
     ++hitCount;
     return &rule;
   }
@@ -115,15 +126,18 @@
 
 // What a call with this many bytes may move; nothing if it fails, with errno set.
 std::optional<std::size_t> allowed(const Rule* rule, std::size_t bytes) {
-  if (rule == nullptr) return bytes;
-  if (rule->error == 0) return std::max<std::size_t>(1, bytes / 2);
+  if (rule == nullptr)
+    return bytes;
+  if (rule->error == 0)
+    return std::max<std::size_t>(1, bytes / 2);
   errno = rule->error;
   return std::nullopt;
 }
 
 std::size_t sizeOf(const iovec* parts, std::size_t number) {
   std::size_t size = 0;
-  for (std::size_t i = 0; i < number; ++i) size += parts[i].iov_len;
+  for (std::size_t i = 0; i < number; ++i)
+    size += parts[i].iov_len;
   return size;
 }
 
@@ -149,41 +163,54 @@
   const std::size_t most = count.load();
   for (std::size_t i = 0; i < most; ++i) {
     const Rule& rule = rules[i].rule;
-    if (rule.call != Call::kClock) continue;
+    if (rule.call != Call::kClock)
+      continue;
     const double now = monotonicMs();
-    if (now >= rule.fromMs && now < rule.untilMs) step += rule.stepMs;
+    if (now >= rule.fromMs && now < rule.untilMs)
+      step += rule.stepMs;
   }
   return step;
 }
 
 bool readField(Rule& rule, const std::string& word) {
   const std::size_t equals = word.find('=');
-  if (equals == std::string::npos) return false;
+  if (equals == std::string::npos)
+    return false;
   const std::string name = word.substr(0, equals), value = word.substr(equals + 1);
-  if (name == "path") rule.path = value;
-  else if (name == "every") rule.every = std::atoi(value.c_str());
-  else if (name == "from") rule.fromMs = std::atof(value.c_str());
-  else if (name == "until") rule.untilMs = std::atof(value.c_str());
-  else if (name == "step") rule.stepMs = std::atof(value.c_str());
-  else return false;
+  if (name == "path")
+    rule.path = value;
+  else if (name == "every")
+    rule.every = std::atoi(value.c_str());
+  else if (name == "from")
+    rule.fromMs = std::atof(value.c_str());
+  else if (name == "until")
+    rule.untilMs = std::atof(value.c_str());
+  else if (name == "step")
+    rule.stepMs = std::atof(value.c_str());
+  else
+    return false;
   return true;
 }
 
 std::optional<Rule> readRule(const std::string& line) {
   std::istringstream words(line);
   std::string call, fault, word;
-  if (!(words >> call >> fault)) return std::nullopt;
+  if (!(words >> call >> fault))
+    return std::nullopt;
   Rule rule;
   const auto which = valueOf(kCalls, call);
-  if (!which) return std::nullopt;
+  if (!which)
+    return std::nullopt;
   rule.call = static_cast<Call>(*which);
   if (fault != "short" && fault != "step") {
     const auto error = valueOf(kErrors, fault);
-    if (!error) return std::nullopt;
+    if (!error)
+      return std::nullopt;
     rule.error = *error;
   }
   while (words >> word)
-    if (!readField(rule, word)) return std::nullopt;
+    if (!readField(rule, word))
+      return std::nullopt;
   return rule;
 }
 
@@ -200,17 +227,23 @@
   count = most;
 }
 
-void clear() { install({}); }
+void clear() {
+  install({});
+}
 
-std::uint64_t hits() { return hitCount; }
+std::uint64_t hits() {
+  return hitCount;
+}
 
 std::optional<std::vector<Rule>> parsePlan(const std::string& text) {
   std::vector<Rule> plan;
   std::istringstream lines(text);
   for (std::string line; std::getline(lines, line);) {
-    if (line.empty() || line.front() == '#') continue;
+    if (line.empty() || line.front() == '#')
+      continue;
     auto rule = readRule(line);
-    if (!rule) return std::nullopt;
+    if (!rule)
+      return std::nullopt;
     plan.push_back(std::move(*rule));
   }
   return plan;
@@ -222,7 +255,8 @@
 // A process whose plan cannot be read must not pass for one without faults.
 bool readPlan() {
   const char* path = std::getenv("SYSTEM_CALL_FAULTS");
-  if (path == nullptr) return false;
+  if (path == nullptr)
+    return false;
   std::string text;
   if (std::FILE* file = std::fopen(path, "r")) {
     std::array<char, 4096> part{};
@@ -246,7 +280,8 @@
 
 }  // namespace system_call_faults
 
-// ---- The functions of the C library -------------------------------------------------------------------
+// ---- The functions of the C library
+// -------------------------------------------------------------------
 
 using system_call_faults::Call;
 
@@ -256,7 +291,8 @@
   static const auto real = system_call_faults::next<ssize_t (*)(int, void*, size_t, int)>("recv");
   // A look at what has come is never short: only what takes bytes out is.
   const auto* rule = system_call_faults::hit(Call::kReceive);
-  if (rule != nullptr && rule->error == 0 && (flags & MSG_PEEK) != 0) rule = nullptr;
+  if (rule != nullptr && rule->error == 0 && (flags & MSG_PEEK) != 0)
+    rule = nullptr;
   const auto most = system_call_faults::allowed(rule, size);
   return most ? real(descriptor, into, *most, flags) : -1;
 }
@@ -265,8 +301,10 @@
   static const auto real = system_call_faults::next<ssize_t (*)(int, msghdr*, int)>("recvmsg");
   const std::size_t size = system_call_faults::sizeOf(message->msg_iov, message->msg_iovlen);
   const auto most = system_call_faults::allowed(system_call_faults::hit(Call::kReceive), size);
-  if (!most) return -1;
-  if (*most == size) return real(descriptor, message, flags);
+  if (!most)
+    return -1;
+  if (*most == size)
+    return real(descriptor, message, flags);
   system_call_faults::ShortMessage part(*message, *most);
   const ssize_t got = real(descriptor, &part.message, flags);
   message->msg_controllen = part.message.msg_controllen;
@@ -275,35 +313,43 @@
 }
 
 ssize_t send(int descriptor, const void* bytes, size_t size, int flags) {
-  static const auto real = system_call_faults::next<ssize_t (*)(int, const void*, size_t, int)>("send");
+  static const auto real =
+      system_call_faults::next<ssize_t (*)(int, const void*, size_t, int)>("send");
   const auto most = system_call_faults::allowed(system_call_faults::hit(Call::kSend), size);
   return most ? real(descriptor, bytes, *most, flags) : -1;
 }
 
 ssize_t sendmsg(int descriptor, const msghdr* message, int flags) {
-  static const auto real = system_call_faults::next<ssize_t (*)(int, const msghdr*, int)>("sendmsg");
+  static const auto real =
+      system_call_faults::next<ssize_t (*)(int, const msghdr*, int)>("sendmsg");
   const std::size_t size = system_call_faults::sizeOf(message->msg_iov, message->msg_iovlen);
   const auto most = system_call_faults::allowed(system_call_faults::hit(Call::kSend), size);
-  if (!most) return -1;
-  if (*most == size) return real(descriptor, message, flags);
+  if (!most)
+    return -1;
+  if (*most == size)
+    return real(descriptor, message, flags);
   const system_call_faults::ShortMessage part(*message, *most);
   return real(descriptor, &part.message, flags);
 }
 
 int accept(int descriptor, sockaddr* address, socklen_t* size) {
   static const auto real = system_call_faults::next<int (*)(int, sockaddr*, socklen_t*)>("accept");
-  if (!system_call_faults::allowed(system_call_faults::hit(Call::kAccept), 1)) return -1;
+  if (!system_call_faults::allowed(system_call_faults::hit(Call::kAccept), 1))
+    return -1;
   return real(descriptor, address, size);
 }
 
 int accept4(int descriptor, sockaddr* address, socklen_t* size, int flags) {
-  static const auto real = system_call_faults::next<int (*)(int, sockaddr*, socklen_t*, int)>("accept4");
-  if (!system_call_faults::allowed(system_call_faults::hit(Call::kAccept), 1)) return -1;
+  static const auto real =
+      system_call_faults::next<int (*)(int, sockaddr*, socklen_t*, int)>("accept4");
+  if (!system_call_faults::allowed(system_call_faults::hit(Call::kAccept), 1))
+    return -1;
   return real(descriptor, address, size, flags);
 }
 
 int connect(int descriptor, const sockaddr* address, socklen_t size) {
-  static const auto real = system_call_faults::next<int (*)(int, const sockaddr*, socklen_t)>("connect");
+  static const auto real =
+      system_call_faults::next<int (*)(int, const sockaddr*, socklen_t)>("connect");
   const auto* rule = system_call_faults::hit(Call::kConnect);
   if (rule != nullptr && rule->error == EINTR) {  // interrupted, it goes on by itself
     [[maybe_unused]] const int begun = real(descriptor, address, size);
@@ -315,8 +361,9 @@
 
 int socket(int domain, int type, int protocol) {
   static const auto real = system_call_faults::next<int (*)(int, int, int)>("socket");
-  return system_call_faults::allowed(system_call_faults::hit(Call::kSocket), 1) ? real(domain, type, protocol)
-                                                                                : -1;
+  return system_call_faults::allowed(system_call_faults::hit(Call::kSocket), 1)
+             ? real(domain, type, protocol)
+             : -1;
 }
 
 int poll(pollfd* sockets, nfds_t number, int timeoutMs) {
@@ -340,12 +387,14 @@
 
 int fsync(int descriptor) {
   static const auto real = system_call_faults::next<int (*)(int)>("fsync");
-  return system_call_faults::allowed(system_call_faults::hit(Call::kFsync), 1) ? real(descriptor) : -1;
+  return system_call_faults::allowed(system_call_faults::hit(Call::kFsync), 1) ? real(descriptor)
+                                                                               : -1;
 }
 
 int rename(const char* from, const char* to) {
   static const auto real = system_call_faults::next<int (*)(const char*, const char*)>("rename");
-  return system_call_faults::allowed(system_call_faults::hit(Call::kRename, to), 1) ? real(from, to) : -1;
+  return system_call_faults::allowed(system_call_faults::hit(Call::kRename, to), 1) ? real(from, to)
+                                                                                    : -1;
 }
 
 int open(const char* path, int flags, ...) {
@@ -354,15 +403,18 @@
   va_start(rest, flags);
   const mode_t mode = (flags & O_CREAT) != 0 ? va_arg(rest, mode_t) : 0;
   va_end(rest);
-  return system_call_faults::allowed(system_call_faults::hit(Call::kOpen, path), 1) ? real(path, flags, mode)
-                                                                                    : -1;
+  return system_call_faults::allowed(system_call_faults::hit(Call::kOpen, path), 1)
+             ? real(path, flags, mode)
+             : -1;
 }
 
 int clock_gettime(clockid_t clock, timespec* time) {
   const int result = system_call_faults::realClock(clock, time);
-  if (clock != CLOCK_REALTIME || result != 0) return result;
+  if (clock != CLOCK_REALTIME || result != 0)
+    return result;
   const auto step = static_cast<long long>(system_call_faults::stepMs() * 1e6);
-  if (step == 0) return result;
+  if (step == 0)
+    return result;
   constexpr long long kSecond = 1'000'000'000;
   const long long moved = static_cast<long long>(time->tv_sec) * kSecond + time->tv_nsec + step;
   time->tv_sec = moved / kSecond;
--- a/soak/system_call_faults.h
+++ b/soak/system_call_faults.h
@@ -1,9 +1,9 @@
-/// Fault injection below the program: system calls that fail, are interrupted or move only a part, as Linux
-/// documents them, and a wall clock that is stepped.
+/// Fault injection below the program: system calls that fail, are interrupted or move only a part,
+/// as Linux documents them, and a wall clock that is stepped.
 ///
-/// The functions of the C library are interposed. A test executable links this file and calls install(); the
-/// shared library of the same source reads a plan from the file that SYSTEM_CALL_FAULTS names as the process
-/// starts, and is loaded with LD_PRELOAD.
+/// The functions of the C library are interposed. A test executable links this file and calls
+/// install(); the shared library of the same source reads a plan from the file that
+/// SYSTEM_CALL_FAULTS names as the process starts, and is loaded with LD_PRELOAD.
 #pragma once
 
 #include <cstdint>
@@ -45,8 +45,8 @@
 /// Calls that were hit since install().
 std::uint64_t hits();
 
-/// Reads a plan: a rule a line, "CALL FAULT every=N from=MS until=MS step=MS path=TEXT", where FAULT is the
-/// name of an errno, "short" or "step". Returns nothing if a line cannot be read.
+/// Reads a plan: a rule a line, "CALL FAULT every=N from=MS until=MS step=MS path=TEXT", where
+/// FAULT is the name of an errno, "short" or "step". Returns nothing if a line cannot be read.
 std::optional<std::vector<Rule>> parsePlan(const std::string& text);
 
 }  // namespace system_call_faults
--- a/src/admission/address.cpp
+++ b/src/admission/address.cpp
@@ -23,11 +23,14 @@
     std::memcpy(address.bytes.data() + kMapped.size(), &four, sizeof four);
     return address;
   }
-  if (::inet_pton(AF_INET6, text.c_str(), address.bytes.data()) == 1) return address;
+  if (::inet_pton(AF_INET6, text.c_str(), address.bytes.data()) == 1)
+    return address;
   return std::nullopt;
 }
 
-bool Address::isV4() const { return std::equal(kMapped.begin(), kMapped.end(), bytes.begin()); }
+bool Address::isV4() const {
+  return std::equal(kMapped.begin(), kMapped.end(), bytes.begin());
+}
 
 Address Address::masked(int bits) const {
   Address out = *this;
@@ -40,25 +43,31 @@
 
 std::string Address::text() const {
   std::array<char, INET6_ADDRSTRLEN> out{};
-  if (isV4()) ::inet_ntop(AF_INET, bytes.data() + kMapped.size(), out.data(), out.size());
-  else ::inet_ntop(AF_INET6, bytes.data(), out.data(), out.size());
+  if (isV4())
+    ::inet_ntop(AF_INET, bytes.data() + kMapped.size(), out.data(), out.size());
+  else
+    ::inet_ntop(AF_INET6, bytes.data(), out.data(), out.size());
   return out.data();
 }
 
 std::optional<Range> Range::parse(const std::string& text) {
   const std::size_t slash = text.find('/');
   const auto base = Address::parse(text.substr(0, slash));
-  if (!base) return std::nullopt;
+  if (!base)
+    return std::nullopt;
   Range range;
   range.base_ = *base;
   if (slash != std::string::npos) {
     const char* const last = text.data() + text.size();
     const auto [end, fault] = std::from_chars(text.data() + slash + 1, last, range.bits_);
     const int most = base->isV4() ? 32 : 128;
-    if (fault != std::errc() || end != last || range.bits_ < 0 || range.bits_ > most) return std::nullopt;
-    if (base->isV4()) range.bits_ += kMappedBits;
+    if (fault != std::errc() || end != last || range.bits_ < 0 || range.bits_ > most)
+      return std::nullopt;
+    if (base->isV4())
+      range.bits_ += kMappedBits;
   }
-  if (base->masked(range.bits_) != *base) return std::nullopt;
+  if (base->masked(range.bits_) != *base)
+    return std::nullopt;
   return range;
 }
 
--- a/src/admission/address.h
+++ b/src/admission/address.h
@@ -1,5 +1,5 @@
-// Client addresses and address ranges. IPv4 addresses are kept as IPv4-mapped IPv6, so that a client has one
-// address whatever kind of socket it came by.
+// Client addresses and address ranges. IPv4 addresses are kept as IPv4-mapped IPv6, so that a
+// client has one address whatever kind of socket it came by.
 #pragma once
 
 #include <array>
@@ -25,8 +25,8 @@
 // A CIDR range.
 class Range {
  public:
-  // "10.0.0.0/8", "2001:db8::/32", or a single address. Nothing if the text is none of these, or if bits
-  // after the prefix are set.
+  // "10.0.0.0/8", "2001:db8::/32", or a single address. Nothing if the text is none of these, or if
+  // bits after the prefix are set.
   static std::optional<Range> parse(const std::string& text);
   bool holds(const Address& address) const { return address.masked(bits_) == base_; }
   bool overlaps(const Range& other) const { return holds(other.base_) || other.holds(base_); }
--- a/src/admission/admission_controller.h
+++ b/src/admission/admission_controller.h
@@ -1,6 +1,6 @@
-// Decides which client connections are admitted, and which idle connection is evicted when there is no room:
-// a token bucket and a cap per address, caps per network, a total, and a reserve for known clients. Every
-// admitted connection has an id until it is closed. No I/O; times in milliseconds.
+// Decides which client connections are admitted, and which idle connection is evicted when there is
+// no room: a token bucket and a cap per address, caps per network, a total, and a reserve for known
+// clients. Every admitted connection has an id until it is closed. No I/O; times in milliseconds.
 #pragma once
 
 #include <array>
@@ -46,7 +46,8 @@
  public:
   explicit AdmissionController(Rules rules) : rules_(std::move(rules)) {}
 
-  // Decides on a new connection. level: of the descriptor budget. An evicted connection counts as closed.
+  // Decides on a new connection. level: of the descriptor budget. An evicted connection counts as
+  // closed.
   Decision connect(const Address& address, Level level, double nowMs);
   // The connection authenticated with this API key, which may make its client a known one.
   void identified(ConnectionId id, const std::string& keyName, double nowMs);
@@ -56,8 +57,8 @@
   // Counts a refusal that was decided elsewhere.
   void refusedOtherwise(Reason reason, const Address& address);
 
-  // Changes the rules. Returns the idle connections that exceed the new caps and are to be closed; busy ones
-  // finish their request first.
+  // Changes the rules. Returns the idle connections that exceed the new caps and are to be closed;
+  // busy ones finish their request first.
   std::vector<ConnectionId> reconfigure(Rules rules, double nowMs);
 
   const Rules& rules() const { return rules_; }
@@ -102,7 +103,9 @@
   Client& clientFor(const Address& address, double nowMs, bool& shared);
   double refill(Client& client, double nowMs) const;
   bool isQuiet(Client& client, double nowMs) const;
-  IdlePool& poolOf(const Connection& connection) { return connection.known ? knownIdle_ : unknownIdle_; }
+  IdlePool& poolOf(const Connection& connection) {
+    return connection.known ? knownIdle_ : unknownIdle_;
+  }
   void addIdle(ConnectionId id, const Connection& connection);
   void removeIdle(ConnectionId id, const Connection& connection);
   std::optional<ConnectionId> oldestIdle(const IdlePool& pool, double nowMs) const;
--- a/src/admission/descriptor_budget.cpp
+++ b/src/admission/descriptor_budget.cpp
@@ -56,12 +56,15 @@
 }
 
 void DescriptorBudget::give(Account account) {
-  if (held_[at(account)] == 0) return;
+  if (held_[at(account)] == 0)
+    return;
   --held_[at(account)];
   --total_;
 }
 
-void DescriptorBudget::ranOut(double nowMs) { exhaustedUntilMs_ = nowMs + kExhaustedHoldMs; }
+void DescriptorBudget::ranOut(double nowMs) {
+  exhaustedUntilMs_ = nowMs + kExhaustedHoldMs;
+}
 
 Level DescriptorBudget::level(double nowMs) {
   const auto part = [](std::size_t held, std::size_t most) {
@@ -69,8 +72,8 @@
   };
   const double full = std::max(part(total_, shares_.limit),
                                part(held(Account::kClients), shares_.most[at(Account::kClients)]));
-  const bool exhausted =
-      nowMs < exhaustedUntilMs_ || full >= (level_ == Level::kExhausted ? kExhaustedUntil : kExhaustedFrom);
+  const bool exhausted = nowMs < exhaustedUntilMs_ ||
+                         full >= (level_ == Level::kExhausted ? kExhaustedUntil : kExhaustedFrom);
   const bool tight = full >= (level_ == Level::kNormal ? kTightFrom : kTightUntil);
   level_ = exhausted ? Level::kExhausted : tight ? Level::kTight : Level::kNormal;
   return level_;
--- a/src/admission/descriptor_budget.h
+++ b/src/admission/descriptor_budget.h
@@ -1,5 +1,5 @@
-// The budget of file descriptors of the process, split into accounts by purpose. Whoever opens a descriptor
-// takes it from an account first. No I/O.
+// The budget of file descriptors of the process, split into accounts by purpose. Whoever opens a
+// descriptor takes it from an account first. No I/O.
 #pragma once
 
 #include <array>
@@ -8,8 +8,8 @@
 
 namespace dahliastall::admission {
 
-// The purpose of a descriptor. kOwn: log, event loop, listeners, the spare one. kRefusals: clients that are
-// sent the reason of their refusal.
+// The purpose of a descriptor. kOwn: log, event loop, listeners, the spare one. kRefusals: clients
+// that are sent the reason of their refusal.
 enum class Account { kClients, kBoxes, kDiscovery, kControl, kTelemetry, kOwn, kRefusals };
 // How scarce descriptors are.
 enum class Level { kNormal, kTight, kExhausted };
@@ -29,8 +29,8 @@
     std::array<std::size_t, kAccounts> most{};
   };
 
-  // The caps for a process with `limit` descriptors. Half of what the fixed accounts leave is for connections
-  // to instances, so that every accepted request can be dispatched.
+  // The caps for a process with `limit` descriptors. Half of what the fixed accounts leave is for
+  // connections to instances, so that every accepted request can be dispatched.
   static Shares sharesOf(std::size_t limit);
 
   explicit DescriptorBudget(const Shares& shares) : shares_(shares) {}
@@ -39,7 +39,8 @@
   bool may(Account account) const {
     return held(account) < shares_.most[at(account)] && total_ < shares_.limit;
   }
-  // Takes one descriptor; returns false, and counts a refusal, if the account or the process is full.
+  // Takes one descriptor; returns false, and counts a refusal, if the account or the process is
+  // full.
   bool take(Account account);
   void force(Account account);  // of one that is open already, regardless of the caps
   void give(Account account);   // returns one
@@ -48,7 +49,8 @@
   const Shares& shares() const { return shares_; }
   std::uint64_t refused(Account account) const { return refused_[at(account)]; }
 
-  // The system ran out although the budget was not used up, as when the process's limit was lowered.
+  // The system ran out although the budget was not used up, as when the process's limit was
+  // lowered.
   void ranOut(double nowMs);
   // By the fuller of the process and the clients' account, with hysteresis.
   Level level(double nowMs);
--- a/src/admission/rules.h
+++ b/src/admission/rules.h
@@ -36,12 +36,16 @@
   const Range* knownRange(const Address& address) const;
 };
 
-// Parses the object `admission` of the operator's file. names: of the file's API keys; mostClients: the
-// largest total that descriptors allow. Throws std::invalid_argument; its text begins with the path of the
-// field.
-Rules rulesOf(const nlohmann::json& admission, const std::set<std::string>& names, std::size_t mostClients);
+// Parses the object `admission` of the operator's file. names: of the file's API keys; mostClients:
+// the largest total that descriptors allow. Throws std::invalid_argument; its text begins with the
+// path of the field.
+Rules rulesOf(const nlohmann::json& admission,
+              const std::set<std::string>& names,
+              std::size_t mostClients);
 
 // Explains to an operator which rules apply to an address, line by line.
-std::string explain(const Rules& rules, const Address& address, const std::optional<std::string>& keyName);
+std::string explain(const Rules& rules,
+                    const Address& address,
+                    const std::optional<std::string>& keyName);
 
 }  // namespace dahliastall::admission
--- a/src/app/admin_client.cpp
+++ b/src/app/admin_client.cpp
@@ -16,21 +16,27 @@
   bool closed = false;
   boost::system::error_code trouble;
   socket.async_connect(endpoint, [&](const boost::system::error_code& error) {
-    if ((trouble = error)) return;
-    boost::asio::async_write(
-        socket, boost::asio::buffer(text), [&](const boost::system::error_code& failed, std::size_t) {
-          if ((trouble = failed)) return;
-          boost::asio::async_read(socket, boost::asio::dynamic_buffer(answer),
-                                  [&](const boost::system::error_code& end, std::size_t) {
-                                    closed = end == boost::asio::error::eof;
-                                    if (!closed) trouble = end;
-                                  });
-        });
+    if ((trouble = error))
+      return;
+    boost::asio::async_write(socket, boost::asio::buffer(text),
+                             [&](const boost::system::error_code& failed, std::size_t) {
+                               if ((trouble = failed))
+                                 return;
+                               boost::asio::async_read(
+                                   socket, boost::asio::dynamic_buffer(answer),
+                                   [&](const boost::system::error_code& end, std::size_t) {
+                                     closed = end == boost::asio::error::eof;
+                                     if (!closed)
+                                       trouble = end;
+                                   });
+                             });
   });
   io.run_for(std::chrono::milliseconds(static_cast<long>(withinMs)));
   const std::string where = endpoint.address().to_string() + ":" + std::to_string(endpoint.port());
-  if (trouble) throw std::runtime_error("the door at " + where + " cannot be used: " + trouble.message());
-  if (!closed || answer.empty()) throw std::runtime_error("the door at " + where + " does not answer");
+  if (trouble)
+    throw std::runtime_error("the door at " + where + " cannot be used: " + trouble.message());
+  if (!closed || answer.empty())
+    throw std::runtime_error("the door at " + where + " does not answer");
   return answer;
 }
 
--- a/src/app/admin_client.h
+++ b/src/app/admin_client.h
@@ -7,8 +7,10 @@
 
 namespace dahliastall::app {
 
-// Sends one line and returns the whole answer. Blocks; throws std::runtime_error if the endpoint cannot be
-// reached or does not answer within withinMs.
-std::string callAdmin(const net::Endpoint& endpoint, const std::string& line, double withinMs = 10'000);
+// Sends one line and returns the whole answer. Blocks; throws std::runtime_error if the endpoint
+// cannot be reached or does not answer within withinMs.
+std::string callAdmin(const net::Endpoint& endpoint,
+                      const std::string& line,
+                      double withinMs = 10'000);
 
 }  // namespace dahliastall::app
--- a/src/app/admission_watch.cpp
+++ b/src/app/admission_watch.cpp
@@ -12,56 +12,65 @@
 
 AdmissionWatch::AdmissionWatch(Engine& engine, admission::AdmissionController* gate)
     : engine_(engine), gate_(gate) {
-  if (gate_ != nullptr) tick();
+  if (gate_ != nullptr)
+    tick();
 }
 
-AdmissionWatch::~AdmissionWatch() { engine_.deadlines.cancel(next_); }
+AdmissionWatch::~AdmissionWatch() {
+  engine_.deadlines.cancel(next_);
+}
 
 void AdmissionWatch::tick() {
   std::string reasons;
   for (std::size_t i = 1; i < admission::kReasons; ++i) {
     const auto reason = static_cast<admission::Reason>(i);
     const std::uint64_t all = gate_->refused(reason);
-    if (all == said_[i]) continue;
+    if (all == said_[i])
+      continue;
     reasons += std::string(" ") + admission::nameOf(reason) + "=" + std::to_string(all - said_[i]);
     said_[i] = all;
   }
   if (!reasons.empty()) {
     const auto top = gate_->mostRefused();
-    spdlog::warn("admission refused{} open={} unknown={} most={}", reasons, gate_->open(), gate_->unknown(),
-                 top.empty() ? "-" : top.front().address);
+    spdlog::warn("admission refused{} open={} unknown={} most={}", reasons, gate_->open(),
+                 gate_->unknown(), top.empty() ? "-" : top.front().address);
   }
   const admission::Level now = engine_.ledger.level(engine_.clock.nowMs());
   if (now != level_)
-    spdlog::warn("descriptors are {} now, {} of {} held", admission::nameOf(now), engine_.ledger.total(),
-                 engine_.ledger.shares().limit);
+    spdlog::warn("descriptors are {} now, {} of {} held", admission::nameOf(now),
+                 engine_.ledger.total(), engine_.ledger.shares().limit);
   level_ = now;
   next_ = engine_.deadlines.add(engine_.clock.nowMs() + kSayMs, [this] { tick(); });
 }
 
 std::string AdmissionWatch::report() {
-  if (gate_ == nullptr) return "";
+  if (gate_ == nullptr)
+    return "";
   const auto line = [](const std::string& name, std::uint64_t value) {
     return name + " " + std::to_string(value) + "\n";
   };
-  const auto labelled = [&](const char* name, const char* label, const std::string& of, std::uint64_t value) {
+  const auto labelled = [&](const char* name, const char* label, const std::string& of,
+                            std::uint64_t value) {
     return line(std::string(name) + "{" + label + "=\"" + of + "\"}", value);
   };
-  std::string text =
-      line("admission_open", gate_->open()) + line("admission_open_unknown", gate_->unknown()) +
-      line("admission_addresses", gate_->addresses()) + line("admission_admitted_total", gate_->admitted()) +
-      line("admission_gave_way_total", gate_->gaveWay());
+  std::string text = line("admission_open", gate_->open()) +
+                     line("admission_open_unknown", gate_->unknown()) +
+                     line("admission_addresses", gate_->addresses()) +
+                     line("admission_admitted_total", gate_->admitted()) +
+                     line("admission_gave_way_total", gate_->gaveWay());
   for (std::size_t i = 1; i < admission::kReasons; ++i) {
     const auto reason = static_cast<admission::Reason>(i);
-    text += labelled("admission_refused_total", "reason", admission::nameOf(reason), gate_->refused(reason));
+    text += labelled("admission_refused_total", "reason", admission::nameOf(reason),
+                     gate_->refused(reason));
   }
   for (const auto& [address, count] : gate_->mostRefused())
     text += labelled("admission_refused_most", "address", address, count);
   for (std::size_t i = 0; i < admission::DescriptorBudget::kAccounts; ++i) {
     const auto account = static_cast<admission::Account>(i);
-    text += labelled("descriptors_held", "account", admission::nameOf(account), engine_.ledger.held(account));
-    text +=
-        labelled("descriptors_most", "account", admission::nameOf(account), engine_.ledger.shares().most[i]);
+    text += labelled("descriptors_held", "account", admission::nameOf(account),
+                     engine_.ledger.held(account));
+    text += labelled("descriptors_most", "account", admission::nameOf(account),
+                     engine_.ledger.shares().most[i]);
   }
   const admission::Level level = engine_.ledger.level(engine_.clock.nowMs());
   return text + "descriptors_level{is=\"" + admission::nameOf(level) + "\"} 1\n";
--- a/src/app/admission_watch.h
+++ b/src/app/admission_watch.h
@@ -1,5 +1,5 @@
-// Says in the log and to operators what the gate and the ledger do. Its output never grows with a flood: at
-// most a line a second, and a report of bounded length.
+// Says in the log and to operators what the gate and the ledger do. Its output never grows with a
+// flood: at most a line a second, and a report of bounded length.
 #pragma once
 
 #include <array>
--- a/src/app/conductor_app.h
+++ b/src/app/conductor_app.h
@@ -21,26 +21,35 @@
 // The part that every front needs: loop, core, pool and boxes.
 class Engine final : public core::ListSink {
  public:
-  Engine(boost::asio::io_context& context, const core::Clock& time, const leverrelay::wire::Setup& setup,
-         std::uint64_t seed, std::size_t boxConnections, double idleCloseMs, fronts::BoxDialect dialect,
+  Engine(boost::asio::io_context& context,
+         const core::Clock& time,
+         const leverrelay::wire::Setup& setup,
+         std::uint64_t seed,
+         std::size_t boxConnections,
+         double idleCloseMs,
+         fronts::BoxDialect dialect,
          std::size_t descriptors = 1024);
 
   struct Ending {
-    double doorOpenMs;                   // new requests are served so long after the signal
-    std::optional<double> graceMs;       // the process is killed no sooner than this after it; none: never
-    std::function<bool()> successor;     // whether another process serves at the same address; then the door
-                                         // closes at once
+    double doorOpenMs;  // new requests are served so long after the signal
+    std::optional<double>
+        graceMs;  // the process is killed no sooner than this after it; none: never
+    std::function<bool()> successor;     // whether another process serves at the same address; then
+                                         // the door closes at once
     std::function<void()> handOver;      // and what is open goes to it
     std::function<void()> leave = {};    // what this process does for others is to be let go of,
     std::function<bool()> hasLeft = {};  // and whether it is: waited for, but not for long
   };
 
-  // Runs until SIGTERM or SIGINT has been followed by the end of all that was taken. Counters go to the log
-  // on SIGUSR1 and at the end. SIGHUP calls reload, whose exceptions are logged and change nothing else.
+  // Runs until SIGTERM or SIGINT has been followed by the end of all that was taken. Counters go to
+  // the log on SIGUSR1 and at the end. SIGHUP calls reload, whose exceptions are logged and change
+  // nothing else.
   void run(net::Listener& listener, const Ending& ending, std::function<void()> reload);
 
   // What a list says goes through the membership to the module.
-  void list(leverrelay::ListNews news) override { conductor.list(membership.told(news, clock.nowMs())); }
+  void list(leverrelay::ListNews news) override {
+    conductor.list(membership.told(news, clock.nowMs()));
+  }
 
   // What a reload brings, as far as it can change under way.
   void reconfigure(const leverrelay::Settings& settings, fronts::BoxDialect dialect);
@@ -77,7 +86,8 @@
   bool trace = false;  // log events and actions of the module
 };
 
-// Keeps SIGHUP waiting until run() handles it: its default action would end the program. Called first of all.
+// Keeps SIGHUP waiting until run() handles it: its default action would end the program. Called
+// first of all.
 void holdReloads();
 
 // Reads the configuration again, whole, or throws. Nothing is changed before it has returned.
@@ -90,10 +100,13 @@
 // On the platform: its protocol, its discovery. SIGHUP takes over the file's `discovery`.
 void serve(const Config& config, const Telemetry& telemetry, const Reread<Config>& reread);
 
-// At a small site: the chat API, the boxes of the operator's file, which SIGHUP takes over whole but for what
-// needs a new start.
-void takeOver(fronts::OperatorFile fresh, fronts::OperatorFile& site, Engine& engine);  // throws ConfigError
-void serve(const fronts::OperatorFile& first, const Telemetry& telemetry,
+// At a small site: the chat API, the boxes of the operator's file, which SIGHUP takes over whole
+// but for what needs a new start.
+void takeOver(fronts::OperatorFile fresh,
+              fronts::OperatorFile& site,
+              Engine& engine);  // throws ConfigError
+void serve(const fronts::OperatorFile& first,
+           const Telemetry& telemetry,
            const Reread<fronts::OperatorFile>& reread);
 
 }  // namespace dahliastall::app
--- a/src/app/config.cpp
+++ b/src/app/config.cpp
@@ -15,7 +15,8 @@
 
 std::uint64_t seedOf(const json& file) {
   const json& seed = file.contains("seed") ? file.at("seed") : json("0");
-  if (seed.is_number_unsigned()) return seed.get<std::uint64_t>();
+  if (seed.is_number_unsigned())
+    return seed.get<std::uint64_t>();
   const std::string text = seed.get<std::string>();
   std::uint64_t value = 0;
   const auto [end, fault] = std::from_chars(text.data(), text.data() + text.size(), value, 16);
@@ -24,10 +25,15 @@
   return value;
 }
 
-std::string pick(const json& file, const Environment& environment, const char* variable, const char* key) {
+std::string pick(const json& file,
+                 const Environment& environment,
+                 const char* variable,
+                 const char* key) {
   const auto set = environment.find(variable);
-  if (set != environment.end()) return set->second;
-  if (!file.contains(key)) throw ConfigError(std::string(key) + " is missing, and so is " + variable);
+  if (set != environment.end())
+    return set->second;
+  if (!file.contains(key))
+    throw ConfigError(std::string(key) + " is missing, and so is " + variable);
   return file.at(key).get<std::string>();
 }
 
@@ -46,7 +52,8 @@
 
 json readJson(const std::string& path) {
   std::ifstream file(path);
-  if (!file) throw ConfigError("cannot read " + path);
+  if (!file)
+    throw ConfigError("cannot read " + path);
   try {
     return json::parse(file);
   } catch (const json::exception& fault) {
@@ -67,14 +74,18 @@
     if (const auto folder = environment.find("TMPDIR"); folder != environment.end())
       config.sharedFolder = folder->second;
     config.seed = seedOf(file);
-    if (file.contains("limits")) config.limits.sockets = file.at("limits").value("sockets", 1024U);
-    if (config.limits.sockets < 128) throw ConfigError("limits.sockets is under 128: too few to serve");
-    if (!file.contains("settings")) throw ConfigError("settings is missing");
+    if (file.contains("limits"))
+      config.limits.sockets = file.at("limits").value("sockets", 1024U);
+    if (config.limits.sockets < 128)
+      throw ConfigError("limits.sockets is under 128: too few to serve");
+    if (!file.contains("settings"))
+      throw ConfigError("settings is missing");
     const json& settings = file.at("settings");
     config.setup = fronts::settingsOf(settings);
     if (settings.contains("limits"))
       config.idleCloseMs = settings.at("limits").value("idleCloseMs", config.idleCloseMs);
-    if (file.contains("known")) config.known = file.at("known");
+    if (file.contains("known"))
+      config.known = file.at("known");
     return config;
   } catch (const json::exception& fault) {
     throw ConfigError(fault.what());
--- a/src/app/config.h
+++ b/src/app/config.h
@@ -19,7 +19,8 @@
 
 struct Limits {
   std::size_t sockets = 1024;
-  // Shares of them: each request takes one connection on either side, and files and discovery a few.
+  // Shares of them: each request takes one connection on either side, and files and discovery a
+  // few.
   std::size_t clients() const { return (sockets - spare()) / 2; }
   std::size_t boxes() const { return sockets - spare() - clients(); }
 
@@ -30,8 +31,8 @@
 struct Config {
   std::string name;
   net::Endpoint listen, discovery;
-  std::optional<net::Endpoint> admin;            // the operators' door; none: there is no such door
-  std::string sharedFolder;                      // with a process that replaces this one; empty: none
+  std::optional<net::Endpoint> admin;  // the operators' door; none: there is no such door
+  std::string sharedFolder;            // with a process that replaces this one; empty: none
   std::optional<net::Endpoint> discoveryInFile;  // which may differ from what the environment says
   std::uint64_t seed = 0;
   Limits limits;
@@ -45,7 +46,8 @@
 
 nlohmann::json readJson(const std::string& path);
 
-// GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_ADMIN_ADDR come before what the file says. Throws ConfigError.
+// GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_ADMIN_ADDR come before what the file says. Throws
+// ConfigError.
 Config configOf(const nlohmann::json& file, const Environment& environment);
 
 }  // namespace dahliastall::app
--- a/src/app/coordinator.cpp
+++ b/src/app/coordinator.cpp
@@ -15,14 +15,16 @@
 namespace {
 
 static_assert(control::kLongestPlanLine >= Plan::kMostBoxes * (Plan::kLongestWord + 1));
-constexpr int kTries = 3;          // to write an operator's word, if others write at the same moment
-constexpr double kTurnMs = 20;     // between looks whether all is let go of
-constexpr std::size_t kBeats = 6;  // that a conductor speaks within the time after which it counts as silent
+constexpr int kTries = 3;       // to write an operator's word, if others write at the same moment
+constexpr double kTurnMs = 20;  // between looks whether all is let go of
+constexpr std::size_t kBeats =
+    6;  // that a conductor speaks within the time after which it counts as silent
 
 std::unique_ptr<Store> storeOf(Engine& engine, const Setup& setup) {
-  if (!setup.etcd) return std::make_unique<SqliteStore>(engine.io, setup.sqlitePath);
-  auto store =
-      std::make_unique<EtcdStore>(engine.io, engine.clock, engine.deadlines, engine.counters, *setup.etcd);
+  if (!setup.etcd)
+    return std::make_unique<SqliteStore>(engine.io, setup.sqlitePath);
+  auto store = std::make_unique<EtcdStore>(engine.io, engine.clock, engine.deadlines,
+                                           engine.counters, *setup.etcd);
   store->accountTo(engine.ledger);
   return store;
 }
@@ -30,7 +32,8 @@
 std::optional<double> secondsIn(const std::string& text) {
   double value = 0;
   const auto [end, fault] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (fault != std::errc() || end != text.data() + text.size() || !(value >= 0 && value <= 86'400)) return {};
+  if (fault != std::errc() || end != text.data() + text.size() || !(value >= 0 && value <= 86'400))
+    return {};
   return value;
 }
 
@@ -44,7 +47,8 @@
   return words;
 }
 
-// start ID BOX[,BOX...] [hold=S] [confirm] [by=WHO] [rev=N], and so on. Throws std::invalid_argument.
+// start ID BOX[,BOX...] [hold=S] [confirm] [by=WHO] [rev=N], and so on. Throws
+// std::invalid_argument.
 PlanCommand commandOf(const std::vector<std::string>& words) {
   const std::map<std::string, PlanCommand::Kind> kinds{{"start", PlanCommand::Kind::kStart},
                                                        {"pause", PlanCommand::Kind::kPause},
@@ -53,8 +57,8 @@
                                                        {"back", PlanCommand::Kind::kBack}};
   const auto kind = kinds.find(words.front());
   if (kind == kinds.end())
-    throw std::invalid_argument("maintenance takes show, start, pause, resume, cancel or back, not " +
-                                words.front());
+    throw std::invalid_argument(
+        "maintenance takes show, start, pause, resume, cancel or back, not " + words.front());
   PlanCommand command;
   command.kind = kind->second;
   command.by = "operator";
@@ -63,7 +67,8 @@
     const std::string& word = words[i];
     if (word.rfind("hold=", 0) == 0) {
       const auto seconds = secondsIn(word.substr(5));
-      if (!seconds) throw std::invalid_argument("hold is a number of seconds from 0 to 86400");
+      if (!seconds)
+        throw std::invalid_argument("hold is a number of seconds from 0 to 86400");
       command.holdMs = *seconds * 1000;
     } else if (word.rfind("by=", 0) == 0) {
       command.by = word.substr(3);
@@ -82,11 +87,14 @@
   const std::size_t wanted =
       command.kind == PlanCommand::Kind::kStart ? 2 : command.kind == PlanCommand::Kind::kBack;
   if (plain.size() != wanted)
-    throw std::invalid_argument(wanted == 2   ? "start takes an id and boxes, as in: start june box-1,box-2"
+    throw std::invalid_argument(wanted == 2
+                                    ? "start takes an id and boxes, as in: start june box-1,box-2"
                                 : wanted == 1 ? "back takes one box"
                                               : words.front() + " takes nothing more");
-  if (wanted == 2) command.id = plain[0];
-  if (wanted > 0) command.boxes = listIn(plain[wanted - 1]);
+  if (wanted == 2)
+    command.id = plain[0];
+  if (wanted > 0)
+    command.boxes = listIn(plain[wanted - 1]);
   return command;
 }
 
@@ -95,11 +103,15 @@
 Coordinator::Run::Run(Coordinator& owner, Setup given)
     : setup(std::move(given)),
       store(storeOf(owner.engine_, setup)),
-      runner({*store, owner.engine_.clock, owner.engine_.deadlines, owner.engine_.counters}, owner.who_,
-             owner.seed_, setup.lease, setup.watchMs) {
+      runner({*store, owner.engine_.clock, owner.engine_.deadlines, owner.engine_.counters},
+             owner.who_,
+             owner.seed_,
+             setup.lease,
+             setup.watchMs) {
   runner.add(std::make_unique<Maintenance>(setup.maintenance, [&owner] { return owner.boxes(); }));
   runner.add(std::make_unique<Cleanup>(setup.cleanup));
-  if (owner.sharer_ == nullptr) return;
+  if (owner.sharer_ == nullptr)
+    return;
   runner.add(owner.sharer_->task(setup.lease.longestStepMs));
   // With a digest to go by, nobody but holders needs to read what all others say.
   runner.needs([&owner] {
@@ -109,7 +121,10 @@
   });
 }
 
-Coordinator::Coordinator(Engine& engine, const leverrelay::wire::Setup& site, Setup setup, Sharer* sharer)
+Coordinator::Coordinator(Engine& engine,
+                         const leverrelay::wire::Setup& site,
+                         Setup setup,
+                         Sharer* sharer)
     : engine_(engine),
       site_(site),
       sharer_(sharer),
@@ -121,22 +136,26 @@
 
 Coordinator::~Coordinator() {
   *alive_ = false;
-  if (sharer_ != nullptr) sharer_->carriedBy(nullptr);
+  if (sharer_ != nullptr)
+    sharer_->carriedBy(nullptr);
   engine_.deadlines.cancel(turn_);
 }
 
 void Coordinator::begin(Setup setup) {
-  if (sharer_ != nullptr) sharer_->carriedBy(nullptr);
+  if (sharer_ != nullptr)
+    sharer_->carriedBy(nullptr);
   run_ = nullptr;
   presence_ = OwnPresence(who_, setup.maintenance.silentNodeMs / kBeats);
   run_ = std::make_unique<Run>(*this, std::move(setup));
-  spdlog::info("coordination: {} is {} in {}", who_.name, who_.incarnation, run_->store->describe());
+  spdlog::info("coordination: {} is {} in {}", who_.name, who_.incarnation,
+               run_->store->describe());
   run_->runner.onView([this](const View& view, bool whole) { saw(view, whole); });
   if (sharer_ != nullptr)
     sharer_->carriedBy([this](Write write, std::function<void(CommitAnswer)> answer) {
       run_->store->put(std::move(write), std::move(answer));
     });
-  if (resigned_) run_->runner.resign();
+  if (resigned_)
+    run_->runner.resign();
   run_->runner.start();
 }
 
@@ -145,13 +164,16 @@
     spdlog::warn("SIGHUP: coordination.name changes with the next start only");
     fresh.name = who_.name;
   }
-  if (fresh.text == run_->setup.text && !coming_) return;
+  if (fresh.text == run_->setup.text && !coming_)
+    return;
   coming_ = std::move(fresh);
   run_->runner.resign();
-  if (turn_) return;
+  if (turn_)
+    return;
   const auto turn = [this](const auto& again) -> void {
     turn_.reset();
-    if (run_->runner.out()) return begin(*std::exchange(coming_, std::nullopt));
+    if (run_->runner.out())
+      return begin(*std::exchange(coming_, std::nullopt));
     turn_ = engine_.deadlines.add(engine_.clock.nowMs() + kTurnMs, [again] { again(again); });
   };
   turn_ = engine_.deadlines.add(engine_.clock.nowMs(), [turn] { turn(turn); });
@@ -159,37 +181,47 @@
 
 void Coordinator::resign() {
   resigned_ = true;
-  if (sharer_ != nullptr) sharer_->leave(true);
+  if (sharer_ != nullptr)
+    sharer_->leave(true);
   run_->runner.resign();
 }
 
 void Coordinator::again() {
   resigned_ = false;
-  if (sharer_ != nullptr) sharer_->leave(false);
-  if (!presence_.rivalled()) run_->runner.again();
+  if (sharer_ != nullptr)
+    sharer_->leave(false);
+  if (!presence_.rivalled())
+    run_->runner.again();
 }
 
-bool Coordinator::out() const { return run_->runner.out(); }
+bool Coordinator::out() const {
+  return run_->runner.out();
+}
 
 void Coordinator::saw(const View& view, bool whole) {
   presence_.read(view.docs, engine_.clock.nowMs());
   if (presence_.rivalled() && !std::exchange(saidRival_, true)) {
-    spdlog::error("coordination: another conductor has the name {}; this one holds no leases any more",
-                  who_.name);
+    spdlog::error(
+        "coordination: another conductor has the name {}; this one holds no leases any more",
+        who_.name);
     ++engine_.counters["coordination.rivalled"];
     run_->runner.resign();
   }
   std::size_t nodes = 0;
-  for (const auto& [key, doc] : view.docs) nodes += key.rfind(kNodePrefix, 0) == 0;
-  if (!whole) nodes = sharer_->nodes();
+  for (const auto& [key, doc] : view.docs)
+    nodes += key.rfind(kNodePrefix, 0) == 0;
+  if (!whole)
+    nodes = sharer_->nodes();
   run_->runner.candidates(std::max<std::size_t>(1, nodes));
-  if (sharer_ != nullptr) sharer_->saw(view);
+  if (sharer_ != nullptr)
+    sharer_->saw(view);
   apply(view);
   speak();
 }
 
-// The drains that the plan says. Without a word from the store the last ones stay; and a plan whose steps are
-// behind those that were carried out comes from a store that went back, or from nobody who may write it.
+// The drains that the plan says. Without a word from the store the last ones stay; and a plan whose
+// steps are behind those that were carried out comes from a store that went back, or from nobody
+// who may write it.
 void Coordinator::apply(const View& view) {
   const auto stored = view.docs.find(kPlanKey);
   auto plan = stored == view.docs.end() ? std::nullopt : Plan::parse(stored->second.value);
@@ -197,25 +229,29 @@
     ++engine_.counters["coordination.unreadable"];
     return;
   }
-  const bool behind =
-      plan && plan_ && plan->id == plan_->id && (plan->steps < plan_->steps || plan->fence < plan_->fence);
+  const bool behind = plan && plan_ && plan->id == plan_->id &&
+                      (plan->steps < plan_->steps || plan->fence < plan_->fence);
   if (behind) {
     ++engine_.counters["coordination.behind"];
     if (!std::exchange(saidBack_, true))
-      spdlog::error("coordination: plan {} is at step {}, and step {} was carried out; it is not followed",
-                    plan->id, plan->steps, plan_->steps);
+      spdlog::error(
+          "coordination: plan {} is at step {}, and step {} was carried out; it is not followed",
+          plan->id, plan->steps, plan_->steps);
     return;
   }
   saidBack_ = false;
   plan_ = std::move(plan);
-  const std::set<std::string> drained = plan_ && !plan_->over() ? plan_->drained() : std::set<std::string>();
+  const std::set<std::string> drained =
+      plan_ && !plan_->over() ? plan_->drained() : std::set<std::string>();
   const auto news = engine_.membership.setPlannedDrains(drained, engine_.clock.nowMs());
-  if (!news) return;
+  if (!news)
+    return;
   for (const leverrelay::ListEntry& entry : news->entries) {
     const bool out = drained.count(entry.engine.value) != 0;
     spdlog::info("maintenance: box {} is {}", entry.engine.value, out ? "drained" : "back");
     const fronts::Box* box = engine_.directory.find(entry.engine);
-    if (!out && box != nullptr) engine_.pool.dropIdle(box->address);
+    if (!out && box != nullptr)
+      engine_.pool.dropIdle(box->address);
   }
   engine_.conductor.list(*news);
 }
@@ -226,28 +262,36 @@
     now.plan = plan_->id;
     now.steps = plan_->steps;
     for (const std::string& box : plan_->drained())
-      if (const std::size_t open = engine_.conductor.openAt({box}); open > 0) now.open[box] = open;
+      if (const std::size_t open = engine_.conductor.openAt({box}); open > 0)
+        now.open[box] = open;
   }
   const auto write = presence_.next(now, engine_.clock.nowMs());
-  if (!write) return;
+  if (!write)
+    return;
   run_->store->put(*write, [this, alive = alive_](CommitAnswer answer) {
-    if (*alive) presence_.written(answer, engine_.clock.nowMs());
+    if (*alive)
+      presence_.written(answer, engine_.clock.nowMs());
   });
 }
 
-FleetBoxes Coordinator::boxes() const { return fleetBoxes(engine_.membership, site_.settings); }
+FleetBoxes Coordinator::boxes() const {
+  return fleetBoxes(engine_.membership, site_.settings);
+}
 
 std::string Coordinator::plan() const {
-  if (!run_->runner.hears() && !plan_) return "plan unknown: the store is not read\n";
-  if (!plan_) return "plan none\n";
+  if (!run_->runner.hears() && !plan_)
+    return "plan unknown: the store is not read\n";
+  if (!plan_)
+    return "plan none\n";
   const auto stored = run_->runner.view().docs.find(kPlanKey);
-  std::string text = fmt::format("plan {} state={} by={} revision={} steps={} fence={}{}\n", plan_->id,
-                                 coordination::nameOf(plan_->state), plan_->by,
-                                 stored == run_->runner.view().docs.end() ? 0 : stored->second.revision,
-                                 plan_->steps, plan_->fence, run_->runner.hears() ? "" : " as last heard");
+  std::string text =
+      fmt::format("plan {} state={} by={} revision={} steps={} fence={}{}\n", plan_->id,
+                  coordination::nameOf(plan_->state), plan_->by,
+                  stored == run_->runner.view().docs.end() ? 0 : stored->second.revision,
+                  plan_->steps, plan_->fence, run_->runner.hears() ? "" : " as last heard");
   for (const PlanItem& item : plan_->items)
-    text += fmt::format("item {} {} at_step={} why=\"{}\"\n", item.box, coordination::nameOf(item.state),
-                        item.changed, item.why);
+    text += fmt::format("item {} {} at_step={} why=\"{}\"\n", item.box,
+                        coordination::nameOf(item.state), item.changed, item.why);
   return text;
 }
 
@@ -263,26 +307,34 @@
 // Decided on what the store has now, not on what was read some time ago.
 void Coordinator::command(PlanCommand asked, int tries, std::function<void(Service::Done)> reply) {
   run_->store->list([this, alive = alive_, asked, tries, reply](const Listing& all) {
-    if (!*alive) return;
-    if (!all.ok) return reply({false, "the store cannot be read: " + all.why});
+    if (!*alive)
+      return;
+    if (!all.ok)
+      return reply({false, "the store cannot be read: " + all.why});
     const PlanAnswer answer =
         decide(asked, {all.docs, all.revision, engine_.clock.nowMs()}, boxes(), core::unixNowMs());
-    if (!answer.problem.empty()) return reply({false, answer.problem});
-    if (!answer.write) return reply({true, answer.said});
-    run_->store->put(*answer.write, [this, alive = alive_, asked, tries, reply, answer](CommitAnswer done) {
-      if (!*alive) return;
-      if (done.how == Committed::kDone) {
-        spdlog::info("maintenance: {} says: {}", asked.by, answer.said);
-        run_->runner.refresh();
-        return reply({true, answer.said + ", revision " + std::to_string(done.revision)});
-      }
-      if (done.how == Committed::kConflict && tries > 1) return command(asked, tries - 1, reply);
-      reply(
-          {false, done.how == Committed::kConflict ? "others write at the same time: look and say it again"
-                  : done.how == Committed::kRefused
-                      ? "the store takes no such plan"
-                      : "the store did not answer: it may be written or not, look with `maintenance show`"});
-    });
+    if (!answer.problem.empty())
+      return reply({false, answer.problem});
+    if (!answer.write)
+      return reply({true, answer.said});
+    run_->store->put(
+        *answer.write, [this, alive = alive_, asked, tries, reply, answer](CommitAnswer done) {
+          if (!*alive)
+            return;
+          if (done.how == Committed::kDone) {
+            spdlog::info("maintenance: {} says: {}", asked.by, answer.said);
+            run_->runner.refresh();
+            return reply({true, answer.said + ", revision " + std::to_string(done.revision)});
+          }
+          if (done.how == Committed::kConflict && tries > 1)
+            return command(asked, tries - 1, reply);
+          reply({false, done.how == Committed::kConflict
+                            ? "others write at the same time: look and say it again"
+                        : done.how == Committed::kRefused
+                            ? "the store takes no such plan"
+                            : "the store did not answer: it may be written or not, look with "
+                              "`maintenance show`"});
+        });
   });
 }
 
--- a/src/app/coordinator.h
+++ b/src/app/coordinator.h
@@ -1,6 +1,6 @@
 // What conductors of one installation do together, put together for one of them: the store that the
-// operator's file names, the leases and tasks, this conductor's own word, and the plan's drains in its
-// membership.
+// operator's file names, the leases and tasks, this conductor's own word, and the plan's drains in
+// its membership.
 #pragma once
 
 #include <functional>
@@ -19,11 +19,14 @@
 class Coordinator {
  public:
   // sharer: what else the store carries; none where nothing is shared beside leases.
-  Coordinator(Engine& engine, const leverrelay::wire::Setup& site, coordination::Setup setup,
+  Coordinator(Engine& engine,
+              const leverrelay::wire::Setup& site,
+              coordination::Setup setup,
               Sharer* sharer = nullptr);
   ~Coordinator();
 
-  // Another store or other times: what is held is let go first. A name that changes needs a new start.
+  // Another store or other times: what is held is let go first. A name that changes needs a new
+  // start.
   void reconfigure(coordination::Setup fresh);
 
   // Leases are let go of in order; asked for no more until again().
@@ -33,7 +36,8 @@
 
   std::string leases(bool json) const { return run_->runner.report(json); }
   std::string plan() const;
-  void maintenance(const std::vector<std::string>& words, std::function<void(control::Service::Done)> reply);
+  void maintenance(const std::vector<std::string>& words,
+                   std::function<void(control::Service::Done)> reply);
 
  private:
   struct Run {  // of one setup
@@ -48,7 +52,8 @@
   void speak();
   void apply(const coordination::View& view);
   coordination::FleetBoxes boxes() const;
-  void command(coordination::PlanCommand command, int tries,
+  void command(coordination::PlanCommand command,
+               int tries,
                std::function<void(control::Service::Done)> reply);
 
   Engine& engine_;
--- a/src/app/files.cpp
+++ b/src/app/files.cpp
@@ -14,7 +14,8 @@
 int openFile(const std::string& path, int flags) {
   while (true) {
     const int descriptor = ::open(path.c_str(), flags | O_CLOEXEC | O_NOFOLLOW, kOwnerOnly);
-    if (descriptor >= 0 || errno != EINTR) return descriptor;
+    if (descriptor >= 0 || errno != EINTR)
+      return descriptor;
   }
 }
 
@@ -23,14 +24,17 @@
 File::File(const std::string& path, int flags) : descriptor_(openFile(path, flags)) {}
 
 File::~File() {
-  if (descriptor_ >= 0) ::close(descriptor_);
+  if (descriptor_ >= 0)
+    ::close(descriptor_);
 }
 
 bool writeAll(int descriptor, std::string_view text) {
   while (!text.empty()) {
     const auto count = ::write(descriptor, text.data(), text.size());
-    if (count < 0 && errno == EINTR) continue;
-    if (count <= 0) return false;
+    if (count < 0 && errno == EINTR)
+      continue;
+    if (count <= 0)
+      return false;
     text.remove_prefix(static_cast<std::size_t>(count));
   }
   return true;
@@ -41,9 +45,12 @@
   std::size_t have = 0;
   while (have < size) {
     const auto count = ::read(descriptor, text.data() + have, size - have);
-    if (count < 0 && errno == EINTR) continue;
-    if (count < 0) return std::nullopt;
-    if (count == 0) break;
+    if (count < 0 && errno == EINTR)
+      continue;
+    if (count < 0)
+      return std::nullopt;
+    if (count == 0)
+      break;
     have += static_cast<std::size_t>(count);
   }
   text.resize(have);
@@ -52,7 +59,8 @@
 
 bool sync(int descriptor) {
   while (::fsync(descriptor) != 0)
-    if (errno != EINTR) return false;
+    if (errno != EINTR)
+      return false;
   return true;
 }
 
--- a/src/app/files.h
+++ b/src/app/files.h
@@ -1,4 +1,5 @@
-/// Files by descriptor: opened, read and written whole, with interrupted and short calls gone on with.
+/// Files by descriptor: opened, read and written whole, with interrupted and short calls gone on
+/// with.
 #pragma once
 
 #include <cstddef>
@@ -12,7 +13,8 @@
 /// An open file that closes with its owner.
 class File {
  public:
-  /// Access for the owner alone; a symbolic link is not followed. Sets errno if it cannot be opened.
+  /// Access for the owner alone; a symbolic link is not followed. Sets errno if it cannot be
+  /// opened.
   File(const std::string& path, int flags);
   ~File();
   File(const File&) = delete;
--- a/src/app/fleet_boxes.h
+++ b/src/app/fleet_boxes.h
@@ -1,5 +1,5 @@
-// Helpers of the coordinator and the sharer: the fleet's instances as this process sees them, and random
-// numbers for incarnations.
+// Helpers of the coordinator and the sharer: the fleet's instances as this process sees them, and
+// random numbers for incarnations.
 #pragma once
 
 #include <array>
--- a/src/app/handover.cpp
+++ b/src/app/handover.cpp
@@ -15,10 +15,13 @@
 
 // A stream opens, or its last write ends, at any time: looked at so often, far below the grace.
 constexpr double kLookMs = 10;
-// That wait for the other process: what it does not come to take stands still meanwhile, so the rest goes on.
+// That wait for the other process: what it does not come to take stands still meanwhile, so the
+// rest goes on.
 constexpr std::size_t kMostUnheard = 16;
 
-json binary(const std::string& bytes) { return json::binary({bytes.begin(), bytes.end()}); }
+json binary(const std::string& bytes) {
+  return json::binary({bytes.begin(), bytes.end()});
+}
 
 std::string bytesOf(const json& value) {
   const auto& bytes = value.get_binary();
@@ -29,24 +32,24 @@
 
 std::string textOf(const HandedStream& stream) {
   const leverrelay::Arrival& told = stream.arrival;
-  const json whole{
-      {"id", binary(told.request.value)},
-      {"class", told.cls.value},
-      {"tenant", told.tenant ? json(told.tenant->value) : json()},
-      {"session", binary(told.session)},
-      {"prefix", binary(told.prefix)},
-      {"prompt", told.promptTokens},
-      {"shared", told.prefixTokens},
-      {"most", told.maxTokens},
-      {"engine", binary(stream.engine.value)},
-      {"address", stream.address.address().to_string() + ":" + std::to_string(stream.address.port())},
-      {"unread", binary(stream.box.call.unread)},
-      {"chunk", stream.box.call.chunkLeft},
-      {"box_keeps", stream.box.call.keepAlive},
-      {"event", binary(stream.box.event)},
-      {"ahead", binary(stream.client.ahead)},
-      {"ahead_came", stream.client.aheadCameMs},
-      {"client_keeps", stream.client.keepAlive}};
+  const json whole{{"id", binary(told.request.value)},
+                   {"class", told.cls.value},
+                   {"tenant", told.tenant ? json(told.tenant->value) : json()},
+                   {"session", binary(told.session)},
+                   {"prefix", binary(told.prefix)},
+                   {"prompt", told.promptTokens},
+                   {"shared", told.prefixTokens},
+                   {"most", told.maxTokens},
+                   {"engine", binary(stream.engine.value)},
+                   {"address", stream.address.address().to_string() + ":" +
+                                   std::to_string(stream.address.port())},
+                   {"unread", binary(stream.box.call.unread)},
+                   {"chunk", stream.box.call.chunkLeft},
+                   {"box_keeps", stream.box.call.keepAlive},
+                   {"event", binary(stream.box.event)},
+                   {"ahead", binary(stream.client.ahead)},
+                   {"ahead_came", stream.client.aheadCameMs},
+                   {"client_keeps", stream.client.keepAlive}};
   const auto packed = json::to_msgpack(whole);
   return {packed.begin(), packed.end()};
 }
@@ -75,48 +78,61 @@
   return stream;
 }
 
-Handover::~Handover() { engine_.deadlines.cancel(next_); }
+Handover::~Handover() {
+  engine_.deadlines.cancel(next_);
+}
 
 void Handover::begin(const std::string& folder, const std::string& name) {
-  if (to_) return;
+  if (to_)
+    return;
   to_ = std::make_unique<PassingSender>(folder, name);
-  if (!to_->isOpen()) spdlog::warn("the other process takes no streams: their clients will ask for the rest");
+  if (!to_->isOpen())
+    spdlog::warn("the other process takes no streams: their clients will ask for the rest");
   tick();
 }
 
 // What the other process has not taken when it ends is taken up here again.
 void Handover::settle() {
-  for (std::size_t heard = std::min(to_->taken(), sent_.size()); heard > 0; --heard) sent_.pop_front();
-  if (to_->isOpen()) return;
-  if (!sent_.empty()) spdlog::warn("the other process has ended: {} streams go on here", sent_.size());
-  for (; !sent_.empty(); sent_.pop_front()) take(std::move(sent_.front()));
+  for (std::size_t heard = std::min(to_->taken(), sent_.size()); heard > 0; --heard)
+    sent_.pop_front();
+  if (to_->isOpen())
+    return;
+  if (!sent_.empty())
+    spdlog::warn("the other process has ended: {} streams go on here", sent_.size());
+  for (; !sent_.empty(); sent_.pop_front())
+    take(std::move(sent_.front()));
 }
 
 void Handover::tick() {
   settle();
-  if (!to_->isOpen()) return;
+  if (!to_->isOpen())
+    return;
   for (const core::RequestKey key : engine_.conductor.streams()) {
     const auto stream = engine_.conductor.streamOf(key);
-    if (stream) engine_.boxes.pause(stream->attempt, [this, key] { hand(key); });
+    if (stream)
+      engine_.boxes.pause(stream->attempt, [this, key] { hand(key); });
   }
   next_ = engine_.deadlines.add(engine_.clock.nowMs() + kLookMs, [this] { tick(); });
 }
 
-// Called when nothing is being read from the box. Whatever stands in the way now, the stream goes on here and
-// is looked at again.
+// Called when nothing is being read from the box. Whatever stands in the way now, the stream goes
+// on here and is looked at again.
 void Handover::hand(core::RequestKey key) {
   const auto stream = engine_.conductor.streamOf(key);
-  if (!stream) return;
+  if (!stream)
+    return;
   const auto client = front_.connectionOf(key);
   const auto rest = client ? client->rest() : std::nullopt;
   const auto box = engine_.boxes.rest(stream->attempt);
   const fronts::Box* known = engine_.directory.find(stream->engine);
-  if (!rest || !box || known == nullptr) return engine_.boxes.goOn(stream->attempt);
+  if (!rest || !box || known == nullptr)
+    return engine_.boxes.goOn(stream->attempt);
   Passed kept{textOf({stream->arrival, stream->engine, known->address, *box, *rest}), {}};
   for (const int descriptor : {rest->descriptor, box->call.descriptor})
     kept.descriptors.emplace_back(::fcntl(descriptor, F_DUPFD_CLOEXEC, 0));
   const bool may = sent_.size() < kMostUnheard && kept.descriptors[0] && kept.descriptors[1];
-  if (!may || to_->send(kept.bytes, {rest->descriptor, box->call.descriptor}) != PassingSender::Result::kSent)
+  if (!may || to_->send(kept.bytes, {rest->descriptor, box->call.descriptor}) !=
+                  PassingSender::Result::kSent)
     return engine_.boxes.goOn(stream->attempt);
   sent_.push_back(std::move(kept));
   ++engine_.counters["streams.handed_over"];
@@ -126,7 +142,8 @@
 }
 
 void Handover::take(Passed passed) {
-  if (passed.descriptors.size() != 2) return;
+  if (passed.descriptors.size() != 2)
+    return;
   HandedStream stream{};
   try {
     stream = handedStreamOf(passed.bytes);
@@ -136,15 +153,18 @@
   }
   stream.client.descriptor = passed.descriptors[0].take();
   const auto client = listener_.adopt(stream.client);
-  if (!client) return;
+  if (!client)
+    return;
   const auto answerer = front_.adopted(client);
   const auto taken =
       answerer ? engine_.conductor.adopt(stream.arrival, stream.engine, answerer) : std::nullopt;
-  if (!taken) return client->breakOff();
+  if (!taken)
+    return client->breakOff();
   ++engine_.counters["streams.taken_over"];
   front_.adopt(*client, taken->request);
   stream.box.call.descriptor = passed.descriptors[1].take();
-  if (!engine_.boxes.adopt(taken->attempt, stream.arrival.request, stream.engine, stream.address, stream.box))
+  if (!engine_.boxes.adopt(taken->attempt, stream.arrival.request, stream.engine, stream.address,
+                           stream.box))
     engine_.conductor.ended(taken->attempt, {leverrelay::Outcome::kConnectionLost});
 }
 
--- a/src/app/handover.h
+++ b/src/app/handover.h
@@ -1,5 +1,5 @@
-// Hands the open streams of a process that ends to the one that replaces it, and takes them over there. Only
-// where both run beside each other on one machine.
+// Hands the open streams of a process that ends to the one that replaces it, and takes them over
+// there. Only where both run beside each other on one machine.
 #pragma once
 
 #include <deque>
@@ -28,11 +28,14 @@
       : engine_(engine), front_(front), listener_(listener) {}
   ~Handover();
 
-  // From now on every stream that is open, or opens, goes to the process that receives under this name.
+  // From now on every stream that is open, or opens, goes to the process that receives under this
+  // name.
   void begin(const std::string& folder, const std::string& name);
-  // Streams that were handed over and that the other process has not taken yet: they come back if it ends.
+  // Streams that were handed over and that the other process has not taken yet: they come back if
+  // it ends.
   std::size_t unheard() const { return sent_.size(); }
-  // A stream from another process. One that cannot be taken over breaks, and its client asks for the rest.
+  // A stream from another process. One that cannot be taken over breaks, and its client asks for
+  // the rest.
   void take(Passed passed);
 
  private:
--- a/src/app/operations.cpp
+++ b/src/app/operations.cpp
@@ -12,14 +12,15 @@
 
 namespace {
 
-// How often the shared folder is looked at: what an operator told the other process has to hold here well
-// within the grace of a drain, which runs from that process's answer.
+// How often the shared folder is looked at: what an operator told the other process has to hold
+// here well within the grace of a drain, which runs from that process's answer.
 constexpr double kLookMs = 100;
 // Without a word from discovery the list that the configuration carries has to do.
 constexpr double kListWaitMs = 2'000;
-constexpr double kExclusionsWaitMs = 5'000;  // for stored exclusions that cannot be read; 10 s are allowed
-constexpr double kFollowMs = 500;            // between looks at the boxes' lives
-constexpr double kGoneMs = 600'000;          // that a box is shown after it has left the list
+constexpr double kExclusionsWaitMs =
+    5'000;                           // for stored exclusions that cannot be read; 10 s are allowed
+constexpr double kFollowMs = 500;    // between looks at the boxes' lives
+constexpr double kGoneMs = 600'000;  // that a box is shown after it has left the list
 
 }  // namespace
 
@@ -28,38 +29,52 @@
       folder_(std::move(folder)),
       handover_(parts_.engine, parts_.front, parts_.listener),
       startedMs_(parts_.engine.clock.nowMs()) {
-  if (!folder_) return;
+  if (!folder_)
+    return;
   openReceiver();
-  if (!receiver_->isOpen()) spdlog::warn("streams of another process cannot be taken over yet");
+  if (!receiver_->isOpen())
+    spdlog::warn("streams of another process cannot be taken over yet");
 }
 
 void Operations::openReceiver() {
-  receiver_ = std::make_unique<PassingReceiver>(parts_.engine.io, folder_->folder(), folder_->receiver(),
-                                                [this](Passed passed) { handover_.take(std::move(passed)); });
+  receiver_ = std::make_unique<PassingReceiver>(
+      parts_.engine.io, folder_->folder(), folder_->receiver(),
+      [this](Passed passed) { handover_.take(std::move(passed)); });
 }
 
-Operations::~Operations() { parts_.engine.deadlines.cancel(next_); }
+Operations::~Operations() {
+  parts_.engine.deadlines.cancel(next_);
+}
 
 void Operations::start() {
-  if (folder_) lookIntoFolder();
-  if (others_.serving == 0 && exclusionsAreKnown()) openDoor();
-  if (folder_ || parts_.doors || !parts_.listener.isOpen()) tick();
+  if (folder_)
+    lookIntoFolder();
+  if (others_.serving == 0 && exclusionsAreKnown())
+    openDoor();
+  if (folder_ || parts_.doors || !parts_.listener.isOpen())
+    tick();
 }
 
 bool Operations::hasSuccessor() {
-  if (!folder_) return false;
-  if (const auto others = folder_->others()) share(*others);
+  if (!folder_)
+    return false;
+  if (const auto others = folder_->others())
+    share(*others);
   return others_.serving > 0;
 }
 
 void Operations::handOver() {
-  if (hasSuccessor()) handover_.begin(folder_->folder(), others_.receiver);
+  if (hasSuccessor())
+    handover_.begin(folder_->folder(), others_.receiver);
 }
 
 void Operations::tick() {
-  if (folder_) lookIntoFolder();
-  if (!parts_.listener.isOpen() && mayServe()) openDoor();
-  if (parts_.doors) reconcileLifecycles();
+  if (folder_)
+    lookIntoFolder();
+  if (!parts_.listener.isOpen() && mayServe())
+    openDoor();
+  if (parts_.doors)
+    reconcileLifecycles();
   next_ = parts_.engine.deadlines.add(parts_.engine.clock.nowMs() + kLookMs, [this] { tick(); });
 }
 
@@ -67,41 +82,52 @@
 void Operations::lookIntoFolder() {
   const auto others = folder_->others();
   if (std::exchange(folderFails_, !others.has_value()) != folderFails_) {
-    if (others) spdlog::info("the shared folder can be used again");
-    else spdlog::warn("the shared folder cannot be used now: exclusions hold in this process only");
+    if (others)
+      spdlog::info("the shared folder can be used again");
+    else
+      spdlog::warn("the shared folder cannot be used now: exclusions hold in this process only");
   }
-  if (others) share(*others);
-  if (!receiver_->isOpen()) openReceiver();
+  if (others)
+    share(*others);
+  if (!receiver_->isOpen())
+    openReceiver();
   readExclusions();
-  if (unstored_) storeExclusions();
-  if (parts_.listener.isOpen() && !saidServing_) sayServing();
+  if (unstored_)
+    storeExclusions();
+  if (parts_.listener.isOpen() && !saidServing_)
+    sayServing();
 }
 
-// A fresh process must not send to what operators took out before, for a while that storage may take to come
-// back.
+// A fresh process must not send to what operators took out before, for a while that storage may
+// take to come back.
 bool Operations::exclusionsAreKnown() const {
-  return !folder_ || exclusionsRead_ || parts_.engine.clock.nowMs() - startedMs_ >= kExclusionsWaitMs;
+  return !folder_ || exclusionsRead_ ||
+         parts_.engine.clock.nowMs() - startedMs_ >= kExclusionsWaitMs;
 }
 
 bool Operations::mayServe() const {
-  if (!exclusionsAreKnown()) return false;
+  if (!exclusionsAreKnown())
+    return false;
   return parts_.spoken() || parts_.engine.clock.nowMs() - startedMs_ >= kListWaitMs;
 }
 
 void Operations::openDoor() {
   parts_.listener.open();
-  if (folder_) sayServing();
+  if (folder_)
+    sayServing();
 }
 
 void Operations::sayServing() {
   saidServing_ = folder_->sayServing();
-  if (!saidServing_) ++parts_.engine.counters["folder.serving_unsaid"];
+  if (!saidServing_)
+    ++parts_.engine.counters["folder.serving_unsaid"];
 }
 
-// Two processes of one conductor keep within one's limits: each takes its part of the connections, and what a
-// cold box may be sent is shared among one node more.
+// Two processes of one conductor keep within one's limits: each takes its part of the connections,
+// and what a cold box may be sent is shared among one node more.
 void Operations::share(SharedFolder::Others others) {
-  if (others == others_) return;
+  if (others == others_)
+    return;
   if (others.alive != others_.alive) {
     spdlog::info("processes of this conductor beside this one: {}", others.alive);
     const std::size_t parts = others.alive + 1;
@@ -115,13 +141,15 @@
 }
 
 void Operations::tell(const std::optional<ListNews>& news) {
-  if (!news) return;
+  if (!news)
+    return;
   for (const leverrelay::ListEntry& entry : news->entries) {
     const bool out = parts_.engine.membership.excluded(entry.engine);
     spdlog::info("instance {} is {}", entry.engine.value, out ? "excluded" : "included");
     // It may have been started anew: what led to it would only end as resets.
     const fronts::Box* box = parts_.engine.directory.find(entry.engine);
-    if (!out && box != nullptr) parts_.engine.pool.dropIdle(box->address);
+    if (!out && box != nullptr)
+      parts_.engine.pool.dropIdle(box->address);
   }
   parts_.engine.conductor.list(*news);
 }
@@ -137,7 +165,8 @@
       exclusionsRead_ = true;
       return merge(read.text);
     case SharedFolder::ReadStatus::kAbsent:
-      if (parts_.engine.membership.exclusions().size() > 0) unstored_ = true;
+      if (parts_.engine.membership.exclusions().size() > 0)
+        unstored_ = true;
       exclusionsRead_ = true;
       return;
     case SharedFolder::ReadStatus::kUnchanged:
@@ -162,49 +191,67 @@
 
 // Not over a file that could not be read: what it holds would be lost.
 bool Operations::storeExclusions() {
-  if (!folder_) return true;
+  if (!folder_)
+    return true;
   const bool failedBefore = unstored_;
-  unstored_ = !exclusionsRead_ || !folder_->writeExclusions(parts_.engine.membership.exclusions().text());
-  if (!unstored_) return true;
-  if (!failedBefore) spdlog::error("exclusions cannot be stored now; they hold here and are stored later");
+  unstored_ =
+      !exclusionsRead_ || !folder_->writeExclusions(parts_.engine.membership.exclusions().text());
+  if (!unstored_)
+    return true;
+  if (!failedBefore)
+    spdlog::error("exclusions cannot be stored now; they hold here and are stored later");
   ++parts_.engine.counters["marks.unwritten"];
   return false;
 }
 
 control::Service::Done Operations::ready() {
-  if (parts_.listener.evacuated()) return {false, "evacuated"};
-  if (!parts_.listener.isOpen() || !mayServe()) return {false, "not yet"};
+  if (parts_.listener.evacuated())
+    return {false, "evacuated"};
+  if (!parts_.listener.isOpen() || !mayServe())
+    return {false, "not yet"};
   return {true, "ready"};
 }
 
 control::Service::Done Operations::setExcluded(const std::string& id, bool out) {
-  if (folder_) readExclusions();  // what the other process was told comes before this
+  if (folder_)
+    readExclusions();  // what the other process was told comes before this
   const double now = parts_.engine.clock.nowMs();
   fleet::Membership& members = parts_.engine.membership;
   const auto change = out ? members.exclude(id, now) : members.include(id, now);
-  if (change.verdict == fleet::Membership::Verdict::kUnknown) return {false, "no instance has this id"};
-  if (change.verdict == fleet::Membership::Verdict::kNoRoom) return {false, "too many instances are marked"};
+  if (change.verdict == fleet::Membership::Verdict::kUnknown)
+    return {false, "no instance has this id"};
+  if (change.verdict == fleet::Membership::Verdict::kNoRoom)
+    return {false, "too many instances are marked"};
   const bool stored = storeExclusions();
   tell(change.news);
   const std::string done = id + (out ? " is excluded" : " is included");
-  if (!stored) return {false, done + " in this process only, until the shared folder can be written"};
+  if (!stored)
+    return {false, done + " in this process only, until the shared folder can be written"};
   return {true, done};
 }
 
-control::Service::Done Operations::exclude(const std::string& id) { return setExcluded(id, true); }
-control::Service::Done Operations::include(const std::string& id) { return setExcluded(id, false); }
+control::Service::Done Operations::exclude(const std::string& id) {
+  return setExcluded(id, true);
+}
+control::Service::Done Operations::include(const std::string& id) {
+  return setExcluded(id, false);
+}
 
 control::Service::Done Operations::evacuate() {
-  if (!parts_.listener.evacuated()) spdlog::info("evacuating: clients are sent away");
+  if (!parts_.listener.evacuated())
+    spdlog::info("evacuating: clients are sent away");
   parts_.listener.evacuate();
-  if (coordinator_ != nullptr) coordinator_->resign();
+  if (coordinator_ != nullptr)
+    coordinator_->resign();
   return {true, "evacuating, " + std::to_string(open()) + " requests open"};
 }
 
 control::Service::Done Operations::activate() {
-  if (parts_.listener.evacuated()) spdlog::info("active again");
+  if (parts_.listener.evacuated())
+    spdlog::info("active again");
   parts_.listener.activate();
-  if (coordinator_ != nullptr) coordinator_->again();
+  if (coordinator_ != nullptr)
+    coordinator_->again();
   return {true, "active"};
 }
 
@@ -212,19 +259,26 @@
   return coordinator_ == nullptr ? "" : coordinator_->leases(json);
 }
 
-std::string Operations::shared(bool json) { return sharer_ == nullptr ? "" : sharer_->report(json); }
+std::string Operations::shared(bool json) {
+  return sharer_ == nullptr ? "" : sharer_->report(json);
+}
 
-std::string Operations::plan() { return coordinator_ == nullptr ? "" : coordinator_->plan(); }
+std::string Operations::plan() {
+  return coordinator_ == nullptr ? "" : coordinator_->plan();
+}
 
-void Operations::maintenance(const std::vector<std::string>& words, std::function<void(Done)> reply) {
-  if (coordinator_ == nullptr) return control::Service::maintenance(words, std::move(reply));
+void Operations::maintenance(const std::vector<std::string>& words,
+                             std::function<void(Done)> reply) {
+  if (coordinator_ == nullptr)
+    return control::Service::maintenance(words, std::move(reply));
   coordinator_->maintenance(words, std::move(reply));
 }
 
 // What is listed now, and how each box has got there.
 void Operations::reconcileLifecycles() {
   const double now = parts_.engine.clock.nowMs();
-  if (now - reconciledMs_ < kFollowMs) return;
+  if (now - reconciledMs_ < kFollowMs)
+    return;
   reconciledMs_ = now;
   const auto& members = parts_.engine.membership;
   const double coldMs = core::toMs(parts_.setup.settings.contract.coldFor);
@@ -233,9 +287,12 @@
     fleet::InstanceFacts facts;
     facts.listed = true;
     facts.warm = !effective.started || now - core::toMs(*effective.started) >= coldMs;
-    if (members.excluded(id)) facts.drainedBy = "operator";
-    else if (members.drained().count(id.value) != 0) facts.drainedBy = "maintenance";
-    else if (entry.presence != leverrelay::Presence::kActive) facts.drainedBy = "list";
+    if (members.excluded(id))
+      facts.drainedBy = "operator";
+    else if (members.drained().count(id.value) != 0)
+      facts.drainedBy = "maintenance";
+    else if (entry.presence != leverrelay::Presence::kActive)
+      facts.drainedBy = "list";
     facts.avoided = parts_.engine.conductor.avoids(id);
     if (const fronts::Box* box = parts_.engine.directory.find(id))
       facts.reachable = box->failedMs <= box->heardMs;
@@ -244,9 +301,11 @@
     fleet::reconcile(lifecycle->second, facts, now);
   }
   for (auto& [id, lifecycle] : lifecycles_)
-    if (members.listed().count(id) == 0) fleet::reconcile(lifecycle, {}, now);
+    if (members.listed().count(id) == 0)
+      fleet::reconcile(lifecycle, {}, now);
   std::erase_if(lifecycles_, [now](const auto& entry) {
-    return entry.second.state() == fleet::LifecycleState::kGone && now - entry.second.sinceMs() > kGoneMs;
+    return entry.second.state() == fleet::LifecycleState::kGone &&
+           now - entry.second.sinceMs() > kGoneMs;
   });
 }
 
@@ -260,14 +319,16 @@
             " for_s=" + std::to_string(static_cast<long>((now - lifecycle.sinceMs()) / 1000)) +
             " open=" + std::to_string(parts_.engine.conductor.openAt(id)) +
             " revision=" + std::to_string(lifecycle.revision()) +
-            " by=" + (lifecycle.by().empty() ? "-" : lifecycle.by()) + " why=\"" + lifecycle.why() + "\"\n";
+            " by=" + (lifecycle.by().empty() ? "-" : lifecycle.by()) + " why=\"" + lifecycle.why() +
+            "\"\n";
   return text;
 }
 
 control::Service::Pool Operations::pool() {
   Pool pool{parts_.engine.membership.listed().size(), 0};
   for (const auto& [id, entry] : parts_.engine.membership.listed())
-    if (parts_.engine.membership.excluded(id) || parts_.engine.conductor.avoids(id)) ++pool.avoided;
+    if (parts_.engine.membership.excluded(id) || parts_.engine.conductor.avoids(id))
+      ++pool.avoided;
   return pool;
 }
 
--- a/src/app/operations.h
+++ b/src/app/operations.h
@@ -1,5 +1,5 @@
-// What operators' calls act on: the parts of the running program, and what two processes of one conductor
-// share while one replaces the other.
+// What operators' calls act on: the parts of the running program, and what two processes of one
+// conductor share while one replaces the other.
 #pragma once
 
 #include <map>
@@ -42,7 +42,8 @@
 
   // Opens the listener: at once where nobody serves, else as soon as the list is known.
   void start();
-  // Whether another process serves at the same address, so that nothing is lost if this one closes its door.
+  // Whether another process serves at the same address, so that nothing is lost if this one closes
+  // its door.
   bool hasSuccessor();
   // Streams that are open go to that process from now on.
   void handOver();
