--- a/src/app/otlp.cpp
+++ b/src/app/otlp.cpp
@@ -13,12 +13,17 @@
 constexpr double kDialMs = 1000;
 constexpr int kCumulative = 2;  // AGGREGATION_TEMPORALITY_CUMULATIVE
 
-// 64-bit numbers are strings in the JSON of protocol buffers. Milliseconds as double keep microseconds.
-std::string nanos(double ms) { return std::to_string(static_cast<std::uint64_t>(ms * 1000) * 1000); }
+// 64-bit numbers are strings in the JSON of protocol buffers. Milliseconds as double keep
+// microseconds.
+std::string nanos(double ms) {
+  return std::to_string(static_cast<std::uint64_t>(ms * 1000) * 1000);
+}
 
 }  // namespace
 
-std::string otlpMetrics(const core::Counters& counters, const std::string& service, double startUnixMs,
+std::string otlpMetrics(const core::Counters& counters,
+                        const std::string& service,
+                        double startUnixMs,
                         double nowUnixMs) {
   json metrics = json::array();
   for (const auto& [name, value] : counters.all()) {
@@ -51,8 +56,12 @@
   bool good_ = false;
 };
 
-OtlpExporter::OtlpExporter(boost::asio::io_context& io, const core::Clock& clock, core::Deadlines& deadlines,
-                           core::Counters& counters, const net::Endpoint& collector, double intervalMs)
+OtlpExporter::OtlpExporter(boost::asio::io_context& io,
+                           const core::Clock& clock,
+                           core::Deadlines& deadlines,
+                           core::Counters& counters,
+                           const net::Endpoint& collector,
+                           double intervalMs)
     : clock_(clock),
       deadlines_(deadlines),
       counters_(counters),
@@ -64,16 +73,18 @@
 }
 
 void OtlpExporter::send() {
-  if (call_) call_->abandon();
+  if (call_)
+    call_->abandon();
   const auto body = std::make_shared<const std::string>(
       otlpMetrics(counters_, "dahliastall", startUnixMs_, core::unixNowMs()));
-  const std::string host = collector_.address().to_string() + ":" + std::to_string(collector_.port());
-  call_ = pool_.call(
-      collector_,
-      net::headText("POST /v1/metrics HTTP/1.1", {{"Host", host},
-                                                  {"Content-Type", "application/json"},
-                                                  {"Content-Length", std::to_string(body->size())}}),
-      body, std::make_shared<Export>(counters_));
+  const std::string host =
+      collector_.address().to_string() + ":" + std::to_string(collector_.port());
+  call_ = pool_.call(collector_,
+                     net::headText("POST /v1/metrics HTTP/1.1",
+                                   {{"Host", host},
+                                    {"Content-Type", "application/json"},
+                                    {"Content-Length", std::to_string(body->size())}}),
+                     body, std::make_shared<Export>(counters_));
   deadlines_.add(clock_.nowMs() + intervalMs_, [this] { send(); });
 }
 
--- a/src/app/otlp.h
+++ b/src/app/otlp.h
@@ -1,4 +1,5 @@
-// Exports the registry of counters by OTLP/HTTP with JSON bodies, at a fixed interval. Off unless asked for.
+// Exports the registry of counters by OTLP/HTTP with JSON bodies, at a fixed interval. Off unless
+// asked for.
 #pragma once
 
 #include <memory>
@@ -12,19 +13,26 @@
 namespace dahliastall::app {
 
 // An ExportMetricsServiceRequest: each counter as a cumulative, monotonic sum.
-std::string otlpMetrics(const core::Counters& counters, const std::string& service, double startUnixMs,
+std::string otlpMetrics(const core::Counters& counters,
+                        const std::string& service,
+                        double startUnixMs,
                         double nowUnixMs);
 
 class OtlpExporter {
  public:
-  OtlpExporter(boost::asio::io_context& io, const core::Clock& clock, core::Deadlines& deadlines,
-               core::Counters& counters, const net::Endpoint& collector, double intervalMs);
+  OtlpExporter(boost::asio::io_context& io,
+               const core::Clock& clock,
+               core::Deadlines& deadlines,
+               core::Counters& counters,
+               const net::Endpoint& collector,
+               double intervalMs);
 
   void accountTo(admission::DescriptorBudget& ledger) {
     pool_.accountTo(ledger, admission::Account::kTelemetry);
   }
 
-  // One export now; one that is still under way is given up for it, as sums say all there is to say.
+  // One export now; one that is still under way is given up for it, as sums say all there is to
+  // say.
   void send();
 
  private:
--- a/src/app/passing.h
+++ b/src/app/passing.h
@@ -1,5 +1,5 @@
-// Passes messages with descriptors from one process to another of the same user: a Unix socket that keeps
-// messages whole. Nothing here waits: what cannot be sent now is said to be so.
+// Passes messages with descriptors from one process to another of the same user: a Unix socket that
+// keeps messages whole. Nothing here waits: what cannot be sent now is said to be so.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -40,7 +40,10 @@
   using Take = std::function<void(Passed)>;
 
   // Not open if the folder cannot hold such a socket; then nobody can pass anything here.
-  PassingReceiver(boost::asio::io_context& io, std::string folder, const std::string& name, Take take);
+  PassingReceiver(boost::asio::io_context& io,
+                  std::string folder,
+                  const std::string& name,
+                  Take take);
   ~PassingReceiver();
   bool isOpen() const { return listener_.is_open(); }
 
@@ -65,8 +68,8 @@
   enum class Result { kSent, kFull, kBroken };
   // The other process gets copies of the descriptors; they stay open here.
   Result send(const std::string& bytes, const std::vector<int>& descriptors);
-  // How many more of those sent, in their order, the other process has taken. Not open afterwards: it is
-  // gone, and what it has not taken by then nobody has.
+  // How many more of those sent, in their order, the other process has taken. Not open afterwards:
+  // it is gone, and what it has not taken by then nobody has.
   std::size_t taken();
 
  private:
--- a/src/app/shared_folder.h
+++ b/src/app/shared_folder.h
@@ -1,9 +1,10 @@
-/// What two processes of one conductor share while one replaces the other: a folder, in which each holds a
-/// lock on a file of its own, and one file of operators' exclusions. A lock ends with its process, however
-/// that ends, so whatever a killed process leaves behind is known as such.
+/// What two processes of one conductor share while one replaces the other: a folder, in which each
+/// holds a lock on a file of its own, and one file of operators' exclusions. A lock ends with its
+/// process, however that ends, so whatever a killed process leaves behind is known as such.
 ///
-/// Any call may fail for a time. Nothing is given up then: who calls learns of it and calls again. A file is
-/// replaced whole and synced, or not at all. Files are small, and the folder is in memory or on a local disk.
+/// Any call may fail for a time. Nothing is given up then: who calls learns of it and calls again.
+/// A file is replaced whole and synced, or not at all. Files are small, and the folder is in memory
+/// or on a local disk.
 #pragma once
 
 #include <optional>
@@ -19,8 +20,8 @@
   SharedFolder(const SharedFolder&) = delete;
   SharedFolder& operator=(const SharedFolder&) = delete;
 
-  /// Makes this process known in the folder, if it is not yet. False while it cannot; then nothing else here
-  /// works.
+  /// Makes this process known in the folder, if it is not yet. False while it cannot; then nothing
+  /// else here works.
   bool join();
 
   struct Others {
@@ -49,8 +50,8 @@
   };
   Read readExclusions();
 
-  /// Replaces the file. False if the text may not outlast this process; the old text is then still there, or
-  /// the new one is and the system could not say that it lasts.
+  /// Replaces the file. False if the text may not outlast this process; the old text is then still
+  /// there, or the new one is and the system could not say that it lasts.
   [[nodiscard]] bool writeExclusions(const std::string& text);
 
  private:
--- a/src/app/sharer.cpp
+++ b/src/app/sharer.cpp
@@ -20,7 +20,9 @@
 
 }  // namespace
 
-Sharer::Sharer(Engine& engine, const leverrelay::wire::Setup& site, SharedSetup setup,
+Sharer::Sharer(Engine& engine,
+               const leverrelay::wire::Setup& site,
+               SharedSetup setup,
                const std::string& name)
     : engine_(engine),
       site_(site),
@@ -48,7 +50,8 @@
   return task;
 }
 
-// ---- Carriage ------------------------------------------------------------------------------------------
+// ---- Carriage
+// ------------------------------------------------------------------------------------------
 
 void Sharer::saw(const coordination::View& view) {
   node_.read(view.docs, view.readMs, engine_.clock.nowMs());
@@ -63,24 +66,30 @@
 }
 
 void Sharer::speak() {
-  if (!put_) return;
+  if (!put_)
+    return;
   const double now = engine_.clock.nowMs();
   const auto write = node_.next(core::unixNowMs(), now);
-  if (!write) return;
+  if (!write)
+    return;
   put_(*write, [this, alive = alive_](coordination::CommitAnswer answer) {
-    if (*alive) node_.written(answer, engine_.clock.nowMs());
+    if (*alive)
+      node_.written(answer, engine_.clock.nowMs());
   });
 }
 
-// ---- Boxes ---------------------------------------------------------------------------------------------
+// ---- Boxes
+// ---------------------------------------------------------------------------------------------
 
-// Records the result of an attempt. Rejections and cancellations say nothing of the instance's health.
+// Records the result of an attempt. Rejections and cancellations say nothing of the instance's
+// health.
 void Sharer::witness(const leverrelay::Event& event) {
   const double now = engine_.clock.nowMs();
   if (const auto* opened = std::get_if<leverrelay::StreamOpened>(&event))
     return node_.observations().recordSuccess(opened->engine.value, now);
   const auto* ended = std::get_if<leverrelay::AttemptEnded>(&event);
-  if (ended == nullptr) return;
+  if (ended == nullptr)
+    return;
   const std::string& box = ended->engine.value;
   switch (ended->outcome) {
     case Outcome::kServed:
@@ -106,7 +115,8 @@
 std::map<std::string, KnownInstance> Sharer::boxes() const {
   auto found = fleetBoxes(engine_.membership, site_.settings);
   for (const std::string& id : engine_.membership.drained())
-    if (const auto box = found.find(id); box != found.end()) box->second.serves = false;
+    if (const auto box = found.find(id); box != found.end())
+      box->second.serves = false;
   return found;
 }
 
@@ -114,50 +124,62 @@
   const double now = engine_.clock.nowMs();
   const auto boxes = setup_.hearsay ? this->boxes() : std::map<std::string, KnownInstance>();
   std::set<std::string> listed, out;
-  for (const auto& [id, box] : boxes) listed.insert(id);
+  for (const auto& [id, box] : boxes)
+    listed.insert(id);
   node_.observations().prune(listed, now);
   auto availabilities = node_.availabilities(boxes, now);
   for (const auto& [id, availability] : availabilities) {
-    if (availability == Availability::kExcluded) out.insert(id);
+    if (availability == Availability::kExcluded)
+      out.insert(id);
     const auto before = availabilities_.find(id);
-    const Availability was = before == availabilities_.end() ? Availability::kInUse : before->second;
-    if (was == availability) continue;
+    const Availability was =
+        before == availabilities_.end() ? Availability::kInUse : before->second;
+    if (was == availability)
+      continue;
     const bool turn = was == Availability::kProbing || availability == Availability::kProbing;
-    spdlog::log(turn ? spdlog::level::debug : spdlog::level::info, "shared box={} standing={} was={}", id,
-                nameOf(availability), nameOf(was));
+    spdlog::log(turn ? spdlog::level::debug : spdlog::level::info,
+                "shared box={} standing={} was={}", id, nameOf(availability), nameOf(was));
   }
   availabilities_ = std::move(availabilities);
   const auto news = engine_.membership.setPeerExclusions(out, now);
-  if (!news) return;
+  if (!news)
+    return;
   for (const leverrelay::ListEntry& entry : news->entries) {
     const fronts::Box* box = engine_.directory.find(entry.engine);
-    if (out.count(entry.engine.value) == 0 && box != nullptr) engine_.pool.dropIdle(box->address);
+    if (out.count(entry.engine.value) == 0 && box != nullptr)
+      engine_.pool.dropIdle(box->address);
   }
   engine_.conductor.list(*news);
 }
 
-// Fleet-wide limits of the decision module, such as the budget of a cold instance, are split among the live
-// conductors. An isolated conductor keeps the last number that it knew.
+// Fleet-wide limits of the decision module, such as the budget of a cold instance, are split among
+// the live conductors. An isolated conductor keeps the last number that it knew.
 void Sharer::split() {
   const double now = engine_.clock.nowMs();
   const auto configured = static_cast<std::size_t>(site_.settings.nodes);
   std::size_t among = std::max(configured, node_.nodes());
-  if (node_.connectivityState(now) != ConnectivityState::kConnected) among = std::max(among, splitAmong_);
-  if (among == splitAmong_) return;
+  if (node_.connectivityState(now) != ConnectivityState::kConnected)
+    among = std::max(among, splitAmong_);
+  if (among == splitAmong_)
+    return;
   splitAmong_ = among;
   leverrelay::Settings settings = site_.settings;
   settings.nodes = static_cast<int>(among);
   engine_.conductor.reconfigure(settings);
 }
 
-// ---- Accounts ------------------------------------------------------------------------------------------
+// ---- Accounts
+// ------------------------------------------------------------------------------------------
 
-std::optional<fronts::BudgetDenied> Sharer::reserve(const std::string& tenant, const std::string& cls,
-                                                    std::uint64_t tokens, Reservation& to) {
+std::optional<fronts::BudgetDenied> Sharer::reserve(const std::string& tenant,
+                                                    const std::string& cls,
+                                                    std::uint64_t tokens,
+                                                    Reservation& to) {
   const double now = engine_.clock.nowMs();
   const TokenBudgets::Answer answer = node_.reserve(tenant, tokens, now);
   to = answer.reservation;
-  if (answer.denial == Denial::kNone) return std::nullopt;
+  if (answer.denial == Denial::kNone)
+    return std::nullopt;
   ++engine_.counters[std::string("shared.denied.") + nameOf(answer.denial)];
   SharedNode::Ended refused;
   refused.how = SharedNode::Ended::How::kRefused;
@@ -168,22 +190,26 @@
       return fronts::BudgetDenied{"the token budget of " + tenant + " is used up for this period",
                                   std::max(kLeastWaitMs, node_.periodEndsMs() - now)};
     case Denial::kTooLarge:
-      return fronts::BudgetDenied{"the request may need more tokens than the whole budget of " + tenant, 0};
+      return fronts::BudgetDenied{
+          "the request may need more tokens than the whole budget of " + tenant, 0};
     case Denial::kLoanExpired:
       return fronts::BudgetDenied{"this conductor does not hear of the token budget of " + tenant,
                                   kComeAgainMs};
     default:
-      return fronts::BudgetDenied{"no tokens of the budget of " + tenant + " are at hand here just now",
-                                  kComeAgainMs};
+      return fronts::BudgetDenied{
+          "no tokens of the budget of " + tenant + " are at hand here just now", kComeAgainMs};
   }
 }
 
-void Sharer::ended(const std::string& tenant, const std::string& cls, const Reservation& reservation,
+void Sharer::ended(const std::string& tenant,
+                   const std::string& cls,
+                   const Reservation& reservation,
                    const SharedNode::Ended& how) {
   node_.ended(tenant, cls, reservation, how, engine_.clock.nowMs());
 }
 
-// ---- Seen from outside ---------------------------------------------------------------------------------
+// ---- Seen from outside
+// ---------------------------------------------------------------------------------
 
 void Sharer::say() {
   const double now = engine_.clock.nowMs();
@@ -203,13 +229,15 @@
   counters["shared.digests"] = node.digests;
   counters["shared.went_back"] = node.rolledBack;
   counters["shared.unreadable"] = node.unreadable;
-  if (task_ == nullptr) return;
+  if (task_ == nullptr)
+    return;
   const DigestTask::Stats& made = task_->stats();
   counters["shared.folded"] = made.folded;
   counters["shared.restored"] = made.rolledBack;
   counters["shared.backwards"] = made.backwards;
   counters["shared.incredible"] = made.incredible;
-  for (const auto& [flaw, count] : made.unread) counters["shared.unread." + flaw] = count;
+  for (const auto& [flaw, count] : made.unread)
+    counters["shared.unread." + flaw] = count;
 }
 
 namespace {
@@ -262,37 +290,41 @@
                      {"good", known ? verdict->second.good : 0},
                      {"trouble", known ? nameOf(verdict->second.failure) : "none"}});
   }
-  const json whole{{"conductor", node_.self().name},
-                   {"incarnation", node_.self().incarnation},
-                   {"degree", nameOf(state)},
-                   {"silence_ms", node_.silenceMs(now)},
-                   {"digest", digest ? digest->sequence : 0},
-                   {"period_ends_in_s", digest ? std::max(0.0, digest->periodEndsMs - now) / 1000 : 0},
-                   {"conductors", node_.nodes()},
-                   {"restored", digest ? digest->restored : 0},
-                   {"trouble", node_.trouble()},
-                   {"budgets", budgets},
-                   {"boxes", boxes},
-                   {"fleet", jsonOf(digest ? digest->total : UsageTable{})},
-                   {"here", jsonOf(node_.usage())}};
-  if (asJson) return whole.dump(-1, ' ', true, json::error_handler_t::replace) + "\n";
-  std::string text =
-      fmt::format("conductor {} {} silence_ms={:.0f} digest={} conductors={} period_ends_in_s={:.0f}{}\n",
-                  node_.self().name, nameOf(state), node_.silenceMs(now), digest ? digest->sequence : 0,
-                  node_.nodes(), whole["period_ends_in_s"].get<double>(),
-                  node_.trouble().empty() ? "" : " trouble=\"" + node_.trouble() + "\"");
+  const json whole{
+      {"conductor", node_.self().name},
+      {"incarnation", node_.self().incarnation},
+      {"degree", nameOf(state)},
+      {"silence_ms", node_.silenceMs(now)},
+      {"digest", digest ? digest->sequence : 0},
+      {"period_ends_in_s", digest ? std::max(0.0, digest->periodEndsMs - now) / 1000 : 0},
+      {"conductors", node_.nodes()},
+      {"restored", digest ? digest->restored : 0},
+      {"trouble", node_.trouble()},
+      {"budgets", budgets},
+      {"boxes", boxes},
+      {"fleet", jsonOf(digest ? digest->total : UsageTable{})},
+      {"here", jsonOf(node_.usage())}};
+  if (asJson)
+    return whole.dump(-1, ' ', true, json::error_handler_t::replace) + "\n";
+  std::string text = fmt::format(
+      "conductor {} {} silence_ms={:.0f} digest={} conductors={} period_ends_in_s={:.0f}{}\n",
+      node_.self().name, nameOf(state), node_.silenceMs(now), digest ? digest->sequence : 0,
+      node_.nodes(), whole["period_ends_in_s"].get<double>(),
+      node_.trouble().empty() ? "" : " trouble=\"" + node_.trouble() + "\"");
   for (const json& b : budgets)
     text += fmt::format(
-        "budget {} limit={} charged={} left={} lent_to={} here: lent={} returned={} ceiling={} spent={} "
+        "budget {} limit={} charged={} left={} lent_to={} here: lent={} returned={} ceiling={} "
+        "spent={} "
         "reserved={}\n",
         b["tenant"].get<std::string>(), b["limit"].dump(), b["charged"].dump(), b["left"].dump(),
         b["lent_to"].dump(), b["here"]["lent"].dump(), b["here"]["returned"].dump(),
         b["here"]["ceiling"].dump(), b["here"]["spent"].dump(), b["here"]["reserved"].dump());
   for (const json& t : whole["fleet"])
-    text += fmt::format("bill {} {} served={} refused={} failed={} prompt_tokens={} answer_tokens={}\n",
-                        t["tenant"].get<std::string>(), t["class"].get<std::string>(), t["served"].dump(),
-                        t["refused"].dump(), t["failed"].dump(), t["prompt_tokens"].dump(),
-                        t["answer_tokens"].dump());
+    text +=
+        fmt::format("bill {} {} served={} refused={} failed={} prompt_tokens={} answer_tokens={}\n",
+                    t["tenant"].get<std::string>(), t["class"].get<std::string>(),
+                    t["served"].dump(), t["refused"].dump(), t["failed"].dump(),
+                    t["prompt_tokens"].dump(), t["answer_tokens"].dump());
   for (const json& b : boxes)
     text += fmt::format("box {} {} bad={} good={} trouble={}\n", b["box"].get<std::string>(),
                         b["standing"].get<std::string>(), b["bad"].dump(), b["good"].dump(),
--- a/src/app/sharer.h
+++ b/src/app/sharer.h
@@ -1,6 +1,6 @@
-// Connects shared state to the program: it carries the node's reports through the coordinator's store,
-// records the results of attempts, meters the tokens of the front's requests, and applies verdicts to the
-// membership.
+// Connects shared state to the program: it carries the node's reports through the coordinator's
+// store, records the results of attempts, meters the tokens of the front's requests, and applies
+// verdicts to the membership.
 #pragma once
 
 #include <functional>
@@ -19,9 +19,12 @@
 
 class Sharer final : public fronts::TokenMeter {
  public:
-  using Put = std::function<void(coordination::Write, std::function<void(coordination::CommitAnswer)>)>;
+  using Put =
+      std::function<void(coordination::Write, std::function<void(coordination::CommitAnswer)>)>;
 
-  Sharer(Engine& engine, const leverrelay::wire::Setup& site, shared::SharedSetup setup,
+  Sharer(Engine& engine,
+         const leverrelay::wire::Setup& site,
+         shared::SharedSetup setup,
          const std::string& name);
   ~Sharer() override;
 
@@ -39,9 +42,13 @@
 
   std::string report(bool json);
 
-  std::optional<fronts::BudgetDenied> reserve(const std::string& tenant, const std::string& cls,
-                                              std::uint64_t tokens, shared::Reservation& to) override;
-  void ended(const std::string& tenant, const std::string& cls, const shared::Reservation& reservation,
+  std::optional<fronts::BudgetDenied> reserve(const std::string& tenant,
+                                              const std::string& cls,
+                                              std::uint64_t tokens,
+                                              shared::Reservation& to) override;
+  void ended(const std::string& tenant,
+             const std::string& cls,
+             const shared::Reservation& reservation,
              const shared::SharedNode::Ended& how) override;
 
  private:
--- a/src/control/commands.cpp
+++ b/src/control/commands.cpp
@@ -15,7 +15,8 @@
   std::vector<std::string> words;
   while (true) {
     const std::size_t from = text.find_first_not_of(" \t");
-    if (from == std::string_view::npos) return words;
+    if (from == std::string_view::npos)
+      return words;
     text.remove_prefix(from);
     const std::size_t to = std::min(text.find_first_of(" \t"), text.size());
     words.emplace_back(text.substr(0, to));
@@ -32,9 +33,12 @@
 std::string quoted(const std::string& text) {
   std::string out = "\"";
   for (const char c : text) {
-    if (c == '"' || c == '\\') out += '\\';
-    if (c == '\n') out += "\\n";
-    else out += c;
+    if (c == '"' || c == '\\')
+      out += '\\';
+    if (c == '\n')
+      out += "\\n";
+    else
+      out += c;
   }
   return out + "\"";
 }
@@ -47,8 +51,8 @@
   std::string text;
   const auto perClass = [&](const char* name, std::uint64_t core::ClassFigures::*value) {
     for (std::size_t i = 0; i < figures.size() && i < names.size(); ++i)
-      text +=
-          std::string(name) + "{kind=" + quoted(names[i]) + "} " + std::to_string(figures[i].*value) + "\n";
+      text += std::string(name) + "{kind=" + quoted(names[i]) + "} " +
+              std::to_string(figures[i].*value) + "\n";
   };
   perClass("app_ok_total", &core::ClassFigures::ok);
   perClass("app_shed_total", &core::ClassFigures::shed);
@@ -68,18 +72,23 @@
     const auto byte = static_cast<unsigned char>(c);
     return byte == '\t' || (byte >= 0x20 && byte != 0x7f);
   });
-  if (!plain) return line({false, "a line is plain text"});
+  if (!plain)
+    return line({false, "a line is plain text"});
   const std::vector<std::string> words = wordsOf(text);
-  if (words.empty()) return line({false, "an empty line"});
+  if (words.empty())
+    return line({false, "an empty line"});
   const std::string& call = words.front();
   const bool named = call == "exclude" || call == "include";
   if (words.size() != (named ? 2U : 1U) &&
-      (named || call == "readyz" || call == "telemetry" || call == "evacuate" || call == "activate" ||
-       call == "admission" || call == "boxes"))
+      (named || call == "readyz" || call == "telemetry" || call == "evacuate" ||
+       call == "activate" || call == "admission" || call == "boxes"))
     return line({false, call + (named ? " takes one instance's id" : " takes nothing")});
-  if (call == "readyz") return line(service.ready());
-  if (call == "telemetry") return telemetry(service) + "eof\n";
-  if (call == "boxes") return service.boxes() + "eof\n";
+  if (call == "readyz")
+    return line(service.ready());
+  if (call == "telemetry")
+    return telemetry(service) + "eof\n";
+  if (call == "boxes")
+    return service.boxes() + "eof\n";
   if (call == "admission") {
     const std::string report = service.admission();
     return report.empty() ? line({false, "no admission rules are set up here"}) : report + "eof\n";
@@ -91,17 +100,24 @@
     const std::string report = call == "leases"   ? service.leases(json)
                                : call == "shared" ? service.shared(json)
                                                   : service.plan();
-    if (!report.empty()) return report + "eof\n";
-    return line({false, call == "shared" ? "nothing is shared here" : "no coordination is set up here"});
+    if (!report.empty())
+      return report + "eof\n";
+    return line(
+        {false, call == "shared" ? "nothing is shared here" : "no coordination is set up here"});
   }
-  if (call == "exclude") return line(service.exclude(words[1]));
-  if (call == "include") return line(service.include(words[1]));
-  if (call == "evacuate") return line(service.evacuate());
-  if (call == "activate") return line(service.activate());
+  if (call == "exclude")
+    return line(service.exclude(words[1]));
+  if (call == "include")
+    return line(service.include(words[1]));
+  if (call == "evacuate")
+    return line(service.evacuate());
+  if (call == "activate")
+    return line(service.activate());
   return line(
       {false,
        "unknown call; known are readyz, telemetry, exclude ID, include ID, evacuate, activate, "
-       "boxes, admission, leases [json], shared [json], maintenance [start|pause|resume|cancel|back ...]"});
+       "boxes, admission, leases [json], shared [json], maintenance "
+       "[start|pause|resume|cancel|back ...]"});
 }
 
 void handle(Service& service, std::string_view text, std::function<void(std::string)> reply) {
--- a/src/control/commands.h
+++ b/src/control/commands.h
@@ -42,7 +42,8 @@
   // A maintenance command without its first word; answered once it is stored or has failed.
   virtual void maintenance(
       const std::vector<std::string>& /*words*/,
-      std::function<void(Done)> reply) {  // NOLINT(performance-unnecessary-value-param): overrides keep it
+      std::function<void(Done)> reply) {  // NOLINT(performance-unnecessary-value-param):
+                                          // overrides keep it
     reply({false, "no coordination is set up here"});
   }
 };
@@ -51,7 +52,8 @@
 // A maintenance plan may name every instance, with ids of the largest size.
 constexpr std::size_t kLongestPlanLine = kLongestLine + 1024UL * (128 + 1);
 
-// Executes one line, without its line end, and returns the whole answer. An invalid line has no effect.
+// Executes one line, without its line end, and returns the whole answer. An invalid line has no
+// effect.
 std::string answer(Service& service, std::string_view text);
 
 // The same, also for commands that are answered asynchronously; reply is called exactly once.
--- a/src/coordination/cleanup.cpp
+++ b/src/coordination/cleanup.cpp
@@ -6,8 +6,10 @@
 namespace dahliastall::coordination {
 
 std::optional<Step> Cleanup::next(const View& view, std::uint64_t, double nowMs) {
-  // Who did not look for a while, as a holder that was stopped, knows nothing of what has happened since.
-  if (nowMs - lookedMs_ > config_.goneMs / 2) seen_.forget([](const std::string&) { return true; });
+  // Who did not look for a while, as a holder that was stopped, knows nothing of what has happened
+  // since.
+  if (nowMs - lookedMs_ > config_.goneMs / 2)
+    seen_.forget([](const std::string&) { return true; });
   lookedMs_ = nowMs;
   seen_.forget([&](const std::string& key) { return view.docs.count(key) == 0; });
   for (const auto& [key, doc] : view.docs) {
@@ -17,8 +19,10 @@
       const auto plan = Plan::parse(doc.value);
       ended = plan && plan->over();
     }
-    if (!node && !ended) continue;
-    if (seen_.forMs(key, doc.revision, nowMs) < (node ? config_.goneMs : config_.planMs)) continue;
+    if (!node && !ended)
+      continue;
+    if (seen_.forMs(key, doc.revision, nowMs) < (node ? config_.goneMs : config_.planMs))
+      continue;
     return Step{"removing " + key, {{key, doc.revision, std::nullopt}}};
   }
   return std::nullopt;
--- a/src/coordination/etcd_store.cpp
+++ b/src/coordination/etcd_store.cpp
@@ -18,10 +18,12 @@
 
 constexpr std::size_t kConnections = 8;
 constexpr double kIdleMs = 10'000;
-// Of all documents, in base64: a third above their bytes, which conductors keep to. At most two copies of it
-// are held at a time, as text, as JSON or as documents: 96 MiB of the 192 that a conductor has.
+// Of all documents, in base64: a third above their bytes, which conductors keep to. At most two
+// copies of it are held at a time, as text, as JSON or as documents: 96 MiB of the 192 that a
+// conductor has.
 constexpr std::size_t kAnswerBytes = 48 << 20;
-constexpr std::size_t kMostCalls = 64;  // open at a time; more are told at once that there is no room
+constexpr std::size_t kMostCalls =
+    64;  // open at a time; more are told at once that there is no room
 
 namespace base64 = boost::beast::detail::base64;
 
@@ -40,7 +42,8 @@
 // 64-bit numbers are strings in the JSON of protocol buffers; what is zero may be left out.
 std::string numberText(const json& in, const char* name) {
   const auto it = in.find(name);
-  if (it == in.end()) return "0";
+  if (it == in.end())
+    return "0";
   return it->is_string() ? it->get<std::string>() : it->dump();
 }
 
@@ -51,7 +54,10 @@
   return value;
 }
 
-json compare(const std::string& key, const char* target, const char* field, const std::string& value) {
+json compare(const std::string& key,
+             const char* target,
+             const char* field,
+             const std::string& value) {
   return {{"key", encoded(key)}, {"target", target}, {"result", "EQUAL"}, {field, value}};
 }
 json wasCreated(const std::string& key, const std::string& revision) {
@@ -66,18 +72,25 @@
 json putting(const std::string& key, const std::string& value, const std::string& lease = "0") {
   return {{"request_put", {{"key", encoded(key)}, {"value", encoded(value)}, {"lease", lease}}}};
 }
-json rangeOf(const std::string& key) { return {{"request_range", {{"key", encoded(key)}}}}; }
-json deleting(const std::string& key) { return {{"request_delete_range", {{"key", encoded(key)}}}}; }
+json rangeOf(const std::string& key) {
+  return {{"request_range", {{"key", encoded(key)}}}};
+}
+json deleting(const std::string& key) {
+  return {{"request_delete_range", {{"key", encoded(key)}}}};
+}
 
 // The first key of a range's answer; null if there is none.
 json firstOf(const json& txn, std::size_t response) {
   const auto responses = txn.find("responses");
-  if (responses == txn.end() || responses->size() <= response) return nullptr;
+  if (responses == txn.end() || responses->size() <= response)
+    return nullptr;
   const json& range = (*responses)[response].value("response_range", json::object());
   const auto kvs = range.find("kvs");
   return kvs == range.end() || kvs->empty() ? json(nullptr) : kvs->front();
 }
-std::string valueOf(const json& kv) { return kv.is_null() ? "" : decoded(kv.value("value", "")); }
+std::string valueOf(const json& kv) {
+  return kv.is_null() ? "" : decoded(kv.value("value", ""));
+}
 
 std::uint64_t fenceOf(const std::string& text) {
   std::uint64_t value = 0;
@@ -99,7 +112,8 @@
 
 }  // namespace
 
-// ---- One call --------------------------------------------------------------------------------------
+// ---- One call
+// --------------------------------------------------------------------------------------
 
 class EtcdStore::Exchange final : public net::CallSink {
  public:
@@ -109,7 +123,8 @@
   ~Exchange() override { leave(); }
 
   void watch(std::shared_ptr<net::Call> call) {
-    if (store_ == nullptr) return;
+    if (store_ == nullptr)
+      return;
     call_ = std::move(call);
     limit_ = store_->deadlines_.add(store_->clock_.nowMs() + store_->place_.callMs, [this] {
       limit_.reset();
@@ -124,7 +139,8 @@
   }
   void done() override {
     json value = json::parse(std::exchange(text_, {}), nullptr, /*allow_exceptions=*/false);
-    if (status_ == 200 && value.is_object()) return end(std::move(value), "etcd.answered");
+    if (status_ == 200 && value.is_object())
+      return end(std::move(value), "etcd.answered");
     end(std::nullopt, "etcd.errors");
   }
   void failed(net::CallFailure) override { end(std::nullopt, "etcd.failed"); }
@@ -132,24 +148,29 @@
     reply_ = nullptr;
     const auto call = std::exchange(call_, nullptr);
     leave();
-    if (call) call->abandon();
+    if (call)
+      call->abandon();
   }
 
  private:
   void leave() {
-    if (store_ == nullptr) return;
+    if (store_ == nullptr)
+      return;
     store_->deadlines_.cancel(limit_);
     store_->open_.erase(this);
     store_ = nullptr;
   }
   void end(std::optional<json> value, const char* counter) {
-    if (store_ == nullptr) return;
+    if (store_ == nullptr)
+      return;
     ++store_->counters_[counter];
-    if (!value) store_->at_ = (store_->at_ + 1) % store_->place_.endpoints.size();
+    if (!value)
+      store_->at_ = (store_->at_ + 1) % store_->place_.endpoints.size();
     const auto reply = std::exchange(reply_, nullptr);
     const auto call = std::exchange(call_, nullptr);
     leave();
-    if (!value && call) call->abandon();
+    if (!value && call)
+      call->abandon();
     try {
       reply(std::move(value));
     } catch (const json::exception& fault) {
@@ -165,8 +186,11 @@
   std::string text_;
 };
 
-EtcdStore::EtcdStore(boost::asio::io_context& io, const core::Clock& clock, core::Deadlines& deadlines,
-                     core::Counters& counters, EtcdPlace place)
+EtcdStore::EtcdStore(boost::asio::io_context& io,
+                     const core::Clock& clock,
+                     core::Deadlines& deadlines,
+                     core::Counters& counters,
+                     EtcdPlace place)
     : clock_(clock),
       deadlines_(deadlines),
       counters_(counters),
@@ -174,7 +198,8 @@
       pool_(io, clock, deadlines, counters, {kConnections, place_.callMs, kIdleMs, kAnswerBytes}) {}
 
 EtcdStore::~EtcdStore() {
-  while (!open_.empty()) (*open_.begin())->drop();
+  while (!open_.empty())
+    (*open_.begin())->drop();
 }
 
 std::string EtcdStore::describe() const {
@@ -192,38 +217,44 @@
   const net::Endpoint& to = place_.endpoints[at_ % place_.endpoints.size()];
   const auto text = std::make_shared<const std::string>(body.dump());
   const auto exchange = std::make_shared<Exchange>(*this, std::move(reply));
-  exchange->watch(
-      pool_.call(to,
-                 net::headText("POST " + path + " HTTP/1.1",
-                               {{"Host", to.address().to_string() + ":" + std::to_string(to.port())},
-                                {"Content-Type", "application/json"},
-                                {"Content-Length", std::to_string(text->size())}}),
-                 text, exchange));
+  exchange->watch(pool_.call(
+      to,
+      net::headText("POST " + path + " HTTP/1.1",
+                    {{"Host", to.address().to_string() + ":" + std::to_string(to.port())},
+                     {"Content-Type", "application/json"},
+                     {"Content-Length", std::to_string(text->size())}}),
+      text, exchange));
 }
 
-// ---- Leases ----------------------------------------------------------------------------------------
+// ---- Leases
+// ----------------------------------------------------------------------------------------
 
 void EtcdStore::ask(const LeaseAsk& ask, std::function<void(const LeaseAnswer&)> answer) {
-  if (ask.verb == Verb::kAcquire) return acquire(ask, answer);
+  if (ask.verb == Verb::kAcquire)
+    return acquire(ask, answer);
   const auto own = own_.find(ask.task);
   if (own == own_.end() || own->second.fence != ask.fence) {
     LeaseAnswer lost = nothingKnown(ask);
     lost.found = Found::kLost;
     return answer(lost);
   }
-  if (ask.verb == Verb::kRenew) renew(ask, own->second, answer);
-  else release(ask, own->second, answer);
+  if (ask.verb == Verb::kRenew)
+    renew(ask, own->second, answer);
+  else
+    release(ask, own->second, answer);
 }
 
 void EtcdStore::acquire(const LeaseAsk& ask, const LeaseReply& answer) {
   const json look{{"success", {rangeOf(leaseKey(ask.task)), rangeOf(fenceKey(ask.task))}}};
   call("/v3/kv/txn", look, [this, ask, answer](std::optional<json> now) {
-    if (!now) return answer(nothingKnown(ask));
+    if (!now)
+      return answer(nothingKnown(ask));
     const json held = firstOf(*now, 0);
     const auto record = held.is_null() ? std::nullopt : recordOf(valueOf(held));
     // A value that is none of ours is not taken for free: somebody else uses these keys.
     if (!held.is_null() && !(record && record->holder == ask.who)) {
-      if (!record) ++counters_["coordination.foreign"];
+      if (!record)
+        ++counters_["coordination.foreign"];
       LeaseAnswer other = nothingKnown(ask);
       other.found = Found::kHeld;
       other.fence = record ? record->fence : 0;
@@ -234,41 +265,48 @@
     const json grant{{"TTL", std::to_string(std::llround(ask.ttlMs / 1000))}, {"ID", "0"}};
     call("/v3/lease/grant", grant, [this, ask, answer, before = *now](std::optional<json> granted) {
       const std::string lease = granted ? numberText(*granted, "ID") : "0";
-      if (lease == "0") return answer(nothingKnown(ask));
+      if (lease == "0")
+        return answer(nothingKnown(ask));
       take(ask, before, lease, answer);
     });
   });
 }
 
-// For how long another's lease lives if nothing renews it, so that a candidate comes back when it ends and
-// not a whole time later. The API rounds down to seconds: half of one is put on top. Without an answer the
-// most it can be stays.
+// For how long another's lease lives if nothing renews it, so that a candidate comes back when it
+// ends and not a whole time later. The API rounds down to seconds: half of one is put on top.
+// Without an answer the most it can be stays.
 void EtcdStore::askLeft(const std::string& lease, LeaseAnswer held, const LeaseReply& answer) {
   call("/v3/lease/timetolive", {{"ID", lease}}, [held, answer](std::optional<json> left) mutable {
     const std::string seconds = left ? numberText(*left, "TTL") : "";
     double whole = 0;
-    const auto [end, fault] = std::from_chars(seconds.data(), seconds.data() + seconds.size(), whole);
+    const auto [end, fault] =
+        std::from_chars(seconds.data(), seconds.data() + seconds.size(), whole);
     if (!seconds.empty() && fault == std::errc())
       held.leftMs = std::clamp(whole * 1000 + 500, 0.0, held.leftMs);
     answer(held);
   });
 }
 
-// The key is created, or taken over from an earlier ask of this process, only if all is as it was seen.
-void EtcdStore::take(const LeaseAsk& ask, const json& before, const std::string& lease,
+// The key is created, or taken over from an earlier ask of this process, only if all is as it was
+// seen.
+void EtcdStore::take(const LeaseAsk& ask,
+                     const json& before,
+                     const std::string& lease,
                      const LeaseReply& answer) {
   const json held = firstOf(before, 0), last = firstOf(before, 1);
   const std::uint64_t fence = std::max(fenceOf(valueOf(last)), ask.fence) + 1;
   const LeaseRecord record{ask.who, fence, ask.number, ask.progress, clock_.nowMs()};
-  const json txn{{"compare",
-                  {wasModified(leaseKey(ask.task), held.is_null() ? "0" : numberText(held, "mod_revision")),
-                   wasModified(fenceKey(ask.task), last.is_null() ? "0" : numberText(last, "mod_revision"))}},
-                 {"success",
-                  {putting(leaseKey(ask.task), textOf(record), lease),
-                   putting(fenceKey(ask.task), std::to_string(fence)), rangeOf(leaseKey(ask.task))}},
-                 {"failure", {rangeOf(leaseKey(ask.task))}}};
+  const json txn{
+      {"compare",
+       {wasModified(leaseKey(ask.task), held.is_null() ? "0" : numberText(held, "mod_revision")),
+        wasModified(fenceKey(ask.task), last.is_null() ? "0" : numberText(last, "mod_revision"))}},
+      {"success",
+       {putting(leaseKey(ask.task), textOf(record), lease),
+        putting(fenceKey(ask.task), std::to_string(fence)), rangeOf(leaseKey(ask.task))}},
+      {"failure", {rangeOf(leaseKey(ask.task))}}};
   call("/v3/kv/txn", txn, [this, ask, answer, lease, record](std::optional<json> done) {
-    if (!done) return answer(nothingKnown(ask));
+    if (!done)
+      return answer(nothingKnown(ask));
     LeaseAnswer told = nothingKnown(ask);
     if (!done->value("succeeded", false)) {
       revoke(lease);
@@ -279,7 +317,8 @@
       told.leftMs = held.is_null() ? 0 : ask.ttlMs;
       return answer(told);
     }
-    own_[ask.task] = {lease, numberText(firstOf(*done, 2), "create_revision"), record.fence, record.sinceMs};
+    own_[ask.task] = {lease, numberText(firstOf(*done, 2), "create_revision"), record.fence,
+                      record.sinceMs};
     told.found = Found::kGranted;
     told.fence = record.fence;
     told.leftMs = ask.ttlMs;
@@ -297,7 +336,8 @@
                  {"success", {putting(leaseKey(ask.task), textOf(record), own.lease)}},
                  {"failure", {rangeOf(leaseKey(ask.task))}}};
   call("/v3/kv/txn", txn, [this, ask, answer, lease = own.lease](std::optional<json> done) {
-    if (!done) return answer(nothingKnown(ask));
+    if (!done)
+      return answer(nothingKnown(ask));
     LeaseAnswer told = nothingKnown(ask);
     if (!done->value("succeeded", false)) {
       const json held = firstOf(*done, 0);
@@ -306,14 +346,16 @@
       told.found = Found::kLost;
       return answer(told);
     }
-    call("/v3/lease/keepalive", {{"ID", lease}}, [ask, answer, told](std::optional<json> kept) mutable {
-      if (!kept) return answer(nothingKnown(ask));
-      const bool alive = number(kept->value("result", json::object()), "TTL") > 0;
-      told.found = alive ? Found::kGranted : Found::kLost;
-      told.fence = alive ? ask.fence : 0;
-      told.leftMs = ask.ttlMs;
-      answer(told);
-    });
+    call("/v3/lease/keepalive", {{"ID", lease}},
+         [ask, answer, told](std::optional<json> kept) mutable {
+           if (!kept)
+             return answer(nothingKnown(ask));
+           const bool alive = number(kept->value("result", json::object()), "TTL") > 0;
+           told.found = alive ? Found::kGranted : Found::kLost;
+           told.fence = alive ? ask.fence : 0;
+           told.leftMs = ask.ttlMs;
+           answer(told);
+         });
   });
 }
 
@@ -337,9 +379,11 @@
   call("/v3/lease/revoke", {{"ID", lease}}, [](const std::optional<json>&) {});
 }
 
-// ---- Documents -------------------------------------------------------------------------------------
+// ---- Documents
+// -------------------------------------------------------------------------------------
 
-void EtcdStore::commit(const Fence& fence, std::vector<Write> writes,
+void EtcdStore::commit(const Fence& fence,
+                       std::vector<Write> writes,
                        std::function<void(CommitAnswer)> answer) {
   write(&fence, writes, answer);
 }
@@ -348,13 +392,16 @@
   this->write(nullptr, {std::move(write)}, answer);
 }
 
-void EtcdStore::write(const Fence* fence, const std::vector<Write>& writes,
+void EtcdStore::write(const Fence* fence,
+                      const std::vector<Write>& writes,
                       const std::function<void(CommitAnswer)>& answer) {
-  if (!acceptable(writes)) return answer({Committed::kRefused, 0});
+  if (!acceptable(writes))
+    return answer({Committed::kRefused, 0});
   json compares = json::array(), changes = json::array(), looks = json::array();
   if (fence != nullptr) {
     const auto own = own_.find(fence->task());
-    if (own == own_.end() || own->second.fence != fence->number()) return answer({Committed::kStaleFence, 0});
+    if (own == own_.end() || own->second.fence != fence->number())
+      return answer({Committed::kStaleFence, 0});
 #ifndef DAHLIASTALL_WITHOUT_FENCE  // a build of the tests, which they have to find out
     compares.push_back(wasCreated(leaseKey(fence->task()), own->second.created));
     compares.push_back(hasValue(fenceKey(fence->task()), std::to_string(fence->number())));
@@ -368,12 +415,13 @@
   const std::string number = fence == nullptr ? "" : std::to_string(fence->number());
   call("/v3/kv/txn", {{"compare", compares}, {"success", changes}, {"failure", looks}},
        [answer, number](std::optional<json> done) {
-         if (!done) return answer({Committed::kUnavailable, 0});
+         if (!done)
+           return answer({Committed::kUnavailable, 0});
          if (done->value("succeeded", false))
-           return answer(
-               {Committed::kDone, dahliastall::coordination::number(done->at("header"), "revision")});
-         const bool stale =
-             !number.empty() && (firstOf(*done, 0).is_null() || valueOf(firstOf(*done, 1)) != number);
+           return answer({Committed::kDone,
+                          dahliastall::coordination::number(done->at("header"), "revision")});
+         const bool stale = !number.empty() &&
+                            (firstOf(*done, 0).is_null() || valueOf(firstOf(*done, 1)) != number);
          answer({stale ? Committed::kStaleFence : Committed::kConflict, 0});
        });
 }
@@ -382,14 +430,17 @@
   const std::string from = docKey("");
   std::string to = from;
   ++to.back();  // all keys with this prefix, as the API has it
-  const json range{{"key", encoded(from)}, {"range_end", encoded(to)}, {"limit", std::to_string(kMostDocs)}};
+  const json range{
+      {"key", encoded(from)}, {"range_end", encoded(to)}, {"limit", std::to_string(kMostDocs)}};
   call("/v3/kv/range", range, [this, answer](std::optional<json> found) {
-    if (!found) return answer(unread());
+    if (!found)
+      return answer(unread());
     Listing all;
     all.revision = number(found->value("header", json::object()), "revision");
     addTo(all, *found);
     all.ok = !found->value("more", false);  // what is missing would be taken for what is not there
-    if (!all.ok) all.why = "there are more than " + std::to_string(kMostDocs) + " documents";
+    if (!all.ok)
+      all.why = "there are more than " + std::to_string(kMostDocs) + " documents";
     found.reset();
     answer(all);
   });
@@ -397,9 +448,11 @@
 
 void EtcdStore::look(std::vector<std::string> keys, std::function<void(const Listing&)> answer) {
   json ranges = json::array();
-  for (const std::string& key : keys) ranges.push_back(rangeOf(docKey(key)));
+  for (const std::string& key : keys)
+    ranges.push_back(rangeOf(docKey(key)));
   call("/v3/kv/txn", {{"success", ranges}}, [this, answer](std::optional<json> done) {
-    if (!done) return answer(unread());
+    if (!done)
+      return answer(unread());
     Listing all;
     all.revision = number(done->value("header", json::object()), "revision");
     for (const json& one : done->value("responses", json::array()))
@@ -413,7 +466,8 @@
   const std::size_t from = docKey("").size();
   for (const json& kv : range.value("kvs", json::array())) {
     const std::string key = decoded(kv.value("key", ""));
-    if (key.size() > from) all.docs[key.substr(from)] = {valueOf(kv), number(kv, "mod_revision")};
+    if (key.size() > from)
+      all.docs[key.substr(from)] = {valueOf(kv), number(kv, "mod_revision")};
   }
 }
 
--- a/src/coordination/etcd_store.h
+++ b/src/coordination/etcd_store.h
@@ -1,6 +1,7 @@
-// The store for conductors on several machines: an etcd cluster, by its published v3 API through the JSON
-// gateway. A lease here is a key that is attached to a lease of etcd's; the fence is a key beside it that is
-// changed in the same transaction and outlives it. Nothing of a consensus is decided here.
+// The store for conductors on several machines: an etcd cluster, by its published v3 API through
+// the JSON gateway. A lease here is a key that is attached to a lease of etcd's; the fence is a key
+// beside it that is changed in the same transaction and outlives it. Nothing of a consensus is
+// decided here.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -26,8 +27,11 @@
 
 class EtcdStore final : public Store {
  public:
-  EtcdStore(boost::asio::io_context& io, const core::Clock& clock, core::Deadlines& deadlines,
-            core::Counters& counters, EtcdPlace place);
+  EtcdStore(boost::asio::io_context& io,
+            const core::Clock& clock,
+            core::Deadlines& deadlines,
+            core::Counters& counters,
+            EtcdPlace place);
   ~EtcdStore() override;
   void accountTo(admission::DescriptorBudget& ledger) {
     pool_.accountTo(ledger, admission::Account::kControl);
@@ -35,7 +39,8 @@
 
   std::string describe() const override;
   void ask(const LeaseAsk& ask, std::function<void(const LeaseAnswer&)> answer) override;
-  void commit(const Fence& fence, std::vector<Write> writes,
+  void commit(const Fence& fence,
+              std::vector<Write> writes,
               std::function<void(CommitAnswer)> answer) override;
   void put(Write write, std::function<void(CommitAnswer)> answer) override;
   void list(std::function<void(const Listing&)> answer) override;
@@ -56,13 +61,16 @@
   void call(const std::string& path, const nlohmann::json& body, Reply reply);
   void acquire(const LeaseAsk& ask, const LeaseReply& answer);
   void askLeft(const std::string& lease, LeaseAnswer held, const LeaseReply& answer);
-  void take(const LeaseAsk& ask, const nlohmann::json& before, const std::string& lease,
+  void take(const LeaseAsk& ask,
+            const nlohmann::json& before,
+            const std::string& lease,
             const LeaseReply& answer);
   void renew(const LeaseAsk& ask, const Own& own, const LeaseReply& answer);
   void release(const LeaseAsk& ask, const Own& own, const LeaseReply& answer);
   void revoke(const std::string& lease);
   void addTo(Listing& all, const nlohmann::json& range) const;
-  void write(const Fence* fence, const std::vector<Write>& writes,
+  void write(const Fence* fence,
+             const std::vector<Write>& writes,
              const std::function<void(CommitAnswer)>& answer);
   std::string leaseKey(const std::string& task) const { return place_.prefix + "lease/" + task; }
   std::string fenceKey(const std::string& task) const { return place_.prefix + "fence/" + task; }
--- a/src/coordination/lease.h
+++ b/src/coordination/lease.h
@@ -1,7 +1,7 @@
-// A lease on a task that one conductor does for the whole fleet, as one candidate sees it: a state machine
-// that is told the time and what the store answered, and says what to ask the store next. It proves nothing
-// by time alone: whoever acts carries a fence, and the place where the act takes effect refuses an older one.
-// No I/O.
+// A lease on a task that one conductor does for the whole fleet, as one candidate sees it: a state
+// machine that is told the time and what the store answered, and says what to ask the store next.
+// It proves nothing by time alone: whoever acts carries a fence, and the place where the act takes
+// effect refuses an older one. No I/O.
 #pragma once
 
 #include <array>
@@ -20,7 +20,8 @@
   auto operator<=>(const Holder&) const = default;
 };
 
-// ---- What passes between a candidate and the store --------------------------------------------------
+// ---- What passes between a candidate and the store
+// --------------------------------------------------
 
 enum class Verb { kAcquire, kRenew, kRelease };
 
@@ -30,8 +31,9 @@
   Holder who;
   std::uint64_t number =
       0;  // of all asks of this process; a store passes over an acquire older than one granted
-  std::uint64_t fence = 0;     // acquire: the highest seen, what is granted lies above; else the own one
-  double ttlMs = 0;            // by the store's clock, from when it carries this out
+  std::uint64_t fence =
+      0;             // acquire: the highest seen, what is granted lies above; else the own one
+  double ttlMs = 0;  // by the store's clock, from when it carries this out
   std::uint64_t progress = 0;  // steps done so far, for whoever looks
 };
 
@@ -48,7 +50,8 @@
   kHeld,         // by another; leftMs says for how long at most, if nothing renews it
   kLost,         // renew, release: it is not this holder's with this fence
   kReleased,     // it was, and is free now
-  kUnavailable,  // the store could not be reached, did not answer or could not be used: nothing is known
+  kUnavailable,  // the store could not be reached, did not answer or could not be used: nothing is
+                 // known
 };
 
 struct LeaseAnswer {
@@ -59,7 +62,8 @@
   std::optional<LeaseRecord> record;  // as found, if there is one
 };
 
-// ---- The candidate ----------------------------------------------------------------------------------
+// ---- The candidate
+// ----------------------------------------------------------------------------------
 
 struct LeaseConfig {
   std::string task;
@@ -76,17 +80,25 @@
 // Plain words on why these terms cannot be used; nothing if they can.
 std::optional<std::string> problemWith(const LeaseConfig& config);
 
-// How long a holder counts itself as one, from before it asked: the store lets go after ttlMs of its own
-// clock, and neither clock is off by more than the drift.
+// How long a holder counts itself as one, from before it asked: the store lets go after ttlMs of
+// its own clock, and neither clock is off by more than the drift.
 double validitySpan(const LeaseConfig& config);
 
-enum class LeaseState { kCandidate, kAsking, kHolding, kDoubtful, kLapsed, kReleasing, kBackingOff };
+enum class LeaseState {
+  kCandidate,
+  kAsking,
+  kHolding,
+  kDoubtful,
+  kLapsed,
+  kReleasing,
+  kBackingOff
+};
 const char* nameOf(LeaseState state);
 // Whether the one may follow the other directly.
 bool mayFollow(LeaseState from, LeaseState to);
 
-// Proof that its bearer held the lease when it looked. Only a lease makes one, so an effect that is to be
-// carried out for the fleet cannot be written without.
+// Proof that its bearer held the lease when it looked. Only a lease makes one, so an effect that is
+// to be carried out for the fleet cannot be written without.
 class Fence {
  public:
   const std::string& task() const { return task_; }
@@ -122,8 +134,8 @@
   void answered(const LeaseAnswer& answer, double nowMs);
   double nextMs() const;  // when tick() has something to do
 
-  // A step that takes up to longestStepMs may begin now; nothing if it may not. A step under way puts a
-  // release off, until stepEnded().
+  // A step that takes up to longestStepMs may begin now; nothing if it may not. A step under way
+  // puts a release off, until stepEnded().
   std::optional<Fence> beginStep(double nowMs);
   void stepEnded(bool progress, double nowMs);
   // The task has nothing to do, which is as good as progress.
@@ -153,13 +165,25 @@
   const LeaseConfig& config() const { return config_; }
   const Holder& who() const { return who_; }
 
-  // All that decides what comes next, times relative to now: two machines with the same key go on alike.
-  using Key = std::tuple<int, std::uint64_t, std::uint64_t, std::uint64_t, double, double, double, double,
-                         bool, bool, bool, std::array<std::tuple<std::uint64_t, int, double>, 2>>;
+  // All that decides what comes next, times relative to now: two machines with the same key go on
+  // alike.
+  using Key = std::tuple<int,
+                         std::uint64_t,
+                         std::uint64_t,
+                         std::uint64_t,
+                         double,
+                         double,
+                         double,
+                         double,
+                         bool,
+                         bool,
+                         bool,
+                         std::array<std::tuple<std::uint64_t, int, double>, 2>>;
   Key key(double nowMs) const;
 
  private:
-  // Asks under way, the latest first: an answer that comes late still says what was true when it was asked.
+  // Asks under way, the latest first: an answer that comes late still says what was true when it
+  // was asked.
   struct Asked {
     std::uint64_t number = 0;
     Verb verb = Verb::kAcquire;
@@ -173,7 +197,9 @@
   void onAcquire(const Asked& asked, const LeaseAnswer& answer, double nowMs);
   void onRenewal(const Asked& asked, const LeaseAnswer& answer, double nowMs);
   std::optional<LeaseAsk> whileHolding(double nowMs);
-  bool unanswered(double nowMs) const { return waiting_ && nowMs - asked_[0].sentMs >= config_.askMs; }
+  bool unanswered(double nowMs) const {
+    return waiting_ && nowMs - asked_[0].sentMs >= config_.askMs;
+  }
   double draw(double least, double most);
   double spread() const;
 
--- a/src/coordination/maintenance.cpp
+++ b/src/coordination/maintenance.cpp
@@ -20,9 +20,11 @@
 
 std::optional<std::pair<Plan, std::uint64_t>> planIn(const View& view) {
   const auto it = view.docs.find(kPlanKey);
-  if (it == view.docs.end()) return std::nullopt;
+  if (it == view.docs.end())
+    return std::nullopt;
   auto plan = Plan::parse(it->second.value);
-  if (!plan) return std::nullopt;
+  if (!plan)
+    return std::nullopt;
   return std::pair(std::move(*plan), it->second.revision);
 }
 
@@ -31,15 +33,18 @@
 std::optional<Step> Maintenance::next(const View& view, std::uint64_t fence, double nowMs) {
   const auto found = planIn(view);
   if (!found || found->first.over()) {
-    // Only what belongs to a plan is remembered for it; conductors' signs of life are looked at all the time.
+    // Only what belongs to a plan is remembered for it; conductors' signs of life are looked at all
+    // the time.
     seen_.forget([](const std::string& what) { return what.rfind("box ", 0) == 0; });
     for (const auto& [key, doc] : view.docs)
-      if (key.rfind(kNodePrefix, 0) == 0) seen_.forMs(key, doc.revision, nowMs);
+      if (key.rfind(kNodePrefix, 0) == 0)
+        seen_.forMs(key, doc.revision, nowMs);
     return std::nullopt;
   }
   Plan plan = found->first;
   const std::string what = advance(plan, view, nowMs);
-  if (what.empty()) return std::nullopt;
+  if (what.empty())
+    return std::nullopt;
   ++plan.steps;
   plan.fence = fence;
   return Step{"plan " + plan.id + ": " + what, {{kPlanKey, found->second, plan.text()}}};
@@ -47,16 +52,20 @@
 
 std::string Maintenance::advance(Plan& plan, const View& view, double nowMs) {
   for (PlanItem& item : plan.items) {
-    if (!underWay(item.state)) continue;
+    if (!underWay(item.state))
+      continue;
     std::string what = advanceItem(plan, item, view, nowMs);
-    if (!what.empty()) return what;
+    if (!what.empty())
+      return what;
   }
   if (plan.state == PlanState::kRunning)
-    if (std::string what = beginNext(plan, boxes_(), nowMs); !what.empty()) return what;
+    if (std::string what = beginNext(plan, boxes_(), nowMs); !what.empty())
+      return what;
   const bool left = std::any_of(plan.items.begin(), plan.items.end(), [](const PlanItem& item) {
     return item.state == ItemState::kWaiting || underWay(item.state);
   });
-  if (left || plan.state != PlanState::kRunning) return "";
+  if (left || plan.state != PlanState::kRunning)
+    return "";
   plan.state = PlanState::kDone;
   return "all boxes are done";
 }
@@ -66,11 +75,14 @@
   const double since = seen_.forMs("box " + plan.id + "/" + item.box, item.changed, nowMs);
   switch (item.state) {
     case ItemState::kDraining:
-      if (ending) return reach(plan, item, ItemState::kWarming, "the plan was cancelled");
+      if (ending)
+        return reach(plan, item, ItemState::kWarming, "the plan was cancelled");
       return letGo(plan, item, view, nowMs) ? reach(plan, item, ItemState::kOut) : "";
     case ItemState::kOut:
-      if (ending) return reach(plan, item, ItemState::kWarming, "the plan was cancelled");
-      if (since < plan.holdMs || (plan.confirm && !item.back)) return "";
+      if (ending)
+        return reach(plan, item, ItemState::kWarming, "the plan was cancelled");
+      if (since < plan.holdMs || (plan.confirm && !item.back))
+        return "";
       return reach(plan, item, ItemState::kWarming);
     case ItemState::kWarming:
       return since < config_.coldMs ? "" : reach(plan, item, ItemState::kDone);
@@ -79,8 +91,8 @@
   }
 }
 
-// The list is gone through in its order; a box whose role and cell has one under way waits for it, and holds
-// up those behind it only where they are of the same role and cell.
+// The list is gone through in its order; a box whose role and cell has one under way waits for it,
+// and holds up those behind it only where they are of the same role and cell.
 std::string Maintenance::beginNext(Plan& plan, const FleetBoxes& boxes, double nowMs) {
   std::set<std::pair<std::string, std::uint32_t>> busy;
   const std::set<std::string> drained = plan.drained();
@@ -88,23 +100,29 @@
     if (const auto it = boxes.find(item.box); it != boxes.end() && underWay(item.state))
       busy.emplace(it->second.role, it->second.cell);
   for (PlanItem& item : plan.items) {
-    if (item.state != ItemState::kWaiting) continue;
+    if (item.state != ItemState::kWaiting)
+      continue;
     const auto it = boxes.find(item.box);
-    if (it == boxes.end()) return reach(plan, item, ItemState::kSkipped, "it is in no list any more");
-    if (!busy.emplace(it->second.role, it->second.cell).second) continue;
+    if (it == boxes.end())
+      return reach(plan, item, ItemState::kSkipped, "it is in no list any more");
+    if (!busy.emplace(it->second.role, it->second.cell).second)
+      continue;
     std::size_t others = 0;
     for (const auto& [id, box] : boxes)
-      others += id != item.box && box.role == it->second.role && box.serves && drained.count(id) == 0;
+      others +=
+          id != item.box && box.role == it->second.role && box.serves && drained.count(id) == 0;
     // A box that still warms after its own turn is one that serves, but not yet one to lean on.
     for (const PlanItem& other : plan.items)
-      if (const auto box = boxes.find(other.box); other.state == ItemState::kWarming && box != boxes.end() &&
+      if (const auto box = boxes.find(other.box); other.state == ItemState::kWarming &&
+                                                  box != boxes.end() &&
                                                   box->second.role == it->second.role && others > 0)
         --others;
     fleet::Drains drains;
     // By names of its own: those of a plan and a box together may be longer than a command's.
     const auto answer = drains.handle({"step", "plan", item.box, true, 0, {}, false},
                                       {true, others, it->second.role, 0}, nowMs);
-    if (answer.code == fleet::DrainCode::kDone) return reach(plan, item, ItemState::kDraining);
+    if (answer.code == fleet::DrainCode::kDone)
+      return reach(plan, item, ItemState::kDraining);
   }
   return "";
 }
@@ -113,32 +131,45 @@
 bool Maintenance::letGo(const Plan& plan, const PlanItem& item, const View& view, double nowMs) {
   bool any = false;
   for (const auto& [key, doc] : view.docs) {
-    if (key.rfind(kNodePrefix, 0) != 0) continue;
+    if (key.rfind(kNodePrefix, 0) != 0)
+      continue;
     const auto node = Presence::parse(doc.value);
-    if (!node || seen_.forMs(key, doc.revision, nowMs) >= config_.silentNodeMs) continue;
+    if (!node || seen_.forMs(key, doc.revision, nowMs) >= config_.silentNodeMs)
+      continue;
     any = true;
-    if (node->plan != plan.id || node->steps < item.changed) return false;
+    if (node->plan != plan.id || node->steps < item.changed)
+      return false;
     const auto open = node->open.find(item.box);
-    if (open != node->open.end() && open->second > 0) return false;
+    if (open != node->open.end() && open->second > 0)
+      return false;
   }
   return any;
 }
 
-// ---- Operators' words ------------------------------------------------------------------------------
+// ---- Operators' words
+// ------------------------------------------------------------------------------
 
 namespace {
 
-PlanAnswer no(std::string why) { return {std::move(why), std::nullopt, ""}; }
+PlanAnswer no(std::string why) {
+  return {std::move(why), std::nullopt, ""};
+}
 
-PlanAnswer start(const PlanCommand& command, const std::optional<std::pair<Plan, std::uint64_t>>& found,
-                 std::uint64_t revision, const FleetBoxes& boxes, double unixMs) {
+PlanAnswer start(const PlanCommand& command,
+                 const std::optional<std::pair<Plan, std::uint64_t>>& found,
+                 std::uint64_t revision,
+                 const FleetBoxes& boxes,
+                 double unixMs) {
   if (found && !found->first.over())
-    return no("plan " + found->first.id + " of " + found->first.by + " is " + nameOf(found->first.state) +
-              " (revision " + std::to_string(found->second) + "): cancel it first");
-  if (command.boxes.empty()) return no("a plan names at least one box");
+    return no("plan " + found->first.id + " of " + found->first.by + " is " +
+              nameOf(found->first.state) + " (revision " + std::to_string(found->second) +
+              "): cancel it first");
+  if (command.boxes.empty())
+    return no("a plan names at least one box");
   if (command.boxes.size() > Plan::kMostBoxes)
     return no("a plan has at most " + std::to_string(Plan::kMostBoxes) + " boxes");
-  if (command.id.empty() || command.id.size() > Plan::kLongestWord || command.by.size() > Plan::kLongestWord)
+  if (command.id.empty() || command.id.size() > Plan::kLongestWord ||
+      command.by.size() > Plan::kLongestWord)
     return no("a plan has an id of 1 to 128 bytes");
   if (found && found->first.id == command.id)
     return no("a plan " + command.id + " has been before: give another id");
@@ -150,8 +181,10 @@
   plan.startedMs = unixMs;
   std::set<std::string> named;
   for (const std::string& box : command.boxes) {
-    if (boxes.count(box) == 0) return no("no box has the id " + box);
-    if (!named.insert(box).second) return no("box " + box + " stands twice");
+    if (boxes.count(box) == 0)
+      return no("no box has the id " + box);
+    if (!named.insert(box).second)
+      return no("box " + box + " stands twice");
     plan.items.push_back({box, ItemState::kWaiting, 0, false, ""});
   }
   return {"", Write{kPlanKey, revision, plan.text()},
@@ -160,22 +193,31 @@
 
 }  // namespace
 
-PlanAnswer decide(const PlanCommand& command, const View& view, const FleetBoxes& boxes, double unixMs) {
+PlanAnswer decide(const PlanCommand& command,
+                  const View& view,
+                  const FleetBoxes& boxes,
+                  double unixMs) {
   const auto stored = view.docs.find(kPlanKey);
   const std::uint64_t revision = stored == view.docs.end() ? 0 : stored->second.revision;
   if (command.seen && *command.seen != revision)
-    return no("the plan has revision " + std::to_string(revision) + ", not " + std::to_string(*command.seen));
+    return no("the plan has revision " + std::to_string(revision) + ", not " +
+              std::to_string(*command.seen));
   const auto found = planIn(view);
   // Damaged, or of a later program: not to be written over by chance.
   if (stored != view.docs.end() && !found)
-    return no("the stored plan (revision " + std::to_string(revision) + ") cannot be read by this program");
-  if (command.kind == PlanCommand::Kind::kStart) return start(command, found, revision, boxes, unixMs);
-  if (!found || found->first.over()) return no("no plan is under way");
+    return no("the stored plan (revision " + std::to_string(revision) +
+              ") cannot be read by this program");
+  if (command.kind == PlanCommand::Kind::kStart)
+    return start(command, found, revision, boxes, unixMs);
+  if (!found || found->first.over())
+    return no("no plan is under way");
   Plan plan = found->first;
   const auto already = [&](PlanState state) { return plan.state == state; };
   const auto become = [&](PlanState state, const std::string& said) -> PlanAnswer {
-    if (already(state)) return {"", std::nullopt, said};
-    if (already(PlanState::kCancelled)) return no("plan " + plan.id + " was cancelled and is ending");
+    if (already(state))
+      return {"", std::nullopt, said};
+    if (already(PlanState::kCancelled))
+      return no("plan " + plan.id + " was cancelled and is ending");
     plan.state = state;
     return {"", Write{kPlanKey, revision, plan.text()}, said};
   };
@@ -185,16 +227,19 @@
     case PlanCommand::Kind::kResume:
       return become(PlanState::kRunning, "plan " + plan.id + " goes on");
     case PlanCommand::Kind::kCancel:
-      return become(PlanState::kCancelled, "plan " + plan.id + " is cancelled; its boxes come back");
+      return become(PlanState::kCancelled,
+                    "plan " + plan.id + " is cancelled; its boxes come back");
     default:
       break;
   }
   PlanItem* item = command.boxes.empty() ? nullptr : plan.item(command.boxes.front());
-  if (item == nullptr) return no("the plan has no such box");
+  if (item == nullptr)
+    return no("the plan has no such box");
   if (item->state != ItemState::kOut)
     return no("box " + item->box + " is " + nameOf(item->state) + ", not out");
   const std::string said = "box " + item->box + " comes back";
-  if (item->back) return {"", std::nullopt, said};
+  if (item->back)
+    return {"", std::nullopt, said};
   item->back = true;
   return {"", Write{kPlanKey, revision, plan.text()}, said};
 }
--- a/src/coordination/maintenance.h
+++ b/src/coordination/maintenance.h
@@ -1,6 +1,6 @@
-// The task that takes boxes out in turn. It decides one step at a time from the plan, from what conductors
-// say of themselves, and from the fleet as this conductor sees it: at most one box of a role and cell at a
-// time, and never the last of a role. No I/O.
+// The task that takes boxes out in turn. It decides one step at a time from the plan, from what
+// conductors say of themselves, and from the fleet as this conductor sees it: at most one box of a
+// role and cell at a time, and never the last of a role. No I/O.
 #pragma once
 
 #include <functional>
@@ -45,8 +45,8 @@
 
   MaintenanceConfig config_;
   std::function<FleetBoxes()> boxes_;
-  // A new holder counts from when it first looked, so a box is out or warming longer after a change of
-  // holders, and never shorter.
+  // A new holder counts from when it first looked, so a box is out or warming longer after a change
+  // of holders, and never shorter.
   Seen seen_;
 };
 
@@ -59,7 +59,8 @@
   std::vector<std::string> boxes;  // start, back
   double holdMs = 0;
   bool confirm = false;
-  std::optional<std::uint64_t> seen;  // the plan's revision that the operator saw; none: whichever there is
+  std::optional<std::uint64_t>
+      seen;  // the plan's revision that the operator saw; none: whichever there is
 };
 
 struct PlanAnswer {
@@ -68,6 +69,9 @@
   std::string said;            // for the operator, once it is written
 };
 
-PlanAnswer decide(const PlanCommand& command, const View& view, const FleetBoxes& boxes, double unixMs);
+PlanAnswer decide(const PlanCommand& command,
+                  const View& view,
+                  const FleetBoxes& boxes,
+                  double unixMs);
 
 }  // namespace dahliastall::coordination
--- a/src/coordination/plan.cpp
+++ b/src/coordination/plan.cpp
@@ -13,24 +13,31 @@
 
 constexpr const char* kForm = "dahliastall-plan-1";
 constexpr std::array<const char*, 4> kPlanNames{"running", "paused", "cancelled", "done"};
-constexpr std::array<const char*, 6> kItemNames{"waiting", "draining", "out", "warming", "done", "skipped"};
+constexpr std::array<const char*, 6> kItemNames{"waiting", "draining", "out",
+                                                "warming", "done",     "skipped"};
 
 template <class State, std::size_t size>
 State stateOf(const std::array<const char*, size>& names, const std::string& name) {
   const auto it = std::find(names.begin(), names.end(), name);
-  if (it == names.end()) throw std::invalid_argument("no state " + name);
+  if (it == names.end())
+    throw std::invalid_argument("no state " + name);
   return static_cast<State>(it - names.begin());
 }
 
 }  // namespace
 
-const char* nameOf(PlanState state) { return kPlanNames[static_cast<std::size_t>(state)]; }
-const char* nameOf(ItemState state) { return kItemNames[static_cast<std::size_t>(state)]; }
+const char* nameOf(PlanState state) {
+  return kPlanNames[static_cast<std::size_t>(state)];
+}
+const char* nameOf(ItemState state) {
+  return kItemNames[static_cast<std::size_t>(state)];
+}
 
 std::set<std::string> Plan::drained() const {
   std::set<std::string> boxes;
   for (const PlanItem& one : items)
-    if (one.state == ItemState::kDraining || one.state == ItemState::kOut) boxes.insert(one.box);
+    if (one.state == ItemState::kDraining || one.state == ItemState::kOut)
+      boxes.insert(one.box);
   return boxes;
 }
 
@@ -48,16 +55,18 @@
                     {"changed", one.changed},
                     {"back", one.back},
                     {"why", one.why}});
-  return json{{"form", kForm},           {"id", id},           {"by", by},       {"state", nameOf(state)},
-              {"hold_ms", holdMs},       {"confirm", confirm}, {"steps", steps}, {"fence", fence},
-              {"started_ms", startedMs}, {"items", list}}
+  return json{{"form", kForm},          {"id", id},          {"by", by},
+              {"state", nameOf(state)}, {"hold_ms", holdMs}, {"confirm", confirm},
+              {"steps", steps},         {"fence", fence},    {"started_ms", startedMs},
+              {"items", list}}
       .dump(-1, ' ', true, json::error_handler_t::replace);
 }
 
 std::optional<Plan> Plan::parse(std::string_view text) {
   try {
     const json whole = json::parse(text);
-    if (whole.at("form") != kForm) return std::nullopt;
+    if (whole.at("form") != kForm)
+      return std::nullopt;
     Plan plan;
     plan.id = whole.at("id").get<std::string>();
     plan.by = whole.at("by").get<std::string>();
@@ -67,16 +76,19 @@
     plan.steps = whole.at("steps").get<std::uint64_t>();
     plan.fence = whole.at("fence").get<std::uint64_t>();
     plan.startedMs = whole.at("started_ms").get<double>();
-    if (!std::isfinite(plan.holdMs) || plan.holdMs < 0 || plan.id.empty()) return std::nullopt;
+    if (!std::isfinite(plan.holdMs) || plan.holdMs < 0 || plan.id.empty())
+      return std::nullopt;
     std::set<std::string> boxes;
     for (const json& entry : whole.at("items")) {
       plan.items.push_back({entry.at("box").get<std::string>(),
                             stateOf<ItemState>(kItemNames, entry.at("state").get<std::string>()),
                             entry.at("changed").get<std::uint64_t>(), entry.at("back").get<bool>(),
                             entry.at("why").get<std::string>()});
-      if (plan.items.back().box.empty() || !boxes.insert(plan.items.back().box).second) return std::nullopt;
+      if (plan.items.back().box.empty() || !boxes.insert(plan.items.back().box).second)
+        return std::nullopt;
     }
-    if (plan.items.empty() || plan.items.size() > kMostBoxes) return std::nullopt;
+    if (plan.items.empty() || plan.items.size() > kMostBoxes)
+      return std::nullopt;
     return plan;
   } catch (const json::exception&) {
     return std::nullopt;
--- a/src/coordination/plan.h
+++ b/src/coordination/plan.h
@@ -1,5 +1,5 @@
-// A maintenance as it lies in the store: which boxes are to be taken out in turn, and how far each is. It is
-// all that the next holder needs to go on at the right box.
+// A maintenance as it lies in the store: which boxes are to be taken out in turn, and how far each
+// is. It is all that the next holder needs to go on at the right box.
 #pragma once
 
 #include <cstdint>
@@ -16,8 +16,9 @@
 inline constexpr const char* kPlanKey = "plan";
 
 enum class PlanState { kRunning, kPaused, kCancelled, kDone };
-// A box goes this way and no other: waiting, draining (nothing new goes there), out (nobody has anything open
-// there: it may be worked on), warming (in use again, as a box that has just started), done.
+// A box goes this way and no other: waiting, draining (nothing new goes there), out (nobody has
+// anything open there: it may be worked on), warming (in use again, as a box that has just
+// started), done.
 enum class ItemState { kWaiting, kDraining, kOut, kWarming, kDone, kSkipped };
 const char* nameOf(PlanState state);
 const char* nameOf(ItemState state);
--- a/src/coordination/presence.cpp
+++ b/src/coordination/presence.cpp
@@ -20,14 +20,16 @@
 std::optional<Presence> Presence::parse(std::string_view text) {
   try {
     const json whole = json::parse(text);
-    if (whole.at("form") != kForm) return std::nullopt;
+    if (whole.at("form") != kForm)
+      return std::nullopt;
     Presence said;
     said.who = {whole.at("name").get<std::string>(), whole.at("incarnation").get<std::uint64_t>()};
     said.beat = whole.at("beat").get<std::uint64_t>();
     said.plan = whole.at("plan").get<std::string>();
     said.steps = whole.at("steps").get<std::uint64_t>();
     said.open = whole.at("open").get<std::map<std::string, std::uint64_t>>();
-    if (said.open.size() > kMostInstances) return std::nullopt;
+    if (said.open.size() > kMostInstances)
+      return std::nullopt;
     return said;
   } catch (const json::exception&) {
     return std::nullopt;
@@ -35,8 +37,10 @@
 }
 
 std::optional<Write> OwnPresence::next(const Presence& now, double nowMs) {
-  if (writing_ || rivalled_ || !known_) return std::nullopt;
-  if (nowMs < nextMs_ && said_ == now) return std::nullopt;
+  if (writing_ || rivalled_ || !known_)
+    return std::nullopt;
+  if (nowMs < nextMs_ && said_ == now)
+    return std::nullopt;
   said_ = now;
   Presence told = now;
   told.who = who_;
@@ -57,15 +61,18 @@
 }
 
 void OwnPresence::read(const std::map<std::string, Doc>& docs, double nowMs) {
-  if (writing_) return;
+  if (writing_)
+    return;
   const auto it = docs.find(key());
   const std::uint64_t is = it == docs.end() ? 0 : it->second.revision;
-  if (known_ && is == seen_) return;
-  // Whatever an earlier process of this name left is written over; one that writes over this one lives. Gone
-  // is what a cleaner took for dead: it is written anew.
+  if (known_ && is == seen_)
+    return;
+  // Whatever an earlier process of this name left is written over; one that writes over this one
+  // lives. Gone is what a cleaner took for dead: it is written anew.
   if (it != docs.end() && owned_) {
     const auto other = Presence::parse(it->second.value);
-    if (other && other->who != who_) rivalled_ = true;
+    if (other && other->who != who_)
+      rivalled_ = true;
   }
   known_ = true;
   seen_ = is;
--- a/src/coordination/presence.h
+++ b/src/coordination/presence.h
@@ -1,6 +1,6 @@
-// What a conductor says of itself in the store: that it lives, which plan it acts by, and what it still has
-// open at boxes that are drained. Read by whoever holds the maintenance; cleaned up when its conductor is
-// gone.
+// What a conductor says of itself in the store: that it lives, which plan it acts by, and what it
+// still has open at boxes that are drained. Read by whoever holds the maintenance; cleaned up when
+// its conductor is gone.
 #pragma once
 
 #include <cstdint>
@@ -18,9 +18,10 @@
 
 struct Presence {
   Holder who;
-  std::uint64_t beat = 0;   // counts up: a text that stays the same is a conductor that does not speak
-  std::string plan;         // whose steps it has carried out,
-  std::uint64_t steps = 0;  // and how many of them
+  std::uint64_t beat =
+      0;             // counts up: a text that stays the same is a conductor that does not speak
+  std::string plan;  // whose steps it has carried out,
+  std::uint64_t steps = 0;                    // and how many of them
   std::map<std::string, std::uint64_t> open;  // attempts at boxes that the plan drains
   bool operator==(const Presence&) const = default;
 
@@ -33,13 +34,15 @@
  public:
   OwnPresence(Holder who, double periodMs) : who_(std::move(who)), periodMs_(periodMs) {}
 
-  // Something to write if it is time, or if what it says has changed; nothing while a write is under way.
+  // Something to write if it is time, or if what it says has changed; nothing while a write is
+  // under way.
   std::optional<Write> next(const Presence& now, double nowMs);
   void written(const CommitAnswer& answer, double nowMs);
   // What the store has under this conductor's name.
   void read(const std::map<std::string, Doc>& docs, double nowMs);
 
-  // Another process with this conductor's name that goes on after this one had written: this one steps back.
+  // Another process with this conductor's name that goes on after this one had written: this one
+  // steps back.
   bool rivalled() const { return rivalled_; }
 
  private:
--- a/src/coordination/runner.h
+++ b/src/coordination/runner.h
@@ -1,6 +1,6 @@
-// Carries the leases and tasks of one conductor: asks the store what the machines want asked, reads what all
-// share, and commits steps under the fence that goes with them. What it decides by itself is only when to
-// look.
+// Carries the leases and tasks of one conductor: asks the store what the machines want asked, reads
+// what all share, and commits steps under the fence that goes with them. What it decides by itself
+// is only when to look.
 #pragma once
 
 #include <functional>
@@ -24,8 +24,8 @@
     core::Counters& counters;
   };
 
-  // terms: of every task's lease, but for its name and longest step. Throws std::invalid_argument if a task's
-  // lease would be too short for its step.
+  // terms: of every task's lease, but for its name and longest step. Throws std::invalid_argument
+  // if a task's lease would be too short for its step.
   Runner(Parts parts, Holder who, std::uint64_t seed, LeaseConfig config, double watchMs);
   ~Runner();
   Runner(const Runner&) = delete;
@@ -34,8 +34,8 @@
   void add(std::unique_ptr<FleetTask> task);
   // whole: all documents were read, not only those that this conductor needs.
   void onView(std::function<void(const View&, bool whole)> told) { told_ = std::move(told); }
-  // Who holds no lease reads only these documents: what all conductors read is paid for by all. Without it
-  // everybody reads everything.
+  // Who holds no lease reads only these documents: what all conductors read is paid for by all.
+  // Without it everybody reads everything.
   void needs(std::function<std::vector<std::string>()> keys) { needs_ = std::move(keys); }
   void start();
   void refresh();  // reads the store now, as what was just written is to be seen
--- a/src/coordination/seen.h
+++ b/src/coordination/seen.h
@@ -1,5 +1,5 @@
-// For how long something has been seen unchanged, by this process's own clock: from when it was first looked
-// at, so never too long. No clock of another machine is read.
+// For how long something has been seen unchanged, by this process's own clock: from when it was
+// first looked at, so never too long. No clock of another machine is read.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,8 @@
   // mark: what tells one state of it from the next, as a revision.
   double forMs(const std::string& what, std::uint64_t mark, double nowMs) {
     One& one = all_.try_emplace(what, One{mark, nowMs}).first->second;
-    if (one.mark != mark) one = {mark, nowMs};
+    if (one.mark != mark)
+      one = {mark, nowMs};
     return nowMs - one.sinceMs;
   }
   template <class Which>
--- a/src/coordination/setup.cpp
+++ b/src/coordination/setup.cpp
@@ -14,10 +14,12 @@
 std::string nameIn(const core::Fields& given) {
   auto name = given.as<std::string>();
   const bool plain =
-      !name.empty() && name.size() <= kLongestName && std::all_of(name.begin(), name.end(), [](char c) {
+      !name.empty() && name.size() <= kLongestName &&
+      std::all_of(name.begin(), name.end(), [](char c) {
         return std::isalnum(static_cast<unsigned char>(c)) != 0 || c == '-' || c == '_' || c == '.';
       });
-  if (!plain) given.fail("is not a plain word of 1 to 64 letters, digits, '-', '_' or '.'");
+  if (!plain)
+    given.fail("is not a plain word of 1 to 64 letters, digits, '-', '_' or '.'");
   return name;
 }
 
@@ -25,9 +27,12 @@
   store.only({"kind", "endpoints", "prefix"});
   EtcdPlace place;
   for (const core::Fields& one : store.at("endpoints").list())
-    place.endpoints.push_back(one.read([](const std::string& text) { return net::endpointOf(text); }));
-  if (place.endpoints.empty()) store.at("endpoints").fail("names no address");
-  if (place.endpoints.size() > kMostEndpoints) store.at("endpoints").fail("names more than 9 addresses");
+    place.endpoints.push_back(
+        one.read([](const std::string& text) { return net::endpointOf(text); }));
+  if (place.endpoints.empty())
+    store.at("endpoints").fail("names no address");
+  if (place.endpoints.size() > kMostEndpoints)
+    store.at("endpoints").fail("names more than 9 addresses");
   place.prefix = store.value<std::string>("prefix", place.prefix);
   if (place.prefix.empty() || place.prefix.size() > kLongestName || place.prefix.back() != '/')
     store.at("prefix").fail("does not end with '/' or is longer than 64 bytes");
@@ -38,8 +43,8 @@
 }  // namespace
 
 Setup setupOf(const core::Fields& given, double coldMs) {
-  given.only({"name", "store", "lease_s", "drift", "answer_ms", "idle_holder_s", "spread_ms", "watch_ms",
-              "step_ms", "maintenance", "cleanup"});
+  given.only({"name", "store", "lease_s", "drift", "answer_ms", "idle_holder_s", "spread_ms",
+              "watch_ms", "step_ms", "maintenance", "cleanup"});
   Setup setup;
   setup.text = given.json().dump();
   setup.name = nameIn(given.at("name"));
@@ -52,13 +57,15 @@
   lease.longestStepMs = given.above0("step_ms", lease.longestStepMs);
   setup.watchMs = given.above0("watch_ms", setup.watchMs);
   lease.task = "any";
-  if (const auto problem = problemWith(lease)) given.fail("cannot be used: " + *problem);
+  if (const auto problem = problemWith(lease))
+    given.fail("cannot be used: " + *problem);
   const core::Fields store = given.at("store");
   const auto kind = store.at("kind").as<std::string>();
   if (kind == "sqlite") {
     store.only({"kind", "path"});
     setup.sqlitePath = store.at("path").as<std::string>();
-    if (setup.sqlitePath.empty()) store.at("path").fail("is empty");
+    if (setup.sqlitePath.empty())
+      store.at("path").fail("is empty");
   } else if (kind == "etcd") {
     setup.etcd = etcdOf(store, lease.askMs);
     // Its leases are in whole seconds.
@@ -75,7 +82,8 @@
     maintenance.only({"silent_node_s", "period_ms"});
     setup.maintenance.silentNodeMs =
         maintenance.above0("silent_node_s", setup.maintenance.silentNodeMs / 1000) * 1000;
-    setup.maintenance.task.periodMs = maintenance.above0("period_ms", setup.maintenance.task.periodMs);
+    setup.maintenance.task.periodMs =
+        maintenance.above0("period_ms", setup.maintenance.task.periodMs);
   }
   if (given.has("cleanup")) {
     const core::Fields cleanup = given.at("cleanup");
--- a/src/coordination/setup.h
+++ b/src/coordination/setup.h
@@ -1,6 +1,6 @@
-// What an operator's file says under `coordination`: this conductor's name, the store it shares with the
-// others, and how leases and tasks are to go. Without it a conductor shares nothing, and none of this is
-// there.
+// What an operator's file says under `coordination`: this conductor's name, the store it shares
+// with the others, and how leases and tasks are to go. Without it a conductor shares nothing, and
+// none of this is there.
 #pragma once
 
 #include <optional>
--- a/src/coordination/sqlite_store.h
+++ b/src/coordination/sqlite_store.h
@@ -1,6 +1,7 @@
-// The store for conductors on one machine: an SQLite file, on the storage thread. Leases are decided by the
-// rules of lease_rules.h within one transaction each, by the machine's monotonic clock; a lease from before
-// the last boot is void, since no process of that time lives, and its fence stays.
+// The store for conductors on one machine: an SQLite file, on the storage thread. Leases are
+// decided by the rules of lease_rules.h within one transaction each, by the machine's monotonic
+// clock; a lease from before the last boot is void, since no process of that time lives, and its
+// fence stays.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -61,7 +62,8 @@
 
   std::string describe() const override { return "sqlite " + path_; }
   void ask(const LeaseAsk& ask, std::function<void(const LeaseAnswer&)> answer) override;
-  void commit(const Fence& fence, std::vector<Write> writes,
+  void commit(const Fence& fence,
+              std::vector<Write> writes,
               std::function<void(CommitAnswer)> answer) override;
   void put(Write write, std::function<void(CommitAnswer)> answer) override;
   void list(std::function<void(const Listing&)> answer) override;
@@ -70,7 +72,9 @@
  private:
   // Runs work with the file, on the storage thread; the answer comes back on the loop's.
   template <class Answer>
-  void run(std::function<Answer(SqliteFile&)> work, Answer unavailable, std::function<void(Answer)> answer);
+  void run(std::function<Answer(SqliteFile&)> work,
+           Answer unavailable,
+           std::function<void(Answer)> answer);
 
   boost::asio::io_context& io_;
   std::string path_;
--- a/src/coordination/storage_thread.cpp
+++ b/src/coordination/storage_thread.cpp
@@ -27,7 +27,8 @@
 bool StorageThread::post(std::function<void()> job) {
   {
     const std::lock_guard lock(mutex_);
-    if (stopping_ || jobs_.size() >= kMostJobs) return false;
+    if (stopping_ || jobs_.size() >= kMostJobs)
+      return false;
     jobs_.push_back(std::move(job));
   }
   wake_.notify_one();
@@ -43,7 +44,8 @@
   std::unique_lock lock(mutex_);
   for (;;) {
     wake_.wait(lock, [this] { return stopping_ || !jobs_.empty(); });
-    if (stopping_) return;
+    if (stopping_)
+      return;
     const auto job = std::move(jobs_.front());
     jobs_.pop_front();
     lock.unlock();
--- a/src/coordination/storage_thread.h
+++ b/src/coordination/storage_thread.h
@@ -1,5 +1,5 @@
-// A thread for what may block on a disk, behind a queue with a bound: the loop's thread never waits for it.
-// What finds the queue full is told so at once.
+// A thread for what may block on a disk, behind a queue with a bound: the loop's thread never waits
+// for it. What finds the queue full is told so at once.
 #pragma once
 
 #include <condition_variable>
--- a/src/coordination/store.h
+++ b/src/coordination/store.h
@@ -1,6 +1,6 @@
-// What tasks of the whole fleet need of a store: leases, and a few small documents that change only from the
-// state that their writer saw. Every answer comes once, on the loop's thread, also when the store is gone;
-// one that says "unavailable" leaves open whether it took effect.
+// What tasks of the whole fleet need of a store: leases, and a few small documents that change only
+// from the state that their writer saw. Every answer comes once, on the loop's thread, also when
+// the store is gone; one that says "unavailable" leaves open whether it took effect.
 #pragma once
 
 #include <cstdint>
@@ -14,8 +14,8 @@
 
 namespace dahliastall::coordination {
 
-// What a fleet may have. All tables that are kept by conductor or by instance reach to these; the sizes of
-// texts and of the store follow from them (docs/design/bounds.md).
+// What a fleet may have. All tables that are kept by conductor or by instance reach to these; the
+// sizes of texts and of the store follow from them (docs/design/bounds.md).
 constexpr std::size_t kMostConductors = 1024;
 constexpr std::size_t kMostInstances = 1024;
 
@@ -25,8 +25,8 @@
 constexpr std::size_t kMostWrites = 96;
 // The largest text, with all that may be removed by the same change.
 constexpr std::size_t kMostValueBytes = kMostChangeBytes - kMostWrites * 2 * kLongestKey;
-// Each conductor's own word and part, those of its process before, and what is removed later; the plan and
-// the digest.
+// Each conductor's own word and part, those of its process before, and what is removed later; the
+// plan and the digest.
 constexpr std::size_t kMostDocs = 4 * kMostConductors;
 
 struct Doc {
@@ -37,7 +37,7 @@
 
 struct Write {
   std::string key;
-  std::uint64_t seen = 0;            // the document's revision that the writer saw; 0: there was none
+  std::uint64_t seen = 0;  // the document's revision that the writer saw; 0: there was none
   std::optional<std::string> value;  // none: it is to be gone
 };
 
@@ -68,9 +68,11 @@
   virtual std::string describe() const = 0;
   virtual void ask(const LeaseAsk& ask, std::function<void(const LeaseAnswer&)> answer) = 0;
   // All or nothing, and only while the fence is the newest of its task.
-  virtual void commit(const Fence& fence, std::vector<Write> writes,
+  virtual void commit(const Fence& fence,
+                      std::vector<Write> writes,
                       std::function<void(CommitAnswer)> answer) = 0;
-  // What a conductor says of itself, or an operator of a plan: no task's effect, and so without a fence.
+  // What a conductor says of itself, or an operator of a plan: no task's effect, and so without a
+  // fence.
   virtual void put(Write write, std::function<void(CommitAnswer)> answer) = 0;
   virtual void list(std::function<void(const Listing&)> answer) = 0;
   // Only the documents with these keys, as far as they are there; of one moment.
--- a/src/coordination/task.h
+++ b/src/coordination/task.h
@@ -1,6 +1,6 @@
-// A task that one conductor does for the whole fleet. All that it may do is written down as a step of
-// documents; the runner commits a step under the fence of the task's lease, and there is no other way to
-// carry one out. What cannot be put so is not offered as a task.
+// A task that one conductor does for the whole fleet. All that it may do is written down as a step
+// of documents; the runner commits a step under the fence of the task's lease, and there is no
+// other way to carry one out. What cannot be put so is not offered as a task.
 #pragma once
 
 #include <optional>
@@ -18,7 +18,8 @@
   bool quiet = false;            // its steps are not worth a line in the log each
 };
 
-// What was last read of the store, and when; a step that rests on an old view fails by its revisions.
+// What was last read of the store, and when; a step that rests on an old view fails by its
+// revisions.
 struct View {
   std::map<std::string, Doc> docs;
   std::uint64_t revision = 0;
@@ -34,8 +35,8 @@
  public:
   virtual ~FleetTask() = default;
   virtual const TaskConfig& config() const = 0;
-  // The next step by this view, as the holder under this fence; nothing if there is none now. Only ever asked
-  // of the holder.
+  // The next step by this view, as the holder under this fence; nothing if there is none now. Only
+  // ever asked of the holder.
   virtual std::optional<Step> next(const View& view, std::uint64_t fence, double nowMs) = 0;
 };
 
--- a/src/core/clock.h
+++ b/src/core/clock.h
@@ -1,5 +1,5 @@
-/// The program's two clocks. All spans (deadlines, windows, waits) are measured on the monotonic one. The
-/// wall clock may be wrong and may be stepped; it is read only to tell times to others.
+/// The program's two clocks. All spans (deadlines, windows, waits) are measured on the monotonic
+/// one. The wall clock may be wrong and may be stepped; it is read only to tell times to others.
 #pragma once
 
 #include <chrono>
@@ -9,8 +9,8 @@
 
 namespace dahliastall::core {
 
-/// Milliseconds that only grow. What they count from means nothing, except that all processes of a machine
-/// count from the same moment.
+/// Milliseconds that only grow. What they count from means nothing, except that all processes of a
+/// machine count from the same moment.
 class Clock {
  public:
   virtual ~Clock() = default;
@@ -26,8 +26,8 @@
   }
 
  private:
-  // Zero stands for a time long past in many places, so that a machine that has just started must not begin
-  // there.
+  // Zero stands for a time long past in many places, so that a machine that has just started must
+  // not begin there.
   static constexpr double kOriginMs = 1e9;
 };
 
@@ -43,14 +43,23 @@
 
 /// The wall clock: milliseconds since the Unix epoch, as this machine sees it.
 inline double unixNowMs() {
-  const std::chrono::duration<double, std::milli> now = std::chrono::system_clock::now().time_since_epoch();
+  const std::chrono::duration<double, std::milli> now =
+      std::chrono::system_clock::now().time_since_epoch();
   return now.count();
 }
 
 // The only place where the program's milliseconds meet the module's microseconds.
-inline leverrelay::Duration toModule(double ms) { return leverrelay::Duration(std::llround(ms * 1000)); }
-inline leverrelay::Time toModuleTime(double ms) { return leverrelay::Time(toModule(ms)); }
-inline double toMs(leverrelay::Duration span) { return static_cast<double>(span.count()) / 1000; }
-inline double toMs(leverrelay::Time time) { return toMs(time.time_since_epoch()); }
+inline leverrelay::Duration toModule(double ms) {
+  return leverrelay::Duration(std::llround(ms * 1000));
+}
+inline leverrelay::Time toModuleTime(double ms) {
+  return leverrelay::Time(toModule(ms));
+}
+inline double toMs(leverrelay::Duration span) {
+  return static_cast<double>(span.count()) / 1000;
+}
+inline double toMs(leverrelay::Time time) {
+  return toMs(time.time_since_epoch());
+}
 
 }  // namespace dahliastall::core
--- a/src/core/conductor.cpp
+++ b/src/core/conductor.cpp
@@ -11,14 +11,14 @@
 
 namespace {
 
-// How long past deadline and grace the module may leave a request without an answer before the core gives
-// one.
+// How long past deadline and grace the module may leave a request without an answer before the core
+// gives one.
 constexpr double kOverdueMs = 10;
-// By how much a close may reach its engine later than what is sent next reaches others, on other connections:
-// far above the way within a deployment, and far below the slack of each limit.
+// By how much a close may reach its engine later than what is sent next reaches others, on other
+// connections: far above the way within a deployment, and far below the slack of each limit.
 constexpr double kCloseMs = 10;
-// A stream that is to move is looked at so often until what has come of it is passed on; a client that reads
-// slowly may keep that from happening, and no longer than this.
+// A stream that is to move is looked at so often until what has come of it is passed on; a client
+// that reads slowly may keep that from happening, and no longer than this.
 constexpr double kMoveLookMs = 5;
 constexpr int kMoveLooks = 20;
 
@@ -48,7 +48,10 @@
 
 }  // namespace
 
-Conductor::Conductor(const Settings& settings, std::uint64_t seed, const Clock& clock, Deadlines& deadlines,
+Conductor::Conductor(const Settings& settings,
+                     std::uint64_t seed,
+                     const Clock& clock,
+                     Deadlines& deadlines,
                      Counters& counters)
     : clock_(clock),
       deadlines_(deadlines),
@@ -62,7 +65,8 @@
 
 void Conductor::learn(const Settings& settings) {
   kindReads_.clear();
-  for (const KindSettings& kind : settings.kinds) kindReads_.push_back(kind.role == Role::kReader);
+  for (const KindSettings& kind : settings.kinds)
+    kindReads_.push_back(kind.role == Role::kReader);
   classes_ = settings.classes;
   secondCopies_ = settings.limits.secondCopies;
   permits_.configure(toMs(settings.contract.drainGrace), secondCopies_);
@@ -78,7 +82,8 @@
 
 RequestFacts Conductor::factsOf(ClassIndex index) const {
   RequestFacts facts;
-  if (index.value >= classes_.size()) return facts;
+  if (index.value >= classes_.size())
+    return facts;
   const ClassSettings& cls = classes_[index.value];
   facts.effect = cls.effect;
   facts.repeatsFindFirst = cls.effect == Effect::kKeyed && cls.group == Group::kAll;
@@ -86,11 +91,14 @@
   return facts;
 }
 
-// ---- From clients ----------------------------------------------------------------------------------
+// ---- From clients
+// ----------------------------------------------------------------------------------
 
-std::optional<RequestKey> Conductor::take(Arrival arrival, std::shared_ptr<const Payload> payload,
+std::optional<RequestKey> Conductor::take(Arrival arrival,
+                                          std::shared_ptr<const Payload> payload,
                                           std::shared_ptr<Answerer> answerer) {
-  if (byId_.count(arrival.request) != 0) return std::nullopt;
+  if (byId_.count(arrival.request) != 0)
+    return std::nullopt;
   ++counters_["requests.taken"];
   Request request;
   request.id = arrival.request;
@@ -108,7 +116,8 @@
   Request& r = *requests_.find(key);
   r.overdue = deadlines_.add(r.facts.deadlineMs + answerGraceMs_ + kOverdueMs, [this, key] {
     Request* late = requests_.find(key);
-    if (late == nullptr || !late->answerer || late->facts.streaming) return;
+    if (late == nullptr || !late->answerer || late->facts.streaming)
+      return;
     late->overdue.reset();
     ++counters_["requests.overdue"];
     conclude(*late, Ending::kError)->fail({true});
@@ -121,7 +130,8 @@
 
 void Conductor::clientGone(RequestKey key) {
   Request* r = requests_.find(key);
-  if (r == nullptr || !r->answerer) return;
+  if (r == nullptr || !r->answerer)
+    return;
   ++counters_["requests.client_gone"];
   conclude(*r, Ending::kAbandoned);
   lapsed_.push_back(key);
@@ -130,28 +140,35 @@
 
 void Conductor::clientReady(RequestKey key) {
   const Request* r = requests_.find(key);
-  if (r != nullptr && r->facts.streaming && attempts_.find(r->stream) != nullptr) engines_->resume(r->stream);
+  if (r != nullptr && r->facts.streaming && attempts_.find(r->stream) != nullptr)
+    engines_->resume(r->stream);
 }
 
-// ---- From discovery --------------------------------------------------------------------------------
+// ---- From discovery
+// --------------------------------------------------------------------------------
 
 void Conductor::list(ListNews news) {
   if (news.form != ListForm::kFailed) {
     const double now = clock_.nowMs();
     const auto tellOff = [now](Listing& listing, bool gone) {
       listing.gone = gone;
-      if (!listing.facts.toldOffMs) listing.facts.toldOffMs = now;
+      if (!listing.facts.toldOffMs)
+        listing.facts.toldOffMs = now;
     };
     if (news.form != ListForm::kChanges) {
       std::set<EngineId> named;
-      for (const ListEntry& entry : news.entries) named.insert(entry.engine);
+      for (const ListEntry& entry : news.entries)
+        named.insert(entry.engine);
       for (auto& [engine, listing] : fleet_)
-        if (named.count(engine) == 0) tellOff(listing, true);
+        if (named.count(engine) == 0)
+          tellOff(listing, true);
     }
     for (const ListEntry& entry : news.entries) {
       Listing& listing = fleet_[entry.engine];
-      if (entry.presence == Presence::kActive) listing = Listing{};
-      else tellOff(listing, entry.presence == Presence::kGone);
+      if (entry.presence == Presence::kActive)
+        listing = Listing{};
+      else
+        tellOff(listing, entry.presence == Presence::kGone);
       listing.facts.listed = true;
       listing.facts.reads = entry.kind.value < kindReads_.size() && kindReads_[entry.kind.value];
     }
@@ -160,15 +177,17 @@
   post(std::move(news));
 }
 
-// ---- From the engines' side ------------------------------------------------------------------------
+// ---- From the engines' side
+// ------------------------------------------------------------------------
 
 const InstanceFacts* Conductor::instance(const EngineId& engine) const {
   const auto told = fleet_.find(engine);
   return told == fleet_.end() ? nullptr : &told->second.facts;
 }
 
-// Guards the table against a fleet whose machines are replaced all day, each under an id of its own. Past the
-// grace nothing goes to an engine that is gone, and what is not known gets nothing either.
+// Guards the table against a fleet whose machines are replaced all day, each under an id of its
+// own. Past the grace nothing goes to an engine that is gone, and what is not known gets nothing
+// either.
 void Conductor::forgetGone() {
   const double before = clock_.nowMs() - drainGraceMs_;
   std::erase_if(fleet_, [before](const auto& entry) {
@@ -187,18 +206,22 @@
   return r == nullptr || r->facts.streaming || !r->answerer;
 }
 
-// Guards a refusal and the next send against a close that they overtake: until it is there, an attempt that
-// was called off is open at its engine, be it a reader, and may run. Classes that may run twice need no wait.
+// Guards a refusal and the next send against a close that they overtake: until it is there, an
+// attempt that was called off is open at its engine, be it a reader, and may run. Classes that may
+// run twice need no wait.
 double Conductor::closesArriveMs(const Request& request, bool safeToo) const {
   return repeatsFreely(request) && !safeToo ? 0 : request.closedMs + kCloseMs;
 }
 
-bool Conductor::repeatsFreely(const Request& request) const { return request.facts.effect == Effect::kSafe; }
+bool Conductor::repeatsFreely(const Request& request) const {
+  return request.facts.effect == Effect::kSafe;
+}
 
 // Time passes between the module's decision and the first byte.
 Permit Conductor::permitOf(AttemptKey key) {
   const Attempt* a = attempts_.find(key);
-  if (a == nullptr) return Permit::kAnswered;
+  if (a == nullptr)
+    return Permit::kAnswered;
   const RequestKey owner = a->request;
   const Request& r = *requests_.find(owner);
   return permits_.attempt(r.facts, instance(a->engine), toMs(a->before), clock_.nowMs(),
@@ -207,7 +230,8 @@
 
 bool Conductor::maySend(AttemptKey key) {
   const Permit permit = permitOf(key);
-  if (permit != Permit::kAllowed) ++counters_[std::string("attempts.denied.") + nameOf(permit)];
+  if (permit != Permit::kAllowed)
+    ++counters_[std::string("attempts.denied.") + nameOf(permit)];
   return permit == Permit::kAllowed;
 }
 
@@ -215,8 +239,8 @@
 void Conductor::report(const std::vector<Violation>& violations, const Request& request) {
   for (const Violation violation : violations) {
     ++counters_[std::string("invariants.violated.") + nameOf(violation)];
-    log_(std::string("invariant violated: ") + nameOf(violation) + " by request " + request.id.value + ": " +
-         historyOf(request.facts, clock_.nowMs()));
+    log_(std::string("invariant violated: ") + nameOf(violation) + " by request " +
+         request.id.value + ": " + historyOf(request.facts, clock_.nowMs()));
   }
 }
 
@@ -225,7 +249,8 @@
   return a != nullptr && clientWaits(a->request);
 }
 
-// A client's close may have come while its handler still waits for its turn: nothing begins for who has gone.
+// A client's close may have come while its handler still waits for its turn: nothing begins for who
+// has gone.
 bool Conductor::clientWaits(RequestKey key) {
   const Request* r = requests_.find(key);
   return r != nullptr && clock_.nowMs() < r->facts.deadlineMs && clientPresent(key);
@@ -233,15 +258,18 @@
 
 bool Conductor::clientPresent(RequestKey key) {
   const Request* r = requests_.find(key);
-  if (r == nullptr || !r->answerer) return false;
-  if (r->answerer->present()) return true;
+  if (r == nullptr || !r->answerer)
+    return false;
+  if (r->answerer->present())
+    return true;
   clientGone(key);
   return false;
 }
 
 bool Conductor::passed(AttemptKey key, std::string_view part) {
   Attempt* a = attempts_.find(key);
-  if (a == nullptr) return true;
+  if (a == nullptr)
+    return true;
   Request* r = requests_.find(a->request);
   if (!a->opened) {
     // The first event ties the request to this attempt; a later copy's stream is dropped.
@@ -255,8 +283,8 @@
     r->stream = key;
     deadlines_.cancel(a->until);
     deadlines_.cancel(r->overdue);
-    // The event goes out before the module hears of it: a stream that the module moves at once would end its
-    // client's connection without any answer.
+    // The event goes out before the module hears of it: a stream that the module moves at once
+    // would end its client's connection without any answer.
     const std::shared_ptr<Answerer> answerer = r->answerer;
     const bool more = answerer->pass(part);
     a = attempts_.find(key);
@@ -265,25 +293,31 @@
                         toModule(clock_.nowMs() - a->sentMs)});
     return more;
   }
-  if (!r->answerer) return true;
+  if (!r->answerer)
+    return true;
   const std::shared_ptr<Answerer> answerer = r->answerer;
   return answerer->pass(part);
 }
 
 void Conductor::written(AttemptKey key) {
   const Attempt* a = attempts_.find(key);
-  if (a == nullptr) return;
+  if (a == nullptr)
+    return;
   const Request* r = requests_.find(a->request);
-  if (r == nullptr) return;
+  if (r == nullptr)
+    return;
   figures_.tried(r->cls);
   report(permits_.checkWritten(r->facts, instance(a->engine), clock_.nowMs()), *r);
 }
 
-void Conductor::ended(AttemptKey key, const Result& result) { close(key, result); }
+void Conductor::ended(AttemptKey key, const Result& result) {
+  close(key, result);
+}
 
 void Conductor::placeAnswered(AttemptKey reading, const EngineId& engine, bool held) {
   const Attempt* a = attempts_.find(reading);
-  if (a == nullptr) return;  // the read has ended: its note would come too late to mean anything
+  if (a == nullptr)
+    return;  // the read has ended: its note would come too late to mean anything
   post(PlaceNote{requests_.find(a->request)->id, a->number, engine, held});
 }
 
@@ -291,7 +325,8 @@
   post(ProbeEnded{engine, toModule(tookMs), answered, std::nullopt});
 }
 
-// ---- Streams that pass to another process ----------------------------------------------------------
+// ---- Streams that pass to another process
+// ----------------------------------------------------------
 
 std::size_t Conductor::openAt(const EngineId& engine) const {
   const auto it = outAt_.find(engine);
@@ -301,29 +336,35 @@
 std::vector<RequestKey> Conductor::streams() const {
   std::vector<RequestKey> found;
   for (const auto& [id, key] : byId_)
-    if (streamOf(key)) found.push_back(key);
+    if (streamOf(key))
+      found.push_back(key);
   return found;
 }
 
 std::optional<Conductor::Stream> Conductor::streamOf(RequestKey key) const {
   const Request* r = requests_.find(key);
-  if (r == nullptr || !r->answerer || !r->facts.streaming || r->out != 1) return std::nullopt;
+  if (r == nullptr || !r->answerer || !r->facts.streaming || r->out != 1)
+    return std::nullopt;
   const Attempt* a = attempts_.find(r->stream);
-  if (a == nullptr) return std::nullopt;
+  if (a == nullptr)
+    return std::nullopt;
   return Stream{key, r->stream, r->told, a->engine};
 }
 
 void Conductor::handedOver(RequestKey key) {
   Request* r = requests_.find(key);
-  if (r == nullptr || !r->answerer) return;
+  if (r == nullptr || !r->answerer)
+    return;
   const AttemptKey stream = r->stream;
   conclude(*r, Ending::kHandedOver);
   close(stream, {Outcome::kCancelled});
 }
 
-std::optional<Conductor::Stream> Conductor::adopt(Arrival arrival, const EngineId& engine,
+std::optional<Conductor::Stream> Conductor::adopt(Arrival arrival,
+                                                  const EngineId& engine,
                                                   std::shared_ptr<Answerer> answerer) {
-  if (byId_.count(arrival.request) != 0) return std::nullopt;
+  if (byId_.count(arrival.request) != 0)
+    return std::nullopt;
   Request request;
   request.id = arrival.request;
   request.told = arrival;
@@ -352,22 +393,26 @@
   return Stream{key, stream, std::move(arrival), engine};
 }
 
-// ---- Endings ---------------------------------------------------------------------------------------
+// ---- Endings
+// ---------------------------------------------------------------------------------------
 
 // The one gate for AttemptEnded: the attempt's slot goes with it, so that there cannot be a second.
 void Conductor::close(AttemptKey key, const Result& result) {
   Attempt* a = attempts_.find(key);
-  if (a == nullptr) return;
+  if (a == nullptr)
+    return;
   deadlines_.cancel(a->until);
   Request& r = *requests_.find(a->request);
   const RequestKey owner = a->request;
   ++counters_[nameOf(result.outcome)];
   r.endedMs = clock_.nowMs();
   const bool streamed = a->opened;
-  const bool calledOff = result.outcome == Outcome::kCancelled || result.outcome == Outcome::kTimeout;
+  const bool calledOff =
+      result.outcome == Outcome::kCancelled || result.outcome == Outcome::kTimeout;
   // An answer that cannot be read is closed as well, and goes on at its engine perhaps.
   const bool spoilt = result.outcome == Outcome::kError && !repeatsFreely(r);
-  if (calledOff || spoilt) r.closedMs = clock_.nowMs();
+  if (calledOff || spoilt)
+    r.closedMs = clock_.nowMs();
   const InstanceFacts* at = instance(a->engine);
   r.lastOutcome = nameOf(result.outcome) + std::string_view("attempts.").size();
   r.lastAt = at == nullptr ? "" : at->reads ? "_reading" : "_answering";
@@ -375,11 +420,19 @@
   history.out = false;
   history.outcome = r.lastOutcome;
   history.mayHaveRun = !provesNoRun(result.outcome, result.doubtful);
-  AttemptEnded event{
-      r.id,  a->number,         a->engine,        result.outcome, toModule(clock_.nowMs() - a->sentMs),
-      false, result.keptTokens, result.stateGone, std::nullopt,   result.doubtful};
+  AttemptEnded event{r.id,
+                     a->number,
+                     a->engine,
+                     result.outcome,
+                     toModule(clock_.nowMs() - a->sentMs),
+                     false,
+                     result.keptTokens,
+                     result.stateGone,
+                     std::nullopt,
+                     result.doubtful};
   const auto out = outAt_.find(a->engine);
-  if (out != outAt_.end() && --out->second == 0) outAt_.erase(out);
+  if (out != outAt_.end() && --out->second == 0)
+    outAt_.erase(out);
   attempts_.remove(key);
   --r.out;
   if (r.answerer && (streamed || result.outcome == Outcome::kServed)) {
@@ -400,7 +453,8 @@
 
 void Conductor::timeOut(AttemptKey key) {
   Attempt* a = attempts_.find(key);
-  if (a == nullptr) return;
+  if (a == nullptr)
+    return;
   a->until.reset();
   engines_->abandon(key);
   close(key, {Outcome::kTimeout});
@@ -417,51 +471,64 @@
 
 void Conductor::forgetIfDone(RequestKey key) {
   const Request* r = requests_.find(key);
-  if (r == nullptr || r->answerer || r->out != 0 || running_) return;
+  if (r == nullptr || r->answerer || r->out != 0 || running_)
+    return;
   byId_.erase(r->id);
   requests_.remove(key);
 }
 
 void Conductor::callOffAll(RequestKey key) {
   const Request* r = requests_.find(key);
-  if (r == nullptr) return;
+  if (r == nullptr)
+    return;
   for (const AttemptKey attempt : std::vector(r->attempts)) {
-    if (attempts_.find(attempt) == nullptr) continue;
+    if (attempts_.find(attempt) == nullptr)
+      continue;
     engines_->abandon(attempt);
     close(attempt, {Outcome::kCancelled});
   }
 }
 
-// ---- The module ------------------------------------------------------------------------------------
+// ---- The module
+// ------------------------------------------------------------------------------------
 
 void Conductor::post(Event event) {
   events_.push_back(std::move(event));
   run();
 }
 
-// Events that come up while the module's actions are carried out wait in line: the module sees one at a time.
+// Events that come up while the module's actions are carried out wait in line: the module sees one
+// at a time.
 void Conductor::run() {
-  if (running_) return;
+  if (running_)
+    return;
   running_ = true;
   std::vector<Action> actions;
   std::vector<RequestId> touched;
   while (!events_.empty()) {
     const Event event = std::move(events_.front());
     events_.pop_front();
-    if (const auto* ended = std::get_if<AttemptEnded>(&event)) touched.push_back(ended->request);
-    if (const auto* arrival = std::get_if<Arrival>(&event)) touched.push_back(arrival->request);
-    if (const auto* lapsed = std::get_if<Lapsed>(&event)) touched.push_back(lapsed->request);
+    if (const auto* ended = std::get_if<AttemptEnded>(&event))
+      touched.push_back(ended->request);
+    if (const auto* arrival = std::get_if<Arrival>(&event))
+      touched.push_back(arrival->request);
+    if (const auto* lapsed = std::get_if<Lapsed>(&event))
+      touched.push_back(lapsed->request);
     actions.clear();
-    for (const auto& watch : watchEvents_) watch(event);
+    for (const auto& watch : watchEvents_)
+      watch(event);
     router_.handle(toModuleTime(clock_.nowMs()), event, actions);
-    for (const Action& action : actions) act(action);
+    for (const Action& action : actions)
+      act(action);
     // A client that is gone needs none of its attempts, whether or not the module may cancel.
-    for (const RequestKey key : std::exchange(lapsed_, {})) callOffAll(key);
+    for (const RequestKey key : std::exchange(lapsed_, {}))
+      callOffAll(key);
   }
   running_ = false;
   for (const RequestId& id : touched) {
     const auto it = byId_.find(id);
-    if (it != byId_.end()) forgetIfDone(it->second);
+    if (it != byId_.end())
+      forgetIfDone(it->second);
   }
 }
 
@@ -471,7 +538,8 @@
 }
 
 void Conductor::act(const Action& action) {
-  if (watch_) watch_(action);
+  if (watch_)
+    watch_(action);
   std::visit(
       [this](const auto& what) {
         using What = std::decay_t<decltype(what)>;
@@ -502,7 +570,8 @@
 
 void Conductor::refuse(const Refuse& refuse) {
   Request* r = byId(refuse.request);
-  if (r == nullptr || !r->answerer || r->facts.streaming) return;
+  if (r == nullptr || !r->answerer || r->facts.streaming)
+    return;
   ++counters_["requests.refused"];
   ++counters_[std::string("requests.refused_after.") + r->lastOutcome + r->lastAt];
   report(permits_.checkRefusal(r->facts), *r);
@@ -510,13 +579,15 @@
                         clock_.nowMs() >= r->facts.deadlineMs};
   const double after = closesArriveMs(*r, /*safeToo=*/false);
   const std::shared_ptr<Answerer> answerer = conclude(*r, Ending::kShed);
-  if (clock_.nowMs() >= after) return answerer->refuse(refusal);
+  if (clock_.nowMs() >= after)
+    return answerer->refuse(refusal);
   deadlines_.add(after, [answerer, refusal] { answerer->refuse(refusal); });
 }
 
 void Conductor::fail(const Fail& fail) {
   Request* r = byId(fail.request);
-  if (r == nullptr || !r->answerer || r->facts.streaming) return;
+  if (r == nullptr || !r->answerer || r->facts.streaming)
+    return;
   ++counters_["requests.failed"];
   const bool late = clock_.nowMs() >= r->facts.deadlineMs;
   conclude(*r, Ending::kError)->fail({late});
@@ -524,7 +595,8 @@
 
 void Conductor::carryOut(const Send& send) {
   Request* r = byId(send.request);
-  if (r == nullptr) return;
+  if (r == nullptr)
+    return;
   const RequestKey owner = byId_.at(send.request);
   Attempt attempt;
   attempt.request = owner;
@@ -536,52 +608,61 @@
   const InstanceFacts* at = instance(send.engine);
   report(permits_.checkAttempt(r->facts), *r);
   r->attempts.push_back(key);
-  r->facts.attempts.push_back(
-      {.instance = send.engine.value, .reads = at != nullptr && at->reads, .sentMs = clock_.nowMs()});
+  r->facts.attempts.push_back({.instance = send.engine.value,
+                               .reads = at != nullptr && at->reads,
+                               .sentMs = clock_.nowMs()});
   ++r->out;
   ++outAt_[send.engine];
   ++counters_["attempts.sent"];
   const double until =
       std::min(toMs(send.until) > 0 ? toMs(send.until) : r->facts.deadlineMs, r->facts.deadlineMs);
-  if (!maySend(key)) return close(key, {Outcome::kNotSent});
+  if (!maySend(key))
+    return close(key, {Outcome::kNotSent});
   attempts_.find(key)->until = deadlines_.add(until, [this, key] { timeOut(key); });
   const bool reads = at != nullptr && at->reads;
-  engines_->start(
-      {key, r->id, send.engine, r->payload, until, reads, closesArriveMs(*r, !secondCopies_), r->endedMs});
+  engines_->start({key, r->id, send.engine, r->payload, until, reads,
+                   closesArriveMs(*r, !secondCopies_), r->endedMs});
 }
 
 void Conductor::carryOut(const HoldPlace& hold) {
   Request* r = byId(hold.request);
-  if (r == nullptr || r->attempts.empty()) return;
+  if (r == nullptr || r->attempts.empty())
+    return;
   ++counters_["places.asked"];
   engines_->holdPlace(r->id, r->attempts.back(), hold.engine);
 }
 
 void Conductor::carryOut(const Cancel& cancel) {
   const Request* r = byId(cancel.request);
-  if (r == nullptr || cancel.attempt < 0) return;
-  if (static_cast<std::size_t>(cancel.attempt) >= r->attempts.size()) return;
+  if (r == nullptr || cancel.attempt < 0)
+    return;
+  if (static_cast<std::size_t>(cancel.attempt) >= r->attempts.size())
+    return;
   const AttemptKey key = r->attempts[static_cast<std::size_t>(cancel.attempt)];
   const Attempt* a = attempts_.find(key);
-  if (a == nullptr || (a->opened && r->answerer)) return;  // a begun stream belongs to its client
+  if (a == nullptr || (a->opened && r->answerer))
+    return;  // a begun stream belongs to its client
   engines_->abandon(key);
   close(key, {Outcome::kCancelled});
 }
 
 void Conductor::carryOut(const MoveStream& move) {
   const Request* r = byId(move.request);
-  if (r == nullptr || !r->facts.streaming) return;
+  if (r == nullptr || !r->facts.streaming)
+    return;
   moveOnceRead(r->stream, kMoveLooks);
 }
 
-// Guards a stream that its engine has finished: what has come is passed on first, and with it perhaps the
-// end.
+// Guards a stream that its engine has finished: what has come is passed on first, and with it
+// perhaps the end.
 void Conductor::moveOnceRead(AttemptKey key, int looks) {
   const Attempt* a = attempts_.find(key);
-  if (a == nullptr) return;
+  if (a == nullptr)
+    return;
   const Request* r = requests_.find(a->request);
   if (r->answerer && looks > 0 && engines_->unread(key)) {
-    deadlines_.add(clock_.nowMs() + kMoveLookMs, [this, key, looks] { moveOnceRead(key, looks - 1); });
+    deadlines_.add(clock_.nowMs() + kMoveLookMs,
+                   [this, key, looks] { moveOnceRead(key, looks - 1); });
     return;
   }
   engines_->abandon(key);
--- a/src/core/conductor.h
+++ b/src/core/conductor.h
@@ -1,6 +1,6 @@
-// Owns every request and attempt, feeds the decision module with events and carries out its actions.
-// Holds two invariants whatever module, clients and engines do: a request gets one final answer, and each
-// Send gets one AttemptEnded.
+// Owns every request and attempt, feeds the decision module with events and carries out its
+// actions. Holds two invariants whatever module, clients and engines do: a request gets one final
+// answer, and each Send gets one AttemptEnded.
 #pragma once
 
 #include <deque>
@@ -25,8 +25,11 @@
 
 class Conductor final : public ListSink {
  public:
-  Conductor(const leverrelay::Settings& settings, std::uint64_t seed, const Clock& clock,
-            Deadlines& deadlines, Counters& counters);
+  Conductor(const leverrelay::Settings& settings,
+            std::uint64_t seed,
+            const Clock& clock,
+            Deadlines& deadlines,
+            Counters& counters);
 
   void connect(Engines& engines) { engines_ = &engines; }
   // A line for the log, from whoever works for the core.
@@ -39,11 +42,13 @@
     watchEvents_.push_back(std::move(watch));
   }
 
-  // Settings that came later. Classes, tenants and kinds keep their numbers; more may have been added.
+  // Settings that came later. Classes, tenants and kinds keep their numbers; more may have been
+  // added.
   void reconfigure(const leverrelay::Settings& settings);
 
   // From clients. Nothing if a request of this id is still known: the front answers that itself.
-  std::optional<RequestKey> take(leverrelay::Arrival arrival, std::shared_ptr<const Payload> payload,
+  std::optional<RequestKey> take(leverrelay::Arrival arrival,
+                                 std::shared_ptr<const Payload> payload,
                                  std::shared_ptr<Answerer> answerer);
   void clientGone(RequestKey key);
   void clientReady(RequestKey key);
@@ -53,10 +58,12 @@
 
   // From the engines' side.
   bool maySend(AttemptKey key);  // asked again just before a send that had to wait is written
-  // Whether the client of this attempt is there and waits, by what its machine has said up to this moment.
+  // Whether the client of this attempt is there and waits, by what its machine has said up to this
+  // moment.
   bool attemptIsWanted(AttemptKey key);
   bool mayHold(const leverrelay::EngineId& engine) const;
-  // Whether nothing that is held for a request can be of use to it any more: it streams, or is over.
+  // Whether nothing that is held for a request can be of use to it any more: it streams, or is
+  // over.
   bool needsNothingHeld(const leverrelay::RequestId& request) const;
   bool passed(AttemptKey key, std::string_view part);
   void written(AttemptKey key);  // the attempt's last byte is out
@@ -76,9 +83,11 @@
   };
   std::vector<RequestKey> streams() const;
   std::optional<Stream> streamOf(RequestKey key) const;
-  void handedOver(RequestKey key);  // another process has it: no answer and no attempt of it is here any more
+  void handedOver(
+      RequestKey key);  // another process has it: no answer and no attempt of it is here any more
   // Nothing if a request of this id is known here.
-  std::optional<Stream> adopt(leverrelay::Arrival arrival, const leverrelay::EngineId& engine,
+  std::optional<Stream> adopt(leverrelay::Arrival arrival,
+                              const leverrelay::EngineId& engine,
                               std::shared_ptr<Answerer> answerer);
 
   std::size_t enginesKnown() const { return fleet_.size(); }
@@ -109,14 +118,16 @@
     leverrelay::Arrival told;
     std::size_t cls = 0;
     std::shared_ptr<const Payload> payload;
-    std::shared_ptr<Answerer> answerer;  // none once the final answer is given or the client is gone
+    std::shared_ptr<Answerer>
+        answerer;  // none once the final answer is given or the client is gone
     std::vector<AttemptKey> attempts;
     std::size_t out = 0;
     RequestFacts facts;
     double closedMs = 0;  // when a connection of an attempt was last closed from this side
     double endedMs = 0;   // when an attempt last ended
     AttemptKey stream;
-    // Of its last attempt that ended: the names of its outcome, and of what kind of engine that was at.
+    // Of its last attempt that ended: the names of its outcome, and of what kind of engine that was
+    // at.
     const char *lastOutcome = "nothing_sent", *lastAt = "";
     std::optional<Deadlines::Key> overdue;
   };
--- a/src/core/deadlines.h
+++ b/src/core/deadlines.h
@@ -1,5 +1,6 @@
-// Every deadline of the program in one ordered structure. Whoever runs the program arms a single timer for
-// next() and calls runDue() when it rings; tests set the clock and call runDue() themselves.
+// Every deadline of the program in one ordered structure. Whoever runs the program arms a single
+// timer for next() and calls runDue() when it rings; tests set the clock and call runDue()
+// themselves.
 #pragma once
 
 #include <cstdint>
@@ -18,12 +19,14 @@
   Key add(double atMs, Task task) {
     const Key key{atMs, ++added_};
     tasks_.emplace(key, std::move(task));
-    if (onEarlier_ && tasks_.begin()->first == key) onEarlier_();
+    if (onEarlier_ && tasks_.begin()->first == key)
+      onEarlier_();
     return key;
   }
 
   void cancel(std::optional<Key>& key) {
-    if (key) tasks_.erase(*key);
+    if (key)
+      tasks_.erase(*key);
     key.reset();
   }
 
@@ -31,7 +34,8 @@
     return tasks_.empty() ? std::nullopt : std::optional(tasks_.begin()->first.first);
   }
 
-  // A task added while these run waits for the next call, even if it is due: no loop can starve the sockets.
+  // A task added while these run waits for the next call, even if it is due: no loop can starve the
+  // sockets.
   void runDue(double nowMs) {
     const std::uint64_t last = added_;
     for (auto it = tasks_.begin(); it != tasks_.end() && it->first.first <= nowMs;) {
@@ -44,7 +48,8 @@
       tasks_.erase(it);
       task();
       it = tasks_.lower_bound({key.first, 0});
-      if (it != tasks_.begin()) it = tasks_.begin();
+      if (it != tasks_.begin())
+        it = tasks_.begin();
     }
   }
 
--- a/src/core/fields.h
+++ b/src/core/fields.h
@@ -25,8 +25,10 @@
 
   // What has to be there. Throws std::invalid_argument, as all that follows.
   Fields at(const std::string& name) const {
-    if (!value_->is_object()) fail("is not an object");
-    if (!value_->contains(name)) throw std::invalid_argument(under(name) + " is missing");
+    if (!value_->is_object())
+      fail("is not an object");
+    if (!value_->contains(name))
+      throw std::invalid_argument(under(name) + " is missing");
     return Fields((*value_)[name], under(name));
   }
   Fields at(std::size_t index) const {
@@ -34,13 +36,16 @@
   }
   // The entries of a list, each as Fields.
   std::vector<Fields> list() const {
-    if (!value_->is_array()) fail("is not a list");
+    if (!value_->is_array())
+      fail("is not a list");
     std::vector<Fields> entries;
-    for (std::size_t i = 0; i < value_->size(); ++i) entries.push_back(at(i));
+    for (std::size_t i = 0; i < value_->size(); ++i)
+      entries.push_back(at(i));
     return entries;
   }
   const Fields& object() const {
-    if (!value_->is_object()) fail("is not an object");
+    if (!value_->is_object())
+      fail("is not an object");
     return *this;
   }
 
@@ -48,14 +53,19 @@
   What as() const {
     try {
       if constexpr (std::is_same_v<What, std::string>) {
-        if (!value_->is_string()) fail("is not a text");
+        if (!value_->is_string())
+          fail("is not a text");
       } else if constexpr (std::is_same_v<What, bool>) {
-        if (!value_->is_boolean()) fail("is not true or false");
+        if (!value_->is_boolean())
+          fail("is not true or false");
       } else if constexpr (std::is_unsigned_v<What>) {
-        if (!value_->is_number_unsigned()) fail("is not a whole number of 0 or more");
-        if (value_->get<std::uint64_t>() > std::numeric_limits<What>::max()) fail("is too large");
+        if (!value_->is_number_unsigned())
+          fail("is not a whole number of 0 or more");
+        if (value_->get<std::uint64_t>() > std::numeric_limits<What>::max())
+          fail("is too large");
       } else {
-        if (!value_->is_number()) fail("is not a number");
+        if (!value_->is_number())
+          fail("is not a number");
       }
       return value_->get<What>();
     } catch (const nlohmann::json::exception& fault) {
@@ -69,7 +79,8 @@
   // A time or share above 0, or from 0.
   double above0(const std::string& name, double otherwise) const {
     const double number = value(name, otherwise);
-    if (!(number > 0) || !std::isfinite(number)) at(name).fail("is not above 0");
+    if (!(number > 0) || !std::isfinite(number))
+      at(name).fail("is not above 0");
     return number;
   }
 
@@ -78,8 +89,10 @@
     object();
     for (const auto& [name, inner] : value_->items()) {
       bool known = false;
-      for (const char* one : names) known = known || name == one;
-      if (!known) throw std::invalid_argument(under(name) + " is not known here");
+      for (const char* one : names)
+        known = known || name == one;
+      if (!known)
+        throw std::invalid_argument(under(name) + " is not known here");
     }
   }
 
@@ -98,7 +111,9 @@
   }
 
  private:
-  std::string under(const std::string& name) const { return path_.empty() ? name : path_ + "." + name; }
+  std::string under(const std::string& name) const {
+    return path_.empty() ? name : path_ + "." + name;
+  }
 
   const nlohmann::json* value_;
   std::string path_;
--- a/src/core/figures.h
+++ b/src/core/figures.h
@@ -1,5 +1,5 @@
-// What operators are told of the requests, by class. Counted at the core's two gates and nowhere else, so
-// that at every moment taken = ok + shed + errors + abandoned + handed over + open.
+// What operators are told of the requests, by class. Counted at the core's two gates and nowhere
+// else, so that at every moment taken = ok + shed + errors + abandoned + handed over + open.
 #pragma once
 
 #include <cstddef>
@@ -21,21 +21,25 @@
  public:
   // Classes only ever get more: their numbers stay.
   void classes(std::size_t count) {
-    if (count > byClass_.size()) byClass_.resize(count);
+    if (count > byClass_.size())
+      byClass_.resize(count);
   }
   const std::vector<ClassFigures>& byClass() const { return byClass_; }
 
   // A class that the settings do not name is counted nowhere.
   void taken(std::size_t cls) {
-    if (cls >= byClass_.size()) return;
+    if (cls >= byClass_.size())
+      return;
     ++byClass_[cls].taken;
     ++byClass_[cls].open;
   }
   void tried(std::size_t cls) {
-    if (cls < byClass_.size()) ++byClass_[cls].tries;
+    if (cls < byClass_.size())
+      ++byClass_[cls].tries;
   }
   void ended(std::size_t cls, Ending how) {
-    if (cls >= byClass_.size()) return;
+    if (cls >= byClass_.size())
+      return;
     ClassFigures& figures = byClass_[cls];
     --figures.open;
     switch (how) {
--- a/src/core/ports.h
+++ b/src/core/ports.h
@@ -33,9 +33,10 @@
   virtual ~Answerer() = default;
   virtual void refuse(const Refusal& refusal) = 0;  // it has not run: a repeat is harmless
   virtual void fail(const Failure& failure) = 0;    // promises nothing
-  virtual bool pass(std::string_view part) = 0;     // part of the stream; false: wait for clientReady()
-  virtual void end() = 0;                           // the stream is whole
-  virtual void broken() = 0;                        // the stream ends unfinished
+  virtual bool pass(
+      std::string_view part) = 0;  // part of the stream; false: wait for clientReady()
+  virtual void end() = 0;          // the stream is whole
+  virtual void broken() = 0;       // the stream ends unfinished
   // Whether the client is still there at this very moment, whatever has been told of it so far.
   virtual bool present() const { return true; }
 };
@@ -58,7 +59,8 @@
   double heldSinceMs = 0;  // the last attempt of its request ended; 0: there was none
 };
 
-// The way to the engines. Whatever it reports comes through Conductor, also at once from within a call.
+// The way to the engines. Whatever it reports comes through Conductor, also at once from within a
+// call.
 class Engines {
  public:
   virtual ~Engines() = default;
@@ -67,7 +69,8 @@
   virtual void resume(AttemptKey attempt) = 0;  // after Conductor::passed() said to wait
   // Whether more of its answer has come than was passed on, its end included.
   virtual bool unread(AttemptKey attempt) const = 0;
-  virtual void holdPlace(const leverrelay::RequestId& request, AttemptKey reading,
+  virtual void holdPlace(const leverrelay::RequestId& request,
+                         AttemptKey reading,
                          const leverrelay::EngineId& engine) = 0;
   virtual void release(const leverrelay::RequestId& request) = 0;
   virtual void probe(const leverrelay::EngineId& engine) = 0;
@@ -77,7 +80,8 @@
   leverrelay::Outcome outcome;
   double keptTokens = 0;
   bool stateGone = false;
-  bool doubtful = false;  // the answer may have been one to an earlier request on the same connection
+  bool doubtful =
+      false;  // the answer may have been one to an earlier request on the same connection
 };
 
 }  // namespace dahliastall::core
--- a/src/core/request_permits.cpp
+++ b/src/core/request_permits.cpp
@@ -73,8 +73,10 @@
 }
 
 Permit RequestPermits::toInstance(const InstanceFacts* instance, double nowMs) const {
-  if (instance == nullptr || !instance->listed) return Permit::kUnknownInstance;
-  const bool kept = !instance->toldOffMs || nowMs - *instance->toldOffMs < drainGraceMs_ * kDrainShare;
+  if (instance == nullptr || !instance->listed)
+    return Permit::kUnknownInstance;
+  const bool kept =
+      !instance->toldOffMs || nowMs - *instance->toldOffMs < drainGraceMs_ * kDrainShare;
   return kept ? Permit::kAllowed : Permit::kDrained;
 }
 
@@ -82,19 +84,24 @@
   std::vector<Violation> found;
   if (request.effect == Effect::kUnsafe && request.mayHaveRun() != nullptr)
     found.push_back(Violation::kRepeatedEffect);
-  if (!secondCopies_ && request.anyOut()) found.push_back(Violation::kSecondCopy);
+  if (!secondCopies_ && request.anyOut())
+    found.push_back(Violation::kSecondCopy);
   return found;
 }
 
 std::vector<Violation> RequestPermits::checkWritten(const RequestFacts& request,
-                                                    const InstanceFacts* instance, double nowMs) const {
+                                                    const InstanceFacts* instance,
+                                                    double nowMs) const {
   std::vector<Violation> found;
-  if (nowMs >= request.deadlineMs) found.push_back(Violation::kSentAfterDeadline);
+  if (nowMs >= request.deadlineMs)
+    found.push_back(Violation::kSentAfterDeadline);
   const bool drained =
       instance == nullptr || (instance->toldOffMs && nowMs - *instance->toldOffMs > drainGraceMs_);
-  if (drained) found.push_back(Violation::kSentToDrained);
+  if (drained)
+    found.push_back(Violation::kSentToDrained);
   const AttemptHistory* first = request.mayHaveRun();
-  if (request.effect == Effect::kKeyed && first != nullptr && nowMs > first->sentMs + request.repeatWindowMs)
+  if (request.effect == Effect::kKeyed && first != nullptr &&
+      nowMs > first->sentMs + request.repeatWindowMs)
     found.push_back(Violation::kRepeatedEffect);
   return found;
 }
@@ -102,8 +109,10 @@
 std::vector<Violation> RequestPermits::checkRefusal(const RequestFacts& request) const {
   std::vector<Violation> found;
   const bool repeatsFreely = request.effect == Effect::kSafe || request.repeatsFindFirst;
-  if (!repeatsFreely && request.mayHaveRun() != nullptr) found.push_back(Violation::kRefusedAfterEffect);
-  if (!repeatsFreely && request.anyOut()) found.push_back(Violation::kRefusedWithAttempt);
+  if (!repeatsFreely && request.mayHaveRun() != nullptr)
+    found.push_back(Violation::kRefusedAfterEffect);
+  if (!repeatsFreely && request.anyOut())
+    found.push_back(Violation::kRefusedWithAttempt);
   return found;
 }
 
@@ -111,7 +120,8 @@
   std::string text;
   for (const AttemptHistory& attempt : request.attempts)
     text += (text.empty() ? "" : ", ") + attempt.instance + (attempt.reads ? " (prefill) " : " ") +
-            attempt.outcome + " " + std::to_string(static_cast<long>(nowMs - attempt.sentMs)) + " ms ago";
+            attempt.outcome + " " + std::to_string(static_cast<long>(nowMs - attempt.sentMs)) +
+            " ms ago";
   return text.empty() ? "no attempt" : text;
 }
 
--- a/src/core/slots.h
+++ b/src/core/slots.h
@@ -1,5 +1,5 @@
-// A table of numbered slots. A key names slot and generation, so that a key kept too long finds nothing
-// instead of whoever uses the slot now.
+// A table of numbered slots. A key names slot and generation, so that a key kept too long finds
+// nothing instead of whoever uses the slot now.
 #pragma once
 
 #include <cstddef>
@@ -31,7 +31,8 @@
   }
 
   Value* find(SlotKey key) {
-    if (key.slot >= entries_.size()) return nullptr;
+    if (key.slot >= entries_.size())
+      return nullptr;
     Entry& entry = entries_[key.slot];
     return entry.value && entry.generation == key.generation ? &*entry.value : nullptr;
   }
@@ -39,7 +40,8 @@
   const Value* find(SlotKey key) const { return const_cast<Slots*>(this)->find(key); }
 
   bool remove(SlotKey key) {
-    if (find(key) == nullptr) return false;
+    if (find(key) == nullptr)
+      return false;
     entries_[key.slot].value.reset();
     ++entries_[key.slot].generation;
     free_.push_back(key.slot);
--- a/src/estimates/fading_average.h
+++ b/src/estimates/fading_average.h
@@ -17,12 +17,15 @@
   /// The weighted mean of all samples, or 0 if there were none.
   double mean() const { return weight_ > 0 ? sum_ / weight_ : 0; }
 
-  /// The mean, decayed by the age of the last sample. A decision that keeps new samples from coming is thus
-  /// taken back after some half-lives.
-  double decayedMean(Time now, Duration halfLife) const { return mean() * decay(now, lastSample_, halfLife); }
+  /// The mean, decayed by the age of the last sample. A decision that keeps new samples from coming
+  /// is thus taken back after some half-lives.
+  double decayedMean(Time now, Duration halfLife) const {
+    return mean() * decay(now, lastSample_, halfLife);
+  }
 
  private:
-  /// Weight that each older sample keeps when one is added: about the last seven determine the mean.
+  /// Weight that each older sample keeps when one is added: about the last seven determine the
+  /// mean.
   static constexpr double kKeptWeight = 0.85;
 
   double sum_ = 0;
--- a/src/estimates/key_popularity.h
+++ b/src/estimates/key_popularity.h
@@ -9,8 +9,9 @@
 
 namespace leverrelay {
 
-/// Counts arrivals by key; a count decays with the time constant given. Keys that were not seen for long are
-/// forgotten once there are many, so memory is bounded by the traffic within some time constants.
+/// Counts arrivals by key; a count decays with the time constant given. Keys that were not seen for
+/// long are forgotten once there are many, so memory is bounded by the traffic within some time
+/// constants.
 class KeyPopularity {
  public:
   explicit KeyPopularity(Duration timeConstant) : timeConstant_(timeConstant) {}
@@ -21,8 +22,9 @@
   /// All arrivals, decayed by their age.
   double arrivals(Time now) const { return all_.at(now, timeConstant_); }
 
-  /// The share of all arrivals that `key` has, leaving out its latest one: the request being decided on says
-  /// nothing of how popular its key is. Shrunk towards 0 while few arrivals were seen.
+  /// The share of all arrivals that `key` has, leaving out its latest one: the request being
+  /// decided on says nothing of how popular its key is. Shrunk towards 0 while few arrivals were
+  /// seen.
   double shareOfOthers(const std::string& key, Time now) const;
 
  private:
--- a/src/estimates/stable_hash.cpp
+++ b/src/estimates/stable_hash.cpp
@@ -15,7 +15,8 @@
 std::uint64_t stableHash(const std::string& first, const std::string& second) {
   std::uint64_t hash = kFnvOffset;
   for (const std::string* text : {&first, &second}) {
-    for (const char character : *text) hash = (hash ^ static_cast<unsigned char>(character)) * kFnvPrime;
+    for (const char character : *text)
+      hash = (hash ^ static_cast<unsigned char>(character)) * kFnvPrime;
     hash = (hash ^ kSeparator) * kFnvPrime;
   }
   hash = (hash ^ hash >> kFinalizerShift) * 0xff51afd7ed558ccdULL;
--- a/src/fleet/discovery_backoff.h
+++ b/src/fleet/discovery_backoff.h
@@ -1,18 +1,19 @@
-// Timeouts of the watch on discovery, and the backoff between retries. No I/O; times in milliseconds.
+// Timeouts of the watch on discovery, and the backoff between retries. No I/O; times in
+// milliseconds.
 //
-// A change counts as delivered kDeliveryLimitMs after discovery had it and was reachable, whatever failed
-// before. The timeouts therefore add up to less in the worst order of events:
+// A change counts as delivered kDeliveryLimitMs after discovery had it and was reachable, whatever
+// failed before. The timeouts therefore add up to less in the worst order of events:
 //
 //   the watch falls silent as something changes:  kWatchTimeoutMs + initial delay + kCallTimeoutMs
 //   a call hangs as discovery comes back:         kCallTimeoutMs + longest delay + kCallTimeoutMs
 //   half a line, then nothing:                    as a silent watch, from the last byte on
 //   discovery moves to another address (4 s):     kCallTimeoutMs + initial delay + kCallTimeoutMs
 //
-// These sums are kWorstSilentWatchMs, kWorstHungCallMs and kWorstMoveMs; tests play the orders. Data on the
-// watch resets the backoff.
+// These sums are kWorstSilentWatchMs, kWorstHungCallMs and kWorstMoveMs; tests play the orders.
+// Data on the watch resets the backoff.
 //
-// Many nodes that retry quickly can keep an overloaded discovery down. The delays therefore double with each
-// failure up to kMaxMs, are jittered, and start longer in a larger fleet.
+// Many nodes that retry quickly can keep an overloaded discovery down. The delays therefore double
+// with each failure up to kMaxMs, are jittered, and start longer in a larger fleet.
 #pragma once
 
 #include <algorithm>
@@ -28,16 +29,19 @@
   static constexpr double kMarginMs = 300;
   static constexpr double kWatchTimeoutMs = 2'600;  // discovery sends an empty line every 2 s
   static constexpr double kConnectTimeoutMs = 500;
-  static constexpr double kFirstByteTimeoutMs = 1'000;  // discovery sends its state when a watch opens
-  static constexpr double kJitterShare = 0.5;           // of the mean delay, to either side
-  static constexpr double kMaxInitialMs = 460;          // bound of the initial mean delay
-  static constexpr double kMaxMs = 1'800;               // bound of any mean delay
+  static constexpr double kFirstByteTimeoutMs =
+      1'000;                                    // discovery sends its state when a watch opens
+  static constexpr double kJitterShare = 0.5;   // of the mean delay, to either side
+  static constexpr double kMaxInitialMs = 460;  // bound of the initial mean delay
+  static constexpr double kMaxMs = 1'800;       // bound of any mean delay
 
   static constexpr double kCallTimeoutMs = kConnectTimeoutMs + kFirstByteTimeoutMs;
   static constexpr double kWorstSilentWatchMs =
       kWatchTimeoutMs + kMaxInitialMs * (1 + kJitterShare) + kCallTimeoutMs;
-  static constexpr double kWorstHungCallMs = kCallTimeoutMs + kMaxMs * (1 + kJitterShare) + kCallTimeoutMs;
-  static constexpr double kWorstMoveMs = kCallTimeoutMs + kMaxInitialMs * (1 + kJitterShare) + kCallTimeoutMs;
+  static constexpr double kWorstHungCallMs =
+      kCallTimeoutMs + kMaxMs * (1 + kJitterShare) + kCallTimeoutMs;
+  static constexpr double kWorstMoveMs =
+      kCallTimeoutMs + kMaxInitialMs * (1 + kJitterShare) + kCallTimeoutMs;
   static_assert(kWorstSilentWatchMs <= kDeliveryLimitMs - kMarginMs &&
                 kWorstHungCallMs <= kDeliveryLimitMs - kMarginMs);
   static_assert(kWorstMoveMs <= 4'000 - kMarginMs);
--- a/src/fleet/drains.cpp
+++ b/src/fleet/drains.cpp
@@ -19,7 +19,8 @@
   const DrainState now = stateOf(command.box);
   if (command.doneByMs && (!command.drain || *command.doneByMs < nowMs))
     return {DrainCode::kBadCommand, now, "a time to be done by belongs to a drain and lies ahead"};
-  if (!box.known) return {DrainCode::kUnknownBox, now, "no box has the id " + command.box};
+  if (!box.known)
+    return {DrainCode::kUnknownBox, now, "no box has the id " + command.box};
   if (command.seen != now.revision)
     return {DrainCode::kConflict, now,
             std::string("it is ") + (now.drained ? "drained" : "in use") + " by revision " +
@@ -30,7 +31,8 @@
             "it is the last box that can " + box.role + ": without it nothing is served, and " +
                 std::to_string(box.open) + " requests are open on it; say so by force"};
   // No change: the state and its revision stay.
-  if (command.drain == now.drained && command.doneByMs == now.doneByMs) return {DrainCode::kDone, now, ""};
+  if (command.drain == now.drained && command.doneByMs == now.doneByMs)
+    return {DrainCode::kDone, now, ""};
   const DrainState next{command.drain, now.revision + 1, command.by,
                         command.drain == now.drained ? now.sinceMs : nowMs, command.doneByMs};
   states_[command.box] = next;
@@ -43,7 +45,8 @@
   // By sender and id, so that two senders may both count from 1.
   const std::string key = command.by + "\n" + command.id;
   const auto before = answered_.find(key);
-  if (before != answered_.end()) return before->second;
+  if (before != answered_.end())
+    return before->second;
   DrainAnswer answer = decide(command, box, nowMs);
   if (order_.size() >= kRemembered) {
     answered_.erase(order_.front());
--- a/src/fleet/drains.h
+++ b/src/fleet/drains.h
@@ -1,7 +1,7 @@
-// Commands of operators to drain and undrain instances, with optimistic concurrency control: each carries the
-// revision of the drain state that the sender saw of the drain that its sender saw, so that of two
-// conflicting commands one wins and the other is told the present state and who set it. Commands are
-// idempotent by sender and id. No I/O.
+// Commands of operators to drain and undrain instances, with optimistic concurrency control: each
+// carries the revision of the drain state that the sender saw of the drain that its sender saw, so
+// that of two conflicting commands one wins and the other is told the present state and who set it.
+// Commands are idempotent by sender and id. No I/O.
 #pragma once
 
 #include <cstdint>
--- a/src/fleet/exclusions.cpp
+++ b/src/fleet/exclusions.cpp
@@ -16,7 +16,8 @@
 
 bool Exclusions::set(const std::string& id, bool excluded, std::uint64_t writer, double nowMs) {
   const auto it = exclusions_.find(id);
-  if (it == exclusions_.end() && exclusions_.size() >= kMaxEntries) return false;
+  if (it == exclusions_.end() && exclusions_.size() >= kMaxEntries)
+    return false;
   const std::uint64_t version = it == exclusions_.end() ? 1 : it->second.version + 1;
   exclusions_[id] = {excluded, version, writer, nowMs};
   return true;
@@ -26,7 +27,8 @@
   std::vector<std::string> changed;
   for (const auto& [id, exclusion] : others.exclusions_) {
     const auto it = exclusions_.find(id);
-    if (it == exclusions_.end() ? exclusions_.size() >= kMaxEntries : !exclusion.supersedes(it->second))
+    if (it == exclusions_.end() ? exclusions_.size() >= kMaxEntries
+                                : !exclusion.supersedes(it->second))
       continue;
     exclusions_[id] = exclusion;
     changed.push_back(id);
@@ -35,7 +37,8 @@
 }
 
 void Exclusions::boundTimes(double nowMs) {
-  for (auto& [id, exclusion] : exclusions_) exclusion.updatedMs = std::min(exclusion.updatedMs, nowMs);
+  for (auto& [id, exclusion] : exclusions_)
+    exclusion.updatedMs = std::min(exclusion.updatedMs, nowMs);
 }
 
 std::string Exclusions::text() const {
@@ -47,19 +50,24 @@
                     {"writer", exclusion.writer},
                     {"at_ms", exclusion.updatedMs}});
   // Ids come from discovery: one that is not UTF-8 must not prevent the others from being stored.
-  return json{{"form", kFormat}, {"marks", list}}.dump(-1, ' ', true, json::error_handler_t::replace) + "\n";
+  return json{{"form", kFormat}, {"marks", list}}.dump(-1, ' ', true,
+                                                       json::error_handler_t::replace) +
+         "\n";
 }
 
 std::optional<Exclusions> Exclusions::parse(std::string_view text) {
   try {
     const json whole = json::parse(text);
-    if (whole.at("form") != kFormat || !whole.at("marks").is_array()) return std::nullopt;
+    if (whole.at("form") != kFormat || !whole.at("marks").is_array())
+      return std::nullopt;
     Exclusions exclusions;
     for (const json& entry : whole.at("marks")) {
       const auto id = entry.at("id").get<std::string>();
-      const Exclusion exclusion{entry.at("excluded").get<bool>(), entry.at("version").get<std::uint64_t>(),
-                                entry.at("writer").get<std::uint64_t>(), entry.at("at_ms").get<double>()};
-      if (id.empty() || id.size() > kMaxIdBytes || !std::isfinite(exclusion.updatedMs)) return std::nullopt;
+      const Exclusion exclusion{
+          entry.at("excluded").get<bool>(), entry.at("version").get<std::uint64_t>(),
+          entry.at("writer").get<std::uint64_t>(), entry.at("at_ms").get<double>()};
+      if (id.empty() || id.size() > kMaxIdBytes || !std::isfinite(exclusion.updatedMs))
+        return std::nullopt;
       if (exclusions.exclusions_.size() >= kMaxEntries ||
           !exclusions.exclusions_.emplace(id, exclusion).second)
         return std::nullopt;
--- a/src/fleet/exclusions.h
+++ b/src/fleet/exclusions.h
@@ -1,5 +1,5 @@
-// Exclusions of instances by operators: a last-writer-wins map, so that the maps of several processes can be
-// merged in any order and repeatedly. No I/O.
+// Exclusions of instances by operators: a last-writer-wins map, so that the maps of several
+// processes can be merged in any order and repeatedly. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -50,7 +50,8 @@
   // Returns the instances whose entry changed.
   std::vector<std::string> merge(const Exclusions& others);
   void forget(const std::string& id) { exclusions_.erase(id); }
-  // Times of a clock that counted from another moment, before the machine started anew, are bounded by now.
+  // Times of a clock that counted from another moment, before the machine started anew, are bounded
+  // by now.
   void boundTimes(double nowMs);
 
   // The text form in the shared file, and back; nothing if the text is not a complete one.
--- a/src/fleet/instance_ages.cpp
+++ b/src/fleet/instance_ages.cpp
@@ -5,7 +5,8 @@
 namespace dahliastall::fleet {
 
 void InstanceAges::sees(double upSinceMs) {
-  if (upSinceMs <= 0) return;
+  if (upSinceMs <= 0)
+    return;
   const double least = upSinceMs - clock_.nowMs();
   offsetMs_ = std::max(offsetMs_.value_or(least), least);
 }
@@ -16,7 +17,8 @@
     return std::nullopt;
   }
   const auto it = known_.find(id);
-  if (it != known_.end() && it->second.upSinceMs == upSinceMs) return it->second.startedMs;
+  if (it != known_.end() && it->second.upSinceMs == upSinceMs)
+    return it->second.startedMs;
   const double startedMs = estimate(upSinceMs);
   known_[id] = {upSinceMs, startedMs};
   return startedMs;
--- a/src/fleet/instance_ages.h
+++ b/src/fleet/instance_ages.h
@@ -1,11 +1,12 @@
 /// When instances started, on this process's monotonic clock.
 ///
-/// Discovery tells start times by wall clocks of other machines, and this machine's may be off by any amount
-/// or be stepped: it is not read here. How the told times stand to the moments in which they were heard says
-/// enough: no instance starts after it is told of. So the one that was told of soonest after its start fixes
-/// how the clocks stand to each other, and the age of another is by as much too small as that one's news were
-/// old. What has changed since the last word from discovery has started since, whatever it is told with. What
-/// is not known for certain makes an instance younger, never older. No I/O.
+/// Discovery tells start times by wall clocks of other machines, and this machine's may be off by
+/// any amount or be stepped: it is not read here. How the told times stand to the moments in which
+/// they were heard says enough: no instance starts after it is told of. So the one that was told of
+/// soonest after its start fixes how the clocks stand to each other, and the age of another is by
+/// as much too small as that one's news were old. What has changed since the last word from
+/// discovery has started since, whatever it is told with. What is not known for certain makes an
+/// instance younger, never older. No I/O.
 #pragma once
 
 #include <map>
@@ -21,11 +22,11 @@
  public:
   explicit InstanceAges(const core::Clock& clock) : clock_(clock) {}
 
-  /// A list is about to be read that tells of a start at this time, by discovery's clock. All of a list's
-  /// come before the first of them is asked for by startOf().
+  /// A list is about to be read that tells of a start at this time, by discovery's clock. All of a
+  /// list's come before the first of them is asked for by startOf().
   void sees(double upSinceMs);
-  /// When the instance started; the same as long as it is told with the same time. Nothing if it started long
-  /// ago (zero).
+  /// When the instance started; the same as long as it is told with the same time. Nothing if it
+  /// started long ago (zero).
   std::optional<double> startOf(const std::string& id, double upSinceMs);
   /// Discovery has said something, which is read: what it tells later has changed since.
   void heard() { heardMs_ = clock_.nowMs(); }
--- a/src/fleet/lifecycle.cpp
+++ b/src/fleet/lifecycle.cpp
@@ -11,13 +11,14 @@
 }
 
 const char* nameOf(LifecycleEvent event) {
-  constexpr std::array<const char*, 10> kNames{"listed",  "warm",    "drain asked", "idle",    "drain over",
-                                               "avoided", "trusted", "lost",        "reached", "delisted"};
+  constexpr std::array<const char*, 10> kNames{"listed",     "warm",    "drain asked", "idle",
+                                               "drain over", "avoided", "trusted",     "lost",
+                                               "reached",    "delisted"};
   return kNames[static_cast<std::size_t>(event)];
 }
 
-// A drain takes precedence over failures: a draining instance that cannot be reached is still draining. Only
-// discovery brings back an instance that is gone.
+// A drain takes precedence over failures: a draining instance that cannot be reached is still
+// draining. Only discovery brings back an instance that is gone.
 std::optional<LifecycleState> InstanceLifecycle::next(LifecycleEvent event) const {
   using S = LifecycleState;
   const bool serving = state_ == S::kWarming || state_ == S::kActive;
@@ -48,11 +49,15 @@
   return std::nullopt;
 }
 
-InstanceLifecycle::Outcome InstanceLifecycle::apply(LifecycleEvent event, double nowMs,
-                                                    const std::string& why, const std::string& by) {
+InstanceLifecycle::Outcome InstanceLifecycle::apply(LifecycleEvent event,
+                                                    double nowMs,
+                                                    const std::string& why,
+                                                    const std::string& by) {
   const auto to = next(event);
-  if (!to) return {false, std::string(nameOf(event)) + " cannot follow while it is " + nameOf(state_)};
-  if (state_ == LifecycleState::kWarming || state_ == LifecycleState::kActive) resumeState_ = state_;
+  if (!to)
+    return {false, std::string(nameOf(event)) + " cannot follow while it is " + nameOf(state_)};
+  if (state_ == LifecycleState::kWarming || state_ == LifecycleState::kActive)
+    resumeState_ = state_;
   state_ = *to;
   sinceMs_ = nowMs;
   why_ = why.empty() ? nameOf(event) : why;
@@ -65,24 +70,32 @@
   using S = LifecycleState;
   using E = LifecycleEvent;
   if (!facts.listed) {
-    if (lifecycle.state() != S::kGone) lifecycle.apply(E::kDelisted, nowMs, "", "list");
+    if (lifecycle.state() != S::kGone)
+      lifecycle.apply(E::kDelisted, nowMs, "", "list");
     return;
   }
-  if (lifecycle.state() == S::kGone) lifecycle.apply(E::kListed, nowMs, "", "list");
+  if (lifecycle.state() == S::kGone)
+    lifecycle.apply(E::kListed, nowMs, "", "list");
   const bool draining = lifecycle.state() == S::kDraining || lifecycle.state() == S::kDrained;
   if (!facts.drainedBy.empty()) {
-    if (!draining) lifecycle.apply(E::kDrainAsked, nowMs, "", facts.drainedBy);
+    if (!draining)
+      lifecycle.apply(E::kDrainAsked, nowMs, "", facts.drainedBy);
     if (lifecycle.state() == S::kDraining && facts.open == 0)
       lifecycle.apply(E::kIdle, nowMs, "", facts.drainedBy);
     return;
   }
-  if (draining) lifecycle.apply(E::kDrainOver, nowMs, "", "operator");
+  if (draining)
+    lifecycle.apply(E::kDrainOver, nowMs, "", "operator");
   if (lifecycle.state() == S::kUnreachable && facts.reachable)
     lifecycle.apply(E::kReached, nowMs, "", "links");
-  if (lifecycle.state() == S::kAvoided && !facts.avoided) lifecycle.apply(E::kTrusted, nowMs, "", "module");
-  if (lifecycle.state() == S::kWarming && facts.warm) lifecycle.apply(E::kWarm, nowMs, "", "time");
-  if (!facts.reachable && lifecycle.state() != S::kUnreachable) lifecycle.apply(E::kLost, nowMs, "", "links");
-  else if (facts.avoided && lifecycle.state() != S::kAvoided && lifecycle.state() != S::kUnreachable)
+  if (lifecycle.state() == S::kAvoided && !facts.avoided)
+    lifecycle.apply(E::kTrusted, nowMs, "", "module");
+  if (lifecycle.state() == S::kWarming && facts.warm)
+    lifecycle.apply(E::kWarm, nowMs, "", "time");
+  if (!facts.reachable && lifecycle.state() != S::kUnreachable)
+    lifecycle.apply(E::kLost, nowMs, "", "links");
+  else if (facts.avoided && lifecycle.state() != S::kAvoided &&
+           lifecycle.state() != S::kUnreachable)
     lifecycle.apply(E::kAvoided, nowMs, "", "module");
 }
 
--- a/src/fleet/lifecycle.h
+++ b/src/fleet/lifecycle.h
@@ -1,5 +1,6 @@
-// The lifecycle of an instance as operators see it: a state machine that is reconciled with observed facts.
-// It does not influence routing, which uses the effective membership. No I/O; the clock is passed in.
+// The lifecycle of an instance as operators see it: a state machine that is reconciled with
+// observed facts. It does not influence routing, which uses the effective membership. No I/O; the
+// clock is passed in.
 #pragma once
 
 #include <cstddef>
@@ -41,7 +42,10 @@
     std::string why;
   };
   // why, by: for operators; by default the name of the event.
-  Outcome apply(LifecycleEvent event, double nowMs, const std::string& why = "", const std::string& by = "");
+  Outcome apply(LifecycleEvent event,
+                double nowMs,
+                const std::string& why = "",
+                const std::string& by = "");
 
   LifecycleState state() const { return state_; }
   double sinceMs() const { return sinceMs_; }
--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -12,8 +12,8 @@
 
 // An instance under repair may be unlisted for long; after this time its exclusion is dropped.
 constexpr double kMissingMs = 30 * 60'000;
-// An inclusion is kept while the instance is cold and while another process may still have the exclusion
-// before it.
+// An inclusion is kept while the instance is cold and while another process may still have the
+// exclusion before it.
 constexpr double kIncludedMs = 10 * 60'000;
 
 }  // namespace
@@ -21,15 +21,18 @@
 ListEntry Membership::effective(ListEntry entry) const {
   const auto returned = returned_.find(entry.engine.value);
   if (drained_.count(entry.engine.value) != 0 || peerExclusions_.count(entry.engine.value) != 0) {
-    if (entry.presence == Presence::kActive) entry.presence = Presence::kLeaving;
+    if (entry.presence == Presence::kActive)
+      entry.presence = Presence::kLeaving;
   } else if (returned != returned_.end()) {
     const Time back = core::toModuleTime(returned->second);
     entry.started = entry.started ? std::max(*entry.started, back) : back;
   }
   const Exclusion* exclusion = exclusions_.find(entry.engine.value);
-  if (exclusion == nullptr) return entry;
+  if (exclusion == nullptr)
+    return entry;
   if (exclusion->excluded) {
-    if (entry.presence == Presence::kActive) entry.presence = Presence::kLeaving;
+    if (entry.presence == Presence::kActive)
+      entry.presence = Presence::kLeaving;
   } else {
     // It may have been restarted at any time before its inclusion, whatever discovery says.
     const Time included = core::toModuleTime(exclusion->updatedMs);
@@ -39,12 +42,16 @@
 }
 
 ListNews Membership::told(const ListNews& news, double nowMs) {
-  if (news.form == ListForm::kFailed) return news;
+  if (news.form == ListForm::kFailed)
+    return news;
   ListNews out{++version_, news.form, {}};
-  if (news.form != ListForm::kChanges) listed_.clear();
+  if (news.form != ListForm::kChanges)
+    listed_.clear();
   for (const ListEntry& entry : news.entries) {
-    if (entry.presence == Presence::kGone) listed_.erase(entry.engine);
-    else listed_[entry.engine] = entry;
+    if (entry.presence == Presence::kGone)
+      listed_.erase(entry.engine);
+    else
+      listed_[entry.engine] = entry;
     out.entries.push_back(effective(entry));
   }
   tidy(nowMs);
@@ -55,30 +62,39 @@
   ListNews news{version_ + 1, ListForm::kChanges, {}};
   for (const std::string& id : ids) {
     const auto it = listed_.find({id});
-    if (it != listed_.end()) news.entries.push_back(effective(it->second));
+    if (it != listed_.end())
+      news.entries.push_back(effective(it->second));
   }
-  if (news.entries.empty()) return std::nullopt;
+  if (news.entries.empty())
+    return std::nullopt;
   ++version_;
   return news;
 }
 
 Membership::Change Membership::setExcluded(const std::string& id, bool excluded, double nowMs) {
   const bool known = listed_.count({id}) != 0 || exclusions_.excluded(id);
-  if (!known || id.empty() || id.size() > Exclusions::kMaxIdBytes) return {Verdict::kUnknown, std::nullopt};
-  // A repeated command has no effect; a second include in particular must not make a warm instance cold.
-  if (exclusions_.excluded(id) == excluded) return {Verdict::kDone, std::nullopt};
-  if (!exclusions_.set(id, excluded, writer_, nowMs)) return {Verdict::kNoRoom, std::nullopt};
+  if (!known || id.empty() || id.size() > Exclusions::kMaxIdBytes)
+    return {Verdict::kUnknown, std::nullopt};
+  // A repeated command has no effect; a second include in particular must not make a warm instance
+  // cold.
+  if (exclusions_.excluded(id) == excluded)
+    return {Verdict::kDone, std::nullopt};
+  if (!exclusions_.set(id, excluded, writer_, nowMs))
+    return {Verdict::kNoRoom, std::nullopt};
   tidy(nowMs);
   return {Verdict::kDone, changesOf({id})};
 }
 
 std::optional<ListNews> Membership::replaceLayer(std::set<std::string>& layer,
-                                                 const std::set<std::string>& now, double nowMs) {
+                                                 const std::set<std::string>& now,
+                                                 double nowMs) {
   std::vector<std::string> changed;
   for (const std::string& id : now)
-    if (layer.count(id) == 0) changed.push_back(id);
+    if (layer.count(id) == 0)
+      changed.push_back(id);
   for (const std::string& id : layer) {
-    if (now.count(id) != 0) continue;
+    if (now.count(id) != 0)
+      continue;
     returned_[id] = nowMs;
     changed.push_back(id);
   }
@@ -86,11 +102,13 @@
   return changed.empty() ? std::nullopt : changesOf(changed);
 }
 
-std::optional<ListNews> Membership::setPlannedDrains(const std::set<std::string>& drained, double nowMs) {
+std::optional<ListNews> Membership::setPlannedDrains(const std::set<std::string>& drained,
+                                                     double nowMs) {
   return replaceLayer(drained_, drained, nowMs);
 }
 
-std::optional<ListNews> Membership::setPeerExclusions(const std::set<std::string>& out, double nowMs) {
+std::optional<ListNews> Membership::setPeerExclusions(const std::set<std::string>& out,
+                                                      double nowMs) {
   return replaceLayer(peerExclusions_, out, nowMs);
 }
 
@@ -101,11 +119,15 @@
 void Membership::tidy(double nowMs) {
   std::vector<std::string> spent;
   for (const auto& [id, exclusion] : exclusions_.all()) {
-    if (listed_.count({id}) != 0) missingSince_.erase(id);
-    else if (nowMs - missingSince_.try_emplace(id, nowMs).first->second > kMissingMs) spent.push_back(id);
-    if (!exclusion.excluded && nowMs - exclusion.updatedMs > kIncludedMs) spent.push_back(id);
+    if (listed_.count({id}) != 0)
+      missingSince_.erase(id);
+    else if (nowMs - missingSince_.try_emplace(id, nowMs).first->second > kMissingMs)
+      spent.push_back(id);
+    if (!exclusion.excluded && nowMs - exclusion.updatedMs > kIncludedMs)
+      spent.push_back(id);
   }
-  std::erase_if(returned_, [nowMs](const auto& entry) { return nowMs - entry.second > kIncludedMs; });
+  std::erase_if(returned_,
+                [nowMs](const auto& entry) { return nowMs - entry.second > kIncludedMs; });
   for (const std::string& id : spent) {
     exclusions_.forget(id);
     missingSince_.erase(id);
--- a/src/fleet/membership.h
+++ b/src/fleet/membership.h
@@ -1,6 +1,7 @@
-// The effective membership: what discovery or the operator's file lists, overlaid with the exclusions of
-// operators, the drains of a maintenance and the exclusions by peers. The decision module sees nothing else:
-// an excluded instance reads as leaving, and one that is included again as just started, hence cold. No I/O.
+// The effective membership: what discovery or the operator's file lists, overlaid with the
+// exclusions of operators, the drains of a maintenance and the exclusions by peers. The decision
+// module sees nothing else: an excluded instance reads as leaving, and one that is included again
+// as just started, hence cold. No I/O.
 #pragma once
 
 #include <map>
@@ -30,13 +31,15 @@
   Change exclude(const std::string& id, double nowMs) { return setExcluded(id, true, nowMs); }
   Change include(const std::string& id, double nowMs) { return setExcluded(id, false, nowMs); }
 
-  // Replaces the instances that a maintenance drains. Instances that are no longer drained return as just
-  // started.
-  std::optional<leverrelay::ListNews> setPlannedDrains(const std::set<std::string>& drained, double nowMs);
+  // Replaces the instances that a maintenance drains. Instances that are no longer drained return
+  // as just started.
+  std::optional<leverrelay::ListNews> setPlannedDrains(const std::set<std::string>& drained,
+                                                       double nowMs);
 
-  // Replaces the instances that are excluded because other conductors found them unhealthy. Instances that
-  // return count as cold, as they may have been restarted.
-  std::optional<leverrelay::ListNews> setPeerExclusions(const std::set<std::string>& out, double nowMs);
+  // Replaces the instances that are excluded because other conductors found them unhealthy.
+  // Instances that return count as cold, as they may have been restarted.
+  std::optional<leverrelay::ListNews> setPeerExclusions(const std::set<std::string>& out,
+                                                        double nowMs);
 
   // Merges the exclusions of other processes.
   std::optional<leverrelay::ListNews> merge(const Exclusions& others);
@@ -57,7 +60,8 @@
  private:
   Change setExcluded(const std::string& id, bool excluded, double nowMs);
   std::optional<leverrelay::ListNews> replaceLayer(std::set<std::string>& layer,
-                                                   const std::set<std::string>& now, double nowMs);
+                                                   const std::set<std::string>& now,
+                                                   double nowMs);
   leverrelay::ListEntry effective(leverrelay::ListEntry entry) const;
   std::optional<leverrelay::ListNews> changesOf(const std::vector<std::string>& ids);
 
@@ -65,10 +69,10 @@
   std::uint64_t version_ = 0;  // of the list that the module has
   Exclusions exclusions_;
   std::map<leverrelay::EngineId, leverrelay::ListEntry> listed_;  // as discovery lists them
-  std::map<std::string, double> missingSince_;                    // excluded, but not listed: since when
-  std::set<std::string> drained_;                                 // by the maintenance
-  std::set<std::string> peerExclusions_;                          // by observations of other conductors
-  std::map<std::string, double> returned_;                        // from either, recently: when
+  std::map<std::string, double> missingSince_;  // excluded, but not listed: since when
+  std::set<std::string> drained_;               // by the maintenance
+  std::set<std::string> peerExclusions_;        // by observations of other conductors
+  std::map<std::string, double> returned_;      // from either, recently: when
 };
 
 }  // namespace dahliastall::fleet
--- a/src/fleet/owed_releases.h
+++ b/src/fleet/owed_releases.h
@@ -1,5 +1,5 @@
-/// Releases that are owed to one instance: it has calls that were given up without an answer, and may still
-/// read them. No I/O; times in milliseconds.
+/// Releases that are owed to one instance: it has calls that were given up without an answer, and
+/// may still read them. No I/O; times in milliseconds.
 #pragma once
 
 #include <cstddef>
@@ -11,13 +11,14 @@
 
 namespace dahliastall::fleet {
 
-/// What an instance has not read yet cannot be released: once it goes on, it may grant a reservation, or
-/// prefill, for a request that is long over. Such a release is owed to this very instance, until it has
-/// accepted two of them some time apart, as it may read its connections in any order. While it is silent, one
-/// call at a time waits for it.
+/// What an instance has not read yet cannot be released: once it goes on, it may grant a
+/// reservation, or prefill, for a request that is long over. Such a release is owed to this very
+/// instance, until it has accepted two of them some time apart, as it may read its connections in
+/// any order. While it is silent, one call at a time waits for it.
 class OwedReleases {
  public:
-  static constexpr std::size_t kMost = 1'024;  ///< of all instances; beyond it the oldest are dropped
+  static constexpr std::size_t kMost =
+      1'024;  ///< of all instances; beyond it the oldest are dropped
   static constexpr double kForgetMs = 60'000;  ///< that a silent instance is waited for
   static constexpr double kAgainMs = 100;      ///< after a call that failed
   static constexpr int kAcceptances = 2;
@@ -32,7 +33,9 @@
   explicit OwedReleases(double apartMs) : apartMs_(apartMs) {}
   void apart(double ms) { apartMs_ = ms; }
 
-  void owe(const leverrelay::EngineId& instance, const leverrelay::RequestId& request, double nowMs);
+  void owe(const leverrelay::EngineId& instance,
+           const leverrelay::RequestId& request,
+           double nowMs);
   /// The releases to send now. Each counts as sent until it is accepted or has failed.
   std::vector<Release> due(double nowMs);
   void accepted(const Release& release, double nowMs);
--- a/src/fronts/boxes/boxes.cpp
+++ b/src/fronts/boxes/boxes.cpp
@@ -17,16 +17,17 @@
 namespace {
 
 constexpr double kProbeAnswerMs = 1000;
-constexpr double kSilentMs = 1000;     // without any sign: an instance may be stopped, and go on later
-constexpr double kArrivalMs = 75;      // for what was written to be read where it goes
+constexpr double kSilentMs = 1000;  // without any sign: an instance may be stopped, and go on later
+constexpr double kArrivalMs = 75;   // for what was written to be read where it goes
 constexpr double kLastChunkMs = 1000;  // to follow the event that ends a stream
-// Without anything on a stream that has begun: its client may be left waiting 5 s. Slow boxes send every few
-// seconds at worst.
+// Without anything on a stream that has begun: its client may be left waiting 5 s. Slow boxes send
+// every few seconds at worst.
 constexpr double kStallMs = 4200;
 
 }  // namespace
 
-// ---- One attempt -----------------------------------------------------------------------------------
+// ---- One attempt
+// -----------------------------------------------------------------------------------
 
 class Boxes::AttemptCall final : public net::CallSink {
  public:
@@ -48,11 +49,12 @@
   const RequestId& request() const { return request_; }
   bool isWritten() const { return writtenMs_ < HUGE_VAL; }
   bool prefills() const { return reads_; }
-  // Until when a release beside it might take what it goes on with. A prefill whose bytes are not out yet has
-  // nothing, however long its connection takes to come up; a decode attempt needs the state that waits for
-  // it.
+  // Until when a release beside it might take what it goes on with. A prefill whose bytes are not
+  // out yet has nothing, however long its connection takes to come up; a decode attempt needs the
+  // state that waits for it.
   double heldBackMs() const {
-    if (reads_) return isWritten() ? writtenMs_ + boxes_.releaseWithinMs_ : 0;
+    if (reads_)
+      return isWritten() ? writtenMs_ + boxes_.releaseWithinMs_ : 0;
     return isWritten() ? takenByMs() : HUGE_VAL;
   }
   core::AttemptKey key() const { return key_; }
@@ -71,8 +73,10 @@
 
   // A place is asked for right after the last byte of the read: before it the box knows of no read.
   void placeAt(const EngineId& engine) {
-    if (isWritten()) boxes_.reservations_.ask(request_, key_, engine);
-    else place_ = engine;
+    if (isWritten())
+      boxes_.reservations_.ask(request_, key_, engine);
+    else
+      place_ = engine;
   }
 
   bool ready() override { return boxes_.conductor_.maySend(key_); }
@@ -85,9 +89,11 @@
 
   void written() override {
     writtenMs_ = boxes_.clock_.nowMs();
-    if (!reads_) watchForTaking();
+    if (!reads_)
+      watchForTaking();
     boxes_.conductor_.written(key_);
-    if (place_) boxes_.reservations_.ask(request_, key_, *std::exchange(place_, std::nullopt));
+    if (place_)
+      boxes_.reservations_.ask(request_, key_, *std::exchange(place_, std::nullopt));
   }
 
   void head(const net::ResponseHead& head) override {
@@ -99,7 +105,8 @@
 
   bool body(std::string_view part) override {
     usage_.see(part);
-    if (status_ != 200) return true;
+    if (status_ != 200)
+      return true;
     const std::optional<std::string> events = gate_.see(part);
     if (!events) {
       call_->garbled();
@@ -110,27 +117,30 @@
         last_.reset();
         call_->garbled();
       });
-    if (events->empty()) return true;  // part of an event is no sign of life to the client
+    if (events->empty())
+      return true;  // part of an event is no sign of life to the client
     begun_ = true;
     ++parts_;
     watchForStall();
-    if (boxes_.conductor_.passed(key_, *events)) return true;
+    if (boxes_.conductor_.passed(key_, *events))
+      return true;
     boxes_.deadlines_.cancel(stall_);  // a slow client holds the stream back, not its box
     return false;
   }
 
-  // Guards the state that a writer is to take: what was sent to a box that no longer reads this connection,
-  // or was answered with a piece that is none of a stream under way, has taken nothing, and the time of what
-  // is held goes on. Where it did arrive, the release takes nothing from it.
+  // Guards the state that a writer is to take: what was sent to a box that no longer reads this
+  // connection, or was answered with a piece that is none of a stream under way, has taken nothing,
+  // and the time of what is held goes on. Where it did arrive, the release takes nothing from it.
   void watchForTaking() {
     taken_ = boxes_.deadlines_.add(takenByMs(), [this] {
       taken_.reset();
-      if (parts_ < 2) boxes_.releases_.releaseBeside(request_);
+      if (parts_ < 2)
+        boxes_.releases_.releaseBeside(request_);
     });
   }
 
-  // The time of what is held goes on since the last attempt ended, however late this one was written; it has
-  // a moment to arrive, as a release that overtook it would take its state.
+  // The time of what is held goes on since the last attempt ended, however late this one was
+  // written; it has a moment to arrive, as a release that overtook it would take its state.
   double takenByMs() const {
     const double heldSinceMs = heldSinceMs_ > 0 ? heldSinceMs_ : writtenMs_;
     return std::max(heldSinceMs + boxes_.releaseWithinMs_, writtenMs_ + kArrivalMs);
@@ -139,7 +149,8 @@
   // Guards a client against a box that goes silent in the middle of its answer.
   void watchForStall() {
     boxes_.deadlines_.cancel(stall_);
-    if (!begun_ || call_->state() == net::Call::State::kOver) return;
+    if (!begun_ || call_->state() == net::Call::State::kOver)
+      return;
     stall_ = boxes_.deadlines_.add(boxes_.clock_.nowMs() + kStallMs, [this] {
       stall_.reset();
       ++boxes_.counters_["attempts.stalled"];
@@ -151,22 +162,26 @@
 
   // A last chunk ahead of the event that ends a stream is none of a whole stream.
   void done() override {
-    if (status_ == 200 && !gate_.finished()) return failed(net::CallFailure::kGarbled);
+    if (status_ == 200 && !gate_.finished())
+      return failed(net::CallFailure::kGarbled);
     end(result());
   }
 
   void failed(net::CallFailure why) override {
-    // Any box may send a spoilt answer now and then: it runs, and is not to be left out as one that is lost.
-    // The request may have run, as after any error. A head comes with the first token: a writer that sent
-    // one, however spoilt, had fetched the state, and the next would have to read the whole prompt itself.
+    // Any box may send a spoilt answer now and then: it runs, and is not to be left out as one that
+    // is lost. The request may have run, as after any error. A head comes with the first token: a
+    // writer that sent one, however spoilt, had fetched the state, and the next would have to read
+    // the whole prompt itself.
     if (why == net::CallFailure::kGarbled) {
       ++boxes_.counters_["answers.garbled"];
       return end({Outcome::kError, 0, true});
     }
-    if (why != net::CallFailure::kWithdrawn) boxes_.unheard(engine_);
+    if (why != net::CallFailure::kWithdrawn)
+      boxes_.unheard(engine_);
     // After a reset the other idle connections to that box are as dead as this one was.
     if (why == net::CallFailure::kReset)
-      if (const Box* box = boxes_.directory_.find(engine_)) boxes_.pool_.dropIdle(box->address);
+      if (const Box* box = boxes_.directory_.find(engine_))
+        boxes_.pool_.dropIdle(box->address);
     end({why == net::CallFailure::kNoConnection ? Outcome::kNoConnection
          : why == net::CallFailure::kReset      ? Outcome::kConnectionLost
                                                 : Outcome::kNotSent});
@@ -174,12 +189,17 @@
 
  private:
   core::Result result() const {
-    if (status_ == 200) return {Outcome::kServed, usage_.cachedTokens()};
-    if (status_ == 202) return {Outcome::kRead, usage_.cachedTokens()};
-    // Guards against a late second answer to the request before, which would be taken for a proof that this
-    // one never ran: nothing in an answer names its request, so it proves that on a fresh connection alone.
-    if (rejected_ && status_ == 410) return {Outcome::kFull, 0, true, !first_};
-    if (rejected_ && (status_ == 503 || status_ == 504)) return {Outcome::kFull, 0, false, !first_};
+    if (status_ == 200)
+      return {Outcome::kServed, usage_.cachedTokens()};
+    if (status_ == 202)
+      return {Outcome::kRead, usage_.cachedTokens()};
+    // Guards against a late second answer to the request before, which would be taken for a proof
+    // that this one never ran: nothing in an answer names its request, so it proves that on a fresh
+    // connection alone.
+    if (rejected_ && status_ == 410)
+      return {Outcome::kFull, 0, true, !first_};
+    if (rejected_ && (status_ == 503 || status_ == 504))
+      return {Outcome::kFull, 0, false, !first_};
     return {Outcome::kError};
   }
 
@@ -191,7 +211,8 @@
     boxes.deadlines_.cancel(stall_);
     boxes.deadlines_.cancel(taken_);
     boxes.attempts_.erase(key.slot);
-    if (prefills) boxes.reservations_.prefillEnded(key);
+    if (prefills)
+      boxes.reservations_.prefillEnded(key);
     boxes.conductor_.ended(key, result);
   }
 
@@ -213,7 +234,8 @@
   bool begun_ = false, rejected_ = false, first_ = false;
 };
 
-// ---- Probes ------------------------------------------------------------------------------------------
+// ---- Probes
+// ------------------------------------------------------------------------------------------
 
 class Boxes::ProbeCall final : public net::CallSink {
  public:
@@ -234,10 +256,16 @@
   bool well_ = false;
 };
 
-// ---- Boxes -----------------------------------------------------------------------------------------
+// ---- Boxes
+// -----------------------------------------------------------------------------------------
 
-Boxes::Boxes(BoxDialect dialect, core::Conductor& conductor, net::Pool& pool, Directory& directory,
-             const core::Clock& clock, core::Deadlines& deadlines, core::Counters& counters,
+Boxes::Boxes(BoxDialect dialect,
+             core::Conductor& conductor,
+             net::Pool& pool,
+             Directory& directory,
+             const core::Clock& clock,
+             core::Deadlines& deadlines,
+             core::Counters& counters,
              double releaseWithinMs)
     : dialect_(std::move(dialect)),
       conductor_(conductor),
@@ -248,23 +276,48 @@
       counters_(counters),
       releaseWithinMs_(releaseWithinMs),
       releases_(
-          pool, directory, clock, deadlines, counters, releaseWithinMs,
-          [this](const RequestId& request, const Box& box) { return roomHead("DELETE", request, box); },
+          pool,
+          directory,
+          clock,
+          deadlines,
+          counters,
+          releaseWithinMs,
+          [this](const RequestId& request, const Box& box) {
+            return roomHead("DELETE", request, box);
+          },
           [this](const RequestId& request) { return heldBackMs(request); },
           [&conductor](const std::string& line) { conductor.note(line); }),
-      owed_(pool, directory, clock, deadlines, counters, releaseWithinMs,
-            [this](const RequestId& request, const Box& box) { return roomHead("DELETE", request, box); }),
+      owed_(pool,
+            directory,
+            clock,
+            deadlines,
+            counters,
+            releaseWithinMs,
+            [this](const RequestId& request, const Box& box) {
+              return roomHead("DELETE", request, box);
+            }),
       // No id in its head: a call that carries one could be taken for an attempt.
       reservations_(
-          conductor, pool, directory, clock, deadlines, counters, releases_, owed_, releaseWithinMs,
-          [this](const RequestId& request, const Box& box) { return roomHead("POST", request, box); },
+          conductor,
+          pool,
+          directory,
+          clock,
+          deadlines,
+          counters,
+          releases_,
+          owed_,
+          releaseWithinMs,
+          [this](const RequestId& request, const Box& box) {
+            return roomHead("POST", request, box);
+          },
           [this](core::AttemptKey prefill) { return attempt(prefill) != nullptr; }) {
   conductor_.connect(*this);
 }
 
 // A call and its sink hold each other while it runs.
 Boxes::~Boxes() {
-  for (const auto& [slot, sink] : attempts_) sink->call().abandon();
+  for (const auto& [slot, sink] : attempts_)
+    sink->call().abandon();
 }
 
 std::shared_ptr<Boxes::AttemptCall> Boxes::attempt(core::AttemptKey key) const {
@@ -276,40 +329,50 @@
 std::optional<double> Boxes::heldBackMs(const RequestId& request) const {
   std::optional<double> last;
   for (const auto& [slot, sink] : attempts_) {
-    if (sink->request() != request) continue;
+    if (sink->request() != request)
+      continue;
     last = std::max(last.value_or(0), sink->heldBackMs());
-    if (sink->prefills() && sink->isWritten()) last = std::max(*last, reservations_.coversUntilMs(request));
+    if (sink->prefills() && sink->isWritten())
+      last = std::max(*last, reservations_.coversUntilMs(request));
   }
   return last;
 }
 
-std::string Boxes::roomHead(const std::string& method, const RequestId& request, const Box& box) const {
+std::string Boxes::roomHead(const std::string& method,
+                            const RequestId& request,
+                            const Box& box) const {
   return head(method, dialect_.roomsPath + request.value, box, {{"Content-Length", "0"}});
 }
 
-std::string Boxes::head(const std::string& method, const std::string& target, const Box& box,
+std::string Boxes::head(const std::string& method,
+                        const std::string& target,
+                        const Box& box,
                         net::Fields fields) const {
-  fields.insert(fields.begin(),
-                {"Host", box.address.address().to_string() + ":" + std::to_string(box.address.port())});
+  fields.insert(fields.begin(), {"Host", box.address.address().to_string() + ":" +
+                                             std::to_string(box.address.port())});
   fields.insert(fields.end(), dialect_.extra.begin(), dialect_.extra.end());
   return net::headText(method + " " + target + " HTTP/1.1", fields);
 }
 
 void Boxes::heard(const EngineId& engine) {
-  if (Box* box = directory_.find(engine)) box->heardMs = clock_.nowMs();
+  if (Box* box = directory_.find(engine))
+    box->heardMs = clock_.nowMs();
 }
 
 void Boxes::unheard(const EngineId& engine) {
-  if (Box* box = directory_.find(engine)) box->failedMs = clock_.nowMs();
+  if (Box* box = directory_.find(engine))
+    box->failedMs = clock_.nowMs();
 }
 
 void Boxes::start(const core::Dispatch& dispatch) {
   const Box* box = directory_.find(dispatch.engine);
-  if (box == nullptr) return conductor_.ended(dispatch.attempt, {Outcome::kNotSent});
+  if (box == nullptr)
+    return conductor_.ended(dispatch.attempt, {Outcome::kNotSent});
   const auto& payload = static_cast<const ChatPayload&>(*dispatch.payload);
   net::Fields fields{{dialect_.idHeader, dispatch.request.value},
                      {"Content-Length", std::to_string(payload.body->size())}};
-  if (!payload.contentType.empty()) fields.emplace_back("Content-Type", payload.contentType);
+  if (!payload.contentType.empty())
+    fields.emplace_back("Content-Type", payload.contentType);
   fields.insert(fields.end(), payload.passed.begin(), payload.passed.end());
   releases_.attemptGoesOut(dispatch.request);
   const auto sink = std::make_shared<AttemptCall>(*this, dispatch);
@@ -320,37 +383,49 @@
 
 void Boxes::abandon(core::AttemptKey key) {
   const auto sink = attempt(key);
-  if (!sink) return;
+  if (!sink)
+    return;
   attempts_.erase(key.slot);
   sink->call().abandon();
-  if (sink->prefills()) reservations_.prefillEnded(key);
+  if (sink->prefills())
+    reservations_.prefillEnded(key);
 }
 
 void Boxes::pause(core::AttemptKey key, std::function<void()> quiet) {
-  if (const auto sink = attempt(key)) sink->call().pause(std::move(quiet));
+  if (const auto sink = attempt(key))
+    sink->call().pause(std::move(quiet));
 }
 
 void Boxes::goOn(core::AttemptKey key) {
-  if (const auto sink = attempt(key)) sink->call().goOn();
+  if (const auto sink = attempt(key))
+    sink->call().goOn();
 }
 
 // What has its last event is over within a moment.
 std::optional<Boxes::Rest> Boxes::rest(core::AttemptKey key) {
   const auto sink = attempt(key);
-  if (!sink || sink->finished()) return std::nullopt;
+  if (!sink || sink->finished())
+    return std::nullopt;
   const auto call = sink->call().rest();
-  if (!call) return std::nullopt;
+  if (!call)
+    return std::nullopt;
   return Rest{*call, sink->part()};
 }
 
-void Boxes::leave(core::AttemptKey key) { abandon(key); }
+void Boxes::leave(core::AttemptKey key) {
+  abandon(key);
+}
 
-bool Boxes::adopt(core::AttemptKey key, const RequestId& request, const EngineId& engine,
-                  const net::Endpoint& address, const Rest& rest) {
+bool Boxes::adopt(core::AttemptKey key,
+                  const RequestId& request,
+                  const EngineId& engine,
+                  const net::Endpoint& address,
+                  const Rest& rest) {
   const auto sink =
       std::make_shared<AttemptCall>(*this, core::Dispatch{key, request, engine, nullptr, 0, false});
   const auto call = pool_.adopt(address, rest.call, sink);
-  if (!call) return false;
+  if (!call)
+    return false;
   sink->hold(call);
   sink->takeUp(rest.event);
   attempts_[key.slot] = sink;
@@ -361,7 +436,8 @@
 
 void Boxes::resume(core::AttemptKey key) {
   const auto sink = attempt(key);
-  if (!sink) return;
+  if (!sink)
+    return;
   sink->watchForStall();
   sink->call().resume();
 }
@@ -375,19 +451,25 @@
 // A release that is still under way would let go of the new place as well.
 void Boxes::holdPlace(const RequestId& request, core::AttemptKey reading, const EngineId& engine) {
   releases_.afterwards(request, [this, reading, engine] {
-    if (const auto sink = attempt(reading)) sink->placeAt(engine);
+    if (const auto sink = attempt(reading))
+      sink->placeAt(engine);
   });
 }
 
-void Boxes::release(const RequestId& request) { releases_.release(request); }
+void Boxes::release(const RequestId& request) {
+  releases_.release(request);
+}
 
 void Boxes::probe(const EngineId& engine) {
   const Box* box = directory_.find(engine);
   const auto sink = std::make_shared<ProbeCall>(*this, engine);
-  if (box == nullptr) return sink->end(false);
-  const auto call = pool_.call(box->address, head("GET", dialect_.healthPath, *box, {}), nullptr, sink);
+  if (box == nullptr)
+    return sink->end(false);
+  const auto call =
+      pool_.call(box->address, head("GET", dialect_.healthPath, *box, {}), nullptr, sink);
   deadlines_.add(clock_.nowMs() + kProbeAnswerMs, [call, sink] {
-    if (call->state() == net::Call::State::kOver) return;
+    if (call->state() == net::Call::State::kOver)
+      return;
     call->abandon();
     sink->end(false);
   });
