--- a/src/fronts/boxes/boxes.h
+++ b/src/fronts/boxes/boxes.h
@@ -1,5 +1,5 @@
-// Speaks to the model boxes: a request to a reader or writer, places, releases and probes. Both fronts use
-// it; a dialect holds what they name differently.
+// Speaks to the model boxes: a request to a reader or writer, places, releases and probes. Both
+// fronts use it; a dialect holds what they name differently.
 #pragma once
 
 #include <functional>
@@ -35,8 +35,13 @@
 
 class Boxes final : public core::Engines {
  public:
-  Boxes(BoxDialect dialect, core::Conductor& conductor, net::Pool& pool, Directory& directory,
-        const core::Clock& clock, core::Deadlines& deadlines, core::Counters& counters,
+  Boxes(BoxDialect dialect,
+        core::Conductor& conductor,
+        net::Pool& pool,
+        Directory& directory,
+        const core::Clock& clock,
+        core::Deadlines& deadlines,
+        core::Counters& counters,
         double releaseWithinMs);
   ~Boxes() override;
 
@@ -44,7 +49,8 @@
   void abandon(core::AttemptKey attempt) override;
   void resume(core::AttemptKey attempt) override;
   bool unread(core::AttemptKey attempt) const override;
-  void holdPlace(const leverrelay::RequestId& request, core::AttemptKey reading,
+  void holdPlace(const leverrelay::RequestId& request,
+                 core::AttemptKey reading,
                  const leverrelay::EngineId& engine) override;
   void release(const leverrelay::RequestId& request) override;
   void probe(const leverrelay::EngineId& engine) override;
@@ -54,13 +60,17 @@
     net::Call::Rest call;
     std::string event;  // the part of one that has come
   };
-  // Quiet is called once rest() can be asked for; if it is not handed over then, goOn() has to follow.
+  // Quiet is called once rest() can be asked for; if it is not handed over then, goOn() has to
+  // follow.
   void pause(core::AttemptKey attempt, std::function<void()> quiet);
   std::optional<Rest> rest(core::AttemptKey attempt);
   void goOn(core::AttemptKey attempt);
   void leave(core::AttemptKey attempt);  // lets go of a stream that another process has now
-  bool adopt(core::AttemptKey attempt, const leverrelay::RequestId& request,
-             const leverrelay::EngineId& engine, const net::Endpoint& address, const Rest& rest);
+  bool adopt(core::AttemptKey attempt,
+             const leverrelay::RequestId& request,
+             const leverrelay::EngineId& engine,
+             const net::Endpoint& address,
+             const Rest& rest);
 
   void reconfigure(BoxDialect dialect, double releaseWithinMs) {
     dialect_ = std::move(dialect);
@@ -78,8 +88,12 @@
 
   std::shared_ptr<AttemptCall> attempt(core::AttemptKey key) const;
   std::optional<double> heldBackMs(const leverrelay::RequestId& request) const;
-  std::string roomHead(const std::string& method, const leverrelay::RequestId& request, const Box& box) const;
-  std::string head(const std::string& method, const std::string& target, const Box& box,
+  std::string roomHead(const std::string& method,
+                       const leverrelay::RequestId& request,
+                       const Box& box) const;
+  std::string head(const std::string& method,
+                   const std::string& target,
+                   const Box& box,
                    net::Fields fields) const;
   void heard(const leverrelay::EngineId& engine);
   void unheard(const leverrelay::EngineId& engine);
@@ -92,7 +106,8 @@
   core::Deadlines& deadlines_;
   core::Counters& counters_;
   double releaseWithinMs_;
-  std::map<std::uint32_t, std::shared_ptr<AttemptCall>> attempts_;  // by the number of the core's slot
+  std::map<std::uint32_t, std::shared_ptr<AttemptCall>>
+      attempts_;  // by the number of the core's slot
   Releases releases_;
   OwedReleaseCalls owed_;
   Reservations reservations_;
--- a/src/fronts/boxes/directory.cpp
+++ b/src/fronts/boxes/directory.cpp
@@ -2,7 +2,9 @@
 
 namespace dahliastall::fronts {
 
-void Directory::update(const std::map<leverrelay::EngineId, Box>& told, bool whole, net::Pool& pool) {
+void Directory::update(const std::map<leverrelay::EngineId, Box>& told,
+                       bool whole,
+                       net::Pool& pool) {
   for (const auto& [id, news] : told) {
     Box& box = boxes_[id];
     const bool fresh = box.startedMs != news.startedMs || box.address != news.address;
@@ -15,9 +17,10 @@
     box.startedMs = news.startedMs;
   }
   std::erase_if(boxes_, [&](const auto& entry) {
-    const bool gone =
-        entry.second.presence == leverrelay::Presence::kGone || (whole && told.count(entry.first) == 0);
-    if (gone) pool.dropIdle(entry.second.address);
+    const bool gone = entry.second.presence == leverrelay::Presence::kGone ||
+                      (whole && told.count(entry.first) == 0);
+    if (gone)
+      pool.dropIdle(entry.second.address);
     return gone;
   });
 }
--- a/src/fronts/boxes/directory.h
+++ b/src/fronts/boxes/directory.h
@@ -26,9 +26,10 @@
   }
   std::map<leverrelay::EngineId, Box>& all() { return boxes_; }
 
-  // Takes over what a list names; a whole list names every box that there is. Connections go with what they
-  // led to: those from before a restart or to an old address would only end as resets, which may have run for
-  // all that is known. Boxes that are gone are let go of, or every replaced box would stay for good.
+  // Takes over what a list names; a whole list names every box that there is. Connections go with
+  // what they led to: those from before a restart or to an old address would only end as resets,
+  // which may have run for all that is known. Boxes that are gone are let go of, or every replaced
+  // box would stay for good.
   void update(const std::map<leverrelay::EngineId, Box>& told, bool whole, net::Pool& pool);
 
  private:
--- a/src/fronts/boxes/owed_release_calls.cpp
+++ b/src/fronts/boxes/owed_release_calls.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-// A call waits so long for an instance that is silent, and then tries another connection: this one may be the
-// only thing that is.
+// A call waits so long for an instance that is silent, and then tries another connection: this one
+// may be the only thing that is.
 constexpr double kWaitMs = 500;
 constexpr double kLeastPauseMs = 10;
 
@@ -32,8 +32,12 @@
   bool accepted_ = false;
 };
 
-OwedReleaseCalls::OwedReleaseCalls(net::Pool& pool, Directory& directory, const core::Clock& clock,
-                                   core::Deadlines& deadlines, core::Counters& counters, double withinMs,
+OwedReleaseCalls::OwedReleaseCalls(net::Pool& pool,
+                                   Directory& directory,
+                                   const core::Clock& clock,
+                                   core::Deadlines& deadlines,
+                                   core::Counters& counters,
+                                   double withinMs,
                                    Head head)
     : pool_(pool),
       directory_(directory),
@@ -48,13 +52,15 @@
   deadlines_.cancel(next_);
   for (auto& [number, sent] : sent_) {
     deadlines_.cancel(sent.limit);
-    if (sent.call) sent.call->abandon();
+    if (sent.call)
+      sent.call->abandon();
   }
 }
 
 void OwedReleaseCalls::owe(const EngineId& instance, const RequestId& request) {
   const Box* box = directory_.find(instance);
-  if (box == nullptr || box->presence == leverrelay::Presence::kGone) return;
+  if (box == nullptr || box->presence == leverrelay::Presence::kGone)
+    return;
   ++counters_["releases.owed"];
   startedMs_.try_emplace(instance, box->startedMs);
   owed_.owe(instance, request, clock_.nowMs());
@@ -67,7 +73,8 @@
     const Box* box = directory_.find(entry.first);
     const bool gone = box == nullptr || box->presence == leverrelay::Presence::kGone;
     const bool replaced = gone || box->startedMs != entry.second;
-    if (replaced) owed_.forget(entry.first);
+    if (replaced)
+      owed_.forget(entry.first);
     return replaced;
   });
 }
@@ -76,13 +83,15 @@
   deadlines_.cancel(next_);
   forgetReplaced();
   const double now = clock_.nowMs();
-  for (const auto& release : owed_.due(now)) send(release);
+  for (const auto& release : owed_.due(now))
+    send(release);
   stepAt(owed_.nextMs());
 }
 
 void OwedReleaseCalls::stepAt(std::optional<double> atMs) {
   deadlines_.cancel(next_);
-  if (!atMs) return;
+  if (!atMs)
+    return;
   next_ = deadlines_.add(std::max(*atMs, clock_.nowMs() + kLeastPauseMs), [this] {
     next_.reset();
     step();
@@ -95,25 +104,31 @@
   const auto sink = std::make_shared<Sink>(*this, number, release);
   sent_[number].limit = deadlines_.add(clock_.nowMs() + kWaitMs, [this, number, release] {
     const auto it = sent_.find(number);
-    if (it == sent_.end()) return;
+    if (it == sent_.end())
+      return;
     it->second.limit.reset();
-    if (it->second.call) it->second.call->abandon();
+    if (it->second.call)
+      it->second.call->abandon();
     ended(number, release, false);
   });
-  const auto call =
-      pool_.call(box.address, head_(release.request, box), nullptr, sink, net::Pool::Urgency::kFirst);
-  if (const auto it = sent_.find(number); it != sent_.end()) it->second.call = call;
+  const auto call = pool_.call(box.address, head_(release.request, box), nullptr, sink,
+                               net::Pool::Urgency::kFirst);
+  if (const auto it = sent_.find(number); it != sent_.end())
+    it->second.call = call;
 }
 
-void OwedReleaseCalls::ended(std::uint64_t number, const fleet::OwedReleases::Release& release,
+void OwedReleaseCalls::ended(std::uint64_t number,
+                             const fleet::OwedReleases::Release& release,
                              bool accepted) {
   const auto it = sent_.find(number);
   if (it != sent_.end()) {
     deadlines_.cancel(it->second.limit);
     sent_.erase(it);
   }
-  if (accepted) owed_.accepted(release, clock_.nowMs());
-  else owed_.failed(release, clock_.nowMs());
+  if (accepted)
+    owed_.accepted(release, clock_.nowMs());
+  else
+    owed_.failed(release, clock_.nowMs());
   stepAt(owed_.nextMs());
 }
 
--- a/src/fronts/boxes/owed_release_calls.h
+++ b/src/fronts/boxes/owed_release_calls.h
@@ -1,4 +1,5 @@
-/// Carries the releases that are owed to single instances; when they are due is fleet::OwedReleases'.
+/// Carries the releases that are owed to single instances; when they are due is
+/// fleet::OwedReleases'.
 #pragma once
 
 #include <functional>
@@ -21,8 +22,13 @@
   /// The head of the message that releases a request.
   using Head = std::function<std::string(const leverrelay::RequestId&, const Box&)>;
 
-  OwedReleaseCalls(net::Pool& pool, Directory& directory, const core::Clock& clock,
-                   core::Deadlines& deadlines, core::Counters& counters, double withinMs, Head head);
+  OwedReleaseCalls(net::Pool& pool,
+                   Directory& directory,
+                   const core::Clock& clock,
+                   core::Deadlines& deadlines,
+                   core::Counters& counters,
+                   double withinMs,
+                   Head head);
   ~OwedReleaseCalls();
   OwedReleaseCalls(const OwedReleaseCalls&) = delete;
   OwedReleaseCalls& operator=(const OwedReleaseCalls&) = delete;
@@ -52,7 +58,8 @@
   core::Counters& counters_;
   Head head_;
   fleet::OwedReleases owed_;
-  std::map<leverrelay::EngineId, double> startedMs_;  // of instances that are owed any, as told then
+  std::map<leverrelay::EngineId, double>
+      startedMs_;  // of instances that are owed any, as told then
   std::map<std::uint64_t, Sent> sent_;
   std::optional<core::Deadlines::Key> next_;
   std::uint64_t calls_ = 0;
--- a/src/fronts/boxes/releases.h
+++ b/src/fronts/boxes/releases.h
@@ -1,6 +1,6 @@
-// Carries releases to the instances: everything that is held for a request is let go of, whoever holds it,
-// and whatever was under way when it was decided. When to ask how many is fleet::ReleaseRetry's; whom, is
-// here.
+// Carries releases to the instances: everything that is held for a request is let go of, whoever
+// holds it, and whatever was under way when it was decided. When to ask how many is
+// fleet::ReleaseRetry's; whom, is here.
 #pragma once
 
 #include <cstdint>
@@ -23,33 +23,43 @@
 
 class Releases {
  public:
-  using Head = std::function<std::string(const leverrelay::RequestId&, const Box&)>;  // of the call's message
+  using Head = std::function<std::string(const leverrelay::RequestId&,
+                                         const Box&)>;  // of the call's message
   // While an attempt of a request is out: until when a release may take what it goes on with.
   using Report = std::function<void(const std::string&)>;  // of a line for the log
   using HeldBackMs = std::function<std::optional<double>(const leverrelay::RequestId&)>;
 
-  Releases(net::Pool& pool, Directory& directory, const core::Clock& clock, core::Deadlines& deadlines,
-           core::Counters& counters, double withinMs, Head head, HeldBackMs heldBackMs, Report report);
+  Releases(net::Pool& pool,
+           Directory& directory,
+           const core::Clock& clock,
+           core::Deadlines& deadlines,
+           core::Counters& counters,
+           double withinMs,
+           Head head,
+           HeldBackMs heldBackMs,
+           Report report);
   ~Releases();
 
   void release(const leverrelay::RequestId& request);
   void within(double ms) { withinMs_ = ms; }  // in which what is held has to be let go of
-  // The same while an attempt is out, of which nothing shows yet that it has reached its instance: if it has,
-  // the instances skip what it waits for.
+  // The same while an attempt is out, of which nothing shows yet that it has reached its instance:
+  // if it has, the instances skip what it waits for.
   void releaseBeside(const leverrelay::RequestId& request);
-  // An attempt of it goes out. What was left may have been missed, and nothing tells whether the attempt will
-  // reach its instance and take it: further rounds wait until its bytes have been out for the time that a
-  // read usually takes, so that they take nothing from it. Once it has ended without a new release, they are
-  // off.
+  // An attempt of it goes out. What was left may have been missed, and nothing tells whether the
+  // attempt will reach its instance and take it: further rounds wait until its bytes have been out
+  // for the time that a read usually takes, so that they take nothing from it. Once it has ended
+  // without a new release, they are off.
   void attemptGoesOut(const leverrelay::RequestId& request);
-  // Done at once if no release is under way, else after it, as it would let go of what comes of this.
+  // Done at once if no release is under way, else after it, as it would let go of what comes of
+  // this.
   void afterwards(const leverrelay::RequestId& request, std::function<void()> what);
-  // A reservation is on its way to an instance, and, later, was answered or has failed. A release that was
-  // asked in between may have arrived before it.
+  // A reservation is on its way to an instance, and, later, was answered or has failed. A release
+  // that was asked in between may have arrived before it.
   void placeAsked(const leverrelay::RequestId& request) { ++placesOut_[request]; }
   void placeSettled(const leverrelay::RequestId& request);
 
-  // Releases, and calls for places of which one may yet come: the program waits for both before it ends.
+  // Releases, and calls for places of which one may yet come: the program waits for both before it
+  // ends.
   std::size_t underWay() const { return releases_.size() + placesOut_.size(); }
 
  private:
@@ -59,12 +69,14 @@
     fleet::ReleaseRetry course;
     std::map<std::uint64_t, std::shared_ptr<net::Call>> calls;  // without an answer yet
     std::set<leverrelay::EngineId> tried;                       // since all were asked once
-    std::uint64_t first = 0;  // of the calls of this round: an answer to an earlier one proves nothing for it
+    std::uint64_t first =
+        0;  // of the calls of this round: an answer to an earlier one proves nothing for it
     leverrelay::EngineId heard;  // who took the last round: a later one goes to another, if it can
     std::optional<core::Deadlines::Key> next;
-    double askedMs = 0;      // since when what may be held has to be let go of
-    bool accepted = false;   // by any instance
-    bool again = false;      // asked for once more meanwhile: what the first could not see may be held now
+    double askedMs = 0;     // since when what may be held has to be let go of
+    bool accepted = false;  // by any instance
+    bool again =
+        false;  // asked for once more meanwhile: what the first could not see may be held now
     bool attempted = false;  // an attempt has gone out since: see attemptGoesOut()
     std::vector<std::function<void()>> after;
   };
@@ -72,8 +84,12 @@
   void step(const leverrelay::RequestId& request);
   void checkTime(const leverrelay::RequestId& request, Releasing& state);
   std::optional<double> roundMs(const leverrelay::RequestId& request, const Releasing& state) const;
-  void ask(const leverrelay::RequestId& request, Releasing& state, const leverrelay::EngineId& engine);
-  void answered(const leverrelay::RequestId& request, std::uint64_t call, const leverrelay::EngineId& by,
+  void ask(const leverrelay::RequestId& request,
+           Releasing& state,
+           const leverrelay::EngineId& engine);
+  void answered(const leverrelay::RequestId& request,
+                std::uint64_t call,
+                const leverrelay::EngineId& by,
                 bool through);
   void leaveUnwritten(Releasing& state);
   void finish(const leverrelay::RequestId& request);
--- a/src/fronts/boxes/reservations.h
+++ b/src/fronts/boxes/reservations.h
@@ -1,5 +1,5 @@
-/// Carries the calls for reservations at decode instances, and renews what was granted while the prefill is
-/// out. When to renew and when to release is fleet::ReservationLease's.
+/// Carries the calls for reservations at decode instances, and renews what was granted while the
+/// prefill is out. When to renew and when to release is fleet::ReservationLease's.
 #pragma once
 
 #include <cstdint>
@@ -27,15 +27,24 @@
   using Head = std::function<std::string(const leverrelay::RequestId&, const Box&)>;
   using PrefillIsOut = std::function<bool(core::AttemptKey)>;
 
-  Reservations(core::Conductor& conductor, net::Pool& pool, Directory& directory, const core::Clock& clock,
-               core::Deadlines& deadlines, core::Counters& counters, Releases& releases,
-               OwedReleaseCalls& owed, double withinMs, Head head, PrefillIsOut prefillIsOut);
+  Reservations(core::Conductor& conductor,
+               net::Pool& pool,
+               Directory& directory,
+               const core::Clock& clock,
+               core::Deadlines& deadlines,
+               core::Counters& counters,
+               Releases& releases,
+               OwedReleaseCalls& owed,
+               double withinMs,
+               Head head,
+               PrefillIsOut prefillIsOut);
   ~Reservations();
   Reservations(const Reservations&) = delete;
   Reservations& operator=(const Reservations&) = delete;
 
   /// Asks an instance to hold a place for the request whose prefill has just been written.
-  void ask(const leverrelay::RequestId& request, core::AttemptKey prefill,
+  void ask(const leverrelay::RequestId& request,
+           core::AttemptKey prefill,
            const leverrelay::EngineId& engine);
   void prefillEnded(core::AttemptKey prefill);
   /// Until when a release beside the request's prefill could take a reservation that it waits for.
@@ -46,9 +55,14 @@
   class Sink;
   using Number = std::uint64_t;
   struct Reservation {
-    Reservation(leverrelay::RequestId request, core::AttemptKey prefill, leverrelay::EngineId engine,
+    Reservation(leverrelay::RequestId request,
+                core::AttemptKey prefill,
+                leverrelay::EngineId engine,
                 double withinMs)
-        : request(std::move(request)), prefill(prefill), engine(std::move(engine)), lease(withinMs) {}
+        : request(std::move(request)),
+          prefill(prefill),
+          engine(std::move(engine)),
+          lease(withinMs) {}
     leverrelay::RequestId request;
     core::AttemptKey prefill;
     leverrelay::EngineId engine;
--- a/src/fronts/front.cpp
+++ b/src/fronts/front.cpp
@@ -4,25 +4,32 @@
 
 namespace dahliastall::fronts {
 
-bool Front::submit(net::ClientConnection& connection, leverrelay::Arrival arrival, double arrivedMs,
-                   std::shared_ptr<const ChatPayload> payload, std::shared_ptr<core::Answerer> answerer) {
+bool Front::submit(net::ClientConnection& connection,
+                   leverrelay::Arrival arrival,
+                   double arrivedMs,
+                   std::shared_ptr<const ChatPayload> payload,
+                   std::shared_ptr<core::Answerer> answerer) {
   arrival.timeLeft -= core::toModule(clock_.nowMs() - arrivedMs);
   open_[&connection] = {};  // before it is taken: the module may answer at once
   const auto key = conductor_.take(std::move(arrival), std::move(payload), std::move(answerer));
   const auto it = open_.find(&connection);
-  if (!key) open_.erase(it);
-  else if (it != open_.end()) it->second = *key;
+  if (!key)
+    open_.erase(it);
+  else if (it != open_.end())
+    it->second = *key;
   return key.has_value();
 }
 
 void Front::answerReady(net::ClientConnection& connection) {
   const bool ready = !ready_ || ready_();
-  connection.answer(ready ? 200 : 503, {{"Content-Type", "text/plain"}}, ready ? "ready\n" : "evacuated\n");
+  connection.answer(ready ? 200 : 503, {{"Content-Type", "text/plain"}},
+                    ready ? "ready\n" : "evacuated\n");
 }
 
 std::shared_ptr<net::ClientConnection> Front::connectionOf(core::RequestKey key) const {
   for (const auto& [connection, open] : open_)
-    if (open == key) return connection->shared_from_this();
+    if (open == key)
+      return connection->shared_from_this();
   return nullptr;
 }
 
@@ -33,7 +40,8 @@
 
 void Front::gone(net::ClientConnection& connection) {
   const auto it = open_.find(&connection);
-  if (it == open_.end()) return;
+  if (it == open_.end())
+    return;
   const core::RequestKey key = it->second;
   open_.erase(it);
   conductor_.clientGone(key);
@@ -41,7 +49,8 @@
 
 void Front::drained(net::ClientConnection& connection) {
   const auto it = open_.find(&connection);
-  if (it != open_.end()) conductor_.clientReady(it->second);
+  if (it != open_.end())
+    conductor_.clientReady(it->second);
 }
 
 }  // namespace dahliastall::fronts
--- a/src/fronts/front.h
+++ b/src/fronts/front.h
@@ -35,8 +35,11 @@
 
   // arrivedMs: when the request's first byte was read; the client's patience began no later.
   // False if a request of this id is under way; nothing has been answered then.
-  bool submit(net::ClientConnection& connection, leverrelay::Arrival arrival, double arrivedMs,
-              std::shared_ptr<const ChatPayload> payload, std::shared_ptr<core::Answerer> answerer);
+  bool submit(net::ClientConnection& connection,
+              leverrelay::Arrival arrival,
+              double arrivedMs,
+              std::shared_ptr<const ChatPayload> payload,
+              std::shared_ptr<core::Answerer> answerer);
   void answerReady(net::ClientConnection& connection);
   // Every final answer of a front calls this first.
   void over(net::ClientConnection& connection) { open_.erase(&connection); }
--- a/src/fronts/openai/api_error.h
+++ b/src/fronts/openai/api_error.h
@@ -20,12 +20,14 @@
       return value ? nlohmann::json(*value) : nlohmann::json();
     };
     return nlohmann::json{
-        {"error", {{"message", message}, {"type", type}, {"param", orNull(param)}, {"code", orNull(code)}}}}
+        {"error",
+         {{"message", message}, {"type", type}, {"param", orNull(param)}, {"code", orNull(code)}}}}
         .dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
   }
 };
 
-inline ApiError badRequest(std::string message, std::optional<std::string> param = {},
+inline ApiError badRequest(std::string message,
+                           std::optional<std::string> param = {},
                            std::optional<std::string> code = {}) {
   return {400, std::move(message), "invalid_request_error", std::move(param), std::move(code)};
 }
--- a/src/fronts/openai/completion.h
+++ b/src/fronts/openai/completion.h
@@ -15,7 +15,8 @@
  private:
   void addDelta(const nlohmann::json& delta);
 
-  nlohmann::json head_ = nlohmann::json::object();  // id, created, model and whatever else stands at the top
+  nlohmann::json head_ =
+      nlohmann::json::object();  // id, created, model and whatever else stands at the top
   nlohmann::json message_ = {{"role", "assistant"}, {"content", nullptr}};
   nlohmann::json finish_, usage_;
   std::size_t size_ = 0;
--- a/src/fronts/openai/derive.cpp
+++ b/src/fronts/openai/derive.cpp
@@ -13,13 +13,16 @@
 
 constexpr double kBytesPerToken = 4;
 
-double tokensIn(std::size_t bytes) { return std::ceil(static_cast<double>(bytes) / kBytesPerToken); }
+double tokensIn(std::size_t bytes) {
+  return std::ceil(static_cast<double>(bytes) / kBytesPerToken);
+}
 
 // FNV-1a: the same on every conductor and in every build.
 class Hash {
  public:
   Hash& add(const std::string& text) {
-    for (const char c : text) step(static_cast<unsigned char>(c));
+    for (const char c : text)
+      step(static_cast<unsigned char>(c));
     step(0xff);  // so that the borders between texts count
     return *this;
   }
@@ -43,11 +46,14 @@
 
 std::string contentOf(const json& message) {
   const auto content = message.find("content");
-  if (content == message.end() || content->is_null()) return {};
-  if (content->is_string()) return content->get<std::string>();
+  if (content == message.end() || content->is_null())
+    return {};
+  if (content->is_string())
+    return content->get<std::string>();
   std::string text;
   for (const json& part : *content)
-    if (part.value("type", "") == "text") text += part.value("text", "");
+    if (part.value("type", "") == "text")
+      text += part.value("text", "");
   return text;
 }
 
@@ -60,7 +66,8 @@
   for (const json& message : messages) {
     const std::string content = contentOf(message);
     bytes += content.size();
-    if (!opening) continue;
+    if (!opening)
+      continue;
     session.add(message.at("role").get<std::string>()).add(content);
     opening = message.at("role") != "user";
   }
--- a/src/fronts/openai/derive.h
+++ b/src/fronts/openai/derive.h
@@ -1,16 +1,16 @@
 // The one place where a conversation in the chat format becomes what the module decides by.
 //
-// - Tokens: a token counts as four bytes of content, rounded up; roles and framing count nothing. No
-// tokenizer
+// - Tokens: a token counts as four bytes of content, rounded up; roles and framing count nothing.
+// No tokenizer
 //   is at hand, and the module needs sizes to compare, not to bill.
-// - Prefix: the opening that conversations share is the first message, if its role is system or developer.
-// Its
+// - Prefix: the opening that conversations share is the first message, if its role is system or
+// developer. Its
 //   name is a hash of its content. Without such a message there is none.
-// - Session: a hash of the tenant, of `user` where the client gives it, and of all messages up to the first
-// one
-//   of the user. Each later turn repeats them, so that all turns of a conversation have one session. Two
-//   conversations of a tenant that open with the very same words share a session, which costs nothing: what
-//   they share can be found kept.
+// - Session: a hash of the tenant, of `user` where the client gives it, and of all messages up to
+// the first one
+//   of the user. Each later turn repeats them, so that all turns of a conversation have one
+//   session. Two conversations of a tenant that open with the very same words share a session,
+//   which costs nothing: what they share can be found kept.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
--- a/src/fronts/openai/meter.h
+++ b/src/fronts/openai/meter.h
@@ -1,4 +1,5 @@
-// What the front asks of whoever counts tokens: leave to take a request, and to be told how each ended.
+// What the front asks of whoever counts tokens: leave to take a request, and to be told how each
+// ended.
 #pragma once
 
 #include <memory>
@@ -17,21 +18,29 @@
 class TokenMeter {
  public:
   virtual ~TokenMeter() = default;
-  // Of one request: the most tokens that it may come to. Throws nothing; a denial is counted by the meter.
-  virtual std::optional<BudgetDenied> reserve(const std::string& tenant, const std::string& cls,
-                                              std::uint64_t tokens, shared::Reservation& to) = 0;
-  virtual void ended(const std::string& tenant, const std::string& cls,
-                     const shared::Reservation& reservation, const shared::SharedNode::Ended& how) = 0;
+  // Of one request: the most tokens that it may come to. Throws nothing; a denial is counted by the
+  // meter.
+  virtual std::optional<BudgetDenied> reserve(const std::string& tenant,
+                                              const std::string& cls,
+                                              std::uint64_t tokens,
+                                              shared::Reservation& to) = 0;
+  virtual void ended(const std::string& tenant,
+                     const std::string& cls,
+                     const shared::Reservation& reservation,
+                     const shared::SharedNode::Ended& how) = 0;
 };
 
-// One request's account: said once how it ended; if nobody says so, as when its client has gone, it failed.
-// May outlive its meter.
+// One request's account: said once how it ended; if nobody says so, as when its client has gone, it
+// failed. May outlive its meter.
 class Bill {
  public:
   using Ended = shared::SharedNode::Ended;
 
-  Bill(const std::shared_ptr<TokenMeter>& meter, std::string tenant, std::string cls,
-       shared::Reservation reservation, std::uint64_t asked)
+  Bill(const std::shared_ptr<TokenMeter>& meter,
+       std::string tenant,
+       std::string cls,
+       shared::Reservation reservation,
+       std::uint64_t asked)
       : meter_(meter),
         tenant_(std::move(tenant)),
         cls_(std::move(cls)),
@@ -50,7 +59,8 @@
  private:
   void say(const Ended& how) {
     const auto meter = std::exchange(meter_, {}).lock();
-    if (meter) meter->ended(tenant_, cls_, reservation_, how);
+    if (meter)
+      meter->ended(tenant_, cls_, reservation_, how);
   }
 
   std::weak_ptr<TokenMeter> meter_;
--- a/src/fronts/openai/openai_front.cpp
+++ b/src/fronts/openai/openai_front.cpp
@@ -20,17 +20,22 @@
 
 constexpr const char* kChat = "/v1/chat/completions";
 constexpr const char* kModels = "/v1/models";
-constexpr double kRetryAfterMs = 1000;                 // where the module advises nothing
-constexpr std::size_t kAnswerLimit = 4 * 1024 * 1024;  // of an answer put together, and of one event
+constexpr double kRetryAfterMs = 1000;  // where the module advises nothing
+constexpr std::size_t kAnswerLimit =
+    4 * 1024 * 1024;  // of an answer put together, and of one event
 
-net::Fields jsonFields() { return {{"Content-Type", "application/json"}}; }
+net::Fields jsonFields() {
+  return {{"Content-Type", "application/json"}};
+}
 
 }  // namespace
 
 BoxDialect openaiDialect(const OperatorFile& site) {
   net::Fields extra;
-  if (!site.boxKey.empty()) extra.emplace_back("Authorization", "Bearer " + site.boxKey);
-  return {"X-Request-Id", "X-Budget-Ms", "X-Rejected", "/bootstrap/rooms/", "/health", std::move(extra)};
+  if (!site.boxKey.empty())
+    extra.emplace_back("Authorization", "Bearer " + site.boxKey);
+  return {"X-Request-Id",      "X-Budget-Ms", "X-Rejected",
+          "/bootstrap/rooms/", "/health",     std::move(extra)};
 }
 
 OpenAiFront::NewId randomIds() {
@@ -38,19 +43,25 @@
       (static_cast<std::uint64_t>(std::random_device()()) << 32) ^ std::random_device()());
   return [random] {
     std::array<char, 40> text{};
-    std::snprintf(text.data(), text.size(), "%016llx%016llx", static_cast<unsigned long long>((*random)()),
+    std::snprintf(text.data(), text.size(), "%016llx%016llx",
+                  static_cast<unsigned long long>((*random)()),
                   static_cast<unsigned long long>((*random)()));
     return std::string(text.data());
   };
 }
 
-// ---- Answers ---------------------------------------------------------------------------------------
+// ---- Answers
+// ---------------------------------------------------------------------------------------
 
 class OpenAiFront::Answer final : public core::Answerer {
  public:
   // bill: none where tokens are not counted.
-  Answer(OpenAiFront& front, std::shared_ptr<net::ClientConnection> connection, const ChatRequest& request,
-         std::string id, double promptTokens, std::unique_ptr<Bill> bill)
+  Answer(OpenAiFront& front,
+         std::shared_ptr<net::ClientConnection> connection,
+         const ChatRequest& request,
+         std::string id,
+         double promptTokens,
+         std::unique_ptr<Bill> bill)
       : front_(front),
         connection_(std::move(connection)),
         stream_(request.stream),
@@ -62,7 +73,8 @@
   // It has not run, so the libraries may try again by themselves.
   bool present() const override { return connection_->present(); }
   void refuse(const core::Refusal& refusal) override {
-    if (bill_) bill_->refused();
+    if (bill_)
+      bill_->refused();
     if (refusal.pastDeadline)
       return error({504, "no answer began in time", "server_error", {}, "deadline"}, "true");
     error({429, "too much to do just now", "rate_limit_error", {}, "overloaded"}, "true",
@@ -71,9 +83,14 @@
 
   // It may have run. Client libraries repeat what fails with 5xx unless told not to.
   void fail(const core::Failure& failure) override {
-    if (bill_) bill_->failed();
+    if (bill_)
+      bill_->failed();
     if (failure.pastDeadline)
-      return error({504, "no answer began in time; the request may have run", "server_error", {}, "deadline"},
+      return error({504,
+                    "no answer began in time; the request may have run",
+                    "server_error",
+                    {},
+                    "deadline"},
                    "false");
     error({503, "the request failed and may have run", "server_error", {}, "box_failed"}, "false",
           kRetryAfterMs);
@@ -82,14 +99,18 @@
   bool pass(std::string_view part) override {
     cutter_.add(part);
     bool more = true;
-    while (const auto event = cutter_.next()) more = take(*event) && more;
-    if (cutter_.waiting() > kAnswerLimit) tooLong_ = true;
+    while (const auto event = cutter_.next())
+      more = take(*event) && more;
+    if (cutter_.waiting() > kAnswerLimit)
+      tooLong_ = true;
     return more;
   }
 
   void end() override {
-    if (!done_ || failed_ || tooLong_) return broken();
-    if (bill_) bill_->served(promptTokens_, answerTokens_);
+    if (!done_ || failed_ || tooLong_)
+      return broken();
+    if (bill_)
+      bill_->served(promptTokens_, answerTokens_);
     if (stream_) {
       put("data: [DONE]\n\n");
       front_.over(*connection_);
@@ -103,10 +124,13 @@
 
   // One last event tells the client; what was begun is never sent again.
   void broken() override {
-    if (bill_) bill_->failed();
+    if (bill_)
+      bill_->failed();
     const ApiError why{503, "the answer broke off", "server_error", {}, "stream_broken"};
-    if (!begun_) return error(why, "false", kRetryAfterMs);
-    if (!failed_) put("data: " + why.text() + "\n\n");
+    if (!begun_)
+      return error(why, "false", kRetryAfterMs);
+    if (!failed_)
+      put("data: " + why.text() + "\n\n");
     front_.over(*connection_);
     connection_->endStream();
   }
@@ -114,29 +138,37 @@
  private:
   bool take(const std::string& event) {
     const std::string data = dataOf(event);
-    if (data == "[DONE]") done_ = true;
-    if (done_) return true;  // said by end(), once it is known that the stream is whole
+    if (data == "[DONE]")
+      done_ = true;
+    if (done_)
+      return true;  // said by end(), once it is known that the stream is whole
     // Most events are passed on unread.
     const bool plain =
         data.find("\"usage\"") == std::string::npos && data.find("\"error\"") == std::string::npos;
-    if (stream_ && plain) return put(event);
+    if (stream_ && plain)
+      return put(event);
     const json chunk = json::parse(data, nullptr, /*allow_exceptions=*/false);
-    if (chunk.is_object() && chunk.contains("error") && !chunk.contains("choices")) failed_ = true;
+    if (chunk.is_object() && chunk.contains("error") && !chunk.contains("choices"))
+      failed_ = true;
     readUsage(chunk);
     if (!stream_) {
-      if (whole_.size() > kAnswerLimit) tooLong_ = true;
-      else whole_.add(chunk);
+      if (whole_.size() > kAnswerLimit)
+        tooLong_ = true;
+      else
+        whole_.add(chunk);
       return true;
     }
-    const bool onlyUsage = chunk.is_object() && chunk.contains("usage") && chunk.contains("choices") &&
-                           chunk.at("choices").is_array() && chunk.at("choices").empty();
+    const bool onlyUsage = chunk.is_object() && chunk.contains("usage") &&
+                           chunk.contains("choices") && chunk.at("choices").is_array() &&
+                           chunk.at("choices").empty();
     return onlyUsage && !usage_ ? true : put(event);
   }
 
   // As the box counted them: what is derived here from the text's length only serves to compare.
   void readUsage(const json& chunk) {
     const auto usage = chunk.is_object() ? chunk.find("usage") : chunk.end();
-    if (!chunk.is_object() || usage == chunk.end() || !usage->is_object()) return;
+    if (!chunk.is_object() || usage == chunk.end() || !usage->is_object())
+      return;
     const auto tokens = [&usage](const char* name, std::uint64_t& to) {
       const auto count = usage->find(name);
       if (count != usage->end() && count->is_number_unsigned() &&
@@ -149,8 +181,9 @@
 
   bool put(std::string_view event) {
     if (!begun_)
-      connection_->beginStream(
-          {{"Content-Type", "text/event-stream"}, {"Cache-Control", "no-cache"}, {"X-Request-Id", id_}});
+      connection_->beginStream({{"Content-Type", "text/event-stream"},
+                                {"Cache-Control", "no-cache"},
+                                {"X-Request-Id", id_}});
     begun_ = true;
     return connection_->pass(event);
   }
@@ -160,7 +193,8 @@
     fields.emplace_back("X-Request-Id", id_);
     fields.emplace_back("X-Should-Retry", again);
     if (retryAfterMs > 0)
-      fields.emplace_back("Retry-After", std::to_string(static_cast<long>(std::ceil(retryAfterMs / 1000))));
+      fields.emplace_back("Retry-After",
+                          std::to_string(static_cast<long>(std::ceil(retryAfterMs / 1000))));
     front_.over(*connection_);
     connection_->answer(error.status, std::move(fields), error.text());
   }
@@ -176,23 +210,30 @@
   bool begun_ = false, done_ = false, failed_ = false, tooLong_ = false;
 };
 
-// ---- Requests --------------------------------------------------------------------------------------
+// ---- Requests
+// --------------------------------------------------------------------------------------
 
-OpenAiFront::OpenAiFront(core::Conductor& conductor, const OperatorFile& site, const core::Clock& clock,
-                         core::Counters& counters, NewId newId)
+OpenAiFront::OpenAiFront(core::Conductor& conductor,
+                         const OperatorFile& site,
+                         const core::Clock& clock,
+                         core::Counters& counters,
+                         NewId newId)
     : Front(conductor, clock, counters),
       site_(site),
       newId_(std::move(newId)),
       startedS_(static_cast<std::int64_t>(core::unixNowMs() / 1000)) {}
 
 void OpenAiFront::request(const std::shared_ptr<net::ClientConnection>& connection,
-                          net::HttpRequest&& request, double arrivedMs) {
+                          net::HttpRequest&& request,
+                          double arrivedMs) {
   const std::string target(request.target().substr(0, request.target().find('?')));
   const bool get = request.method() == http::verb::get;
   try {
-    if (get && target == "/-/ready") return answerReady(*connection);
+    if (get && target == "/-/ready")
+      return answerReady(*connection);
     const ApiKey& key = allowed(request);
-    if (!key.name.empty()) connection->identify(key.name);
+    if (!key.name.empty())
+      connection->identify(key.name);
     if (request.method() == http::verb::post && target == kChat)
       return chat(connection, request, key, arrivedMs);
     if (get && (target == kModels || target.rfind(std::string(kModels) + "/", 0) == 0))
@@ -211,8 +252,8 @@
   const auto header = request.find(http::field::authorization);
   const std::string value = header == request.end() ? std::string() : std::string(header->value());
   constexpr std::string_view kBearer = "Bearer ";
-  const auto key =
-      value.rfind(kBearer, 0) == 0 ? site_.keys.find(value.substr(kBearer.size())) : site_.keys.end();
+  const auto key = value.rfind(kBearer, 0) == 0 ? site_.keys.find(value.substr(kBearer.size()))
+                                                : site_.keys.end();
   if (key == site_.keys.end())
     throw ApiError{401,
                    "give a known API key as 'Authorization: Bearer KEY'",
@@ -223,12 +264,14 @@
 }
 
 void OpenAiFront::chat(const std::shared_ptr<net::ClientConnection>& connection,
-                       const net::HttpRequest& request, const ApiKey& key, double arrivedMs) {
+                       const net::HttpRequest& request,
+                       const ApiKey& key,
+                       double arrivedMs) {
   const ChatRequest asked = readChatRequest(request.body(), site_.defaultMaxTokens);
   const auto model = site_.models.find(asked.model);
   if (model == site_.models.end())
-    throw ApiError{404, "the model '" + asked.model + "' does not exist", "invalid_request_error", "model",
-                   "model_not_found"};
+    throw ApiError{404, "the model '" + asked.model + "' does not exist", "invalid_request_error",
+                   "model", "model_not_found"};
   const auto& names = site_.setup.names;
   const std::string& cls = key.cls.empty() ? model->second : key.cls;
   const auto index = [](const std::vector<std::string>& list, const std::string& name) {
@@ -238,7 +281,8 @@
   leverrelay::Arrival arrival{};
   arrival.request = {newId_()};
   arrival.cls = {index(names.classes, cls)};
-  if (!key.tenant.empty()) arrival.tenant = leverrelay::TenantIndex{index(names.tenants, key.tenant)};
+  if (!key.tenant.empty())
+    arrival.tenant = leverrelay::TenantIndex{index(names.tenants, key.tenant)};
   arrival.session = derived.session;
   arrival.prefix = derived.prefix;
   arrival.promptTokens = derived.promptTokens;
@@ -254,30 +298,38 @@
   payload->body = std::make_shared<const std::string>(asked.boxBody);
   const std::string id = arrival.request.value;
   if (!submit(*connection, std::move(arrival), arrivedMs, payload,
-              std::make_shared<Answer>(*this, connection, asked, id, derived.promptTokens, std::move(bill))))
+              std::make_shared<Answer>(*this, connection, asked, id, derived.promptTokens,
+                                       std::move(bill))))
     throw ApiError{503, "try again", "server_error", {}, "id_in_use"};
 }
 
-// Guards a budget that the fleet shares: nothing is begun that might go beyond what this conductor may spend.
-std::unique_ptr<Bill> OpenAiFront::billFor(const ApiKey& key, const std::string& cls, double promptTokens,
+// Guards a budget that the fleet shares: nothing is begun that might go beyond what this conductor
+// may spend.
+std::unique_ptr<Bill> OpenAiFront::billFor(const ApiKey& key,
+                                           const std::string& cls,
+                                           double promptTokens,
                                            double answerTokens) {
-  if (!meter_ || key.tenant.empty()) return nullptr;
-  const auto tokens = static_cast<std::uint64_t>(
-      std::min(std::ceil(promptTokens) + std::ceil(answerTokens), static_cast<double>(shared::kMaxTokens)));
+  if (!meter_ || key.tenant.empty())
+    return nullptr;
+  const auto tokens = static_cast<std::uint64_t>(std::min(
+      std::ceil(promptTokens) + std::ceil(answerTokens), static_cast<double>(shared::kMaxTokens)));
   shared::Reservation reservation;
   const auto denied = meter_->reserve(key.tenant, cls, tokens, reservation);
   if (denied)
-    throw ApiError{429, denied->why, "insufficient_quota", {}, "insufficient_quota", denied->retryAfterMs};
+    throw ApiError{429, denied->why,          "insufficient_quota",
+                   {},  "insufficient_quota", denied->retryAfterMs};
   return std::make_unique<Bill>(meter_, key.tenant, cls, reservation, tokens);
 }
 
 std::string OpenAiFront::models(const std::string& target) const {
   const auto entry = [this](const std::string& name) {
-    return json{{"id", name}, {"object", "model"}, {"created", startedS_}, {"owned_by", "dahliastall"}};
+    return json{
+        {"id", name}, {"object", "model"}, {"created", startedS_}, {"owned_by", "dahliastall"}};
   };
   if (target == kModels) {
     json list = json::array();
-    for (const auto& [name, cls] : site_.models) list.push_back(entry(name));
+    for (const auto& [name, cls] : site_.models)
+      list.push_back(entry(name));
     return json{{"object", "list"}, {"data", list}}.dump();
   }
   const std::string name = target.substr(std::string(kModels).size() + 1);
@@ -290,20 +342,27 @@
 void OpenAiFront::refuse(net::ClientConnection& connection, const ApiError& error) {
   ++counters_["clients.rejected"];
   net::Fields fields = jsonFields();
-  if (error.status == 401) fields.emplace_back("WWW-Authenticate", "Bearer");
+  if (error.status == 401)
+    fields.emplace_back("WWW-Authenticate", "Bearer");
   if (error.retryAfterMs > 0)
     fields.emplace_back("Retry-After",
                         std::to_string(static_cast<long>(std::ceil(error.retryAfterMs / 1000))));
   connection.answer(error.status, std::move(fields), error.text());
 }
 
-std::string OpenAiFront::turnedAway(unsigned status, std::string_view why, double retryAfterMs) const {
+std::string OpenAiFront::turnedAway(unsigned status,
+                                    std::string_view why,
+                                    double retryAfterMs) const {
   const bool much = status == 429;
-  const ApiError error{
-      status, std::string(why), much ? "rate_limit_error" : "server_error", {}, "too_many_connections"};
+  const ApiError error{status,
+                       std::string(why),
+                       much ? "rate_limit_error" : "server_error",
+                       {},
+                       "too_many_connections"};
   const std::string body = error.text();
   return net::headText(
-             "HTTP/1.1 " + std::to_string(status) + (much ? " Too Many Requests" : " Service Unavailable"),
+             "HTTP/1.1 " + std::to_string(status) +
+                 (much ? " Too Many Requests" : " Service Unavailable"),
              {{"Content-Type", "application/json"},
               {"Connection", "close"},
               {"X-Should-Retry", "true"},
--- a/src/fronts/openai/openai_front.h
+++ b/src/fronts/openai/openai_front.h
@@ -1,5 +1,5 @@
-// The chat API that every client library speaks, on the same core, module and rules as the platform's
-// protocol.
+// The chat API that every client library speaks, on the same core, module and rules as the
+// platform's protocol.
 #pragma once
 
 #include <functional>
@@ -19,13 +19,17 @@
  public:
   using NewId = std::function<std::string()>;
 
-  OpenAiFront(core::Conductor& conductor, const OperatorFile& site, const core::Clock& clock,
-              core::Counters& counters, NewId newId);
+  OpenAiFront(core::Conductor& conductor,
+              const OperatorFile& site,
+              const core::Clock& clock,
+              core::Counters& counters,
+              NewId newId);
 
   // Whoever counts tokens; without it nobody does.
   void meterBy(std::shared_ptr<TokenMeter> meter) { meter_ = std::move(meter); }
 
-  void request(const std::shared_ptr<net::ClientConnection>& connection, net::HttpRequest&& request,
+  void request(const std::shared_ptr<net::ClientConnection>& connection,
+               net::HttpRequest&& request,
                double arrivedMs) override;
   void reject(net::ClientConnection& connection, unsigned status, std::string_view why) override;
   std::string turnedAway(unsigned status, std::string_view why, double retryAfterMs) const override;
@@ -34,9 +38,13 @@
   class Answer;
 
   const ApiKey& allowed(const net::HttpRequest& request) const;
-  void chat(const std::shared_ptr<net::ClientConnection>& connection, const net::HttpRequest& request,
-            const ApiKey& key, double arrivedMs);
-  std::unique_ptr<Bill> billFor(const ApiKey& key, const std::string& cls, double promptTokens,
+  void chat(const std::shared_ptr<net::ClientConnection>& connection,
+            const net::HttpRequest& request,
+            const ApiKey& key,
+            double arrivedMs);
+  std::unique_ptr<Bill> billFor(const ApiKey& key,
+                                const std::string& cls,
+                                double promptTokens,
                                 double answerTokens);
   std::string models(const std::string& target) const;
   void refuse(net::ClientConnection& connection, const ApiError& error);
--- a/src/fronts/openai/operator_file.cpp
+++ b/src/fronts/openai/operator_file.cpp
@@ -26,14 +26,18 @@
       {"read", Role::kReader}, {"write", Role::kWriter}, {"both", Role::kMixed}};
   const auto name = role.as<std::string>();
   const auto found = roles.find(name);
-  if (found == roles.end()) role.fail("is read, write or both, not " + name);
+  if (found == roles.end())
+    role.fail("is read, write or both, not " + name);
   for (std::uint32_t i = 0; i < settings.kinds.size(); ++i)
-    if (settings.kinds[i].role == found->second) return {i};
+    if (settings.kinds[i].role == found->second)
+      return {i};
   role.fail("is " + name + ", which no kind in the settings can do");
 }
 
 // A name that has to be one of the settings', or is left out.
-std::string nameAmong(const core::Fields& entry, const char* field, const std::vector<std::string>& names,
+std::string nameAmong(const core::Fields& entry,
+                      const char* field,
+                      const std::vector<std::string>& names,
                       const char* what) {
   const auto name = entry.value<std::string>(field, "");
   if (!name.empty() && !among(names, name))
@@ -46,13 +50,16 @@
     const ApiKey key{nameAmong(entry, "tenant", to.setup.names.tenants, "tenant"),
                      nameAmong(entry, "class", to.setup.names.classes, "class"),
                      entry.value<std::string>("name", "")};
-    if (!key.name.empty() && std::any_of(to.keys.begin(), to.keys.end(),
-                                         [&](const auto& other) { return other.second.name == key.name; }))
+    if (!key.name.empty() && std::any_of(to.keys.begin(), to.keys.end(), [&](const auto& other) {
+          return other.second.name == key.name;
+        }))
       entry.at("name").fail("is " + key.name + ", which stands twice");
     const auto text = entry.at("key").as<std::string>();
-    if (text.empty() || !to.keys.emplace(text, key).second) entry.at("key").fail("is empty or stands twice");
+    if (text.empty() || !to.keys.emplace(text, key).second)
+      entry.at("key").fail("is empty or stands twice");
   }
-  if (to.keys.empty()) file.at("keys").fail("is empty, so nobody could ask");
+  if (to.keys.empty())
+    file.at("keys").fail("is empty, so nobody could ask");
 }
 
 net::Endpoint addressAt(const core::Fields& field) {
@@ -76,7 +83,8 @@
                                 size,
                                 std::nullopt});
   }
-  if (to.boxes.entries.empty()) file.at("boxes").fail("is empty: there is none to send to");
+  if (to.boxes.entries.empty())
+    file.at("boxes").fail("is empty: there is none to send to");
 }
 
 }  // namespace
@@ -90,33 +98,40 @@
   const core::Fields file(given);
   OperatorFile to;
   to.listen = addressAt(file.at("listen"));
-  if (file.has("admin_addr")) to.admin = addressAt(file.at("admin_addr"));
+  if (file.has("admin_addr"))
+    to.admin = addressAt(file.at("admin_addr"));
   to.seed = file.value("seed", to.seed);
   to.sockets = file.value("sockets", to.sockets);
-  if (to.sockets < 128) throw std::invalid_argument("sockets is under 128: too few to serve");
+  if (to.sockets < 128)
+    throw std::invalid_argument("sockets is under 128: too few to serve");
   to.defaultMaxTokens = file.above0("default_max_tokens", to.defaultMaxTokens);
   to.boxKey = file.value<std::string>("box_key", "");
   const core::Fields settings = file.at("settings").object();
   to.setup = settingsOf(settings.json());
-  if (settings.has("limits")) to.idleCloseMs = settings.at("limits").above0("idleCloseMs", to.idleCloseMs);
+  if (settings.has("limits"))
+    to.idleCloseMs = settings.at("limits").above0("idleCloseMs", to.idleCloseMs);
   readKeys(file, to);
   const core::Fields models = file.at("models").object();
   for (const auto& [model, cls] : models.json().items())
-    if ((to.models[model] = nameAmong(models, model.c_str(), to.setup.names.classes, "class")).empty())
+    if ((to.models[model] = nameAmong(models, model.c_str(), to.setup.names.classes, "class"))
+            .empty())
       models.at(model).fail("is empty");
-  if (to.models.empty()) models.fail("is empty: there is none to ask for");
+  if (to.models.empty())
+    models.fail("is empty: there is none to ask for");
   readBoxes(file, to);
   if (file.has("admission")) {
     std::set<std::string> names;
     for (const auto& [text, key] : to.keys)
-      if (!key.name.empty()) names.insert(key.name);
+      if (!key.name.empty())
+        names.insert(key.name);
     to.admission = admission::rulesOf(file.at("admission").json(), names, mostAdmitted(to.sockets));
   }
   if (file.has("coordination"))
-    to.coordination =
-        coordination::setupOf(file.at("coordination"), core::toMs(to.setup.settings.contract.coldFor));
+    to.coordination = coordination::setupOf(file.at("coordination"),
+                                            core::toMs(to.setup.settings.contract.coldFor));
   if (file.has("shared")) {
-    if (!to.coordination) file.at("shared").fail("needs `coordination`, whose store carries it");
+    if (!to.coordination)
+      file.at("shared").fail("needs `coordination`, whose store carries it");
     to.shared = shared::sharedOf(file.at("shared"), to.setup.names.tenants);
   }
   return to;
--- a/src/fronts/openai/operator_file.h
+++ b/src/fronts/openai/operator_file.h
@@ -1,4 +1,5 @@
-// What the operator of a small site writes down: where to listen, who may ask, and which boxes there are.
+// What the operator of a small site writes down: where to listen, who may ask, and which boxes
+// there are.
 #pragma once
 
 #include <map>
@@ -34,9 +35,10 @@
   leverrelay::wire::Setup setup;
   leverrelay::ListNews boxes;
   Directory directory;
-  std::optional<admission::Rules> admission;        // none: whoever finds room may connect
-  std::optional<coordination::Setup> coordination;  // none: this conductor shares nothing with others
-  std::optional<shared::SharedSetup> shared;        // none: no budgets, counts or judgements of the fleet
+  std::optional<admission::Rules> admission;  // none: whoever finds room may connect
+  std::optional<coordination::Setup>
+      coordination;                           // none: this conductor shares nothing with others
+  std::optional<shared::SharedSetup> shared;  // none: no budgets, counts or judgements of the fleet
 };
 
 // How many clients the gate may let in where so many descriptors may be open.
--- a/src/fronts/openai/sse.h
+++ b/src/fronts/openai/sse.h
@@ -14,7 +14,8 @@
   // The next whole event with its empty line, as it came.
   std::optional<std::string> next() {
     const std::size_t plain = text_.find("\n\n"), carriage = text_.find("\r\n\r\n");
-    if (plain == std::string::npos && carriage == std::string::npos) return std::nullopt;
+    if (plain == std::string::npos && carriage == std::string::npos)
+      return std::nullopt;
     const std::size_t end = plain < carriage ? plain + 2 : carriage + 4;
     std::string event = text_.substr(0, end);
     text_.erase(0, end);
@@ -27,7 +28,8 @@
   std::string text_;
 };
 
-// The data of an event; its lines joined as the format says. Comments and other fields are passed over.
+// The data of an event; its lines joined as the format says. Comments and other fields are passed
+// over.
 inline std::string dataOf(std::string_view event) {
   std::string data;
   bool found = false;
@@ -35,11 +37,15 @@
     const std::size_t end = event.find('\n');
     std::string_view line = event.substr(0, end);
     event = end == std::string_view::npos ? std::string_view() : event.substr(end + 1);
-    if (!line.empty() && line.back() == '\r') line.remove_suffix(1);
-    if (line.substr(0, 5) != "data:") continue;
+    if (!line.empty() && line.back() == '\r')
+      line.remove_suffix(1);
+    if (line.substr(0, 5) != "data:")
+      continue;
     line.remove_prefix(5);
-    if (!line.empty() && line.front() == ' ') line.remove_prefix(1);
-    if (found) data += '\n';
+    if (!line.empty() && line.front() == ' ')
+      line.remove_prefix(1);
+    if (found)
+      data += '\n';
     data += line;
     found = true;
   }
--- a/src/fronts/platform/discovery.cpp
+++ b/src/fronts/platform/discovery.cpp
@@ -18,7 +18,8 @@
 constexpr std::size_t kLineLimit = 4 * 1024 * 1024;
 
 Presence presenceOf(const std::string& phase) {
-  if (phase == "active") return Presence::kActive;
+  if (phase == "active")
+    return Presence::kActive;
   return phase == "leaving" ? Presence::kLeaving : Presence::kGone;
 }
 
@@ -44,15 +45,18 @@
   void head(const net::ResponseHead& head) override { good_ = head.result_int() == 200; }
   bool body(std::string_view part) override {
     sign(fleet::DiscoveryBackoff::kWatchTimeoutMs);
-    if (!good_) return true;
+    if (!good_)
+      return true;
     text_ += part;
     while (const std::size_t end = gate_.partOf(text_)) {
       const std::string document = text_.substr(0, end);
       text_.erase(0, end);
-      if (!owner_.line(document)) return fail();
+      if (!owner_.line(document))
+        return fail();
       owner_.spoke(*this);
     }
-    if (text_.size() > kLineLimit) return fail();
+    if (text_.size() > kLineLimit)
+      return fail();
     return true;
   }
   void done() override { end(); }
@@ -63,7 +67,8 @@
     owner_.deadlines_.cancel(silent_);
     silent_ = owner_.deadlines_.add(owner_.clock_.nowMs() + withinMs, [this] {
       silent_.reset();
-      if (!owner_.silent(*this)) fail();
+      if (!owner_.silent(*this))
+        fail();
     });
   }
   bool fail() {
@@ -85,9 +90,15 @@
   bool good_ = false;
 };
 
-Discovery::Discovery(boost::asio::io_context& io, const core::Clock& clock, core::Deadlines& deadlines,
-                     core::Counters& counters, core::ListSink& lists, Directory& directory,
-                     net::Pool& droppable, const wire::Vocabulary& names, fleet::DiscoveryBackoff pace)
+Discovery::Discovery(boost::asio::io_context& io,
+                     const core::Clock& clock,
+                     core::Deadlines& deadlines,
+                     core::Counters& counters,
+                     core::ListSink& lists,
+                     Directory& directory,
+                     net::Pool& droppable,
+                     const wire::Vocabulary& names,
+                     fleet::DiscoveryBackoff pace)
     : clock_(clock),
       deadlines_(deadlines),
       counters_(counters),
@@ -101,43 +112,54 @@
 
 // A call and its sink hold each other while it runs.
 Discovery::~Discovery() {
-  if (next_) next_->close();
-  if (watch_) watch_->close();
+  if (next_)
+    next_->close();
+  if (watch_)
+    watch_->close();
   deadlines_.cancel(reopen_);
 }
 
-void Discovery::known(const json& list) { apply(list, ListForm::kCached); }
+void Discovery::known(const json& list) {
+  apply(list, ListForm::kCached);
+}
 
-// Guards against a gap while discovery moves: the old watch goes on and the list stays as it is until the new
-// address has spoken. A move during a move only replaces the watch that has not spoken yet.
+// Guards against a gap while discovery moves: the old watch goes on and the list stays as it is
+// until the new address has spoken. A move during a move only replaces the watch that has not
+// spoken yet.
 void Discovery::watch(const net::Endpoint& address) {
-  if (address == address_) return;
-  if (address_ == net::Endpoint()) spokenFor_ = address;  // the list that is known came from there
+  if (address == address_)
+    return;
+  if (address_ == net::Endpoint())
+    spokenFor_ = address;  // the list that is known came from there
   address_ = address;
   doubted_ = false;
   leaveNext();
   open();
 }
 
-// At another address the numbers of the versions may mean something else: there the whole list is asked for.
+// At another address the numbers of the versions may mean something else: there the whole list is
+// asked for.
 void Discovery::open() {
   ++counters_["discovery.watches"];
   const std::uint64_t after = address_ == spokenFor_ ? revision_ : 0;
   const std::string target = "/api/targets?watch=1&after=" + std::to_string(after);
   const std::string host = address_.address().to_string() + ":" + std::to_string(address_.port());
   next_ = std::make_shared<Watch>(*this);
-  next_->hold(
-      own_.call(address_, net::headText("GET " + target + " HTTP/1.1", {{"Host", host}}), nullptr, next_));
+  next_->hold(own_.call(address_, net::headText("GET " + target + " HTTP/1.1", {{"Host", host}}),
+                        nullptr, next_));
 }
 
 void Discovery::spoke(const Watch& watch) {
-  if (&watch == watch_.get() && std::exchange(doubted_, false)) leaveNext();
-  if (&watch != next_.get()) return;
+  if (&watch == watch_.get() && std::exchange(doubted_, false))
+    leaveNext();
+  if (&watch != next_.get())
+    return;
   doubted_ = false;
   pace_.reset();
   const auto old = std::exchange(watch_, std::exchange(next_, nullptr));
   spokenFor_ = address_;
-  if (old) old->close();
+  if (old)
+    old->close();
 }
 
 // Only the address that counts now is opened anew: an old watch may end whenever it likes.
@@ -148,17 +170,21 @@
     watch_ = nullptr;
     doubted_ = false;
   }
-  if (&watch == next_.get()) next_ = nullptr;
-  if (replaced || reopen_) return;
+  if (&watch == next_.get())
+    next_ = nullptr;
+  if (replaced || reopen_)
+    return;
   openLater();
 }
 
-// Discovery may be down for all, and what is in line for an answer stays in line: the watch is kept, for it
-// may go on, and another is tried beside it.
+// Discovery may be down for all, and what is in line for an answer stays in line: the watch is
+// kept, for it may go on, and another is tried beside it.
 bool Discovery::silent(const Watch& watch) {
-  if (&watch != watch_.get()) return false;
+  if (&watch != watch_.get())
+    return false;
   ++counters_["discovery.silent"];
-  if (next_ || reopen_) return true;
+  if (next_ || reopen_)
+    return true;
   doubted_ = true;
   openLater();
   return true;
@@ -173,14 +199,16 @@
 
 void Discovery::leaveNext() {
   deadlines_.cancel(reopen_);
-  if (next_) std::exchange(next_, nullptr)->close();
+  if (next_)
+    std::exchange(next_, nullptr)->close();
   pace_.reset();
 }
 
 bool Discovery::line(std::string_view text) {
   const bool signOfLife = text.find_first_not_of(" \r\t\n") == std::string_view::npos;
   try {
-    if (!signOfLife) apply(json::parse(text), std::nullopt);
+    if (!signOfLife)
+      apply(json::parse(text), std::nullopt);
     ages_.heard();
     return true;
   } catch (const json::exception&) {
@@ -192,16 +220,20 @@
 
 // An instance that leaves and comes back is a new one, whatever start time it has.
 void Discovery::fixAges(ListNews& news, const std::map<EngineId, Box>& told) {
-  for (const auto& [id, box] : told) ages_.sees(box.startedMs);
+  for (const auto& [id, box] : told)
+    ages_.sees(box.startedMs);
   std::set<std::string> listed;
   for (ListEntry& entry : news.entries) {
     const std::string& id = entry.engine.value;
     const auto started = ages_.startOf(id, told.at(entry.engine).startedMs);
-    if (started) entry.started = core::toModuleTime(*started);
-    if (entry.presence == Presence::kGone) ages_.forget(id);
+    if (started)
+      entry.started = core::toModuleTime(*started);
+    if (entry.presence == Presence::kGone)
+      ages_.forget(id);
     listed.insert(id);
   }
-  if (news.form != ListForm::kChanges) ages_.keepOnly(listed);
+  if (news.form != ListForm::kChanges)
+    ages_.keepOnly(listed);
 }
 
 // Everything is read before anything is changed: a list that is malformed changes nothing.
@@ -213,7 +245,8 @@
   std::map<EngineId, Box> named;
   for (const json& member : list.at("members")) {
     const std::uint32_t zone = placeOf(names_.zones, member.at("locality").get<std::string>());
-    if (zone == names_.zones.size()) continue;  // of a zone that the settings do not name
+    if (zone == names_.zones.size())
+      continue;  // of a zone that the settings do not name
     const EngineId id{member.at("id").get<std::string>()};
     Box box;
     box.address = endpointOf(member.at("host_port").get<std::string>());
--- a/src/fronts/platform/discovery.h
+++ b/src/fronts/platform/discovery.h
@@ -1,4 +1,5 @@
-// The watch on the fleet list. While it is broken the list stays as it is and the watch is opened anew.
+// The watch on the fleet list. While it is broken the list stays as it is and the watch is opened
+// anew.
 #pragma once
 
 #include <functional>
@@ -23,15 +24,22 @@
 class Discovery {
  public:
   // droppable: the pool of the boxes, whose idle connections go when a box restarts or leaves.
-  Discovery(boost::asio::io_context& io, const core::Clock& clock, core::Deadlines& deadlines,
-            core::Counters& counters, core::ListSink& lists, Directory& directory, net::Pool& droppable,
-            const leverrelay::wire::Vocabulary& names, fleet::DiscoveryBackoff pace);
+  Discovery(boost::asio::io_context& io,
+            const core::Clock& clock,
+            core::Deadlines& deadlines,
+            core::Counters& counters,
+            core::ListSink& lists,
+            Directory& directory,
+            net::Pool& droppable,
+            const leverrelay::wire::Vocabulary& names,
+            fleet::DiscoveryBackoff pace);
 
   ~Discovery();
 
   // The list that the configuration carries: possibly old. Throws on what is no list.
   void known(const nlohmann::json& list);
-  // Also while another address is watched: the list stays, and that watch too, until the new one speaks.
+  // Also while another address is watched: the list stays, and that watch too, until the new one
+  // speaks.
   void watch(const net::Endpoint& address);
   void accountTo(admission::DescriptorBudget& ledger) {
     own_.accountTo(ledger, admission::Account::kDiscovery);
--- a/src/fronts/platform/platform_front.cpp
+++ b/src/fronts/platform/platform_front.cpp
@@ -29,7 +29,8 @@
   const auto [end, fault] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (fault != std::errc() || end != text.data() + text.size())
     throw std::invalid_argument(std::string(what) + " is not a whole number");
-  if (value > most) throw std::invalid_argument(std::string(what) + " is over " + std::to_string(most));
+  if (value > most)
+    throw std::invalid_argument(std::string(what) + " is over " + std::to_string(most));
   return static_cast<double>(value);
 }
 
@@ -38,7 +39,8 @@
   double us = 0;
   const auto [end, fault] = std::from_chars(text.data(), text.data() + text.size(), us);
   const bool whole = fault == std::errc() && end == text.data() + text.size();
-  if (!whole || !(us > 0 && us <= kMostMs * 1000.0)) return std::nullopt;
+  if (!whole || !(us > 0 && us <= kMostMs * 1000.0))
+    return std::nullopt;
   return leverrelay::Duration(std::llround(us));
 }
 
@@ -56,23 +58,37 @@
     info = comma == std::string_view::npos ? std::string_view() : info.substr(comma + 1);
     pair.remove_prefix(std::min(pair.find_first_not_of(' '), pair.size()));
     const std::size_t equals = pair.find('=');
-    if (equals == std::string_view::npos) continue;
+    if (equals == std::string_view::npos)
+      continue;
     const std::string_view name = pair.substr(0, equals), value = pair.substr(equals + 1);
-    if (name == "prefix") arrival.prefix = std::string(value);
-    if (name == "prompt_len") arrival.promptTokens = numberOf(value, "prompt_len", kMostTokens);
-    if (name == "prefix_len") arrival.prefixTokens = numberOf(value, "prefix_len", kMostTokens);
-    if (name == "max_out") arrival.maxTokens = numberOf(value, "max_out", kMostTokens);
+    if (name == "prefix")
+      arrival.prefix = std::string(value);
+    if (name == "prompt_len")
+      arrival.promptTokens = numberOf(value, "prompt_len", kMostTokens);
+    if (name == "prefix_len")
+      arrival.prefixTokens = numberOf(value, "prefix_len", kMostTokens);
+    if (name == "max_out")
+      arrival.maxTokens = numberOf(value, "max_out", kMostTokens);
   }
 }
 
-// What the client says to the instance beyond what the conductor words anew: a class whose repeats are
-// discarded, for one, is known by a header of its client's. Nothing that is meant for one connection alone
-// goes along.
+// What the client says to the instance beyond what the conductor words anew: a class whose repeats
+// are discarded, for one, is known by a header of its client's. Nothing that is meant for one
+// connection alone goes along.
 net::Fields passedOn(const net::HttpRequest& request) {
-  constexpr std::array kOwn{
-      "Host",           "Connection", "Keep-Alive", "Proxy-Connection", "TE",           "Transfer-Encoding",
-      "Content-Length", "Trailer",    "Upgrade",    "Expect",           "Content-Type", "X-Call-Id",
-      "X-Budget-Ms"};
+  constexpr std::array kOwn{"Host",
+                            "Connection",
+                            "Keep-Alive",
+                            "Proxy-Connection",
+                            "TE",
+                            "Transfer-Encoding",
+                            "Content-Length",
+                            "Trailer",
+                            "Upgrade",
+                            "Expect",
+                            "Content-Type",
+                            "X-Call-Id",
+                            "X-Budget-Ms"};
   net::Fields fields;
   for (const auto& field : request) {
     const auto name = field.name_string();
@@ -95,14 +111,19 @@
   arrival.request = {textOf(request, "X-Call-Id")};
   if (!plainId(arrival.request.value))
     throw std::invalid_argument("X-Call-Id is missing or not a plain word");
-  const auto cls = std::find(names.classes.begin(), names.classes.end(), textOf(request, "X-Call-Class"));
-  if (cls == names.classes.end()) throw std::invalid_argument("X-Call-Class is not a class of this site");
+  const auto cls =
+      std::find(names.classes.begin(), names.classes.end(), textOf(request, "X-Call-Class"));
+  if (cls == names.classes.end())
+    throw std::invalid_argument("X-Call-Class is not a class of this site");
   arrival.cls = {static_cast<std::uint32_t>(cls - names.classes.begin())};
-  const auto tenant = std::find(names.tenants.begin(), names.tenants.end(), textOf(request, "X-Caller"));
+  const auto tenant =
+      std::find(names.tenants.begin(), names.tenants.end(), textOf(request, "X-Caller"));
   if (tenant != names.tenants.end())
-    arrival.tenant = leverrelay::TenantIndex{static_cast<std::uint32_t>(tenant - names.tenants.begin())};
+    arrival.tenant =
+        leverrelay::TenantIndex{static_cast<std::uint32_t>(tenant - names.tenants.begin())};
   arrival.session = textOf(request, "X-Route-Hash");
-  arrival.timeLeft = core::toModule(numberOf(textOf(request, "X-Budget-Ms"), "X-Budget-Ms", kMostMs));
+  arrival.timeLeft =
+      core::toModule(numberOf(textOf(request, "X-Budget-Ms"), "X-Budget-Ms", kMostMs));
   readInfo(textOf(request, "X-Call-Info"), arrival);
   arrival.lengthHint = costOf(textOf(request, "X-Call-Cost"));
   const std::string again = textOf(request, "X-Again");
@@ -111,11 +132,14 @@
   return arrival;
 }
 
-// ---- Answers ---------------------------------------------------------------------------------------
+// ---- Answers
+// ---------------------------------------------------------------------------------------
 
 class PlatformFront::Answer final : public core::Answerer {
  public:
-  Answer(PlatformFront& front, std::shared_ptr<net::ClientConnection> connection, bool begun = false)
+  Answer(PlatformFront& front,
+         std::shared_ptr<net::ClientConnection> connection,
+         bool begun = false)
       : front_(front), connection_(std::move(connection)), begun_(begun) {}
 
   bool present() const override { return connection_->present(); }
@@ -131,7 +155,8 @@
   }
   void fail(const core::Failure& failure) override {
     over();
-    connection_->answer(failure.pastDeadline ? 504 : 502, {{"Content-Type", "text/plain"}}, "failed\n");
+    connection_->answer(failure.pastDeadline ? 504 : 502, {{"Content-Type", "text/plain"}},
+                        "failed\n");
   }
   bool pass(std::string_view part) override {
     begin();
@@ -149,7 +174,8 @@
 
  private:
   void begin() {
-    if (!begun_) connection_->beginStream({{"Content-Type", "text/event-stream"}});
+    if (!begun_)
+      connection_->beginStream({{"Content-Type", "text/event-stream"}});
     begun_ = true;
   }
   void over() { front_.over(*connection_); }
@@ -159,12 +185,16 @@
   bool begun_;
 };
 
-// ---- Requests --------------------------------------------------------------------------------------
+// ---- Requests
+// --------------------------------------------------------------------------------------
 
 void PlatformFront::request(const std::shared_ptr<net::ClientConnection>& connection,
-                            net::HttpRequest&& request, double arrivedMs) {
-  if (request.method() == http::verb::get && request.target() == "/-/ready") return answerReady(*connection);
-  if (request.method() != http::verb::post) return reject(*connection, 404, "nothing here");
+                            net::HttpRequest&& request,
+                            double arrivedMs) {
+  if (request.method() == http::verb::get && request.target() == "/-/ready")
+    return answerReady(*connection);
+  if (request.method() != http::verb::post)
+    return reject(*connection, 404, "nothing here");
   Arrival arrival{};
   try {
     arrival = arrivalOf(request, names_);
@@ -188,7 +218,9 @@
   return std::make_shared<Answer>(*this, connection, /*begun=*/true);
 }
 
-void PlatformFront::reject(net::ClientConnection& connection, unsigned status, std::string_view why) {
+void PlatformFront::reject(net::ClientConnection& connection,
+                           unsigned status,
+                           std::string_view why) {
   ++counters_["clients.rejected"];
   connection.answer(status, {{"Content-Type", "text/plain"}}, std::string(why) + "\n");
 }
--- a/src/fronts/platform/platform_front.h
+++ b/src/fronts/platform/platform_front.h
@@ -15,17 +15,22 @@
 BoxDialect platformDialect();
 
 // What the headers of a request say. Throws std::invalid_argument with a plain complaint.
-leverrelay::Arrival arrivalOf(const net::HttpRequest& request, const leverrelay::wire::Vocabulary& names);
+leverrelay::Arrival arrivalOf(const net::HttpRequest& request,
+                              const leverrelay::wire::Vocabulary& names);
 
 class PlatformFront final : public Front {
  public:
-  PlatformFront(core::Conductor& conductor, const leverrelay::wire::Vocabulary& names,
-                const core::Clock& clock, core::Counters& counters)
+  PlatformFront(core::Conductor& conductor,
+                const leverrelay::wire::Vocabulary& names,
+                const core::Clock& clock,
+                core::Counters& counters)
       : Front(conductor, clock, counters), names_(names) {}
 
-  void request(const std::shared_ptr<net::ClientConnection>& connection, net::HttpRequest&& request,
+  void request(const std::shared_ptr<net::ClientConnection>& connection,
+               net::HttpRequest&& request,
                double arrivedMs) override;
-  std::shared_ptr<core::Answerer> adopted(const std::shared_ptr<net::ClientConnection>& connection) override;
+  std::shared_ptr<core::Answerer> adopted(
+      const std::shared_ptr<net::ClientConnection>& connection) override;
   void reject(net::ClientConnection& connection, unsigned status, std::string_view why) override;
 
  private:
--- a/src/fronts/settings_json.cpp
+++ b/src/fronts/settings_json.cpp
@@ -14,21 +14,25 @@
 std::string plain(const json& value) {
   std::string text = value.is_string() ? value.get<std::string>() : value.dump();
   std::replace_if(
-      text.begin(), text.end(), [](char c) { return c == ' ' || c == ',' || c == '\t' || c == '\n'; }, '_');
+      text.begin(), text.end(),
+      [](char c) { return c == ' ' || c == ',' || c == '\t' || c == '\n'; }, '_');
   return text;
 }
 
 void layOut(const json& value, const std::string& path, std::string& to) {
   const std::string at = path.empty() ? path : path + ".";
-  if (value.is_null()) return;
+  if (value.is_null())
+    return;
   if (value.is_object()) {
-    for (const auto& [name, inner] : value.items()) layOut(inner, at + name, to);
+    for (const auto& [name, inner] : value.items())
+      layOut(inner, at + name, to);
     return;
   }
   const bool objects = value.is_array() && !value.empty() && value.front().is_object();
   if (objects) {
     to += "\t" + at + "count=" + std::to_string(value.size());
-    for (std::size_t i = 0; i < value.size(); ++i) layOut(value[i], at + std::to_string(i), to);
+    for (std::size_t i = 0; i < value.size(); ++i)
+      layOut(value[i], at + std::to_string(i), to);
     return;
   }
   to += "\t" + path + "=";
@@ -36,7 +40,8 @@
     to += plain(value);
     return;
   }
-  for (std::size_t i = 0; i < value.size(); ++i) to += (i > 0 ? "," : "") + plain(value[i]);
+  for (std::size_t i = 0; i < value.size(); ++i)
+    to += (i > 0 ? "," : "") + plain(value[i]);
 }
 
 }  // namespace
--- a/src/fronts/settings_json.h
+++ b/src/fronts/settings_json.h
@@ -1,5 +1,5 @@
-// The settings of a JSON configuration, read by the code that reads the simulator's: the object is laid out
-// as the path=value pairs of its first message, which carry the same names.
+// The settings of a JSON configuration, read by the code that reads the simulator's: the object is
+// laid out as the path=value pairs of its first message, which carry the same names.
 #pragma once
 
 #include <nlohmann/json.hpp>
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -22,15 +22,20 @@
     "\n"
     "  serve          run a conductor: on the platform, or with --operator at a small site\n"
     "  check-config   read the configuration, say whether it can be used, and end\n"
-    "  admission      'admission explain' says which rules of an operator's file apply to whom, and why\n"
-    "  leases         says who holds the tasks of the whole fleet, as the conductor at --door sees it\n"
-    "  shared         says what the conductor at --door shares with the others: budgets, bills, boxes left "
+    "  admission      'admission explain' says which rules of an operator's file apply to whom, "
+    "and why\n"
+    "  leases         says who holds the tasks of the whole fleet, as the conductor at --door sees "
+    "it\n"
+    "  shared         says what the conductor at --door shares with the others: budgets, bills, "
+    "boxes left "
     "out\n"
-    "  maintenance    takes boxes out in turn: show, start ID BOX,BOX, pause, resume, cancel, back BOX\n"
+    "  maintenance    takes boxes out in turn: show, start ID BOX,BOX, pause, resume, cancel, back "
+    "BOX\n"
     "  version        print the version\n"
     "  help           print this\n"
     "\n"
-    "While it serves, SIGHUP reads the configuration again, SIGUSR1 prints the counters to the log, and\n"
+    "While it serves, SIGHUP reads the configuration again, SIGUSR1 prints the counters to the "
+    "log, and\n"
     "SIGTERM ends it once all that it has taken is answered.\n"
     "\n";
 
@@ -38,16 +43,20 @@
   options::options_description known("options of serve and check-config");
   auto add = known.add_options();
   add("config", options::value<std::string>(), "the platform's configuration; else $GW_CONFIG");
-  add("operator", options::value<std::string>(), "an operator's file: serve the chat API to its boxes");
-  add("otlp", options::value<std::string>(), "export the counters to this OTLP/HTTP collector, HOST:PORT");
-  add("trace", options::bool_switch(), "log what the decision module is told and decides, a line each");
+  add("operator", options::value<std::string>(),
+      "an operator's file: serve the chat API to its boxes");
+  add("otlp", options::value<std::string>(),
+      "export the counters to this OTLP/HTTP collector, HOST:PORT");
+  add("trace", options::bool_switch(),
+      "log what the decision module is told and decides, a line each");
   add("otlp-interval", options::value<double>()->default_value(10), "seconds between two exports");
   return known;
 }
 
 options::variables_map parse(const std::vector<std::string>& words) {
   options::variables_map given;
-  options::store(options::command_line_parser(words).options(describe()).positional({}).run(), given);
+  options::store(options::command_line_parser(words).options(describe()).positional({}).run(),
+                 given);
   options::notify(given);
   if (given.count("config") != 0 && given.count("operator") != 0)
     throw app::ConfigError("--config and --operator exclude each other");
@@ -59,16 +68,19 @@
   const auto variable = environment.find("GW_CONFIG");
   if (given.count("config") == 0 && variable == environment.end())
     throw app::ConfigError("no configuration: give --config or --operator FILE, or set GW_CONFIG");
-  const std::string path = given.count("config") != 0 ? given["config"].as<std::string>() : variable->second;
+  const std::string path =
+      given.count("config") != 0 ? given["config"].as<std::string>() : variable->second;
   return app::configOf(app::readJson(path), environment);
 }
 
 app::Telemetry readTelemetry(const options::variables_map& given) {
   app::Telemetry telemetry;
   telemetry.intervalMs = given["otlp-interval"].as<double>() * 1000;
-  if (!(telemetry.intervalMs >= 100)) throw app::ConfigError("--otlp-interval is 0.1 or more");
+  if (!(telemetry.intervalMs >= 100))
+    throw app::ConfigError("--otlp-interval is 0.1 or more");
   telemetry.trace = given["trace"].as<bool>();
-  if (given.count("otlp") != 0) telemetry.collector = fronts::endpointOf(given["otlp"].as<std::string>());
+  if (given.count("otlp") != 0)
+    telemetry.collector = fronts::endpointOf(given["otlp"].as<std::string>());
   return telemetry;
 }
 
@@ -78,15 +90,17 @@
     const auto path = given["operator"].as<std::string>();
     const auto site = fronts::operatorFileOf(app::readJson(path));
     if (!check)
-      return app::serve(site, telemetry, [path] { return fronts::operatorFileOf(app::readJson(path)); });
-    std::cout << "usable: " << site.boxes.entries.size() << " boxes, " << site.models.size() << " models, "
-              << site.keys.size() << " keys\n";
+      return app::serve(site, telemetry,
+                        [path] { return fronts::operatorFileOf(app::readJson(path)); });
+    std::cout << "usable: " << site.boxes.entries.size() << " boxes, " << site.models.size()
+              << " models, " << site.keys.size() << " keys\n";
     return;
   }
   const app::Config config = readConfig(given);
-  if (!check) return app::serve(config, telemetry, [&given] { return readConfig(given); });
-  std::cout << "usable: " << config.name << ", " << config.setup.settings.classes.size() << " classes, "
-            << config.setup.settings.kinds.size() << " kinds of box\n";
+  if (!check)
+    return app::serve(config, telemetry, [&given] { return readConfig(given); });
+  std::cout << "usable: " << config.name << ", " << config.setup.settings.classes.size()
+            << " classes, " << config.setup.settings.kinds.size() << " kinds of box\n";
 }
 
 options::options_description describeExplain() {
@@ -100,24 +114,30 @@
 
 void explainAdmission(std::vector<std::string> words) {
   if (words.empty() || words.front() != "explain")
-    throw app::ConfigError("the command is 'admission explain --operator FILE --address A [--key-name K]'");
+    throw app::ConfigError(
+        "the command is 'admission explain --operator FILE --address A [--key-name K]'");
   words.erase(words.begin());
   options::variables_map given;
-  options::store(options::command_line_parser(words).options(describeExplain()).positional({}).run(), given);
+  options::store(
+      options::command_line_parser(words).options(describeExplain()).positional({}).run(), given);
   options::notify(given);
   const auto site = fronts::operatorFileOf(app::readJson(given["operator"].as<std::string>()));
   const auto text = given["address"].as<std::string>();
   const auto address = admission::Address::parse(text);
-  if (!address) throw app::ConfigError("--address: '" + text + "' is no IPv4 or IPv6 address");
+  if (!address)
+    throw app::ConfigError("--address: '" + text + "' is no IPv4 or IPv6 address");
   std::optional<std::string> key;
   if (given.count("key-name") != 0) {
     key = given["key-name"].as<std::string>();
     const bool there = std::any_of(site.keys.begin(), site.keys.end(),
                                    [&](const auto& entry) { return entry.second.name == *key; });
-    if (!there) throw app::ConfigError("--key-name: no entry of `keys` has the name '" + *key + "'");
+    if (!there)
+      throw app::ConfigError("--key-name: no entry of `keys` has the name '" + *key + "'");
   }
-  if (site.admission) std::cout << admission::explain(*site.admission, *address, key);
-  else std::cout << "the file has no `admission`: whoever finds room may connect\n";
+  if (site.admission)
+    std::cout << admission::explain(*site.admission, *address, key);
+  else
+    std::cout << "the file has no `admission`: whoever finds room may connect\n";
 }
 
 options::options_description describeDoor() {
@@ -129,7 +149,8 @@
   return known;
 }
 
-// The words of a call go to the door as they are; what they mean is decided there. 0 if it says yes.
+// The words of a call go to the door as they are; what they mean is decided there. 0 if it says
+// yes.
 int callAtDoor(const std::string& command, const std::vector<std::string>& words) {
   options::options_description all = describeDoor();
   all.add_options()("words", options::value<std::vector<std::string>>());
@@ -140,12 +161,15 @@
   options::notify(given);
   std::string line = command;
   if (given.count("words") != 0)
-    for (const std::string& word : given["words"].as<std::vector<std::string>>()) line += " " + word;
-  if (given["json"].as<bool>()) line += " json";
+    for (const std::string& word : given["words"].as<std::vector<std::string>>())
+      line += " " + word;
+  if (given["json"].as<bool>())
+    line += " json";
   std::string answer = app::callAdmin(net::endpointOf(given["door"].as<std::string>()), line);
   const bool no = answer.rfind("fail", 0) == 0;
   constexpr std::string_view kEnd = "eof\n";
-  if (answer.size() >= kEnd.size() && answer.compare(answer.size() - kEnd.size(), kEnd.size(), kEnd) == 0)
+  if (answer.size() >= kEnd.size() &&
+      answer.compare(answer.size() - kEnd.size(), kEnd.size(), kEnd) == 0)
     answer.resize(answer.size() - kEnd.size());
   (no ? std::cerr : std::cout) << answer;
   return no ? 1 : 0;
@@ -155,7 +179,8 @@
   const std::string command = words.empty() ? "help" : words.front();
   const std::vector<std::string> rest(words.begin() + (words.empty() ? 0 : 1), words.end());
   if (command == "serve" || command == "check-config") {
-    if (command == "serve") app::holdReloads();
+    if (command == "serve")
+      app::holdReloads();
     serveOrCheck(parse(rest), command == "check-config");
   } else if (command == "admission") {
     explainAdmission(rest);
--- a/src/net/arrival_times.h
+++ b/src/net/arrival_times.h
@@ -1,5 +1,5 @@
-// When the bytes that wait in a buffer came: a request's time counts from when its client sent it, however
-// long it stood behind earlier ones.
+// When the bytes that wait in a buffer came: a request's time counts from when its client sent it,
+// however long it stood behind earlier ones.
 #pragma once
 
 #include <algorithm>
@@ -10,11 +10,15 @@
 
 class ArrivalTimes {
  public:
-  // So many bytes more. What comes within a moment counts as come together, which bounds the entries.
+  // So many bytes more. What comes within a moment counts as come together, which bounds the
+  // entries.
   void add(std::size_t bytes, double atMs) {
-    if (bytes == 0) return;
-    if (!pieces_.empty() && atMs < pieces_.back().atMs + kTogetherMs) pieces_.back().bytes += bytes;
-    else pieces_.push_back({bytes, atMs});
+    if (bytes == 0)
+      return;
+    if (!pieces_.empty() && atMs < pieces_.back().atMs + kTogetherMs)
+      pieces_.back().bytes += bytes;
+    else
+      pieces_.push_back({bytes, atMs});
     bytes_ += bytes;
   }
 
@@ -26,7 +30,8 @@
       const std::size_t part = std::min(bytes, pieces_.front().bytes);
       pieces_.front().bytes -= part;
       bytes -= part;
-      if (pieces_.front().bytes == 0) pieces_.pop_front();
+      if (pieces_.front().bytes == 0)
+        pieces_.pop_front();
     }
   }
 
--- a/src/net/client_connection.h
+++ b/src/net/client_connection.h
@@ -1,4 +1,5 @@
-// One client's connection: reads a request at a time, carries its answer, notices when the client goes.
+// One client's connection: reads a request at a time, carries its answer, notices when the client
+// goes.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -23,7 +24,8 @@
  public:
   virtual ~RequestHandler() = default;
   // Answers through the connection, now or later. arrivedMs: when the request's first byte came.
-  virtual void request(const std::shared_ptr<ClientConnection>& connection, HttpRequest&& request,
+  virtual void request(const std::shared_ptr<ClientConnection>& connection,
+                       HttpRequest&& request,
                        double arrivedMs) = 0;
   // The client closed, or its connection broke, before the answer was complete.
   virtual void gone(ClientConnection& connection) = 0;
@@ -45,11 +47,15 @@
     virtual void answerCut() {}               // an answer before a close could not be written whole
     virtual void asks(ClientConnection&) {}   // a request of it is open
     virtual void rests(ClientConnection&) {}  // none is any more
-    virtual void identified(ClientConnection&, const std::string&) {}  // a request carried this client's key
+    virtual void identified(ClientConnection&, const std::string&) {
+    }  // a request carried this client's key
   };
 
-  ClientConnection(boost::asio::ip::tcp::socket socket, RequestHandler& handler, Owner& owner,
-                   const core::Clock& clock, core::Deadlines& deadlines);
+  ClientConnection(boost::asio::ip::tcp::socket socket,
+                   RequestHandler& handler,
+                   Owner& owner,
+                   const core::Clock& clock,
+                   core::Deadlines& deadlines);
 
   // For the owner's own use.
   std::uint64_t number = 0;
@@ -58,18 +64,20 @@
   void identify(const std::string& who) { owner_.identified(*this, who); }
   State state() const { return state_; }
   double idleSinceMs() const { return idleSince_; }
-  // Whether the client is still there, by what its machine has said up to this moment: its close may have
-  // come and its handler not have run yet, or stand behind requests that are not read before their turn.
+  // Whether the client is still there, by what its machine has said up to this moment: its close
+  // may have come and its handler not have run yet, or stand behind requests that are not read
+  // before their turn.
   bool present() const;
-  // Whether it may be closed to make room: no request of it is open. Those come first that never sent a whole
-  // one, though each gets a moment for it.
+  // Whether it may be closed to make room: no request of it is open. Those come first that never
+  // sent a whole one, though each gets a moment for it.
   enum class Room { kNone, kIdle, kNeverAsked };
   Room room() const;
 
   // A stream under way, as it passes from one process to another.
   struct Rest {
     int descriptor = -1;
-    std::string ahead;       // read of the next requests; mostly empty, as they stand unread until their turn
+    std::string
+        ahead;  // read of the next requests; mostly empty, as they stand unread until their turn
     double aheadCameMs = 0;  // the first byte of these, read or not; 0: not known, or there is none
     bool keepAlive = true;
   };
@@ -83,9 +91,11 @@
   void endStream();
   void breakOff();   // closes without a last chunk
   void closeIdle();  // closes between two requests, unless one has come already or may be about to
-  // Closes what room() named; false if a request has come on it meanwhile. Part of a request gets an answer.
+  // Closes what room() named; false if a request has come on it meanwhile. Part of a request gets
+  // an answer.
   bool giveWay();
-  void evict();  // closes unless a request is open; one that has come, or part of one, gets an answer
+  void
+  evict();  // closes unless a request is open; one that has come, or part of one, gets an answer
 
  private:
   void read();
--- a/src/net/endpoint.cpp
+++ b/src/net/endpoint.cpp
@@ -13,7 +13,8 @@
     const char* const last = hostPort.data() + hostPort.size();
     const auto [end, fault] = std::from_chars(hostPort.data() + colon + 1, last, port);
     const auto host = boost::asio::ip::make_address(hostPort.substr(0, colon), error);
-    if (!error && fault == std::errc() && end == last) return {host, port};
+    if (!error && fault == std::errc() && end == last)
+      return {host, port};
   }
   throw std::invalid_argument("'" + hostPort + "' is not an address like 127.0.0.1:8000");
 }
--- a/src/net/last_answer.cpp
+++ b/src/net/last_answer.cpp
@@ -17,7 +17,8 @@
   const bool whole = sendAvailable(descriptor, answer).status == IoStatus::kDone;
   std::array<char, kReadSize> dropped;
   for (int i = 0; i < kMostReads; ++i)
-    if (receive(descriptor, dropped).status != IoStatus::kDone) break;
+    if (receive(descriptor, dropped).status != IoStatus::kDone)
+      break;
   return whole;
 }
 
--- a/src/net/line_server.cpp
+++ b/src/net/line_server.cpp
@@ -21,21 +21,23 @@
       : door_(&server), socket_(std::move(socket)) {}
 
   void start() {
-    limit_ =
-        door_->deadlines_.add(door_->clock_.nowMs() + door_->limits_.callMs, [self = shared_from_this()] {
-          self->limit_.reset();
-          self->shut();
-        });
+    limit_ = door_->deadlines_.add(door_->clock_.nowMs() + door_->limits_.callMs,
+                                   [self = shared_from_this()] {
+                                     self->limit_.reset();
+                                     self->shut();
+                                   });
     read();
   }
 
   void shut() {
-    if (door_ == nullptr) return;
+    if (door_ == nullptr)
+      return;
     LineServer& server = *std::exchange(door_, nullptr);
     server.deadlines_.cancel(limit_);
     boost::system::error_code ignored;
     socket_.close(ignored);
-    if (server.ledger_ != nullptr) server.ledger_->give(admission::Account::kControl);
+    if (server.ledger_ != nullptr)
+      server.ledger_->give(admission::Account::kControl);
     server.calls_.remove(shared_from_this());
   }
 
@@ -44,9 +46,11 @@
     socket_.async_read_some(
         boost::asio::buffer(part_),
         [self = shared_from_this()](const boost::system::error_code& error, std::size_t count) {
-          if (self->door_ == nullptr) return;
+          if (self->door_ == nullptr)
+            return;
           if (self->answered_) {  // only its end is waited for
-            if (error) return self->shut();
+            if (error)
+              return self->shut();
             return self->read();
           }
           self->line_.append(self->part_.data(), count);
@@ -58,31 +62,41 @@
   void see(bool ended, bool failed) {
     const std::size_t end = line_.find('\n');
     const std::size_t most = door_->limits_.lineBytes;
-    if (end != std::string::npos) line_.resize(end);
-    else if (line_.size() > most + 1) line_.resize(most + 1);
+    if (end != std::string::npos)
+      line_.resize(end);
+    else if (line_.size() > most + 1)
+      line_.resize(most + 1);
     else if (ended && !line_.empty()) {
-    } else if (failed) return shut();
-    else return read();
-    if (!line_.empty() && line_.back() == '\r') line_.pop_back();
+    } else if (failed)
+      return shut();
+    else
+      return read();
+    if (!line_.empty() && line_.back() == '\r')
+      line_.pop_back();
     answered_ = true;
     ++door_->counters_["door.calls"];
     door_->answer_(line_, [weak = weak_from_this(), ended](std::string text) {
       const auto self = weak.lock();
-      if (self && self->door_ != nullptr) self->write(std::move(text), ended);
+      if (self && self->door_ != nullptr)
+        self->write(std::move(text), ended);
     });
   }
 
   void write(std::string text, bool ended) {
     text_ = std::move(text);
     const auto self = shared_from_this();
-    SendOperation::start({self, &socket_}, text_, {}, [self, ended](const boost::system::error_code& error) {
-      if (self->door_ == nullptr) return;
-      if (error || ended) return self->shut();
-      // Closing with input unread would reset the connection and take the answer from the caller's hands.
-      boost::system::error_code ignored;
-      self->socket_.shutdown(boost::asio::ip::tcp::socket::shutdown_send, ignored);
-      self->read();
-    });
+    SendOperation::start(
+        {self, &socket_}, text_, {}, [self, ended](const boost::system::error_code& error) {
+          if (self->door_ == nullptr)
+            return;
+          if (error || ended)
+            return self->shut();
+          // Closing with input unread would reset the connection and take the answer from the
+          // caller's hands.
+          boost::system::error_code ignored;
+          self->socket_.shutdown(boost::asio::ip::tcp::socket::shutdown_send, ignored);
+          self->read();
+        });
   }
 
   LineServer* door_;  // none once closed
@@ -93,9 +107,13 @@
   bool answered_ = false;
 };
 
-LineServer::LineServer(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address,
-                       LaterAnswer answer, const core::Clock& clock, core::Deadlines& deadlines,
-                       core::Counters& counters, Limits limits)
+LineServer::LineServer(boost::asio::io_context& io,
+                       const boost::asio::ip::tcp::endpoint& address,
+                       LaterAnswer answer,
+                       const core::Clock& clock,
+                       core::Deadlines& deadlines,
+                       core::Counters& counters,
+                       Limits limits)
     : io_(io),
       acceptor_(io, address, /*reuse_addr=*/true),
       answer_(std::move(answer)),
@@ -109,19 +127,22 @@
 
 LineServer::~LineServer() {
   deadlines_.cancel(pause_);
-  while (!calls_.empty()) calls_.front()->shut();
+  while (!calls_.empty())
+    calls_.front()->shut();
 }
 
 void LineServer::accept() {
   acceptor_.async_wait(boost::asio::ip::tcp::acceptor::wait_read,
                        [this](const boost::system::error_code& error) {
-                         if (error != boost::asio::error::operation_aborted) acceptOne();
+                         if (error != boost::asio::error::operation_aborted)
+                           acceptOne();
                        });
 }
 
 void LineServer::acceptOne() {
   const AcceptResult next = acceptNext(acceptor_.native_handle());
-  const bool waits = next.status == AcceptStatus::kNoDescriptors || next.status == AcceptStatus::kNoResources;
+  const bool waits =
+      next.status == AcceptStatus::kNoDescriptors || next.status == AcceptStatus::kNoResources;
   if (waits) {
     pause_ = deadlines_.add(clock_.nowMs() + kAcceptPauseMs, [this] {
       pause_.reset();
@@ -129,19 +150,22 @@
     });
     return;
   }
-  if (next.status == AcceptStatus::kAccepted) admit(next.descriptor);
+  if (next.status == AcceptStatus::kAccepted)
+    admit(next.descriptor);
   accept();
 }
 
 void LineServer::admit(int descriptor) {
   boost::asio::ip::tcp::socket socket(io_);
-  if (assign(socket, acceptor_.local_endpoint().protocol(), descriptor)) return;
+  if (assign(socket, acceptor_.local_endpoint().protocol(), descriptor))
+    return;
   // Callers that never finish hold up nobody: the first of them goes.
   if (calls_.size() >= limits_.connections) {
     ++counters_["door.made_room"];
     calls_.front()->shut();
   }
-  if (ledger_ != nullptr) ledger_->force(admission::Account::kControl);
+  if (ledger_ != nullptr)
+    ledger_->force(admission::Account::kControl);
   calls_.push_back(std::make_shared<Caller>(*this, std::move(socket)));
   calls_.back()->start();
 }
--- a/src/net/line_server.h
+++ b/src/net/line_server.h
@@ -1,4 +1,5 @@
-// A door for calls of one line: each connection carries one, gets one text, and is closed. Knows no call.
+// A door for calls of one line: each connection carries one, gets one text, and is closed. Knows no
+// call.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -19,29 +20,49 @@
 class LineServer {
  public:
   struct Limits {
-    std::size_t connections = 32;  // at a time; beyond it the one that has been silent longest gives way
+    std::size_t connections =
+        32;  // at a time; beyond it the one that has been silent longest gives way
     std::size_t lineBytes = 1024;
     double callMs = 10'000;  // for the line to arrive, and for the answer to be taken
   };
-  // The line without its end to the text that goes back. A line over the limit is handed over cut, one byte
-  // longer than the limit, so that whoever answers can say so.
+  // The line without its end to the text that goes back. A line over the limit is handed over cut,
+  // one byte longer than the limit, so that whoever answers can say so.
   using Answer = std::function<std::string(std::string_view line)>;
   // The same where the answer comes later, once. A caller that is gone by then hears nothing.
   using Reply = std::function<void(std::string text)>;
   using LaterAnswer = std::function<void(std::string_view line, Reply reply)>;
 
   // Throws boost::system::system_error if the address cannot be listened on.
-  LineServer(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address, LaterAnswer answer,
-             const core::Clock& clock, core::Deadlines& deadlines, core::Counters& counters, Limits limits);
-  LineServer(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address, Answer answer,
-             const core::Clock& clock, core::Deadlines& deadlines, core::Counters& counters, Limits limits)
-      : LineServer(io, address,
-                   LaterAnswer([answer = std::move(answer)](std::string_view line, const Reply& reply) {
-                     reply(answer(line));
-                   }),
-                   clock, deadlines, counters, limits) {}
-  LineServer(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address, Answer answer,
-             const core::Clock& clock, core::Deadlines& deadlines, core::Counters& counters)
+  LineServer(boost::asio::io_context& io,
+             const boost::asio::ip::tcp::endpoint& address,
+             LaterAnswer answer,
+             const core::Clock& clock,
+             core::Deadlines& deadlines,
+             core::Counters& counters,
+             Limits limits);
+  LineServer(boost::asio::io_context& io,
+             const boost::asio::ip::tcp::endpoint& address,
+             Answer answer,
+             const core::Clock& clock,
+             core::Deadlines& deadlines,
+             core::Counters& counters,
+             Limits limits)
+      : LineServer(
+            io,
+            address,
+            LaterAnswer([answer = std::move(answer)](std::string_view line, const Reply& reply) {
+              reply(answer(line));
+            }),
+            clock,
+            deadlines,
+            counters,
+            limits) {}
+  LineServer(boost::asio::io_context& io,
+             const boost::asio::ip::tcp::endpoint& address,
+             Answer answer,
+             const core::Clock& clock,
+             core::Deadlines& deadlines,
+             core::Counters& counters)
       : LineServer(io, address, std::move(answer), clock, deadlines, counters, Limits{}) {}
   ~LineServer();
 
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -19,30 +19,32 @@
 namespace {
 
 constexpr double kAcceptPauseMs = 20;  // after accept failed, as when descriptors ran out
-constexpr std::size_t kRefusals = 16;  // read by their clients at a time; beyond, closed behind the answer
+constexpr std::size_t kRefusals =
+    16;  // read by their clients at a time; beyond, closed behind the answer
 constexpr double kRefusalMs = 300;
-constexpr double kHandshakeMs = 5;      // for handshakes that are under way as no further ones are taken
+constexpr double kHandshakeMs =
+    5;  // for handshakes that are under way as no further ones are taken
 constexpr double kFullRetryMs = 1'000;  // told to who finds no room as the door closes
 constexpr int kOnSpare = 16;            // turned away on the spare descriptor before the next pause
 constexpr int kMostAccepts = 64;        // in one turn of the loop
-constexpr int kMostAborted = 16;        // connections in a row that have gone before they were accepted
-constexpr double kQueueMs = 3'000;      // for a closing listener to take who stands in its queue
-// After an evacuation the front layer learns within 0.1 s that it is to stop and sends for 0.2 s more: idle
-// connections are left until then, and looked at again as others fall idle.
+constexpr int kMostAborted = 16;    // connections in a row that have gone before they were accepted
+constexpr double kQueueMs = 3'000;  // for a closing listener to take who stands in its queue
+// After an evacuation the front layer learns within 0.1 s that it is to stop and sends for 0.2 s
+// more: idle connections are left until then, and looked at again as others fall idle.
 constexpr double kFrontLearnsMs = 400, kSweepMs = 200;
 
 Address addressOf(const boost::asio::ip::tcp::endpoint& peer) {
   Address address;
-  const auto six = peer.address().is_v6()
-                       ? peer.address().to_v6()
-                       : boost::asio::ip::make_address_v6(boost::asio::ip::v4_mapped, peer.address().to_v4());
+  const auto six = peer.address().is_v6() ? peer.address().to_v6()
+                                          : boost::asio::ip::make_address_v6(
+                                                boost::asio::ip::v4_mapped, peer.address().to_v4());
   const auto bytes = six.to_bytes();
   std::copy(bytes.begin(), bytes.end(), address.bytes.begin());
   return address;
 }
 
-// Has the kernel drop further attempts to connect to a listening socket. Handshakes under way go on, and what
-// stands in its accept queue stays there.
+// Has the kernel drop further attempts to connect to a listening socket. Handshakes under way go
+// on, and what stands in its accept queue stays there.
 void takeNoMore(int listening) {
   constexpr std::uint32_t kFlagsOffset = 13, kSyn = 0x02, kAck = 0x10;
   std::array<sock_filter, 5> program{{
@@ -65,37 +67,44 @@
 
 }  // namespace
 
-// Who was turned away reads why: closing at once, with the request unread, would reset that out of its hands.
+// Who was turned away reads why: closing at once, with the request unread, would reset that out of
+// its hands.
 class Listener::Refusal final : public std::enable_shared_from_this<Refusal> {
  public:
   Refusal(Listener& owner, boost::asio::ip::tcp::socket socket)
       : owner_(&owner), socket_(std::move(socket)) {}
 
   void start() {
-    limit_ = owner_->deadlines_.add(owner_->clock_.nowMs() + kRefusalMs, [self = shared_from_this()] {
-      self->limit_.reset();
-      self->shut();
-    });
+    limit_ =
+        owner_->deadlines_.add(owner_->clock_.nowMs() + kRefusalMs, [self = shared_from_this()] {
+          self->limit_.reset();
+          self->shut();
+        });
     read();
   }
   void shut() {
-    if (owner_ == nullptr) return;
+    if (owner_ == nullptr)
+      return;
     Listener& owner = *std::exchange(owner_, nullptr);
     owner.deadlines_.cancel(limit_);
     boost::system::error_code ignored;
     socket_.close(ignored);
-    if (owner.ledger_ != nullptr) owner.ledger_->give(admission::Account::kRefusals);
+    if (owner.ledger_ != nullptr)
+      owner.ledger_->give(admission::Account::kRefusals);
     owner.refusals_.erase(shared_from_this());
   }
 
  private:
   void read() {
-    socket_.async_read_some(boost::asio::buffer(dropped_),
-                            [self = shared_from_this()](const boost::system::error_code& error, std::size_t) {
-                              if (self->owner_ == nullptr) return;
-                              if (error) return self->shut();
-                              self->read();
-                            });
+    socket_.async_read_some(
+        boost::asio::buffer(dropped_),
+        [self = shared_from_this()](const boost::system::error_code& error, std::size_t) {
+          if (self->owner_ == nullptr)
+            return;
+          if (error)
+            return self->shut();
+          self->read();
+        });
   }
 
   Listener* owner_;
@@ -104,9 +113,14 @@
   std::optional<core::Deadlines::Key> limit_;
 };
 
-Listener::Listener(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address,
-                   std::size_t cap, RequestHandler& handler, const core::Clock& clock,
-                   core::Deadlines& deadlines, core::Counters& counters, Options options)
+Listener::Listener(boost::asio::io_context& io,
+                   const boost::asio::ip::tcp::endpoint& address,
+                   std::size_t cap,
+                   RequestHandler& handler,
+                   const core::Clock& clock,
+                   core::Deadlines& deadlines,
+                   core::Counters& counters,
+                   Options options)
     : io_(io),
       acceptor_(io),
       protocol_(address.protocol()),
@@ -126,46 +140,55 @@
     acceptor_.set_option(ReusePort(true));
   }
   acceptor_.bind(address);
-  if (options.open) open();
+  if (options.open)
+    open();
 }
 
 Listener::~Listener() {
-  while (!refusals_.empty()) (*refusals_.begin())->shut();
-  if (spare_ >= 0) ::close(spare_);
+  while (!refusals_.empty())
+    (*refusals_.begin())->shut();
+  if (spare_ >= 0)
+    ::close(spare_);
 }
 
 void Listener::open() {
-  if (opened_ || doorClosed_) return;
+  if (opened_ || doorClosed_)
+    return;
   acceptor_.listen();
   opened_ = true;
   accept();
 }
 
 void Listener::accept() {
-  if (accepting_ || !isOpen()) return;
+  if (accepting_ || !isOpen())
+    return;
   // With a gate nobody waits in the queue behind a flood: all are let in or turned away.
-  if (!hasRoom()) makeRoom();
+  if (!hasRoom())
+    makeRoom();
   if (!hasRoom()) {  // closed() accepts again, and so does time, which makes more give way
     deadlines_.add(clock_.nowMs() + kAcceptPauseMs, [this] { accept(); });
     return;
   }
   accepting_ = true;
-  // Readiness is waited for, and not a connection: an accept that meets one that has gone may leave others
-  // behind it in the queue, for which no further event comes.
+  // Readiness is waited for, and not a connection: an accept that meets one that has gone may leave
+  // others behind it in the queue, for which no further event comes.
   acceptor_.async_wait(boost::asio::ip::tcp::acceptor::wait_read,
                        [this](const boost::system::error_code& error) {
-                         if (error == boost::asio::error::operation_aborted) return;
+                         if (error == boost::asio::error::operation_aborted)
+                           return;
                          accepting_ = false;
                          acceptSome();
                        });
 }
 
-// What one look lets in is bounded, so that a flood of connections does not have the loop to itself.
+// What one look lets in is bounded, so that a flood of connections does not have the loop to
+// itself.
 void Listener::acceptSome() {
   int aborted = 0;
   for (int taken = 0; taken < kMostAccepts && isOpen() && hasRoom(); ++taken) {
     const AcceptResult next = acceptNext(acceptor_.native_handle());
-    if (next.status == AcceptStatus::kNoneWaiting) break;
+    if (next.status == AcceptStatus::kNoneWaiting)
+      break;
     if (next.status == AcceptStatus::kAccepted) {
       admitDescriptor(next.descriptor);
     } else if (next.status != AcceptStatus::kAborted || ++aborted > kMostAborted) {
@@ -175,14 +198,18 @@
   accept();
 }
 
-bool Listener::hasRoom() const { return gate_ != nullptr || connections_.size() < cap_; }
+bool Listener::hasRoom() const {
+  return gate_ != nullptr || connections_.size() < cap_;
+}
 
 // All causes pass with time. Never a busy loop.
 void Listener::pauseAccepting(AcceptStatus why) {
-  if (doorClosed_) return;
+  if (doorClosed_)
+    return;
   ++counters_["clients.accept_failed"];
   if (why == AcceptStatus::kNoDescriptors) {
-    if (ledger_ != nullptr) ledger_->ranOut(clock_.nowMs());
+    if (ledger_ != nullptr)
+      ledger_->ranOut(clock_.nowMs());
     turnAwayOnSpare();
   }
   accepting_ = true;  // until then no other path tries
@@ -203,53 +230,64 @@
 
 // The spare one may not be had again at the moment in which it was given up.
 bool Listener::holdSpare() {
-  if (spare_ < 0) spare_ = ::open("/dev/null", O_RDONLY | O_CLOEXEC);
+  if (spare_ < 0)
+    spare_ = ::open("/dev/null", O_RDONLY | O_CLOEXEC);
   return spare_ >= 0;
 }
 
-// Guards clients against waiting in the queue of a process that cannot take them: each is told so. False once
-// the queue is empty, or nobody can be taken out of it now.
+// Guards clients against waiting in the queue of a process that cannot take them: each is told so.
+// False once the queue is empty, or nobody can be taken out of it now.
 bool Listener::turnAwayOnSpare() {
-  const std::string text = handler_.turnedAway(503, "no descriptor is left for another connection", 1000);
+  const std::string text =
+      handler_.turnedAway(503, "no descriptor is left for another connection", 1000);
   for (int i = 0; i < kOnSpare && holdSpare(); ++i) {
     ::close(std::exchange(spare_, -1));
     const AcceptResult next = acceptNext(acceptor_.native_handle());
     if (next.status == AcceptStatus::kAccepted) {
       ++counters_["admission.refused.descriptors"];
-      if (!sendLastAnswer(next.descriptor, text)) answerCut();
+      if (!sendLastAnswer(next.descriptor, text))
+        answerCut();
       ::close(next.descriptor);
     }
     holdSpare();
-    if (next.status != AcceptStatus::kAccepted && next.status != AcceptStatus::kAborted) return false;
+    if (next.status != AcceptStatus::kAccepted && next.status != AcceptStatus::kAborted)
+      return false;
   }
   return spare_ >= 0;
 }
 
 void Listener::admit(boost::asio::ip::tcp::socket socket) {
-  if (gate_ == nullptr) return letIn(std::move(socket), 0);
+  if (gate_ == nullptr)
+    return letIn(std::move(socket), 0);
   boost::system::error_code error;
   const auto peer = socket.remote_endpoint(error);
-  if (error) return;  // it has gone already
+  if (error)
+    return;  // it has gone already
   const double now = clock_.nowMs();
   const auto level = ledger_ != nullptr ? ledger_->level(now) : admission::Level::kNormal;
   const admission::Decision decision = gate_->connect(addressOf(peer), level, now);
-  if (decision.evict) close({*decision.evict});
-  if (!decision.admit) return refuse(std::move(socket), decision);
+  if (decision.evict)
+    close({*decision.evict});
+  if (!decision.admit)
+    return refuse(std::move(socket), decision);
   letIn(std::move(socket), decision.id);
 }
 
 void Listener::refuse(boost::asio::ip::tcp::socket socket, const admission::Decision& decision) {
   const char* why = admission::nameOf(decision.reason);
   ++counters_[std::string("admission.refused.") + why];
-  const std::string text = handler_.turnedAway(
-      statusFor(decision.reason), std::string("too many connections: ") + why, decision.retryAfterMs);
+  const std::string text =
+      handler_.turnedAway(statusFor(decision.reason), std::string("too many connections: ") + why,
+                          decision.retryAfterMs);
   if (refusals_.size() >= kRefusals ||
       (ledger_ != nullptr && !ledger_->take(admission::Account::kRefusals))) {
     ++counters_["admission.closed_at_once"];
-    if (!sendLastAnswer(socket.native_handle(), text)) answerCut();
+    if (!sendLastAnswer(socket.native_handle(), text))
+      answerCut();
     return;
   }
-  if (sendAvailable(socket.native_handle(), text).status != IoStatus::kDone) answerCut();
+  if (sendAvailable(socket.native_handle(), text).status != IoStatus::kDone)
+    answerCut();
   boost::system::error_code ignored;
   socket.shutdown(boost::asio::ip::tcp::socket::shutdown_send, ignored);
   const auto refusal = std::make_shared<Refusal>(*this, std::move(socket));
@@ -259,11 +297,13 @@
 
 void Listener::letIn(boost::asio::ip::tcp::socket socket, admission::ConnectionId visitor) {
   ++counters_["clients.accepted"];
-  if (ledger_ != nullptr) ledger_->force(admission::Account::kClients);
+  if (ledger_ != nullptr)
+    ledger_->force(admission::Account::kClients);
   const auto connection =
       std::make_shared<ClientConnection>(std::move(socket), handler_, *this, clock_, deadlines_);
   connection->number = visitor;
-  if (visitor != 0) visitors_[visitor] = connection;
+  if (visitor != 0)
+    visitors_[visitor] = connection;
   connections_.insert(connection);
   connection->start();
 }
@@ -272,27 +312,33 @@
   for (const admission::ConnectionId visitor : visitors) {
     const auto it = visitors_.find(visitor);
     const auto connection = it == visitors_.end() ? nullptr : it->second.lock();
-    if (connection) connection->evict();
+    if (connection)
+      connection->evict();
   }
 }
 
 void Listener::asks(ClientConnection& connection) {
-  if (gate_ != nullptr) gate_->busy(connection.number);
+  if (gate_ != nullptr)
+    gate_->busy(connection.number);
 }
 
 void Listener::rests(ClientConnection& connection) {
-  if (gate_ != nullptr) gate_->idle(connection.number, clock_.nowMs());
+  if (gate_ != nullptr)
+    gate_->idle(connection.number, clock_.nowMs());
 }
 
 void Listener::identified(ClientConnection& connection, const std::string& who) {
-  if (gate_ != nullptr) gate_->identified(connection.number, who, clock_.nowMs());
+  if (gate_ != nullptr)
+    gate_->identified(connection.number, who, clock_.nowMs());
 }
 
 std::shared_ptr<ClientConnection> Listener::adopt(const ClientConnection::Rest& rest) {
   boost::asio::ip::tcp::socket socket(io_);
-  if (assign(socket, protocol_, rest.descriptor)) return nullptr;  // also once the door is closed
+  if (assign(socket, protocol_, rest.descriptor))
+    return nullptr;  // also once the door is closed
   ++counters_["clients.adopted"];
-  if (ledger_ != nullptr) ledger_->force(admission::Account::kClients);
+  if (ledger_ != nullptr)
+    ledger_->force(admission::Account::kClients);
   const auto connection =
       std::make_shared<ClientConnection>(std::move(socket), handler_, *this, clock_, deadlines_);
   connections_.insert(connection);
@@ -300,9 +346,9 @@
   return connection;
 }
 
-// Guards clients whose connection stands in the accept queue: closing the listener would reset them. Each is
-// let in, or told that there is no room. False if somebody may be left in it, as this machine lacks
-// resources.
+// Guards clients whose connection stands in the accept queue: closing the listener would reset
+// them. Each is let in, or told that there is no room. False if somebody may be left in it, as this
+// machine lacks resources.
 bool Listener::emptyQueue() {
   int aborted = 0;
   while (aborted <= kMostAborted) {
@@ -329,39 +375,48 @@
 }
 
 void Listener::admitOrTurnAway(boost::asio::ip::tcp::socket socket) {
-  if (!hasRoom()) makeRoom();
-  if (hasRoom()) return admit(std::move(socket));
+  if (!hasRoom())
+    makeRoom();
+  if (hasRoom())
+    return admit(std::move(socket));
   ++counters_["clients.turned_away"];
-  if (!sendLastAnswer(socket.native_handle(), handler_.turnedAway(503, "too many connections", kFullRetryMs)))
+  if (!sendLastAnswer(socket.native_handle(),
+                      handler_.turnedAway(503, "too many connections", kFullRetryMs)))
     answerCut();
 }
 
-// At the cap a client without an open request makes room: first who never sent a whole one, then who has been
-// idle longest. Closing between requests is allowed; one whose next request has come already stays.
+// At the cap a client without an open request makes room: first who never sent a whole one, then
+// who has been idle longest. Closing between requests is allowed; one whose next request has come
+// already stays.
 void Listener::makeRoom() {
   std::vector<std::shared_ptr<ClientConnection>> idle;
   for (const auto& connection : connections_)
-    if (connection->room() != ClientConnection::Room::kNone) idle.push_back(connection);
+    if (connection->room() != ClientConnection::Room::kNone)
+      idle.push_back(connection);
   std::sort(idle.begin(), idle.end(), [](const auto& a, const auto& b) {
     return a->room() != b->room() ? a->room() > b->room() : a->idleSinceMs() < b->idleSinceMs();
   });
-  const bool made =
-      std::any_of(idle.begin(), idle.end(), [](const auto& connection) { return connection->giveWay(); });
-  if (made) ++counters_["clients.made_room"];
+  const bool made = std::any_of(idle.begin(), idle.end(),
+                                [](const auto& connection) { return connection->giveWay(); });
+  if (made)
+    ++counters_["clients.made_room"];
 }
 
 void Listener::closed(const std::shared_ptr<ClientConnection>& connection) {
   connections_.erase(connection);
   visitors_.erase(connection->number);
-  if (gate_ != nullptr) gate_->closed(connection->number, clock_.nowMs());
-  if (ledger_ != nullptr) ledger_->give(admission::Account::kClients);
+  if (gate_ != nullptr)
+    gate_->closed(connection->number, clock_.nowMs());
+  if (ledger_ != nullptr)
+    ledger_->give(admission::Account::kClients);
   finishIfDone();
   // Not from here: makeRoom() closes connections while accept() runs.
   boost::asio::post(io_, [this] { accept(); });
 }
 
 void Listener::evacuate() {
-  if (std::exchange(evacuated_, true)) return;
+  if (std::exchange(evacuated_, true))
+    return;
   sweep_ = deadlines_.add(clock_.nowMs() + kFrontLearnsMs, [this] { sweepIdle(); });
 }
 
@@ -388,12 +443,15 @@
 }
 
 void Listener::drain(double doorOpenMs, std::function<void()> done) {
-  if (draining_) return;
+  if (draining_)
+    return;
   done_ = std::move(done);
   draining_ = true;
-  if (doorOpenMs <= 0) return closeDoor();
+  if (doorOpenMs <= 0)
+    return closeDoor();
   deadlines_.add(clock_.nowMs() + std::max(0.0, doorOpenMs - kHandshakeMs), [this] {
-    if (isOpen()) takeNoMore(acceptor_.native_handle());
+    if (isOpen())
+      takeNoMore(acceptor_.native_handle());
   });
   deadlines_.add(clock_.nowMs() + doorOpenMs, [this] { closeDoor(); });
 }
@@ -402,7 +460,8 @@
   if (isOpen()) {
     takeNoMore(acceptor_.native_handle());
     const double now = clock_.nowMs();
-    if (!closesByMs_) closesByMs_ = now + kQueueMs;
+    if (!closesByMs_)
+      closesByMs_ = now + kQueueMs;
     if (!emptyQueue() && now < *closesByMs_) {
       deadlines_.add(now + kResourceRetryMs, [this] { closeDoor(); });
       return;
@@ -417,7 +476,8 @@
 }
 
 void Listener::finishIfDone() {
-  if (!doorClosed_ || !connections_.empty() || !done_) return;
+  if (!doorClosed_ || !connections_.empty() || !done_)
+    return;
   boost::asio::post(io_, std::exchange(done_, nullptr));
 }
 
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -28,11 +28,20 @@
   };
 
   // Throws boost::system::system_error if the address cannot be listened on.
-  Listener(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address, std::size_t cap,
-           RequestHandler& handler, const core::Clock& clock, core::Deadlines& deadlines,
-           core::Counters& counters, Options options);
-  Listener(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address, std::size_t cap,
-           RequestHandler& handler, const core::Clock& clock, core::Deadlines& deadlines,
+  Listener(boost::asio::io_context& io,
+           const boost::asio::ip::tcp::endpoint& address,
+           std::size_t cap,
+           RequestHandler& handler,
+           const core::Clock& clock,
+           core::Deadlines& deadlines,
+           core::Counters& counters,
+           Options options);
+  Listener(boost::asio::io_context& io,
+           const boost::asio::ip::tcp::endpoint& address,
+           std::size_t cap,
+           RequestHandler& handler,
+           const core::Clock& clock,
+           core::Deadlines& deadlines,
            core::Counters& counters)
       : Listener(io, address, cap, handler, clock, deadlines, counters, Options{}) {}
 
@@ -43,8 +52,8 @@
 
   boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
 
-  // Sends clients away and takes them back. Who still connects is served; every connection closes after its
-  // answer, and the idle ones once the front layer has stopped sending.
+  // Sends clients away and takes them back. Who still connects is served; every connection closes
+  // after its answer, and the idle ones once the front layer has stopped sending.
   void evacuate();
   void activate();
   bool evacuated() const { return evacuated_; }
@@ -55,7 +64,8 @@
   // A connection whose stream another process began; nothing if the descriptor cannot be used.
   std::shared_ptr<ClientConnection> adopt(const ClientConnection::Rest& rest);
 
-  // Goes on accepting and serving for so long, then closes; done is called when all clients are gone.
+  // Goes on accepting and serving for so long, then closes; done is called when all clients are
+  // gone.
   void drain(double doorOpenMs, std::function<void()> done);
 
   void closed(const std::shared_ptr<ClientConnection>& connection) override;
@@ -105,7 +115,8 @@
   int spare_ = -1;  // given up for a moment when the system has no descriptor left
   std::optional<core::Deadlines::Key> sweep_;
   std::optional<double> closesByMs_;  // whether or not its queue is empty by then
-  bool opened_ = false, accepting_ = false, draining_ = false, doorClosed_ = false, evacuated_ = false;
+  bool opened_ = false, accepting_ = false, draining_ = false, doorClosed_ = false,
+       evacuated_ = false;
 };
 
 }  // namespace dahliastall::net
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -13,12 +13,15 @@
 
 void Loop::arm() {
   const auto next = deadlines_.next();
-  if (!next) return;
+  if (!next)
+    return;
   const std::chrono::duration<double, std::milli> wait(std::max(0.0, *next - clock_.nowMs()));
-  // Setting the expiry cancels the wait before it, whose handler then finds an error and does nothing.
+  // Setting the expiry cancels the wait before it, whose handler then finds an error and does
+  // nothing.
   timer_.expires_after(std::chrono::ceil<std::chrono::steady_clock::duration>(wait));
   timer_.async_wait([this](const boost::system::error_code& error) {
-    if (error) return;
+    if (error)
+      return;
     deadlines_.runDue(clock_.nowMs());
     arm();
   });
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -1,4 +1,5 @@
-// The program's one thread: an io_context whose single timer rings for the earliest of all deadlines.
+// The program's one thread: an io_context whose single timer rings for the earliest of all
+// deadlines.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
--- a/src/net/message.cpp
+++ b/src/net/message.cpp
@@ -49,7 +49,8 @@
 }
 
 std::string_view reasonFor(unsigned status) {
-  const auto reason = boost::beast::http::obsolete_reason(boost::beast::http::int_to_status(status));
+  const auto reason =
+      boost::beast::http::obsolete_reason(boost::beast::http::int_to_status(status));
   return {reason.data(), reason.size()};
 }
 
--- a/src/net/pool.cpp
+++ b/src/net/pool.cpp
@@ -24,13 +24,14 @@
 constexpr std::size_t kReadSize = 16 * 1024;
 constexpr std::uint32_t kAnswerHeadLimit = 32 * 1024;
 constexpr int kInterimLimit = 8;  // 1xx heads before an answer
-// A head or chunk comes at once or in quick pieces: one that stops midway this long has a wrong size.
+// A head or chunk comes at once or in quick pieces: one that stops midway this long has a wrong
+// size.
 constexpr double kStuckMs = 800;
-// A connection rests so long before its next request: bytes that do not belong to the answer just read come
-// right behind it, and would be taken for the answer to that request.
+// A connection rests so long before its next request: bytes that do not belong to the answer just
+// read come right behind it, and would be taken for the answer to that request.
 constexpr double kRestMs = 4;
-// For a request's last byte to follow its first. Its head tells how long its client waits as of that moment,
-// and a peer that does not read the rest would run it with that time long gone.
+// For a request's last byte to follow its first. Its head tells how long its client waits as of
+// that moment, and a peer that does not read the rest would run it with that time long gone.
 constexpr double kWriteMs = 100;
 constexpr std::size_t kTold = 160;  // of a message's head, with the request's id in it
 
@@ -40,8 +41,8 @@
   return ::ioctl(descriptor, SIOCOUTQNSD, &unsent) == 0 && unsent > 0;
 }
 
-// Whether an idle connection can carry a request: nothing came on it, its end neither, and what is written on
-// it goes out at once.
+// Whether an idle connection can carry a request: nothing came on it, its end neither, and what is
+// written on it goes out at once.
 bool quiet(boost::asio::ip::tcp::socket& socket) {
   std::array<char, 1> byte{};
   return peek(socket.native_handle(), byte).status == IoStatus::kWouldBlock &&
@@ -52,16 +53,22 @@
 boost::system::error_code pendingError(boost::asio::ip::tcp::socket& socket) {
   int pending = 0;
   socklen_t size = sizeof pending;
-  if (::getsockopt(socket.native_handle(), SOL_SOCKET, SO_ERROR, &pending, &size) != 0) pending = errno;
+  if (::getsockopt(socket.native_handle(), SOL_SOCKET, SO_ERROR, &pending, &size) != 0)
+    pending = errno;
   return {pending, boost::system::system_category()};
 }
 
 }  // namespace
 
-// ---- Call ------------------------------------------------------------------------------------------
+// ---- Call
+// ------------------------------------------------------------------------------------------
 
-Call::Call(Pool& pool, const Endpoint& to, std::string head, std::shared_ptr<const std::string> body,
-           std::shared_ptr<CallSink> sink, bool urgent)
+Call::Call(Pool& pool,
+           const Endpoint& to,
+           std::string head,
+           std::shared_ptr<const std::string> body,
+           std::shared_ptr<CallSink> sink,
+           bool urgent)
     : pool_(pool),
       to_(to),
       head_(std::move(head)),
@@ -74,16 +81,18 @@
   link_ = std::move(link);
   ++link_->calls;
   expectAnswer();
-  if (fresh) connect();
-  else write();
+  if (fresh)
+    connect();
+  else
+    write();
 }
 
 void Call::expectAnswer() {
   parser_.emplace();
   parser_->eager(true);
   parser_->header_limit(kAnswerHeadLimit);
-  // Never boost::none: with it Boost 1.74 fails a body of known length that comes apart from its head. A
-  // chunk that claims more than the limit is refused by its size line.
+  // Never boost::none: with it Boost 1.74 fails a body of known length that comes apart from its
+  // head. A chunk that claims more than the limit is refused by its size line.
   parser_->body_limit(pool_.limits_.answerBytes);
   onChunk_ = [this](std::uint64_t size, boost::beast::string_view, boost::beast::error_code&) {
     announced_ += size;
@@ -104,16 +113,21 @@
 void Call::dial() {
   ++pool_.counters_["links.opened"];
   link_->socket.async_connect(
-      to_, [self = shared_from_this()](const boost::system::error_code& error) { self->dialed(error); });
+      to_,
+      [self = shared_from_this()](const boost::system::error_code& error) { self->dialed(error); });
 }
 
-// An interrupted connect() goes on by itself. What this machine could not begin is tried again while there is
-// time for it, as if the call waited in line for a connection.
+// An interrupted connect() goes on by itself. What this machine could not begin is tried again
+// while there is time for it, as if the call waited in line for a connection.
 void Call::dialed(const boost::system::error_code& error) {
-  if (state_ != State::kConnecting) return;
-  if (error == boost::asio::error::interrupted) return awaitDial();
-  if (isLocalFault(error)) return dialAgain();
-  if (error) return fail(CallFailure::kNoConnection);
+  if (state_ != State::kConnecting)
+    return;
+  if (error == boost::asio::error::interrupted)
+    return awaitDial();
+  if (isLocalFault(error))
+    return dialAgain();
+  if (error)
+    return fail(CallFailure::kNoConnection);
   connected();
 }
 
@@ -122,7 +136,8 @@
   const auto link = link_;
   link->socket.async_wait(boost::asio::ip::tcp::socket::wait_write,
                           [self, link](const boost::system::error_code& error) {
-                            if (self->state_ != State::kConnecting) return;
+                            if (self->state_ != State::kConnecting)
+                              return;
                             self->dialed(error ? error : pendingError(link->socket));
                           });
 }
@@ -132,10 +147,11 @@
   localFault_ = true;
   boost::system::error_code ignored;
   link_->socket.close(ignored);
-  dialRetry_ = pool_.deadlines_.add(pool_.clock_.nowMs() + kResourceRetryMs, [self = shared_from_this()] {
-    self->dialRetry_.reset();
-    self->dial();
-  });
+  dialRetry_ =
+      pool_.deadlines_.add(pool_.clock_.nowMs() + kResourceRetryMs, [self = shared_from_this()] {
+        self->dialRetry_.reset();
+        self->dial();
+      });
 }
 
 void Call::connected() {
@@ -147,43 +163,54 @@
 
 void Call::write() {
   state_ = State::kWriting;
-  // Time has passed if a connection had to be waited for: the sink looks at drains and deadlines once more.
+  // Time has passed if a connection had to be waited for: the sink looks at drains and deadlines
+  // once more.
   const auto keep = sink_;
   if (!keep->ready()) {
-    if (state_ != State::kWriting) return;
+    if (state_ != State::kWriting)
+      return;
     const auto link = std::exchange(link_, nullptr);
     const auto sink = finish();
     pool_.give(link);
     return sink->failed(CallFailure::kWithdrawn);
   }
-  if (state_ != State::kWriting) return;
+  if (state_ != State::kWriting)
+    return;
   const Fields late = keep->fieldsAsWritten();
-  if (!late.empty()) head_ = withFields(std::move(head_), late);
+  if (!late.empty())
+    head_ = withFields(std::move(head_), late);
   const auto self = shared_from_this();
   write_ = pool_.deadlines_.add(pool_.clock_.nowMs() + kWriteMs, [self] {
     self->write_.reset();
-    if (const auto sending = self->sending_.lock()) sending->cancel();
+    if (const auto sending = self->sending_.lock())
+      sending->cancel();
   });
   const std::string_view body = body_ ? std::string_view(*body_) : std::string_view();
-  sending_ = SendOperation::start({link_, &link_->socket}, head_, body,
-                                  [self](const boost::system::error_code& error) { self->wrote(error); });
+  sending_ =
+      SendOperation::start({link_, &link_->socket}, head_, body,
+                           [self](const boost::system::error_code& error) { self->wrote(error); });
 }
 
 // A write whose last byte was out by its time limit is whole, although this has still to run then.
 void Call::wrote(const boost::system::error_code& error) {
-  if (state_ != State::kWriting) return;
+  if (state_ != State::kWriting)
+    return;
   pool_.deadlines_.cancel(write_);
-  if (error) return fail(isLocalFault(error) ? CallFailure::kWithdrawn : CallFailure::kNoConnection);
+  if (error)
+    return fail(isLocalFault(error) ? CallFailure::kWithdrawn : CallFailure::kNoConnection);
   state_ = State::kHead;
   tell("written");
   const auto keep = sink_;
   keep->written();
-  if (state_ == State::kHead) read();
+  if (state_ == State::kHead)
+    read();
 }
 
 void Call::read() {
-  if (reading_ || paused_ || readRetry_) return;
-  if (quiet_) return std::exchange(quiet_, nullptr)();
+  if (reading_ || paused_ || readRetry_)
+    return;
+  if (quiet_)
+    return std::exchange(quiet_, nullptr)();
   reading_ = true;
   const auto self = shared_from_this();
   if (midway())
@@ -192,36 +219,43 @@
       self->fail(CallFailure::kGarbled);
     });
   const auto link = link_;  // lives as long as the operation on it
-  link->socket.async_read_some(link->buffer.prepare(kReadSize),
-                               [self, link](const boost::system::error_code& error, std::size_t count) {
-                                 self->reading_ = false;
-                                 self->pool_.deadlines_.cancel(self->stuck_);
-                                 if (self->state_ == State::kOver) return;
-                                 if (error == boost::asio::error::operation_aborted && self->quiet_)
-                                   return self->read();
-                                 if (isLocalFault(error)) return self->readLater();
-                                 if (error) return self->fail(CallFailure::kReset);
-                                 link->buffer.commit(count);
-                                 self->parse();
-                               });
-}
-
-// This machine lacked memory or buffers: what has come is still there. Asio takes a read that moved nothing
-// for a sign that nothing is there; readiness, asked for anew, tells it otherwise.
+  link->socket.async_read_some(
+      link->buffer.prepare(kReadSize),
+      [self, link](const boost::system::error_code& error, std::size_t count) {
+        self->reading_ = false;
+        self->pool_.deadlines_.cancel(self->stuck_);
+        if (self->state_ == State::kOver)
+          return;
+        if (error == boost::asio::error::operation_aborted && self->quiet_)
+          return self->read();
+        if (isLocalFault(error))
+          return self->readLater();
+        if (error)
+          return self->fail(CallFailure::kReset);
+        link->buffer.commit(count);
+        self->parse();
+      });
+}
+
+// This machine lacked memory or buffers: what has come is still there. Asio takes a read that moved
+// nothing for a sign that nothing is there; readiness, asked for anew, tells it otherwise.
 void Call::readLater() {
-  readRetry_ = pool_.deadlines_.add(pool_.clock_.nowMs() + kResourceRetryMs, [self = shared_from_this()] {
-    if (self->state_ != State::kHead && self->state_ != State::kBody) return;
-    const auto link = self->link_;
-    link->socket.async_wait(boost::asio::ip::tcp::socket::wait_read,
-                            [self, link](const boost::system::error_code&) {
-                              self->readRetry_.reset();
-                              if (self->state_ == State::kHead || self->state_ == State::kBody) self->read();
-                            });
-  });
-}
-
-// Whether the answer has stopped inside of something that is sent in one piece. The parser leaves the end of
-// a chunk's data to the next size line, so that alone is no piece.
+  readRetry_ =
+      pool_.deadlines_.add(pool_.clock_.nowMs() + kResourceRetryMs, [self = shared_from_this()] {
+        if (self->state_ != State::kHead && self->state_ != State::kBody)
+          return;
+        const auto link = self->link_;
+        link->socket.async_wait(boost::asio::ip::tcp::socket::wait_read,
+                                [self, link](const boost::system::error_code&) {
+                                  self->readRetry_.reset();
+                                  if (self->state_ == State::kHead || self->state_ == State::kBody)
+                                    self->read();
+                                });
+      });
+}
+
+// Whether the answer has stopped inside of something that is sent in one piece. The parser leaves
+// the end of a chunk's data to the next size line, so that alone is no piece.
 bool Call::midway() const {
   const auto rest = link_->buffer.data();
   const std::string_view unread(static_cast<const char*>(rest.data()), rest.size());
@@ -232,7 +266,8 @@
 
 // Guards against 100, 102 or 103 ahead of an answer being taken for it.
 bool Call::skipInterim() {
-  if (!parser_->is_header_done() || parser_->get().result_int() / 100 != 1) return false;
+  if (!parser_->is_header_done() || parser_->get().result_int() / 100 != 1)
+    return false;
   ++pool_.counters_["answers.interim"];
   ++interim_;
   expectAnswer();
@@ -245,27 +280,36 @@
   while (link_->buffer.size() > 0 && !parser_->is_done()) {
     const std::size_t used = parser_->put(link_->buffer.data(), error);
     link_->buffer.consume(used);
-    if (error == http::error::need_more) break;
-    if (error) return fail(CallFailure::kGarbled);  // no HTTP: nothing that follows can be trusted
+    if (error == http::error::need_more)
+      break;
+    if (error)
+      return fail(CallFailure::kGarbled);  // no HTTP: nothing that follows can be trusted
     if (skipInterim()) {
-      if (interim_ > kInterimLimit) return fail(CallFailure::kGarbled);
+      if (interim_ > kInterimLimit)
+        return fail(CallFailure::kGarbled);
       continue;
     }
-    if (used == 0) break;
+    if (used == 0)
+      break;
   }
   if (parser_->is_header_done() && !headSeen_) {
     headSeen_ = true;
     state_ = State::kBody;
     keep->head(parser_->get().base());
-    if (state_ == State::kOver) return;
+    if (state_ == State::kOver)
+      return;
   }
   if (headSeen_) {
     const std::string part = std::exchange(parser_->get().body(), {});
-    if (parser_->chunked()) received_ += part.size();
-    if (!part.empty() && !keep->body(part)) paused_ = true;
-    if (state_ == State::kOver) return;
+    if (parser_->chunked())
+      received_ += part.size();
+    if (!part.empty() && !keep->body(part))
+      paused_ = true;
+    if (state_ == State::kOver)
+      return;
   }
-  if (parser_->is_done()) return complete();
+  if (parser_->is_done())
+    return complete();
   read();
 }
 
@@ -275,95 +319,118 @@
   tell(again ? "answered" : "answered, not used again", parser_->get().result_int());
   const auto link = std::exchange(link_, nullptr);
   const auto sink = finish();
-  if (again) pool_.give(link);
-  else pool_.close(link);
+  if (again)
+    pool_.give(link);
+  else
+    pool_.close(link);
   sink->done();
 }
 
 void Call::pause(std::function<void()> quiet) {
-  if (state_ != State::kBody || paused_) return;
+  if (state_ != State::kBody || paused_)
+    return;
   quiet_ = std::move(quiet);
-  if (!reading_) return read();
+  if (!reading_)
+    return read();
   boost::system::error_code ignored;
   link_->socket.cancel(ignored);
 }
 
 void Call::goOn() {
   quiet_ = nullptr;
-  if (state_ != State::kBody) return;
-  // Bytes that came with the descriptor may be all there is, so they are parsed before any more is waited
-  // for.
-  if (link_->buffer.size() > 0 && !reading_) parse();
-  else read();
+  if (state_ != State::kBody)
+    return;
+  // Bytes that came with the descriptor may be all there is, so they are parsed before any more is
+  // waited for.
+  if (link_->buffer.size() > 0 && !reading_)
+    parse();
+  else
+    read();
 }
 
 // Only a chunked answer says by itself where it ends, whoever reads it.
 std::optional<Call::Rest> Call::rest() const {
-  if (state_ != State::kBody || reading_ || paused_ || !parser_->chunked()) return std::nullopt;
+  if (state_ != State::kBody || reading_ || paused_ || !parser_->chunked())
+    return std::nullopt;
   const auto data = link_->buffer.data();
-  return Rest{link_->socket.native_handle(), std::string(static_cast<const char*>(data.data()), data.size()),
+  return Rest{link_->socket.native_handle(),
+              std::string(static_cast<const char*>(data.data()), data.size()),
               announced_ - received_, parser_->keep_alive()};
 }
 
-// Brings a parser to where the other process's stood: behind a head, within a chunk of which so much is left.
-// One byte more stands before it, since a parser within a chunk reads the end of the last one first.
+// Brings a parser to where the other process's stood: behind a head, within a chunk of which so
+// much is left. One byte more stands before it, since a parser within a chunk reads the end of the
+// last one first.
 void Call::takeUp(const Rest& rest) {
   state_ = State::kBody;
   expectAnswer();
   std::array<char, 24> size{};
-  std::snprintf(size.data(), size.size(), "%llx", static_cast<unsigned long long>(rest.chunkLeft) + 1);
+  std::snprintf(size.data(), size.size(), "%llx",
+                static_cast<unsigned long long>(rest.chunkLeft) + 1);
   const std::string before = std::string("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n") +
-                             (rest.keepAlive ? "" : "Connection: close\r\n") + "\r\n" + size.data() + "\r\nx";
+                             (rest.keepAlive ? "" : "Connection: close\r\n") + "\r\n" +
+                             size.data() + "\r\nx";
   boost::system::error_code error;
   for (std::string_view left = before; !left.empty() && !error;) {
     const std::size_t used = parser_->put(boost::asio::buffer(left), error);
-    if (error == http::error::need_more) error = {};
-    if (used == 0) break;
+    if (error == http::error::need_more)
+      error = {};
+    if (used == 0)
+      break;
     left.remove_prefix(used);
   }
   headSeen_ = true;
   received_ = parser_->get().body().size();
   parser_->get().body().clear();
   auto& buffer = link_->buffer;
-  buffer.commit(
-      boost::asio::buffer_copy(buffer.prepare(rest.unread.size()), boost::asio::buffer(rest.unread)));
+  buffer.commit(boost::asio::buffer_copy(buffer.prepare(rest.unread.size()),
+                                         boost::asio::buffer(rest.unread)));
 }
 
 void Call::resume() {
-  if (!std::exchange(paused_, false) || state_ != State::kBody) return;
+  if (!std::exchange(paused_, false) || state_ != State::kBody)
+    return;
   read();
 }
 
 void Call::fail(CallFailure why) {
-  if (state_ == State::kOver) return;
+  if (state_ == State::kOver)
+    return;
   constexpr std::array kWhy{"no connection", "reset", "garbled", "withdrawn"};
   tell(kWhy.at(static_cast<std::size_t>(why)));
   const auto link = std::exchange(link_, nullptr);
   const auto sink = finish();
-  if (link) pool_.close(link);
+  if (link)
+    pool_.close(link);
   sink->failed(why);
 }
 
 void Call::abandon() {
-  if (state_ == State::kOver) return;
+  if (state_ == State::kOver)
+    return;
   tell("abandoned");
   const auto link = std::exchange(link_, nullptr);
   finish();
-  if (link) pool_.close(link);
+  if (link)
+    pool_.close(link);
 }
 
 bool Call::unread() const {
-  if (!link_) return false;
+  if (!link_)
+    return false;
   std::array<char, 1> byte{};
   const IoStatus seen = peek(link_->socket.native_handle(), byte).status;
-  return seen == IoStatus::kDone || seen == IoStatus::kNoResources;  // it may have, where nobody can look
+  return seen == IoStatus::kDone ||
+         seen == IoStatus::kNoResources;  // it may have, where nobody can look
 }
 
 void Call::tell(const char* what, int status) const {
-  if (!pool_.wire_) return;
+  if (!pool_.wire_)
+    return;
   std::string line = "link=" + (link_ ? std::to_string(link_->number) : "none") +
                      " call=" + (link_ ? std::to_string(link_->calls) : "0") + " " + what +
-                     (status != 0 ? " " + std::to_string(status) : "") + ": " + head_.substr(0, kTold);
+                     (status != 0 ? " " + std::to_string(status) : "") + ": " +
+                     head_.substr(0, kTold);
   std::replace_if(
       line.begin(), line.end(), [](char c) { return c == '\r' || c == '\n'; }, ' ');
   pool_.wire_(line);
@@ -379,23 +446,32 @@
   return std::move(sink_);
 }
 
-// ---- Pool ------------------------------------------------------------------------------------------
+// ---- Pool
+// ------------------------------------------------------------------------------------------
 
-Pool::Pool(boost::asio::io_context& io, const core::Clock& clock, core::Deadlines& deadlines,
-           core::Counters& counters, Limits limits)
+Pool::Pool(boost::asio::io_context& io,
+           const core::Clock& clock,
+           core::Deadlines& deadlines,
+           core::Counters& counters,
+           Limits limits)
     : io_(io), clock_(clock), deadlines_(deadlines), counters_(counters), limits_(limits) {}
 
 Pool::~Pool() {
-  for (const auto& link : idle_) deadlines_.cancel(link->retire);
+  for (const auto& link : idle_)
+    deadlines_.cancel(link->retire);
 }
 
-std::shared_ptr<Call> Pool::call(const Endpoint& to, std::string head,
-                                 std::shared_ptr<const std::string> body, std::shared_ptr<CallSink> sink,
-                                 Urgency urgency, double afterMs) {
+std::shared_ptr<Call> Pool::call(const Endpoint& to,
+                                 std::string head,
+                                 std::shared_ptr<const std::string> body,
+                                 std::shared_ptr<CallSink> sink,
+                                 Urgency urgency,
+                                 double afterMs) {
   const bool urgent = urgency == Urgency::kFirst;
   const auto call =
       std::make_shared<Call>(*this, to, std::move(head), std::move(body), std::move(sink), urgent);
-  if (clock_.nowMs() >= afterMs) enter(call);
+  if (clock_.nowMs() >= afterMs)
+    enter(call);
   else
     call->dial_ = deadlines_.add(afterMs, [this, call] {
       call->dial_.reset();
@@ -405,11 +481,13 @@
 }
 
 void Pool::enter(const std::shared_ptr<Call>& call) {
-  if (admit(call)) return;
+  if (admit(call))
+    return;
   ++counters_["calls.waited"];
   const auto behind = [](const auto& other) { return !other->urgent_; };
-  waiting_.insert(call->urgent_ ? std::find_if(waiting_.begin(), waiting_.end(), behind) : waiting_.end(),
-                  call);
+  waiting_.insert(
+      call->urgent_ ? std::find_if(waiting_.begin(), waiting_.end(), behind) : waiting_.end(),
+      call);
   // The caller may take it out of the line before by abandon().
   call->dial_ = deadlines_.add(clock_.nowMs() + limits_.dialMs, [call] {
     call->dial_.reset();
@@ -423,18 +501,22 @@
     return true;
   }
   const Urgency urgency = call->urgent_ ? Urgency::kFirst : Urgency::kInTurn;
-  if (!room(urgency) && !idle_.empty()) close(idle_.front());
-  if (!room(urgency)) return false;
+  if (!room(urgency) && !idle_.empty())
+    close(idle_.front());
+  if (!room(urgency))
+    return false;
   auto link = std::make_shared<Link>(io_);
   link->to = call->to_;
   link->number = ++links_;
   ++open_;
-  if (ledger_ != nullptr) ledger_->take(account_);
+  if (ledger_ != nullptr)
+    ledger_->take(account_);
   call->begin(std::move(link), true);
   return true;
 }
 
-std::shared_ptr<Call> Pool::adopt(const Endpoint& from, const Call::Rest& rest,
+std::shared_ptr<Call> Pool::adopt(const Endpoint& from,
+                                  const Call::Rest& rest,
                                   std::shared_ptr<CallSink> sink) {
   auto link = std::make_shared<Link>(io_);
   boost::system::error_code error;
@@ -446,7 +528,8 @@
   link->to = from;
   link->number = ++links_;
   ++open_;
-  if (ledger_ != nullptr) ledger_->force(account_);
+  if (ledger_ != nullptr)
+    ledger_->force(account_);
   const auto call = std::make_shared<Call>(*this, from, std::string(), nullptr, std::move(sink));
   call->link_ = std::move(link);
   call->takeUp(rest);
@@ -457,7 +540,8 @@
 std::shared_ptr<Link> Pool::takeIdle(const Endpoint& to) {
   for (auto it = idle_.end(); it != idle_.begin();) {
     --it;
-    if ((*it)->to != to || clock_.nowMs() < (*it)->idleSinceMs + kRestMs) continue;
+    if ((*it)->to != to || clock_.nowMs() < (*it)->idleSinceMs + kRestMs)
+      continue;
     const auto link = *it;
     it = idle_.erase(it);
     deadlines_.cancel(link->retire);
@@ -480,46 +564,55 @@
   link->idleSinceMs = clock_.nowMs();
   idle_.push_back(link);
   link->retire = deadlines_.add(clock_.nowMs() + limits_.idleMs, [this, link] { close(link); });
-  link->socket.async_wait(boost::asio::ip::tcp::socket::wait_read,
-                          [this, weak = std::weak_ptr(link)](const boost::system::error_code& error) {
-                            if (error) return;
-                            if (const auto idle = weak.lock(); idle && idle->retire) close(idle);
-                          });
+  link->socket.async_wait(
+      boost::asio::ip::tcp::socket::wait_read,
+      [this, weak = std::weak_ptr(link)](const boost::system::error_code& error) {
+        if (error)
+          return;
+        if (const auto idle = weak.lock(); idle && idle->retire)
+          close(idle);
+      });
   serveWaiting();
 }
 
 void Pool::close(std::shared_ptr<Link> link) {
-  if (link->to == Endpoint()) return;  // closed before
+  if (link->to == Endpoint())
+    return;  // closed before
   idle_.remove(link);
   deadlines_.cancel(link->retire);
   boost::system::error_code ignored;
   link->socket.close(ignored);
   link->to = Endpoint();
   --open_;
-  if (ledger_ != nullptr) ledger_->give(account_);
+  if (ledger_ != nullptr)
+    ledger_->give(account_);
   serveWaiting();
 }
 
 void Pool::dropIdle(const Endpoint& to) {
   for (const auto& link : std::vector(idle_.begin(), idle_.end()))
-    if (link->to == to) close(link);
+    if (link->to == to)
+      close(link);
 }
 
 void Pool::capAt(std::size_t connections) {
   limits_.connections = connections;
-  while (open_ > connections && !idle_.empty()) close(idle_.front());
+  while (open_ > connections && !idle_.empty())
+    close(idle_.front());
   serveWaiting();
 }
 
 // Later, not from within whoever gave a connection back.
 void Pool::serveWaiting() {
-  if (serving_ || waiting_.empty()) return;
+  if (serving_ || waiting_.empty())
+    return;
   serving_ = true;
   boost::asio::post(io_, [this] {
     serving_ = false;
     while (!waiting_.empty()) {
       const auto call = waiting_.front();
-      if (call->state() == Call::State::kWaiting && !admit(call)) return;
+      if (call->state() == Call::State::kWaiting && !admit(call))
+        return;
       waiting_.pop_front();
     }
   });
--- a/src/net/pool.h
+++ b/src/net/pool.h
@@ -1,5 +1,5 @@
-// Connections to engines: bounded, kept alive, retired well before the other side would close them. A call is
-// one request on one connection; nothing is ever sent again by itself.
+// Connections to engines: bounded, kept alive, retired well before the other side would close them.
+// A call is one request on one connection; nothing is ever sent again by itself.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -34,18 +34,18 @@
                   // and the instance, or the way to it, is at fault
   kReset,         // broken after the request was written
   kGarbled,       // what came after the request was written cannot be read, or stops midway
-  kWithdrawn  // nothing was sent and the instance has no part in it: the sink took it back, or this machine
-              // had no connection to give
+  kWithdrawn  // nothing was sent and the instance has no part in it: the sink took it back, or this
+              // machine had no connection to give
 };
 
-// Who made a call. Called in this order: ready, fieldsAsWritten, written, head, body..., then done or failed;
-// never after Call::abandon().
+// Who made a call. Called in this order: ready, fieldsAsWritten, written, head, body..., then done
+// or failed; never after Call::abandon().
 class CallSink {
  public:
   virtual ~CallSink() = default;
   virtual bool ready() { return true; }  // a connection is there; false takes the call back
-  // Further fields of the request's head whose values depend on when it goes out: asked for right before its
-  // first byte is written.
+  // Further fields of the request's head whose values depend on when it goes out: asked for right
+  // before its first byte is written.
   virtual Fields fieldsAsWritten() { return {}; }
   virtual void written() {}  // the request's last byte is out
   virtual void head(const ResponseHead&) {}
@@ -71,12 +71,17 @@
  public:
   enum class State { kWaiting, kConnecting, kWriting, kHead, kBody, kOver };
 
-  Call(Pool& pool, const Endpoint& to, std::string head, std::shared_ptr<const std::string> body,
-       std::shared_ptr<CallSink> sink, bool urgent = false);
+  Call(Pool& pool,
+       const Endpoint& to,
+       std::string head,
+       std::shared_ptr<const std::string> body,
+       std::shared_ptr<CallSink> sink,
+       bool urgent = false);
 
   State state() const { return state_; }
   void abandon();  // closes the connection; the sink hears no more
-  // Whether its connection carried nothing before: HTTP/1.1 does not tell whose answer one on a used one is.
+  // Whether its connection carried nothing before: HTTP/1.1 does not tell whose answer one on a
+  // used one is.
   bool first() const { return link_ && link_->calls == 1; }
   bool unread() const;  // something has come that the sink has not been given
   void resume();
@@ -89,7 +94,8 @@
     std::uint64_t chunkLeft = 0;  // of the chunk under way
     bool keepAlive = true;
   };
-  // Reads no more; quiet is called once no operation is under way, and never if the call ends before.
+  // Reads no more; quiet is called once no operation is under way, and never if the call ends
+  // before.
   void pause(std::function<void()> quiet);
   void goOn();                       // after pause(), as if nothing had been
   std::optional<Rest> rest() const;  // after pause(); nothing if it cannot be taken up elsewhere
@@ -146,19 +152,27 @@
     std::uint64_t answerBytes = UINT64_MAX;  // of a body; also what a chunk may claim
   };
 
-  Pool(boost::asio::io_context& io, const core::Clock& clock, core::Deadlines& deadlines,
-       core::Counters& counters, Limits limits);
+  Pool(boost::asio::io_context& io,
+       const core::Clock& clock,
+       core::Deadlines& deadlines,
+       core::Counters& counters,
+       Limits limits);
   ~Pool();
 
   // kFirst: goes ahead of all that wait for a connection, and may use the reserve.
   enum class Urgency { kInTurn, kFirst };
-  // A call that has not got a connection within the time for one to come up is withdrawn: to whoever counts
-  // when it was sent, waiting here is the same as a dial that hangs.
-  std::shared_ptr<Call> call(const Endpoint& to, std::string head, std::shared_ptr<const std::string> body,
-                             std::shared_ptr<CallSink> sink, Urgency urgency = Urgency::kInTurn,
+  // A call that has not got a connection within the time for one to come up is withdrawn: to
+  // whoever counts when it was sent, waiting here is the same as a dial that hangs.
+  std::shared_ptr<Call> call(const Endpoint& to,
+                             std::string head,
+                             std::shared_ptr<const std::string> body,
+                             std::shared_ptr<CallSink> sink,
+                             Urgency urgency = Urgency::kInTurn,
                              double afterMs = 0);  // it stands nowhere in line until then
   // Takes up what another process left off; the descriptor is this one's now. Goes on with goOn().
-  std::shared_ptr<Call> adopt(const Endpoint& from, const Call::Rest& rest, std::shared_ptr<CallSink> sink);
+  std::shared_ptr<Call> adopt(const Endpoint& from,
+                              const Call::Rest& rest,
+                              std::shared_ptr<CallSink> sink);
   void dropIdle(const Endpoint& to);
   void dialWithin(double ms) { limits_.dialMs = ms; }
   // Where its descriptors are accounted for; what is open already is not.
--- a/src/net/request_reader.cpp
+++ b/src/net/request_reader.cpp
@@ -28,20 +28,25 @@
   parser_->header_limit(kHeadLimit);
 }
 
-// Looks at what has come first, and takes out of the kernel what turned out to be of this request. What was
-// looked at counts as read from then on, also if taking it out fails.
+// Looks at what has come first, and takes out of the kernel what turned out to be of this request.
+// What was looked at counts as read from then on, also if taking it out fails.
 RequestReader::Progress RequestReader::read(int descriptor, boost::system::error_code& error) {
   takeStanding(descriptor);
   Part part;
   const IoResult seen = peek(descriptor, part);
-  if (seen.status == IoStatus::kNoResources) return Progress::kNoResources;
-  if (seen.status == IoStatus::kEnded) error = boost::asio::error::eof;
-  if (seen.status == IoStatus::kFailed) error.assign(seen.error, boost::system::system_category());
-  if (error) return Progress::kFailed;
+  if (seen.status == IoStatus::kNoResources)
+    return Progress::kNoResources;
+  if (seen.status == IoStatus::kEnded)
+    error = boost::asio::error::eof;
+  if (seen.status == IoStatus::kFailed)
+    error.assign(seen.error, boost::system::system_category());
+  if (error)
+    return Progress::kFailed;
   const std::size_t known = std::min(standing_, seen.bytes);
   const std::size_t come = seen.bytes - known;
   input_.append(part.data() + known, come);
-  if (input_.empty()) return Progress::kNothing;
+  if (input_.empty())
+    return Progress::kNothing;
   const Progress progress = parse(error);
   const std::size_t behind = progress == Progress::kWhole ? std::min(input_.size(), come) : 0;
   input_.resize(input_.size() - behind);
@@ -51,7 +56,8 @@
 }
 
 bool RequestReader::takeStanding(int descriptor) {
-  if (standing_ > 0) standing_ -= discard(descriptor, standing_).bytes;
+  if (standing_ > 0)
+    standing_ -= discard(descriptor, standing_).bytes;
   return standing_ == 0;
 }
 
@@ -65,8 +71,10 @@
       error = {};
       break;
     }
-    if (error) return Progress::kFailed;
-    if (used == 0) break;
+    if (error)
+      return Progress::kFailed;
+    if (used == 0)
+      break;
   }
   input_.erase(0, parsed);
   size_ += parsed;
--- a/src/net/request_reader.h
+++ b/src/net/request_reader.h
@@ -1,5 +1,6 @@
-// Reads one request at a time from a client's socket, and not a byte of the next one: what stands behind the
-// request stays in the kernel, so that a connection that closes after an answer has read nothing else.
+// Reads one request at a time from a client's socket, and not a byte of the next one: what stands
+// behind the request stays in the kernel, so that a connection that closes after an answer has read
+// nothing else.
 #pragma once
 
 #include <boost/beast/http/message.hpp>
@@ -39,8 +40,8 @@
   // Takes them out; false while some are left.
   bool takeStanding(int descriptor);
 
-  // Bytes that were read before their request's turn, here or by the process that passed the connection on;
-  // they come before those of the socket.
+  // Bytes that were read before their request's turn, here or by the process that passed the
+  // connection on; they come before those of the socket.
   void carry(std::string_view bytes) { input_ += bytes; }
   void dropCarried() { input_.clear(); }
   const std::string& carried() const { return input_; }
--- a/src/net/send_operation.cpp
+++ b/src/net/send_operation.cpp
@@ -10,17 +10,21 @@
 
 namespace dahliastall::net {
 
-std::shared_ptr<SendOperation> SendOperation::start(std::shared_ptr<boost::asio::ip::tcp::socket> socket,
-                                                    std::string_view first, std::string_view second,
-                                                    Done done) {
+std::shared_ptr<SendOperation> SendOperation::start(
+    std::shared_ptr<boost::asio::ip::tcp::socket> socket,
+    std::string_view first,
+    std::string_view second,
+    Done done) {
   const std::shared_ptr<SendOperation> operation(
       new SendOperation(std::move(socket), first, second, std::move(done)));
   operation->proceed();
   return operation;
 }
 
-SendOperation::SendOperation(std::shared_ptr<boost::asio::ip::tcp::socket> socket, std::string_view first,
-                             std::string_view second, Done done)
+SendOperation::SendOperation(std::shared_ptr<boost::asio::ip::tcp::socket> socket,
+                             std::string_view first,
+                             std::string_view second,
+                             Done done)
     : socket_(std::move(socket)),
       first_(first),
       second_(second),
@@ -28,8 +32,10 @@
       retry_(socket_->get_executor()) {}
 
 void SendOperation::proceed() {
-  if (!done_) return;
-  if (!socket_->is_open()) return finish(boost::asio::error::operation_aborted);
+  if (!done_)
+    return;
+  if (!socket_->is_open())
+    return finish(boost::asio::error::operation_aborted);
   const IoResult result = sendAvailable(socket_->native_handle(), first_, second_);
   const std::size_t ofFirst = std::min(first_.size(), result.bytes);
   first_.remove_prefix(ofFirst);
@@ -52,7 +58,8 @@
   waitsFor_ = boost::asio::error::operation_aborted;
   socket_->async_wait(boost::asio::ip::tcp::socket::wait_write,
                       [self = shared_from_this()](const boost::system::error_code& error) {
-                        if (error) return self->finish(error);
+                        if (error)
+                          return self->finish(error);
                         self->proceed();
                       });
 }
@@ -62,12 +69,14 @@
   retry_.expires_after(std::chrono::duration_cast<std::chrono::steady_clock::duration>(
       std::chrono::duration<double, std::milli>(kResourceRetryMs)));
   retry_.async_wait([self = shared_from_this()](const boost::system::error_code& failed) {
-    if (!failed) self->proceed();
+    if (!failed)
+      self->proceed();
   });
 }
 
 void SendOperation::cancel() {
-  if (!done_) return;
+  if (!done_)
+    return;
   finish(waitsFor_);
   retry_.cancel();
   boost::system::error_code ignored;
@@ -75,9 +84,11 @@
 }
 
 void SendOperation::finish(const boost::system::error_code& error) {
-  if (!done_) return;
-  boost::asio::post(socket_->get_executor(), [self = shared_from_this(), done = std::exchange(done_, nullptr),
-                                              error] { done(error); });
+  if (!done_)
+    return;
+  boost::asio::post(
+      socket_->get_executor(),
+      [self = shared_from_this(), done = std::exchange(done_, nullptr), error] { done(error); });
 }
 
 }  // namespace dahliastall::net
--- a/src/net/shed_requests.cpp
+++ b/src/net/shed_requests.cpp
@@ -3,7 +3,8 @@
 namespace dahliastall::net {
 
 void ShedRequests::read(std::string_view bytes) {
-  if (unreadable_) return;
+  if (unreadable_)
+    return;
   reader_.carry(bytes);
   while (!reader_.carried().empty()) {
     if (!midway_) {
@@ -14,8 +15,10 @@
     boost::system::error_code error;
     const RequestReader::Progress progress = reader_.readCarried(error);
     unreadable_ = progress == RequestReader::Progress::kFailed;
-    if (unreadable_) return reader_.dropCarried();
-    if (progress == RequestReader::Progress::kPart) return;
+    if (unreadable_)
+      return reader_.dropCarried();
+    if (progress == RequestReader::Progress::kPart)
+      return;
     midway_ = false;
   }
 }
--- a/src/net/shed_requests.h
+++ b/src/net/shed_requests.h
@@ -1,4 +1,5 @@
-// The requests in bytes that were read of a connection and not kept: each of them is owed a refusal.
+// The requests in bytes that were read of a connection and not kept: each of them is owed a
+// refusal.
 #pragma once
 
 #include <cstddef>
@@ -10,8 +11,8 @@
 
 class ShedRequests {
  public:
-  // The next bytes of the connection, from the beginning of a request on. What cannot be read as a request
-  // counts as one, with all that follows.
+  // The next bytes of the connection, from the beginning of a request on. What cannot be read as a
+  // request counts as one, with all that follows.
   void read(std::string_view bytes);
   void answered() { ++answered_; }
 
--- a/src/net/socket_calls.cpp
+++ b/src/net/socket_calls.cpp
@@ -15,19 +15,25 @@
 
 constexpr std::size_t kDiscardSize = 4096;
 
-bool lacksMemory(int error) { return error == ENOBUFS || error == ENOMEM; }
+bool lacksMemory(int error) {
+  return error == ENOBUFS || error == ENOMEM;
+}
 
 IoResult failure(int error) {
-  if (error == EAGAIN || error == EWOULDBLOCK) return {IoStatus::kWouldBlock};
+  if (error == EAGAIN || error == EWOULDBLOCK)
+    return {IoStatus::kWouldBlock};
   return {lacksMemory(error) ? IoStatus::kNoResources : IoStatus::kFailed, 0, error};
 }
 
 IoResult receiveWith(int descriptor, std::span<char> into, int flags) {
   while (true) {
     const auto count = ::recv(descriptor, into.data(), into.size(), flags | MSG_DONTWAIT);
-    if (count > 0) return {IoStatus::kDone, static_cast<std::size_t>(count)};
-    if (count == 0) return {IoStatus::kEnded};
-    if (errno != EINTR) return failure(errno);
+    if (count > 0)
+      return {IoStatus::kDone, static_cast<std::size_t>(count)};
+    if (count == 0)
+      return {IoStatus::kEnded};
+    if (errno != EINTR)
+      return failure(errno);
   }
 }
 
@@ -82,9 +88,13 @@
   return error.category() == boost::system::system_category() && isLocalFault(error.value());
 }
 
-IoResult peek(int descriptor, std::span<char> into) { return receiveWith(descriptor, into, MSG_PEEK); }
+IoResult peek(int descriptor, std::span<char> into) {
+  return receiveWith(descriptor, into, MSG_PEEK);
+}
 
-IoResult receive(int descriptor, std::span<char> into) { return receiveWith(descriptor, into, 0); }
+IoResult receive(int descriptor, std::span<char> into) {
+  return receiveWith(descriptor, into, 0);
+}
 
 IoResult discard(int descriptor, std::size_t bytes) {
   std::array<char, kDiscardSize> dropped;
@@ -92,7 +102,8 @@
   while (gone < bytes) {
     const IoResult part =
         receive(descriptor, std::span(dropped).first(std::min(dropped.size(), bytes - gone)));
-    if (part.status != IoStatus::kDone) return {part.status, gone, part.error};
+    if (part.status != IoStatus::kDone)
+      return {part.status, gone, part.error};
     gone += part.bytes;
   }
   return {IoStatus::kDone, gone};
@@ -104,8 +115,8 @@
   while (sent < size) {
     const std::string_view head = first.substr(std::min(sent, first.size()));
     const std::string_view tail = second.substr(sent > first.size() ? sent - first.size() : 0);
-    std::array<iovec, 2> parts{
-        {{const_cast<char*>(head.data()), head.size()}, {const_cast<char*>(tail.data()), tail.size()}}};
+    std::array<iovec, 2> parts{{{const_cast<char*>(head.data()), head.size()},
+                                {const_cast<char*>(tail.data()), tail.size()}}};
     msghdr message{};
     message.msg_iov = head.empty() ? &parts[1] : parts.data();
     message.msg_iovlen = head.empty() || tail.empty() ? 1 : 2;
@@ -126,7 +137,8 @@
 bool hasPeerEnded(int descriptor) {
   pollfd ask{descriptor, POLLRDHUP, 0};
   int ready = 0;
-  do ready = ::poll(&ask, 1, 0);
+  do
+    ready = ::poll(&ask, 1, 0);
   while (ready < 0 && errno == EINTR);
   return ready > 0 && (ask.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
@@ -134,16 +146,20 @@
 AcceptResult acceptNext(int listening) {
   while (true) {
     const int descriptor = ::accept4(listening, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
-    if (descriptor >= 0) return {AcceptStatus::kAccepted, descriptor};
-    if (errno != EINTR) return {acceptFailure(errno)};
+    if (descriptor >= 0)
+      return {AcceptStatus::kAccepted, descriptor};
+    if (errno != EINTR)
+      return {acceptFailure(errno)};
   }
 }
 
-boost::system::error_code assign(boost::asio::ip::tcp::socket& socket, const boost::asio::ip::tcp& protocol,
+boost::system::error_code assign(boost::asio::ip::tcp::socket& socket,
+                                 const boost::asio::ip::tcp& protocol,
                                  int descriptor) {
   boost::system::error_code error;
   socket.assign(protocol, descriptor, error);
-  if (error) ::close(descriptor);
+  if (error)
+    ::close(descriptor);
   return error;
 }
 
--- a/src/net/socket_calls.h
+++ b/src/net/socket_calls.h
@@ -1,6 +1,7 @@
-/// Non-blocking calls on sockets. Each repeats what a signal has interrupted, goes on after a short transfer,
-/// and tells apart by type what the caller has to tell apart: a socket that is not ready, a peer that has
-/// ended, a connection that is broken, and a machine that lacks resources for the moment.
+/// Non-blocking calls on sockets. Each repeats what a signal has interrupted, goes on after a short
+/// transfer, and tells apart by type what the caller has to tell apart: a socket that is not ready,
+/// a peer that has ended, a connection that is broken, and a machine that lacks resources for the
+/// moment.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -28,7 +29,8 @@
   int error = 0;          ///< errno of a failure
 };
 
-/// Whether an error is one of this machine, which proves that nothing was sent and says nothing of the peer.
+/// Whether an error is one of this machine, which proves that nothing was sent and says nothing of
+/// the peer.
 bool isLocalFault(int error);
 bool isLocalFault(const boost::system::error_code& error);
 
@@ -36,12 +38,14 @@
 IoResult peek(int descriptor, std::span<char> into);
 /// Takes bytes that have come, as many as one call gives.
 IoResult receive(int descriptor, std::span<char> into);
-/// Takes out and drops exactly so many bytes that are known to have come; fewer only with another status.
+/// Takes out and drops exactly so many bytes that are known to have come; fewer only with another
+/// status.
 IoResult discard(int descriptor, std::size_t bytes);
-/// Sends both parts in order until all is out or the socket takes no more. The status is kDone only if all
-/// is.
+/// Sends both parts in order until all is out or the socket takes no more. The status is kDone only
+/// if all is.
 IoResult sendAvailable(int descriptor, std::string_view first, std::string_view second = {});
-/// Whether the peer has ended its sending or the connection is broken, whatever stands unread before the end.
+/// Whether the peer has ended its sending or the connection is broken, whatever stands unread
+/// before the end.
 bool hasPeerEnded(int descriptor);
 
 enum class AcceptStatus {
@@ -61,7 +65,8 @@
 AcceptResult acceptNext(int listening);
 
 /// Makes a socket of a descriptor. Closes the descriptor if that fails.
-boost::system::error_code assign(boost::asio::ip::tcp::socket& socket, const boost::asio::ip::tcp& protocol,
+boost::system::error_code assign(boost::asio::ip::tcp::socket& socket,
+                                 const boost::asio::ip::tcp& protocol,
                                  int descriptor);
 
 }  // namespace dahliastall::net
--- a/src/net/socket_input.cpp
+++ b/src/net/socket_input.cpp
@@ -9,14 +9,16 @@
 
 namespace {
 
-// The system counts its own bookkeeping in the size of a buffer: a half of it or more is left to the bytes.
+// The system counts its own bookkeeping in the size of a buffer: a half of it or more is left to
+// the bytes.
 constexpr int kBookkeepingShare = 2;
 
 }  // namespace
 
 std::size_t unreadBytes(int descriptor) {
   int count = 0;
-  return ::ioctl(descriptor, FIONREAD, &count) == 0 && count > 0 ? static_cast<std::size_t>(count) : 0;
+  return ::ioctl(descriptor, FIONREAD, &count) == 0 && count > 0 ? static_cast<std::size_t>(count)
+                                                                 : 0;
 }
 
 double lastArrivalAgoMs(int descriptor) {
@@ -31,7 +33,8 @@
   ::setsockopt(descriptor, SOL_SOCKET, SO_RCVBUF, &asked, sizeof asked);
   int granted = 0;
   socklen_t size = sizeof granted;
-  if (::getsockopt(descriptor, SOL_SOCKET, SO_RCVBUF, &granted, &size) != 0) return 0;
+  if (::getsockopt(descriptor, SOL_SOCKET, SO_RCVBUF, &granted, &size) != 0)
+    return 0;
   return static_cast<std::size_t>(granted / kBookkeepingShare);
 }
 
--- a/src/policy/slow_start_budget.h
+++ b/src/policy/slow_start_budget.h
@@ -1,34 +1,44 @@
 /// The slow-start budget of one instance: what this process may send to it until it is warm.
 ///
-/// A started instance bears fallFactor x warmFraction() x its capacity in each window of length fallFor.
-/// Processes share nothing, so each uses a part. One that would send it several requests a window counts: a
-/// token bucket refills with its part. Others draw: in each slot, a fraction of a window, a process may send
-/// one request with a probability that follows what the whole fleet would offer the instance. The sum is then
-/// right for any number of processes and any spread of traffic over them, also where some restart and forget.
+/// A started instance bears fallFactor x warmFraction() x its capacity in each window of length
+/// fallFor. Processes share nothing, so each uses a part. One that would send it several requests a
+/// window counts: a token bucket refills with its part. Others draw: in each slot, a fraction of a
+/// window, a process may send one request with a probability that follows what the whole fleet
+/// would offer the instance. The sum is then right for any number of processes and any spread of
+/// traffic over them, also where some restart and forget.
 #pragma once
 
 #include "leverrelay/router.h"
 
 namespace leverrelay {
 
-/// Share of its capacity that an instance has by its age; 1 if it is warm or has not started lately.
+/// Share of its capacity that an instance has by its age; 1 if it is warm or has not started
+/// lately.
 double warmFraction(const Contract& contract, std::optional<Time> started, Time now);
 
 /// A request that could go to an instance in slow start.
 struct SlowStartOffer {
-  double usualPerWindow;  ///< requests of this process that a warm instance of its size gets in a window
-  double share;  ///< weight of the instances that the request is offered to, over that of the whole role
-  double part;   ///< of this instance in that weight: 1 if it is offered the request alone, 0 for no draw
-  Time since;    ///< first offered; a request that waits is drawn against powers of the probability
+  double usualPerWindow;  ///< requests of this process that a warm instance of its size gets in a
+                          ///< window
+  double share;  ///< weight of the instances that the request is offered to, over that of the whole
+                 ///< role
+  double part;  ///< of this instance in that weight: 1 if it is offered the request alone, 0 for no
+                ///< draw
+  Time since;   ///< first offered; a request that waits is drawn against powers of the probability
 };
 
 class SlowStartBudget {
  public:
-  /// The instance has started, or this process has just heard of it. The seed differs between processes.
+  /// The instance has started, or this process has just heard of it. The seed differs between
+  /// processes.
   void reset(std::uint64_t seed, int processes, Time now);
   /// Whether the request may be sent now to the instance, which started then and is not warm.
-  bool admits(const Settings& settings, std::optional<Time> started, const SlowStartOffer& offer, Time now);
-  /// A request, or a reservation for it, has been sent; the later send to a reservation is not counted again.
+  bool admits(const Settings& settings,
+              std::optional<Time> started,
+              const SlowStartOffer& offer,
+              Time now);
+  /// A request, or a reservation for it, has been sent; the later send to a reservation is not
+  /// counted again.
   void countSend(const Contract& contract, Time now);
 
  private:
--- a/src/records/request_record.cpp
+++ b/src/records/request_record.cpp
@@ -16,7 +16,8 @@
 }
 
 bool RequestRecord::refersTo(const Engine& engine) const {
-  if (place == &engine || reader == &engine || home == &engine || booked == &engine) return true;
+  if (place == &engine || reader == &engine || home == &engine || booked == &engine)
+    return true;
   return std::any_of(attempts.begin(), attempts.end(),
                      [&engine](const AttemptRecord& a) { return a.engine == &engine; });
 }
--- a/src/records/request_record.h
+++ b/src/records/request_record.h
@@ -1,4 +1,5 @@
-// What the decision module remembers of one request and of its attempts. Holds facts; decides nothing.
+// What the decision module remembers of one request and of its attempts. Holds facts; decides
+// nothing.
 #pragma once
 
 #include <map>
