--- a/src/rules.cpp
+++ b/src/rules.cpp
@@ -1,5 +1,6 @@
-// Every decision of the router. A request moves waiting -> reading -> read -> writing -> streaming -> over.
-// Every send passes sendTo(), every ending finish(): the five rules are enforced in one of the two.
+// Every decision of the router. A request moves waiting -> reading -> read -> writing -> streaming
+// -> over. Every send passes sendTo(), every ending finish(): the five rules are enforced in one of
+// the two.
 #include <algorithm>
 #include <array>
 #include <cmath>
@@ -20,50 +21,65 @@
 
 using std::chrono::seconds;
 
-// ---- 1 Knobs -------------------------------------------------------------------------------------
+// ---- 1 Knobs
+// -------------------------------------------------------------------------------------
 
-constexpr std::chrono::milliseconds kPulse{10};  // how often waiting work is looked at; short beside any aim
-constexpr double kEjectAt = 0.35, kEjectTimes = 3;  // failures to be passed over; times the best peer's
-constexpr int kGoodTrials = 3;                      // in a row before an engine that failed some is trusted
-constexpr int kNewIsGood = 3;                       // successes that a new engine is believed to have had
+constexpr std::chrono::milliseconds kPulse{
+    10};  // how often waiting work is looked at; short beside any aim
+constexpr double kEjectAt = 0.35,
+                 kEjectTimes = 3;      // failures to be passed over; times the best peer's
+constexpr int kGoodTrials = 3;         // in a row before an engine that failed some is trusted
+constexpr int kNewIsGood = 3;          // successes that a new engine is believed to have had
 constexpr int kOvertaken = 3;          // later sends answered well ahead of one that was swallowed
 constexpr double kOvertakenTimes = 2;  // what the later one took, for its size
-constexpr seconds kFirstPause{1}, kLongestPause{8};  // of an ejection; doubles with each trial that fails
-constexpr double kSilentFor = 5, kSilentAims = 0.5;  // usual answer times and least aims without any sign
-constexpr double kPriorStreams = 3;                  // own answers that count as much as an even spread does
-constexpr double kReadBound = 1.5;  // times the whole prompt's own reading that reads may wait at home
-constexpr double kLeastRead = 0.5, kMostRead = 1.25;  // of their even share that a cell's readers get
-constexpr double kFullMemory = 0.95;                  // share of a writer's memory that counts as full
-constexpr double kOutputShare = 0.25;                 // of the most an answer may have, expected in memory
-constexpr double kRoomToRead = 0.45;  // and share below which a writer may read prompts as well,
-constexpr int kWriterReads = 2;       // which takes it so many times as long as a reader,
-constexpr double kLongRead = 0.6;     // where a reader would take so much of the time to the aim,
-constexpr double kWriterSpare = 0.15, kFewNodes = 3;  // of all writers' time, unless nodes are so few;
-constexpr seconds kJamMemory{6};     // over which reads show a jam: longer than any waits in one,
-constexpr double kKnownReads = 3;    // of each reader in that time let a node know them apart; with fewer
-constexpr double kJamTimes = 1.3;    // times those read in time are tried
-constexpr double kFullAims = 0.15;   // of the shortest aim that a refusal is believed
-constexpr int kPlaceTries = 3;       // places asked for one request; a note takes little of a read
-constexpr double kSpareShare = 0.6;  // of the time left that an attempt may take while a next is possible
-constexpr double kRetryShare = 0.3, kRetryBurst = 30;  // further attempts: an arrival; at once after calm
+constexpr seconds kFirstPause{1},
+    kLongestPause{8};  // of an ejection; doubles with each trial that fails
+constexpr double kSilentFor = 5,
+                 kSilentAims = 0.5;  // usual answer times and least aims without any sign
+constexpr double kPriorStreams = 3;  // own answers that count as much as an even spread does
+constexpr double kReadBound =
+    1.5;  // times the whole prompt's own reading that reads may wait at home
+constexpr double kLeastRead = 0.5,
+                 kMostRead = 1.25;     // of their even share that a cell's readers get
+constexpr double kFullMemory = 0.95;   // share of a writer's memory that counts as full
+constexpr double kOutputShare = 0.25;  // of the most an answer may have, expected in memory
+constexpr double kRoomToRead = 0.45;   // and share below which a writer may read prompts as well,
+constexpr int kWriterReads = 2;        // which takes it so many times as long as a reader,
+constexpr double kLongRead = 0.6;      // where a reader would take so much of the time to the aim,
+constexpr double kWriterSpare = 0.15,
+                 kFewNodes = 3;   // of all writers' time, unless nodes are so few;
+constexpr seconds kJamMemory{6};  // over which reads show a jam: longer than any waits in one,
+constexpr double kKnownReads =
+    3;  // of each reader in that time let a node know them apart; with fewer
+constexpr double kJamTimes = 1.3;   // times those read in time are tried
+constexpr double kFullAims = 0.15;  // of the shortest aim that a refusal is believed
+constexpr int kPlaceTries = 3;      // places asked for one request; a note takes little of a read
+constexpr double kSpareShare =
+    0.6;  // of the time left that an attempt may take while a next is possible
+constexpr double kRetryShare = 0.3,
+                 kRetryBurst = 30;   // further attempts: an arrival; at once after calm
 constexpr int kSlowStartOffers = 3;  // of a step to engines in slow start, by a node that draws
 constexpr double kUnlistedWeight =
-    8;                               // of a role, missing for all that a new node knows if none there is warm
-constexpr double kHoldShare = 0.6;   // of the release limit that a read state may wait for a writer
-constexpr seconds kFade{1};          // in which an estimate that nothing refreshes loses half its say,
-constexpr double kFadeArrivals = 4;  // or so many arrivals, where a node sees few, but no longer than
-constexpr seconds kLongestFade{3};   // this, as a jam passes whether or not it is looked at
-constexpr seconds kFlowMemory{20};   // over which a node's own few requests show where work goes
-constexpr double kKeyPart = 0.5;     // of a reader's share of traffic that one key may fill
-constexpr double kRateKept = 0.98;   // of the fastest reading seen, with each read that is slower
-constexpr double kAdvice = 0.1;      // of the longest wait that clients heed, advised with a refusal
-constexpr double kTiny = 1e-9;       // keeps divisions by nothing apart from nothing
-constexpr seconds kAskPause{1};      // between tries to reach the list
-constexpr double kHandOverFrom = 0.6;  // share of the grace of a node that ends: its streams move from here,
-constexpr double kHandOverTo = 0.9;    // when a peer that ended before it is back, until here
-constexpr double kLastCall = 0.93;     // what has no stream by then gets its answer
-
-std::size_t at(Role role) { return static_cast<std::size_t>(role); }
+    8;  // of a role, missing for all that a new node knows if none there is warm
+constexpr double kHoldShare = 0.6;  // of the release limit that a read state may wait for a writer
+constexpr seconds kFade{1};  // in which an estimate that nothing refreshes loses half its say,
+constexpr double kFadeArrivals =
+    4;  // or so many arrivals, where a node sees few, but no longer than
+constexpr seconds kLongestFade{3};  // this, as a jam passes whether or not it is looked at
+constexpr seconds kFlowMemory{20};  // over which a node's own few requests show where work goes
+constexpr double kKeyPart = 0.5;    // of a reader's share of traffic that one key may fill
+constexpr double kRateKept = 0.98;  // of the fastest reading seen, with each read that is slower
+constexpr double kAdvice = 0.1;     // of the longest wait that clients heed, advised with a refusal
+constexpr double kTiny = 1e-9;      // keeps divisions by nothing apart from nothing
+constexpr seconds kAskPause{1};     // between tries to reach the list
+constexpr double kHandOverFrom =
+    0.6;  // share of the grace of a node that ends: its streams move from here,
+constexpr double kHandOverTo = 0.9;  // when a peer that ended before it is back, until here
+constexpr double kLastCall = 0.93;   // what has no stream by then gets its answer
+
+std::size_t at(Role role) {
+  return static_cast<std::size_t>(role);
+}
 
 // What a cell has of the fleet, by the list alone, so that every node reckons the same.
 struct Cell {
@@ -71,7 +87,8 @@
   double share = 0, writes = 0;     // of all reads and of all answers that it is to do
 };
 
-// Of the engines that do a step: when all of the fleet is there, listed now, and of these in slow start.
+// Of the engines that do a step: when all of the fleet is there, listed now, and of these in slow
+// start.
 struct RoleWeights {
   double whole = 0, listed = 0, cold = 0;
 };
@@ -111,9 +128,11 @@
   void handle(Time now, const Event& event, std::vector<Action>& actions) {
     now_ = now;
     act_ = &actions;
-    if (!started_) start();
+    if (!started_)
+      start();
     std::visit([this](const auto& what) { on(what); }, event);
-    if (stopsAt_) handOver();  // first: what is owed its answer gets no attempt in the same moment
+    if (stopsAt_)
+      handOver();  // first: what is owed its answer gets no attempt in the same moment
     pump();
     keepPulse();
   }
@@ -125,15 +144,20 @@
   }
 
  private:
-  // ---- 2 Fleet view --------------------------------------------------------------------------------
+  // ---- 2 Fleet view
+  // --------------------------------------------------------------------------------
 
-  const ClassSettings& classOf(const RequestRecord& r) const { return set_.classes[r.told.cls.value]; }
+  const ClassSettings& classOf(const RequestRecord& r) const {
+    return set_.classes[r.told.cls.value];
+  }
 
   bool listed(const Engine& e) const { return !e.toldOff; }
 
-  // A silent engine is passed over while it stays silent: a hang, a one-way link or a jam look alike.
+  // A silent engine is passed over while it stays silent: a hang, a one-way link or a jam look
+  // alike.
   bool silent(const Engine& e) const {
-    if (e.out == 0) return false;
+    if (e.out == 0)
+      return false;
     const auto work = static_cast<double>(timeFor(e.readTokens).count());
     const double expected = std::max(answer_[at(e.role)].mean(), work) * kSilentFor;
     const Duration limit = std::max(microseconds(expected), scaled(shortestAim(), kSilentAims));
@@ -151,34 +175,50 @@
     return fit(e) && r.avoid.count(e.info.engine) == 0 && r.told.promptTokens <= memoryOf(e);
   }
 
-  double warmShare(const Engine& e) const { return warmFraction(set_.contract, e.info.started, now_); }
+  double warmShare(const Engine& e) const {
+    return warmFraction(set_.contract, e.info.started, now_);
+  }
 
-  // A node that has just started has seen its present list alone: it takes what is missing there for large.
+  // A node that has just started has seen its present list alone: it takes what is missing there
+  // for large.
   RoleWeights weightsFor(Role step) const {
     RoleWeights weights{std::max(mostWeight_[at(step)], kTiny) + mostWeight_[at(Role::kMixed)]};
     for (const auto& [id, e] : engines_) {
-      if (!listed(e) || (e.role != step && e.role != Role::kMixed)) continue;
+      if (!listed(e) || (e.role != step && e.role != Role::kMixed))
+        continue;
       weights.listed += e.info.weight;
-      if (warmShare(e) < 1) weights.cold += e.info.weight;
+      if (warmShare(e) < 1)
+        weights.cold += e.info.weight;
     }
     weights.whole = std::max(weights.whole, weights.cold);
-    if (!young()) return weights;
+    if (!young())
+      return weights;
     const double other = *std::max_element(weight_.begin(), weight_.end());
-    weights.whole = std::max(weights.whole, other) + (weights.cold < weights.listed ? 0 : kUnlistedWeight);
+    weights.whole =
+        std::max(weights.whole, other) + (weights.cold < weights.listed ? 0 : kUnlistedWeight);
     return weights;
   }
 
   bool young() const { return now_ - startedAt_ < set_.contract.coldFor; }
 
-  // Guards rule four. Offered: the weight of the engines that share this request, and this one's part of it.
-  bool slowStartAllows(RequestRecord& r, Engine& e, const RoleWeights& weights, double offered, double part) {
-    if (warmShare(e) >= 1) return true;
+  // Guards rule four. Offered: the weight of the engines that share this request, and this one's
+  // part of it.
+  bool slowStartAllows(RequestRecord& r,
+                       Engine& e,
+                       const RoleWeights& weights,
+                       double offered,
+                       double part) {
+    if (warmShare(e) >= 1)
+      return true;
     const Duration seen = std::max(now_ - startedAt_, set_.contract.fallFor);
-    const double demand = (young() ? popularity_.arrivals(now_) : sends_[at(e.role)].at(now_, kFlowMemory)) /
-                          -std::expm1(-ratio(seen, kFlowMemory));
-    const double usual = demand * ratio(set_.contract.fallFor, kFlowMemory) * e.info.weight / weights.whole;
+    const double demand =
+        (young() ? popularity_.arrivals(now_) : sends_[at(e.role)].at(now_, kFlowMemory)) /
+        -std::expm1(-ratio(seen, kFlowMemory));
+    const double usual =
+        demand * ratio(set_.contract.fallFor, kFlowMemory) * e.info.weight / weights.whole;
     const Time since = r.offeredAt.try_emplace(r.phase, now_).first->second;
-    return e.slowStart.admits(set_, e.info.started, {usual, offered / weights.whole, part, since}, now_);
+    return e.slowStart.admits(set_, e.info.started, {usual, offered / weights.whole, part, since},
+                              now_);
   }
 
   void countSend(Engine& e) {
@@ -187,21 +227,26 @@
   }
 
   void eject(Engine& e, const char* why, int trials) {
-    if (!e.ejected) say("passing over " + e.info.engine.value + ": " + why);
+    if (!e.ejected)
+      say("passing over " + e.info.engine.value + ": " + why);
     std::tie(e.ejected, e.ejectedAt, e.trialsLeft) = std::tuple(true, now_, trials);
-    std::tie(e.trialAt, e.pause) = std::pair(now_ + e.pause, std::min<Duration>(e.pause * 2, kLongestPause));
+    std::tie(e.trialAt, e.pause) =
+        std::pair(now_ + e.pause, std::min<Duration>(e.pause * 2, kLongestPause));
   }
 
   void trust(Engine& e) {
     std::tie(e.ejected, e.pause, e.fails) = std::tuple(false, kFirstPause, FadingAverage());
   }
 
-  // What fails or swallows some may do one trial well: it takes several, and what was sent before is none.
+  // What fails or swallows some may do one trial well: it takes several, and what was sent before
+  // is none.
   void noteGood(Engine& e, Time sentAt) {
     e.fails.add(0);
-    if (!e.ejected || (e.trialsLeft > 1 && sentAt < e.ejectedAt)) return;
+    if (!e.ejected || (e.trialsLeft > 1 && sentAt < e.ejectedAt))
+      return;
     e.trialAt = now_;
-    if (--e.trialsLeft > 0) return;
+    if (--e.trialsLeft > 0)
+      return;
     trust(e);
     say("using " + e.info.engine.value + " again");
   }
@@ -210,18 +255,23 @@
   double failsAllowed(const Engine& e) const {
     double best = 1;
     for (const auto& [id, x] : engines_)
-      if (&x != &e && x.role == e.role && listed(x) && !x.ejected) best = std::min(best, x.fails.mean());
+      if (&x != &e && x.role == e.role && listed(x) && !x.ejected)
+        best = std::min(best, x.fails.mean());
     return std::max(kEjectAt, best * kEjectTimes);
   }
 
-  // Fast failures make an engine look idle. Dials that were out as it was left out are no trials that failed.
+  // Fast failures make an engine look idle. Dials that were out as it was left out are no trials
+  // that failed.
   void noteBad(Engine& e, Time sentAt, const char* why, bool certain) {
     e.fails.add(1);
-    if (e.ejected && certain && sentAt < e.ejectedAt) return;
-    if (e.ejected || certain || e.fails.mean() > failsAllowed(e)) eject(e, why, certain ? 1 : kGoodTrials);
+    if (e.ejected && certain && sentAt < e.ejectedAt)
+      return;
+    if (e.ejected || certain || e.fails.mean() > failsAllowed(e))
+      eject(e, why, certain ? 1 : kGoodTrials);
   }
 
-  // ---- 3 Reader choice -----------------------------------------------------------------------------
+  // ---- 3 Reader choice
+  // -----------------------------------------------------------------------------
 
   double unread(const RequestRecord& r, const Engine& e) const {
     return r.told.promptTokens * (1 - kept_[r.home == &e ? 1 : 0].mean());
@@ -240,7 +290,8 @@
 
   // What a read showed last loses its say with its age; own work is known.
   Duration waitAt(const Engine& e) const {
-    return std::max(timeFor(e.readTokens / warmShare(e)), scaled(e.wait, decay(now_, e.waitAt, fade())));
+    return std::max(timeFor(e.readTokens / warmShare(e)),
+                    scaled(e.wait, decay(now_, e.waitAt, fade())));
   }
 
   void noteWait(Engine& e, Duration wait) { std::tie(e.wait, e.waitAt) = std::pair(wait, now_); }
@@ -250,25 +301,31 @@
   }
 
   const std::string& keyOf(const RequestRecord& r) const {
-    if (!r.told.prefix.empty()) return r.told.prefix;
+    if (!r.told.prefix.empty())
+      return r.told.prefix;
     return r.told.session.empty() ? r.told.request.value : r.told.session;
   }
 
-  // A cell reads what its writers can write, within bounds of its readers; the rest crosses the link by plan.
+  // A cell reads what its writers can write, within bounds of its readers; the rest crosses the
+  // link by plan.
   void plan() {
     cells_.clear();
     weight_ = count_ = {};
     std::array<double, 3> warm{};
     for (const auto& [id, e] : engines_) {
-      if (!listed(e)) continue;
+      if (!listed(e))
+        continue;
       weight_[at(e.role)] += e.info.weight;
       warm[at(e.role)] += e.info.weight * warmShare(e);
       count_[at(e.role)] += 1;
       Cell& cell = cells_[e.info.cell];
-      if (e.role == Role::kReader) cell.readers += e.info.weight;
-      if (e.role == Role::kWriter) cell.writers += e.info.weight;
+      if (e.role == Role::kReader)
+        cell.readers += e.info.weight;
+      if (e.role == Role::kWriter)
+        cell.writers += e.info.weight;
     }
-    for (std::size_t i = 0; i < weight_.size(); ++i) mostWeight_[i] = std::max(mostWeight_[i], warm[i]);
+    for (std::size_t i = 0; i < weight_.size(); ++i)
+      mostWeight_[i] = std::max(mostWeight_[i], warm[i]);
     double sum = 0;
     for (auto& [index, c] : cells_) {
       const double even = c.readers / std::max(weight_[at(Role::kReader)], kTiny);
@@ -276,13 +333,15 @@
       c.share = std::clamp(c.writes, even * kLeastRead, even * kMostRead);
       sum += c.share;
     }
-    for (auto& [index, c] : cells_) c.share /= std::max(sum, kTiny);
+    for (auto& [index, c] : cells_)
+      c.share /= std::max(sum, kTiny);
   }
 
   // Readers share the work of the writers; a mixed engine takes the share that it writes as well.
   double hashWeight(const Engine& e) const {
     const double writers = weight_[at(Role::kWriter)];
-    if (e.role == Role::kMixed || writers <= 0) return std::max(kTiny, e.info.weight);
+    if (e.role == Role::kMixed || writers <= 0)
+      return std::max(kTiny, e.info.weight);
     const Cell& cell = cells_.at(e.info.cell);
     return std::max(kTiny, writers * cell.share * e.info.weight / std::max(kTiny, cell.readers));
   }
@@ -291,64 +350,82 @@
   void rank(std::vector<Engine*>& engines, std::size_t first, const std::string& key) const {
     std::multimap<double, Engine*> scored;
     for (std::size_t i = 0; i < first; ++i)
-      scored.emplace(-std::log(stableDraw(key, engines[i]->info.engine.value)) / hashWeight(*engines[i]),
-                     engines[i]);
-    std::transform(scored.begin(), scored.end(), engines.begin(), [](const auto& x) { return x.second; });
+      scored.emplace(
+          -std::log(stableDraw(key, engines[i]->info.engine.value)) / hashWeight(*engines[i]),
+          engines[i]);
+    std::transform(scored.begin(), scored.end(), engines.begin(),
+                   [](const auto& x) { return x.second; });
   }
 
-  // The key's order. A popular key, by this node's sample, has as many homes as carry it together; a session
-  // picks one of them, the same at every node, and so keeps its text.
+  // The key's order. A popular key, by this node's sample, has as many homes as carry it together;
+  // a session picks one of them, the same at every node, and so keeps its text.
   std::vector<Engine*> readersInOrder(const RequestRecord& r) {
     std::vector<Engine*> order;
     double all = 0, carried = 0;
     for (auto& [id, e] : engines_) {
-      if (e.role == Role::kWriter || !listed(e)) continue;
+      if (e.role == Role::kWriter || !listed(e))
+        continue;
       order.push_back(&e);
       all += hashWeight(e);
     }
     rank(order, order.size(), keyOf(r));
-    if (r.told.session.empty()) return order;
+    if (r.told.session.empty())
+      return order;
     const double wanted = popularity_.shareOfOthers(keyOf(r), now_);
     std::size_t homes = 0;
-    while (homes < order.size() && carried * kKeyPart < wanted * all) carried += hashWeight(*order[homes++]);
+    while (homes < order.size() && carried * kKeyPart < wanted * all)
+      carried += hashWeight(*order[homes++]);
     rank(order, homes, r.told.session);
     return order;
   }
 
-  // The first in the key's order whose reads wait within the bound, or an earlier one that would be done
-  // sooner, as it keeps the text: a jam must not feed itself by moving keys.
+  // The first in the key's order whose reads wait within the bound, or an earlier one that would be
+  // done sooner, as it keeps the text: a jam must not feed itself by moving keys.
   Engine* chooseReader(RequestRecord& r) {
     const Duration bound = scaled(timeFor(r.told.promptTokens), kReadBound);
     const std::vector<Engine*> order = readersInOrder(r);
-    if (!order.empty()) r.home = order.front();
+    if (!order.empty())
+      r.home = order.front();
     const RoleWeights weights = weightsFor(Role::kReader);
     Engine* best = nullptr;
     int offers = 0;
     for (Engine* e : order) {
-      if (!eligible(r, *e) || now_ < e->fullUntil) continue;
-      if (e->role == Role::kMixed && full(*e)) continue;
-      if (warmShare(*e) < 1) ++offers;
+      if (!eligible(r, *e) || now_ < e->fullUntil)
+        continue;
+      if (e->role == Role::kMixed && full(*e))
+        continue;
+      if (warmShare(*e) < 1)
+        ++offers;
       const double offered = e == r.home ? weights.listed : weights.cold;
-      if (!slowStartAllows(r, *e, weights, offered, offers > kSlowStartOffers ? 0 : 1)) continue;
-      if (best != nullptr && readTime(r, *e) >= readTime(r, *best)) continue;
+      if (!slowStartAllows(r, *e, weights, offered, offers > kSlowStartOffers ? 0 : 1))
+        continue;
+      if (best != nullptr && readTime(r, *e) >= readTime(r, *best))
+        continue;
       best = e;
-      if (waitAt(*e) <= bound) return e;
+      if (waitAt(*e) <= bound)
+        return e;
     }
     return best;
   }
 
-  // ---- 4 Writer choice and places ------------------------------------------------------------------
+  // ---- 4 Writer choice and places
+  // ------------------------------------------------------------------
 
-  double load(const Engine& e) const { return e.streams / (std::max(e.info.weight, kTiny) * warmShare(e)); }
+  double load(const Engine& e) const {
+    return e.streams / (std::max(e.info.weight, kTiny) * warmShare(e));
+  }
 
   double tokensOf(const RequestRecord& r) const {
     return r.told.promptTokens + kOutputShare * r.told.maxTokens;
   }
 
-  // Share of all answers that is at a place of this weight: what own answers show, as far as they are many.
+  // Share of all answers that is at a place of this weight: what own answers show, as far as they
+  // are many.
   double shareOf(double own, double weight) const {
-    const double even = weight / std::max(weight_[at(Role::kWriter)] + weight_[at(Role::kMixed)], kTiny);
-    return held_ > 0 ? (streams_ * own / held_ + kPriorStreams * even) / (streams_ + kPriorStreams) : even;
+    const double even =
+        weight / std::max(weight_[at(Role::kWriter)] + weight_[at(Role::kMixed)], kTiny);
+    return held_ > 0 ? (streams_ * own / held_ + kPriorStreams * even) / (streams_ + kPriorStreams)
+                     : even;
   }
 
   double expectedTokens(const Engine& e) const {
@@ -362,8 +439,10 @@
   bool everyWriterFull() const {
     int fits = 0;
     for (const auto& [id, e] : engines_) {
-      if (e.role == Role::kReader || !fit(e)) continue;
-      if (++fits; !full(e)) return false;
+      if (e.role == Role::kReader || !fit(e))
+        continue;
+      if (++fits; !full(e))
+        return false;
     }
     return fits > 0;
   }
@@ -378,10 +457,13 @@
     };
     for (auto& [id, e] : engines_) {
       const bool elsewhere = cell && (e.role == Role::kMixed || e.info.cell != *cell);
-      if (e.role == Role::kReader || elsewhere || !eligible(r, e)) continue;
+      if (e.role == Role::kReader || elsewhere || !eligible(r, e))
+        continue;
       const double part = e.info.weight / std::max(weights.cold, kTiny);
-      if (!slowStartAllows(r, e, weights, offered, part)) continue;
-      if (best == nullptr || worth(e) < worth(*best)) best = &e;
+      if (!slowStartAllows(r, e, weights, offered, part))
+        continue;
+      if (best == nullptr || worth(e) < worth(*best))
+        best = &e;
     }
     return best;
   }
@@ -390,29 +472,35 @@
   CellIndex writingCell(const RequestRecord& r) const {
     CellIndex best = r.reader->info.cell;
     const auto home = cells_.find(best);  // none: nothing of it is listed any more
-    if (home != cells_.end() &&
-        stableDraw(r.told.request.value, "near") < home->second.writes / std::max(home->second.share, kTiny))
+    if (home != cells_.end() && stableDraw(r.told.request.value, "near") <
+                                    home->second.writes / std::max(home->second.share, kTiny))
       return best;
     double least = HUGE_VAL;
     for (const auto& [index, cell] : cells_) {
       const double room = cell.writes - cell.share;
-      if (room <= 0) continue;
-      const double score = -std::log(stableDraw(r.told.request.value, std::to_string(index.value))) / room;
-      if (score < least) std::tie(least, best) = std::pair(score, index);
+      if (room <= 0)
+        continue;
+      const double score =
+          -std::log(stableDraw(r.told.request.value, std::to_string(index.value))) / room;
+      if (score < least)
+        std::tie(least, best) = std::pair(score, index);
     }
     return best;
   }
 
-  // The writer of the planned cell; another cell's only when this one has none with room (the spill).
+  // The writer of the planned cell; another cell's only when this one has none with room (the
+  // spill).
   Engine* chooseWriter(RequestRecord& r) {
     Engine* near = leastLoaded(r, writingCell(r));
-    if (near != nullptr && !full(*near)) return near;
+    if (near != nullptr && !full(*near))
+      return near;
     Engine* any = leastLoaded(r, {});
     return any != nullptr && !full(*any) ? any : near;
   }
 
   void book(RequestRecord& r, Engine& e) {
-    if (r.booked == &e) return;
+    if (r.booked == &e)
+      return;
     unbook(r);
     r.booked = &e;
     r.bookedTokens = tokensOf(r);
@@ -423,7 +511,8 @@
   }
 
   void unbook(RequestRecord& r) {
-    if (r.booked == nullptr) return;
+    if (r.booked == nullptr)
+      return;
     r.booked->streams -= 1;
     r.booked->heldTokens -= r.bookedTokens;
     streams_ -= 1;
@@ -433,7 +522,8 @@
 
   void askPlace(RequestRecord& r) {
     Engine* writer = set_.placesAhead ? chooseWriter(r) : nullptr;
-    if (writer == nullptr) return;
+    if (writer == nullptr)
+      return;
     countSend(*writer);
     book(r, *writer);
     r.place = writer;
@@ -443,8 +533,10 @@
 
   // A place on a draining writer is still used early in the grace: the state may exist only there.
   bool placeUsable(const RequestRecord& r) const {
-    if (r.place == nullptr || r.avoid.count(r.place->info.engine) != 0) return false;
-    if (!r.place->toldOff) return fit(*r.place);
+    if (r.place == nullptr || r.avoid.count(r.place->info.engine) != 0)
+      return false;
+    if (!r.place->toldOff)
+      return fit(*r.place);
     return now_ - *r.place->toldOff < set_.contract.drainGrace / 2 &&
            r.place->info.presence == Presence::kLeaving;
   }
@@ -452,23 +544,29 @@
   void startWrite(RequestRecord& r) {
     r.phase = Phase::kRead;
     Engine* writer = placeUsable(r) ? r.place : chooseWriter(r);
-    if (writer == nullptr) return;  // pump() tries again or lets go
+    if (writer == nullptr)
+      return;  // pump() tries again or lets go
     const bool prepaid = writer == r.place;
     book(r, *writer);
-    if (sendTo(r, *writer, Phase::kWriting) && !prepaid) countSend(*writer);
+    if (sendTo(r, *writer, Phase::kWriting) && !prepaid)
+      countSend(*writer);
   }
 
-  // ---- 5 Admission ---------------------------------------------------------------------------------
+  // ---- 5 Admission
+  // ---------------------------------------------------------------------------------
 
   // What a read may take at most for those who would wait behind it: every class worth as much.
   Duration shortestAim(double worth = 0) const {
     Duration least = Duration::max();
     for (const ClassSettings& cls : set_.classes)
-      if (cls.worth >= worth) least = std::min(least, cls.aim);
+      if (cls.worth >= worth)
+        least = std::min(least, cls.aim);
     return least;
   }
 
-  Duration usual(Role role) const { return microseconds(answer_[at(role)].decayedMean(now_, fade())); }
+  Duration usual(Role role) const {
+    return microseconds(answer_[at(role)].decayedMean(now_, fade()));
+  }
 
   // Early refusal: late answers earn little and make those behind them late.
   bool worthless(const RequestRecord& r, const Engine& reader) const {
@@ -478,32 +576,42 @@
     return scaled(readTime(r, reader), decay(now_, lastRead_, fade())) + rest > left;
   }
 
-  // Readers may be too few or fail while writers rest, which read too, more slowly: between their steps.
+  // Readers may be too few or fail while writers rest, which read too, more slowly: between their
+  // steps.
   bool readAtWriter(RequestRecord& r) {
     Engine* best = nullptr;
     for (auto& [id, e] : engines_) {
       const bool rests = !e.ejected && warmShare(e) >= 1 && !full(e, kRoomToRead);
-      if (e.role != Role::kWriter || !eligible(r, e) || !rests) continue;
-      if (best == nullptr || std::pair(e.readTokens, load(e)) < std::pair(best->readTokens, load(*best)))
+      if (e.role != Role::kWriter || !eligible(r, e) || !rests)
+        continue;
+      if (best == nullptr ||
+          std::pair(e.readTokens, load(e)) < std::pair(best->readTokens, load(*best)))
         best = &e;
     }
-    // Each node alone sees the writers idle, so it reckons what they would read if all did as it does.
+    // Each node alone sees the writers idle, so it reckons what they would read if all did as it
+    // does.
     const Duration all = kWriterReads * timeFor(writerReads_.at(now_, kFlowMemory)) * set_.nodes;
     const double spare = std::max(kWriterSpare, kFewNodes / set_.nodes) * count_[at(Role::kWriter)];
-    if (best == nullptr || !set_.writersRead || all > scaled(kFlowMemory, spare)) return false;
-    if (now_ + scaled(timeFor(best->readTokens + r.told.promptTokens), kWriterReads) > r.aim) return false;
+    if (best == nullptr || !set_.writersRead || all > scaled(kFlowMemory, spare))
+      return false;
+    if (now_ + scaled(timeFor(best->readTokens + r.told.promptTokens), kWriterReads) > r.aim)
+      return false;
     letGo(r);
     book(r, *best);
-    if (sendTo(r, *best, Phase::kWriting)) countSend(*best);
+    if (sendTo(r, *best, Phase::kWriting))
+      countSend(*best);
     writerReads_.add(r.told.promptTokens, now_, kFlowMemory);
     return true;
   }
 
-  // Guards against a jam that many nodes keep up with a few reads each. Who cannot know each reader reads
-  // little more than was read in time at any, and its part of some trials that show the jam's end.
+  // Guards against a jam that many nodes keep up with a few reads each. Who cannot know each reader
+  // reads little more than was read in time at any, and its part of some trials that show the jam's
+  // end.
   bool throttled(const RequestRecord& r) const {
-    const double tried = reads_.at(now_, kJamMemory), known = kKnownReads * count_[at(Role::kReader)];
-    const double allowed = kJamTimes * timely_.at(now_, kJamMemory) + std::max(1.0, known / set_.nodes);
+    const double tried = reads_.at(now_, kJamMemory),
+                 known = kKnownReads * count_[at(Role::kReader)];
+    const double allowed =
+        kJamTimes * timely_.at(now_, kJamMemory) + std::max(1.0, known / set_.nodes);
     return tried < known && stableDraw(r.told.request.value, "throttle") * tried > allowed;
   }
 
@@ -511,69 +619,85 @@
     Engine* reader = chooseReader(r);
     const bool late = reader != nullptr && worthless(r, *reader);
     const bool slow = reader == nullptr || readTime(r, *reader) > scaled(r.aim - now_, kLongRead);
-    if ((late || slow) && readAtWriter(r)) return;
-    if (reader == nullptr || late || throttled(r)) return reader == nullptr ? void() : finish(r);
+    if ((late || slow) && readAtWriter(r))
+      return;
+    if (reader == nullptr || late || throttled(r))
+      return reader == nullptr ? void() : finish(r);
     letGo(r);
     r.reader = reader;
-    if (reader->role == Role::kMixed) book(r, *reader);
-    if (!sendTo(r, *reader, reader->role == Role::kMixed ? Phase::kWriting : Phase::kReading)) return;
+    if (reader->role == Role::kMixed)
+      book(r, *reader);
+    if (!sendTo(r, *reader, reader->role == Role::kMixed ? Phase::kWriting : Phase::kReading))
+      return;
     countSend(*reader);
-    if (reader->role == Role::kReader) askPlace(r);
+    if (reader->role == Role::kReader)
+      askPlace(r);
   }
 
   // A prompt needs the memory of a kind that reads it and of one that writes its answer.
   bool tooBig(const RequestRecord& r) const {
     bool read = false, written = false;
     for (const KindSettings& kind : set_.kinds) {
-      if (r.told.promptTokens > kind.memoryTokens) continue;
+      if (r.told.promptTokens > kind.memoryTokens)
+        continue;
       read = read || kind.role != Role::kWriter || set_.writersRead;
       written = written || kind.role != Role::kReader;
     }
     return !read || !written;
   }
 
-  // What cannot be answered any more is told so while a retry elsewhere may help, in the last pulse at
-  // latest.
+  // What cannot be answered any more is told so while a retry elsewhere may help, in the last pulse
+  // at latest.
   bool hopeless(const RequestRecord& r) const {
-    const Duration least =
-        r.phase == Phase::kRead ? usual(Role::kWriter) : usual(Role::kReader) + usual(Role::kWriter);
+    const Duration least = r.phase == Phase::kRead ? usual(Role::kWriter)
+                                                   : usual(Role::kReader) + usual(Role::kWriter);
     return r.deadline - now_ < std::max(least, Duration(kPulse + 2 * set_.tick));
   }
 
-  // ---- 6 Deadlines and further attempts ------------------------------------------------------------
+  // ---- 6 Deadlines and further attempts
+  // ------------------------------------------------------------
 
   // Leaves time for another attempt and no more: a time-out in a jam only reads the prompt twice.
   Time patience(const RequestRecord& r, const Engine& e) const {
     const bool last = static_cast<int>(r.attempts.size()) + 1 >= set_.limits.maxAttempts;
-    if (last || (classOf(r).effect == Effect::kUnsafe && e.role != Role::kReader)) return r.deadline;
+    if (last || (classOf(r).effect == Effect::kUnsafe && e.role != Role::kReader))
+      return r.deadline;
     return now_ + scaled(r.deadline - now_, kSpareShare);
   }
 
-  // What an engine swallows is overtaken: by others sent later, well ahead for their size. Jams hold all up.
+  // What an engine swallows is overtaken: by others sent later, well ahead for their size. Jams
+  // hold all up.
   void overtake(const AttemptRecord& by, Duration took) {
     for (auto& [id, r] : requests_) {
-      if (r.phase != Phase::kReading && r.phase != Phase::kWriting) continue;
+      if (r.phase != Phase::kReading && r.phase != Phase::kWriting)
+        continue;
       AttemptRecord& a = r.attempts.back();
-      if (!a.out || a.engine != by.engine || a.sentAt >= by.sentAt) continue;
+      if (!a.out || a.engine != by.engine || a.sentAt >= by.sentAt)
+        continue;
       const double size = std::max(1.0, (a.tokens + 1) / (by.tokens + 1));
-      if (now_ - a.sentAt > scaled(took, size * kOvertakenTimes)) ++a.overtaken;
+      if (now_ - a.sentAt > scaled(took, size * kOvertakenTimes))
+        ++a.overtaken;
     }
   }
 
   bool anotherFor(const RequestRecord& r, const Engine& e) const {
     for (const auto& [id, x] : engines_)
-      if (&x != &e && (x.role == Role::kReader) == (e.role == Role::kReader) && eligible(r, x)) return true;
+      if (&x != &e && (x.role == Role::kReader) == (e.role == Role::kReader) && eligible(r, x))
+        return true;
     return false;
   }
 
   // Calls off what waits at a silent engine, or was swallowed, while another could take it.
   void rescue(RequestRecord& r) {
     AttemptRecord& a = r.attempts.back();
-    if (!set_.limits.cancel || retries_ < 1 || !a.out || a.calledOff) return;
-    if (a.writes && classOf(r).effect == Effect::kUnsafe) return;  // a read has no effect
+    if (!set_.limits.cancel || retries_ < 1 || !a.out || a.calledOff)
+      return;
+    if (a.writes && classOf(r).effect == Effect::kUnsafe)
+      return;  // a read has no effect
     const bool longOut = now_ - a.sentAt >= scaled(r.aim - r.arrivedAt, kSilentAims);
     const bool swallowed = a.overtaken >= kOvertaken && (longOut || !a.writes);
-    if ((!swallowed && !(longOut && silent(*a.engine))) || !anotherFor(r, *a.engine)) return;
+    if ((!swallowed && !(longOut && silent(*a.engine))) || !anotherFor(r, *a.engine))
+      return;
     a.calledOff = true;
     noteBad(*a.engine, a.sentAt, "silent", false);
     emit(Cancel{r.told.request, static_cast<int>(r.attempts.size()) - 1});
@@ -586,14 +710,17 @@
   // Until when what may have run may go out again, as repeats of it do no harm or are discarded.
   Time repeatsUntil(const RequestRecord& r) const {
     const AttemptRecord* first = r.mayHaveRun();
-    if (first == nullptr || classOf(r).effect == Effect::kSafe) return Time::max();
+    if (first == nullptr || classOf(r).effect == Effect::kSafe)
+      return Time::max();
     return classOf(r).effect == Effect::kKeyed ? first->sentAt + classOf(r).dedupWindow : now_;
   }
 
-  // Guards rule two for sends: of a keyed class, all that may have run is in the group of the first of it.
+  // Guards rule two for sends: of a keyed class, all that may have run is in the group of the first
+  // of it.
   bool effectAllows(const RequestRecord& r, const Engine& e) const {
     const AttemptRecord* first = classOf(r).effect == Effect::kKeyed ? r.mayHaveRun() : nullptr;
-    const bool apart = first != nullptr && !sameGroup(first->engine->info, e.info, classOf(r).group);
+    const bool apart =
+        first != nullptr && !sameGroup(first->engine->info, e.info, classOf(r).group);
     return now_ < repeatsUntil(r) && !apart;
   }
 
@@ -605,40 +732,51 @@
 
   // The one gate for sends: rules one (nothing after the end), two, three and the attempt limits.
   bool sendTo(RequestRecord& r, Engine& e, Phase next) {
-    if (r.phase == Phase::kOver || r.phase == Phase::kStreaming || now_ >= r.deadline) return false;
-    if (r.attemptOut() || static_cast<int>(r.attempts.size()) >= set_.limits.maxAttempts) return false;
-    if ((e.toldOff && !(&e == r.place && placeUsable(r))) || !effectAllows(r, e)) return false;
+    if (r.phase == Phase::kOver || r.phase == Phase::kStreaming || now_ >= r.deadline)
+      return false;
+    if (r.attemptOut() || static_cast<int>(r.attempts.size()) >= set_.limits.maxAttempts)
+      return false;
+    if ((e.toldOff && !(&e == r.place && placeUsable(r))) || !effectAllows(r, e))
+      return false;
     const bool reads = next == Phase::kReading || (e.role == Role::kWriter && r.reader == nullptr);
     const double tokens = reads ? unread(r, e) : 0;
     e.readTokens += tokens;
     const Time before = repeatsUntil(r);
     r.attempts.push_back({&e, now_, e.role != Role::kReader, tokens, r.home == &e});
     r.phase = next;
-    r.pinned = true;  // whatever the role: a mixed engine that times out may leave its own reading held
-    if (e.out++ == 0) e.quietSince = now_;
+    r.pinned =
+        true;  // whatever the role: a mixed engine that times out may leave its own reading held
+    if (e.out++ == 0)
+      e.quietSince = now_;
     emit(Send{r.told.request, e.info.engine, patience(r, e), before});
     return true;
   }
 
-  // After a failure: another engine, within the attempts, the time and the budget that cannot feed a jam.
+  // After a failure: another engine, within the attempts, the time and the budget that cannot feed
+  // a jam.
   void again(RequestRecord& r, Engine& failed, bool stateLives) {
     r.avoid.insert(failed.info.engine);
     r.offeredAt.clear();
-    const bool spent = static_cast<int>(r.attempts.size()) + (stateLives ? 1 : 2) > set_.limits.maxAttempts;
-    if (spent || retries_ < 1 || hopeless(r) || now_ >= repeatsUntil(r)) return finish(r);
+    const bool spent =
+        static_cast<int>(r.attempts.size()) + (stateLives ? 1 : 2) > set_.limits.maxAttempts;
+    if (spent || retries_ < 1 || hopeless(r) || now_ >= repeatsUntil(r))
+      return finish(r);
     retries_ -= 1;
     unbook(r);
-    if (stateLives) return startWrite(r);
+    if (stateLives)
+      return startWrite(r);
     letGo(r);
     r.phase = Phase::kWaiting;
     startRead(r);
   }
 
-  // ---- 7 Release -----------------------------------------------------------------------------------
+  // ---- 7 Release
+  // -----------------------------------------------------------------------------------
 
   // Guards rule five: whatever may be held for it anywhere is let go.
   void letGo(RequestRecord& r) {
-    if (r.pinned) emit(Release{r.told.request});
+    if (r.pinned)
+      emit(Release{r.told.request});
     r.pinned = false;
     r.place = r.reader = nullptr;
     unbook(r);
@@ -651,12 +789,15 @@
 
   // The one gate for endings: one final answer, nothing after it, nothing left out or held.
   void finish(RequestRecord& r) {
-    if (r.phase == Phase::kOver) return;
+    if (r.phase == Phase::kOver)
+      return;
     callOff(r);
     letGo(r);  // first, as a refusal says that nothing is under way anywhere
     const Duration advice = scaled(set_.limits.maxRetryAfter, kAdvice);
-    if (!mayRefuse(r)) emit(Fail{r.told.request});
-    else emit(Refuse{r.told.request, set_.limits.retryAfter ? std::optional(advice) : std::nullopt});
+    if (!mayRefuse(r))
+      emit(Fail{r.told.request});
+    else
+      emit(Refuse{r.told.request, set_.limits.retryAfter ? std::optional(advice) : std::nullopt});
     close(r);
   }
 
@@ -667,10 +808,12 @@
 
   void forgetIfDone(const RequestId& id) {
     const RequestRecord* r = held(id);
-    if (r != nullptr && r->phase == Phase::kOver && !r->attemptOut()) requests_.erase(id);
+    if (r != nullptr && r->phase == Phase::kOver && !r->attemptOut())
+      requests_.erase(id);
   }
 
-  // ---- 8 Event handlers ----------------------------------------------------------------------------
+  // ---- 8 Event handlers
+  // ----------------------------------------------------------------------------
 
   void emit(Action act) { act_->push_back(std::move(act)); }
 
@@ -678,21 +821,27 @@
 
   void start() {
     std::tie(started_, startedAt_) = std::pair(true, now_);
-    if (problem_) say("unusable settings: " + *problem_);
-    if (set_.discovery == Discovery::kAsk) emit(Subscribe{});
+    if (problem_)
+      say("unusable settings: " + *problem_);
+    if (set_.discovery == Discovery::kAsk)
+      emit(Subscribe{});
   }
 
   void on(const ListNews& news) {
-    if (news.form == ListForm::kFailed) return void(askAgainAt_ = now_ + kAskPause);
+    if (news.form == ListForm::kFailed)
+      return void(askAgainAt_ = now_ + kAskPause);
     if (news.form != ListForm::kChanges)  // a whole list; what it names is taken back in
-      for (auto& [id, e] : engines_) tellOff(e, Presence::kGone);
-    for (const ListEntry& entry : news.entries) take(entry);
+      for (auto& [id, e] : engines_)
+        tellOff(e, Presence::kGone);
+    for (const ListEntry& entry : news.entries)
+      take(entry);
     forgetGone();
     plan();
   }
 
   void tellOff(Engine& e, Presence presence) {
-    if (!e.toldOff) e.toldOff = now_;
+    if (!e.toldOff)
+      e.toldOff = now_;
     e.info.presence = presence;
   }
 
@@ -701,71 +850,90 @@
     std::erase_if(engines_, [this](const auto& entry) {
       const Engine& e = entry.second;
       const bool gone = e.toldOff && e.info.presence == Presence::kGone;
-      if (!gone || now_ - *e.toldOff <= set_.contract.coldFor) return false;
+      if (!gone || now_ - *e.toldOff <= set_.contract.coldFor)
+        return false;
       return std::none_of(requests_.begin(), requests_.end(),
                           [&e](const auto& request) { return request.second.refersTo(e); });
     });
   }
 
   void take(const ListEntry& entry) {
-    if (entry.kind.value >= set_.kinds.size()) return;
+    if (entry.kind.value >= set_.kinds.size())
+      return;
     auto [it, fresh] = engines_.try_emplace(entry.engine);
     Engine& e = it->second;
     const bool restarted = !fresh && entry.started && entry.started != e.info.started;
     e.info = entry;
     e.info.weight = std::max(0.0, entry.weight);
     e.role = set_.kinds[entry.kind.value].role;
-    for (int i = 0; fresh && i < kNewIsGood; ++i) e.fails.add(0);
-    if (fresh || restarted) e.slowStart.reset(stableHash(salt_, entry.engine.value), set_.nodes, now_);
-    if (restarted) trust(e);
-    if (entry.presence == Presence::kActive) e.toldOff.reset();
-    else tellOff(e, entry.presence);
+    for (int i = 0; fresh && i < kNewIsGood; ++i)
+      e.fails.add(0);
+    if (fresh || restarted)
+      e.slowStart.reset(stableHash(salt_, entry.engine.value), set_.nodes, now_);
+    if (restarted)
+      trust(e);
+    if (entry.presence == Presence::kActive)
+      e.toldOff.reset();
+    else
+      tellOff(e, entry.presence);
   }
 
   void on(const Arrival& told) {
-    if (problem_ || told.cls.value >= set_.classes.size()) return emit(Fail{told.request});
+    if (problem_ || told.cls.value >= set_.classes.size())
+      return emit(Fail{told.request});
     auto [it, fresh] = requests_.try_emplace(told.request);
-    if (!fresh) return;
+    if (!fresh)
+      return;
     RequestRecord& r = it->second;
     r.told = told;
     r.arrivedAt = now_;
     r.deadline = now_ + told.timeLeft;
-    // Whoever asks for the rest had its first token: the mean pace counts, and a refusal loses it all.
+    // Whoever asks for the rest had its first token: the mean pace counts, and a refusal loses it
+    // all.
     r.aim = now_ + classOf(r).aim + scaled(classOf(r).aimPer1000, told.promptTokens / 1000);
-    if (told.resumed) r.aim = r.deadline;
+    if (told.resumed)
+      r.aim = r.deadline;
     popularity_.count(keyOf(r), now_);
     const double seen = kRetryShare * popularity_.arrivals(now_) + 1;
     retries_ = std::min({kRetryBurst, retries_ + kRetryShare, seen});
-    if (tooBig(r) || hopeless(r)) finish(r);
+    if (tooBig(r) || hopeless(r))
+      finish(r);
     forgetIfDone(told.request);
   }
 
   void on(const StreamOpened& opened) {
     RequestRecord* r = held(opened.request);
     AttemptRecord* a = r == nullptr ? nullptr : r->attempt(opened.attempt);
-    if (a == nullptr) return;
+    if (a == nullptr)
+      return;
     signOfLife(*a, opened.took, a->out && a->tokens <= 0);
     noteGood(*a->engine, a->sentAt);
     overtake(*a, opened.took);
     a->engine->readTokens -= std::exchange(a->tokens, 0);
-    if (r->phase == Phase::kOver) return;
+    if (r->phase == Phase::kOver)
+      return;
     std::tie(r->phase, r->openedAt, r->pinned) = std::tuple(Phase::kStreaming, now_, false);
     book(*r, *a->engine);
   }
 
   void on(const PlaceNote& note) {
     RequestRecord* r = held(note.request);
-    if (r == nullptr || r->place == nullptr || r->place->info.engine != note.engine || note.held) return;
-    r->place->fullUntil = now_ + scaled(shortestAim(), kFullAims);  // no slot or memory, or some wait already
+    if (r == nullptr || r->place == nullptr || r->place->info.engine != note.engine || note.held)
+      return;
+    r->place->fullUntil =
+        now_ + scaled(shortestAim(), kFullAims);  // no slot or memory, or some wait already
     r->place = nullptr;
-    if (r->phase != Phase::kReading) return;
+    if (r->phase != Phase::kReading)
+      return;
     unbook(*r);
-    if (++r->placesRefused < kPlaceTries) askPlace(*r);
+    if (++r->placesRefused < kPlaceTries)
+      askPlace(*r);
   }
 
   void on(const StreamAdopted& stream) {
     const auto e = engines_.find(stream.engine);
-    if (e == engines_.end()) return;
+    if (e == engines_.end())
+      return;
     RequestRecord& r = requests_[stream.told.request];
     r.told = stream.told;
     r.openedAt = r.arrivedAt = r.deadline = r.aim = now_;
@@ -777,11 +945,14 @@
   void on(const AttemptEnded& ended) {
     RequestRecord* r = held(ended.request);
     AttemptRecord* a = r == nullptr ? nullptr : r->attempt(ended.attempt);
-    if (a == nullptr || !a->out) return;
+    if (a == nullptr || !a->out)
+      return;
     Engine& e = *a->engine;
-    if (!r->openedAt) signOfLife(*a, ended.took, ended.outcome == Outcome::kRead);
+    if (!r->openedAt)
+      signOfLife(*a, ended.took, ended.outcome == Outcome::kRead);
     a->out = false;
-    if (ended.outcome == Outcome::kRead) overtake(*a, ended.took);
+    if (ended.outcome == Outcome::kRead)
+      overtake(*a, ended.took);
     e.readTokens -= a->tokens;
     judge(*r, *a, ended);
     settle(*r, e, ended);
@@ -791,19 +962,28 @@
   void judge(RequestRecord& r, AttemptRecord& a, const AttemptEnded& ended) {
     Engine& e = *a.engine;
     const Outcome outcome = ended.outcome;
-    if (outcome == Outcome::kRead) learnRead(r, a, ended);
+    if (outcome == Outcome::kRead)
+      learnRead(r, a, ended);
     // What is not read in time waited at least so long: a jam is known by what it does not answer.
     const bool late = outcome == Outcome::kTimeout || outcome == Outcome::kCancelled;
-    if (a.tokens > 0 && late && a.overtaken < kOvertaken) noteWait(e, ended.took);
-    const bool shows = a.tokens > 0 && (late || outcome == Outcome::kRead || outcome == Outcome::kFull);
+    if (a.tokens > 0 && late && a.overtaken < kOvertaken)
+      noteWait(e, ended.took);
+    const bool shows =
+        a.tokens > 0 && (late || outcome == Outcome::kRead || outcome == Outcome::kFull);
     reads_.add(shows ? 1 : 0, now_, kJamMemory);
     timely_.add(shows && outcome == Outcome::kRead && now_ < r.aim ? 1 : 0, now_, kJamMemory);
-    if (outcome == Outcome::kRead) noteGood(e, a.sentAt);
-    if (outcome == Outcome::kError) noteBad(e, a.sentAt, "errors", false);
-    if (outcome == Outcome::kTimeout) noteBad(e, a.sentAt, "no answers", false);
-    if (outcome == Outcome::kNoConnection) noteBad(e, a.sentAt, "no connection", true);
-    // One stream that breaks is no sign of the next: an engine that is gone refuses the next connection.
-    if (outcome == Outcome::kConnectionLost && !a.calledOff) noteBad(e, a.sentAt, "lost connections", false);
+    if (outcome == Outcome::kRead)
+      noteGood(e, a.sentAt);
+    if (outcome == Outcome::kError)
+      noteBad(e, a.sentAt, "errors", false);
+    if (outcome == Outcome::kTimeout)
+      noteBad(e, a.sentAt, "no answers", false);
+    if (outcome == Outcome::kNoConnection)
+      noteBad(e, a.sentAt, "no connection", true);
+    // One stream that breaks is no sign of the next: an engine that is gone refuses the next
+    // connection.
+    if (outcome == Outcome::kConnectionLost && !a.calledOff)
+      noteBad(e, a.sentAt, "lost connections", false);
     a.harmless = provesNoRun(outcome, ended.doubtful);
   }
 
@@ -814,30 +994,36 @@
       return close(r);
     }
     const bool sent = ended.outcome != Outcome::kNoConnection && ended.outcome != Outcome::kNotSent;
-    if (sent) r.readAt = now_;  // what never came up was no send: the state's time goes on
+    if (sent)
+      r.readAt = now_;  // what never came up was no send: the state's time goes on
     if (ended.outcome == Outcome::kRead) {
       r.reader = &e;
       return startWrite(r);
     }
-    if (now_ >= r.deadline) return finish(r);
+    if (now_ >= r.deadline)
+      return finish(r);
     const bool wrote = r.phase == Phase::kWriting && e.role == Role::kWriter && r.reader != nullptr;
     const Time tried = now_ + set_.limits.dialTimeout;  // if the next never comes up either
-    again(r, e, wrote && !ended.stateGone && (sent || tried - r.readAt < set_.contract.releaseWithin));
+    again(r, e,
+          wrote && !ended.stateGone && (sent || tried - r.readAt < set_.contract.releaseWithin));
   }
 
   void learnRead(const RequestRecord& r, const AttemptRecord& a, const AttemptEnded& ended) {
     Engine& e = *a.engine;
-    kept_[a.home ? 1 : 0].add(std::clamp(ended.keptTokens / std::max(1.0, r.told.promptTokens), 0.0, 1.0));
+    kept_[a.home ? 1 : 0].add(
+        std::clamp(ended.keptTokens / std::max(1.0, r.told.promptTokens), 0.0, 1.0));
     const double done = std::max(1.0, r.told.promptTokens - ended.keptTokens);
     lastRead_ = now_;
-    readRate_ = std::max(readRate_ * kRateKept,
-                         done / static_cast<double>(std::max<Duration::rep>(1, ended.took.count())));
+    readRate_ =
+        std::max(readRate_ * kRateKept,
+                 done / static_cast<double>(std::max<Duration::rep>(1, ended.took.count())));
     noteWait(e, std::max(Duration::zero(), ended.took - timeFor(done)));
   }
 
   void signOfLife(AttemptRecord& a, Duration took, bool counts) {
     Engine& e = *a.engine;
-    if (counts) answer_[at(e.role)].add(static_cast<double>(took.count()), now_);
+    if (counts)
+      answer_[at(e.role)].add(static_cast<double>(took.count()), now_);
     std::tie(e.quietSince, e.out) = std::pair(now_, std::max(0, e.out - 1));
   }
 
@@ -853,7 +1039,8 @@
 
   void on(const Lapsed& lapsed) {
     RequestRecord* r = held(lapsed.request);
-    if (r == nullptr || r->phase == Phase::kOver) return;
+    if (r == nullptr || r->phase == Phase::kOver)
+      return;
     callOff(*r);
     close(*r);
     forgetIfDone(lapsed.request);
@@ -864,11 +1051,13 @@
     return it == requests_.end() ? nullptr : &it->second;
   }
 
-  // Work that waits: states first, for they pin memory; then by worth and by the order of their ends.
+  // Work that waits: states first, for they pin memory; then by worth and by the order of their
+  // ends.
   void pump() {
     std::vector<std::tuple<bool, double, Time, RequestId>> work;
     for (auto& [id, r] : requests_) {
-      if (r.phase == Phase::kReading || r.phase == Phase::kWriting) rescue(r);
+      if (r.phase == Phase::kReading || r.phase == Phase::kWriting)
+        rescue(r);
       if (r.phase == Phase::kWaiting || r.phase == Phase::kRead)
         work.emplace_back(r.phase == Phase::kWaiting, -classOf(r).worth, r.deadline, id);
     }
@@ -879,13 +1068,15 @@
     }
   }
 
-  // A node that ends moves its streams over the end of its grace, the longest first: a kill moves all.
+  // A node that ends moves its streams over the end of its grace, the longest first: a kill moves
+  // all.
   void handOver() {
     const double passed = ratio(now_ - *stopsAt_, grace_);
     std::vector<std::tuple<double, Time, RequestId>> streams;
     std::vector<RequestId> owed;
     for (const auto& [id, r] : requests_) {
-      if (r.phase < Phase::kStreaming && passed >= kLastCall) owed.push_back(id);
+      if (r.phase < Phase::kStreaming && passed >= kLastCall)
+        owed.push_back(id);
       if (r.phase == Phase::kStreaming && !r.attempts.back().calledOff)
         streams.emplace_back(r.told.maxTokens, *r.openedAt, id);
     }
@@ -893,7 +1084,8 @@
       finish(requests_.at(id));
       forgetIfDone(id);
     }
-    if (!set_.resume || passed < kHandOverFrom) return;
+    if (!set_.resume || passed < kHandOverFrom)
+      return;
     mostStreams_ = std::max(mostStreams_, streams.size());
     const double left = std::max(0.0, (kHandOverTo - passed) / (kHandOverTo - kHandOverFrom));
     const auto stay = static_cast<std::size_t>(left * static_cast<double>(mostStreams_));
@@ -906,17 +1098,22 @@
   }
 
   void advance(RequestRecord& r) {
-    if (hopeless(r)) return finish(r);
+    if (hopeless(r))
+      return finish(r);
     if (r.phase == Phase::kRead) {
       startWrite(r);
-      if (r.phase != Phase::kRead || now_ - r.readAt < scaled(set_.contract.releaseWithin, kHoldShare))
+      if (r.phase != Phase::kRead ||
+          now_ - r.readAt < scaled(set_.contract.releaseWithin, kHoldShare))
         return;
       letGo(r);
       r.phase = Phase::kWaiting;
-      if (static_cast<int>(r.attempts.size()) + 2 > set_.limits.maxAttempts) return finish(r);
+      if (static_cast<int>(r.attempts.size()) + 2 > set_.limits.maxAttempts)
+        return finish(r);
     }
-    if (now_ + usual(Role::kReader) > r.aim) return finish(r);
-    if (!everyWriterFull()) startRead(r);
+    if (now_ + usual(Role::kReader) > r.aim)
+      return finish(r);
+    if (!everyWriterFull())
+      startRead(r);
   }
 
   void keepPulse() {
@@ -925,9 +1122,11 @@
       askAgainAt_.reset();
     }
     const bool open = (stopsAt_ && !requests_.empty()) ||
-                      std::any_of(requests_.begin(), requests_.end(),
-                                  [](const auto& entry) { return entry.second.phase < Phase::kStreaming; });
-    if (pulseSet_ || (!open && !askAgainAt_)) return;
+                      std::any_of(requests_.begin(), requests_.end(), [](const auto& entry) {
+                        return entry.second.phase < Phase::kStreaming;
+                      });
+    if (pulseSet_ || (!open && !askAgainAt_))
+      return;
     pulseSet_ = true;
     emit(SetAlarm{++alarms_, open ? Duration(kPulse) : Duration(kAskPause)});
   }
@@ -940,11 +1139,13 @@
   std::map<EngineId, Engine> engines_;
   std::map<CellIndex, Cell> cells_;
   KeyPopularity popularity_{kFlowMemory};
-  double readRate_ = 0;                                    // unread tokens a microsecond where nothing waits
-  double held_ = 0, streams_ = 0, retries_ = kRetryBurst;  // own answers' tokens, and how many; spare retries
-  DecayingSum sends_[3], writerReads_;                     // sends by role; tokens sent to be read by writers
-  DecayingSum reads_, timely_;                             // reads that ended, and those of them in time
-  std::array<double, 3> weight_{}, mostWeight_{}, count_{};  // by role: listed, the most ever, how many
+  double readRate_ = 0;  // unread tokens a microsecond where nothing waits
+  double held_ = 0, streams_ = 0,
+         retries_ = kRetryBurst;        // own answers' tokens, and how many; spare retries
+  DecayingSum sends_[3], writerReads_;  // sends by role; tokens sent to be read by writers
+  DecayingSum reads_, timely_;          // reads that ended, and those of them in time
+  std::array<double, 3> weight_{}, mostWeight_{},
+      count_{};  // by role: listed, the most ever, how many
   std::map<RequestId, RequestRecord> requests_;
   std::optional<Time> askAgainAt_, stopsAt_;
   Duration grace_{};
@@ -960,8 +1161,12 @@
 Router::Router(Router&&) noexcept = default;
 Router& Router::operator=(Router&&) noexcept = default;
 
-void Router::reconfigure(const Settings& settings) { impl_->reconfigure(settings); }
-bool Router::avoids(Time now, const EngineId& engine) const { return impl_->avoids(now, engine); }
+void Router::reconfigure(const Settings& settings) {
+  impl_->reconfigure(settings);
+}
+bool Router::avoids(Time now, const EngineId& engine) const {
+  return impl_->avoids(now, engine);
+}
 void Router::handle(Time now, const Event& event, std::vector<Action>& actions) {
   impl_->handle(now, event, actions);
 }
--- a/src/shared/budget.cpp
+++ b/src/shared/budget.cpp
@@ -10,7 +10,9 @@
 
 constexpr double kRetainFactor = 2;  // times the demand; a conductor returns loans beyond that
 
-std::uint64_t rounded(double tokens) { return static_cast<std::uint64_t>(std::max(0.0, std::ceil(tokens))); }
+std::uint64_t rounded(double tokens) {
+  return static_cast<std::uint64_t>(std::max(0.0, std::ceil(tokens)));
+}
 
 std::uint64_t saturatingSubtract(std::uint64_t from, std::uint64_t what) {
   return from > what ? from - what : 0;
@@ -23,11 +25,13 @@
   return kNames[static_cast<std::size_t>(why)];
 }
 
-// ---- The conductor's side --------------------------------------------------------------------------------
+// ---- The conductor's side
+// --------------------------------------------------------------------------------
 
 void TokenBudgets::setLimits(const std::map<std::string, std::uint64_t>& limits) {
   std::erase_if(tenants_, [&](const auto& entry) { return limits.count(entry.first) == 0; });
-  for (const auto& [tenant, limit] : limits) tenants_[tenant].limit = limit;
+  for (const auto& [tenant, limit] : limits)
+    tenants_[tenant].limit = limit;
 }
 
 double TokenBudgets::recentTokensAt(const Account& account, double nowMs) const {
@@ -43,16 +47,22 @@
   }
 }
 
-TokenBudgets::Answer TokenBudgets::reserve(const std::string& tenant, std::uint64_t tokens, double nowMs) {
+TokenBudgets::Answer TokenBudgets::reserve(const std::string& tenant,
+                                           std::uint64_t tokens,
+                                           double nowMs) {
   const auto it = tenants_.find(tenant);
-  if (it == tenants_.end()) return {};
+  if (it == tenants_.end())
+    return {};
   Account& account = it->second;
-  if (tokens > account.limit) return {Denial::kTooLarge, {}};
+  if (tokens > account.limit)
+    return {Denial::kTooLarge, {}};
   // Denied requests count as demand as well, as the size of a loan follows from the demand.
   recordDemand(account, tokens, nowMs);
   Denial why = Denial::kNone;
-  if (loanExpired(nowMs)) why = Denial::kLoanExpired;
-  else if (account.used() + tokens > (config_.ceilingFirst ? account.acceptedCeiling : account.outstanding()))
+  if (loanExpired(nowMs))
+    why = Denial::kLoanExpired;
+  else if (account.used() + tokens >
+           (config_.ceilingFirst ? account.acceptedCeiling : account.outstanding()))
     why = account.used() + tokens > account.outstanding() && account.left == 0 ? Denial::kUsedUp
                                                                                : Denial::kNoLoan;
   if (why != Denial::kNone) {
@@ -65,14 +75,16 @@
 
 void TokenBudgets::settle(const Reservation& reservation, std::uint64_t spent, double) {
   const auto it = tenants_.find(reservation.tenant);
-  if (it == tenants_.end() || reservation.epoch != epoch_) return;
+  if (it == tenants_.end() || reservation.epoch != epoch_)
+    return;
   Spend& spend = it->second.spend;
   spend.reserved = saturatingSubtract(spend.reserved, reservation.tokens);
   spend.spent += spent;
 }
 
 void TokenBudgets::onDigest(std::uint64_t period, const std::map<std::string, LoanUpdate>& lent) {
-  if (period < period_) return;
+  if (period < period_)
+    return;
   if (period > period_) {
     period_ = period;
     ++epoch_;
@@ -83,7 +95,8 @@
   }
   for (auto& [tenant, account] : tenants_) {
     const auto it = lent.find(tenant);
-    if (it == lent.end()) continue;
+    if (it == lent.end())
+      continue;
     account.spend.lentSeen = std::max(account.spend.lentSeen, it->second.lent);
     account.left = it->second.left;
   }
@@ -100,10 +113,11 @@
     account.spend.wants = account.used() + ahead;
     // Idle loans are returned, as other conductors may need them.
     const std::uint64_t keep = account.used() + rounded(static_cast<double>(ahead) * kRetainFactor);
-    if (account.outstanding() > keep) account.spend.returned += account.outstanding() - keep;
+    if (account.outstanding() > keep)
+      account.spend.returned += account.outstanding() - keep;
     account.spend.ceiling = std::max(
-        account.used(),
-        std::min(account.outstanding(), account.used() + rounded(rate * config_.ceilingMs) + largest));
+        account.used(), std::min(account.outstanding(),
+                                 account.used() + rounded(rate * config_.ceilingMs) + largest));
     // A lower ceiling applies at once, a higher one when the store has accepted the report.
     if (config_.returnsKept)
       account.acceptedCeiling = std::min(account.acceptedCeiling, account.spend.ceiling);
@@ -113,16 +127,20 @@
   return spends;
 }
 
-void TokenBudgets::onReportAccepted(std::uint64_t period, const std::map<std::string, Spend>& spend,
+void TokenBudgets::onReportAccepted(std::uint64_t period,
+                                    const std::map<std::string, Spend>& spend,
                                     double writeBegunMs) {
   acceptedMs_ = std::max(acceptedMs_.value_or(writeBegunMs), writeBegunMs);
-  if (period != period_) return;
+  if (period != period_)
+    return;
   for (const auto& [tenant, reported] : spend) {
     const auto it = tenants_.find(tenant);
-    if (it == tenants_.end()) continue;
+    if (it == tenants_.end())
+      continue;
     Account& account = it->second;
-    account.acceptedCeiling = config_.returnsKept ? std::min(reported.ceiling, account.outstanding())
-                                                  : std::max(reported.ceiling, account.acceptedCeiling);
+    account.acceptedCeiling = config_.returnsKept
+                                  ? std::min(reported.ceiling, account.outstanding())
+                                  : std::max(reported.ceiling, account.acceptedCeiling);
   }
 }
 
@@ -138,7 +156,8 @@
 }
 
 bool TokenBudgets::needsLoan() const {
-  return std::any_of(tenants_.begin(), tenants_.end(), [](const auto& entry) { return entry.second.denied; });
+  return std::any_of(tenants_.begin(), tenants_.end(),
+                     [](const auto& entry) { return entry.second.denied; });
 }
 
 std::map<std::string, TokenBudgets::Snapshot> TokenBudgets::snapshot() const {
@@ -149,7 +168,8 @@
   return all;
 }
 
-// ---- The lender's side -----------------------------------------------------------------------------------
+// ---- The lender's side
+// -----------------------------------------------------------------------------------
 
 namespace {
 
@@ -160,18 +180,21 @@
 
 // What a borrower may spend or has spent: loans not returned, and no less than its own report says.
 std::uint64_t outstandingOf(std::uint64_t lent, const Spend* spend) {
-  if (spend == nullptr) return lent;
-  return std::max({saturatingSubtract(std::max(lent, spend->lentSeen), spend->returned), spend->ceiling,
-                   spend->spent + spend->reserved});
+  if (spend == nullptr)
+    return lent;
+  return std::max({saturatingSubtract(std::max(lent, spend->lentSeen), spend->returned),
+                   spend->ceiling, spend->spent + spend->reserved});
 }
 
 }  // namespace
 
 std::uint64_t outstandingOf(const BudgetLine& line, const std::map<Origin, Spend>& spends) {
   std::uint64_t sum = 0;
-  for (const auto& [who, lent] : line.lent) sum += outstandingOf(lent, spendOf(spends, who));
+  for (const auto& [who, lent] : line.lent)
+    sum += outstandingOf(lent, spendOf(spends, who));
   for (const auto& [who, spend] : spends)
-    if (line.lent.count(who) == 0) sum += outstandingOf(0, &spend);
+    if (line.lent.count(who) == 0)
+      sum += outstandingOf(0, &spend);
   return sum;
 }
 
@@ -194,9 +217,11 @@
 void lend(BudgetLine& line, const std::map<Origin, Spend>& spends) {
   // After a rollback of the store, borrowers report loans that the digest has forgotten.
   for (const auto& [who, spend] : spends)
-    if (spend.lentSeen > 0) line.lent[who] = std::max(line.lent[who], spend.lentSeen);
+    if (spend.lentSeen > 0)
+      line.lent[who] = std::max(line.lent[who], spend.lentSeen);
   std::uint64_t left = leftOf(line, spends);
-  // Whole requests, the smallest holders first: part of what one request may need would be of no use.
+  // Whole requests, the smallest holders first: part of what one request may need would be of no
+  // use.
   std::vector<LoanRequest> requests;
   for (const auto& [who, spend] : spends) {
     const auto lent = line.lent.find(who);
@@ -207,7 +232,8 @@
   std::sort(requests.begin(), requests.end());
   for (const LoanRequest& request : requests) {
     const std::uint64_t part = std::min(request.tokens, left);
-    if (part > 0) line.lent[request.who] += part;
+    if (part > 0)
+      line.lent[request.who] += part;
     left -= part;
   }
 }
@@ -216,8 +242,10 @@
   const auto lent = line.lent.find(gone);
   const std::uint64_t most = lent == line.lent.end() ? 0 : lent->second;
   // Without a report, all that is known is the loan.
-  line.charged += lastSpend ? std::max(lastSpend->ceiling, lastSpend->spent + lastSpend->reserved) : most;
-  if (lent != line.lent.end()) line.lent.erase(lent);
+  line.charged +=
+      lastSpend ? std::max(lastSpend->ceiling, lastSpend->spent + lastSpend->reserved) : most;
+  if (lent != line.lent.end())
+    line.lent.erase(lent);
 }
 
 void refund(BudgetLine& line, std::uint64_t charged, std::uint64_t used) {
--- a/src/shared/budget.h
+++ b/src/shared/budget.h
@@ -1,10 +1,12 @@
 // Token budgets that the fleet shares by loans. The two sides meet only through the store:
-// - a conductor spends only up to a ceiling that it has reported and the store has accepted, and the ceiling
+// - a conductor spends only up to a ceiling that it has reported and the store has accepted, and
+// the ceiling
 //   lies within what it was lent;
-// - the lender lends no more than what is left of the budget after all outstanding loans, and after all that
+// - the lender lends no more than what is left of the budget after all outstanding loans, and after
+// all that
 //   evicted conductors may have spent.
-// Lent and returned amounts only grow, so a stale report of either side errs towards lending too little.
-// Amounts are tokens. No I/O.
+// Lent and returned amounts only grow, so a stale report of either side errs towards lending too
+// little. Amounts are tokens. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -66,8 +68,8 @@
  public:
   explicit TokenBudgets(BudgetConfig config = {}) : config_(config) {}
 
-  // The tenants with a budget, by this conductor's file. Without a loan they may spend nothing; the limit
-  // only rejects requests that exceed the whole budget.
+  // The tenants with a budget, by this conductor's file. Without a loan they may spend nothing; the
+  // limit only rejects requests that exceed the whole budget.
   void setLimits(const std::map<std::string, std::uint64_t>& limits);
   bool isLimited(const std::string& tenant) const { return tenants_.count(tenant) != 0; }
 
@@ -88,20 +90,26 @@
   // Takes the loans of a digest, by tenant. A digest of an earlier period is ignored.
   void onDigest(std::uint64_t period, const std::map<std::string, LoanUpdate>& lent);
 
-  // The report to write now, by tenant; lowers ceilings at once. leaving: return all that is not in use.
+  // The report to write now, by tenant; lowers ceilings at once. leaving: return all that is not in
+  // use.
   std::map<std::string, Spend> prepareReport(double nowMs, bool leaving = false);
-  // The store accepted a report; raises ceilings. writeBegunMs: when its write was begun, from which the
-  // expiry of loans counts, as the store cannot have accepted it earlier.
-  void onReportAccepted(std::uint64_t period, const std::map<std::string, Spend>& spend, double writeBegunMs);
-
-  // This incarnation was evicted: drops all loans and reservations, and returns what was really used, by
-  // tenant, for the lender to refund.
+  // The store accepted a report; raises ceilings. writeBegunMs: when its write was begun, from
+  // which the expiry of loans counts, as the store cannot have accepted it earlier.
+  void onReportAccepted(std::uint64_t period,
+                        const std::map<std::string, Spend>& spend,
+                        double writeBegunMs);
+
+  // This incarnation was evicted: drops all loans and reservations, and returns what was really
+  // used, by tenant, for the lender to refund.
   std::map<std::string, std::uint64_t> resetAfterEviction();
 
-  // Whether a request was denied since the last report, so that another report should be written soon.
+  // Whether a request was denied since the last report, so that another report should be written
+  // soon.
   bool needsLoan() const;
   std::uint64_t period() const { return period_; }
-  bool loanExpired(double nowMs) const { return !acceptedMs_ || nowMs - *acceptedMs_ >= config_.loanMs; }
+  bool loanExpired(double nowMs) const {
+    return !acceptedMs_ || nowMs - *acceptedMs_ >= config_.loanMs;
+  }
   // The state of one budget, for reports.
   struct Snapshot {
     std::uint64_t spent, reserved, ceiling, lent, returned, left;
@@ -135,8 +143,8 @@
 // ---- Lender: the holder of the digest's lease
 // -----------------------------------------------------------------------------------
 
-// One budget in the digest. Invariant: charged + lent - returned <= limit, unless the limit itself was
-// lowered below that.
+// One budget in the digest. Invariant: charged + lent - returned <= limit, unless the limit itself
+// was lowered below that.
 struct BudgetLine {
   std::uint64_t limit = 0;
   std::uint64_t charged = 0;             // upper bound of what evicted conductors spent
@@ -150,12 +158,12 @@
 // What may still be lent.
 std::uint64_t leftOf(const BudgetLine& line, const std::map<Origin, Spend>& spends);
 
-// Grants loans. If there is too little, whole requests are granted as far as it goes, beginning with the
-// conductors that hold the fewest unspent tokens.
+// Grants loans. If there is too little, whole requests are granted as far as it goes, beginning
+// with the conductors that hold the fewest unspent tokens.
 void lend(BudgetLine& line, const std::map<Origin, Spend>& spends);
 
-// Evicts a borrower: it is charged what its last report says it may have spent, or its whole loan without a
-// report; the rest becomes available.
+// Evicts a borrower: it is charged what its last report says it may have spent, or its whole loan
+// without a report; the rest becomes available.
 void charge(BudgetLine& line, const Origin& gone, const std::optional<Spend>& lastSpend);
 
 // Replaces the charge of an evicted conductor that came back by what it really used.
--- a/src/shared/codec.h
+++ b/src/shared/codec.h
@@ -1,7 +1,7 @@
-// The documents of shared state and their encoding: each conductor's part, and the digest that the holder of
-// the digest's lease makes of all parts. A document is a header with a format version, a checksum and a
-// MessagePack value. Unknown fields of a digest are kept when it is rewritten, so that an older and a newer
-// program can share one store. No I/O.
+// The documents of shared state and their encoding: each conductor's part, and the digest that the
+// holder of the digest's lease makes of all parts. A document is a header with a format version, a
+// checksum and a MessagePack value. Unknown fields of a digest are kept when it is rewritten, so
+// that an older and a newer program can share one store. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -30,8 +30,8 @@
 constexpr std::size_t kMaxIdentifierBytes = 128;  // of a tenant, a class or an instance
 constexpr std::size_t kMaxNodeNameBytes = 64;     // of a conductor
 constexpr std::size_t kMaxDocumentBytes = coordination::kMostValueBytes;
-// Of all parts together. Whoever makes the digest holds them encoded and decoded, about five times their
-// encoded size (tests/bounds_test.cpp), which has to stay within half of its 192 MiB.
+// Of all parts together. Whoever makes the digest holds them encoded and decoded, about five times
+// their encoded size (tests/bounds_test.cpp), which has to stay within half of its 192 MiB.
 constexpr std::size_t kMaxPartsBytes = 16 << 20;
 constexpr std::uint64_t kMaxTokens = 1ULL << 50;  // largest plausible number of tokens
 
--- a/src/shared/connectivity.cpp
+++ b/src/shared/connectivity.cpp
@@ -19,13 +19,17 @@
   isolatedMs_ = std::max(delayedMs_, config.isolatedMs * draw(random));
 }
 
-double Connectivity::silenceMs(double nowMs) const { return nowMs - std::min(digestMs_, reportMs_); }
+double Connectivity::silenceMs(double nowMs) const {
+  return nowMs - std::min(digestMs_, reportMs_);
+}
 
 void Connectivity::enter(ConnectivityState state, double nowMs) {
-  if (state == state_) return;
+  if (state == state_)
+    return;
   state_ = state;
   sinceMs_ = nowMs;
-  if (state == ConnectivityState::kRejoining) rejoinSequence_ = reportSequence_;
+  if (state == ConnectivityState::kRejoining)
+    rejoinSequence_ = reportSequence_;
 }
 
 // A conductor that was isolated has rejoined once a digest contains a report that it wrote since.
@@ -45,9 +49,10 @@
 
 void Connectivity::tick(double nowMs) {
   const double silence = silenceMs(nowMs);
-  if (silence >= isolatedMs_) return enter(ConnectivityState::kIsolated, nowMs);
-  // Reads and writes both have to work: without writes a conductor is as unknown to the others as without
-  // both.
+  if (silence >= isolatedMs_)
+    return enter(ConnectivityState::kIsolated, nowMs);
+  // Reads and writes both have to work: without writes a conductor is as unknown to the others as
+  // without both.
   if (state_ == ConnectivityState::kIsolated && silence < isolatedMs_ / 2)
     enter(ConnectivityState::kRejoining, nowMs);
   if (state_ == ConnectivityState::kConnected && silence >= delayedMs_)
--- a/src/shared/connectivity.h
+++ b/src/shared/connectivity.h
@@ -1,7 +1,8 @@
-// How well this conductor is connected to the rest of the fleet, as a state machine over two signals: the
-// last digest that was read and the last report of its own that the store accepted. States are left at half
-// of the limit at which they are entered (hysteresis), and the limits are jittered per conductor, so that a
-// fleet that is partitioned does not change its behaviour in one instant. No I/O.
+// How well this conductor is connected to the rest of the fleet, as a state machine over two
+// signals: the last digest that was read and the last report of its own that the store accepted.
+// States are left at half of the limit at which they are entered (hysteresis), and the limits are
+// jittered per conductor, so that a fleet that is partitioned does not change its behaviour in one
+// instant. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -30,7 +31,8 @@
   // seed: of the jitter; nowMs: the start, from which silence is counted.
   Connectivity(ConnectivityConfig config, std::uint64_t seed, double nowMs);
 
-  // A newer digest was read; acknowledged: the sequence of this conductor's newest report in it, 0 if none.
+  // A newer digest was read; acknowledged: the sequence of this conductor's newest report in it, 0
+  // if none.
   void onDigest(std::uint64_t acknowledged, double nowMs);
   // The store accepted this conductor's report with this sequence.
   void onReportAccepted(std::uint64_t reportSequence, double nowMs);
--- a/src/shared/digest_task.cpp
+++ b/src/shared/digest_task.cpp
@@ -19,13 +19,20 @@
 
 }  // namespace
 
-DigestTask::DigestTask(coordination::TaskConfig task, std::function<SharedConfig()> config,
+DigestTask::DigestTask(coordination::TaskConfig task,
+                       std::function<SharedConfig()> config,
                        std::function<double()> unixMs)
-    : task_(std::move(task)), read_(std::move(config)), unixMs_(std::move(unixMs)), config_(read_()) {}
+    : task_(std::move(task)),
+      read_(std::move(config)),
+      unixMs_(std::move(unixMs)),
+      config_(read_()) {}
 
-void DigestTask::countUndecodable(const std::string& key, std::uint64_t revision, DecodeError error) {
+void DigestTask::countUndecodable(const std::string& key,
+                                  std::uint64_t revision,
+                                  DecodeError error) {
   std::uint64_t& last = countedRevisions_[key];
-  if (last == revision) return;
+  if (last == revision)
+    return;
   last = revision;
   ++stats_.unread[nameOf(error)];
 }
@@ -33,32 +40,37 @@
 std::map<Origin, DigestTask::Read> DigestTask::readParts(const View& view, double nowMs) {
   std::map<Origin, Read> parts;
   const std::string prefix = kPartPrefix;
-  for (auto it = view.docs.lower_bound(prefix); it != view.docs.end() && it->first.rfind(prefix, 0) == 0;
-       ++it) {
+  for (auto it = view.docs.lower_bound(prefix);
+       it != view.docs.end() && it->first.rfind(prefix, 0) == 0; ++it) {
     const DecodedPart read = decodePart(it->second.value);
     // A part under the key of another origin is invalid.
     const bool own = read.part && read.part->key() == it->first;
     if (!own || parts.size() >= kMaxOrigins) {
-      countUndecodable(it->first, it->second.revision,
-                       read.part ? (own ? DecodeError::kBeyondBounds : DecodeError::kForeign) : read.error);
+      countUndecodable(
+          it->first, it->second.revision,
+          read.part ? (own ? DecodeError::kBeyondBounds : DecodeError::kForeign) : read.error);
       continue;
     }
     parts[read.part->origin] = {*read.part, it->second.revision,
                                 ages_.forMs(it->first, it->second.revision, nowMs)};
   }
-  ages_.forget(
-      [&](const std::string& key) { return key.rfind(prefix, 0) == 0 && view.docs.count(key) == 0; });
-  std::erase_if(countedRevisions_, [&](const auto& entry) { return view.docs.count(entry.first) == 0; });
+  ages_.forget([&](const std::string& key) {
+    return key.rfind(prefix, 0) == 0 && view.docs.count(key) == 0;
+  });
+  std::erase_if(countedRevisions_,
+                [&](const auto& entry) { return view.docs.count(entry.first) == 0; });
   std::erase_if(known_, [&](const auto& entry) { return parts.count(entry.first) == 0; });
   return parts;
 }
 
-// A digest that is older than one that some part has seen was restored from a copy. Nothing is lent until
-// every forgotten loan has expired; live conductors report their loans meanwhile.
+// A digest that is older than one that some part has seen was restored from a copy. Nothing is lent
+// until every forgotten loan has expired; live conductors report their loans meanwhile.
 void DigestTask::detectRollback(Digest& digest, const std::map<Origin, Read>& parts) {
   std::uint64_t newest = lastSequence_;
-  for (const auto& [origin, read] : parts) newest = std::max(newest, read.part.digestSequenceSeen);
-  if (newest <= digest.sequence) return;
+  for (const auto& [origin, read] : parts)
+    newest = std::max(newest, read.part.digestSequenceSeen);
+  if (newest <= digest.sequence)
+    return;
   digest.sequence = newest;
   ++digest.restored;
   ++stats_.rolledBack;
@@ -66,12 +78,13 @@
   digest.lendsFromSequence = digest.sequence + static_cast<std::uint64_t>(std::ceil(loans)) + 1;
 }
 
-// Uses the median of all reported clocks, so that one wrong clock among three has no effect. The period never
-// goes back.
+// Uses the median of all reported clocks, so that one wrong clock among three has no effect. The
+// period never goes back.
 void DigestTask::advancePeriod(Digest& digest, const std::map<Origin, Read>& parts) {
   std::vector<double> clocks{unixMs_()};
   for (const auto& [origin, read] : parts)
-    if (read.ageMs < config_.silentMs) clocks.push_back(read.part.unixMs + read.ageMs);
+    if (read.ageMs < config_.silentMs)
+      clocks.push_back(read.part.unixMs + read.ageMs);
   const auto middle = clocks.begin() + static_cast<std::ptrdiff_t>((clocks.size() - 1) / 2);
   std::nth_element(clocks.begin(), middle, clocks.end());
   const double start = std::floor(*middle / config_.periodMs) * config_.periodMs;
@@ -81,16 +94,19 @@
     digest.budgets.clear();
   }
   digest.periodEndsMs = static_cast<double>(digest.period) + config_.periodMs;
-  for (const auto& [tenant, limit] : config_.budgets) digest.budgets[tenant].limit = limit;
+  for (const auto& [tenant, limit] : config_.budgets)
+    digest.budgets[tenant].limit = limit;
 }
 
 void DigestTask::settle(Digest& digest, const std::map<Origin, Read>& parts) {
   for (const auto& [origin, read] : parts) {
-    if (!read.part.finalUsage) continue;
+    if (!read.part.finalUsage)
+      continue;
     const FinalUsage& said = *read.part.finalUsage;
     const Origin before{origin.name, said.incarnation};
     const Folded* folded = digest.foldedOf(before);
-    if (folded == nullptr) continue;
+    if (folded == nullptr)
+      continue;
     if (said.period == folded->period && said.period == digest.period)
       for (const auto& [tenant, charged] : folded->charged) {
         const auto used = said.used.find(tenant);
@@ -103,16 +119,18 @@
   }
 }
 
-// Evicting a conductor needs no proof that it is gone: what it may have spent is charged, and if it is alive,
-// it finds its document gone and restarts under a new incarnation.
+// Evicting a conductor needs no proof that it is gone: what it may have spent is charged, and if it
+// is alive, it finds its document gone and restarts under a new incarnation.
 std::vector<Write> DigestTask::fold(Digest& digest, std::map<Origin, Read>& parts, double nowMs) {
   std::vector<Write> writes;
   for (auto it = parts.begin(); it != parts.end() && writes.size() < kMaxFoldsPerStep;) {
     const auto& [origin, read] = *it;
-    const bool replaced = std::any_of(parts.begin(), parts.end(), [&, &self = *it](const auto& other) {
-      return other.first.name == self.first.name && other.first.incarnation != self.first.incarnation &&
-             other.second.ageMs < self.second.ageMs;
-    });
+    const bool replaced =
+        std::any_of(parts.begin(), parts.end(), [&, &self = *it](const auto& other) {
+          return other.first.name == self.first.name &&
+                 other.first.incarnation != self.first.incarnation &&
+                 other.second.ageMs < self.second.ageMs;
+        });
     if (read.ageMs < (replaced ? std::min(config_.replacedMs, config_.goneMs) : config_.goneMs)) {
       ++it;
       continue;
@@ -125,8 +143,10 @@
       // A part of an earlier period, or without a report on this budget, has no ceiling in it.
       last = now && spend != read.part.spends.end() ? spend->second : Spend{};
       const std::uint64_t before = line.charged;
-      if (config_.guards.chargeCeiling || !last) charge(line, origin, last);
-      else charge(line, origin, Spend{last->spent, 0, 0, 0, 0, 0});
+      if (config_.guards.chargeCeiling || !last)
+        charge(line, origin, last);
+      else
+        charge(line, origin, Spend{last->spent, 0, 0, 0, 0, 0});
       folded.charged[tenant] = line.charged - before;
     }
     addUsage(digest.base, read.part.usage);
@@ -136,44 +156,57 @@
     it = parts.erase(it);
   }
   if (digest.folded.size() > kMaxFolded)
-    digest.folded.erase(digest.folded.begin(), digest.folded.end() - static_cast<std::ptrdiff_t>(kMaxFolded));
+    digest.folded.erase(digest.folded.begin(),
+                        digest.folded.end() - static_cast<std::ptrdiff_t>(kMaxFolded));
   // Loans without a part, as after a document was removed by hand.
   std::set<std::string> missing;
   for (auto& [tenant, line] : digest.budgets) {
     std::vector<Origin> lost;
     for (const auto& [origin, lent] : line.lent) {
-      if (parts.count(origin) != 0) continue;
+      if (parts.count(origin) != 0)
+        continue;
       Part part;
       part.origin = origin;
       const std::string mark = "lent " + part.key();
       missing.insert(mark);
-      if (ages_.forMs(mark, 0, nowMs) >= config_.goneMs) lost.push_back(origin);
+      if (ages_.forMs(mark, 0, nowMs) >= config_.goneMs)
+        lost.push_back(origin);
     }
-    for (const Origin& origin : lost) charge(line, origin, std::nullopt);
+    for (const Origin& origin : lost)
+      charge(line, origin, std::nullopt);
   }
-  ages_.forget([&](const std::string& key) { return key.rfind("lent ", 0) == 0 && missing.count(key) == 0; });
+  ages_.forget([&](const std::string& key) {
+    return key.rfind("lent ", 0) == 0 && missing.count(key) == 0;
+  });
   return writes;
 }
 
-void DigestTask::lendBudgets(Digest& digest, const std::map<Origin, Read>& parts, std::uint64_t fence,
+void DigestTask::lendBudgets(Digest& digest,
+                             const std::map<Origin, Read>& parts,
+                             std::uint64_t fence,
                              double nowMs) {
   if (fence != fence_) {
     fence_ = fence;
     fenceSinceMs_ = nowMs;
   }
-  // A new holder does not know yet whether some conductor has seen a newer digest than the store has.
+  // A new holder does not know yet whether some conductor has seen a newer digest than the store
+  // has.
   const double settleMs = kIntervalsBeforeLending * config_.reportIntervalMs(digest.heard.size());
-  const bool mayLend = !config_.guards.waitBeforeLending ||
-                       (nowMs - fenceSinceMs_ >= settleMs && digest.sequence >= digest.lendsFromSequence);
+  const bool mayLend =
+      !config_.guards.waitBeforeLending ||
+      (nowMs - fenceSinceMs_ >= settleMs && digest.sequence >= digest.lendsFromSequence);
   for (auto& [tenant, line] : digest.budgets) {
     std::map<Origin, Spend> words;
     for (const auto& [origin, read] : parts) {
-      if (read.part.period != digest.period) continue;
+      if (read.part.period != digest.period)
+        continue;
       const auto spend = read.part.spends.find(tenant);
-      if (spend == read.part.spends.end()) continue;
+      if (spend == read.part.spends.end())
+        continue;
       words[origin] = spend->second;
       // A silent conductor keeps its loans, but gets no more.
-      if (!mayLend || read.ageMs >= config_.silentMs) words[origin].wants = 0;
+      if (!mayLend || read.ageMs >= config_.silentMs)
+        words[origin].wants = 0;
     }
     lend(line, words);
     line.left = digest.sequence >= digest.lendsFromSequence ? leftOf(line, words) : 0;
@@ -183,7 +216,8 @@
 void DigestTask::updateVerdicts(Digest& digest, const std::map<Origin, Read>& parts) {
   std::map<std::string, std::vector<HealthObservation>> heard;
   for (const auto& [origin, read] : parts) {
-    if (read.ageMs >= config_.silentMs) continue;
+    if (read.ageMs >= config_.silentMs)
+      continue;
     std::map<std::string, HealthObservation> now;
     for (const auto& [box, observation] : read.part.observations)
       now[box] = decayed(observation, read.ageMs, config_.observations);
@@ -191,16 +225,19 @@
       ++stats_.incredible;
       continue;
     }
-    for (const auto& [box, observation] : now) heard[box].push_back(observation);
+    for (const auto& [box, observation] : now)
+      heard[box].push_back(observation);
   }
-  for (const auto& [box, verdict] : digest.boxes) heard[box];
+  for (const auto& [box, verdict] : digest.boxes)
+    heard[box];
   std::map<std::string, HealthVerdict> boxes;
   for (const auto& [box, observations] : heard) {
     const auto before = digest.boxes.find(box);
     const HealthVerdict now =
         nextVerdict(before == digest.boxes.end() ? HealthVerdict{} : before->second, observations,
                     digest.sequence, config_.observations, config_.verdict);
-    if (now.out || now.bad > 0) boxes[box] = now;
+    if (now.out || now.bad > 0)
+      boxes[box] = now;
   }
   while (boxes.size() > kMaxInstances)  // drops instances that are not excluded first
     boxes.erase(std::min_element(boxes.begin(), boxes.end(), [](const auto& a, const auto& b) {
@@ -214,14 +251,17 @@
   digest.heard.clear();
   for (const auto& [origin, read] : parts) {
     UsageTable& known = known_[origin];
-    if (!isMonotonic(read.part.usage, known)) ++stats_.backwards;
+    if (!isMonotonic(read.part.usage, known))
+      ++stats_.backwards;
     merge(known, read.part.usage);
     addUsage(digest.total, known);
-    if (read.ageMs < config_.silentMs) digest.heard[origin] = read.part.sequence;
+    if (read.ageMs < config_.silentMs)
+      digest.heard[origin] = read.part.sequence;
   }
   // Bounded, whatever names the parts use.
   for (UsageTable* usage : {&digest.base, &digest.total})
-    while (usage->size() > kMaxUsageRows) usage->erase(std::prev(usage->end()));
+    while (usage->size() > kMaxUsageRows)
+      usage->erase(std::prev(usage->end()));
 }
 
 std::optional<Step> DigestTask::next(const View& view, std::uint64_t fence, double nowMs) {
@@ -250,9 +290,11 @@
   lendBudgets(digest, parts, fence, nowMs);
   updateVerdicts(digest, parts);
   std::string text = encode(digest);
-  // If there is no room, entries of evicted conductors go first, the older half at a time, then the totals.
+  // If there is no room, entries of evicted conductors go first, the older half at a time, then the
+  // totals.
   while (text.size() > kMaxDocumentBytes && (!digest.folded.empty() || !digest.total.empty())) {
-    if (digest.folded.empty()) digest.total.clear();
+    if (digest.folded.empty())
+      digest.total.clear();
     const auto half = static_cast<std::ptrdiff_t>((digest.folded.size() + 1) / 2);
     digest.folded.erase(digest.folded.begin(), digest.folded.begin() + half);
     text = encode(digest);
--- a/src/shared/digest_task.h
+++ b/src/shared/digest_task.h
@@ -1,7 +1,7 @@
-// The task of the one conductor that holds the digest's lease: it makes a digest of all parts, lends budgets,
-// folds the parts of conductors that are gone, and decides the verdicts on instances. Each step is one
-// transaction on the documents that it read, under the lease's fence; the store rejects a step from a stale
-// view. No I/O.
+// The task of the one conductor that holds the digest's lease: it makes a digest of all parts,
+// lends budgets, folds the parts of conductors that are gone, and decides the verdicts on
+// instances. Each step is one transaction on the documents that it read, under the lease's fence;
+// the store rejects a step from a stale view. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -22,15 +22,18 @@
   // Counters since the start.
   struct Stats {
     std::uint64_t folded = 0, rolledBack = 0, refunded = 0, incredible = 0, backwards = 0;
-    std::map<std::string, std::uint64_t> unread;  // by decode error, each revision of a document once
+    std::map<std::string, std::uint64_t>
+        unread;  // by decode error, each revision of a document once
   };
 
   // config: read at each step, as a reload may change it. unixMs: the machine's wall clock.
-  DigestTask(coordination::TaskConfig task, std::function<SharedConfig()> config,
+  DigestTask(coordination::TaskConfig task,
+             std::function<SharedConfig()> config,
              std::function<double()> unixMs);
 
   const coordination::TaskConfig& config() const override { return task_; }
-  std::optional<coordination::Step> next(const coordination::View& view, std::uint64_t fence,
+  std::optional<coordination::Step> next(const coordination::View& view,
+                                         std::uint64_t fence,
                                          double nowMs) override;
   const Stats& stats() const { return stats_; }
 
@@ -50,8 +53,13 @@
   // Refunds evicted incarnations that reported what they really used.
   void settle(Digest& digest, const std::map<Origin, Read>& parts);
   // Folds the parts of conductors that are gone; returns the removals.
-  std::vector<coordination::Write> fold(Digest& digest, std::map<Origin, Read>& parts, double nowMs);
-  void lendBudgets(Digest& digest, const std::map<Origin, Read>& parts, std::uint64_t fence, double nowMs);
+  std::vector<coordination::Write> fold(Digest& digest,
+                                        std::map<Origin, Read>& parts,
+                                        double nowMs);
+  void lendBudgets(Digest& digest,
+                   const std::map<Origin, Read>& parts,
+                   std::uint64_t fence,
+                   double nowMs);
   void updateVerdicts(Digest& digest, const std::map<Origin, Read>& parts);
   // Sums the usage of all parts.
   void count(Digest& digest, const std::map<Origin, Read>& parts);
--- a/src/shared/health_observation.cpp
+++ b/src/shared/health_observation.cpp
@@ -35,7 +35,8 @@
 }
 
 void LocalObservations::recordSuccess(const std::string& box, double nowMs) {
-  if (entries_.count(box) == 0 && entries_.size() >= kMaxInstances) return;
+  if (entries_.count(box) == 0 && entries_.size() >= kMaxInstances)
+    return;
   Entry& entry = decayedEntry(box, nowMs);
   entry.good += 1;
   entry.bad *= kReversalFactor;
@@ -43,7 +44,8 @@
 }
 
 void LocalObservations::recordFailure(const std::string& box, FailureKind failure, double nowMs) {
-  if (entries_.count(box) == 0 && entries_.size() >= kMaxInstances) return;
+  if (entries_.count(box) == 0 && entries_.size() >= kMaxInstances)
+    return;
   Entry& entry = decayedEntry(box, nowMs);
   entry.bad += 1;
   entry.good *= kReversalFactor;
@@ -54,7 +56,8 @@
 void LocalObservations::prune(const std::set<std::string>& listed, double nowMs) {
   std::erase_if(entries_, [&](const auto& entry) {
     const double left = decayFactor(nowMs - entry.second.atMs, config_);
-    return listed.count(entry.first) == 0 || (entry.second.good + entry.second.bad) * left < kNegligible;
+    return listed.count(entry.first) == 0 ||
+           (entry.second.good + entry.second.bad) * left < kNegligible;
   });
 }
 
@@ -65,15 +68,16 @@
     const HealthObservation observation{entry.good * left, entry.bad * left,
                                         entry.badMs < 0 ? 0 : nowMs - entry.badMs,
                                         entry.goodMs < 0 ? 0 : nowMs - entry.goodMs, entry.failure};
-    if (observation.good + observation.bad >= kNegligible) all[box] = observation;
+    if (observation.good + observation.bad >= kNegligible)
+      all[box] = observation;
   }
   return all;
 }
 
 bool LocalObservations::recentlyHealthy(const std::string& box, double nowMs) const {
   const auto it = entries_.find(box);
-  return it != entries_.end() && it->second.goodMs >= 0 && nowMs - it->second.goodMs <= config_.freshMs &&
-         it->second.goodMs > it->second.badMs;
+  return it != entries_.end() && it->second.goodMs >= 0 &&
+         nowMs - it->second.goodMs <= config_.freshMs && it->second.goodMs > it->second.badMs;
 }
 
 namespace {
@@ -88,17 +92,20 @@
 }  // namespace
 
 void keepStrongest(std::map<std::string, HealthObservation>& observations, std::size_t most) {
-  if (observations.size() <= most) return;
+  if (observations.size() <= most)
+    return;
   std::vector<Strength> weakest;
   weakest.reserve(observations.size());
   for (const auto& [box, observation] : observations)
     weakest.push_back({observation.bad, observation.good, box});
   const auto end = weakest.begin() + static_cast<std::ptrdiff_t>(weakest.size() - most);
   std::nth_element(weakest.begin(), end, weakest.end());
-  for (auto it = weakest.begin(); it != end; ++it) observations.erase(it->box);
+  for (auto it = weakest.begin(); it != end; ++it)
+    observations.erase(it->box);
 }
 
-HealthObservation decayed(const HealthObservation& observation, double byMs,
+HealthObservation decayed(const HealthObservation& observation,
+                          double byMs,
                           const ObservationConfig& config) {
   HealthObservation next = observation;
   next.good *= decayFactor(byMs, config);
@@ -109,7 +116,8 @@
 }
 
 Vote voteOf(const HealthObservation& observation, const ObservationConfig& config) {
-  if (observation.bad >= config.unhealthyFrom && observation.bad >= observation.good) return Vote::kUnhealthy;
+  if (observation.bad >= config.unhealthyFrom && observation.bad >= observation.good)
+    return Vote::kUnhealthy;
   // The first success after a failure makes it healthy again.
   if (observation.good >= 0.5 &&
       (observation.bad < kNegligible || observation.goodAgeMs < observation.badAgeMs))
@@ -129,8 +137,10 @@
          static_cast<double>(bad) <= config.maxUnhealthyShare * static_cast<double>(known);
 }
 
-HealthVerdict nextVerdict(const HealthVerdict& previous, const std::vector<HealthObservation>& heard,
-                          std::uint64_t sequence, const ObservationConfig& observations,
+HealthVerdict nextVerdict(const HealthVerdict& previous,
+                          const std::vector<HealthObservation>& heard,
+                          std::uint64_t sequence,
+                          const ObservationConfig& observations,
                           const VerdictConfig& config) {
   HealthVerdict next = previous;
   next.bad = next.good = 0;
@@ -139,23 +149,29 @@
   // Also of observations too weak for a vote, such as a single failed probe.
   double lastBad = HUGE_VAL;
   for (const HealthObservation& observation : heard) {
-    if (observation.bad >= kNegligible) lastBad = std::min(lastBad, observation.badAgeMs);
-    if (voteOf(observation, observations) != Vote::kUnhealthy) continue;
+    if (observation.bad >= kNegligible)
+      lastBad = std::min(lastBad, observation.badAgeMs);
+    if (voteOf(observation, observations) != Vote::kUnhealthy)
+      continue;
     ++next.bad;
     next.evidence += observation.bad;
     next.failure = observation.failure;
     badAges.push_back(observation.badAgeMs);
   }
   std::sort(badAges.begin(), badAges.end());
-  // A success counts only if it is later than the failures that the verdict needs, and later than all of them
-  // once the instance is excluded, as a successful probe is.
+  // A success counts only if it is later than the failures that the verdict needs, and later than
+  // all of them once the instance is excluded, as a successful probe is.
   const std::size_t needed = std::max<std::uint32_t>(1, config.witnesses);
-  const double since = previous.out ? lastBad : badAges.size() < needed ? HUGE_VAL : badAges[needed - 1];
+  const double since = previous.out              ? lastBad
+                       : badAges.size() < needed ? HUGE_VAL
+                                                 : badAges[needed - 1];
   for (const HealthObservation& observation : heard)
-    next.good += voteOf(observation, observations) == Vote::kHealthy && observation.goodAgeMs < since;
+    next.good +=
+        voteOf(observation, observations) == Vote::kHealthy && observation.goodAgeMs < since;
   if (!previous.out) {
     next.out = next.bad >= config.witnesses && next.bad > next.good;
-    if (next.out) next.sinceSequence = sequence;
+    if (next.out)
+      next.sinceSequence = sequence;
     return next;
   }
   next.out = lastBad < config.expiryMs && next.good == 0;
--- a/src/shared/health_observation.h
+++ b/src/shared/health_observation.h
@@ -1,6 +1,7 @@
 // Health observations: what one conductor measured of each instance, and how the fleet combines the
-// observations of all conductors into a verdict. A verdict needs several distinct witnesses; a witness that
-// finds most instances unhealthy is taken to have a network problem of its own and is ignored. No I/O.
+// observations of all conductors into a verdict. A verdict needs several distinct witnesses; a
+// witness that finds most instances unhealthy is taken to have a network problem of its own and is
+// ignored. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -68,14 +69,16 @@
 };
 
 // The observation, `byMs` milliseconds later. Its evidence never grows.
-HealthObservation decayed(const HealthObservation& observation, double byMs, const ObservationConfig& config);
+HealthObservation decayed(const HealthObservation& observation,
+                          double byMs,
+                          const ObservationConfig& config);
 
 // What a witness says of one instance.
 enum class Vote : std::uint8_t { kAbstain, kHealthy, kUnhealthy };
 Vote voteOf(const HealthObservation& observation, const ObservationConfig& config);
 
-// Whether this witness counts: one that finds at least two instances, and more than maxUnhealthyShare of
-// those that it knows, unhealthy more likely has a network problem of its own.
+// Whether this witness counts: one that finds at least two instances, and more than
+// maxUnhealthyShare of those that it knows, unhealthy more likely has a network problem of its own.
 bool isCredible(const std::map<std::string, HealthObservation>& observations,
                 const ObservationConfig& config);
 
@@ -95,10 +98,12 @@
   double expiryMs = 60'000;     // without a failure, after which an exclusion ends
 };
 
-// The next verdict on an instance, from the previous one and the observations of credible witnesses.
-// sequence: of the digest that is being made.
-HealthVerdict nextVerdict(const HealthVerdict& previous, const std::vector<HealthObservation>& heard,
-                          std::uint64_t sequence, const ObservationConfig& observations,
+// The next verdict on an instance, from the previous one and the observations of credible
+// witnesses. sequence: of the digest that is being made.
+HealthVerdict nextVerdict(const HealthVerdict& previous,
+                          const std::vector<HealthObservation>& heard,
+                          std::uint64_t sequence,
+                          const ObservationConfig& observations,
                           const VerdictConfig& config);
 
 }  // namespace dahliastall::shared
--- a/src/shared/node.cpp
+++ b/src/shared/node.cpp
@@ -19,7 +19,9 @@
 
 }  // namespace
 
-SharedNode::SharedNode(SharedConfig config, std::string name, std::function<std::uint64_t()> draw,
+SharedNode::SharedNode(SharedConfig config,
+                       std::string name,
+                       std::function<std::uint64_t()> draw,
                        double nowMs)
     : config_(std::move(config)),
       draw_(std::move(draw)),
@@ -35,20 +37,28 @@
   budgets_.setLimits(config_.budgets);
 }
 
-// ---- Input from requests --------------------------------------------------------------------------------
+// ---- Input from requests
+// --------------------------------------------------------------------------------
 
-TokenBudgets::Answer SharedNode::reserve(const std::string& tenant, std::uint64_t tokens, double nowMs) {
+TokenBudgets::Answer SharedNode::reserve(const std::string& tenant,
+                                         std::uint64_t tokens,
+                                         double nowMs) {
   TokenBudgets::Answer answer = budgets_.reserve(tenant, tokens, nowMs);
-  if (answer.denial != Denial::kNone) ++stats_.denied[nameOf(answer.denial)];
+  if (answer.denial != Denial::kNone)
+    ++stats_.denied[nameOf(answer.denial)];
   return answer;
 }
 
-void SharedNode::ended(const std::string& tenant, const std::string& cls, const Reservation& reservation,
-                       const Ended& how, double nowMs) {
-  budgets_.settle(reservation, how.how == Ended::How::kServed ? how.promptTokens + how.answerTokens : 0,
-                  nowMs);
+void SharedNode::ended(const std::string& tenant,
+                       const std::string& cls,
+                       const Reservation& reservation,
+                       const Ended& how,
+                       double nowMs) {
+  budgets_.settle(reservation,
+                  how.how == Ended::How::kServed ? how.promptTokens + how.answerTokens : 0, nowMs);
   const UsageKey key{tenant, cls};
-  if (usage_.count(key) == 0 && usage_.size() >= kMaxUsageRows) return;
+  if (usage_.count(key) == 0 && usage_.size() >= kMaxUsageRows)
+    return;
   UsageCounters& counters = usage_[key];
   switch (how.how) {
     case Ended::How::kServed:
@@ -63,7 +73,8 @@
   }
 }
 
-// ---- Input from the store -------------------------------------------------------------------------------
+// ---- Input from the store
+// -------------------------------------------------------------------------------
 
 std::vector<std::string> SharedNode::keys() const {
   Part own;
@@ -73,29 +84,37 @@
 
 void SharedNode::read(const std::map<std::string, Doc>& docs, double readBegunMs, double nowMs) {
   const auto digest = docs.find(kDigestKey);
-  if (digest != docs.end()) readDigest(digest->second, nowMs);
+  if (digest != docs.end())
+    readDigest(digest->second, nowMs);
   // A read that was issued before the last write was answered may show the state before it.
-  if (writing_ || readBegunMs < lastWriteMs_) return;
+  if (writing_ || readBegunMs < lastWriteMs_)
+    return;
   Part own;
   own.origin = self_;
   const auto doc = docs.find(own.key());
   readOwn(doc == docs.end() ? nullptr : &doc->second, nowMs);
 }
 
-void SharedNode::recordDecodeError(DecodeError error, const std::string& what, std::uint64_t revision) {
-  if (undecodableRevision_ == revision) return;
+void SharedNode::recordDecodeError(DecodeError error,
+                                   const std::string& what,
+                                   std::uint64_t revision) {
+  if (undecodableRevision_ == revision)
+    return;
   undecodableRevision_ = revision;
   ++stats_.unreadable;
-  trouble_ = what + " of revision " + std::to_string(revision) + " is not believed: " + nameOf(error);
+  trouble_ =
+      what + " of revision " + std::to_string(revision) + " is not believed: " + nameOf(error);
 }
 
 void SharedNode::readDigest(const Doc& doc, double nowMs) {
-  if (doc.revision == digestRevision_) return;
+  if (doc.revision == digestRevision_)
+    return;
   const DecodedDigest read = decodeDigest(doc.value);
-  if (!read.digest) return recordDecodeError(read.error, "the digest", doc.revision);
+  if (!read.digest)
+    return recordDecodeError(read.error, "the digest", doc.revision);
   digestRevision_ = doc.revision;
-  // Older than what is known: the store was rolled back, or a holder works on a stale view. The known digest
-  // stays until a newer one arrives.
+  // Older than what is known: the store was rolled back, or a holder works on a stale view. The
+  // known digest stays until a newer one arrives.
   if (read.digest->sequence <= digestSequenceSeen_) {
     if (read.digest->sequence < digestSequenceSeen_) {
       ++stats_.rolledBack;
@@ -110,7 +129,8 @@
   trouble_.clear();
   nodes_.clear();
   for (const auto& [origin, sequence] : digest_->heard)
-    if (nodes_.empty() || nodes_.back() != origin.name) nodes_.push_back(origin.name);
+    if (nodes_.empty() || nodes_.back() != origin.name)
+      nodes_.push_back(origin.name);
   std::map<std::string, TokenBudgets::LoanUpdate> lent;
   for (const auto& [tenant, line] : digest_->budgets) {
     const auto own = line.lent.find(self_);
@@ -127,52 +147,68 @@
   ownRecordKnown_ = true;
   if (doc == nullptr) {
     const Folded* folded = digest_ ? digest_->foldedOf(self_) : nullptr;
-    if (folded != nullptr) return restartAfterEviction(folded->sequence, folded->period, nowMs);
-    // Never written, or lost in a rollback: it is written again. Otherwise somebody removed it without a
-    // trace: the last accepted report counts as folded.
+    if (folded != nullptr)
+      return restartAfterEviction(folded->sequence, folded->period, nowMs);
+    // Never written, or lost in a rollback: it is written again. Otherwise somebody removed it
+    // without a trace: the last accepted report counts as folded.
     const bool rolledBack = digestRevision_ != 0 && revision_ > digestRevision_;
     if (revision_ != 0 && !rolledBack)
-      return restartAfterEviction(pendingReports_.empty() ? 0 : pendingReports_.front().sequence, 0, nowMs);
+      return restartAfterEviction(pendingReports_.empty() ? 0 : pendingReports_.front().sequence, 0,
+                                  nowMs);
     revision_ = 0;
     return;
   }
-  if (doc->revision == revision_) return;
+  if (doc->revision == revision_)
+    return;
   revision_ = doc->revision;
   nextMs_ = nowMs;
   const DecodedPart read = decodePart(doc->value);
-  if (read.part) onReportAccepted(read.part->sequence, nowMs);
-  else recordDecodeError(read.error, "this conductor's own part", doc->revision);
+  if (read.part)
+    onReportAccepted(read.part->sequence, nowMs);
+  else
+    recordDecodeError(read.error, "this conductor's own part", doc->revision);
 }
 
-// The usage up to the last report is in the digest's base, and all that it might have spent is charged: it
-// goes on as a new incarnation with the usage since, and reports what it really spent.
-void SharedNode::restartAfterEviction(std::uint64_t lastSequence, std::uint64_t period, double nowMs) {
+// The usage up to the last report is in the digest's base, and all that it might have spent is
+// charged: it goes on as a new incarnation with the usage since, and reports what it really spent.
+void SharedNode::restartAfterEviction(std::uint64_t lastSequence,
+                                      std::uint64_t period,
+                                      double nowMs) {
   ++stats_.evicted;
-  // After a rollback, a report may have been folded that is no longer remembered: the last accepted one is
-  // the nearest, and errs towards counting too little.
-  auto pending = std::find_if(pendingReports_.begin(), pendingReports_.end(),
-                              [&](const PendingReport& report) { return report.sequence == lastSequence; });
-  if (pending == pendingReports_.end()) pending = pendingReports_.begin();
-  if (pending != pendingReports_.end()) usage_ = usageSince(usage_, pending->usage);
+  // After a rollback, a report may have been folded that is no longer remembered: the last accepted
+  // one is the nearest, and errs towards counting too little.
+  auto pending =
+      std::find_if(pendingReports_.begin(), pendingReports_.end(),
+                   [&](const PendingReport& report) { return report.sequence == lastSequence; });
+  if (pending == pendingReports_.end())
+    pending = pendingReports_.begin();
+  if (pending != pendingReports_.end())
+    usage_ = usageSince(usage_, pending->usage);
   const auto used = budgets_.resetAfterEviction();
-  // Of another period there is nothing to refund; it is reported all the same, so that the lender drops the
-  // entry.
+  // Of another period there is nothing to refund; it is reported all the same, so that the lender
+  // drops the entry.
   if (period != 0)
-    finalUsage_ = FinalUsage{self_.incarnation, period,
-                             period == budgets_.period() ? used : std::map<std::string, std::uint64_t>()};
+    finalUsage_ =
+        FinalUsage{self_.incarnation, period,
+                   period == budgets_.period() ? used : std::map<std::string, std::uint64_t>()};
   self_.incarnation = draw_();
   pendingReports_.clear();
   revision_ = 0;
   nextMs_ = nowMs;
 }
 
-double SharedNode::reportIntervalMs() const { return config_.reportIntervalMs(nodes_.size()); }
+double SharedNode::reportIntervalMs() const {
+  return config_.reportIntervalMs(nodes_.size());
+}
 
 std::optional<Write> SharedNode::next(double unixMs, double nowMs) {
   connectivity_.tick(nowMs);
-  if (writing_ || !ownRecordKnown_) return std::nullopt;
-  const bool urgent = budgets_.needsLoan() && nowMs >= lastWriteMs_ + reportIntervalMs() * kMinIntervalShare;
-  if (nowMs < nextMs_ && !urgent) return std::nullopt;
+  if (writing_ || !ownRecordKnown_)
+    return std::nullopt;
+  const bool urgent =
+      budgets_.needsLoan() && nowMs >= lastWriteMs_ + reportIntervalMs() * kMinIntervalShare;
+  if (nowMs < nextMs_ && !urgent)
+    return std::nullopt;
   Part part;
   part.origin = self_;
   part.sequence = ++sequence_;
@@ -184,10 +220,13 @@
   part.observations = observations_.snapshot(nowMs);
   part.finalUsage = finalUsage_;
   pendingReports_.push_back({part.sequence, part.period, part.spends, part.usage, nowMs});
-  // The first is the last accepted one; of the others, the oldest is the least likely to be current.
-  if (pendingReports_.size() > kMaxPendingReports) pendingReports_.erase(pendingReports_.begin() + 1);
+  // The first is the last accepted one; of the others, the oldest is the least likely to be
+  // current.
+  if (pendingReports_.size() > kMaxPendingReports)
+    pendingReports_.erase(pendingReports_.begin() + 1);
   writing_ = true;
-  // One conductor reads all parts, so each has a share of the bytes; observations are dropped to keep it.
+  // One conductor reads all parts, so each has a share of the bytes; observations are dropped to
+  // keep it.
   std::string text = encode(part);
   while (text.size() > kMaxPartsBytes / nodes() && part.observations.size() > kMinObservations) {
     const std::size_t room = part.observations.size() * (kMaxPartsBytes / nodes()) / text.size();
@@ -198,9 +237,11 @@
 }
 
 void SharedNode::onReportAccepted(std::uint64_t sequence, double nowMs) {
-  const auto it = std::find_if(pendingReports_.begin(), pendingReports_.end(),
-                               [&](const PendingReport& report) { return report.sequence == sequence; });
-  if (it == pendingReports_.end()) return;  // no longer remembered, after a rollback
+  const auto it =
+      std::find_if(pendingReports_.begin(), pendingReports_.end(),
+                   [&](const PendingReport& report) { return report.sequence == sequence; });
+  if (it == pendingReports_.end())
+    return;  // no longer remembered, after a rollback
   budgets_.onReportAccepted(it->period, it->spends, it->writeBegunMs);
   connectivity_.onReportAccepted(sequence, nowMs);
   pendingReports_.erase(pendingReports_.begin(), it);
@@ -217,11 +258,13 @@
     return;
   }
   // The next read tells whether it was written.
-  if (answer.how == Committed::kConflict) ++stats_.conflicts;
+  if (answer.how == Committed::kConflict)
+    ++stats_.conflicts;
   ownRecordKnown_ = false;
 }
 
-// ---- Decisions and state --------------------------------------------------------------------------------
+// ---- Decisions and state
+// --------------------------------------------------------------------------------
 
 ConnectivityState SharedNode::connectivityState(double nowMs) {
   connectivity_.tick(nowMs);
@@ -229,11 +272,13 @@
 }
 
 std::map<std::string, Availability> SharedNode::availabilities(
-    const std::map<std::string, KnownInstance>& boxes, double nowMs) const {
+    const std::map<std::string, KnownInstance>& boxes,
+    double nowMs) const {
   static const std::map<std::string, HealthVerdict> kNone;
   const ConnectivityState state = connectivity_.state();
   return shared::availabilities(
-      {digest_ ? digest_->boxes : kNone, boxes, observations_, nodes_, self_.name, digestSequenceSeen_,
+      {digest_ ? digest_->boxes : kNone, boxes, observations_, nodes_, self_.name,
+       digestSequenceSeen_,
        state == ConnectivityState::kConnected || state == ConnectivityState::kDelayed,
        config_.maxExcludedShare, config_.probeDigests},
       nowMs);
--- a/src/shared/node.h
+++ b/src/shared/node.h
@@ -1,6 +1,7 @@
-// One conductor's participation in shared state: it reads the digest and its own part from the store, and
-// decides what to write there next. Combines budgets, usage, observations and connectivity; the caller does
-// the I/O. Times are milliseconds of the caller's monotonic clock, unless named unixMs.
+// One conductor's participation in shared state: it reads the digest and its own part from the
+// store, and decides what to write there next. Combines budgets, usage, observations and
+// connectivity; the caller does the I/O. Times are milliseconds of the caller's monotonic clock,
+// unless named unixMs.
 #pragma once
 
 #include <cstdint>
@@ -23,12 +24,16 @@
  public:
   // Counters since the start.
   struct Stats {
-    std::uint64_t reports = 0, conflicts = 0, evicted = 0, digests = 0, rolledBack = 0, unreadable = 0;
+    std::uint64_t reports = 0, conflicts = 0, evicted = 0, digests = 0, rolledBack = 0,
+                  unreadable = 0;
     std::map<std::string, std::uint64_t> denied;  // by the name of the denial
   };
 
   // draw: yields incarnation numbers, each of which has to be new.
-  SharedNode(SharedConfig config, std::string name, std::function<std::uint64_t()> draw, double nowMs);
+  SharedNode(SharedConfig config,
+             std::string name,
+             std::function<std::uint64_t()> draw,
+             double nowMs);
 
   // Applies changed settings while running.
   void reconfigure(SharedConfig config);
@@ -43,19 +48,24 @@
     std::uint64_t askedTokens = 0;                     // upper bound of the request
   };
   // Settles the reservation and counts the usage.
-  void ended(const std::string& tenant, const std::string& cls, const Reservation& reservation,
-             const Ended& how, double nowMs);
+  void ended(const std::string& tenant,
+             const std::string& cls,
+             const Reservation& reservation,
+             const Ended& how,
+             double nowMs);
   LocalObservations& observations() { return observations_; }
 
   // ---- Input from the store ----
   // The keys of the documents that this conductor has to read.
   std::vector<std::string> keys() const;
-  // Documents that were read; readBegunMs is when the read was issued. A missing key is a missing document.
+  // Documents that were read; readBegunMs is when the read was issued. A missing key is a missing
+  // document.
   void read(const std::map<std::string, coordination::Doc>& docs, double readBegunMs, double nowMs);
 
   // The report to write, if one is due; nothing while a write is in flight.
   std::optional<coordination::Write> next(double unixMs, double nowMs);
-  // leaving: no more requests are taken, so that the next report returns all unused loans; false undoes it.
+  // leaving: no more requests are taken, so that the next report returns all unused loans; false
+  // undoes it.
   void leave(bool leaving) {
     leaving_ = leaving;
     nextMs_ = 0;
@@ -64,8 +74,9 @@
   void written(const coordination::CommitAnswer& answer, double nowMs);
 
   // ---- Decisions and state ----
-  std::map<std::string, Availability> availabilities(const std::map<std::string, KnownInstance>& boxes,
-                                                     double nowMs) const;
+  std::map<std::string, Availability> availabilities(
+      const std::map<std::string, KnownInstance>& boxes,
+      double nowMs) const;
   // The number of live conductors by the last digest; at least one.
   std::size_t nodes() const { return std::max<std::size_t>(1, nodes_.size()); }
   ConnectivityState connectivityState(double nowMs);
--- a/src/shared/remote_health.cpp
+++ b/src/shared/remote_health.cpp
@@ -28,17 +28,22 @@
 }
 
 std::size_t maxExcluded(std::size_t boxes, double share) {
-  if (boxes <= 1) return 0;
-  return std::min(boxes - 1, static_cast<std::size_t>(std::floor(static_cast<double>(boxes) * share + 1e-9)));
+  if (boxes <= 1)
+    return 0;
+  return std::min(boxes - 1,
+                  static_cast<std::size_t>(std::floor(static_cast<double>(boxes) * share + 1e-9)));
 }
 
-std::string probingNode(const std::string& box, std::uint64_t sequence, std::uint64_t probeDigests,
+std::string probingNode(const std::string& box,
+                        std::uint64_t sequence,
+                        std::uint64_t probeDigests,
                         const std::vector<std::string>& nodes) {
   const std::uint64_t turn = sequence / std::max<std::uint64_t>(1, probeDigests);
-  const auto best =
-      std::max_element(nodes.begin(), nodes.end(), [&](const std::string& node, const std::string& other) {
-        return std::pair(drawFor(box, node, turn), node) < std::pair(drawFor(box, other, turn), other);
-      });
+  const auto best = std::max_element(nodes.begin(), nodes.end(),
+                                     [&](const std::string& node, const std::string& other) {
+                                       return std::pair(drawFor(box, node, turn), node) <
+                                              std::pair(drawFor(box, other, turn), other);
+                                     });
   return best == nodes.end() ? std::string() : *best;
 }
 
@@ -64,7 +69,8 @@
 
 // Most votes first, then most evidence: the same order at every conductor.
 bool goesFirst(const ExclusionCandidate& one, const ExclusionCandidate& other) {
-  return std::tie(other.votes, other.evidence, one.id) < std::tie(one.votes, one.evidence, other.id);
+  return std::tie(other.votes, other.evidence, one.id) <
+         std::tie(one.votes, one.evidence, other.id);
 }
 
 std::vector<ExclusionCandidate> candidatesIn(const RemoteHealthInput& input) {
@@ -80,8 +86,10 @@
 
 // For a box that the fleet excludes, within the limits.
 Availability excludedOrProbed(const RemoteHealthInput& input, const std::string& id, double nowMs) {
-  if (input.own.recentlyHealthy(id, nowMs)) return Availability::kLocallyHealthy;
-  const bool probing = probingNode(id, input.sequence, input.probeDigests, input.nodes) == input.self;
+  if (input.own.recentlyHealthy(id, nowMs))
+    return Availability::kLocallyHealthy;
+  const bool probing =
+      probingNode(id, input.sequence, input.probeDigests, input.nodes) == input.self;
   return probing ? Availability::kProbing : Availability::kExcluded;
 }
 
--- a/src/shared/remote_health.h
+++ b/src/shared/remote_health.h
@@ -1,6 +1,6 @@
-// Which instances a conductor excludes because of the fleet's verdicts. The number of excluded instances is
-// limited per role and per role within a cell, whatever the verdicts say, and one conductor at a time probes
-// each excluded instance. No I/O.
+// Which instances a conductor excludes because of the fleet's verdicts. The number of excluded
+// instances is limited per role and per role within a cell, whatever the verdicts say, and one
+// conductor at a time probes each excluded instance. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -14,17 +14,19 @@
 
 namespace dahliastall::shared {
 
-// An instance as this conductor knows it. serves: not taken out by an operator or a maintenance, which take
-// precedence over verdicts.
+// An instance as this conductor knows it. serves: not taken out by an operator or a maintenance,
+// which take precedence over verdicts.
 using KnownInstance = coordination::FleetBox;
 
-// The largest number of instances that may be out of `boxes`, counting those that an operator took out.
-// Always leaves at least one.
+// The largest number of instances that may be out of `boxes`, counting those that an operator took
+// out. Always leaves at least one.
 std::size_t maxExcluded(std::size_t boxes, double share);
 
-// The conductor that probes an excluded instance at this digest: every conductor computes the same one, and
-// the turn changes every `probeDigests` digests. Empty if there are no nodes.
-std::string probingNode(const std::string& box, std::uint64_t sequence, std::uint64_t probeDigests,
+// The conductor that probes an excluded instance at this digest: every conductor computes the same
+// one, and the turn changes every `probeDigests` digests. Empty if there are no nodes.
+std::string probingNode(const std::string& box,
+                        std::uint64_t sequence,
+                        std::uint64_t probeDigests,
                         const std::vector<std::string>& nodes);
 
 // Whether this conductor sends to an instance, and why.
--- a/src/shared/setup.cpp
+++ b/src/shared/setup.cpp
@@ -17,7 +17,8 @@
 
 double paceOf(const core::Fields& given, const char* name, double otherwiseMs) {
   const double ms = given.above0(name, otherwiseMs);
-  if (ms < kShortestMs) given.at(name).fail("is under 50 ms");
+  if (ms < kShortestMs)
+    given.at(name).fail("is under 50 ms");
   return ms;
 }
 
@@ -30,21 +31,25 @@
     if (std::find(tenants.begin(), tenants.end(), tenant) == tenants.end())
       one.fail("is for a tenant that the settings do not name");
     const auto tokens = one.as<std::uint64_t>();
-    if (tokens == 0 || tokens > kMaxTokens) one.fail("is no number of tokens from 1 to 2^50");
+    if (tokens == 0 || tokens > kMaxTokens)
+      one.fail("is no number of tokens from 1 to 2^50");
     budgets[tenant] = tokens;
   }
-  if (budgets.size() > kMaxTenants) given.fail("has more than 32 tenants");
+  if (budgets.size() > kMaxTenants)
+    given.fail("has more than 32 tenants");
   return budgets;
 }
 
 }  // namespace
 
 SharedSetup sharedOf(const core::Fields& given, const std::vector<std::string>& tenants) {
-  given.only({"budgets", "period_s", "ahead_s", "slice_s", "loan_s", "word_ms", "digest_ms", "gone_s",
-              "silent_s", "late_s", "alone_s", "most_out", "witnesses", "fades_s", "hearsay"});
+  given.only({"budgets", "period_s", "ahead_s", "slice_s", "loan_s", "word_ms", "digest_ms",
+              "gone_s", "silent_s", "late_s", "alone_s", "most_out", "witnesses", "fades_s",
+              "hearsay"});
   SharedSetup setup;
   SharedConfig& config = setup.config;
-  if (given.has("budgets")) config.budgets = budgetsOf(given.at("budgets"), tenants);
+  if (given.has("budgets"))
+    config.budgets = budgetsOf(given.at("budgets"), tenants);
   config.periodMs = seconds(given, "period_s", config.periodMs);
   config.budget.prefetchMs = seconds(given, "ahead_s", config.budget.prefetchMs);
   config.budget.rateMs = config.budget.prefetchMs;
@@ -60,7 +65,8 @@
   config.verdict.witnesses = given.value("witnesses", config.verdict.witnesses);
   config.maxExcludedShare = given.value("most_out", config.maxExcludedShare);
   setup.hearsay = given.value("hearsay", setup.hearsay);
-  if (config.verdict.witnesses < 1) given.at("witnesses").fail("is under 1");
+  if (config.verdict.witnesses < 1)
+    given.at("witnesses").fail("is under 1");
   if (!(config.maxExcludedShare >= 0 && config.maxExcludedShare <= 0.5))
     given.at("most_out").fail("is no share from 0 to 0.5");
   if (config.budget.ceilingMs > config.budget.prefetchMs)
@@ -71,8 +77,10 @@
     given.fail("cannot be used: alone_s is shorter than late_s");
   if (config.connectivity.delayedMs < config.reportMs + config.digestMs)
     given.fail("cannot be used: late_s is shorter than word_ms and digest_ms together");
-  if (config.silentMs > config.goneMs) given.fail("cannot be used: silent_s is longer than gone_s");
-  if (config.periodMs < config.budget.loanMs) given.fail("cannot be used: period_s is shorter than loan_s");
+  if (config.silentMs > config.goneMs)
+    given.fail("cannot be used: silent_s is longer than gone_s");
+  if (config.periodMs < config.budget.loanMs)
+    given.fail("cannot be used: period_s is shorter than loan_s");
   return setup;
 }
 
--- a/src/shared/setup.h
+++ b/src/shared/setup.h
@@ -1,5 +1,6 @@
-// What an operator's file says under `shared`: token budgets, and how the fleet keeps what it knows together.
-// It needs `coordination`, whose store carries it. Without it a conductor shares none of this.
+// What an operator's file says under `shared`: token budgets, and how the fleet keeps what it knows
+// together. It needs `coordination`, whose store carries it. Without it a conductor shares none of
+// this.
 #pragma once
 
 #include <set>
--- a/src/shared/usage_counters.cpp
+++ b/src/shared/usage_counters.cpp
@@ -15,7 +15,8 @@
 }  // namespace
 
 void UsageCounters::add(const UsageCounters& more) {
-  for (const auto counter : kCounters) this->*counter += more.*counter;
+  for (const auto counter : kCounters)
+    this->*counter += more.*counter;
 }
 
 bool UsageCounters::dominates(const UsageCounters& other) const {
@@ -24,7 +25,8 @@
 }
 
 void addUsage(UsageTable& to, const UsageTable& more) {
-  for (const auto& [key, counters] : more) to[key].add(counters);
+  for (const auto& [key, counters] : more)
+    to[key].add(counters);
 }
 
 UsageTable usageSince(const UsageTable& now, const UsageTable& before) {
@@ -35,7 +37,8 @@
     if (previous != before.end())
       for (const auto counter : kCounters)
         left.*counter -= std::min(left.*counter, previous->second.*counter);
-    if (left != UsageCounters{}) difference[key] = left;
+    if (left != UsageCounters{})
+      difference[key] = left;
   }
   return difference;
 }
@@ -43,7 +46,8 @@
 void merge(UsageTable& to, const UsageTable& from) {
   for (const auto& [key, counters] : from) {
     UsageCounters& merged = to[key];
-    for (const auto counter : kCounters) merged.*counter = std::max(merged.*counter, counters.*counter);
+    for (const auto counter : kCounters)
+      merged.*counter = std::max(merged.*counter, counters.*counter);
   }
 }
 
@@ -63,14 +67,16 @@
 
 void FleetUsage::fold(const Origin& from) {
   const auto it = parts_.find(from);
-  if (it == parts_.end()) return;
+  if (it == parts_.end())
+    return;
   addUsage(base_, it->second);
   parts_.erase(it);
 }
 
 UsageTable FleetUsage::total() const {
   UsageTable all = base_;
-  for (const auto& [from, part] : parts_) addUsage(all, part);
+  for (const auto& [from, part] : parts_)
+    addUsage(all, part);
   return all;
 }
 
--- a/src/shared/usage_counters.h
+++ b/src/shared/usage_counters.h
@@ -1,6 +1,6 @@
-// Usage counters that can be summed over the fleet: a state-based grow-only counter (G-counter) per process.
-// Merging takes the larger value of each counter, so reports may arrive late, repeated or out of order. The
-// counters of processes that have ended are folded into one base. No I/O.
+// Usage counters that can be summed over the fleet: a state-based grow-only counter (G-counter) per
+// process. Merging takes the larger value of each counter, so reports may arrive late, repeated or
+// out of order. The counters of processes that have ended are folded into one base. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -10,8 +10,8 @@
 
 namespace dahliastall::shared {
 
-// Identifies one process of one conductor. The incarnation is new with each start, and with each eviction of
-// a process that turns out to be alive.
+// Identifies one process of one conductor. The incarnation is new with each start, and with each
+// eviction of a process that turns out to be alive.
 struct Origin {
   std::string name;
   std::uint64_t incarnation = 0;
@@ -22,7 +22,8 @@
 struct UsageCounters {
   std::uint64_t served = 0, refused = 0, failed = 0;  // number of requests
   std::uint64_t promptTokens = 0, answerTokens = 0;   // of served requests; billed
-  std::uint64_t refusedTokens = 0, failedTokens = 0;  // upper bound of what was requested; never billed
+  std::uint64_t refusedTokens = 0,
+                failedTokens = 0;  // upper bound of what was requested; never billed
   bool operator==(const UsageCounters&) const = default;
 
   void add(const UsageCounters& more);
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -14,7 +14,8 @@
 using namespace admission;
 using nlohmann::json;
 
-// ---- Addresses and rules ---------------------------------------------------------------------------
+// ---- Addresses and rules
+// ---------------------------------------------------------------------------
 
 TEST(Addresses, OneClientIsOneAddressAndRangesHoldWhatTheySay) {
   EXPECT_EQ(at("10.1.2.3"), at("::ffff:10.1.2.3"));
@@ -26,8 +27,8 @@
   EXPECT_TRUE(ten.overlaps(*Range::parse("10.2.0.0/16")));
   EXPECT_FALSE(ten.overlaps(*Range::parse("2001:db8::/32")));
   EXPECT_EQ(ten.text(), "10.0.0.0/8");
-  for (const char* bad : {"10.0.0.1/8", "10.0.0.0/33", "10.0.0.0/", "10.0.0.0/-1", "10.0.0/8", "::1/129", "x",
-                          "", "10.0.0.0/8 "})
+  for (const char* bad : {"10.0.0.1/8", "10.0.0.0/33", "10.0.0.0/", "10.0.0.0/-1", "10.0.0/8",
+                          "::1/129", "x", "", "10.0.0.0/8 "})
     EXPECT_FALSE(Range::parse(bad)) << bad;
 }
 
@@ -57,7 +58,8 @@
       {R"({"rate":{"per_second":0}})", "admission.rate.per_second: "},
       {R"({"rate":{"burst":0.5}})", "admission.rate.burst: "},
       {R"({"known":{"reserve":100}})", "admission.known.reserve: "},
-      {R"({"known":{"ranges":["127.0.1.0/24","127.0.1.7"]}})", "admission.known.ranges[1]: overlaps"},
+      {R"({"known":{"ranges":["127.0.1.0/24","127.0.1.7"]}})",
+       "admission.known.ranges[1]: overlaps"},
       {R"({"known":{"keys":["nobody"]}})", "admission.known.keys[0]: "},
       {R"({"known":{"ranges":[],"keys":[]}})", "admission.known.reserve: is for nobody"},
       {R"({"table":4})", "admission.table: "},
@@ -80,9 +82,12 @@
   EXPECT_NE(explain(rules, at("10.0.0.1"), "desk").find("known by key: desk"), std::string::npos);
 }
 
-// ---- The gate --------------------------------------------------------------------------------------
+// ---- The gate
+// --------------------------------------------------------------------------------------
 
-Rules rules() { return rulesOf(file(), {"desk"}, 200); }
+Rules rules() {
+  return rulesOf(file(), {"desk"}, 200);
+}
 
 TEST(AdmissionController, AnAddressThatLoopsIsHeldToItsRateAndItsCapAndOthersAreNot) {
   AdmissionController gate(rules());
@@ -103,8 +108,10 @@
 
 TEST(AdmissionController, AWholeClubBehindOneAddressIsNoFloodIfItsRangeIsKnown) {
   AdmissionController gate(rules());
-  for (int i = 0; i < 100; ++i) EXPECT_TRUE(gate.connect(at("127.0.1.5"), Level::kNormal, 1000).admit) << i;
-  EXPECT_EQ(gate.connect(at("127.0.1.5"), Level::kNormal, 1000).reason, Reason::kFull);  // all are young
+  for (int i = 0; i < 100; ++i)
+    EXPECT_TRUE(gate.connect(at("127.0.1.5"), Level::kNormal, 1000).admit) << i;
+  EXPECT_EQ(gate.connect(at("127.0.1.5"), Level::kNormal, 1000).reason,
+            Reason::kFull);  // all are young
 }
 
 TEST(AdmissionController, TheReserveIsForKnownClientsAndAKeyEndsBorrowing) {
@@ -140,14 +147,16 @@
   const ConnectionId busy = connect("10.0.0.3", 700).id;
   gate.busy(busy);
   gate.busy(a1);
-  EXPECT_EQ(connect("10.0.0.4", 1050).reason, Reason::kFull) << "whoever is idle there came a moment ago";
+  EXPECT_EQ(connect("10.0.0.4", 1050).reason, Reason::kFull)
+      << "whoever is idle there came a moment ago";
   EXPECT_EQ(connect("10.0.0.4", 2000).evict, a2);
   gate.idle(a1, 2100);
   EXPECT_EQ(connect("127.0.1.2", 3000).evict, a3) << "idle longer than a1";
   std::set<ConnectionId> gone;
   for (int i = 0; i < 3; ++i) {
     const auto d = connect("127.0.1.3", 4000 + i);
-    if (d.evict) gone.insert(*d.evict);
+    if (d.evict)
+      gone.insert(*d.evict);
   }
   EXPECT_TRUE(gone.count(b) != 0 && gone.count(a1) != 0);
   EXPECT_EQ(gone.count(known) + gone.count(busy), 0U);
@@ -163,17 +172,21 @@
   const Address loud = at("10.9.9.9");
   for (int i = 0; i < 50; ++i) {
     const Decision d = gate.connect(loud, Level::kNormal, 1000);
-    if (d.admit) gate.closed(d.id, 1000);
+    if (d.admit)
+      gate.closed(d.id, 1000);
   }
   ASSERT_EQ(gate.connect(loud, Level::kNormal, 1000).reason, Reason::kRate);
   for (int i = 0; i < 5000; ++i) {
-    const Decision d = gate.connect(at("10." + std::to_string(i / 250) + ".7." + std::to_string(i % 250)),
-                                    Level::kNormal, 1000 + i * 0.01);
-    if (d.admit) gate.closed(d.id, 1000);
+    const Decision d =
+        gate.connect(at("10." + std::to_string(i / 250) + ".7." + std::to_string(i % 250)),
+                     Level::kNormal, 1000 + i * 0.01);
+    if (d.admit)
+      gate.closed(d.id, 1000);
     ASSERT_LE(gate.addresses(), 64U);
   }
   EXPECT_EQ(gate.connect(loud, Level::kNormal, 1051).reason, Reason::kRate);
-  EXPECT_TRUE(gate.connect(at("127.0.1.1"), Level::kNormal, 1051).admit) << "a known client needs no place";
+  EXPECT_TRUE(gate.connect(at("127.0.1.1"), Level::kNormal, 1051).admit)
+      << "a known client needs no place";
   // Quiet again, all of them make room.
   EXPECT_TRUE(gate.connect(at("10.200.0.1"), Level::kNormal, 60'000).admit);
 }
@@ -185,7 +198,8 @@
     for (int i = 0; i < 100; ++i) {
       const Decision d = gate.connect(at("10.0.0.1"), Level::kNormal, now);
       in += d.admit;
-      if (d.admit) gate.closed(d.id, now);
+      if (d.admit)
+        gate.closed(d.id, now);
     }
     return in;
   };
@@ -198,25 +212,29 @@
 TEST(AdmissionController, ALoweredCapLetsOpenRequestsFinish) {
   AdmissionController gate(rules());
   std::vector<ConnectionId> in;
-  for (int i = 0; i < 10; ++i) in.push_back(gate.connect(at("10.0.0.1"), Level::kNormal, 1000).id);
-  for (int i = 0; i < 6; ++i) gate.busy(in[static_cast<std::size_t>(i)]);
+  for (int i = 0; i < 10; ++i)
+    in.push_back(gate.connect(at("10.0.0.1"), Level::kNormal, 1000).id);
+  for (int i = 0; i < 6; ++i)
+    gate.busy(in[static_cast<std::size_t>(i)]);
   Rules lower = rules();
   lower.perAddress = 3;
   const auto evicted = gate.reconfigure(lower, 2000);
   EXPECT_EQ(evicted, std::vector<ConnectionId>(in.begin() + 6, in.end()));
   EXPECT_EQ(gate.open(), 6U);
   EXPECT_EQ(gate.connect(at("10.0.0.1"), Level::kNormal, 9000).reason, Reason::kAddress);
-  for (int i = 0; i < 4; ++i) gate.closed(in[static_cast<std::size_t>(i)], 9000);
+  for (int i = 0; i < 4; ++i)
+    gate.closed(in[static_cast<std::size_t>(i)], 9000);
   EXPECT_TRUE(gate.connect(at("10.0.0.1"), Level::kNormal, 9000).admit);
 }
 
-// Whatever comes: caps and reserve hold, nobody with a request gives way, and the counts are those of a plain
-// list.
+// Whatever comes: caps and reserve hold, nobody with a request gives way, and the counts are those
+// of a plain list.
 TEST(AdmissionController, KeepsItsBoundsWhateverHappens) {
   rc::check([](const std::vector<std::tuple<unsigned char, unsigned char, unsigned char>>& steps) {
     json text = file();
-    text["connections"] = {
-        {"total", 12}, {"per_address", 4}, {"networks", {{{"range", "10.0.0.0/16"}, {"connections", 7}}}}};
+    text["connections"] = {{"total", 12},
+                           {"per_address", 4},
+                           {"networks", {{{"range", "10.0.0.0/16"}, {"connections", 7}}}}};
     text["known"]["reserve"] = 4;
     text["table"] = 16;
     Rules r = rulesOf(text, {"desk"}, 200);
@@ -232,9 +250,11 @@
       const std::string address = who % 4 == 0   ? "127.0.1." + std::to_string(who % 3)
                                   : who % 4 == 1 ? "10.0.0." + std::to_string(who % 5)
                                                  : "10.1.0." + std::to_string(who % 40);
-      const auto chosen = model.empty() ? model.end() : std::next(model.begin(), who % model.size());
+      const auto chosen =
+          model.empty() ? model.end() : std::next(model.begin(), who % model.size());
       if (what % 6 < 3) {
-        const Decision d = gate.connect(at(address), what % 30 == 0 ? Level::kTight : Level::kNormal, now);
+        const Decision d =
+            gate.connect(at(address), what % 30 == 0 ? Level::kTight : Level::kNormal, now);
         if (d.evict) {
           const auto it = model.find(*d.evict);
           RC_ASSERT(it != model.end());
@@ -242,7 +262,8 @@
           RC_ASSERT(!it->second.known || address.rfind("127", 0) == 0);
           model.erase(it);
         }
-        if (d.admit) model[d.id] = {address, address.rfind("127", 0) == 0, false};
+        if (d.admit)
+          model[d.id] = {address, address.rfind("127", 0) == 0, false};
         RC_ASSERT(d.admit == (d.reason == Reason::kNone));
       } else if (chosen != model.end()) {
         const ConnectionId id = chosen->first;
@@ -267,7 +288,8 @@
       for (const auto& [id, seen] : model) {
         RC_ASSERT(gate.known(id) == seen.known);
         unknown += !seen.known;
-        if (seen.address.rfind("127", 0) != 0) ++strangersFrom[seen.address];
+        if (seen.address.rfind("127", 0) != 0)
+          ++strangersFrom[seen.address];
         network += seen.address.rfind("10.0.", 0) == 0;
       }
       RC_ASSERT(gate.open() == model.size());
@@ -276,12 +298,14 @@
       RC_ASSERT(unknown <= 8U);
       RC_ASSERT(network <= 7U);
       RC_ASSERT(gate.addresses() <= 16U);
-      for (const auto& [from, count] : strangersFrom) RC_ASSERT(count <= 4U);
+      for (const auto& [from, count] : strangersFrom)
+        RC_ASSERT(count <= 4U);
     }
   });
 }
 
-// ---- The ledger ------------------------------------------------------------------------------------
+// ---- The ledger
+// ------------------------------------------------------------------------------------
 
 TEST(DescriptorBudget, SumsToWhatIsOpenAndKeepsEveryShare) {
   rc::check([](const std::vector<std::pair<unsigned char, bool>>& steps) {
@@ -291,7 +315,8 @@
       for (const auto& [which, take] : steps) {
         const std::size_t i = which % DescriptorBudget::kAccounts;
         const auto account = static_cast<Account>(i);
-        if (take) model[i] += ledger.take(account);
+        if (take)
+          model[i] += ledger.take(account);
         else if (model[i] > 0) {
           ledger.give(account);
           --model[i];
@@ -313,8 +338,10 @@
 TEST(DescriptorBudget, LevelsChangeWithHysteresis) {
   DescriptorBudget ledger(DescriptorBudget::sharesOf(296));  // 100 for clients
   const auto to = [&](std::size_t held) {
-    while (ledger.held(Account::kClients) < held) ledger.take(Account::kClients);
-    while (ledger.held(Account::kClients) > held) ledger.give(Account::kClients);
+    while (ledger.held(Account::kClients) < held)
+      ledger.take(Account::kClients);
+    while (ledger.held(Account::kClients) > held)
+      ledger.give(Account::kClients);
     return ledger.level(0);
   };
   EXPECT_EQ(to(89), Level::kNormal);
--- a/tests/bounds_test.cpp
+++ b/tests/bounds_test.cpp
@@ -1,5 +1,5 @@
-// Fleets at the bounds of docs/design/bounds.md: each part with 350 conductors and 600 instances, and with
-// 1,024 of each; what they hold is measured against the 192 MiB that a conductor has.
+// Fleets at the bounds of docs/design/bounds.md: each part with 350 conductors and 600 instances,
+// and with 1,024 of each; what they hold is measured against the 192 MiB that a conductor has.
 #include <gtest/gtest.h>
 
 #include <iostream>
@@ -25,10 +25,16 @@
 struct Size {
   std::size_t conductors, instances;
 };
-void PrintTo(const Size& size, std::ostream* out) { *out << size.conductors << "x" << size.instances; }
+void PrintTo(const Size& size, std::ostream* out) {
+  *out << size.conductors << "x" << size.instances;
+}
 
-std::string instance(std::size_t i) { return "instance-" + std::to_string(1000 + i); }
-std::string conductor(std::size_t i) { return "conductor-" + std::to_string(1000 + i); }
+std::string instance(std::size_t i) {
+  return "instance-" + std::to_string(1000 + i);
+}
+std::string conductor(std::size_t i) {
+  return "conductor-" + std::to_string(1000 + i);
+}
 
 FleetBoxes boxesOf(std::size_t instances) {
   FleetBoxes boxes;
@@ -49,11 +55,13 @@
 struct Fleet : ::testing::TestWithParam<Size> {
   std::size_t conductors = GetParam().conductors, instances = GetParam().instances;
 };
-INSTANTIATE_TEST_SUITE_P(OfManySizes, Fleet,
+INSTANTIATE_TEST_SUITE_P(OfManySizes,
+                         Fleet,
                          ::testing::Values(Size{350, 600}, Size{kMostConductors, kMostInstances}));
 
-// All conductors speak; one makes the digest of all, and every one of them can read it and finds itself, its
-// loans and the bad instances in it, within the bytes that the store and a conductor's memory take.
+// All conductors speak; one makes the digest of all, and every one of them can read it and finds
+// itself, its loans and the bad instances in it, within the bytes that the store and a conductor's
+// memory take.
 TEST_P(Fleet, SharesWhatItSawUsedAndWasLent) {
   using namespace shared;
   SharedConfig config;
@@ -69,7 +77,8 @@
       nodes.push_back(std::make_unique<SharedNode>(
           config, conductor(i), [&] { return ++drawn; }, now));
   });
-  const std::size_t every = conductors / 256 + 1;  // of them has heard of the period and so is lent something
+  const std::size_t every =
+      conductors / 256 + 1;  // of them has heard of the period and so is lent something
   const auto speak = [&] {
     for (std::size_t i = 0; i < conductors; ++i) {
       const auto& node = nodes[i];
@@ -100,14 +109,16 @@
     for (std::size_t k = 0; k < instances; k += 10)
       for (int twice = 0; twice < 2; ++twice)
         nodes[i]->observations().recordFailure(instance(k), FailureKind::kTimeout, now);
-    for (const char* tenant : {"attiki", "patras"}) nodes[i]->reserve(tenant, 100, now);
+    for (const char* tenant : {"attiki", "patras"})
+      nodes[i]->reserve(tenant, 100, now);
     for (int cls = 0; cls < 4; ++cls)
       nodes[i]->ended(i % 2 == 0 ? "attiki" : "patras", "class-" + std::to_string(cls), {},
                       {SharedNode::Ended::How::kServed, 3, 4, 0}, now);
   }
   speak();
   std::size_t texts = 0;
-  for (const auto& [key, doc] : view.docs) texts += doc.value.size();
+  for (const auto& [key, doc] : view.docs)
+    texts += doc.value.size();
   EXPECT_LE(texts, kMaxPartsBytes + kMaxDocumentBytes);
   const auto began = std::chrono::steady_clock::now();
   const Held holder = heldBy(digest);
@@ -123,7 +134,8 @@
   EXPECT_EQ(read->budgets.at("attiki").lent.size() + read->budgets.at("patras").lent.size(),
             2 * ((conductors + every - 1) / every));
   std::uint64_t served = 0;
-  for (const auto& [key, counters] : read->total) served += counters.served;
+  for (const auto& [key, counters] : read->total)
+    served += counters.served;
   EXPECT_EQ(served, 4 * conductors);
   EXPECT_EQ(read->boxes.size(), (instances + 9) / 10);
   EXPECT_EQ(task.stats().unread.size(), 0u);
@@ -131,12 +143,16 @@
   SharedNode& last = *nodes.back();
   last.read({{kDigestKey, view.docs.at(kDigestKey)}}, now, now);
   EXPECT_EQ(last.nodes(), conductors);
-  // Left out are all that are bad, but for those which the bounds keep in and the one that it is to try.
+  // Left out are all that are bad, but for those which the bounds keep in and the one that it is to
+  // try.
   std::vector<std::string> names;
-  for (const auto& [origin, word] : read->heard) names.push_back(origin.name);
+  for (const auto& [origin, word] : read->heard)
+    names.push_back(origin.name);
   std::map<Availability, std::size_t> availabilities;
-  for (const auto& [id, availability] : shared::availabilities(
-           {read->boxes, boxesOf(instances), LocalObservations(), names, names.front(), read->sequence}, now))
+  for (const auto& [id, availability] :
+       shared::availabilities({read->boxes, boxesOf(instances), LocalObservations(), names,
+                               names.front(), read->sequence},
+                              now))
     ++availabilities[availability];
   EXPECT_EQ(availabilities[Availability::kInUse], instances - (instances + 9) / 10);
   EXPECT_GT(availabilities[Availability::kExcluded], instances / 20);
@@ -153,7 +169,8 @@
       {}, "c", [] { return 1u; }, 0);
   Digest digest;
   digest.sequence = 1;
-  for (std::size_t i = 0; i < conductors; ++i) digest.heard[{conductor(i), i}] = 1;
+  for (std::size_t i = 0; i < conductors; ++i)
+    digest.heard[{conductor(i), i}] = 1;
   node.read({{kDigestKey, {encode(digest), 1}}}, 0, 0);
   for (std::size_t k = 0; k < instances; ++k)
     k % 10 == 0 ? node.observations().recordFailure(instance(k), FailureKind::kSlow, 0)
@@ -163,15 +180,18 @@
   EXPECT_LE(write->value->size(), kMaxPartsBytes / conductors);
   const auto part = decodePart(*write->value).part;
   ASSERT_TRUE(part);
-  for (std::size_t k = 0; k < instances; k += 10) EXPECT_EQ(part->observations.count(instance(k)), 1u);
+  for (std::size_t k = 0; k < instances; k += 10)
+    EXPECT_EQ(part->observations.count(instance(k)), 1u);
 }
 
-// A plan over every instance is written, read, and goes its way while all conductors have to hear of it.
+// A plan over every instance is written, read, and goes its way while all conductors have to hear
+// of it.
 TEST_P(Fleet, TakesEveryInstanceOutByOnePlan) {
   const FleetBoxes boxes = boxesOf(instances);
   PlanCommand command;
   command.id = std::string(Plan::kLongestWord, 'p');
-  for (const auto& [id, box] : boxes) command.boxes.push_back(id);
+  for (const auto& [id, box] : boxes)
+    command.boxes.push_back(id);
   View view;
   const PlanAnswer answer = decide(command, view, boxes, 0);
   ASSERT_EQ(answer.problem, "");
@@ -191,7 +211,8 @@
   Presence said;
   said.plan = plan.id;
   said.steps = plan.steps;
-  for (const std::string& box : plan.drained()) said.open[box] = 0;
+  for (const std::string& box : plan.drained())
+    said.open[box] = 0;
   for (std::size_t i = 0; i < conductors; ++i) {
     said.who = {conductor(i), 1};
     said.open.begin()->second = i + 1 == conductors;
@@ -234,11 +255,12 @@
   EXPECT_EQ(other.merge(*exclusions)->entries.size(), instances);
   EXPECT_EQ(other.setPlannedDrains(all, 2)->entries.size(), instances);
   EXPECT_EQ(other.setPeerExclusions(all, 2)->entries.size(), instances);
-  for (const std::string& id : all) EXPECT_TRUE(drains.stateOf(id).drained && members.excluded({id}));
+  for (const std::string& id : all)
+    EXPECT_TRUE(drains.stateOf(id).drained && members.excluded({id}));
 }
 
-// The module's table: what is gone for longer than a new one is cold is let go of, under ever new ids and
-// cells; what a request still names is not.
+// The module's table: what is gone for longer than a new one is cold is let go of, under ever new
+// ids and cells; what a request still names is not.
 TEST_P(Fleet, IsForgottenByTheModuleOnceItIsGone) {
   using namespace leverrelay;
   Settings settings;
@@ -256,8 +278,10 @@
     actions.clear();
     const Held held = heldBy([&] { router.handle(now, std::move(list), actions); });
     most = std::max(most, held.after);
-    if (turn == 0) first = held.after;
-    if (turn == 3) most = 0;  // the table has its size by then
+    if (turn == 0)
+      first = held.after;
+    if (turn == 3)
+      most = 0;  // the table has its size by then
   }
   std::cout << first / instances << " bytes an instance in the module\n";
   EXPECT_LE(first / instances, 2048u);
@@ -277,10 +301,12 @@
   for (std::size_t i = 0; i < conductors; ++i) {
     writes.push_back({"part/" + conductor(i) + "/1", 0, "p"});
     writes.push_back({kNodePrefix + conductor(i), 0, "n"});
-    if (writes.size() == kMostWrites) put();
+    if (writes.size() == kMostWrites)
+      put();
   }
   writes.push_back({kPlanKey, 0, std::string(kMostValueBytes, 'p')});
-  if (writes.size() > 1) std::swap(writes.front(), writes.back());
+  if (writes.size() > 1)
+    std::swap(writes.front(), writes.back());
   put();
   const Listing all = file.list();
   EXPECT_EQ(all.docs.size(), 2 * conductors + 2);
--- a/tests/client_departure_test.cpp
+++ b/tests/client_departure_test.cpp
@@ -1,6 +1,7 @@
-// A client that leaves: nothing begins for it any more, neither an attempt nor a reservation, wherever its
-// request waits at that moment. Each case on real sockets and through both fronts, once with the loop told of
-// the close before time goes on, and once with the close only in the system's hands.
+// A client that leaves: nothing begins for it any more, neither an attempt nor a reservation,
+// wherever its request waits at that moment. Each case on real sockets and through both fronts,
+// once with the loop told of the close before time goes on, and once with the close only in the
+// system's hands.
 #include "app/handover.h"
 #include "support/folder.h"
 #include "support/site.h"
@@ -26,7 +27,8 @@
   std::vector<Case> all;
   for (const bool openai : {false, true})
     for (const Leaving how : {Leaving::kClose, Leaving::kHalfClose, Leaving::kReset})
-      for (const bool told : {false, true}) all.push_back({openai, how, told});
+      for (const bool told : {false, true})
+        all.push_back({openai, how, told});
   return all;
 }
 
@@ -38,14 +40,15 @@
   }
   const json body{{"model", "change"},
                   {"messages", {{{"role", "user"}, {"content", "When do you open?" + filling}}}}};
-  return messageText("POST /v1/chat/completions HTTP/1.1", {{"Host", "x"}, {"Authorization", "Bearer k"}},
-                     body.dump());
+  return messageText("POST /v1/chat/completions HTTP/1.1",
+                     {{"Host", "x"}, {"Authorization", "Bearer k"}}, body.dump());
 }
 
 // One client on a bare socket, and a site whose instances answer only what the test says.
 struct Departure : Site {
   Departure(const std::vector<Kind>& kinds, bool openai) : Site(kinds, openai), openai(openai) {
-    for (auto& [id, box] : boxes) box->script = leaveSilent;
+    for (auto& [id, box] : boxes)
+      box->script = leaveSilent;
     client.connect(listener->address());
   }
   void ask(const std::string& filling = "") { client.write(requestText(openai, "a", filling)); }
@@ -54,13 +57,17 @@
     EXPECT_TRUE(until([&] { return engine->counters["requests.taken"] == 1; }));
   }
   void leave(Leaving how) {
-    if (how == Leaving::kClose) client.close();
-    if (how == Leaving::kHalfClose) client.endSending();
-    if (how == Leaving::kReset) client.reset();
+    if (how == Leaving::kClose)
+      client.close();
+    if (how == Leaving::kHalfClose)
+      client.endSending();
+    if (how == Leaving::kReset)
+      client.reset();
   }
   void leave(const Case& by) {
     leave(by.how);
-    if (!by.told) return;
+    if (!by.told)
+      return;
     EXPECT_TRUE(until([&] { return engine->counters["requests.client_gone"] == 1; }));
   }
   // Lets all that may still happen happen, to well past the client's time.
@@ -79,13 +86,15 @@
   }
   int reservations() const {
     int all = 0;
-    for (const auto& [id, box] : boxes) all += box->count("POST", "/bootstrap/");
+    for (const auto& [id, box] : boxes)
+      all += box->count("POST", "/bootstrap/");
     return all;
   }
   StandInBox::Taken& onlyChat() {
     for (const auto& [id, box] : boxes)
       for (const auto& taken : box->taken)
-        if (taken->target == "/v1/chat/completions") return *taken;
+        if (taken->target == "/v1/chat/completions")
+          return *taken;
     throw std::logic_error("no attempt has arrived");
   }
   void expectGone(int chatsBefore, int reservationsBefore = 0) {
@@ -102,7 +111,8 @@
 class AClientThatLeft : public testing::TestWithParam<Case> {};
 INSTANTIATE_TEST_SUITE_P(All, AClientThatLeft, testing::ValuesIn(allCases()), nameOf);
 
-// Without an instance a request waits in the module; one comes up for a client that is no longer there.
+// Without an instance a request waits in the module; one comes up for a client that is no longer
+// there.
 TEST_P(AClientThatLeft, GetsNoAttemptOutOfTheModulesQueue) {
   Departure site(kSplit, GetParam().openai);
   leverrelay::ListNews none = site.site.boxes;
@@ -131,7 +141,8 @@
   site.expectGone(0);
 }
 
-// The same with a connection at hand, so that the request would be written in the turn in which one is free.
+// The same with a connection at hand, so that the request would be written in the turn in which one
+// is free.
 TEST_P(AClientThatLeft, GetsNoAttemptOnAConnectionThatFallsFree) {
   Departure site({{"m1", "both", 0}}, GetParam().openai);
   site.engine->pool.capAt(1);
@@ -165,8 +176,8 @@
   Departure site(kSplit, GetParam().openai);
   auto settings = site.site.setup.settings;
   settings.classes[1].aim = std::chrono::seconds(6);
-  site.engine->reconfigure(settings,
-                           site.openai ? fronts::openaiDialect(site.site) : fronts::platformDialect());
+  site.engine->reconfigure(
+      settings, site.openai ? fronts::openaiDialect(site.site) : fronts::platformDialect());
   site.askUntilTaken();
   ASSERT_TRUE(site.until([&] { return site.chats() == 1; }));
   site.pass(3'700);  // the reader is given up
@@ -266,7 +277,8 @@
   Departure site(kSplit, GetParam().openai);
   const std::string text = requestText(site.openai, "a");
   site.client.write(text.substr(0, text.size() - 1));
-  if (GetParam().told) site.settle();
+  if (GetParam().told)
+    site.settle();
   site.leave(GetParam().how);
   site.goOn();
   EXPECT_EQ(site.chats(), 0);
@@ -278,7 +290,8 @@
   Departure site({{"m1", "both", 0}}, GetParam().openai);
   site.client.write(requestText(site.openai, "a") + requestText(site.openai, "b"));
   ASSERT_TRUE(site.until([&] { return site.chats() == 1; }));
-  if (GetParam().told) site.settle();
+  if (GetParam().told)
+    site.settle();
   site.leave(GetParam().how);
   streamWhole(*site.boxes["m1"], site.onlyChat());
   site.goOn();
@@ -286,8 +299,8 @@
   EXPECT_EQ(site.engine->conductor.open(), 0U);
 }
 
-// The largest request that is taken stands behind the first, and in pieces more than the system keeps. The
-// close is behind it, and noticed within 0.1 s.
+// The largest request that is taken stands behind the first, and in pieces more than the system
+// keeps. The close is behind it, and noticed within 0.1 s.
 TEST_P(AClientThatLeft, IsNoticedBehindTheLargestRequestAheadOfItsTurn) {
   Departure site(kSplit, GetParam().openai);
   site.askUntilTaken();
@@ -327,7 +340,8 @@
   }
 }
 
-// Who is there and has sent too much ahead gets its answers, and a refusal for the request that was cut off.
+// Who is there and has sent too much ahead gets its answers, and a refusal for the request that was
+// cut off.
 TEST(AClientThatSendsTooMuchAhead, GetsAnAnswerToEachRequestThatWasRead) {
   Departure site({{"m1", "both", 0}}, false);
   site.boxes["m1"]->script = streamWhole;
@@ -351,14 +365,16 @@
        i = site.client.seen.find("HTTP/1.1 ", i + 1))
     at.push_back(i);
   ASSERT_EQ(at.size(), 4U);
-  for (std::size_t i = 0; i < 3; ++i) EXPECT_EQ(site.client.seen.substr(at[i] + 9, 3), "200") << i;
+  for (std::size_t i = 0; i < 3; ++i)
+    EXPECT_EQ(site.client.seen.substr(at[i] + 9, 3), "200") << i;
   EXPECT_EQ(site.client.seen.substr(at[3] + 9, 3), "503");
 }
 
-// ---- A stream that passes to another process -------------------------------------------------------
+// ---- A stream that passes to another process
+// -------------------------------------------------------
 
-// The client leaves while its stream is between two processes, with its next request sent ahead. The one that
-// takes it over sends nothing on, whether the stream ends first or goes on.
+// The client leaves while its stream is between two processes, with its next request sent ahead.
+// The one that takes it over sends nothing on, whether the stream ends first or goes on.
 TEST(AHandedOverClientThatLeft, GetsNothingForItsNextRequest) {
   for (const bool ended : {false, true}) {
     for (const Leaving how : {Leaving::kClose, Leaving::kHalfClose, Leaving::kReset}) {
@@ -367,7 +383,8 @@
       Departure site({{"m1", "both", 0}}, false), next({{"m1", "both", 0}}, false);
       site.boxes["m1"]->script = beginOnly;
       site.ask();
-      ASSERT_TRUE(site.until([&] { return site.streaming() != nullptr && site.client.hasBytes(); }));
+      ASSERT_TRUE(
+          site.until([&] { return site.streaming() != nullptr && site.client.hasBytes(); }));
       site.client.write(requestText(false, "b"));
       site.settle();
       app::Handover takes(*next.engine, *next.front, *next.listener);
--- a/tests/cold_sum_test.cpp
+++ b/tests/cold_sum_test.cpp
@@ -1,6 +1,6 @@
-// Rule four over a whole fleet: what all nodes together send to an engine that has just started, with many
-// instances of the module, uneven traffic, and nodes that restart meanwhile and have forgotten what they
-// sent.
+// Rule four over a whole fleet: what all nodes together send to an engine that has just started,
+// with many instances of the module, uneven traffic, and nodes that restart meanwhile and have
+// forgotten what they sent.
 #include <algorithm>
 #include <cmath>
 #include <map>
@@ -16,10 +16,11 @@
 namespace {
 
 constexpr int kWarmReaders = 12, kWarmWriters = 8;
-constexpr double kEngineRate = 7;                           // requests a second that a warm reader can do
+constexpr double kEngineRate = 7;  // requests a second that a warm reader can do
 constexpr double kLoad = 0.6 * kEngineRate * kWarmReaders;  // of the whole fleet, a second
 
-// What is cold, and what else happens meanwhile. Sizes are weights; each size of the cold ones comes once.
+// What is cold, and what else happens meanwhile. Sizes are weights; each size of the cold ones
+// comes once.
 struct Scene {
   std::uint32_t kind = kReader;
   int warmLeft = 2;
@@ -36,16 +37,19 @@
 
 std::vector<double> prefixShares(bool skewed) {
   std::vector<double> shares(kPrefixes, 1.0);
-  if (!skewed) return shares;
+  if (!skewed)
+    return shares;
   double rest = 0;
-  for (std::size_t i = 1; i < shares.size(); ++i) rest += shares[i] = 1.0 / static_cast<double>(i);
+  for (std::size_t i = 1; i < shares.size(); ++i)
+    rest += shares[i] = 1.0 / static_cast<double>(i);
   shares[0] = rest * kPopularShare / (1 - kPopularShare);
   return shares;
 }
 
 class WholeFleet {
  public:
-  // believed: how many nodes each takes the fleet to have; what is not its size is a split left out.
+  // believed: how many nodes each takes the fleet to have; what is not its size is a split left
+  // out.
   WholeFleet(int nodes, std::uint64_t seed, int believed, Scene scene = {})
       : scene_(std::move(scene)), random_(seed), prefixes_(distribution(scene_.skewed, seed)) {
     starts_.resize(static_cast<std::size_t>(nodes));
@@ -66,8 +70,10 @@
     coldAt_ = now_;
     load_ *= scene_.surge;
     // Most of the role go as it comes, so that everything would like to go there.
-    for (auto& node : nodes_) node->list(replaced(), ListForm::kFull);
-    if (scene_.fresh) restart(0, 1);
+    for (auto& node : nodes_)
+      node->list(replaced(), ListForm::kFull);
+    if (scene_.fresh)
+      restart(0, 1);
     if (!scene_.rolling && !scene_.fresh) {
       arrivals(now_ + 2);
       restart(0, 3);
@@ -95,7 +101,8 @@
 
   // A node that starts has forgotten all; its list is the one of now.
   std::unique_ptr<Fleet> start(const std::vector<ListEntry>& list) {
-    auto node = std::make_unique<Fleet>(settings_, 1'000 + static_cast<std::uint64_t>(++allStarts_) * 7);
+    auto node =
+        std::make_unique<Fleet>(settings_, 1'000 + static_cast<std::uint64_t>(++allStarts_) * 7);
     bringTo(*node, now_);
     node->list(list);
     return node;
@@ -112,13 +119,15 @@
     const bool mixed = scene_.kind == kMixed;
     for (int i = 0; i < kWarmReaders; ++i)
       all.push_back(engine(numbered(mixed ? "m" : "r", i), mixed ? kMixed : kReader));
-    for (int i = 0; !mixed && i < kWarmWriters; ++i) all.push_back(engine(numbered("w", i), kWriter));
+    for (int i = 0; !mixed && i < kWarmWriters; ++i)
+      all.push_back(engine(numbered("w", i), kWriter));
     return all;
   }
   std::vector<ListEntry> replaced() const {
     std::vector<ListEntry> all = usual();
     int left = scene_.warmLeft;
-    std::erase_if(all, [&](const ListEntry& e) { return e.kind.value == scene_.kind && --left < 0; });
+    std::erase_if(all,
+                  [&](const ListEntry& e) { return e.kind.value == scene_.kind && --left < 0; });
     for (std::size_t i = 0; i < scene_.cold.size(); ++i) {
       all.push_back(engine(numbered("c", static_cast<int>(i)), scene_.kind));
       all.back().weight = scene_.cold[i];
@@ -128,31 +137,36 @@
   }
   static bool bringTo(Fleet& node, double at) {
     const Time until{Duration(static_cast<Duration::rep>((10 + at) * 1e6))};
-    if (until <= node.now()) return false;
+    if (until <= node.now())
+      return false;
     node.wait(until - node.now());
     return true;
   }
   // Moves a node's clock to now and takes in what it sent meanwhile, as requests may have waited.
   Fleet& nodeNow(std::size_t n) {
-    if (bringTo(*nodes_[n], now_)) takeSends(n);
+    if (bringTo(*nodes_[n], now_))
+      takeSends(n);
     return *nodes_[n];
   }
   void takeSends(std::size_t n) {
     for (const Send& send : nodes_[n]->all<Send>()) {
       const char kind = send.engine.value[0];
-      if (kind == 'c') sent_[send.engine.value].push_back(now_);
+      if (kind == 'c')
+        sent_[send.engine.value].push_back(now_);
       const bool reads = kind == 'r' || (kind == 'c' && scene_.kind == kReader);
-      steps_.push({now_ + 0.06, n, starts_[n], reads ? What::kRead : What::kServed, send.request.value,
-                   send.engine.value});
+      steps_.push({now_ + 0.06, n, starts_[n], reads ? What::kRead : What::kServed,
+                   send.request.value, send.engine.value});
     }
     if (!looksAgain_[n] && nodes_[n]->hasAlarm())
       steps_.push({now_ + kLookEvery, n, starts_[n], What::kLookAgain, {}, {}});
     looksAgain_[n] = looksAgain_[n] || nodes_[n]->hasAlarm();
   }
   void take(const Step& step) {
-    if (step.what == What::kLookAgain) looksAgain_[step.node] = false;
+    if (step.what == What::kLookAgain)
+      looksAgain_[step.node] = false;
     Fleet& node = nodeNow(step.node);
-    if (step.what == What::kLookAgain) return;
+    if (step.what == What::kLookAgain)
+      return;
     if (step.what == What::kRead) {
       node.end(step.id, step.engine, Outcome::kRead, Duration(60'000));
     } else {
@@ -170,7 +184,8 @@
     return {shares.begin(), shares.end()};
   }
   int nextPrefix() {
-    if (!scene_.skewed) return static_cast<int>(random_() % kPrefixes);
+    if (!scene_.skewed)
+      return static_cast<int>(random_() % kPrefixes);
     return static_cast<int>(prefixes_(random_));
   }
   void arrivals(double until) {
@@ -178,7 +193,8 @@
     double next = now_;
     for (;;) {
       if (steps_.empty() || next <= steps_.top().at) {
-        if (next > until) break;
+        if (next > until)
+          break;
         now_ = next;
         next += std::exponential_distribution<>(load_)(random_);
         const std::size_t n = pick(random_);
@@ -187,10 +203,12 @@
         continue;
       }
       const Step step = steps_.top();
-      if (step.at > until) break;
+      if (step.at > until)
+        break;
       steps_.pop();
       now_ = step.at;
-      if (step.start == starts_[step.node]) take(step);
+      if (step.start == starts_[step.node])
+        take(step);
     }
     now_ = until;
   }
@@ -210,15 +228,21 @@
   int asked_ = 0, allStarts_ = 0;
 };
 
-// What a window may hold where the instance bears n requests in it: the bound of these tests, and the one
-// that leaves few requests more room for chance.
-double strictBound(double n) { return n + 2 * std::sqrt(n) + 2; }
+// What a window may hold where the instance bears n requests in it: the bound of these tests, and
+// the one that leaves few requests more room for chance.
+double strictBound(double n) {
+  return n + 2 * std::sqrt(n) + 2;
+}
 
 constexpr double kFewRequests = 30;
-double budgetBound(double n) { return n < kFewRequests ? n + 3 * std::sqrt(n) + 3 : strictBound(n); }
+double budgetBound(double n) {
+  return n < kFewRequests ? n + 3 * std::sqrt(n) + 3 : strictBound(n);
+}
 
 // The most that any window holds beyond its bound, where an engine does so many requests a second.
-double mostOver(const std::vector<double>& sent, const WholeFleet& fleet, double rate = kEngineRate,
+double mostOver(const std::vector<double>& sent,
+                const WholeFleet& fleet,
+                double rate = kEngineRate,
                 double (*bound)(double) = strictBound) {
   const auto& contract = fleet.settings().contract;
   const double window = std::chrono::duration<double>(contract.fallFor).count();
@@ -226,7 +250,8 @@
   double most = -HUGE_VAL;
   for (std::size_t i = 0; i < sent.size(); ++i) {
     std::size_t count = 0;
-    while (i + count < sent.size() && sent[i + count] < sent[i] + window) ++count;
+    while (i + count < sent.size() && sent[i + count] < sent[i] + window)
+      ++count;
     const double share = std::clamp((sent[i] - fleet.coldAt()) / warm, contract.coldFrom, 1.0);
     const double n = contract.fallFactor * share * rate * window;
     most = std::max(most, static_cast<double>(count) - bound(n));
@@ -264,21 +289,28 @@
   Scene scene;
 };
 
-// Without it the names of the tests would hold the bytes of their parameters, which differ between builds.
+// Without it the names of the tests would hold the bytes of their parameters, which differ between
+// builds.
 void PrintTo(const ScenePlay& play, std::ostream* out) {
-  *out << play.nodes << " nodes, " << play.scene.cold.size() << " cold beside " << play.scene.warmLeft;
+  *out << play.nodes << " nodes, " << play.scene.cold.size() << " cold beside "
+       << play.scene.warmLeft;
 }
 
 std::string nameOf(const testing::TestParamInfo<ScenePlay>& info) {
   const Scene& scene = info.param.scene;
-  const std::string kind = scene.kind == kReader ? "prefill" : scene.kind == kWriter ? "decode" : "mixed";
-  return numbered("nodes", info.param.nodes) + '_' + kind + numbered("_", static_cast<int>(info.index));
+  const std::string kind = scene.kind == kReader   ? "prefill"
+                           : scene.kind == kWriter ? "decode"
+                                                   : "mixed";
+  return numbered("nodes", info.param.nodes) + '_' + kind +
+         numbered("_", static_cast<int>(info.index));
 }
 
-std::vector<ScenePlay> playsOf(const std::vector<int>& nodeCounts, const std::vector<Scene>& scenes) {
+std::vector<ScenePlay> playsOf(const std::vector<int>& nodeCounts,
+                               const std::vector<Scene>& scenes) {
   std::vector<ScenePlay> plays;
   for (const int nodes : nodeCounts)
-    for (const Scene& scene : scenes) plays.push_back({nodes, scene});
+    for (const Scene& scene : scenes)
+      plays.push_back({nodes, scene});
   return plays;
 }
 
@@ -291,7 +323,8 @@
 
 class MostOfARoleCold : public testing::TestWithParam<ScenePlay> {};
 
-// Whatever else is gone, cold or starting anew: what each cold engine gets is a part of what the fleet sends.
+// Whatever else is gone, cold or starting anew: what each cold engine gets is a part of what the
+// fleet sends.
 TEST_P(MostOfARoleCold, HoldsForEveryKindAndSizeWithNodesThatRestartInTheRamp) {
   const auto& [nodes, scene] = GetParam();
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
@@ -302,13 +335,15 @@
       const double size = sizeOf(scene, id);
       EXPECT_LE(mostOver(when, fleet, rateOf(scene, size)), 0)
           << nodes << " nodes, kind " << scene.kind << ", " << scene.cold.size() << " cold beside "
-          << scene.warmLeft << ", surge " << scene.surge << ", seed " << seed << ": " << id << " of size "
-          << size << " got " << when.size();
+          << scene.warmLeft << ", surge " << scene.surge << ", seed " << seed << ": " << id
+          << " of size " << size << " got " << when.size();
     }
   }
 }
-INSTANTIATE_TEST_SUITE_P(ColdSum, MostOfARoleCold,
-                         testing::ValuesIn(playsOf({30, 300}, scenesWithMostOfARoleCold())), nameOf);
+INSTANTIATE_TEST_SUITE_P(ColdSum,
+                         MostOfARoleCold,
+                         testing::ValuesIn(playsOf({30, 300}, scenesWithMostOfARoleCold())),
+                         nameOf);
 
 std::vector<Scene> scenesForAnyNumberOfProcesses() {
   const std::vector<double> most(10, 1.0);
@@ -327,7 +362,8 @@
 
 class AnyNumberOfProcesses : public testing::TestWithParam<ScenePlay> {};
 
-// From one process to more than any deployment has: alone and with others, a surge, and a popular prefix.
+// From one process to more than any deployment has: alone and with others, a surge, and a popular
+// prefix.
 TEST_P(AnyNumberOfProcesses, HoldsFromOneToHundreds) {
   const auto& [nodes, scene] = GetParam();
   double closest = -HUGE_VAL;
@@ -337,14 +373,17 @@
       const double over = mostOver(when, fleet, rateOf(scene, sizeOf(scene, id)), budgetBound);
       closest = std::max(closest, over);
       EXPECT_LE(over, 0) << nodes << " nodes, kind " << scene.kind << ", " << scene.cold.size()
-                         << " cold beside " << scene.warmLeft << ", surge " << scene.surge << ", skewed "
-                         << scene.skewed << ", seed " << seed << ": " << id << " got " << when.size();
+                         << " cold beside " << scene.warmLeft << ", surge " << scene.surge
+                         << ", skewed " << scene.skewed << ", seed " << seed << ": " << id
+                         << " got " << when.size();
     }
   }
   RecordProperty("closest", static_cast<int>(closest));
 }
-INSTANTIATE_TEST_SUITE_P(ColdSum, AnyNumberOfProcesses,
-                         testing::ValuesIn(playsOf({1, 3, 30, 300, 350}, scenesForAnyNumberOfProcesses())),
+INSTANTIATE_TEST_SUITE_P(ColdSum,
+                         AnyNumberOfProcesses,
+                         testing::ValuesIn(playsOf({1, 3, 30, 300, 350},
+                                                   scenesForAnyNumberOfProcesses())),
                          nameOf);
 
 // A fleet that starts as a whole: nobody knows what a warm role looks like, and work has to begin.
@@ -366,14 +405,16 @@
         early += static_cast<std::size_t>(
             std::count_if(when.begin(), when.end(), [&](double t) { return t < until; }));
       }
-      EXPECT_EQ(sent.size(), scene.cold.size()) << nodes << " nodes, kind " << kind << ": some get nothing";
+      EXPECT_EQ(sent.size(), scene.cold.size())
+          << nodes << " nodes, kind " << kind << ": some get nothing";
       EXPECT_GE(static_cast<double>(early), kLoad * 3 * 0.1) << nodes << " nodes, kind " << kind;
     }
   }
 }
 
-// The same with the split by the number of nodes left out: a test that cannot tell the two apart proves
-// nothing. Fewer nodes split the budget by their own traffic alone, which the number only bounds from below.
+// The same with the split by the number of nodes left out: a test that cannot tell the two apart
+// proves nothing. Fewer nodes split the budget by their own traffic alone, which the number only
+// bounds from below.
 TEST(ColdSum, IsBrokenByHundredsOfNodesThatEachTakeThemselvesForTheOnlyOne) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     WholeFleet fleet(300, seed, 1);
--- a/tests/coordination_store_test.cpp
+++ b/tests/coordination_store_test.cpp
@@ -29,7 +29,8 @@
   return config;
 }
 
-// ---- Both stores -----------------------------------------------------------------------------------
+// ---- Both stores
+// -----------------------------------------------------------------------------------
 
 struct SqlitePlace {
   Folder folder;
@@ -63,8 +64,10 @@
   CommitAnswer commit(Store& store, const Fence* fence, std::vector<Write> writes) {
     std::optional<CommitAnswer> answer;
     const auto told = [&](CommitAnswer how) { answer = how; };
-    if (fence != nullptr) store.commit(*fence, std::move(writes), told);
-    else store.put(writes.front(), told);
+    if (fence != nullptr)
+      store.commit(*fence, std::move(writes), told);
+    else
+      store.put(writes.front(), told);
     EXPECT_TRUE(stage.until([&] { return answer.has_value(); }));
     return answer.value_or(CommitAnswer{});
   }
@@ -118,7 +121,8 @@
       two(stage.io, stage.clock, stage.deadlines, stage.counters, place);
   const auto ask = [&](EtcdStore& store, const Holder& who) {
     std::optional<LeaseAnswer> answer;
-    store.ask({Verb::kAcquire, "t", who, 1, 0, 5000, 0}, [&](const LeaseAnswer& told) { answer = told; });
+    store.ask({Verb::kAcquire, "t", who, 1, 0, 5000, 0},
+              [&](const LeaseAnswer& told) { answer = told; });
     EXPECT_TRUE(stage.until([&] { return answer.has_value(); }));
     return answer.value_or(LeaseAnswer{});
   };
@@ -133,14 +137,16 @@
 TYPED_TEST(StoreOfAnyKind, ReadsSomeDocumentsWithoutTheOthers) {
   const auto store = this->place.open(this->stage);
   for (const char* key : {"a", "b", "c"})
-    ASSERT_EQ(this->commit(*store, nullptr, {{key, 0, std::string("of ") + key}}).how, Committed::kDone);
+    ASSERT_EQ(this->commit(*store, nullptr, {{key, 0, std::string("of ") + key}}).how,
+              Committed::kDone);
   std::optional<Listing> some;
   store->look({"a", "c", "none"}, [&](const Listing& told) { some = told; });
   ASSERT_TRUE(this->stage.until([&] { return some.has_value(); }));
   ASSERT_TRUE(some->ok) << some->why;
   const Listing all = this->list(*store);
   EXPECT_EQ(some->docs.size(), 2u);
-  for (const auto& [key, doc] : some->docs) EXPECT_EQ(doc, all.docs.at(key));
+  for (const auto& [key, doc] : some->docs)
+    EXPECT_EQ(doc, all.docs.at(key));
   EXPECT_EQ(some->revision, all.revision);
 }
 
@@ -149,14 +155,16 @@
   const auto made = this->commit(*store, nullptr, {{"plan", 0, "one"}});
   ASSERT_EQ(made.how, Committed::kDone);
   EXPECT_EQ(this->commit(*store, nullptr, {{"plan", 0, "two"}}).how, Committed::kConflict);
-  EXPECT_EQ(this->commit(*store, nullptr, {{"plan", made.revision + 7, "two"}}).how, Committed::kConflict);
+  EXPECT_EQ(this->commit(*store, nullptr, {{"plan", made.revision + 7, "two"}}).how,
+            Committed::kConflict);
   const Listing all = this->list(*store);
   ASSERT_TRUE(all.ok) << all.why;
   EXPECT_EQ(all.docs.at("plan"), (Doc{"one", made.revision}));
   const auto changed = this->commit(*store, nullptr, {{"plan", made.revision, "two"}});
   ASSERT_EQ(changed.how, Committed::kDone);
   EXPECT_GT(changed.revision, made.revision);
-  EXPECT_EQ(this->commit(*store, nullptr, {{"plan", changed.revision, std::nullopt}}).how, Committed::kDone);
+  EXPECT_EQ(this->commit(*store, nullptr, {{"plan", changed.revision, std::nullopt}}).how,
+            Committed::kDone);
   EXPECT_TRUE(this->list(*store).docs.empty());
   EXPECT_EQ(this->commit(*store, nullptr, {{"", 0, "x"}}).how, Committed::kRefused);
   EXPECT_EQ(this->commit(*store, nullptr, {{"k", 0, std::string(kMostValueBytes + 1, 'x')}}).how,
@@ -175,9 +183,11 @@
   first.stepEnded(false, 3);
   first.resign(3);
   first.answered(this->ask(*one, *first.tick(3)), 4);
-  EXPECT_EQ(this->commit(*one, &*late, {{"b", 0, "by c1"}}).how, Committed::kStaleFence) << "given back";
+  EXPECT_EQ(this->commit(*one, &*late, {{"b", 0, "by c1"}}).how, Committed::kStaleFence)
+      << "given back";
   Lease second = this->holder(*two, {"c2", 2}, 0);
-  EXPECT_EQ(this->commit(*one, &*late, {{"b", 0, "by c1"}}).how, Committed::kStaleFence) << "held by another";
+  EXPECT_EQ(this->commit(*one, &*late, {{"b", 0, "by c1"}}).how, Committed::kStaleFence)
+      << "held by another";
   const auto now = second.beginStep(5);
   EXPECT_EQ(this->commit(*two, &*now, {{"b", 0, "by c2"}, {"a", 0, "x"}}).how, Committed::kConflict)
       << "all or nothing";
@@ -185,7 +195,8 @@
   EXPECT_EQ(this->commit(*two, &*now, {{"b", 0, "by c2"}}).how, Committed::kDone);
 }
 
-// ---- SQLite ----------------------------------------------------------------------------------------
+// ---- SQLite
+// ----------------------------------------------------------------------------------------
 
 MachineTime timeOf(double& now, std::string boot = "boot-1") {
   return {[&now] { return now; }, [] { return 0.0; }, std::move(boot)};
@@ -234,7 +245,8 @@
   { SqliteFile made(later, timeOf(now), 100); }
   run(later, "PRAGMA user_version=2");
   EXPECT_THROW(SqliteFile(later, timeOf(now), 100), SqliteFault);
-  run(later, "PRAGMA user_version=1; INSERT INTO lease VALUES('t','{\"form\":\"other\"}','boot-1')");
+  run(later,
+      "PRAGMA user_version=1; INSERT INTO lease VALUES('t','{\"form\":\"other\"}','boot-1')");
   SqliteFile damaged(later, timeOf(now), 100);
   EXPECT_THROW(damaged.ask({Verb::kAcquire, "t", {"c1", 1}, 1, 0, 500, 0}), SqliteFault)
       << "a fence is not guessed";
@@ -247,19 +259,24 @@
   gate.lock();
   ASSERT_TRUE(thread.post([&] { const std::lock_guard wait(gate); }));
   std::size_t taken = 0;
-  while (thread.post([] {}) && taken < 10 * StorageThread::kMostJobs) ++taken;
+  while (thread.post([] {}) && taken < 10 * StorageThread::kMostJobs)
+    ++taken;
   EXPECT_GE(taken, StorageThread::kMostJobs - 1);
   EXPECT_LE(taken, StorageThread::kMostJobs + 1);
   gate.unlock();
 }
 
-// ---- etcd ------------------------------------------------------------------------------------------
+// ---- etcd
+// ------------------------------------------------------------------------------------------
 
 struct OnEtcd : ::testing::Test {
   Stage stage;
   EtcdStandIn server{stage.io, stage.clock, stage.deadlines};
-  EtcdStore store{
-      stage.io, stage.clock, stage.deadlines, stage.counters, {{server.address()}, "test/", 1000}};
+  EtcdStore store{stage.io,
+                  stage.clock,
+                  stage.deadlines,
+                  stage.counters,
+                  {{server.address()}, "test/", 1000}};
 
   LeaseAnswer ask(Lease& lease) {
     std::optional<LeaseAnswer> answer;
@@ -333,11 +350,13 @@
   net::Pool pool(stage.io, stage.clock, stage.deadlines, stage.counters, {1, 1000, 1000});
   const auto reply = std::make_shared<Reply>();
   const auto body = std::make_shared<const std::string>(
-      json{{"success", {{{"request_put", {{"key", put("test/lease/maintenance")}, {"value", put("mine")}}}}}}}
+      json{{"success",
+            {{{"request_put", {{"key", put("test/lease/maintenance")}, {"value", put("mine")}}}}}}}
           .dump());
-  pool.call(server.address(),
-            net::headText("POST /v3/kv/txn HTTP/1.1", {{"Content-Length", std::to_string(body->size())}}),
-            body, reply);
+  pool.call(
+      server.address(),
+      net::headText("POST /v3/kv/txn HTTP/1.1", {{"Content-Length", std::to_string(body->size())}}),
+      body, reply);
   ASSERT_TRUE(stage.until([&] { return reply->over; }));
   Lease lease(shortConfig(), {"c1", 1}, 1, stage.clock.nowMs());
   EXPECT_EQ(ask(lease).found, Found::kHeld);
--- a/tests/coordination_test.cpp
+++ b/tests/coordination_test.cpp
@@ -1,5 +1,5 @@
-// What conductors do together: the maintenance and the clean-up as decisions, the presence of a conductor,
-// the plan's drains in the membership, the operator's file and the admin endpoint.
+// What conductors do together: the maintenance and the clean-up as decisions, the presence of a
+// conductor, the plan's drains in the membership, the operator's file and the admin endpoint.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -22,10 +22,14 @@
 
 using namespace coordination;
 using nlohmann::json;
-// ---- Maintenance -----------------------------------------------------------------------------------
+// ---- Maintenance
+// -----------------------------------------------------------------------------------
 
-coordination::Presence said(const std::string& name, std::uint64_t beat, const std::string& plan,
-                            std::uint64_t steps, const std::map<std::string, std::uint64_t>& open = {}) {
+coordination::Presence said(const std::string& name,
+                            std::uint64_t beat,
+                            const std::string& plan,
+                            std::uint64_t steps,
+                            const std::map<std::string, std::uint64_t>& open = {}) {
   coordination::Presence told;
   told.who.name = name;
   told.who.incarnation = 1;
@@ -53,10 +57,13 @@
     config.silentNodeMs = 5000;
     return std::make_unique<Maintenance>(config, [this] { return boxes; });
   }
-  void put(const std::string& key, const std::string& value) { view.docs[key] = {value, ++revision}; }
+  void put(const std::string& key, const std::string& value) {
+    view.docs[key] = {value, ++revision};
+  }
   PlanAnswer say(PlanCommand command) {
     const PlanAnswer answer = decide(command, view, boxes, 0);
-    if (answer.write) put(answer.write->key, *answer.write->value);
+    if (answer.write)
+      put(answer.write->key, *answer.write->value);
     return answer;
   }
   PlanAnswer start(std::vector<std::string> names, const std::string& id = "june") {
@@ -79,7 +86,8 @@
   }
   bool step() {
     const auto step = holder->next(view, 5, now);
-    if (!step) return false;
+    if (!step)
+      return false;
     EXPECT_EQ(step->writes.size(), 1u);
     EXPECT_EQ(step->writes[0].seen, view.docs.at(kPlanKey).revision);
     put(kPlanKey, *step->writes[0].value);
@@ -87,7 +95,8 @@
   }
   std::string states() {
     std::string text;
-    for (const PlanItem& item : plan().items) text += item.box + ":" + nameOf(item.state) + " ";
+    for (const PlanItem& item : plan().items)
+      text += item.box + ":" + nameOf(item.state) + " ";
     return text;
   }
 };
@@ -104,12 +113,14 @@
   ASSERT_TRUE(site.step());
   EXPECT_EQ(site.states(), "r1:draining r2:waiting w1:out ") << "c2 has two requests open at r1";
   site.node("c2");
-  while (site.step()) site.node("c1"), site.node("c2");
+  while (site.step())
+    site.node("c1"), site.node("c2");
   EXPECT_EQ(site.states(), "r1:warming r2:waiting w1:warming ");
   site.now += 999;
   EXPECT_FALSE(site.step());
   site.now += 1;
-  while (site.step()) site.node("c1"), site.node("c2");
+  while (site.step())
+    site.node("c1"), site.node("c2");
   EXPECT_EQ(site.states(), "r1:done r2:warming w1:done ");
   site.now += 1000;
   while (site.step()) {
@@ -133,7 +144,8 @@
   site.start({"r1", "r2"});
   for (int i = 0; i < 60; ++i) {
     site.holder = site.fresh();  // a new holder for every step
-    for (int j = 0; j < 3 && !site.step(); ++j) site.now += 1000, site.node("c1");
+    for (int j = 0; j < 3 && !site.step(); ++j)
+      site.now += 1000, site.node("c1");
   }
   EXPECT_EQ(site.plan().state, PlanState::kDone);
   // Each box went its five ways once: draining, out, warming, done; and one step ended the plan.
@@ -232,7 +244,8 @@
   EXPECT_FALSE(cleanup.next(view, 1, now));
 }
 
-// ---- A conductor's own word ------------------------------------------------------------------------
+// ---- A conductor's own word
+// ------------------------------------------------------------------------
 
 TEST(OwnWordOfAConductor, StepsBackBeforeANamesakeThatWritesOverIt) {
   OwnPresence older({"c1", 1}, 1000), newer({"c1", 2}, 1000);
@@ -241,10 +254,12 @@
   const auto speak = [&](OwnPresence& who, double now) {
     who.read(docs, now);
     const auto write = who.next({}, now);
-    if (!write) return;
+    if (!write)
+      return;
     const auto it = docs.find(write->key);
     const bool fits = write->seen == (it == docs.end() ? 0 : it->second.revision);
-    if (fits) docs[write->key] = {*write->value, ++revision};
+    if (fits)
+      docs[write->key] = {*write->value, ++revision};
     who.written({fits ? Committed::kDone : Committed::kConflict, revision}, now);
   };
   speak(older, 0);
@@ -273,8 +288,10 @@
   cell.fence = 3;
   cell.record = LeaseRecord{{"c1", 1}, 3, 1, 0, 0};
   ASSERT_EQ(cellOf(textOf(cell)), cell);
-  for (std::size_t cut = 0; cut + 1 < plan.size(); ++cut) EXPECT_FALSE(Plan::parse(plan.substr(0, cut)));
-  for (std::size_t cut = 0; cut + 1 < node.size(); ++cut) EXPECT_FALSE(Presence::parse(node.substr(0, cut)));
+  for (std::size_t cut = 0; cut + 1 < plan.size(); ++cut)
+    EXPECT_FALSE(Plan::parse(plan.substr(0, cut)));
+  for (std::size_t cut = 0; cut + 1 < node.size(); ++cut)
+    EXPECT_FALSE(Presence::parse(node.substr(0, cut)));
   for (const char* other : {"{}", "[]", "null", "7", R"({"form":"dahliastall-plan-2"})"}) {
     EXPECT_FALSE(Plan::parse(other));
     EXPECT_FALSE(Presence::parse(other));
@@ -292,7 +309,9 @@
   ASSERT_EQ(out->entries.size(), 1u);
   EXPECT_EQ(out->entries[0].presence, Presence::kLeaving);
   EXPECT_FALSE(members.setPlannedDrains({"a", "unlisted"}, 20)) << "heard again it is no news";
-  EXPECT_EQ(members.told({2, leverrelay::ListForm::kChanges, {engine("a", kReader)}}, 30).entries[0].presence,
+  EXPECT_EQ(members.told({2, leverrelay::ListForm::kChanges, {engine("a", kReader)}}, 30)
+                .entries[0]
+                .presence,
             Presence::kLeaving);
   // An operator's exclusion holds beyond the plan.
   members.exclude("a", 40);
@@ -305,7 +324,8 @@
   EXPECT_EQ(members.setPlannedDrains({}, 80)->entries[0].started, core::toModuleTime(80));
 }
 
-// ---- The operator's file and the door --------------------------------------------------------------
+// ---- The operator's file and the door
+// --------------------------------------------------------------
 
 TEST(CoordinationInTheFile, NamesWhatIsWrongByItsPath) {
   const json good = json::parse(R"({"name":"c1","store":{"kind":"sqlite","path":"/tmp/x.db"}})");
@@ -352,7 +372,8 @@
   std::string boxes() override { return ""; }
   std::string leases(bool json) override { return json ? "{}\n" : "lease t\n"; }
   std::string plan() override { return "plan none\n"; }
-  void maintenance(const std::vector<std::string>& words, std::function<void(Done)> reply) override {
+  void maintenance(const std::vector<std::string>& words,
+                   std::function<void(Done)> reply) override {
     heard = words;
     later = std::move(reply);
   }
@@ -361,15 +382,17 @@
   std::function<void(Done)> later;
 };
 
-// An answer that comes later is given when it is there; one for a caller that has gone goes nowhere.
+// An answer that comes later is given when it is there; one for a caller that has gone goes
+// nowhere.
 TEST(DoorForFleetTasks, AnswersWhenTheStoreHas) {
   Stage stage;
   Talker service;
-  net::LineServer door(stage.io, anyPort(),
-                       net::LineServer::LaterAnswer([&](std::string_view line, net::LineServer::Reply reply) {
-                         control::handle(service, line, std::move(reply));
-                       }),
-                       stage.clock, stage.deadlines, stage.counters, net::LineServer::Limits{});
+  net::LineServer door(
+      stage.io, anyPort(),
+      net::LineServer::LaterAnswer([&](std::string_view line, net::LineServer::Reply reply) {
+        control::handle(service, line, std::move(reply));
+      }),
+      stage.clock, stage.deadlines, stage.counters, net::LineServer::Limits{});
   EXPECT_EQ(callAdmin(stage.io, door.address(), "leases"), "lease t\neof\n");
   EXPECT_EQ(callAdmin(stage.io, door.address(), "maintenance"), "plan none\neof\n");
   EXPECT_EQ(callAdmin(stage.io, door.address(), "leases all").substr(0, 4), "fail");
@@ -392,7 +415,8 @@
   service.later({true, "too late"});
 }
 
-// ---- The checker itself ----------------------------------------------------------------------------
+// ---- The checker itself
+// ----------------------------------------------------------------------------
 
 TEST(CheckerOfHistories, FindsWhatBreaksThePromises) {
   using Event = EtcdStandIn::Event;
@@ -400,12 +424,16 @@
   const auto plan = [](std::uint64_t steps, std::uint64_t fence,
                        std::vector<std::pair<std::string, std::string>> items) {
     json list = json::array();
-    for (const auto& [box, state] : items) list.push_back({{"box", box}, {"state", state}});
-    return Event{
-        Kind::kPut, "x/doc/plan",
-        json{{"id", "june"}, {"state", "running"}, {"steps", steps}, {"fence", fence}, {"items", list}}
-            .dump(),
-        0};
+    for (const auto& [box, state] : items)
+      list.push_back({{"box", box}, {"state", state}});
+    return Event{Kind::kPut, "x/doc/plan",
+                 json{{"id", "june"},
+                      {"state", "running"},
+                      {"steps", steps},
+                      {"fence", fence},
+                      {"items", list}}
+                     .dump(),
+                 0};
   };
   const auto grant = [](std::uint64_t fence) {
     return std::vector<Event>{{Kind::kPut, "x/lease/maintenance", "", 0},
@@ -413,23 +441,29 @@
   };
   const auto course = [&](std::vector<std::vector<Event>> parts) {
     std::vector<Event> all;
-    for (const auto& part : parts) all.insert(all.end(), part.begin(), part.end());
+    for (const auto& part : parts)
+      all.insert(all.end(), part.begin(), part.end());
     return brokenIn(all, "x/").size();
   };
   const Event begun = plan(0, 0, {{"a", "waiting"}, {"b", "waiting"}}),
               first = plan(1, 1, {{"a", "draining"}, {"b", "waiting"}});
   const Event second = plan(2, 1, {{"a", "out"}, {"b", "waiting"}});
   EXPECT_EQ(course({grant(1), {begun, first, second}}), 0u);
-  EXPECT_EQ(course({grant(1), {begun, first}, grant(2), {plan(2, 2, {{"a", "out"}, {"b", "waiting"}})}}), 0u);
+  EXPECT_EQ(
+      course({grant(1), {begun, first}, grant(2), {plan(2, 2, {{"a", "out"}, {"b", "waiting"}})}}),
+      0u);
   EXPECT_GT(course({grant(1), {begun, first}, grant(2), {second}}), 0u) << "an older fence";
-  EXPECT_GT(course({grant(1), {begun, first, {Kind::kExpired, "x/lease/maintenance", "", 0}, second}}), 0u)
+  EXPECT_GT(
+      course({grant(1), {begun, first, {Kind::kExpired, "x/lease/maintenance", "", 0}, second}}),
+      0u)
       << "lapsed";
   EXPECT_GT(course({grant(2), grant(2)}), 0u) << "a fence twice";
   EXPECT_GT(course({grant(1), {begun, first, plan(3, 1, {{"a", "out"}, {"b", "waiting"}})}}), 0u)
       << "a step left out";
   EXPECT_GT(course({grant(1), {begun, plan(1, 1, {{"a", "out"}, {"b", "waiting"}})}}), 0u)
       << "out without a drain";
-  EXPECT_GT(course({grant(1), {begun, first, plan(2, 1, {{"a", "draining"}, {"b", "draining"}})}}), 0u)
+  EXPECT_GT(course({grant(1), {begun, first, plan(2, 1, {{"a", "draining"}, {"b", "draining"}})}}),
+            0u)
       << "two at once";
 }
 
