--- a/tests/ops_test.cpp
+++ b/tests/ops_test.cpp
@@ -1,5 +1,5 @@
-// What operators use: marks and the effective membership, their calls and the door, figures, evacuation, and
-// the folder that two processes of one conductor share.
+// What operators use: marks and the effective membership, their calls and the door, figures,
+// evacuation, and the folder that two processes of one conductor share.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -21,10 +21,11 @@
 using fleet::Exclusions;
 using fleet::Membership;
 
-// ---- Exclusions -----------------------------------------------------------------------------------------
+// ---- Exclusions
+// -----------------------------------------------------------------------------------------
 
-// Whoever hears what in whatever order and however often: in the end all say the same, and the last word
-// counts.
+// Whoever hears what in whatever order and however often: in the end all say the same, and the last
+// word counts.
 TEST(MarksOfOperators, MergeToTheSameInWhateverOrder) {
   for (unsigned seed = 1; seed <= 50; ++seed) {
     SCOPED_TRACE(seed);
@@ -35,11 +36,14 @@
       const std::size_t who = random() % writers.size();
       writers[who].set(numbered("i", static_cast<int>(random() % 5)), random() % 2 == 0, who, step);
       said.push_back(writers[who]);
-      if (random() % 3 == 0) writers[random() % writers.size()].merge(said[random() % said.size()]);
+      if (random() % 3 == 0)
+        writers[random() % writers.size()].merge(said[random() % said.size()]);
     }
     Exclusions forwards, backwards;
-    for (const Exclusions& exclusions : said) forwards.merge(exclusions);
-    for (auto it = said.rbegin(); it != said.rend(); ++it) backwards.merge(*it);
+    for (const Exclusions& exclusions : said)
+      forwards.merge(exclusions);
+    for (auto it = said.rbegin(); it != said.rend(); ++it)
+      backwards.merge(*it);
     EXPECT_EQ(forwards, backwards);
     EXPECT_TRUE(forwards.merge(backwards).empty());
     EXPECT_EQ(Exclusions::parse(forwards.text()), forwards);
@@ -68,17 +72,21 @@
   EXPECT_EQ(exclusions.size(), Exclusions::kMaxEntries);
 }
 
-// ---- Membership ------------------------------------------------------------------------------------
+// ---- Membership
+// ------------------------------------------------------------------------------------
 
 Presence presenceIn(const std::optional<ListNews>& news, const std::string& id) {
   if (news)
     for (const ListEntry& entry : news->entries)
-      if (entry.engine.value == id) return entry.presence;
+      if (entry.engine.value == id)
+        return entry.presence;
   ADD_FAILURE() << id << " is not in the news";
   return Presence::kGone;
 }
 
-ListNews listOf(ListForm form, std::vector<ListEntry> entries) { return {1, form, std::move(entries)}; }
+ListNews listOf(ListForm form, std::vector<ListEntry> entries) {
+  return {1, form, std::move(entries)};
+}
 
 TEST(EffectiveMembership, AnExcludedInstanceLeavesWhateverDiscoverySays) {
   Membership members(1);
@@ -89,11 +97,14 @@
   // Restarted, announced anew, listed anew: still out.
   ListEntry restarted = engine("a", kReader);
   restarted.started = core::toModuleTime(50);
-  EXPECT_EQ(presenceIn(members.told(listOf(ListForm::kChanges, {restarted}), 60), "a"), Presence::kLeaving);
-  EXPECT_EQ(presenceIn(members.told(listOf(ListForm::kFull, {restarted, engine("b", kWriter)}), 70), "a"),
+  EXPECT_EQ(presenceIn(members.told(listOf(ListForm::kChanges, {restarted}), 60), "a"),
             Presence::kLeaving);
-  EXPECT_EQ(presenceIn(members.told(listOf(ListForm::kFull, {restarted, engine("b", kWriter)}), 70), "b"),
-            Presence::kActive);
+  EXPECT_EQ(
+      presenceIn(members.told(listOf(ListForm::kFull, {restarted, engine("b", kWriter)}), 70), "a"),
+      Presence::kLeaving);
+  EXPECT_EQ(
+      presenceIn(members.told(listOf(ListForm::kFull, {restarted, engine("b", kWriter)}), 70), "b"),
+      Presence::kActive);
 }
 
 TEST(EffectiveMembership, TwoCallsOutNeedOneCallBackAndItComesBackCold) {
@@ -132,13 +143,15 @@
   EXPECT_EQ(presenceIn(members.told(listOf(ListForm::kChanges, {engine("a", kReader)}), 2000), "a"),
             Presence::kLeaving);
   members.told(listOf(ListForm::kFull, {engine("b", kReader)}), 3000);
-  for (double now = 3000; now < 3 * 3'600'000; now += 60'000) members.tidy(now);
+  for (double now = 3000; now < 3 * 3'600'000; now += 60'000)
+    members.tidy(now);
   EXPECT_EQ(members.exclusions().size(), 0U);
 }
 
 TEST(EffectiveMembership, WhatAnotherProcessWasToldHoldsHereToo) {
   Membership one(1), two(2);
-  for (Membership* members : {&one, &two}) members->told(listOf(ListForm::kFull, {engine("a", kReader)}), 0);
+  for (Membership* members : {&one, &two})
+    members->told(listOf(ListForm::kFull, {engine("a", kReader)}), 0);
   one.exclude("a", 10);
   EXPECT_EQ(presenceIn(two.merge(one.exclusions()), "a"), Presence::kLeaving);
   EXPECT_FALSE(two.merge(one.exclusions()));
@@ -149,7 +162,8 @@
   EXPECT_EQ(news->entries[0].started, core::toModuleTime(20));
 }
 
-// ---- Calls -----------------------------------------------------------------------------------------
+// ---- Calls
+// -----------------------------------------------------------------------------------------
 
 struct Played : control::Service {
   std::vector<std::string> calls;
@@ -175,7 +189,8 @@
   Played played;
   for (const char* call : {"readyz", "exclude s-1", "  include\ts-1 ", "evacuate", "activate"})
     EXPECT_EQ(control::answer(played, call), "ok\n") << call;
-  const std::vector<std::string> expected{"ready", "exclude s-1", "include s-1", "evacuate", "activate"};
+  const std::vector<std::string> expected{"ready", "exclude s-1", "include s-1", "evacuate",
+                                          "activate"};
   EXPECT_EQ(played.calls, expected);
 }
 
@@ -184,7 +199,8 @@
   for (const std::string& call :
        {std::string(), std::string("  "), std::string("exclude"), std::string("exclude a b"),
         std::string("EXCLUDE a"), std::string("readyz now"), std::string("reboot"),
-        std::string("exclude a\x01"), std::string("exclude \0", 9), "exclude " + std::string(2000, 'a')}) {
+        std::string("exclude a\x01"), std::string("exclude \0", 9),
+        "exclude " + std::string(2000, 'a')}) {
     const std::string answer = control::answer(played, call);
     EXPECT_EQ(answer.rfind("fail ", 0), 0U) << call;
     EXPECT_EQ(answer.find('\n'), answer.size() - 1);
@@ -196,21 +212,24 @@
 TEST(OperatorsCalls, TelemetryNamesEveryFigureOfEveryClassAndEnds) {
   Played played;
   played.counted.classes(2);
-  for (int i = 0; i < 4; ++i) played.counted.taken(0);
+  for (int i = 0; i < 4; ++i)
+    played.counted.taken(0);
   played.counted.ended(0, core::Ending::kOk);
   played.counted.ended(0, core::Ending::kShed);
   played.counted.ended(0, core::Ending::kError);
   played.counted.tried(0);
   const std::string text = control::answer(played, "telemetry");
-  for (const char* line : {"app_ok_total{kind=\"ask\"} 1\n", "app_shed_total{kind=\"ask\"} 1\n",
-                           "app_errors_total{kind=\"ask\"} 1\n", "app_tries_total{kind=\"ask\"} 1\n",
-                           "app_ok_total{kind=\"odd \\\"one\\\"\\\\\"} 0\n", "app_active 3\n",
-                           "app_pool_size 5\n", "app_pool_ejected 2\n"})
+  for (const char* line :
+       {"app_ok_total{kind=\"ask\"} 1\n", "app_shed_total{kind=\"ask\"} 1\n",
+        "app_errors_total{kind=\"ask\"} 1\n", "app_tries_total{kind=\"ask\"} 1\n",
+        "app_ok_total{kind=\"odd \\\"one\\\"\\\\\"} 0\n", "app_active 3\n", "app_pool_size 5\n",
+        "app_pool_ejected 2\n"})
     EXPECT_NE(text.find(line), std::string::npos) << line << text;
   EXPECT_EQ(text.substr(text.size() - 5), "\neof\n");
 }
 
-// ---- The door --------------------------------------------------------------------------------------
+// ---- The door
+// --------------------------------------------------------------------------------------
 
 struct Door : Stage {
   std::vector<std::string> lines;
@@ -253,26 +272,29 @@
   EXPECT_EQ(stage.answerTo(peer), "ok 65\n");
 }
 
-// A plan over every instance is one line, and its longest answer a line for each: both pass whole. No other
-// call may be as long.
+// A plan over every instance is one line, and its longest answer a line for each: both pass whole.
+// No other call may be as long.
 TEST(LineServer, CarriesAPlanOverAsManyInstancesAsThereMayBe) {
   struct Planned final : Played {
     std::string boxes() override {
       std::string text;
       for (std::size_t i = 0; i < coordination::kMostInstances; ++i)
-        text += "box " + std::string(fleet::Exclusions::kMaxIdBytes, 'i') + " draining why=\"maintenance\"\n";
+        text += "box " + std::string(fleet::Exclusions::kMaxIdBytes, 'i') +
+                " draining why=\"maintenance\"\n";
       return text;
     }
-    void maintenance(const std::vector<std::string>& words, std::function<void(Done)> reply) override {
+    void maintenance(const std::vector<std::string>& words,
+                     std::function<void(Done)> reply) override {
       reply({words.size() == 3, words.back()});
     }
   } planned;
   Stage stage;
-  net::LineServer door(stage.io, anyPort(),
-                       net::LineServer::LaterAnswer([&](std::string_view line, net::LineServer::Reply reply) {
-                         control::handle(planned, line, std::move(reply));
-                       }),
-                       stage.clock, stage.deadlines, stage.counters, {32, control::kLongestPlanLine, 10'000});
+  net::LineServer door(
+      stage.io, anyPort(),
+      net::LineServer::LaterAnswer([&](std::string_view line, net::LineServer::Reply reply) {
+        control::handle(planned, line, std::move(reply));
+      }),
+      stage.clock, stage.deadlines, stage.counters, {32, control::kLongestPlanLine, 10'000});
   const auto answerTo = [&](const std::string& line) {
     RawPeer peer(stage.io);
     peer.connect(door.address());
@@ -288,7 +310,8 @@
     names += (i == 0 ? "" : ",") + std::string(coordination::Plan::kLongestWord, 'n');
   EXPECT_EQ(answerTo("maintenance start june " + names + "\n"), "ok " + names + "\n");
   EXPECT_EQ(answerTo("boxes\n"), planned.boxes() + "eof\n");
-  EXPECT_EQ(answerTo("maintenance start june " + names + names + "\n").rfind("fail a line has at most", 0),
+  EXPECT_EQ(answerTo("maintenance start june " + names + names + "\n")
+                .rfind("fail a line has at most", 0),
             0U);
   EXPECT_EQ(answerTo("exclude " + names + "\n").rfind("fail a line has at most 1024", 0), 0U);
 }
@@ -300,7 +323,8 @@
   for (int i = 0; i < 12; ++i) {
     silent.push_back(std::make_unique<RawPeer>(stage.io));
     silent.back()->connect(stage.door.address());
-    if (i % 2 == 0) silent.back()->write("read");
+    if (i % 2 == 0)
+      silent.back()->write("read");
   }
   RawPeer caller(stage.io);
   caller.connect(stage.door.address());
@@ -308,16 +332,19 @@
   EXPECT_EQ(stage.answerTo(caller), "ok 6\n");
   EXPECT_LE(stage.door.size(), 4U);
   stage.pass(5'001);
-  for (auto& peer : silent) EXPECT_TRUE(stage.until([&] { return peer->ended(); }));
+  for (auto& peer : silent)
+    EXPECT_TRUE(stage.until([&] { return peer->ended(); }));
   EXPECT_EQ(stage.door.size(), 0U);
 }
 
-// ---- Evacuation ------------------------------------------------------------------------------------
+// ---- Evacuation
+// ------------------------------------------------------------------------------------
 
 struct Clients final : Stage, net::RequestHandler {
   net::Listener listener{io, anyPort(), 10, *this, clock, deadlines, counters};
   std::vector<std::shared_ptr<net::ClientConnection>> asked;
-  void request(const std::shared_ptr<net::ClientConnection>& connection, net::HttpRequest&&,
+  void request(const std::shared_ptr<net::ClientConnection>& connection,
+               net::HttpRequest&&,
                double) override {
     asked.push_back(connection);
   }
@@ -339,7 +366,8 @@
   }
   stage.asked[0]->answer(200, {}, "one");
   stage.asked[1]->beginStream({});
-  ASSERT_TRUE(stage.until([&] { return stage.asked[0]->state() == net::ClientConnection::State::kIdle; }));
+  ASSERT_TRUE(
+      stage.until([&] { return stage.asked[0]->state() == net::ClientConnection::State::kIdle; }));
   stage.listener.evacuate();
   stage.listener.evacuate();
   stage.pass(200);
@@ -371,7 +399,8 @@
   EXPECT_EQ(back.seen.find("Connection: close"), std::string::npos);
 }
 
-// A request that is in the kernel already must be read, not reset by the close of an idle connection.
+// A request that is in the kernel already must be read, not reset by the close of an idle
+// connection.
 TEST(Evacuation, ARequestThatCrossesTheCloseIsServed) {
   Clients stage;
   RawPeer peer(stage.io);
@@ -379,7 +408,8 @@
   peer.write(kAsk);
   ASSERT_TRUE(stage.until([&] { return stage.asked.size() == 1; }));
   stage.asked[0]->answer(200, {}, "one");
-  ASSERT_TRUE(stage.until([&] { return stage.asked[0]->state() == net::ClientConnection::State::kIdle; }));
+  ASSERT_TRUE(
+      stage.until([&] { return stage.asked[0]->state() == net::ClientConnection::State::kIdle; }));
   stage.listener.evacuate();
   peer.write(kAsk);
   stage.pass(401);  // before the loop has read it
@@ -389,7 +419,8 @@
   EXPECT_NE(peer.seen.find("two"), std::string::npos);
 }
 
-// ---- A door that closes for a successor --------------------------------------------------------------
+// ---- A door that closes for a successor
+// --------------------------------------------------------------
 
 TEST(Successor, WhoStandsInTheAcceptQueueIsServedWhenTheDoorCloses) {
   Clients stage;
@@ -402,7 +433,8 @@
   bool done = false;
   stage.listener.drain(0, [&] { done = true; });
   ASSERT_TRUE(stage.until([&] { return stage.asked.size() == 5; }));
-  for (const auto& connection : stage.asked) connection->answer(200, {}, "served");
+  for (const auto& connection : stage.asked)
+    connection->answer(200, {}, "served");
   for (auto& peer : peers) {
     ASSERT_TRUE(stage.until([&] { return peer->ended(); }));
     EXPECT_NE(peer->seen.find("served"), std::string::npos);
@@ -428,7 +460,8 @@
   stage.listener.drain(500, [&] { ++second; });
   stage.pass(101);
   EXPECT_FALSE(stage.listener.isOpen());
-  for (const auto& asked : stage.asked) asked->answer(200, {}, "");
+  for (const auto& asked : stage.asked)
+    asked->answer(200, {}, "");
   ASSERT_TRUE(stage.until([&] { return client.ended() && late.ended() && first == 1; }));
   EXPECT_EQ(second, 0);
 }
@@ -454,17 +487,18 @@
   Clients stage;
   net::Listener first(stage.io, anyPort(), 10, stage, stage.clock, stage.deadlines, stage.counters,
                       {.sharedPort = true, .open = true});
-  net::Listener second(stage.io, first.address(), 10, stage, stage.clock, stage.deadlines, stage.counters,
-                       {.sharedPort = true, .open = false});
+  net::Listener second(stage.io, first.address(), 10, stage, stage.clock, stage.deadlines,
+                       stage.counters, {.sharedPort = true, .open = false});
   EXPECT_FALSE(second.isOpen());
   second.open();
   EXPECT_TRUE(second.isOpen());
-  EXPECT_THROW(
-      net::Listener(stage.io, first.address(), 10, stage, stage.clock, stage.deadlines, stage.counters),
-      boost::system::system_error);
+  EXPECT_THROW(net::Listener(stage.io, first.address(), 10, stage, stage.clock, stage.deadlines,
+                             stage.counters),
+               boost::system::system_error);
 }
 
-// ---- The shared folder -------------------------------------------------------------------------------
+// ---- The shared folder
+// -------------------------------------------------------------------------------
 
 TEST(SharedFolder, AKilledProcessIsKnownToBeGoneAndItsFileGoes) {
   Folder folder;
@@ -476,7 +510,8 @@
   if (child == 0) {
     app::SharedFolder other(folder.path, "n0");
     const char byte = other.sayServing() ? 'y' : 'n';
-    if (::write(started[1], &byte, 1) == 1) ::pause();
+    if (::write(started[1], &byte, 1) == 1)
+      ::pause();
     ::_exit(0);
   }
   char byte = 0;
@@ -493,7 +528,8 @@
   ASSERT_TRUE(alone);
   EXPECT_EQ(alone->alive, 0U);
   std::size_t files = 0;
-  for ([[maybe_unused]] const auto& entry : std::filesystem::directory_iterator(folder.path)) ++files;
+  for ([[maybe_unused]] const auto& entry : std::filesystem::directory_iterator(folder.path))
+    ++files;
   EXPECT_EQ(files, 1U);
   ::close(started[0]);
   ::close(started[1]);
@@ -507,7 +543,8 @@
   ASSERT_TRUE(one.writeExclusions("first"));
   EXPECT_EQ(one.readExclusions().status, Status::kUnchanged);  // its own
   std::ofstream(folder.path + "/dahliastall-n0.marks.tmp") << "second";
-  std::filesystem::rename(folder.path + "/dahliastall-n0.marks.tmp", folder.path + "/dahliastall-n0.marks");
+  std::filesystem::rename(folder.path + "/dahliastall-n0.marks.tmp",
+                          folder.path + "/dahliastall-n0.marks");
   const auto fresh = one.readExclusions();
   EXPECT_EQ(fresh.status, Status::kFresh);
   EXPECT_EQ(fresh.text, "second");
@@ -518,7 +555,8 @@
   EXPECT_FALSE(nowhere.writeExclusions("x"));
 }
 
-// ---- Figures -----------------------------------------------------------------------------------------
+// ---- Figures
+// -----------------------------------------------------------------------------------------
 
 TEST(Figures, AddUpWhateverHappens) {
   std::mt19937 random(3);
@@ -529,10 +567,12 @@
     const std::size_t cls = random() % 3;  // also one that is not there
     if (random() % 2 == 0) {
       figures.taken(cls);
-      if (cls < 2) ++open[cls];
+      if (cls < 2)
+        ++open[cls];
     } else if (cls >= 2 || open[cls] > 0) {
       figures.ended(cls, static_cast<core::Ending>(random() % 4));
-      if (cls < 2) --open[cls];
+      if (cls < 2)
+        --open[cls];
     }
     for (std::size_t i = 0; i < 2; ++i) {
       const core::ClassFigures& f = figures.byClass()[i];
--- a/tests/package/embed.cpp
+++ b/tests/package/embed.cpp
@@ -25,9 +25,11 @@
   const ListEntry reader{{"10.0.0.1:80"}, {0}, {0}, {0}, Presence::kActive, 1.0, {}};
   const ListEntry writer{{"10.0.0.2:80"}, {0}, {1}, {0}, Presence::kActive, 1.0, {}};
   router.handle(Time(1ms), ListNews{1, ListForm::kFull, {reader, writer}}, actions);
-  router.handle(Time(2ms), Arrival{{"r1"}, {0}, {}, "s1", "", 8s, {}, 900, 0, 256, false, false}, actions);
+  router.handle(Time(2ms), Arrival{{"r1"}, {0}, {}, "s1", "", 8s, {}, 900, 0, 256, false, false},
+                actions);
   for (const Action& action : actions) {
-    if (const auto* send = std::get_if<Send>(&action)) std::cout << "send to " << send->engine.value << '\n';
+    if (const auto* send = std::get_if<Send>(&action))
+      std::cout << "send to " << send->engine.value << '\n';
     if (const auto* hold = std::get_if<HoldPlace>(&action))
       std::cout << "place at " << hold->engine.value << '\n';
   }
--- a/tests/property_test.cpp
+++ b/tests/property_test.cpp
@@ -19,7 +19,8 @@
       list(all.back());
     }
     give(ListNews{++version_, ListForm::kFull, all});
-    for (int i = 0; i < steps && !::testing::Test::HasFailure(); ++i) step();
+    for (int i = 0; i < steps && !::testing::Test::HasFailure(); ++i)
+      step();
   }
 
  private:
@@ -29,9 +30,12 @@
   void step() {
     advance(Duration(upTo(20'000)));
     const int what = upTo(9);
-    if (what < 3) return arrive();
-    if (what == 3 && chance(0.1)) return changeList();
-    if (what == 4 && chance(0.1)) return lapse();
+    if (what < 3)
+      return arrive();
+    if (what == 3 && chance(0.1))
+      return changeList();
+    if (what == 4 && chance(0.1))
+      return lapse();
     endOne();
   }
 
@@ -39,21 +43,25 @@
     const Time until = now_ + span;
     for (;;) {
       Time next = until;
-      for (const auto& [at, alarm] : alarms_) next = std::min(next, at);
+      for (const auto& [at, alarm] : alarms_)
+        next = std::min(next, at);
       for (const auto& [id, held] : held_) {
         for (const auto& [n, out] : held.out) {
-          if (!held.streaming) next = std::min(next, std::max(now_, out.until));
+          if (!held.streaming)
+            next = std::min(next, std::max(now_, out.until));
         }
       }
       now_ = std::max(now_, next);
-      if (timeOutOne()) continue;
+      if (timeOutOne())
+        continue;
       if (!alarms_.empty() && alarms_.begin()->first <= now_) {
         const std::uint64_t alarm = alarms_.begin()->second;
         alarms_.erase(alarms_.begin());
         give(AlarmRang{alarm});
         continue;
       }
-      if (now_ >= until) break;
+      if (now_ >= until)
+        break;
     }
     checkStanding();
   }
@@ -61,7 +69,8 @@
   bool timeOutOne() {
     for (auto& [id, held] : held_) {
       for (const auto& [n, out] : held.out) {
-        if (held.streaming || out.until > now_) continue;
+        if (held.streaming || out.until > now_)
+          continue;
         finish(id, n, Outcome::kTimeout);
         return true;
       }
@@ -71,7 +80,8 @@
 
   void arrive() {
     const RequestId id{numbered("q", ++arrivals_)};
-    const ClassIndex cls{static_cast<std::uint32_t>(upTo(static_cast<int>(set_.classes.size()) - 1))};
+    const ClassIndex cls{
+        static_cast<std::uint32_t>(upTo(static_cast<int>(set_.classes.size()) - 1))};
     const Duration left(50'000 + upTo(3'000'000));
     arrived(id, cls, left);
     give(Arrival{id,
@@ -93,14 +103,16 @@
     entry.presence = entry.presence != Presence::kActive ? Presence::kActive
                      : chance(0.5)                       ? Presence::kLeaving
                                                          : Presence::kGone;
-    if (entry.presence == Presence::kActive) entry.started = now_;
+    if (entry.presence == Presence::kActive)
+      entry.started = now_;
     list(entry);
     give(ListNews{++version_, ListForm::kChanges, {entry}});
   }
 
   void lapse() {
     for (auto& [id, held] : held_) {
-      if (held.over || !chance(0.3)) continue;
+      if (held.over || !chance(0.3))
+        continue;
       held.over = true;
       const RequestId gone = id;
       give(Lapsed{gone});
@@ -111,20 +123,26 @@
   void endOne() {
     std::vector<std::pair<RequestId, int>> out;
     for (const auto& [id, held] : held_) {
-      for (const auto& [n, attempt] : held.out) out.emplace_back(id, n);
+      for (const auto& [n, attempt] : held.out)
+        out.emplace_back(id, n);
     }
-    if (out.empty()) return;
+    if (out.empty())
+      return;
     const auto [id, n] = out[static_cast<std::size_t>(upTo(static_cast<int>(out.size()) - 1))];
     Held& held = held_.at(id);
     const Out attempt = held.out.at(n);
-    if (chance(0.3)) give(PlaceNote{id, n, {numbered("e", upTo(7))}, chance(0.5)});
-    if (held.out.count(n) == 0) return;
-    if (held.streaming) return finish(id, n, Outcome::kServed);
+    if (chance(0.3))
+      give(PlaceNote{id, n, {numbered("e", upTo(7))}, chance(0.5)});
+    if (held.out.count(n) == 0)
+      return;
+    if (held.streaming)
+      return finish(id, n, Outcome::kServed);
     if (attempt.writes && !held.over && chance(0.5)) {
       opened(held);
       return give(StreamOpened{id, n, attempt.engine, now_ - attempt.sentAt});
     }
-    if (!attempt.writes && chance(0.7)) return finish(id, n, Outcome::kRead);
+    if (!attempt.writes && chance(0.7))
+      return finish(id, n, Outcome::kRead);
     constexpr Outcome kBad[] = {Outcome::kError, Outcome::kFull, Outcome::kNoConnection,
                                 Outcome::kConnectionLost};
     finish(id, n, kBad[upTo(3)]);
@@ -132,7 +150,8 @@
 
   void finish(const RequestId& id, int n, Outcome outcome) {
     const auto [attempt, concluded] = ended(held_.at(id), n, outcome);
-    give(AttemptEnded{id, n, attempt.engine, outcome, now_ - attempt.sentAt, concluded, 0, chance(0.3), {}});
+    give(AttemptEnded{
+        id, n, attempt.engine, outcome, now_ - attempt.sentAt, concluded, 0, chance(0.3), {}});
   }
 
   void give(const Event& event) {
@@ -142,7 +161,8 @@
       std::visit([this](const auto& act) { see(act); }, action);
       if (const auto* cancel = std::get_if<Cancel>(&action))
         cancelled_.emplace_back(cancel->request, cancel->attempt);
-      if (const auto* alarm = std::get_if<SetAlarm>(&action)) alarms_.emplace(now_ + alarm->in, alarm->alarm);
+      if (const auto* alarm = std::get_if<SetAlarm>(&action))
+        alarms_.emplace(now_ + alarm->in, alarm->alarm);
     }
     for (const auto& [id, n] : std::exchange(cancelled_, {})) {
       const auto it = held_.find(id);
--- a/tests/request_permits_test.cpp
+++ b/tests/request_permits_test.cpp
@@ -20,8 +20,11 @@
     return permits.attempt(request, &instance, beforeMs, kNow, [this] { return clientPresent; });
   }
   AttemptHistory& earlier(bool mayHaveRun, bool out = false) {
-    request.attempts.push_back(
-        {.instance = "i", .sentMs = kNow - 100, .out = out, .outcome = "reset", .mayHaveRun = mayHaveRun});
+    request.attempts.push_back({.instance = "i",
+                                .sentMs = kNow - 100,
+                                .out = out,
+                                .outcome = "reset",
+                                .mayHaveRun = mayHaveRun});
     return request.attempts.back();
   }
   RequestPermits permits;
@@ -66,8 +69,10 @@
       one.request.effect = effect;
       one.request.repeatWindowMs = 50;
       one.earlier(mayHaveRun);
-      EXPECT_EQ(one.permits.checkAttempt(one.request).empty(), !(mayHaveRun && effect == Effect::kUnsafe));
-      EXPECT_EQ(one.permits.checkRefusal(one.request).empty(), !(mayHaveRun && effect != Effect::kSafe));
+      EXPECT_EQ(one.permits.checkAttempt(one.request).empty(),
+                !(mayHaveRun && effect == Effect::kUnsafe));
+      EXPECT_EQ(one.permits.checkRefusal(one.request).empty(),
+                !(mayHaveRun && effect != Effect::kSafe));
       EXPECT_EQ(one.permits.checkWritten(one.request, &one.instance, kNow).empty(),
                 !(mayHaveRun && effect == Effect::kKeyed));
     }
--- a/tests/request_record_test.cpp
+++ b/tests/request_record_test.cpp
@@ -8,7 +8,9 @@
 
 namespace {
 
-AttemptRecord attemptAt(Engine& engine, bool writes) { return {&engine, Time{}, writes, 0, false}; }
+AttemptRecord attemptAt(Engine& engine, bool writes) {
+  return {&engine, Time{}, writes, 0, false};
+}
 
 TEST(RequestRecord, HasAnAttemptOutOnlyWhileTheLastOneIs) {
   Engine engine;
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -11,7 +11,9 @@
           engine("r1", kReader, 1), engine("w1", kWriter, 1), engine("v1", kWriter, 1)};
 }
 
-char cellOf(const std::string& id) { return id.empty() ? '?' : id[1]; }
+char cellOf(const std::string& id) {
+  return id.empty() ? '?' : id[1];
+}
 
 ListEntry coldOne(const std::string& id, std::uint32_t kind, Time started) {
   ListEntry entry = engine(id, kind);
@@ -76,22 +78,26 @@
   other.list(twoCells());
   std::set<std::string> readers;
   for (int i = 0; i < 6; ++i) {
-    for (int j = 0; j < 6; ++j) one.serve(numbered("x", 6 * i + j), numbered("p", j));
-    for (int j = 0; j < 6; ++j) other.serve(numbered("x", 6 * i + j), numbered("p", j));
+    for (int j = 0; j < 6; ++j)
+      one.serve(numbered("x", 6 * i + j), numbered("p", j));
+    for (int j = 0; j < 6; ++j)
+      other.serve(numbered("x", 6 * i + j), numbered("p", j));
     readers.insert(one.serve(numbered("a", i), "prefix"));
     readers.insert(other.serve(numbered("a", i), "prefix"));
   }
   EXPECT_EQ(readers.size(), 1U);
 }
 
-// Guards against one reader taking all of a text that everybody asks for, and against nodes that disagree
-// where a session's own text is kept.
+// Guards against one reader taking all of a text that everybody asks for, and against nodes that
+// disagree where a session's own text is kept.
 TEST(ReaderChoice, APopularPrefixIsSharedOutBySessionAlikeAtEveryNode) {
   Fleet one(plainSettings(), 1), other(plainSettings(), 2);
   one.list(twoCells());
   other.list(twoCells());
-  for (int i = 0; i < 12; ++i) one.serve(numbered("warm", i), "prefix");
-  for (int i = 0; i < 12; ++i) other.serve(numbered("warm", i), "prefix");
+  for (int i = 0; i < 12; ++i)
+    one.serve(numbered("warm", i), "prefix");
+  for (int i = 0; i < 12; ++i)
+    other.serve(numbered("warm", i), "prefix");
   std::set<std::string> readers;
   for (int i = 0; i < 12; ++i) {
     const std::string reader = one.serve(numbered("a", i), "prefix");
@@ -101,12 +107,13 @@
   EXPECT_EQ(readers.size(), 2U);
 }
 
-// Guards against a rare text being read anew at many readers, as nodes that see few requests take the first
-// one of a key for a large share of the traffic.
+// Guards against a rare text being read anew at many readers, as nodes that see few requests take
+// the first one of a key for a large share of the traffic.
 TEST(ReaderChoice, APrefixSeenOnceHasOneHomeAtNodesThatSeeFewRequests) {
   constexpr int kReaders = 40, kNodes = 20;
   std::vector<ListEntry> entries = {engine("w0", kWriter), engine("v0", kWriter)};
-  for (int i = 0; i < kReaders; ++i) entries.push_back(engine(numbered("r", i), kReader));
+  for (int i = 0; i < kReaders; ++i)
+    entries.push_back(engine(numbered("r", i), kReader));
   std::set<std::string> readers;
   for (int i = 0; i < kNodes; ++i) {
     Fleet node(plainSettings(), static_cast<std::uint64_t>(i));
@@ -135,7 +142,8 @@
 TEST(ReaderChoice, AReadThatTimesOutShowsTheWaitThere) {
   Fleet fleet;
   fleet.list(twoCells());
-  for (int i = 0; i < 6; ++i) fleet.serve(numbered("warm", i), numbered("q", i));
+  for (int i = 0; i < 6; ++i)
+    fleet.serve(numbered("warm", i), numbered("q", i));
   const std::string home = fleet.arrive("a", "p").sentTo();
   fleet.wait(900ms).end("a", home, Outcome::kTimeout, 900ms);
   EXPECT_NE(fleet.arrive("b", "p").sentTo(), home);
@@ -144,9 +152,11 @@
 TEST(ReaderChoice, ASuddenSharedTextSpreadsByTheBound) {
   Fleet fleet;
   fleet.list(twoCells());
-  for (int i = 0; i < 8; ++i) fleet.serve(numbered("warm", i), numbered("p", i));
+  for (int i = 0; i < 8; ++i)
+    fleet.serve(numbered("warm", i), numbered("p", i));
   std::set<std::string> readers;
-  for (int i = 0; i < 12; ++i) readers.insert(fleet.arrive(numbered("hot", i), "hot", 6s, 6000).sentTo());
+  for (int i = 0; i < 12; ++i)
+    readers.insert(fleet.arrive(numbered("hot", i), "hot", 6s, 6000).sentTo());
   EXPECT_EQ(readers.count("r0") + readers.count("r1"), 2U);
 }
 
@@ -154,7 +164,8 @@
   Fleet fleet;
   fleet.list(twoCells());
   const std::string home = fleet.serve("first", "prefix");
-  for (int i = 0; i < 4; ++i) fleet.serve(numbered("warm", i), numbered("p", i));
+  for (int i = 0; i < 4; ++i)
+    fleet.serve(numbered("warm", i), numbered("p", i));
   EXPECT_EQ(fleet.arrive("long", "prefix", 6s, 9000).sentTo(), home);
 }
 
@@ -276,7 +287,8 @@
 
 TEST(Drains, ADrainingEngineGetsNothingNew) {
   Fleet fleet;
-  fleet.list({engine("r0", kReader), engine("r1", kReader), engine("w0", kWriter), engine("v0", kWriter)});
+  fleet.list(
+      {engine("r0", kReader), engine("r1", kReader), engine("w0", kWriter), engine("v0", kWriter)});
   fleet.list({withPresence(engine("r0", kReader), Presence::kLeaving),
               withPresence(engine("w0", kWriter), Presence::kLeaving)},
              ListForm::kChanges);
@@ -288,7 +300,8 @@
 TEST(Drains, AWholeListWithoutAnEngineMeansItIsGone) {
   Fleet fleet;
   fleet.list(twoCells()).list({engine("r0", kReader), engine("w0", kWriter)});
-  for (int i = 0; i < 5; ++i) EXPECT_EQ(fleet.arrive(numbered("a", i)).sentTo(), "r0");
+  for (int i = 0; i < 5; ++i)
+    EXPECT_EQ(fleet.arrive(numbered("a", i)).sentTo(), "r0");
 }
 
 TEST(Drains, AHeldPlaceOnADrainingWriterIsUsedEarlyInTheGrace) {
@@ -327,34 +340,39 @@
 
 // ---- Rule four
 
-// Guards against a large fleet that leaves a restarted engine idle, or that sends it a request from each
-// node.
+// Guards against a large fleet that leaves a restarted engine idle, or that sends it a request from
+// each node.
 TEST(ColdEngines, ManyNodesTogetherKeepTheBudgetOfAColdEngine) {
   for (const int nodes : {2, 20, 200}) {
     Settings s = plainSettings();
     s.nodes = nodes;
     std::vector<Fleet> fleets;
-    for (int n = 0; n < nodes; ++n) fleets.emplace_back(s, 100 + n);
+    for (int n = 0; n < nodes; ++n)
+      fleets.emplace_back(s, 100 + n);
     for (Fleet& fleet : fleets) {
       fleet.list({engine("r0", kReader), engine("w0", kWriter)});
-      for (int i = 0; i < 800 / nodes; ++i) fleet.wait(Duration(25'000) * nodes).serve(numbered("warm", i));
+      for (int i = 0; i < 800 / nodes; ++i)
+        fleet.wait(Duration(25'000) * nodes).serve(numbered("warm", i));
       fleet.list({coldOne("v0", kWriter, fleet.now())}, ListForm::kChanges);
     }
     int cold = 0;
     for (int i = 0; i < 120; ++i) {  // three seconds, one window: 40 requests a second to all
       Fleet& fleet = fleets[static_cast<std::size_t>(i % nodes)];
-      fleet.wait(Duration(25'000) * std::min(i < nodes ? i + 1 : nodes, nodes)).arrive(numbered("b", i));
+      fleet.wait(Duration(25'000) * std::min(i < nodes ? i + 1 : nodes, nodes))
+          .arrive(numbered("b", i));
       cold += fleet.placeAt() == "v0" ? 1 : 0;
     }
     EXPECT_GT(cold, 1) << nodes << " nodes";
-    EXPECT_LE(cold, 60) << nodes << " nodes";  // half the writers' rate, times 3 at 0.3 of its capacity
+    EXPECT_LE(cold, 60) << nodes
+                        << " nodes";  // half the writers' rate, times 3 at 0.3 of its capacity
   }
 }
 
 TEST(ColdEngines, AFreshWriterGetsFewerPlacesThanItsWarmPeer) {
   Fleet fleet;
   fleet.list({engine("r0", kReader), engine("w0", kWriter)});
-  for (int i = 0; i < 30; ++i) fleet.serve(numbered("warm", i));
+  for (int i = 0; i < 30; ++i)
+    fleet.serve(numbered("warm", i));
   fleet.list({coldOne("v0", kWriter, fleet.now())}, ListForm::kChanges);
   int cold = 0;
   for (int i = 0; i < 20; ++i) {
@@ -364,13 +382,15 @@
   EXPECT_LE(cold, 3);
 }
 
-// A node that has just started has seen little, not little a second: at an upgrade all are as young as that.
+// A node that has just started has seen little, not little a second: at an upgrade all are as young
+// as that.
 TEST(ColdEngines, AYoungNodeUsesAColdEngineAsMuchAsAnOldOne) {
   int used[2] = {};
   for (const int old : {0, 1}) {
     Fleet fleet;
     fleet.list({engine("r0", kReader), engine("w0", kWriter)});
-    for (int i = 0; i < (old != 0 ? 400 : 12); ++i) fleet.serve(numbered("warm", i));  // 4 a second
+    for (int i = 0; i < (old != 0 ? 400 : 12); ++i)
+      fleet.serve(numbered("warm", i));  // 4 a second
     fleet.list({coldOne("v0", kWriter, fleet.now())}, ListForm::kChanges);
     for (int i = 0; i < 24; ++i) {
       fleet.wait(250ms).arrive(numbered("b", i));
@@ -416,7 +436,8 @@
   fleet.end("x", home, Outcome::kError);
   for (int i = 0; i < 6; ++i) {
     fleet.arrive(numbered("a", i), "p");
-    if (fleet.sentTo() == home) fleet.end(numbered("a", i), home, Outcome::kError);
+    if (fleet.sentTo() == home)
+      fleet.end(numbered("a", i), home, Outcome::kError);
   }
   EXPECT_NE(fleet.arrive("last", "p").sentTo(), home);
 }
@@ -431,11 +452,14 @@
   EXPECT_EQ(fleet.wait(1200ms).arrive("later", "p").sentTo(), home);
 }
 
-// A few that fail most of what they get take most of the sends: they must not become the measure of failure.
+// A few that fail most of what they get take most of the sends: they must not become the measure of
+// failure.
 TEST(Health, TwoOfThreeReadersThatMostlyFailAreBothPassedOver) {
   Fleet fleet;
-  fleet.list({engine("r0", kReader), engine("r1", kReader), engine("r2", kReader), engine("w0", kWriter)});
-  for (int i = 0; i < 30; ++i) fleet.serve(numbered("warm", i), numbered("p", i));
+  fleet.list(
+      {engine("r0", kReader), engine("r1", kReader), engine("r2", kReader), engine("w0", kWriter)});
+  for (int i = 0; i < 30; ++i)
+    fleet.serve(numbered("warm", i), numbered("p", i));
   std::map<std::string, int> tries;
   int failed = 0;
   for (int i = 0; i < 40; ++i) {
@@ -445,7 +469,8 @@
       ++failed;
       at = fleet.end(id, at, Outcome::kError, 1ms).sentTo();
     }
-    if (at.empty()) continue;
+    if (at.empty())
+      continue;
     const std::string writer = fleet.wait(5ms).end(id, at, Outcome::kRead, 5ms).sentTo();
     fleet.open(id, writer).end(id, writer, Outcome::kServed, 10ms, true);
   }
@@ -461,7 +486,8 @@
 std::string arriveAt(Fleet& fleet, const std::string& stem, const std::string& engine) {
   for (int i = 0; i < 40; ++i) {
     const std::string id = numbered(stem.c_str(), i), at = fleet.arrive(id).sentTo();
-    if (at == engine) return id;
+    if (at == engine)
+      return id;
     serveFrom(fleet, id, at);
   }
   return "";
@@ -501,7 +527,8 @@
     const std::string later = arriveAt(fleet, numbered("a", i), "r0");
     ASSERT_NE(later, "");
     fleet.wait(50ms).end(later, "r0", Outcome::kRead, 2ms);
-    for (const Cancel& cancel : fleet.all<Cancel>()) calledOff |= cancel.request.value == swallowed;
+    for (const Cancel& cancel : fleet.all<Cancel>())
+      calledOff |= cancel.request.value == swallowed;
   }
   ASSERT_TRUE(calledOff);
   fleet.end(swallowed, "r0", Outcome::kCancelled, 250ms);
@@ -521,7 +548,8 @@
 TEST(Health, WorkAtASilentEngineIsCalledOffAndSentElsewhere) {
   Fleet fleet;
   fleet.list(twoCells());
-  for (int i = 0; i < 4; ++i) fleet.serve(numbered("warm", i));
+  for (int i = 0; i < 4; ++i)
+    fleet.serve(numbered("warm", i));
   const std::string silent = fleet.arrive("x").sentTo();
   fleet.wait(700ms);
   ASSERT_TRUE(fleet.any<Cancel>());
@@ -549,7 +577,8 @@
 TEST(FurtherAttempts, ANodeThatSeesFewRequestsSparesFewRetries) {
   Fleet fleet;
   std::vector<ListEntry> boxes{engine("w0", kWriter)};
-  for (int i = 0; i < 8; ++i) boxes.push_back(engine(numbered("r", i), kReader));
+  for (int i = 0; i < 8; ++i)
+    boxes.push_back(engine(numbered("r", i), kReader));
   fleet.list(boxes);
   int sends = 0;
   for (int i = 0; i < 4; ++i) {
@@ -599,7 +628,8 @@
   fleet.list({engine("r0", kReader, 0), engine("w0", kWriter, 0), mixed});
   std::string id;
   for (int i = 0; id.empty() && i < 20; ++i)
-    if (fleet.arrive(numbered("a", i), numbered("p", i)).sentTo() == "r0") id = numbered("a", i);
+    if (fleet.arrive(numbered("a", i), numbered("p", i)).sentTo() == "r0")
+      id = numbered("a", i);
   ASSERT_EQ(fleet.placeAt(), "w0");
   EXPECT_EQ(fleet.give(PlaceNote{{id}, 0, {"w0"}, false}).placeAt(), "m1");
 }
@@ -646,21 +676,24 @@
     fleet.arrive(id, "", 6s, 10'000).wait(500ms).end(id, "r0", Outcome::kRead, 500ms);
     fleet.wait(20ms).open(id, "w0");
   }
-  for (int i = 0; i < 3; ++i) fleet.arrive(numbered("long", i), "", 6s, 5000);
+  for (int i = 0; i < 3; ++i)
+    fleet.arrive(numbered("long", i), "", 6s, 5000);
   return fleet;
 }
 
-// Guards what a read left behind: connections that never come up are no use of it, and its time goes on over
-// all of them. The standing test's split day found states held for 750 ms over three such writers.
+// Guards what a read left behind: connections that never come up are no use of it, and its time
+// goes on over all of them. The standing test's split day found states held for 750 ms over three
+// such writers.
 TEST(Release, WhatWaitsWhileConnectionsDoNotComeUpIsLetGoOfInTime) {
   Settings s = plainSettings();
   s.limits.dialTimeout = 100ms;
   Fleet fleet(s);
-  fleet.list({engine("r0", kReader), engine("r1", kReader), engine("w0", kWriter), engine("w1", kWriter),
-              engine("w2", kWriter), engine("w3", kWriter)});
+  fleet.list({engine("r0", kReader), engine("r1", kReader), engine("w0", kWriter),
+              engine("w1", kWriter), engine("w2", kWriter), engine("w3", kWriter)});
   fleet.arrive("a");
   const std::string first = fleet.wait(50ms).end("a", fleet.sentTo(), Outcome::kRead).sentTo();
-  const std::string second = fleet.wait(100ms).end("a", first, Outcome::kNoConnection, 100ms).sentTo();
+  const std::string second =
+      fleet.wait(100ms).end("a", first, Outcome::kNoConnection, 100ms).sentTo();
   EXPECT_EQ(second.substr(0, 1), "w") << "there is time for another";
   EXPECT_NE(second, first);
   EXPECT_FALSE(fleet.any<Release>());
@@ -669,12 +702,13 @@
   EXPECT_NE(fleet.sentTo().substr(0, 1), "w") << "it is read anew";
 }
 
-// A dial that fails takes nearly the whole limit here: two of them and the way of the release would exceed
-// it.
+// A dial that fails takes nearly the whole limit here: two of them and the way of the release would
+// exceed it.
 TEST(Release, NoSecondDialIsTriedThatWouldNotFitTheTimeOfWhatIsHeld) {
   for (const Outcome outcome : {Outcome::kNoConnection, Outcome::kNotSent}) {
     Fleet fleet;
-    fleet.list({engine("r0", kReader), engine("r1", kReader), engine("w0", kWriter), engine("w1", kWriter)});
+    fleet.list({engine("r0", kReader), engine("r1", kReader), engine("w0", kWriter),
+                engine("w1", kWriter)});
     fleet.arrive("a");
     const std::string first = fleet.wait(50ms).end("a", fleet.sentTo(), Outcome::kRead).sentTo();
     ASSERT_EQ(first.substr(0, 1), "w");
@@ -684,8 +718,8 @@
   }
 }
 
-// A refusal says that nothing is under way: the read is called off and what is held for it is let go of
-// before.
+// A refusal says that nothing is under way: the read is called off and what is held for it is let
+// go of before.
 TEST(Release, GoesBeforeTheRefusalOfARequestWhosePlaceIsHeld) {
   Settings s = plainSettings();
   s.resume = true;
@@ -695,9 +729,12 @@
   fleet.give(PlaceNote{{"a"}, 0, {"w0"}, true}).give(Stopping{1s}).wait(1s);
   std::vector<std::string> order;
   for (const Action& action : fleet.actions()) {
-    if (std::holds_alternative<Cancel>(action)) order.emplace_back("cancel");
-    if (std::holds_alternative<Release>(action)) order.emplace_back("release");
-    if (std::holds_alternative<Refuse>(action)) order.emplace_back("refuse");
+    if (std::holds_alternative<Cancel>(action))
+      order.emplace_back("cancel");
+    if (std::holds_alternative<Release>(action))
+      order.emplace_back("release");
+    if (std::holds_alternative<Refuse>(action))
+      order.emplace_back("refuse");
   }
   EXPECT_EQ(order, (std::vector<std::string>{"cancel", "release", "refuse"}));
 }
@@ -707,12 +744,15 @@
   Settings s = plainSettings();
   s.limits.dialTimeout = 100ms;
   Fleet fleet(s);
-  fleet.list({engine("r0", kReader), engine("w0", kWriter), engine("w1", kWriter), engine("w2", kWriter)});
-  for (int i = 0; i < 10; ++i) fleet.serve(numbered("before", i));  // earns further attempts
+  fleet.list(
+      {engine("r0", kReader), engine("w0", kWriter), engine("w1", kWriter), engine("w2", kWriter)});
+  for (int i = 0; i < 10; ++i)
+    fleet.serve(numbered("before", i));  // earns further attempts
   fleet.arrive("a");
   const std::string first = fleet.wait(50ms).end("a", "r0", Outcome::kRead).sentTo();
   const std::string second = fleet.wait(400ms).end("a", first, Outcome::kFull, 400ms).sentTo();
-  const std::string third = fleet.wait(100ms).end("a", second, Outcome::kNoConnection, 100ms).sentTo();
+  const std::string third =
+      fleet.wait(100ms).end("a", second, Outcome::kNoConnection, 100ms).sentTo();
   EXPECT_EQ(third.substr(0, 1), "w");
   EXPECT_FALSE(fleet.any<Release>());
 }
@@ -726,31 +766,38 @@
   EXPECT_EQ(fleet.sentTo(), "w0");
   EXPECT_FALSE(fleet.any<HoldPlace>());
   fleet.wait(100ms).open("late", "w0").wait(100ms).end("late", "w0", Outcome::kServed, 200ms, true);
-  for (const std::string id : {"long0", "long1"}) fleet.end(id, "r0", Outcome::kRead, 250ms);
+  for (const std::string id : {"long0", "long1"})
+    fleet.end(id, "r0", Outcome::kRead, 250ms);
   EXPECT_EQ(fleet.wait(3s).arrive("calm").sentTo(), "r0");  // the ordinary path stays
 }
 
-// Guards against answers that come late because a reader's queue is long, though not too long to try.
+// Guards against answers that come late because a reader's queue is long, though not too long to
+// try.
 TEST(Admission, AWriterWithRoomReadsWhatWouldTakeAReaderMostOfTheAim) {
   Settings s = plainSettings();
   Fleet unable(s);
-  EXPECT_EQ(jammedReader(unable, engine("w0", kWriter), 1).arrive("next", "", 6s, 2000).sentTo(), "r0");
+  EXPECT_EQ(jammedReader(unable, engine("w0", kWriter), 1).arrive("next", "", 6s, 2000).sentTo(),
+            "r0");
   s.writersRead = true;
   Fleet fleet(s);
-  EXPECT_EQ(jammedReader(fleet, engine("w0", kWriter), 1).arrive("next", "", 6s, 4000).sentTo(), "w0");
+  EXPECT_EQ(jammedReader(fleet, engine("w0", kWriter), 1).arrive("next", "", 6s, 4000).sentTo(),
+            "w0");
 }
 
 // Guards the streams of writers: reading comes between their steps, and a cold one may fall over.
 TEST(Admission, AWriterThatIsColdOrHoldsMuchOrCannotReadIsSparedThePrompt) {
   Settings s = plainSettings();
   Fleet unable(s);
-  EXPECT_TRUE(jammedReader(unable, engine("w0", kWriter), 1).arrive("late", "", 6s, 6000).any<Refuse>());
+  EXPECT_TRUE(
+      jammedReader(unable, engine("w0", kWriter), 1).arrive("late", "", 6s, 6000).any<Refuse>());
   s.writersRead = true;
   Fleet laden(s);
-  EXPECT_TRUE(jammedReader(laden, engine("w0", kWriter), 5).arrive("late", "", 6s, 6000).any<Refuse>());
-  Fleet cold(s);
   EXPECT_TRUE(
-      jammedReader(cold, coldOne("w0", kWriter, cold.now()), 1).arrive("late", "", 6s, 6000).any<Refuse>());
+      jammedReader(laden, engine("w0", kWriter), 5).arrive("late", "", 6s, 6000).any<Refuse>());
+  Fleet cold(s);
+  EXPECT_TRUE(jammedReader(cold, coldOne("w0", kWriter, cold.now()), 1)
+                  .arrive("late", "", 6s, 6000)
+                  .any<Refuse>());
 }
 
 TEST(Admission, RequestsWaitBeforeTheReadWhileEveryWriterIsFull) {
@@ -802,7 +849,8 @@
   fleet.give(Stopping{1s}).wait(990ms);
   ASSERT_TRUE(fleet.any<MoveStream>());
   fleet.end("s0", "w0", Outcome::kConnectionLost, 1s, true);
-  for (const Log& log : fleet.all<Log>()) EXPECT_EQ(log.text.find("passing over"), std::string::npos);
+  for (const Log& log : fleet.all<Log>())
+    EXPECT_EQ(log.text.find("passing over"), std::string::npos);
 }
 
 TEST(Stopping, NothingIsCutWhereClientsDoNotAskForTheRest) {
@@ -819,7 +867,8 @@
   EXPECT_EQ(fleet.wait(60ms).all<Refuse>().size(), 1U);
 }
 
-// ---- A fleet of many nodes: what is harmless at each and too much in sum ---------------------------
+// ---- A fleet of many nodes: what is harmless at each and too much in sum
+// ---------------------------
 
 Settings manyNodes(int nodes) {
   Settings s = plainSettings();
@@ -829,15 +878,19 @@
 
 std::vector<Fleet> nodesOf(const Settings& settings, const std::vector<ListEntry>& list) {
   std::vector<Fleet> nodes;
-  for (int i = 0; i < settings.nodes; ++i) nodes.emplace_back(settings, static_cast<std::uint64_t>(i));
-  for (Fleet& node : nodes) node.list(list);
+  for (int i = 0; i < settings.nodes; ++i)
+    nodes.emplace_back(settings, static_cast<std::uint64_t>(i));
+  for (Fleet& node : nodes)
+    node.list(list);
   return nodes;
 }
 
 std::vector<ListEntry> readersAndWriters(int each) {
   std::vector<ListEntry> list;
-  for (int i = 0; i < each; ++i) list.push_back(engine(numbered("r", i), kReader));
-  for (int i = 0; i < each; ++i) list.push_back(engine(numbered("w", i), kWriter));
+  for (int i = 0; i < each; ++i)
+    list.push_back(engine(numbered("r", i), kReader));
+  for (int i = 0; i < each; ++i)
+    list.push_back(engine(numbered("w", i), kWriter));
   return list;
 }
 
@@ -845,19 +898,24 @@
 bool readOnce(Fleet& node, const std::string& id, bool jam) {
   std::string at = node.wait(400ms).arrive(id, id).sentTo();
   const bool tried = !at.empty();
-  while (!at.empty() && jam) at = node.end(id, at, Outcome::kFull, 1ms).sentTo();
-  if (at.empty()) return tried;
+  while (!at.empty() && jam)
+    at = node.end(id, at, Outcome::kFull, 1ms).sentTo();
+  if (at.empty())
+    return tried;
   const std::string writer = node.wait(20ms).end(id, at, Outcome::kRead, 20ms).sentTo();
   node.wait(10ms).open(id, writer).wait(10ms).end(id, writer, Outcome::kServed, 20ms, true);
   return true;
 }
 
-// Guards against many nodes that keep readers jammed together, and against one that never sees the end of it.
+// Guards against many nodes that keep readers jammed together, and against one that never sees the
+// end of it.
 TEST(ManyNodes, ReadLittleWhereNothingIsReadInTimeAndAllAgainAfterwards) {
   int tried = 0, after = 0;
   for (Fleet& node : nodesOf(manyNodes(100), readersAndWriters(12))) {
-    for (int i = 0; i < 20; ++i) tried += readOnce(node, numbered("a", i), true) ? 1 : 0;
-    for (int i = 0; i < 40; ++i) after += readOnce(node, numbered("b", i), false) && i >= 20 ? 1 : 0;
+    for (int i = 0; i < 20; ++i)
+      tried += readOnce(node, numbered("a", i), true) ? 1 : 0;
+    for (int i = 0; i < 40; ++i)
+      after += readOnce(node, numbered("b", i), false) && i >= 20 ? 1 : 0;
   }
   EXPECT_LT(tried, 100 * 20 / 2);
   EXPECT_GT(tried, 100);
@@ -866,11 +924,12 @@
 
 TEST(ManyNodes, AFewThatKnowEachReaderGoByThat) {
   for (Fleet& node : nodesOf(manyNodes(2), readersAndWriters(2)))
-    for (int i = 0; i < 20; ++i) EXPECT_TRUE(readOnce(node, numbered("a", i), true)) << i;
+    for (int i = 0; i < 20; ++i)
+      EXPECT_TRUE(readOnce(node, numbered("a", i), true)) << i;
 }
 
-// Guards cold engines on both sides: a node that comes by seldom must not wait for its whole part of the
-// budget, and the nodes together must not send all at once.
+// Guards cold engines on both sides: a node that comes by seldom must not wait for its whole part
+// of the budget, and the nodes together must not send all at once.
 TEST(ManyNodes, SomeOfThemSendToAColdEngineAtOnce) {
   int cold = 0, key = 0;
   for (Fleet& node : nodesOf(manyNodes(300), readersAndWriters(2))) {
@@ -882,8 +941,8 @@
   EXPECT_LT(cold, 300 * 0.35);
 }
 
-// Guards the writers: each of many nodes sees them idle and would have them read all that readers cannot. A
-// few nodes see for themselves what is read there.
+// Guards the writers: each of many nodes sees them idle and would have them read all that readers
+// cannot. A few nodes see for themselves what is read there.
 TEST(ManyNodes, HaveWritersReadForAPartOfTheirTimeAlone) {
   const auto readAtWriters = [](int nodes) {
     Settings s = manyNodes(nodes);
@@ -891,10 +950,12 @@
     s.kinds[kWriter].memoryTokens = 1e9;  // so that it is not room that they lack
     int reads = 0;
     Fleet node(s);
-    jammedReader(node, engine("w0", kWriter), 1).end("stream0", "w0", Outcome::kServed, 600ms, true);
+    jammedReader(node, engine("w0", kWriter), 1)
+        .end("stream0", "w0", Outcome::kServed, 600ms, true);
     for (int i = 0; i < 10; ++i) {
       const std::string id = numbered("late", i);
-      if (node.arrive(id, "", 6s, 6000).sentTo() != "w0") continue;
+      if (node.arrive(id, "", 6s, 6000).sentTo() != "w0")
+        continue;
       ++reads;
       node.wait(10ms).open(id, "w0").wait(10ms).end(id, "w0", Outcome::kServed, 20ms, true);
     }
@@ -920,14 +981,15 @@
     Fleet fleet;
     fleet.list(twoCells());
     std::string trace;
-    for (int i = 0; i < 20; ++i) trace += fleet.arrive(numbered("a", i)).sentTo() + fleet.placeAt() + ' ';
+    for (int i = 0; i < 20; ++i)
+      trace += fleet.arrive(numbered("a", i)).sentTo() + fleet.placeAt() + ' ';
     return trace;
   };
   EXPECT_EQ(play(), play());
 }
 
-// A moment without connections fails whatever is out at once: one failure, not one for each that doubles the
-// pause again.
+// A moment without connections fails whatever is out at once: one failure, not one for each that
+// doubles the pause again.
 TEST(Failures, DialsThatAreOutTogetherLeaveAnEngineOutForOnePause) {
   Settings s = plainSettings();
   s.limits.maxAttempts = 2;
@@ -937,9 +999,12 @@
   for (const std::string& id : ids)
     EXPECT_EQ(fleet.arrive(id).wait(5ms).end(id, "r", Outcome::kRead).sentTo(), "w");
   fleet.wait(250ms);
-  for (const std::string& id : ids) EXPECT_TRUE(fleet.end(id, "w", Outcome::kNoConnection).any<Refuse>());
-  EXPECT_FALSE(fleet.wait(900ms).arrive("next").wait(5ms).end("next", "r", Outcome::kRead).any<Send>());
-  EXPECT_EQ(fleet.wait(200ms).sentTo(), "w") << "the pause of a second is over, and was not doubled";
+  for (const std::string& id : ids)
+    EXPECT_TRUE(fleet.end(id, "w", Outcome::kNoConnection).any<Refuse>());
+  EXPECT_FALSE(
+      fleet.wait(900ms).arrive("next").wait(5ms).end("next", "r", Outcome::kRead).any<Send>());
+  EXPECT_EQ(fleet.wait(200ms).sentTo(), "w")
+      << "the pause of a second is over, and was not doubled";
 }
 
 }  // namespace
--- a/tests/settings_edges_test.cpp
+++ b/tests/settings_edges_test.cpp
@@ -1,5 +1,6 @@
-// Days on settings at the edge of what may be set, and on the kind of instances that read long prompts: the
-// rules hold, each request has its answer by its deadline, and no decision divides by nothing.
+// Days on settings at the edge of what may be set, and on the kind of instances that read long
+// prompts: the rules hold, each request has its answer by its deadline, and no decision divides by
+// nothing.
 #include <cfenv>
 
 #include "support/day_play.h"
@@ -7,8 +8,8 @@
 namespace leverrelay {
 namespace {
 
-// Adds a failure where a decision makes a number that is none or infinite, or sends a prompt to where it
-// does not fit.
+// Adds a failure where a decision makes a number that is none or infinite, or sends a prompt to
+// where it does not fit.
 class WatchedRouter {
  public:
   WatchedRouter(const DrawnDay& day, std::uint64_t seed)
@@ -17,22 +18,29 @@
     note(event);
     std::feclearexcept(FE_ALL_EXCEPT);
     router_->handle(now, event, actions);
-    EXPECT_FALSE(std::fetestexcept(FE_DIVBYZERO | FE_INVALID | FE_OVERFLOW)) << "event " << event.index();
+    EXPECT_FALSE(std::fetestexcept(FE_DIVBYZERO | FE_INVALID | FE_OVERFLOW))
+        << "event " << event.index();
     for (const Action& action : actions) {
       const auto* send = std::get_if<Send>(&action);
-      if (send == nullptr) continue;
+      if (send == nullptr)
+        continue;
       EXPECT_LE(prompts_.at(send->request), memoryOf(send->engine)) << send->engine.value;
     }
   }
 
  private:
   void note(const Event& event) {
-    if (const auto* told = std::get_if<Arrival>(&event)) prompts_[told->request] = told->promptTokens;
+    if (const auto* told = std::get_if<Arrival>(&event))
+      prompts_[told->request] = told->promptTokens;
     const auto* news = std::get_if<ListNews>(&event);
-    if (news == nullptr) return;
-    for (const ListEntry& entry : news->entries) kinds_[entry.engine] = entry.kind;
+    if (news == nullptr)
+      return;
+    for (const ListEntry& entry : news->entries)
+      kinds_[entry.engine] = entry.kind;
+  }
+  double memoryOf(const EngineId& id) const {
+    return settings_.kinds[kinds_.at(id).value].memoryTokens;
   }
-  double memoryOf(const EngineId& id) const { return settings_.kinds[kinds_.at(id).value].memoryTokens; }
 
   Settings settings_;
   std::shared_ptr<Router> router_;
@@ -46,7 +54,9 @@
   bool compared = true;  // with the plainest policy, which knows no limit of attempts
 };
 
-void PrintTo(const Edge& edge, std::ostream* out) { *out << edge.name; }
+void PrintTo(const Edge& edge, std::ostream* out) {
+  *out << edge.name;
+}
 
 // Long prompts of few texts, of which some are far more popular; memory for a part of the slots.
 DayKind longPrompts() {
@@ -78,7 +88,8 @@
 DayKind changedTraffic(std::function<void(DrawnDay&, Asked&)> change) {
   DayKind kind;
   kind.traffic = [change = std::move(change)](DrawnDay& day) {
-    for (Asked& asked : day.asks) change(day, asked);
+    for (Asked& asked : day.asks)
+      change(day, asked);
   };
   return kind;
 }
@@ -97,13 +108,15 @@
 
 DayKind slotsOf(int count) {
   return changedFleet([count](DrawnDay& day) {
-    for (Sizes& sizes : day.sizes) sizes.slots = count;
+    for (Sizes& sizes : day.sizes)
+      sizes.slots = count;
   });
 }
 
 DayKind weightsFrom(double least) {
   return changedFleet([least](DrawnDay& day) {
-    for (ListEntry& box : day.boxes) box.weight = std::max(0.0, in(day.draw, least, 1));
+    for (ListEntry& box : day.boxes)
+      box.weight = std::max(0.0, in(day.draw, least, 1));
   });
 }
 
@@ -118,7 +131,8 @@
 
 DayKind oneKindThatDoesBoth() {
   return changedFleet([](DrawnDay& day) {
-    for (ListEntry& box : day.boxes) box.kind = {0};
+    for (ListEntry& box : day.boxes)
+      box.kind = {0};
     day.set.kinds = {{Role::kMixed, 150'000}};
     day.sizes = {{20, 20, 12'000}};
   });
@@ -128,7 +142,8 @@
 DayKind oneSmallInstance(Role role) {
   return changedFleet([role](DrawnDay& day) {
     for (std::size_t i = 0; i < day.boxes.size(); ++i) {
-      if (day.roleOf(i) != role) continue;
+      if (day.roleOf(i) != role)
+        continue;
       day.sizes.push_back(day.sizes[day.boxes[i].kind.value]);
       day.set.kinds.push_back({role, 1'000});
       day.boxes[i].kind = {static_cast<std::uint32_t>(day.set.kinds.size()) - 1};
@@ -140,7 +155,8 @@
 DayKind smallMemory(Role role) {
   return changedFleet([role](DrawnDay& day) {
     for (KindSettings& kind : day.set.kinds)
-      if (kind.role == role) kind.memoryTokens = in(day.draw, 500, 4'000);
+      if (kind.role == role)
+        kind.memoryTokens = in(day.draw, 500, 4'000);
   });
 }
 
@@ -149,7 +165,8 @@
   DayKind kind = changedFleet([role](DrawnDay& day) {
     std::erase_if(day.boxes,
                   [&](const ListEntry& box) { return day.set.kinds[box.kind.value].role != role; });
-    for (KindSettings& kind : day.set.kinds) kind.role = role;
+    for (KindSettings& kind : day.set.kinds)
+      kind.role = role;
   });
   kind.settings = [writersRead](DrawnDay& day) { day.set.writersRead = writersRead; };
   return kind;
@@ -186,13 +203,16 @@
   all.push_back({"OneKindThatDoesBoth", oneKindThatDoesBoth()});
   all.push_back({"TenantsWithoutShare", tenantsWithoutShare()});
   all.push_back({"WeightsOfZero", changedFleet([](DrawnDay& day) {
-                   for (ListEntry& box : day.boxes) box.weight = 0;
+                   for (ListEntry& box : day.boxes)
+                     box.weight = 0;
                  })});
   all.push_back({"SomeWeightsOfZero", weightsFrom(-1)});
   all.push_back({"NothingIsWorthAnything", changedSettings([](Settings& set) {
-                   for (ClassSettings& cls : set.classes) cls.worth = cls.lateShare = 0;
+                   for (ClassSettings& cls : set.classes)
+                     cls.worth = cls.lateShare = 0;
                  })});
-  all.push_back({"ColdFromNothing", changedSettings([](Settings& set) { set.contract.coldFrom = 0; })});
+  all.push_back(
+      {"ColdFromNothing", changedSettings([](Settings& set) { set.contract.coldFrom = 0; })});
   all.push_back({"WarmAtOnce", changedSettings([](Settings& set) { set.contract.coldFor = 0s; })});
   all.push_back({"NoGraceAtAll", changedSettings([](Settings& set) {
                    set.contract.answerGrace = set.contract.drainGrace = 0s;
@@ -200,16 +220,20 @@
                  })});
   all.push_back({"AimsBeyondDeadlines", changedSettings([](Settings& set) {
                    set.contract.answerGrace = set.tick = 0s;
-                   for (ClassSettings& cls : set.classes) cls.aim = 2 * cls.deadline;
+                   for (ClassSettings& cls : set.classes)
+                     cls.aim = 2 * cls.deadline;
                  })});
   all.push_back({"NoTimeForRepeats", changedSettings([](Settings& set) {
-                   for (ClassSettings& cls : set.classes) cls.dedupWindow = 0s;
+                   for (ClassSettings& cls : set.classes)
+                     cls.dedupWindow = 0s;
                  })});
   all.push_back({"EmptyPrompts", changedTraffic([](DrawnDay&, Asked& asked) {
                    asked.told.promptTokens = asked.told.prefixTokens = asked.told.maxTokens = 0;
                  })});
-  all.push_back({"OneAttempt", changedSettings([](Settings& set) { set.limits.maxAttempts = 1; }), false});
-  all.push_back({"TwoAttempts", changedSettings([](Settings& set) { set.limits.maxAttempts = 2; })});
+  all.push_back(
+      {"OneAttempt", changedSettings([](Settings& set) { set.limits.maxAttempts = 1; }), false});
+  all.push_back(
+      {"TwoAttempts", changedSettings([](Settings& set) { set.limits.maxAttempts = 2; })});
   return all;
 }
 
@@ -241,13 +265,14 @@
     EXPECT_LE(ours.mostOver(), 0) << "rule four";
     EXPECT_EQ(ours.unanswered(), 0U) << "of " << day.asks.size();
     for (const Asked& asked : day.asks) {
-      const bool nowhere =
-          !holds(day, asked, [&](Role role) { return role != Role::kWriter || day.set.writersRead; }) ||
-          !holds(day, asked, [](Role role) { return role != Role::kReader; });
+      const bool nowhere = !holds(day, asked, [&](Role role) {
+        return role != Role::kWriter || day.set.writersRead;
+      }) || !holds(day, asked, [](Role role) { return role != Role::kReader; });
       EXPECT_TRUE(!nowhere || ours.attemptsOf(asked.told.request) == 0);
     }
     const Play plain(day, plainest, false);
-    if (!GetParam().compared || plain.mostOver() > 0) continue;  // it serves more, and breaks a rule for it
+    if (!GetParam().compared || plain.mostOver() > 0)
+      continue;  // it serves more, and breaks a rule for it
     gained += ours.served() - plain.served();
   }
   EXPECT_GE(gained, 0) << "of " << kDays << " days";
@@ -297,11 +322,13 @@
 
 TEST(Weights, BelowZeroAreTakenForZero) {
   Fleet fleet;
-  std::vector<ListEntry> entries{engine("r1", kReader), engine("r2", kReader), engine("w", kWriter)};
+  std::vector<ListEntry> entries{engine("r1", kReader), engine("r2", kReader),
+                                 engine("w", kWriter)};
   entries.front().weight = -1;
   std::feclearexcept(FE_ALL_EXCEPT);
   fleet.list(entries);
-  for (int n = 0; n < 20; ++n) EXPECT_EQ(fleet.arrive(numbered("q", n), numbered("p", n)).sentTo(), "r2");
+  for (int n = 0; n < 20; ++n)
+    EXPECT_EQ(fleet.arrive(numbered("q", n), numbered("p", n)).sentTo(), "r2");
   EXPECT_FALSE(std::fetestexcept(FE_DIVBYZERO | FE_INVALID));
 }
 
@@ -310,9 +337,10 @@
   Settings settings = plainSettings();
   settings.contract.coldFrom = 0;
   Fleet fleet(settings);
-  std::vector<ListEntry> entries{engine("r1", kReader), engine("r2", kReader), engine("w1", kWriter),
-                                 engine("w2", kWriter)};
-  for (ListEntry& entry : entries) entry.started = fleet.now() + 10s;
+  std::vector<ListEntry> entries{engine("r1", kReader), engine("r2", kReader),
+                                 engine("w1", kWriter), engine("w2", kWriter)};
+  for (ListEntry& entry : entries)
+    entry.started = fleet.now() + 10s;
   fleet.list(entries).wait(4s);
   std::feclearexcept(FE_ALL_EXCEPT);
   EXPECT_NE(fleet.arrive("a").sentTo(), "");
@@ -343,7 +371,9 @@
   EXPECT_TRUE(problem([](Settings& s) { s.contract.fallFor = 0s; }));
 }
 
-INSTANTIATE_TEST_SUITE_P(Drawn, SettingsAtTheEdge, ::testing::ValuesIn(edges()),
+INSTANTIATE_TEST_SUITE_P(Drawn,
+                         SettingsAtTheEdge,
+                         ::testing::ValuesIn(edges()),
                          [](const auto& edge) { return edge.param.name; });
 
 }  // namespace
--- a/tests/settings_property_test.cpp
+++ b/tests/settings_property_test.cpp
@@ -1,6 +1,6 @@
-// Days on drawn settings: whatever roles, sizes, effects and limits a deployment has, the five rules hold,
-// and no less is served than by the plainest policy, which sends to any instance that fits and tries nothing
-// again.
+// Days on drawn settings: whatever roles, sizes, effects and limits a deployment has, the five
+// rules hold, and no less is served than by the plainest policy, which sends to any instance that
+// fits and tries nothing again.
 #include "support/day_play.h"
 
 namespace leverrelay {
@@ -23,15 +23,19 @@
     SCOPED_TRACE("seed " + std::to_string(seed));
     const DrawnDay day(seed);
     const auto module = [&](int n) {
-      const auto router = std::make_shared<Router>(day.set, seed * 10 + static_cast<std::uint64_t>(n));
+      const auto router =
+          std::make_shared<Router>(day.set, seed * 10 + static_cast<std::uint64_t>(n));
       return [router](Time now, const Event& event, std::vector<Action>& actions) {
         router->handle(now, event, actions);
       };
     };
-    const auto plainest = [&](int n) { return Plainest(day.set, seed * 10 + static_cast<std::uint64_t>(n)); };
+    const auto plainest = [&](int n) {
+      return Plainest(day.set, seed * 10 + static_cast<std::uint64_t>(n));
+    };
     const Play ours(day, module, true), plain(day, plainest, false);
     EXPECT_LE(ours.mostOver(), 0) << "rule four";
-    if (plain.mostOver() > 0) continue;  // it serves more, and breaks a rule for it
+    if (plain.mostOver() > 0)
+      continue;  // it serves more, and breaks a rule for it
     ++compared;
     gained += ours.served() - plain.served();
     EXPECT_GE(ours.served(), plain.served() - mostByChance(day.asks.size()))
--- a/tests/shared_fleet_test.cpp
+++ b/tests/shared_fleet_test.cpp
@@ -1,6 +1,6 @@
-// Shared state of whole fleets in memory: up to three hundred conductors under partitions, pauses and
-// crashes, checked against the bounds of docs/design/shared-state.md, and safety checks that are switched off
-// one by one, each of which has to be noticed.
+// Shared state of whole fleets in memory: up to three hundred conductors under partitions, pauses
+// and crashes, checked against the bounds of docs/design/shared-state.md, and safety checks that
+// are switched off one by one, each of which has to be noticed.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -17,31 +17,36 @@
 constexpr bool kSlow = false;
 #endif
 
-// ---- A fleet under whatever happens --------------------------------------------------------------------
+// ---- A fleet under whatever happens
+// --------------------------------------------------------------------
 
 // One trouble after another, drawn, several at a time.
 void trouble(SharedWorld& world) {
   const std::size_t n = world.nodes.size();
   const auto some = [&](double share, const auto& what) {
     const std::size_t from = world.random() % n,
-                      count =
-                          std::max<std::size_t>(1, static_cast<std::size_t>(share * static_cast<double>(n)));
-    for (std::size_t k = 0; k < count; ++k) what((from + k) % n);
+                      count = std::max<std::size_t>(
+                          1, static_cast<std::size_t>(share * static_cast<double>(n)));
+    for (std::size_t k = 0; k < count; ++k)
+      what((from + k) % n);
   };
   switch (world.random() % 10) {
     case 0:  // a third is cut off
-      return some(0.33, [&](std::size_t i) { world.nodes[i].reads = world.nodes[i].writes = false; });
+      return some(0.33,
+                  [&](std::size_t i) { world.nodes[i].reads = world.nodes[i].writes = false; });
     case 1:  // one way only
       return some(0.2, [&](std::size_t i) { world.nodes[i].reads = false; });
     case 2:
       return some(0.2, [&](std::size_t i) { world.nodes[i].writes = false; });
     case 3:  // links come back
     case 4:
-      for (auto& node : world.nodes) node.reads = node.writes = true;
+      for (auto& node : world.nodes)
+        node.reads = node.writes = true;
       return;
     case 5:
       return some(0.1, [&](std::size_t i) {
-        if (world.alive(i)) world.nodes[i].stoppedUntil = world.now + world.draw(1000, 40'000);
+        if (world.alive(i))
+          world.nodes[i].stoppedUntil = world.now + world.draw(1000, 40'000);
       });
     case 6:
       return some(0.05, [&](std::size_t i) { world.kill(i, world.draw(200, 20'000)); });
@@ -70,7 +75,8 @@
 
 Digest digestIn(const SharedWorld& world) {
   const auto doc = world.store.docs.find(kDigestKey);
-  return doc == world.store.docs.end() ? Digest{} : decodeDigest(doc->second.value).digest.value_or(Digest{});
+  return doc == world.store.docs.end() ? Digest{}
+                                       : decodeDigest(doc->second.value).digest.value_or(Digest{});
 }
 
 // What the lender has out, by its own digest and by the parts as they lie in the store.
@@ -82,12 +88,14 @@
       Part part;
       part.origin = origin;
       const auto own = world.store.docs.find(part.key());
-      const auto said = own == world.store.docs.end() ? std::nullopt : decodePart(own->second.value).part;
+      const auto said =
+          own == world.store.docs.end() ? std::nullopt : decodePart(own->second.value).part;
       lent += tokens;
       if (said && said->period == digest.period && said->spends.count(tenant) != 0)
         returned += std::min(tokens, said->spends.at(tenant).returned);
     }
-    EXPECT_LE(line.charged + lent - returned, line.limit) << tenant << " at digest " << digest.sequence;
+    EXPECT_LE(line.charged + lent - returned, line.limit)
+        << tenant << " at digest " << digest.sequence;
   }
 }
 
@@ -101,10 +109,12 @@
   double nextTrouble = 5'000;
   for (const double until = world.now + seconds * 1000; world.now < until;) {
     world.step();
-    if (world.now < nextTrouble) continue;
+    if (world.now < nextTrouble)
+      continue;
     nextTrouble = world.now + world.draw(500, 4'000);
     trouble(world);
-    if (check) expectLoansWithinBudgets(world);
+    if (check)
+      expectLoansWithinBudgets(world);
   }
   heal(world);
   world.traffic = false;
@@ -112,7 +122,8 @@
   world.run(5'000 + 2 * world.options.config.goneMs + 10'000);
   course.overshoot = world.overshoot();
   const UsageTable known = digestIn(world).total;
-  // Never more than was counted, and what is missing is no more than died unsaid with its conductors.
+  // Never more than was counted, and what is missing is no more than died unsaid with its
+  // conductors.
   course.countsHold = isMonotonic(world.counted, known);
   UsageTable with = known;
   addUsage(with, world.diedWith);
@@ -124,34 +135,44 @@
 
 TEST_P(ManyNodes, KeepBudgetsAndCountsWhateverIsCutStoppedOrKilled) {
   const auto [count, seed] = GetParam();
-  if (kSlow && count >= 100) GTEST_SKIP() << "large fleets: in the release build only";
+  if (kSlow && count >= 100)
+    GTEST_SKIP() << "large fleets: in the release build only";
   SharedWorld::Options options{.nodes = count, .seed = seed, .load = 2};
-  if (count >= 100) options.config.digestMs = 1'000;
+  if (count >= 100)
+    options.config.digestMs = 1'000;
   SharedWorld world(options);
   const Course course = play(world, kSlow ? 20 : count > 100 ? 30 : count == 100 ? 60 : 200);
   EXPECT_LE(course.overshoot, 0) << "seed " << seed;
   EXPECT_TRUE(course.countsHold) << "seed " << seed;
   std::uint64_t known = 0, truly = 0, refused = 0;
   const Digest last = digestIn(world);
-  for (const auto& [key, counters] : last.total) known += counters.billed();
-  for (const auto& [key, counters] : world.counted) truly += counters.billed();
-  for (const auto& [why, times] : world.denied) refused += times;
+  for (const auto& [key, counters] : last.total)
+    known += counters.billed();
+  for (const auto& [key, counters] : world.counted)
+    truly += counters.billed();
+  for (const auto& [why, times] : world.denied)
+    refused += times;
   std::cout << count << " nodes, seed " << seed << ": nearest to the budget " << -course.overshoot
-            << " tokens below, billed " << known << " of " << truly << ", " << world.kills << " kills, "
-            << world.asked << " asked, " << refused << " refused, " << world.digests
-            << " digests, largest digest " << world.store.docs.at(kDigestKey).value.size() << " bytes\n";
+            << " tokens below, billed " << known << " of " << truly << ", " << world.kills
+            << " kills, " << world.asked << " asked, " << refused << " refused, " << world.digests
+            << " digests, largest digest " << world.store.docs.at(kDigestKey).value.size()
+            << " bytes\n";
   EXPECT_GT(world.granted, 100u);
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, ManyNodes,
-                         ::testing::Values(std::pair(std::size_t(3), 1U), std::pair(std::size_t(12), 2U),
-                                           std::pair(std::size_t(12), 3U), std::pair(std::size_t(100), 4U),
+INSTANTIATE_TEST_SUITE_P(Seeds,
+                         ManyNodes,
+                         ::testing::Values(std::pair(std::size_t(3), 1U),
+                                           std::pair(std::size_t(12), 2U),
+                                           std::pair(std::size_t(12), 3U),
+                                           std::pair(std::size_t(100), 4U),
                                            std::pair(std::size_t(300), 5U)));
 
 // Nobody cut off: nearly all of each budget can be used, and all that is counted arrives.
 TEST(ANetworkWithoutTrouble, UsesNearlyTheWholeBudgetAndBillsExactly) {
   for (const std::size_t count : {2, 12, 100}) {
-    if (kSlow && count > 2) continue;
+    if (kSlow && count > 2)
+      continue;
     SharedWorld world({.nodes = count, .seed = 7, .load = 2});
     world.run(190'000);
     heal(world);
@@ -161,8 +182,8 @@
     EXPECT_EQ(digestIn(world).total, world.counted);
     double least = 1;
     for (const auto& [key, one] : world.truth) {
-      const double used =
-          static_cast<double>(one.promised) / static_cast<double>(world.options.config.budgets.at(key.first));
+      const double used = static_cast<double>(one.promised) /
+                          static_cast<double>(world.options.config.budgets.at(key.first));
       if (key.second != 0 && static_cast<double>(key.second) < world.unix() - 70'000)
         least = std::min(least, used);
     }
@@ -171,7 +192,8 @@
   }
 }
 
-// ---- Guards taken away, and ways that are not taken ----------------------------------------------------
+// ---- Guards taken away, and ways that are not taken
+// ----------------------------------------------------
 
 using Change = std::function<void(SharedWorld::Options&)>;
 using Play = std::function<void(SharedWorld&)>;
@@ -194,7 +216,8 @@
   for (int round = 0; round < 20; ++round) {
     const std::size_t from = world.random() % world.nodes.size();
     const auto third = [&](const auto& what) {
-      for (std::size_t k = 0; k < world.nodes.size() / 3; ++k) what((from + k) % world.nodes.size());
+      for (std::size_t k = 0; k < world.nodes.size() / 3; ++k)
+        what((from + k) % world.nodes.size());
     };
     third([&](std::size_t i) { world.nodes[i].writes = false; });
     world.run(4'000);
@@ -227,37 +250,42 @@
 }
 
 TEST(GuardsOfBudgets, HoldAndEachIsMissed) {
-  if (kSlow) GTEST_SKIP() << "many plays: in the release build only";
+  if (kSlow)
+    GTEST_SKIP() << "many plays: in the release build only";
   const auto found = [](const char* what, const Play& play, const Change& without) {
     EXPECT_LE(worstOf([](auto&) {}, play), 0) << "with " << what;
     const std::int64_t worst = worstOf(without, play);
     std::cout << "without " << what << ": " << worst << " tokens over a budget\n";
     EXPECT_GT(worst, 0) << what;
   };
-  found("a ceiling before spending", cutAndKilled, [](auto& o) { o.config.budget.ceilingFirst = false; });
+  found("a ceiling before spending", cutAndKilled,
+        [](auto& o) { o.config.budget.ceilingFirst = false; });
   found("charging the ceiling of those that are gone", cutAndKilled,
         [](auto& o) { o.config.guards.chargeCeiling = false; });
-  found("keeping to what was returned", moving, [](auto& o) { o.config.budget.returnsKept = false; });
+  found("keeping to what was returned", moving,
+        [](auto& o) { o.config.budget.returnsKept = false; });
   found("waiting after a store was put back", putBack,
         [](auto& o) { o.config.guards.waitBeforeLending = false; });
 }
 
-// Each conductor by its own count; all by one counter to which each adds when it can. Both break what lending
-// keeps, already when a third is cut off for seconds.
+// Each conductor by its own count; all by one counter to which each adds when it can. Both break
+// what lending keeps, already when a third is cut off for seconds.
 TEST(WaysNotTaken, GoOverTheBudget) {
-  if (kSlow) GTEST_SKIP() << "many plays: in the release build only";
+  if (kSlow)
+    GTEST_SKIP() << "many plays: in the release build only";
   const auto over = [](SharedWorld::Way way) {
     return worstOf([way](auto& o) { o.way = way; }, cutAndKilled);
   };
   const std::int64_t alone = over(SharedWorld::Way::kEachAlone),
                      counter = over(SharedWorld::Way::kOneCounter);
-  std::cout << "12 nodes, tokens over a budget: each by its own count " << alone << ", one counter for all "
-            << counter << "\n";
+  std::cout << "12 nodes, tokens over a budget: each by its own count " << alone
+            << ", one counter for all " << counter << "\n";
   EXPECT_GT(alone, 0);
   EXPECT_GT(counter, 0);
 }
 
-// ---- Judgements ----------------------------------------------------------------------------------------
+// ---- Judgements
+// ----------------------------------------------------------------------------------------
 
 SharedWorld::Options withBoxes(std::size_t nodes, unsigned seed) {
   return {.nodes = nodes, .seed = seed, .load = 0.2};
@@ -274,7 +302,8 @@
   std::size_t count = 0;
   for (const auto& node : world.nodes)
     if (node.shared)
-      count += node.shared->availabilities(world.boxes, world.now).at(box) == Availability::kExcluded;
+      count +=
+          node.shared->availabilities(world.boxes, world.now).at(box) == Availability::kExcluded;
   return count;
 }
 
@@ -285,13 +314,14 @@
   world.badBoxes = {"r4"};
   world.badTries = 0;
   world.run(10'000);
-  EXPECT_GE(leftOutBy(world, "r4"), world.nodes.size() - 5) << "but for who tries it, and who heard late";
+  EXPECT_GE(leftOutBy(world, "r4"), world.nodes.size() - 5)
+      << "but for who tries it, and who heard late";
   EXPECT_EQ(leftOutBy(world, "r5"), 0u);
   const std::uint64_t found = world.badTries;
   world.badTries = 0;
   world.run(60'000);
-  std::cout << world.nodes.size() << " nodes: " << found << " tries until all knew, " << world.badTries
-            << " in the minute after\n";
+  std::cout << world.nodes.size() << " nodes: " << found << " tries until all knew, "
+            << world.badTries << " in the minute after\n";
   EXPECT_TRUE(digestIn(world).boxes.at("r4").out) << "no trial went well";
   // Each conductor by itself would have tried some 24 times in that minute.
   EXPECT_LT(world.badTries * 5, world.nodes.size() * 24);
@@ -313,12 +343,16 @@
     world.nodes[3].badLink = true;
     world.run(20'000);
     const std::size_t one = world.fewestIn;
-    for (std::size_t i = 4; i < 7; ++i) world.nodes[i].badLink = true;
+    for (std::size_t i = 4; i < 7; ++i)
+      world.nodes[i].badLink = true;
     world.run(30'000);
     std::cout << (believeAny ? "any judgement believed: " : "as the program: ") << one
-              << " of 6 left of a role with one bad link, " << world.fewestIn << " with four of 12\n";
-    if (believeAny) EXPECT_EQ(one, 0u) << "one conductor empties the pool";
-    else EXPECT_EQ(world.fewestIn, 6u);
+              << " of 6 left of a role with one bad link, " << world.fewestIn
+              << " with four of 12\n";
+    if (believeAny)
+      EXPECT_EQ(one, 0u) << "one conductor empties the pool";
+    else
+      EXPECT_EQ(world.fewestIn, 6u);
   }
 }
 
@@ -331,12 +365,14 @@
   for (int round = 0; round < 12; ++round) {
     world.badBoxes.clear();
     for (const auto& [id, box] : world.boxes)
-      if (world.chance(0.4)) world.badBoxes.insert(id);
+      if (world.chance(0.4))
+        world.badBoxes.insert(id);
     world.boxes["r0"].serves = round % 2 == 0;  // an operator has one out besides
     trouble(world);
     world.run(8'000);
     for (const auto& node : world.nodes) {
-      if (!node.shared) continue;
+      if (!node.shared)
+        continue;
       std::map<std::string, std::size_t> role, cell;
       for (const auto& [id, availability] : node.shared->availabilities(world.boxes, world.now)) {
         const KnownInstance& box = world.boxes.at(id);
@@ -344,23 +380,26 @@
                           availability == Availability::kLocallyHealthy ||
                           availability == Availability::kProbing;
         EXPECT_EQ(availability == Availability::kOperator, !box.serves);
-        if (!left) continue;
+        if (!left)
+          continue;
         ++out;
         ++role[box.role];
         ++cell[box.role + std::to_string(box.cell)];
       }
       for (const auto& [name, count] : role)
         EXPECT_LE(count + (name == "read" && !world.boxes["r0"].serves), 3u);
-      for (const auto& [name, count] : cell) EXPECT_LE(count, 1u) << name;
+      for (const auto& [name, count] : cell)
+        EXPECT_LE(count, 1u) << name;
     }
   }
   EXPECT_GT(out, 0u) << "something was left out at all";
 }
 
-// ---- Single conductors ---------------------------------------------------------------------------------
+// ---- Single conductors
+// ---------------------------------------------------------------------------------
 
-// A conductor that was stopped for minutes spends nothing of a loan that has lapsed, and what it had is
-// charged and told of once.
+// A conductor that was stopped for minutes spends nothing of a loan that has lapsed, and what it
+// had is charged and told of once.
 TEST(AStoppedConductor, SpendsNothingOfALapsedLoanAndComesBackUnderAnotherIncarnation) {
   SharedWorld world({.nodes = 3, .seed = 9, .load = 2});
   world.run(20'000);
@@ -373,15 +412,16 @@
   world.run(15'000);
   EXPECT_NE(node.self().incarnation, before);
   EXPECT_EQ(node.stats().evicted, 1u);
-  EXPECT_EQ(digestIn(world).foldedOf({"n1", before}), nullptr) << "what it really used was taken in";
+  EXPECT_EQ(digestIn(world).foldedOf({"n1", before}), nullptr)
+      << "what it really used was taken in";
   world.traffic = false;
   world.run(15'000);
   EXPECT_EQ(digestIn(world).total, world.counted);
   EXPECT_LE(world.overshoot(), 0);
 }
 
-// An older and a newer budget in one fleet: nothing more is lent under a limit that lies below what was
-// spent.
+// An older and a newer budget in one fleet: nothing more is lent under a limit that lies below what
+// was spent.
 TEST(ABudget, ThatIsLoweredBelowWhatIsSpentLendsNothingMore) {
   SharedWorld world({.nodes = 3, .seed = 10, .load = 1});
   world.run(40'000);
--- a/tests/shared_processes_test.cpp
+++ b/tests/shared_processes_test.cpp
@@ -1,6 +1,7 @@
-// Many conductors, as the program itself, that share budgets, counts and judgements: a third is cut off from
-// the store, a box goes silent, a franchisee runs out, conductors are killed in a wave. What the boxes
-// produced by their own logs is compared with what the fleet says; only sums, bounds and order are asserted.
+// Many conductors, as the program itself, that share budgets, counts and judgements: a third is cut
+// off from the store, a box goes silent, a franchisee runs out, conductors are killed in a wave.
+// What the boxes produced by their own logs is compared with what the fleet says; only sums, bounds
+// and order are asserted.
 #include <gtest/gtest.h>
 
 #include <iostream>
@@ -45,21 +46,24 @@
   std::uint64_t tokens;
 };
 
-// Clients that ask all the time, each question with a mark of its own, and keep what they were answered.
+// Clients that ask all the time, each question with a mark of its own, and keep what they were
+// answered.
 struct Clients {
   Clients(Conductors& given, unsigned seed) : fleet(given), random(seed) {
     for (auto& [name, box] : fleet.boxes)
       box->script = [this, name = name](StandInBox&, StandInBox::Taken& taken) {
-        if (silent.count(name) != 0) return;
+        if (silent.count(name) != 0)
+          return;
         const json body = json::parse(taken.body);
         const std::string text = body["messages"][0]["content"];
         const std::uint64_t prompt = 50, answer = 5 + random() % 40;
-        made.push_back({text.substr(0, text.find(' ')), body["model"], text.substr(text.find(' ') + 1, 8),
-                        prompt + answer});
+        made.push_back({text.substr(0, text.find(' ')), body["model"],
+                        text.substr(text.find(' ') + 1, 8), prompt + answer});
         taken.connection->beginStream({{"Content-Type", "text/event-stream"}});
         taken.connection->pass(eventOf("yes"));
         taken.connection->pass(
-            "data: {\"id\":\"c\",\"choices\":[{\"index\":0,\"delta\":{},\"finish_reason\":\"stop\"}]}\n\n"
+            "data: "
+            "{\"id\":\"c\",\"choices\":[{\"index\":0,\"delta\":{},\"finish_reason\":\"stop\"}]}\n\n"
             "data: {\"id\":\"c\",\"choices\":[],\"usage\":{\"prompt_tokens\":" +
             std::to_string(prompt) + ",\"completion_tokens\":" + std::to_string(answer) +
             "}}\n\ndata: [DONE]\n\n");
@@ -80,12 +84,14 @@
     const json body{
         {"model", cls},
         {"max_tokens", 50},
-        {"messages", {{{"role", "user"}, {"content", tenant + " " + mark + std::string(180, 'x')}}}}};
+        {"messages",
+         {{{"role", "user"}, {"content", tenant + " " + mark + std::string(180, 'x')}}}}};
     try {
       asked.peer->connect(one.listen);
-      asked.peer->write(messageText(
-          "POST /v1/chat/completions HTTP/1.1",
-          {{"Authorization", "Bearer " + tenant.substr(0, 1)}, {"Connection", "close"}}, body.dump()));
+      asked.peer->write(
+          messageText("POST /v1/chat/completions HTTP/1.1",
+                      {{"Authorization", "Bearer " + tenant.substr(0, 1)}, {"Connection", "close"}},
+                      body.dump()));
     } catch (const boost::system::system_error&) {
       return;  // it is down: nothing was taken
     }
@@ -95,7 +101,8 @@
   void go(double ms) {
     for (const double until = fleet.clock.nowMs() + ms; fleet.clock.nowMs() < until;) {
       for (auto& one : fleet.all) {
-        if (one->process <= 0 || one->stopped || open.size() > 60 || random() % 3 != 0) continue;
+        if (one->process <= 0 || one->stopped || open.size() > 60 || random() % 3 != 0)
+          continue;
         ask(*one, random() % 2 == 0 ? "attiki" : "patras", random() % 3 == 0 ? "c" : "m");
       }
       fleet.rest(20);
@@ -104,14 +111,18 @@
   }
   void collect() {
     std::erase_if(open, [this](Asked& asked) {
-      if (!asked.peer->ended()) return false;
+      if (!asked.peer->ended())
+        return false;
       const std::string& seen = asked.peer->seen;
       const std::string status = seen.size() > 12 ? seen.substr(9, 3) : "none";
       // A conductor that was killed answers nobody; every other answers once.
-      if (status == "none" && asked.process == asked.at->process) ++unanswered;
-      if (seen.find("HTTP/1.1", 8) != std::string::npos) ++twice;
+      if (status == "none" && asked.process == asked.at->process)
+        ++unanswered;
+      if (seen.find("HTTP/1.1", 8) != std::string::npos)
+        ++twice;
       ++answers[status];
-      if (seen.find("insufficient_quota") != std::string::npos) ++overBudget;
+      if (seen.find("insufficient_quota") != std::string::npos)
+        ++overBudget;
       return true;
     });
   }
@@ -123,7 +134,8 @@
   }
   std::uint64_t tokensOf(const std::string& tenant) const {
     std::uint64_t sum = 0;
-    for (const Made& one : made) sum += one.tenant == tenant ? one.tokens : 0;
+    for (const Made& one : made)
+      sum += one.tenant == tenant ? one.tokens : 0;
     return sum;
   }
 
@@ -186,7 +198,8 @@
     for (std::size_t i = count / 3; i < count; ++i) {
       const json said = sharedAt(fleet, *fleet.all[i]);
       EXPECT_LE(leftOut(said), 1u) << said.dump();
-      if (leftOut(said) == 0) return false;
+      if (leftOut(said) == 0)
+        return false;
     }
     return true;
   };
@@ -205,11 +218,13 @@
   EXPECT_TRUE(waitFor(fleet.io, 60, [&] {
     clients.go(200);
     for (std::size_t i = 0; i < count / 3; ++i)
-      if (sharedAt(fleet, *fleet.all[i])["degree"] != "alone") return false;
+      if (sharedAt(fleet, *fleet.all[i])["degree"] != "alone")
+        return false;
     return true;
   }));
   clients.silent.clear();
-  for (auto& one : fleet.all) one->link->set(FaultLayer::Mode::kPass);
+  for (auto& one : fleet.all)
+    one->link->set(FaultLayer::Mode::kPass);
   clients.go(2'000);
   clients.finish();
   ASSERT_TRUE(waitFor(fleet.io, 60, [&] { return allAre(fleet, "connected"); })) << fleet.logs();
@@ -219,8 +234,8 @@
                         return billed(fleet, "attiki") == clients.tokensOf("attiki") &&
                                billed(fleet, "patras") == clients.tokensOf("patras");
                       }))
-      << billed(fleet, "attiki") << " of " << clients.tokensOf("attiki") << ", " << billed(fleet, "patras")
-      << " of " << clients.tokensOf("patras") << "\n"
+      << billed(fleet, "attiki") << " of " << clients.tokensOf("attiki") << ", "
+      << billed(fleet, "patras") << " of " << clients.tokensOf("patras") << "\n"
       << fleet.logs();
   // The box comes back by a trial.
   EXPECT_TRUE(waitFor(fleet.io, 60, [&] {
@@ -229,9 +244,11 @@
     return boxes.count("box-2") == 0 || !boxes.at("box-2").out;
   }));
   // A wave: most die at once, under way, and start anew. And on until the budget is used up.
-  for (std::size_t i = 0; i + 2 < count; ++i) fleet.kill(*fleet.all[i]);
+  for (std::size_t i = 0; i + 2 < count; ++i)
+    fleet.kill(*fleet.all[i]);
   clients.go(300);
-  for (std::size_t i = 0; i + 2 < count; ++i) fleet.start(*fleet.all[i]);
+  for (std::size_t i = 0; i + 2 < count; ++i)
+    fleet.start(*fleet.all[i]);
   ASSERT_TRUE(waitFor(fleet.io, 60, [&] {
     clients.go(500);
     return decodeDigest(fleet).budgets.at("attiki").left == 0 && clients.overBudget > 20;
@@ -240,8 +257,8 @@
   clients.finish();
   const std::uint64_t made = clients.tokensOf("attiki");
   EXPECT_LE(made, kBudget) << "no budget is exceeded, by what the boxes made";
-  // All that was made is accounted for: what lives has said it, what died is charged for all that it may have
-  // used.
+  // All that was made is accounted for: what lives has said it, what died is charged for all that
+  // it may have used.
   EXPECT_TRUE(waitFor(fleet.io, 60, [&] {
     const Digest digest = decodeDigest(fleet);
     std::uint64_t known = digest.budgets.at("attiki").charged;
@@ -250,24 +267,29 @@
       part.origin = origin;
       const auto text = fleet.store.value(kPrefix + "doc/" + part.key());
       const auto own = text ? decodePart(*text).part : std::nullopt;
-      if (own && own->spends.count("attiki") != 0) known += own->spends.at("attiki").spent;
+      if (own && own->spends.count("attiki") != 0)
+        known += own->spends.at("attiki").spent;
     }
     return known >= made && known <= kBudget;
   }));
   EXPECT_LE(billed(fleet, "attiki"), made);
   std::map<std::string, int> changes;
   for (const Made& one : clients.made)
-    if (one.cls == "c") ++changes[one.mark];
-  for (const auto& [mark, times] : changes) EXPECT_EQ(times, 1) << "change " << mark << " ran more than once";
+    if (one.cls == "c")
+      ++changes[one.mark];
+  for (const auto& [mark, times] : changes)
+    EXPECT_EQ(times, 1) << "change " << mark << " ran more than once";
   EXPECT_EQ(clients.unanswered, 0u);
   EXPECT_EQ(clients.twice, 0u);
-  std::cout << clients.count << " asked, " << clients.made.size() << " made; attiki " << made << " of "
-            << kBudget << ", billed " << billed(fleet, "attiki") << ", " << clients.overBudget
-            << " refused for the budget\n";
+  std::cout << clients.count << " asked, " << clients.made.size() << " made; attiki " << made
+            << " of " << kBudget << ", billed " << billed(fleet, "attiki") << ", "
+            << clients.overBudget << " refused for the budget\n";
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, ManyConductorsShare,
-                         ::testing::Values(std::pair(std::size_t(6), 1U), std::pair(std::size_t(12), 2U)));
+INSTANTIATE_TEST_SUITE_P(Seeds,
+                         ManyConductorsShare,
+                         ::testing::Values(std::pair(std::size_t(6), 1U),
+                                           std::pair(std::size_t(12), 2U)));
 
 // SIGTERM: what is not in use goes back, and the last word is said before the end.
 TEST(AConductorThatEnds, GivesBackWhatItWasLent) {
@@ -299,8 +321,9 @@
   Conductors fleet(1, {"box-1"}, DAHLIASTALL_PROGRAM, false, sharedFile);
   Conductors::One& one = *fleet.all[0];
   const auto limit = [&] {
-    return decodeDigest(fleet).budgets.count("attiki") == 0 ? 0
-                                                            : decodeDigest(fleet).budgets.at("attiki").limit;
+    return decodeDigest(fleet).budgets.count("attiki") == 0
+               ? 0
+               : decodeDigest(fleet).budgets.at("attiki").limit;
   };
   ASSERT_TRUE(waitFor(fleet.io, 60, [&] { return limit() == kBudget; })) << fleet.logs();
   const auto rewrite = [&](const json& budget) {
--- a/tests/shared_test.cpp
+++ b/tests/shared_test.cpp
@@ -1,5 +1,5 @@
-// The parts of shared state: merging, lending, observations and connectivity as properties, the encoding of
-// documents, and the digest's task on single views.
+// The parts of shared state: merging, lending, observations and connectivity as properties, the
+// encoding of documents, and the digest's task on single views.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -8,14 +8,15 @@
 namespace dahliastall {
 namespace {
 
-// ---- Properties ----------------------------------------------------------------------------------------
+// ---- Properties
+// ----------------------------------------------------------------------------------------
 
 UsageTable drawnUsage() {
   UsageTable usage;
   const auto count = *rc::gen::inRange(0, 4);
   for (int i = 0; i < count; ++i) {
-    UsageCounters& counters =
-        usage[{"t" + std::to_string(*rc::gen::inRange(0, 3)), "c" + std::to_string(*rc::gen::inRange(0, 2))}];
+    UsageCounters& counters = usage[{"t" + std::to_string(*rc::gen::inRange(0, 3)),
+                                     "c" + std::to_string(*rc::gen::inRange(0, 2))}];
     counters = {*rc::gen::inRange<std::uint64_t>(0, 50),
                 *rc::gen::inRange<std::uint64_t>(0, 50),
                 0,
@@ -29,8 +30,8 @@
 
 TEST(Merging, IsTheSameInAnyOrderRepeatedOrLate) {
   EXPECT_TRUE(rc::check([] {
-    // Words of three processes, each growing; delivered in a drawn order, some of them twice, some never but
-    // the last of each at least once.
+    // Words of three processes, each growing; delivered in a drawn order, some of them twice, some
+    // never but the last of each at least once.
     std::vector<std::pair<Origin, UsageTable>> words;
     UsageTable sum;
     for (std::uint64_t node = 0; node < 3; ++node) {
@@ -39,29 +40,34 @@
       for (int i = 0; i < count; ++i) {
         addUsage(now, drawnUsage());
         words.emplace_back(Origin{"n", node}, now);
-        if (i + 1 < count && *rc::gen::inRange(0, 3) == 0) words.pop_back();
+        if (i + 1 < count && *rc::gen::inRange(0, 3) == 0)
+          words.pop_back();
       }
       addUsage(sum, now);
     }
     const std::size_t kept = words.size();
     for (std::size_t i = 0; i < kept; ++i)
-      if (*rc::gen::inRange(0, 2) == 0) words.push_back(words[i]);
+      if (*rc::gen::inRange(0, 2) == 0)
+        words.push_back(words[i]);
     FleetUsage counts, other;
     std::mt19937 order(*rc::gen::arbitrary<unsigned>());
     std::shuffle(words.begin(), words.end(), order);
-    for (const auto& [origin, usage] : words) counts.merge(origin, usage);
+    for (const auto& [origin, usage] : words)
+      counts.merge(origin, usage);
     std::shuffle(words.begin(), words.end(), order);
-    for (const auto& [origin, usage] : words) other.merge(origin, usage);
+    for (const auto& [origin, usage] : words)
+      other.merge(origin, usage);
     RC_ASSERT(counts.total() == sum);
     RC_ASSERT(other.total() == sum);
     // Folded, in any order, once and once more, the sum stays.
-    for (const std::uint64_t node : {1, 0, 1}) counts.fold({"n", node});
+    for (const std::uint64_t node : {1, 0, 1})
+      counts.fold({"n", node});
     RC_ASSERT(counts.total() == sum);
   }));
 }
 
-// Adding up what comes, as a merge without memory would, counts what comes twice twice: the property above is
-// one that can fail.
+// Adding up what comes, as a merge without memory would, counts what comes twice twice: the
+// property above is one that can fail.
 TEST(Merging, WithoutMemoryIsFoundOut) {
   UsageTable part, naive;
   part[{"t", "c"}].served = 2;
@@ -108,7 +114,8 @@
           charge(line, who, word);
           const std::uint64_t charged = line.charged - before;
           RC_ASSERT(charged >= word.spent);
-          if (*rc::gen::inRange(0, 2) == 0) refund(line, charged, word.spent);
+          if (*rc::gen::inRange(0, 2) == 0)
+            refund(line, charged, word.spent);
           words.erase(who);
         }
       }
@@ -117,7 +124,8 @@
       lend(line, words);
       RC_ASSERT(line.charged + outstandingOf(line, words) <= line.limit);
       std::uint64_t spent = line.charged;
-      for (const auto& [origin, spend] : words) spent += spend.spent;
+      for (const auto& [origin, spend] : words)
+        spent += spend.spent;
       RC_ASSERT(spent <= line.limit);
     }
   }));
@@ -130,8 +138,10 @@
     double now = 0;
     for (int i = 0; i < 10; ++i) {
       now += *rc::gen::inRange(0, 3000);
-      if (*rc::gen::inRange(0, 2) == 0) observations.recordSuccess("b", now);
-      else observations.recordFailure("b", FailureKind::kError, now);
+      if (*rc::gen::inRange(0, 2) == 0)
+        observations.recordSuccess("b", now);
+      else
+        observations.recordFailure("b", FailureKind::kError, now);
     }
     const auto said = observations.snapshot(now);
     const HealthObservation at = said.empty() ? HealthObservation{} : said.at("b");
@@ -159,7 +169,8 @@
   }));
 }
 
-// ---- Degrees of hearing --------------------------------------------------------------------------------
+// ---- Degrees of hearing
+// --------------------------------------------------------------------------------
 
 TEST(HearingOfTheOthers, IsLostAndFoundBothWaysWithAMargin) {
   Connectivity connectivity({3'000, 10'000, 0}, 1, 0);
@@ -168,20 +179,24 @@
   double now = 0;
   const auto live = [&](double until, bool reads, bool writes) {
     for (; now < until; now += 500) {
-      if (writes) connectivity.onReportAccepted(++word, now);
-      if (reads) connectivity.onDigest(writes ? word : 0, now);
+      if (writes)
+        connectivity.onReportAccepted(++word, now);
+      if (reads)
+        connectivity.onDigest(writes ? word : 0, now);
       connectivity.tick(now);
     }
   };
   live(2'000, true, true);
   EXPECT_EQ(connectivity.state(), ConnectivityState::kConnected);
   live(5'500, true, false);
-  EXPECT_EQ(connectivity.state(), ConnectivityState::kDelayed) << "it reads, and its own word is not taken";
+  EXPECT_EQ(connectivity.state(), ConnectivityState::kDelayed)
+      << "it reads, and its own word is not taken";
   live(13'000, true, false);
   EXPECT_EQ(connectivity.state(), ConnectivityState::kIsolated);
   connectivity.onReportAccepted(++word, now);
   connectivity.onDigest(word - 1, now);
-  EXPECT_EQ(connectivity.state(), ConnectivityState::kRejoining) << "its new word is in no digest yet";
+  EXPECT_EQ(connectivity.state(), ConnectivityState::kRejoining)
+      << "its new word is in no digest yet";
   connectivity.onReportAccepted(++word, now += 100);
   connectivity.onDigest(word, now);
   EXPECT_EQ(connectivity.state(), ConnectivityState::kConnected);
@@ -194,7 +209,8 @@
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     Connectivity connectivity({3'000, 10'000, 0.2}, seed, 0);
     double now = 0;
-    while (connectivity.state() != ConnectivityState::kIsolated && now < 20'000) connectivity.tick(now += 10);
+    while (connectivity.state() != ConnectivityState::kIsolated && now < 20'000)
+      connectivity.tick(now += 10);
     EXPECT_GE(now, 10'000);
     EXPECT_LE(now, 12'010);
     moments.insert(std::floor(now / 100));
@@ -202,7 +218,8 @@
   EXPECT_GT(moments.size(), 10u);
 }
 
-// ---- What lies in the store ----------------------------------------------------------------------------
+// ---- What lies in the store
+// ----------------------------------------------------------------------------
 
 Part somePart() {
   Part part;
@@ -269,8 +286,8 @@
   EXPECT_EQ(back->heard, digest.heard);
 }
 
-// What stands under others' names, damaged, of another version, or counting backwards: not believed, counted
-// once, and the others go on.
+// What stands under others' names, damaged, of another version, or counting backwards: not
+// believed, counted once, and the others go on.
 TEST(AHolder, BelievesNothingThatIsForeignDamagedOrCountsBackwards) {
   SharedConfig config = SharedWorld::worldConfig();
   DigestTask task(
@@ -297,7 +314,8 @@
   EXPECT_EQ(digest.heard.size(), 1u);
   EXPECT_EQ(digest.total, good.usage);
   next(500);
-  EXPECT_EQ(task.stats().unread, (std::map<std::string, std::uint64_t>{{"foreign", 2}, {"version", 1}}));
+  EXPECT_EQ(task.stats().unread,
+            (std::map<std::string, std::uint64_t>{{"foreign", 2}, {"version", 1}}));
   good.sequence = 4;
   good.usage[{"attiki", "chat"}].promptTokens = 1;
   put(good.key(), encode(good));
--- a/tests/slow_start_budget_test.cpp
+++ b/tests/slow_start_budget_test.cpp
@@ -1,4 +1,5 @@
-// The slow-start budget of one instance, on its own: a clock of the test's, many processes, no router.
+// The slow-start budget of one instance, on its own: a clock of the test's, many processes, no
+// router.
 #include "policy/slow_start_budget.h"
 
 #include <gtest/gtest.h>
@@ -23,12 +24,16 @@
 std::vector<SlowStartBudget> budgetsOf(int processes, Time now) {
   std::vector<SlowStartBudget> budgets(static_cast<std::size_t>(processes));
   std::uint64_t seed = 0;
-  for (SlowStartBudget& budget : budgets) budget.reset(seed += kSeedStep, processes, now);
+  for (SlowStartBudget& budget : budgets)
+    budget.reset(seed += kSeedStep, processes, now);
   return budgets;
 }
 
 // Share of the processes that may send a request now which was first offered at that time.
-double admitted(std::vector<SlowStartBudget>& budgets, const Settings& settings, double share, Time now,
+double admitted(std::vector<SlowStartBudget>& budgets,
+                const Settings& settings,
+                double share,
+                Time now,
                 Time since) {
   int count = 0;
   for (SlowStartBudget& budget : budgets)
@@ -58,7 +63,8 @@
   EXPECT_DOUBLE_EQ(admitted(budgets, settings, 10, later, later), 1);
 }
 
-// A request that waits is looked at every few milliseconds: it must not come through by being asked often.
+// A request that waits is looked at every few milliseconds: it must not come through by being asked
+// often.
 TEST(SlowStartBudget, DrawsOnceInASlotAndForARequestThatWaitsLessAndLess) {
   constexpr int kProcesses = 5'000;
   const Settings settings = settingsOf(kProcesses);
@@ -68,7 +74,8 @@
   std::vector<bool> ever(budgets.size());
   for (Time now = kStart; now < kStart + 2s; now += 10ms)
     for (std::size_t i = 0; i < budgets.size(); ++i)
-      if (budgets[i].admits(settings, kStart, {0, share, 1, kStart}, now)) ever[i] = true;
+      if (budgets[i].admits(settings, kStart, {0, share, 1, kStart}, now))
+        ever[i] = true;
   const auto count = static_cast<double>(std::count(ever.begin(), ever.end(), true));
   EXPECT_LE(count / kProcesses, once * 1.25);
   EXPECT_GE(count / kProcesses, once);
@@ -78,7 +85,8 @@
   constexpr int kProcesses = 200;
   const Settings settings = settingsOf(kProcesses);
   for (SlowStartBudget& budget : budgetsOf(kProcesses, kStart)) {
-    if (!budget.admits(settings, kStart, {0, 10, 1, kStart}, kStart)) continue;
+    if (!budget.admits(settings, kStart, {0, 10, 1, kStart}, kStart))
+      continue;
     budget.countSend(settings.contract, kStart);
     EXPECT_FALSE(budget.admits(settings, kStart, {0, 10, 1, kStart}, kStart));
     EXPECT_TRUE(budget.admits(settings, kStart, {0, 100, 1, kStart + 1s}, kStart + 1s));
@@ -94,7 +102,8 @@
     const int windows = 3;
     for (Time now = kStart; now < kStart + windows * settings.contract.fallFor; now += 50ms)
       for (SlowStartBudget& budget : budgets) {
-        if (!budget.admits(settings, kStart, {0, 0, 0, now}, now)) continue;
+        if (!budget.admits(settings, kStart, {0, 0, 0, now}, now))
+          continue;
         budget.countSend(settings.contract, now);
         ++sends;
       }
@@ -111,7 +120,8 @@
   std::vector<Time> sends;
   for (Time now = kStart; now < kStart + contract.coldFor; now += 5ms)
     for (SlowStartBudget& budget : budgets) {
-      if (!budget.admits(settings, kStart, {usual / 3, 1, 1, now}, now)) continue;
+      if (!budget.admits(settings, kStart, {usual / 3, 1, 1, now}, now))
+        continue;
       budget.countSend(contract, now);
       sends.push_back(now);
     }
--- a/tests/support/admission_rules.h
+++ b/tests/support/admission_rules.h
@@ -8,9 +8,12 @@
 
 namespace dahliastall {
 
-inline admission::Address at(const std::string& text) { return *admission::Address::parse(text); }
+inline admission::Address at(const std::string& text) {
+  return *admission::Address::parse(text);
+}
 
-// The object `admission` of an operator's file: 100 connections, of which 20 are kept for known clients.
+// The object `admission` of an operator's file: 100 connections, of which 20 are kept for known
+// clients.
 inline nlohmann::json file() {
   return {{"connections", {{"total", 100}, {"per_address", 10}}},
           {"rate", {{"per_second", 5}, {"burst", 20}}},
--- a/tests/support/conductors.h
+++ b/tests/support/conductors.h
@@ -1,5 +1,5 @@
-// Many conductors, as the program itself, with one store between them and a layer of faults between each and
-// the store.
+// Many conductors, as the program itself, with one store between them and a layer of faults between
+// each and the store.
 #pragma once
 
 #include <sys/wait.h>
@@ -22,9 +22,11 @@
 inline bool waitFor(boost::asio::io_context& io, double seconds, const std::function<bool()>& met) {
   const auto limit = std::chrono::steady_clock::now() + std::chrono::duration<double>(seconds);
   while (!met()) {
-    if (std::chrono::steady_clock::now() > limit) return false;
+    if (std::chrono::steady_clock::now() > limit)
+      return false;
     io.restart();
-    if (io.poll() == 0) io.run_one_for(std::chrono::milliseconds(5));
+    if (io.poll() == 0)
+      io.run_one_for(std::chrono::milliseconds(5));
   }
   return true;
 }
@@ -41,8 +43,10 @@
   };
 
   // sqlite: they share a file in place of the stand-in. change: of each one's file.
-  Conductors(std::size_t count, const std::vector<std::string>& boxNames,
-             std::string program = DAHLIASTALL_PROGRAM, bool sqlite = false,
+  Conductors(std::size_t count,
+             const std::vector<std::string>& boxNames,
+             std::string program = DAHLIASTALL_PROGRAM,
+             bool sqlite = false,
              std::function<void(json&)> change = nullptr)
       : program_(std::move(program)), sqlite_(sqlite), change_(std::move(change)) {
     for (const std::string& name : boxNames) {
@@ -62,10 +66,12 @@
       std::ofstream(one->file) << fileOf(*one).dump();
       all.push_back(std::move(one));
     }
-    for (auto& one : all) start(*one);
+    for (auto& one : all)
+      start(*one);
   }
   ~Conductors() {
-    for (auto& one : all) kill(*one);
+    for (auto& one : all)
+      kill(*one);
   }
 
   json fileOf(const One& one) const {
@@ -73,7 +79,8 @@
     settings["contract"]["coldMs"] = 200.0;
     json listed = json::array();
     for (const auto& [name, box] : boxes)
-      listed.push_back({{"id", name}, {"address", textOf(box->address())}, {"role", "both"}, {"cell", 0}});
+      listed.push_back(
+          {{"id", name}, {"address", textOf(box->address())}, {"role", "both"}, {"cell", 0}});
     json file{{"listen", textOf(one.listen)},
               {"admin_addr", textOf(one.door)},
               {"keys", {{{"key", "k"}, {"tenant", "club"}}}},
@@ -93,7 +100,8 @@
                 {"watch_ms", 100},
                 {"maintenance", {{"silent_node_s", 4}, {"period_ms", 30}}},
                 {"cleanup", {{"gone_s", 60}, {"period_ms", 500}}}}}};
-    if (change_) change_(file);
+    if (change_)
+      change_(file);
     return file;
   }
 
@@ -101,18 +109,22 @@
     const std::string log = folder.path + "/" + one.name + ".log";
     one.process = ::fork();
     if (one.process == 0) {
-      if (std::freopen(log.c_str(), "a", stderr) == nullptr) ::_exit(126);
+      if (std::freopen(log.c_str(), "a", stderr) == nullptr)
+        ::_exit(126);
       ::execl(program_.c_str(), program_.c_str(), "serve", "--operator", one.file.c_str(), nullptr);
       ::_exit(127);
     }
     one.stopped = false;
   }
   void signal(One& one, int number) {
-    if (one.process > 0) ::kill(one.process, number);
-    if (number == SIGSTOP || number == SIGCONT) one.stopped = number == SIGSTOP;
+    if (one.process > 0)
+      ::kill(one.process, number);
+    if (number == SIGSTOP || number == SIGCONT)
+      one.stopped = number == SIGSTOP;
   }
   void kill(One& one) {
-    if (one.process <= 0) return;
+    if (one.process <= 0)
+      return;
     ::kill(one.process, SIGKILL);
     ::waitpid(one.process, nullptr, 0);
     one.process = -1;
@@ -135,8 +147,9 @@
 
   bool allReady() {
     return waitFor(io, 60, [&] {
-      return std::all_of(all.begin(), all.end(),
-                         [&](auto& one) { return callAdmin(io, one->door, "readyz").rfind("ok", 0) == 0; });
+      return std::all_of(all.begin(), all.end(), [&](auto& one) {
+        return callAdmin(io, one->door, "readyz").rfind("ok", 0) == 0;
+      });
     });
   }
 
@@ -154,7 +167,8 @@
   }
   One* byName(const std::string& name) {
     for (auto& one : all)
-      if (one->name == name) return one.get();
+      if (one->name == name)
+        return one.get();
     return nullptr;
   }
   std::string logs() const {
--- a/tests/support/day_play.h
+++ b/tests/support/day_play.h
@@ -9,8 +9,8 @@
 
 namespace leverrelay {
 
-// A day as one policy plays it. Ways take a millisecond; queues, reads, moves and streams take what they
-// take.
+// A day as one policy plays it. Ways take a millisecond; queues, reads, moves and streams take what
+// they take.
 class Play {
  public:
   Play(const DrawnDay& day, const std::function<Policy(int)>& policy, bool checked) : day_(day) {
@@ -26,41 +26,49 @@
       boxes_.back().entry = entry;
       boxes_.back().size = &day.sizes[entry.kind.value];
     }
-    for (std::size_t n = 0; n < nodes_.size(); ++n) give(n, ListNews{1, ListForm::kFull, day.boxes});
-    for (const Asked& asked : day.asks) at(asked.at, [this, &asked] { arrive(asked); });
+    for (std::size_t n = 0; n < nodes_.size(); ++n)
+      give(n, ListNews{1, ListForm::kFull, day.boxes});
+    for (const Asked& asked : day.asks)
+      at(asked.at, [this, &asked] { arrive(asked); });
     Draw late(day.asks.size());
     for (const Change& change : day.changes) {
       at(change.at, [this, change] { happen(change); });
-      if (change.what != Change::kLeaves && change.what != Change::kStarts) continue;
+      if (change.what != Change::kLeaves && change.what != Change::kStarts)
+        continue;
       for (std::size_t n = 0; n < nodes_.size(); ++n)
         at(change.at + in(late, 0.05, 1.5), [this, change, n] { tell(change, n); });
     }
-    if (checked) look();
+    if (checked)
+      look();
     while (!steps_.empty() && !::testing::Test::HasFailure()) {
       const Step step = steps_.top();
       steps_.pop();
       now_ = step.at;
       step.what();
     }
-    for (const auto& node : nodes_) node->look(now_ + 1s);  // nothing is left open
+    for (const auto& node : nodes_)
+      node->look(now_ + 1s);  // nothing is left open
   }
 
   double served() const {  // share of the worth that was asked for
     double got = 0, all = 0;
     for (const Asked& asked : day_.asks) {
       const ClassSettings& cls = day_.set.classes[asked.told.cls.value];
-      const Duration aim = cls.aim + span(secondsOf(cls.aimPer1000) * asked.told.promptTokens / 1000);
+      const Duration aim =
+          cls.aim + span(secondsOf(cls.aimPer1000) * asked.told.promptTokens / 1000);
       const Ask& ask = asks_.at(asked.told.request);
       all += cls.worth;
-      if (ask.served) got += cls.worth * (ask.first - start(asked.at) <= aim ? 1 : cls.lateShare);
+      if (ask.served)
+        got += cls.worth * (ask.first - start(asked.at) <= aim ? 1 : cls.lateShare);
     }
     return all > 0 ? got / all : 0;
   }
 
   std::size_t unanswered() const {
-    return static_cast<std::size_t>(std::count_if(asks_.begin(), asks_.end(), [this](const auto& entry) {
-      return nodes_[static_cast<std::size_t>(entry.second.asked->node)]->waits(entry.first);
-    }));
+    return static_cast<std::size_t>(
+        std::count_if(asks_.begin(), asks_.end(), [this](const auto& entry) {
+          return nodes_[static_cast<std::size_t>(entry.second.asked->node)]->waits(entry.first);
+        }));
   }
   std::size_t attemptsOf(const RequestId& id) const {
     const auto it = sent_.find(id);
@@ -75,7 +83,8 @@
     for (const Box& box : boxes_)
       for (std::size_t i = 0; i < box.cold.size(); ++i) {
         std::size_t count = 0;
-        while (i + count < box.cold.size() && box.cold[i + count] - box.cold[i] < contract.fallFor) ++count;
+        while (i + count < box.cold.size() && box.cold[i + count] - box.cold[i] < contract.fallFor)
+          ++count;
         const double share =
             std::clamp(secondsOf(box.cold[i] - *box.entry.started) / secondsOf(contract.coldFor),
                        contract.coldFrom, 1.0);
@@ -127,7 +136,8 @@
   }
   void later(double seconds, int job, void (Play::*what)(int)) {
     after(span(seconds), [this, job, what] {
-      if (jobs_.count(job) != 0) (this->*what)(job);
+      if (jobs_.count(job) != 0)
+        (this->*what)(job);
     });
   }
   Role roleOf(const Box& box) const { return day_.set.kinds[box.entry.kind.value].role; }
@@ -137,7 +147,8 @@
     return box.entry.started && now_ - *box.entry.started < day_.set.contract.coldFor;
   }
   double warmth(const Box& box) const {
-    if (!isCold(box)) return 1;
+    if (!isCold(box))
+      return 1;
     return std::max(day_.set.contract.coldFrom,
                     secondsOf(now_ - *box.entry.started) / secondsOf(day_.set.contract.coldFor));
   }
@@ -151,8 +162,10 @@
   }
 
   void look() {
-    for (const auto& node : nodes_) node->look(now_);
-    if (now_ < start(DrawnDay::kLength + 1)) after(10ms, [this] { look(); });
+    for (const auto& node : nodes_)
+      node->look(now_);
+    if (now_ < start(DrawnDay::kLength + 1))
+      after(10ms, [this] { look(); });
   }
   void give(std::size_t node, const Event& event) {
     for (const Action& action : nodes_[node]->give(now_, event))
@@ -169,12 +182,16 @@
     const int job = ++order_;
     const int n = sent_[send.request]++;
     jobs_[job] = {&ask, &box, n, now_};
-    if (isCold(box)) box.cold.push_back(now_);
-    if (ask.place != nullptr && ask.place != &box && roleOf(box) != Role::kReader) giveUpPlace(ask);
+    if (isCold(box))
+      box.cold.push_back(now_);
+    if (ask.place != nullptr && ask.place != &box && roleOf(box) != Role::kReader)
+      giveUpPlace(ask);
     const Time until = std::min(send.until, start(ask.asked->at) + ask.asked->told.timeLeft);
     later(secondsOf(until - now_), job, &Play::timeOut);
-    if (box.reached) later(0.001, job, &Play::reach);
-    else later(secondsOf(day_.set.limits.dialTimeout), job, &Play::unreached);
+    if (box.reached)
+      later(0.001, job, &Play::reach);
+    else
+      later(secondsOf(day_.set.limits.dialTimeout), job, &Play::unreached);
   }
   void carryOut(std::size_t node, const HoldPlace& hold) {
     after(1ms, [this, node, hold] {
@@ -182,7 +199,8 @@
       Box& box = boxOf(hold.engine);
       giveUpPlace(ask);
       const bool held = box.reached && box.takes && box.waiting.empty() && fits(box, ask);
-      if (held) take(box, ask), ask.place = &box;
+      if (held)
+        take(box, ask), ask.place = &box;
       for (const auto& [number, job] : jobs_)
         if (job.ask == &ask && box.reached)
           return give(node, PlaceNote{hold.request, job.n, hold.engine, held});
@@ -193,7 +211,8 @@
     after(1ms, [this, id = release.request] {
       Ask& ask = asks_.at(id);
       for (const auto& [number, job] : jobs_)
-        if (job.ask == &ask) return;
+        if (job.ask == &ask)
+          return;
       giveUpPlace(ask);
       ask.state = nullptr;
     });
@@ -209,17 +228,22 @@
     const auto node = static_cast<std::size_t>(asked.node);
     if (asked.leaves)
       after(asked.told.timeLeft / 3, [this, node, id = asked.told.request] {
-        if (nodes_[node]->waits(id)) give(node, Lapsed{id});
+        if (nodes_[node]->waits(id))
+          give(node, Lapsed{id});
       });
     give(node, asked.told);
   }
 
-  // ---- What an instance does -------------------------------------------------------------------------
+  // ---- What an instance does
+  // -------------------------------------------------------------------------
 
-  double memoryOf(const Box& box) const { return day_.set.kinds[box.entry.kind.value].memoryTokens; }
+  double memoryOf(const Box& box) const {
+    return day_.set.kinds[box.entry.kind.value].memoryTokens;
+  }
   double need(const Ask& ask) const { return ask.asked->told.promptTokens + ask.asked->answer; }
   bool fits(const Box& box, const Ask& ask) const {
-    if (box.busy >= box.size->slots) return false;
+    if (box.busy >= box.size->slots)
+      return false;
     return roleOf(box) == Role::kReader || box.busy == 0 || box.tokens + need(ask) <= memoryOf(box);
   }
   void take(Box& box, const Ask& ask) {
@@ -232,12 +256,14 @@
     serve(box);
   }
   void giveUpPlace(Ask& ask) {
-    if (ask.place != nullptr) leave(*std::exchange(ask.place, nullptr), ask);
+    if (ask.place != nullptr)
+      leave(*std::exchange(ask.place, nullptr), ask);
   }
   void reach(int number) {
     Job& job = jobs_.at(number);
     Box& box = *job.box;
-    if (!box.reached) return;  // silence
+    if (!box.reached)
+      return;  // silence
     if (job.ask->place == &box) {
       job.ask->place = nullptr;
       return begin(number);
@@ -254,9 +280,11 @@
   void serve(Box& box) {
     while (!box.waiting.empty()) {
       const auto job = jobs_.find(box.waiting.front());
-      if (job != jobs_.end() && !fits(box, *job->second.ask)) return;
+      if (job != jobs_.end() && !fits(box, *job->second.ask))
+        return;
       box.waiting.pop_front();
-      if (job == jobs_.end()) continue;
+      if (job == jobs_.end())
+        continue;
       take(box, *job->second.ask);
       begin(job->first);
     }
@@ -287,7 +315,8 @@
     ++reads_;
     unread_ += unread;
     job.box->kept.insert(told(job).prefix);
-    if (roleOf(*job.box) != Role::kReader) return open(number);
+    if (roleOf(*job.box) != Role::kReader)
+      return open(number);
     job.ask->state = job.ask->place != nullptr ? job.ask->place : job.box;
     end(number, Outcome::kRead, told(job).promptTokens - unread);
   }
@@ -300,9 +329,12 @@
     ++streams_;
     streamed_ += job.ask->asked->answer * gap;
     later(job.ask->asked->answer * gap, number, &Play::whole);
-    give(nodeOf(job), StreamOpened{told(job).request, job.n, job.box->entry.engine, now_ - job.sentAt});
+    give(nodeOf(job),
+         StreamOpened{told(job).request, job.n, job.box->entry.engine, now_ - job.sentAt});
+  }
+  std::size_t nodeOf(const Job& job) const {
+    return static_cast<std::size_t>(job.ask->asked->node);
   }
-  std::size_t nodeOf(const Job& job) const { return static_cast<std::size_t>(job.ask->asked->node); }
 
   void whole(int number) {
     jobs_.at(number).ask->served = true;
@@ -311,12 +343,14 @@
   void unreached(int number) { end(number, Outcome::kNoConnection); }
   void calledOff(int number) { end(number, Outcome::kCancelled); }
   void timeOut(int number) {
-    if (!jobs_.at(number).streams) end(number, Outcome::kTimeout);
+    if (!jobs_.at(number).streams)
+      end(number, Outcome::kTimeout);
   }
   void end(int number, Outcome outcome, double kept = 0, bool stateGone = false) {
     const Job job = jobs_.at(number);
     jobs_.erase(number);
-    if (job.begun) leave(*job.box, *job.ask);
+    if (job.begun)
+      leave(*job.box, *job.ask);
     give(nodeOf(job), AttemptEnded{told(job).request,
                                    job.n,
                                    job.box->entry.engine,
@@ -328,29 +362,37 @@
                                    {}});
   }
 
-  // ---- What goes wrong --------------------------------------------------------------------------------
+  // ---- What goes wrong
+  // --------------------------------------------------------------------------------
 
   void happen(const Change& change) {
     Box& box = boxes_[change.box];
-    if (change.what == Change::kForgets) box.kept.clear();
+    if (change.what == Change::kForgets)
+      box.kept.clear();
     if (change.what == Change::kCut || change.what == Change::kBack)
       box.reached = change.what == Change::kBack;
-    if (change.what == Change::kLeaves) box.takes = false;
+    if (change.what == Change::kLeaves)
+      box.takes = false;
     if (change.what == Change::kStarts) {
       box.reached = box.takes = true;
       box.entry.started = now_;
     }
-    if (change.what != Change::kEnds) return;
+    if (change.what != Change::kEnds)
+      return;
     box.reached = false;
     box.kept.clear();
     std::vector<int> lost;
     for (const auto& [number, job] : jobs_)
-      if (job.box == &box && !job.streams) lost.push_back(number);  // it ends the streams that it has
+      if (job.box == &box && !job.streams)
+        lost.push_back(number);  // it ends the streams that it has
     for (auto& [id, ask] : asks_) {
-      if (ask.place == &box) giveUpPlace(ask);
-      if (ask.state == &box) ask.state = nullptr;
+      if (ask.place == &box)
+        giveUpPlace(ask);
+      if (ask.state == &box)
+        ask.state = nullptr;
     }
-    for (const int number : lost) end(number, Outcome::kConnectionLost);
+    for (const int number : lost)
+      end(number, Outcome::kConnectionLost);
   }
   void tell(const Change& change, std::size_t node) {
     ListEntry entry = boxes_[change.box].entry;
--- a/tests/support/day_policies.h
+++ b/tests/support/day_policies.h
@@ -17,19 +17,23 @@
   Plainest(const Settings& settings, std::uint64_t seed) : set_(settings), draw_(seed) {}
   void operator()(Time now, const Event& event, std::vector<Action>& actions) {
     if (const auto* news = std::get_if<ListNews>(&event))
-      for (const ListEntry& entry : news->entries) fleet_[entry.engine] = entry;
+      for (const ListEntry& entry : news->entries)
+        fleet_[entry.engine] = entry;
     if (const auto* told = std::get_if<Arrival>(&event)) {
       const Waiting& w = waiting_[told->request] = {told->cls, now + told->timeLeft};
       send(told->request, w, Role::kReader, actions);
     }
-    if (const auto* lapsed = std::get_if<Lapsed>(&event)) actions.push_back(Release{lapsed->request});
+    if (const auto* lapsed = std::get_if<Lapsed>(&event))
+      actions.push_back(Release{lapsed->request});
     const auto* ended = std::get_if<AttemptEnded>(&event);
-    if (ended == nullptr || ended->outcome == Outcome::kServed) return;
+    if (ended == nullptr || ended->outcome == Outcome::kServed)
+      return;
     const Waiting& w = waiting_.at(ended->request);
     if (ended->outcome == Outcome::kRead && !ended->concluded)
       return send(ended->request, w, Role::kWriter, actions);
     actions.push_back(Release{ended->request});
-    if (!ended->concluded) actions.push_back(Fail{ended->request});
+    if (!ended->concluded)
+      actions.push_back(Fail{ended->request});
   }
 
  private:
@@ -41,9 +45,11 @@
     std::vector<EngineId> fit;
     for (const auto& [engine, entry] : fleet_) {
       const Role its = set_.kinds[entry.kind.value].role;
-      if (entry.presence == Presence::kActive && (its == role || its == Role::kMixed)) fit.push_back(engine);
+      if (entry.presence == Presence::kActive && (its == role || its == Role::kMixed))
+        fit.push_back(engine);
     }
-    if (fit.empty()) return void((actions.push_back(Release{id}), actions.push_back(Fail{id})));
+    if (fit.empty())
+      return void((actions.push_back(Release{id}), actions.push_back(Fail{id})));
     const auto n = static_cast<std::size_t>(oneOf(draw_, 0, static_cast<int>(fit.size()) - 1));
     actions.push_back(Send{id, fit[n], w.deadline});
   }
@@ -63,11 +69,15 @@
   std::vector<Action> give(Time now, const Event& event) {
     now_ = now;
     std::vector<Action> actions;
-    if (const auto* told = std::get_if<Arrival>(&event)) arrived(told->request, told->cls, told->timeLeft);
-    if (const auto* opens = std::get_if<StreamOpened>(&event)) opened(held_.at(opens->request));
-    if (const auto* lapsed = std::get_if<Lapsed>(&event)) held_.at(lapsed->request).over = true;
+    if (const auto* told = std::get_if<Arrival>(&event))
+      arrived(told->request, told->cls, told->timeLeft);
+    if (const auto* opens = std::get_if<StreamOpened>(&event))
+      opened(held_.at(opens->request));
+    if (const auto* lapsed = std::get_if<Lapsed>(&event))
+      held_.at(lapsed->request).over = true;
     if (const auto* news = std::get_if<ListNews>(&event))
-      for (const ListEntry& entry : news->entries) list(entry);
+      for (const ListEntry& entry : news->entries)
+        list(entry);
     if (const auto* end = std::get_if<AttemptEnded>(&event)) {
       AttemptEnded whole = *end;
       whole.concluded = ended(held_.at(end->request), end->attempt, end->outcome).second;
@@ -75,12 +85,14 @@
     } else {
       policy_(now, event, actions);
     }
-    for (const Action& action : actions) std::visit([this](const auto& act) { see(act); }, action);
+    for (const Action& action : actions)
+      std::visit([this](const auto& act) { see(act); }, action);
     return actions;
   }
   void look(Time now) {
     now_ = now;
-    if (checked_) checkStanding();
+    if (checked_)
+      checkStanding();
   }
   bool waits(const RequestId& id) const {
     const auto it = held_.find(id);
@@ -90,9 +102,12 @@
  private:
   template <class Act>
   void see(const Act& act) {
-    if (checked_) return RuleBook::see(act);
-    if constexpr (std::is_same_v<Act, Send>) held_.at(act.request).out[held_.at(act.request).sent++] = {};
-    if constexpr (std::is_same_v<Act, Fail>) held_.at(act.request).over = true;
+    if (checked_)
+      return RuleBook::see(act);
+    if constexpr (std::is_same_v<Act, Send>)
+      held_.at(act.request).out[held_.at(act.request).sent++] = {};
+    if constexpr (std::is_same_v<Act, Fail>)
+      held_.at(act.request).over = true;
   }
 
   Policy policy_;
--- a/tests/support/drawn_day.h
+++ b/tests/support/drawn_day.h
@@ -1,4 +1,5 @@
-// Days on drawn settings: a deployment, what is asked of it and what goes wrong, all from the seed of a day.
+// Days on drawn settings: a deployment, what is asked of it and what goes wrong, all from the seed
+// of a day.
 #pragma once
 
 #include <cmath>
@@ -14,10 +15,18 @@
 inline double in(Draw& draw, double from, double to) {
   return std::uniform_real_distribution<>(from, to)(draw);
 }
-inline int oneOf(Draw& draw, int from, int to) { return std::uniform_int_distribution<>(from, to)(draw); }
-inline bool chance(Draw& draw, double p) { return in(draw, 0, 1) < p; }
-inline Duration span(double seconds) { return Duration(std::llround(seconds * 1e6)); }
-inline double secondsOf(Duration d) { return std::chrono::duration<double>(d).count(); }
+inline int oneOf(Draw& draw, int from, int to) {
+  return std::uniform_int_distribution<>(from, to)(draw);
+}
+inline bool chance(Draw& draw, double p) {
+  return in(draw, 0, 1) < p;
+}
+inline Duration span(double seconds) {
+  return Duration(std::llround(seconds * 1e6));
+}
+inline double secondsOf(Duration d) {
+  return std::chrono::duration<double>(d).count();
+}
 
 struct Sizes {
   int slots, queue;
@@ -28,7 +37,9 @@
 struct Range {
   double from, to;
 };
-inline double in(Draw& draw, const Range& range) { return in(draw, range.from, range.to); }
+inline double in(Draw& draw, const Range& range) {
+  return in(draw, range.from, range.to);
+}
 
 // What is asked on a day.
 struct TrafficShape {
@@ -70,11 +81,14 @@
 
   explicit DrawnDay(std::uint64_t seed, const DayKind& kind = {}) : draw(seed), shape(kind.shape) {
     drawSettings();
-    if (kind.settings) kind.settings(*this);
+    if (kind.settings)
+      kind.settings(*this);
     drawFleet();
-    if (kind.fleet) kind.fleet(*this);
+    if (kind.fleet)
+      kind.fleet(*this);
     drawTraffic();
-    if (kind.traffic) kind.traffic(*this);
+    if (kind.traffic)
+      kind.traffic(*this);
     drawTroubles();
   }
 
@@ -87,14 +101,15 @@
                     .fallFactor = in(draw, 2.2, 3.5),
                     .fallFor = span(in(draw, 0.7, 3)),
                     .releaseWithin = span(in(draw, 0.08, 0.5))};
-    set.limits = {.cancel = chance(draw, 0.8),
-                  .peers = false,
-                  .probing = chance(draw, 0.5),
-                  .secondCopies = false,
-                  .retryAfter = chance(draw, 0.5),
-                  .maxAttempts = oneOf(draw, 3, 6),
-                  .maxRetryAfter = span(in(draw, 0.5, 2)),
-                  .dialTimeout = std::min(span(in(draw, 0.1, 0.3)), set.contract.releaseWithin * 3 / 4)};
+    set.limits = {
+        .cancel = chance(draw, 0.8),
+        .peers = false,
+        .probing = chance(draw, 0.5),
+        .secondCopies = false,
+        .retryAfter = chance(draw, 0.5),
+        .maxAttempts = oneOf(draw, 3, 6),
+        .maxRetryAfter = span(in(draw, 0.5, 2)),
+        .dialTimeout = std::min(span(in(draw, 0.1, 0.3)), set.contract.releaseWithin * 3 / 4)};
     set.discovery = Discovery::kPush;
     set.placesAhead = chance(draw, 0.7);
     set.writersRead = chance(draw, 0.4);
@@ -135,7 +150,8 @@
     if (mixed)
       kind(Role::kMixed, {oneOf(draw, 10, 40), oneOf(draw, 10, 40), in(draw, 7'000, 15'000)},
            oneOf(draw, 1, 3));
-    if (chance(draw, 0.3)) std::swap(set.kinds.front(), set.kinds.back()), swapKinds();
+    if (chance(draw, 0.3))
+      std::swap(set.kinds.front(), set.kinds.back()), swapKinds();
   }
   // The order of kinds says nothing.
   void swapKinds() {
@@ -151,21 +167,25 @@
     const double answer = in(draw, shape.answer);
     const int prefixes = oneOf(draw, 2, 12);
     double gap = 0, reads = 0, writes = 0;
-    for (const ClassSettings& cls : set.classes) gap += secondsOf(cls.tokenAim) / 2;
+    for (const ClassSettings& cls : set.classes)
+      gap += secondsOf(cls.tokenAim) / 2;
     gap /= static_cast<double>(set.classes.size());
     for (std::size_t i = 0; i < boxes.size(); ++i) {
       const Sizes& of = sizes[boxes[i].kind.value];
-      if (roleOf(i) != Role::kWriter) reads += of.readRate / prompt / (1 - shared / 2);
+      if (roleOf(i) != Role::kWriter)
+        reads += of.readRate / prompt / (1 - shared / 2);
       const double inMemory = set.kinds[boxes[i].kind.value].memoryTokens / (prompt + answer);
       const double atOnce = shape.memoryBounds ? std::min<double>(of.slots, inMemory) : of.slots;
-      if (roleOf(i) != Role::kReader) writes += atOnce / (answer * gap);
+      if (roleOf(i) != Role::kReader)
+        writes += atOnce / (answer * gap);
     }
     const double able = in(draw, shape.load) * std::min(reads, writes);
     const double rate =
         able > 0 ? std::min(60.0, able) : kLeastRate;  // some ask where nothing can serve them
     int asked = 0;
     for (double at = 0.1; at < kLength; at += std::exponential_distribution<>(rate)(draw)) {
-      const auto cls = static_cast<std::uint32_t>(oneOf(draw, 0, static_cast<int>(set.classes.size()) - 1));
+      const auto cls =
+          static_cast<std::uint32_t>(oneOf(draw, 0, static_cast<int>(set.classes.size()) - 1));
       const double tokens = prompt * in(draw, shape.promptSpread);
       Arrival told{};
       told.request = {numbered("q", ++asked)};
@@ -176,32 +196,37 @@
       told.promptTokens = tokens;
       told.prefixTokens = tokens * shared;
       told.maxTokens = answer * 4;
-      asks.push_back({at, oneOf(draw, 0, set.nodes - 1), told, answer * in(draw, shape.answerSpread),
-                      chance(draw, 0.02)});
+      asks.push_back({at, oneOf(draw, 0, set.nodes - 1), told,
+                      answer * in(draw, shape.answerSpread), chance(draw, 0.02)});
     }
   }
 
   int drawPrefix(int count) {
-    if (shape.popularity <= 0) return oneOf(draw, 0, count - 1);
+    if (shape.popularity <= 0)
+      return oneOf(draw, 0, count - 1);
     std::vector<double> weights;
-    for (int n = 1; n <= count; ++n) weights.push_back(std::pow(n, -shape.popularity));
+    for (int n = 1; n <= count; ++n)
+      weights.push_back(std::pow(n, -shape.popularity));
     return std::discrete_distribution<>(weights.begin(), weights.end())(draw);
   }
 
   void drawTroubles() {
     for (std::size_t i = 0; i < boxes.size(); ++i)
-      if (chance(draw, 0.6)) changes.push_back({Change::kForgets, kLength / 2, i});
+      if (chance(draw, 0.6))
+        changes.push_back({Change::kForgets, kLength / 2, i});
     const auto cell =
         boxes[static_cast<std::size_t>(oneOf(draw, 0, static_cast<int>(boxes.size()) - 1))].cell;
     const double cut = in(draw, 1, kLength - 2), back = cut + in(draw, 0.5, 1.5);
     const bool writers = chance(draw, 0.4);  // all of them, or a cell
     for (std::size_t i = 0; i < boxes.size(); ++i) {
-      if (writers ? roleOf(i) != Role::kWriter : boxes[i].cell != cell) continue;
+      if (writers ? roleOf(i) != Role::kWriter : boxes[i].cell != cell)
+        continue;
       changes.push_back({Change::kCut, cut, i});
       changes.push_back({Change::kBack, back, i});
     }
     std::vector<std::size_t> order(boxes.size());
-    for (std::size_t i = 0; i < order.size(); ++i) order[i] = i;
+    for (std::size_t i = 0; i < order.size(); ++i)
+      order[i] = i;
     std::shuffle(order.begin(), order.end(), draw);
     double at = in(draw, 0.8, 1.5);
     for (const std::size_t i : order) {
@@ -209,7 +234,8 @@
       changes.push_back({Change::kEnds, at + 2, i});
       changes.push_back({Change::kStarts, at + 2.4, i});
       at += in(draw, 1.6, 2.8);  // a few at a time, as anywhere
-      if (at > kLength - 2) break;
+      if (at > kLength - 2)
+        break;
     }
   }
 
--- a/tests/support/etcd_stand_in.h
+++ b/tests/support/etcd_stand_in.h
@@ -1,6 +1,7 @@
-// A stand-in for an etcd cluster of one: as much of the published v3 API as the program uses, in the JSON
-// form of its gateway, with revisions, compare-and-swap, leases that expire, and the troubles that a client
-// may meet. What it carries out it writes down, in order, for checkers to read.
+// A stand-in for an etcd cluster of one: as much of the published v3 API as the program uses, in
+// the JSON form of its gateway, with revisions, compare-and-swap, leases that expire, and the
+// troubles that a client may meet. What it carries out it writes down, in order, for checkers to
+// read.
 #pragma once
 
 #include <boost/beast/core/detail/base64.hpp>
@@ -28,7 +29,13 @@
   EtcdStandIn(boost::asio::io_context& io, const core::Clock& clock, core::Deadlines& deadlines)
       : clock_(clock),
         deadlines_(deadlines),
-        listener_(std::make_unique<net::Listener>(io, anyPort(), 1000, *this, clock, deadlines, counters_)) {}
+        listener_(std::make_unique<net::Listener>(io,
+                                                  anyPort(),
+                                                  1000,
+                                                  *this,
+                                                  clock,
+                                                  deadlines,
+                                                  counters_)) {}
 
   net::Endpoint address() const { return listener_->address(); }
   const std::vector<Event>& history() const { return history_; }
@@ -39,7 +46,8 @@
   }
   std::uint64_t revision() const { return revision_; }
 
-  // ---- Troubles ------------------------------------------------------------------------------------
+  // ---- Troubles
+  // ------------------------------------------------------------------------------------
   bool noLeader = false;  // answers 503, as members do without one; leases wait meanwhile
   std::function<bool(const json&)>
       loseAnswer;  // carried out, and the connection broken in place of an answer
@@ -47,7 +55,8 @@
 
   // As after a change of leader: every lease lives its whole time once more.
   void newLeader() {
-    for (auto& [id, lease] : leases_) lease.untilMs = clock_.nowMs() + lease.ttlMs;
+    for (auto& [id, lease] : leases_)
+      lease.untilMs = clock_.nowMs() + lease.ttlMs;
     noLeader = false;
   }
   // Put back to what it was, revisions and all.
@@ -55,26 +64,32 @@
   std::shared_ptr<Copy> copy() const;
   void putBack(const Copy& older);
 
-  // ---- The wire ------------------------------------------------------------------------------------
-  void request(const std::shared_ptr<net::ClientConnection>& connection, net::HttpRequest&& request,
+  // ---- The wire
+  // ------------------------------------------------------------------------------------
+  void request(const std::shared_ptr<net::ClientConnection>& connection,
+               net::HttpRequest&& request,
                double) override {
     const std::string path(request.target());
     json body = json::parse(request.body(), nullptr, false);
     if (request.method() != boost::beast::http::verb::post || !body.is_object())
       return error(connection, 400, 3, "not a request of this API");
     const auto work = [this, connection, path, body] {
-      if (noLeader) return error(connection, 503, 14, "etcdserver: no leader");
+      if (noLeader)
+        return error(connection, 503, 14, "etcdserver: no leader");
       expire();
       try {
         const json answer = carryOut(path, body);
-        if (loseAnswer && loseAnswer(body)) return connection->breakOff();
+        if (loseAnswer && loseAnswer(body))
+          return connection->breakOff();
         connection->answer(200, {{"Content-Type", "application/json"}}, answer.dump());
       } catch (const Fault& fault) {
         error(connection, fault.status, fault.code, fault.what);
       }
     };
-    if (slowMs > 0) deadlines_.add(clock_.nowMs() + slowMs, work);
-    else work();
+    if (slowMs > 0)
+      deadlines_.add(clock_.nowMs() + slowMs, work);
+    else
+      work();
   }
   void gone(net::ClientConnection&) override {}
   void drained(net::ClientConnection&) override {}
@@ -111,27 +126,35 @@
     return text;
   }
   static std::uint64_t number(const json& in, const char* name) {
-    if (!in.contains(name)) return 0;
+    if (!in.contains(name))
+      return 0;
     return in.at(name).is_string() ? std::stoull(in.at(name).get<std::string>())
                                    : in.at(name).get<std::uint64_t>();
   }
   static std::string bytes(const json& in, const char* name) { return decoded(in.value(name, "")); }
   json header() const {
-    return {
-        {"cluster_id", "1"}, {"member_id", "1"}, {"revision", std::to_string(revision_)}, {"raft_term", "2"}};
+    return {{"cluster_id", "1"},
+            {"member_id", "1"},
+            {"revision", std::to_string(revision_)},
+            {"raft_term", "2"}};
   }
-  void error(const std::shared_ptr<net::ClientConnection>& connection, unsigned status, int code,
+  void error(const std::shared_ptr<net::ClientConnection>& connection,
+             unsigned status,
+             int code,
              const std::string& what) {
     connection->answer(status, {{"Content-Type", "application/json"}},
                        json{{"error", what}, {"code", code}, {"message", what}}.dump());
   }
 
   void expire() {
-    if (noLeader) return;
+    if (noLeader)
+      return;
     const double now = clock_.nowMs();
     for (auto it = leases_.begin(); it != leases_.end();) {
-      if (now < it->second.untilMs) ++it;
-      else it = drop(it, Event::Kind::kExpired);
+      if (now < it->second.untilMs)
+        ++it;
+      else
+        it = drop(it, Event::Kind::kExpired);
     }
   }
   std::map<std::uint64_t, Lease>::iterator drop(std::map<std::uint64_t, Lease>::iterator lease,
@@ -162,7 +185,8 @@
                        {"version", std::to_string(it->second.version)},
                        {"lease", std::to_string(it->second.lease)}});
     json answer{{"header", header()}};
-    if (!found.empty()) answer["kvs"] = found, answer["count"] = std::to_string(found.size());
+    if (!found.empty())
+      answer["kvs"] = found, answer["count"] = std::to_string(found.size());
     return answer;
   }
 
@@ -172,29 +196,36 @@
     const std::string target = compare.value("target", "VERSION");
     if (compare.value("result", "EQUAL") != "EQUAL")
       throw Fault{400, 3, "the stand-in compares for equality only"};
-    if (target == "CREATE") return key.created == number(compare, "create_revision");
-    if (target == "MOD") return key.modified == number(compare, "mod_revision");
-    if (target == "VERSION") return key.version == number(compare, "version");
+    if (target == "CREATE")
+      return key.created == number(compare, "create_revision");
+    if (target == "MOD")
+      return key.modified == number(compare, "mod_revision");
+    if (target == "VERSION")
+      return key.version == number(compare, "version");
     return it != keys_.end() && key.value == bytes(compare, "value");
   }
 
   json txn(const json& asked) {
     bool all = true;
-    for (const json& compare : asked.value("compare", json::array())) all = all && holds(compare);
+    for (const json& compare : asked.value("compare", json::array()))
+      all = all && holds(compare);
     const json operations = asked.value(all ? "success" : "failure", json::array());
     bool writes = false;
     std::set<std::string> named;
     for (const json& one : operations) {
-      if (one.contains("request_range")) continue;
+      if (one.contains("request_range"))
+        continue;
       writes = true;
-      const json& what = one.contains("request_put") ? one["request_put"] : one["request_delete_range"];
+      const json& what =
+          one.contains("request_put") ? one["request_put"] : one["request_delete_range"];
       if (!named.insert(bytes(what, "key")).second)
         throw Fault{400, 3, "etcdserver: duplicate key given in txn request"};
       const auto lease = number(what, "lease");
       if (lease != 0 && leases_.count(lease) == 0)
         throw Fault{404, 5, "etcdserver: requested lease not found"};
     }
-    if (writes) ++revision_;
+    if (writes)
+      ++revision_;
     json responses = json::array();
     for (const json& one : operations) {
       if (one.contains("request_range")) {
@@ -212,7 +243,8 @@
       }
     }
     json answer{{"header", header()}, {"responses", responses}};
-    if (all) answer["succeeded"] = true;  // what is false is left out
+    if (all)
+      answer["succeeded"] = true;  // what is false is left out
     return answer;
   }
 
@@ -221,19 +253,23 @@
     key.value = bytes(asked, "value");
     key.lease = number(asked, "lease");
     key.modified = revision_;
-    if (key.version++ == 0) key.created = revision_;
+    if (key.version++ == 0)
+      key.created = revision_;
     history_.push_back({Event::Kind::kPut, bytes(asked, "key"), key.value, clock_.nowMs()});
   }
 
   json carryOut(const std::string& path, const json& body) {
-    if (path == "/v3/kv/range") return range(body);
-    if (path == "/v3/kv/txn") return txn(body);
+    if (path == "/v3/kv/range")
+      return range(body);
+    if (path == "/v3/kv/txn")
+      return txn(body);
     if (path == "/v3/lease/grant") {
       const std::uint64_t id = 7587800000000000000ULL + ++granted_;
       const double ttl = static_cast<double>(number(body, "TTL"));
       leases_[id] = {ttl * 1000, clock_.nowMs() + ttl * 1000};
-      return {
-          {"header", header()}, {"ID", std::to_string(id)}, {"TTL", std::to_string(static_cast<long>(ttl))}};
+      return {{"header", header()},
+              {"ID", std::to_string(id)},
+              {"TTL", std::to_string(static_cast<long>(ttl))}};
     }
     const auto lease = leases_.find(number(body, "ID"));
     if (path == "/v3/lease/keepalive") {
@@ -244,13 +280,16 @@
       }
       return {{"result", result}};
     }
-    if (path == "/v3/lease/timetolive") {  // in whole seconds, rounded down; -1 for one that is gone
-      const long left =
-          lease == leases_.end() ? -1 : static_cast<long>((lease->second.untilMs - clock_.nowMs()) / 1000);
+    if (path ==
+        "/v3/lease/timetolive") {  // in whole seconds, rounded down; -1 for one that is gone
+      const long left = lease == leases_.end()
+                            ? -1
+                            : static_cast<long>((lease->second.untilMs - clock_.nowMs()) / 1000);
       return {{"header", header()}, {"ID", body.value("ID", "0")}, {"TTL", std::to_string(left)}};
     }
     if (path == "/v3/lease/revoke") {
-      if (lease == leases_.end()) throw Fault{404, 5, "etcdserver: requested lease not found"};
+      if (lease == leases_.end())
+        throw Fault{404, 5, "etcdserver: requested lease not found"};
       drop(lease, Event::Kind::kDeleted);
       return {{"header", header()}};
     }
--- a/tests/support/fault_layer.h
+++ b/tests/support/fault_layer.h
@@ -1,5 +1,5 @@
-// Stands between one process and a server, on the loopback: cut, one way only, slow, reset, and bytes that
-// are held back until told otherwise.
+// Stands between one process and a server, on the loopback: cut, one way only, slow, reset, and
+// bytes that are held back until told otherwise.
 #pragma once
 
 #include <list>
@@ -25,22 +25,27 @@
     accept();
   }
   ~FaultLayer() {
-    for (const auto& pair : pairs_) pair->shut();
+    for (const auto& pair : pairs_)
+      pair->shut();
   }
 
   net::Endpoint address() const { return acceptor_.local_endpoint(); }
   Mode mode() const { return mode_; }
   void set(Mode mode) {
     mode_ = mode;
-    if (mode == Mode::kCut) reset();
-    if (mode == Mode::kPass) release();
+    if (mode == Mode::kCut)
+      reset();
+    if (mode == Mode::kPass)
+      release();
   }
   void reset() {
-    for (const auto& pair : pairs_) pair->shut();
+    for (const auto& pair : pairs_)
+      pair->shut();
     pairs_.clear();
   }
   void release() {
-    for (const auto& pair : pairs_) pair->release();
+    for (const auto& pair : pairs_)
+      pair->release();
   }
   // Called with what the process sends: true turns to kHold before it is passed on.
   std::function<bool(const std::string&)> holdWhen;
@@ -53,7 +58,8 @@
     void start() {
       boost::system::error_code error;
       server.connect(layer->server_, error);
-      if (error) return shut();
+      if (error)
+        return shut();
       pump(process, server, up, /*isUp=*/true);
       pump(server, process, down, /*isUp=*/false);
     }
@@ -61,24 +67,34 @@
       from.async_read_some(boost::asio::buffer(buffer),
                            [self = shared_from_this(), &from, &to, &buffer, isUp](
                                const boost::system::error_code& error, std::size_t count) {
-                             if (self->layer == nullptr) return;
-                             if (error) return self->shut();
+                             if (self->layer == nullptr)
+                               return;
+                             if (error)
+                               return self->shut();
                              const std::string bytes(buffer.data(), count);
                              FaultLayer& layer = *self->layer;
-                             if (isUp && layer.holdWhen && layer.holdWhen(bytes)) layer.mode_ = Mode::kHold;
-                             const bool lost = layer.mode_ == (isUp ? Mode::kDeafUp : Mode::kDeafDown);
-                             if (isUp && layer.mode_ == Mode::kHold) self->held += bytes;
-                             else if (!lost) self->send(to, bytes);
-                             if (self->layer != nullptr) self->pump(from, to, buffer, isUp);
+                             if (isUp && layer.holdWhen && layer.holdWhen(bytes))
+                               layer.mode_ = Mode::kHold;
+                             const bool lost =
+                                 layer.mode_ == (isUp ? Mode::kDeafUp : Mode::kDeafDown);
+                             if (isUp && layer.mode_ == Mode::kHold)
+                               self->held += bytes;
+                             else if (!lost)
+                               self->send(to, bytes);
+                             if (self->layer != nullptr)
+                               self->pump(from, to, buffer, isUp);
                            });
     }
     void send(tcp::socket& to, const std::string& bytes) {
       boost::system::error_code error;
-      boost::asio::write(to, boost::asio::buffer(bytes), error);  // small, and read at once by either side
-      if (error) shut();
+      boost::asio::write(to, boost::asio::buffer(bytes),
+                         error);  // small, and read at once by either side
+      if (error)
+        shut();
     }
     void release() {
-      if (!held.empty() && layer != nullptr) send(server, std::exchange(held, ""));
+      if (!held.empty() && layer != nullptr)
+        send(server, std::exchange(held, ""));
     }
     void shut() {
       layer = nullptr;
@@ -96,7 +112,8 @@
 
   void accept() {
     acceptor_.async_accept([this](const boost::system::error_code& error, tcp::socket socket) {
-      if (error) return;
+      if (error)
+        return;
       const auto pair = std::make_shared<Pair>(*this, std::move(socket));
       if (mode_ == Mode::kCut) {
         pair->shut();
--- a/tests/support/folder.h
+++ b/tests/support/folder.h
@@ -9,7 +9,8 @@
 
 struct Folder {
   Folder() {
-    std::string name = (std::filesystem::temp_directory_path() / "dahliastall-test-XXXXXX").string();
+    std::string name =
+        (std::filesystem::temp_directory_path() / "dahliastall-test-XXXXXX").string();
     path = ::mkdtemp(name.data());
   }
   ~Folder() { std::filesystem::remove_all(path); }
--- a/tests/support/lease_world.h
+++ b/tests/support/lease_world.h
@@ -1,6 +1,6 @@
-// A few candidates, the network and a store in one value that can be copied, for searches through all orders
-// of what may happen. The candidates are the program's own state machines; the store decides by the program's
-// own rules; the witness is the tests' own and knows neither.
+// A few candidates, the network and a store in one value that can be copied, for searches through
+// all orders of what may happen. The candidates are the program's own state machines; the store
+// decides by the program's own rules; the witness is the tests' own and knows neither.
 #pragma once
 
 #include <deque>
@@ -21,21 +21,24 @@
 enum class Mutant { kNone, kNoDriftMargin, kValidFromAnswer, kNoFence, kFenceForgotten };
 
 inline const char* nameOf(Mutant mutant) {
-  constexpr const char* kNames[] = {"none", "no drift margin", "validity counted from the answer", "no fence",
-                                    "fence reused after a store restart"};
+  constexpr const char* kNames[] = {"none", "no drift margin", "validity counted from the answer",
+                                    "no fence", "fence reused after a store restart"};
   return kNames[static_cast<int>(mutant)];
 }
 
-// Sees every effect that arrives. It refuses what carries an older fence, or the fence of another holder, and
-// keeps what it took in order.
+// Sees every effect that arrives. It refuses what carries an older fence, or the fence of another
+// holder, and keeps what it took in order.
 class Witness {
  public:
   enum class Checks { kAll, kNumbersOnly, kNothing };
   explicit Witness(Checks checks = Checks::kAll) : checks_(checks) {}
   bool take(const Holder& who, std::uint64_t fence) {
-    const bool older = fence < highest_, other = fence == highest_ && highest_ != 0 && who != holder_;
-    if (checks_ != Checks::kNothing && older) return false;
-    if (checks_ == Checks::kAll && other) return false;
+    const bool older = fence < highest_,
+               other = fence == highest_ && highest_ != 0 && who != holder_;
+    if (checks_ != Checks::kNothing && older)
+      return false;
+    if (checks_ == Checks::kAll && other)
+      return false;
     inOrder_ = inOrder_ && !older && !other;
     highest_ = std::max(highest_, fence);
     holder_ = who;
@@ -81,7 +84,8 @@
         witness(mutant == Mutant::kNoFence          ? Witness::Checks::kNothing
                 : mutant == Mutant::kFenceForgotten ? Witness::Checks::kNumbersOnly
                                                     : Witness::Checks::kAll) {
-    for (std::size_t i = 0; i < candidates; ++i) add(i);
+    for (std::size_t i = 0; i < candidates; ++i)
+      add(i);
   }
 
   void add(std::size_t i) {
@@ -97,7 +101,8 @@
     }
   }
 
-  // ---- What may happen -----------------------------------------------------------------------------
+  // ---- What may happen
+  // -----------------------------------------------------------------------------
 
   enum class Kind {
     kTick,
@@ -121,21 +126,29 @@
   std::vector<Step> possible() const {
     std::vector<Step> steps{{Kind::kTick}, {Kind::kTickFast}};
     for (std::size_t i = 0; i < leases.size(); ++i) {
-      if (leases[i].nextMs() <= now[i]) steps.push_back({Kind::kRun, i});
-      if (Lease copy = leases[i]; copy.beginStep(now[i])) steps.push_back({Kind::kAct, i});
-      if (budget.kills > 0) steps.push_back({Kind::kKill, i});
+      if (leases[i].nextMs() <= now[i])
+        steps.push_back({Kind::kRun, i});
+      if (Lease copy = leases[i]; copy.beginStep(now[i]))
+        steps.push_back({Kind::kAct, i});
+      if (budget.kills > 0)
+        steps.push_back({Kind::kKill, i});
     }
     for (std::size_t i = 0; i < asks.size(); ++i) {
       steps.push_back({Kind::kAsk, i});
-      if (budget.repeated > 0) steps.push_back({Kind::kAskKept, i});
-      if (budget.lost > 0) steps.push_back({Kind::kAskLost, i});
+      if (budget.repeated > 0)
+        steps.push_back({Kind::kAskKept, i});
+      if (budget.lost > 0)
+        steps.push_back({Kind::kAskLost, i});
     }
     for (std::size_t i = 0; i < answers.size(); ++i) {
       steps.push_back({Kind::kAnswer, i});
-      if (budget.lost > 0) steps.push_back({Kind::kAnswerLost, i});
+      if (budget.lost > 0)
+        steps.push_back({Kind::kAnswerLost, i});
     }
-    for (std::size_t i = 0; i < effects.size(); ++i) steps.push_back({Kind::kEffect, i});
-    if (budget.restarts > 0) steps.push_back({Kind::kRestart});
+    for (std::size_t i = 0; i < effects.size(); ++i)
+      steps.push_back({Kind::kEffect, i});
+    if (budget.restarts > 0)
+      steps.push_back({Kind::kRestart});
     return steps;
   }
 
@@ -144,8 +157,8 @@
     switch (step.kind) {
       case Kind::kTick:
       case Kind::kTickFast:
-        // The worst that the bound on clocks allows: the store's is the fastest, one candidate's the slowest,
-        // another's the fastest, and the first one's may turn from one to the other.
+        // The worst that the bound on clocks allows: the store's is the fastest, one candidate's
+        // the slowest, another's the fastest, and the first one's may turn from one to the other.
         storeNow += kTickMs * (1 + kDrift);
         for (std::size_t p = 0; p < now.size(); ++p) {
           const bool slow = p == 0 ? step.kind == Kind::kTick : p == 1;
@@ -153,7 +166,8 @@
         }
         break;
       case Kind::kRun:
-        if (auto ask = leases[i].tick(now[i])) asks.push_back(*ask);
+        if (auto ask = leases[i].tick(now[i]))
+          asks.push_back(*ask);
         break;
       case Kind::kAct: {
         const auto fence = leases[i].beginStep(now[i]);
@@ -163,8 +177,10 @@
       case Kind::kAsk:
       case Kind::kAskKept:
         answers.push_back({asks[i].who, decide(cell, asks[i], storeNow, 0)});
-        if (step.kind == Kind::kAsk) asks.erase(asks.begin() + static_cast<long>(i));
-        else --budget.repeated;
+        if (step.kind == Kind::kAsk)
+          asks.erase(asks.begin() + static_cast<long>(i));
+        else
+          --budget.repeated;
         break;
       case Kind::kAskLost:
         --budget.lost;
@@ -174,7 +190,8 @@
         const auto [to, answer] = answers[i];
         answers.erase(answers.begin() + static_cast<long>(i));
         for (std::size_t p = 0; p < leases.size(); ++p)
-          if (leases[p].who() == to) leases[p].answered(answer, now[p]);
+          if (leases[p].who() == to)
+            leases[p].answered(answer, now[p]);
         break;
       }
       case Kind::kAnswerLost:
@@ -185,9 +202,12 @@
         const Effect effect = effects[i];
         effects.erase(effects.begin() + static_cast<long>(i));
         const bool taken = witness.take(effect.who, effect.fence);
-        if (leases[effect.from].who() != effect.who) break;
-        if (taken) leases[effect.from].stepEnded(true, now[effect.from]);
-        else leases[effect.from].refused(now[effect.from]);
+        if (leases[effect.from].who() != effect.who)
+          break;
+        if (taken)
+          leases[effect.from].stepEnded(true, now[effect.from]);
+        else
+          leases[effect.from].refused(now[effect.from]);
         break;
       }
       case Kind::kKill:
@@ -196,22 +216,30 @@
         break;
       case Kind::kRestart:
         --budget.restarts;
-        // What a store has said is kept; a lease that it held for somebody may live on a whole time longer.
-        if (mutant == Mutant::kFenceForgotten) cell = LeaseCell{};
-        else if (cell.record) cell.untilMs = storeNow + config().ttlMs;
+        // What a store has said is kept; a lease that it held for somebody may live on a whole time
+        // longer.
+        if (mutant == Mutant::kFenceForgotten)
+          cell = LeaseCell{};
+        else if (cell.record)
+          cell.untilMs = storeNow + config().ttlMs;
         asks.clear();
         break;
     }
   }
 
-  // ---- What has to hold ----------------------------------------------------------------------------
+  // ---- What has to hold
+  // ----------------------------------------------------------------------------
 
   std::optional<std::string> broken() const {
-    if (!witness.inOrder()) return "effects were taken out of order";
+    if (!witness.inOrder())
+      return "effects were taken out of order";
     std::size_t within = 0;
-    for (std::size_t i = 0; i < leases.size(); ++i) within += leases[i].withinValidity(now[i]);
-    // With fences that are forgotten two may well take themselves for holders; what counts is what they do.
-    if (within > 1 && mutant != Mutant::kFenceForgotten) return "two holders within their own validity";
+    for (std::size_t i = 0; i < leases.size(); ++i)
+      within += leases[i].withinValidity(now[i]);
+    // With fences that are forgotten two may well take themselves for holders; what counts is what
+    // they do.
+    if (within > 1 && mutant != Mutant::kFenceForgotten)
+      return "two holders within their own validity";
     return std::nullopt;
   }
 
@@ -229,9 +257,11 @@
       std::apply(
           [&](const auto&... part) {
             const auto one = [&](const auto& value) {
-              if constexpr (std::is_arithmetic_v<std::decay_t<decltype(value)>>) put(value);
+              if constexpr (std::is_arithmetic_v<std::decay_t<decltype(value)>>)
+                put(value);
               else
-                for (const auto& [number, verb, age] : value) put(number), put(verb), put(age);
+                for (const auto& [number, verb, age] : value)
+                  put(number), put(verb), put(age);
             };
             (one(part), ...);
           },
@@ -239,13 +269,16 @@
     }
     put(cell.fence), who(cell.last), put(cell.lastNumber);
     put(cell.record.has_value());
-    if (cell.record) who(cell.record->holder), put(std::max(-1.0, cell.untilMs - storeNow));
-    for (const LeaseAsk& ask : asks) who(ask.who), put(ask.number), put(ask.verb), put(ask.fence);
+    if (cell.record)
+      who(cell.record->holder), put(std::max(-1.0, cell.untilMs - storeNow));
+    for (const LeaseAsk& ask : asks)
+      who(ask.who), put(ask.number), put(ask.verb), put(ask.fence);
     text += '|';
     for (const auto& [to, answer] : answers)
       who(to), put(answer.number), put(answer.found), put(answer.fence), put(answer.leftMs);
     text += '|';
-    for (const Effect& effect : effects) who(effect.who), put(effect.fence);
+    for (const Effect& effect : effects)
+      who(effect.who), put(effect.fence);
     put(witness.highest()), who(witness.holder());
     put(budget);
     return text;
@@ -263,10 +296,12 @@
       case Kind::kRun:
         return name(leases[i].who()) + " runs (" + nameOf(leases[i].state()) + ")";
       case Kind::kAct:
-        return name(leases[i].who()) + " acts under fence " + std::to_string(leases[i].fenceNumber());
+        return name(leases[i].who()) + " acts under fence " +
+               std::to_string(leases[i].fenceNumber());
       case Kind::kAsk:
       case Kind::kAskKept:
-        return "the store carries out " + name(asks[i].who) + "'s " + kVerbs[static_cast<int>(asks[i].verb)] +
+        return "the store carries out " + name(asks[i].who) + "'s " +
+               kVerbs[static_cast<int>(asks[i].verb)] +
                (step.kind == Kind::kAsk ? "" : ", which will come again");
       case Kind::kAskLost:
         return "an ask of " + name(asks[i].who) + " is lost";
@@ -275,8 +310,8 @@
       case Kind::kAnswerLost:
         return "an answer to " + name(answers[i].first) + " is lost";
       case Kind::kEffect:
-        return "the effect of " + name(effects[i].who) + " under fence " + std::to_string(effects[i].fence) +
-               " arrives";
+        return "the effect of " + name(effects[i].who) + " under fence " +
+               std::to_string(effects[i].fence) + " arrives";
       case Kind::kKill:
         return name(leases[i].who()) + " is killed and starts anew";
       case Kind::kRestart:
@@ -322,7 +357,8 @@
       for (const World::Step& step : world.possible()) {
         World after = world;
         after.take(step);
-        if (!seen.insert(hashOf(after.key())).second) continue;
+        if (!seen.insert(hashOf(after.key())).second)
+          continue;
         from.push_back({number, step});
         if (const auto broken = after.broken()) {
           found.broken = *broken;
@@ -341,7 +377,8 @@
       }
     }
     layer = std::move(next);
-    if (layer.empty()) break;
+    if (layer.empty())
+      break;
   }
   found.states = from.size();
   return found;
--- a/tests/support/live_bytes.h
+++ b/tests/support/live_bytes.h
@@ -1,4 +1,5 @@
-// Counts what a test's process holds by new: for the one source file of a binary that includes this.
+// Counts what a test's process holds by new: for the one source file of a binary that includes
+// this.
 #pragma once
 
 #include <malloc.h>
@@ -27,13 +28,17 @@
 
 void* operator new(std::size_t size) {
   void* at = std::malloc(size == 0 ? 1 : size);
-  if (at == nullptr) throw std::bad_alloc();
+  if (at == nullptr)
+    throw std::bad_alloc();
   dahliastall::liveBytes += malloc_usable_size(at);
   dahliastall::mostBytes = std::max(dahliastall::mostBytes, dahliastall::liveBytes);
   return at;
 }
 void operator delete(void* at) noexcept {
-  if (at != nullptr) dahliastall::liveBytes -= malloc_usable_size(at);
+  if (at != nullptr)
+    dahliastall::liveBytes -= malloc_usable_size(at);
   std::free(at);
 }
-void operator delete(void* at, std::size_t) noexcept { operator delete(at); }
+void operator delete(void* at, std::size_t) noexcept {
+  operator delete(at);
+}
--- a/tests/support/platform.h
+++ b/tests/support/platform.h
@@ -1,5 +1,5 @@
-// The program itself as the platform runs it: real processes between a stand-in discovery, two model boxes
-// and clients of a test's own.
+// The program itself as the platform runs it: real processes between a stand-in discovery, two
+// model boxes and clients of a test's own.
 #pragma once
 
 #include <fstream>
@@ -14,7 +14,8 @@
 struct Discovery final : net::RequestHandler {
   Discovery(boost::asio::io_context& io, const core::Clock& clock, core::Deadlines& deadlines)
       : listener(io, anyPort(), 100, *this, clock, deadlines, counters) {}
-  void request(const std::shared_ptr<net::ClientConnection>& connection, net::HttpRequest&&,
+  void request(const std::shared_ptr<net::ClientConnection>& connection,
+               net::HttpRequest&&,
                double) override {
     connection->beginStream({});
     connection->pass(line);
@@ -22,7 +23,8 @@
   }
   // To all that watch, in their open answers.
   void tell(const std::string& text) {
-    for (const auto& watch : watches) watch->pass(text);
+    for (const auto& watch : watches)
+      watch->pass(text);
   }
   void gone(net::ClientConnection&) override {}
   void drained(net::ClientConnection&) override {}
@@ -57,12 +59,18 @@
             {"size", 1.0},     {"up_since_ms", upSinceMs}};
   }
   static std::string listOf(int revision, bool complete, const nlohmann::json& members) {
-    return nlohmann::json{{"revision", revision}, {"complete", complete}, {"members", members}}.dump() + "\n";
+    return nlohmann::json{{"revision", revision}, {"complete", complete}, {"members", members}}
+               .dump() +
+           "\n";
   }
   void writeConfiguration() {
-    std::ofstream(folder.path + "/config.json") << nlohmann::json{
-        {"name", "n0"}, {"listen", textOf(listen)},     {"discovery", textOf(discovery.listener.address())},
-        {"seed", "7"},  {"limits", {{"sockets", 512}}}, {"settings", settings}};
+    std::ofstream(folder.path + "/config.json")
+        << nlohmann::json{{"name", "n0"},
+                          {"listen", textOf(listen)},
+                          {"discovery", textOf(discovery.listener.address())},
+                          {"seed", "7"},
+                          {"limits", {{"sockets", 512}}},
+                          {"settings", settings}};
   }
   pid_t start(const net::Endpoint& door) {
     std::vector<std::string> variables{"GW_CONFIG=" + folder.path + "/config.json",
@@ -76,7 +84,9 @@
     return status.value_or(-1);
   }
 
-  std::string call(const net::Endpoint& door, const std::string& line) { return callAdmin(io, door, line); }
+  std::string call(const net::Endpoint& door, const std::string& line) {
+    return callAdmin(io, door, line);
+  }
   bool ready(const net::Endpoint& door) {
     return until([&] { return call(door, "readyz").rfind("ok", 0) == 0; });
   }
--- a/tests/support/program.h
+++ b/tests/support/program.h
@@ -21,8 +21,8 @@
   return at.address().to_string() + ":" + std::to_string(at.port());
 }
 
-// At a loopback address of this test process's own, where nobody else binds: a port that was free a moment
-// ago at the common one may be taken by anybody's connection before the program binds it.
+// At a loopback address of this test process's own, where nobody else binds: a port that was free a
+// moment ago at the common one may be taken by anybody's connection before the program binds it.
 inline net::Endpoint freePort() {
   static std::uint16_t port = 20'000;
   const auto own = static_cast<std::uint32_t>(::getpid()) & 0x3fffff;
@@ -38,17 +38,20 @@
     }
   }
 
-  // words: after the program's name; own: NAME=value, instead of whatever the environment says of these
-  // names.
+  // words: after the program's name; own: NAME=value, instead of whatever the environment says of
+  // these names.
   pid_t start(std::vector<std::string> words, const std::vector<std::string>& own) {
     words.insert(words.begin(), DAHLIASTALL_PROGRAM);
     std::vector<char*> raw, variables;
-    for (const std::string& word : words) raw.push_back(const_cast<char*>(word.c_str()));
+    for (const std::string& word : words)
+      raw.push_back(const_cast<char*>(word.c_str()));
     for (char** variable = environ; *variable != nullptr; ++variable) {
       const std::string_view name(*variable);
-      if (name.rfind("TMPDIR=", 0) != 0 && name.rfind("GW_", 0) != 0) variables.push_back(*variable);
+      if (name.rfind("TMPDIR=", 0) != 0 && name.rfind("GW_", 0) != 0)
+        variables.push_back(*variable);
     }
-    for (const std::string& one : own) variables.push_back(const_cast<char*>(one.c_str()));
+    for (const std::string& one : own)
+      variables.push_back(const_cast<char*>(one.c_str()));
     raw.push_back(nullptr);
     variables.push_back(nullptr);
     const pid_t process = ::fork();
@@ -63,7 +66,8 @@
   // Its exit status once it has ended; nothing while it runs.
   std::optional<int> ended(pid_t process) {
     int status = 0;
-    if (::waitpid(process, &status, WNOHANG) != process) return std::nullopt;
+    if (::waitpid(process, &status, WNOHANG) != process)
+      return std::nullopt;
     std::erase(started_, process);
     return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
   }
@@ -78,7 +82,8 @@
 };
 
 // One call at the operators' door.
-inline std::string callAdmin(boost::asio::io_context& io, const net::Endpoint& door,
+inline std::string callAdmin(boost::asio::io_context& io,
+                             const net::Endpoint& door,
                              const std::string& line) {
   RawPeer peer(io);
   try {
--- a/tests/support/rule_book.h
+++ b/tests/support/rule_book.h
@@ -1,4 +1,5 @@
-// The five rules as far as the events and actions of one node show them, for tests that drive a module.
+// The five rules as far as the events and actions of one node show them, for tests that drive a
+// module.
 #pragma once
 
 #include <algorithm>
@@ -43,8 +44,10 @@
 
   void list(const ListEntry& entry) {
     fleet_[entry.engine] = entry;
-    if (entry.presence == Presence::kActive) told_.erase(entry.engine);
-    else told_.try_emplace(entry.engine, now_);
+    if (entry.presence == Presence::kActive)
+      told_.erase(entry.engine);
+    else
+      told_.try_emplace(entry.engine, now_);
   }
 
   Held& arrived(const RequestId& id, ClassIndex cls, Duration left) {
@@ -64,8 +67,10 @@
     const Out attempt = held.out.at(n);
     held.out.erase(n);
     const bool proof = outcome == Outcome::kFull || outcome == Outcome::kNoConnection;
-    if (attempt.writes && !proof) held.mayHaveRun.push_back(attempt);
-    if (outcome == Outcome::kRead) held.pinned = true;
+    if (attempt.writes && !proof)
+      held.mayHaveRun.push_back(attempt);
+    if (outcome == Outcome::kRead)
+      held.pinned = true;
     held.pinnedAt = now_;
     const bool concluded = held.over || held.streaming || outcome == Outcome::kServed;
     held.over = held.over || concluded;
@@ -75,13 +80,15 @@
 
   void drainRule(const EngineId& id) const {
     const auto it = told_.find(id);
-    if (it == told_.end()) return;
+    if (it == told_.end())
+      return;
     EXPECT_LE((now_ - it->second).count(), set_.contract.drainGrace.count()) << "rule three";
   }
 
   bool sameGroup(const EngineId& a, const EngineId& b, Group group) const {
     const ListEntry &one = entryOf(a), &other = entryOf(b);
-    return group == Group::kAll || (group == Group::kZone ? one.zone == other.zone : one.cell == other.cell);
+    return group == Group::kAll ||
+           (group == Group::kZone ? one.zone == other.zone : one.cell == other.cell);
   }
 
   void see(const Send& send) {
@@ -93,8 +100,10 @@
     EXPECT_TRUE(set_.limits.secondCopies || held.out.empty()) << "rule two: two attempts out";
     for (const Out& ran : held.mayHaveRun) {
       EXPECT_NE(cls.effect, Effect::kUnsafe) << "rule two: unsafe work repeated";
-      if (cls.effect != Effect::kKeyed) continue;
-      EXPECT_LT((now_ - ran.sentAt).count(), cls.dedupWindow.count()) << "rule two: past the window";
+      if (cls.effect != Effect::kKeyed)
+        continue;
+      EXPECT_LT((now_ - ran.sentAt).count(), cls.dedupWindow.count())
+          << "rule two: past the window";
       EXPECT_TRUE(sameGroup(ran.engine, send.engine, cls.group)) << "rule two: another group";
     }
     EXPECT_LT(held.sent, set_.limits.maxAttempts);
@@ -112,15 +121,17 @@
   // As on the wire, what an attempt still waits for is not let go.
   void see(const Release& release) {
     Held& held = held_.at(release.request);
-    const bool awaited =
-        std::any_of(held.out.begin(), held.out.end(), [](const auto& o) { return o.second.writes; });
-    if (!awaited) held.pinned = false;
+    const bool awaited = std::any_of(held.out.begin(), held.out.end(),
+                                     [](const auto& o) { return o.second.writes; });
+    if (!awaited)
+      held.pinned = false;
   }
   void see(const Refuse& refuse) {
     Held& held = held_.at(refuse.request);
     const ClassSettings& cls = classOf(held);
-    const bool ran = !held.mayHaveRun.empty() || std::any_of(held.out.begin(), held.out.end(),
-                                                             [](const auto& o) { return o.second.writes; });
+    const bool ran =
+        !held.mayHaveRun.empty() || std::any_of(held.out.begin(), held.out.end(),
+                                                [](const auto& o) { return o.second.writes; });
     EXPECT_TRUE(!ran || cls.effect == Effect::kSafe ||
                 (cls.effect == Effect::kKeyed && cls.group == Group::kAll))
         << "rule two: refused what may have run";
@@ -139,7 +150,8 @@
   void conclude(Held& held) {
     EXPECT_FALSE(held.over) << "rule one: a second final answer";
     EXPECT_FALSE(held.streaming) << "rule one: an answer beside a stream";
-    EXPECT_LE((now_ - held.deadline).count(), set_.contract.answerGrace.count()) << "rule one: too late";
+    EXPECT_LE((now_ - held.deadline).count(), set_.contract.answerGrace.count())
+        << "rule one: too late";
     held.over = true;
   }
 
--- a/tests/support/shared_world.h
+++ b/tests/support/shared_world.h
@@ -1,6 +1,6 @@
-// A fleet of the program's own shared state, without processes: a store in memory, links that are cut, slow
-// or one way, conductors that stop, die and start anew, a store that is put back. The world keeps the truth
-// that no conductor knows, and tests compare.
+// A fleet of the program's own shared state, without processes: a store in memory, links that are
+// cut, slow or one way, conductors that stop, die and start anew, a store that is put back. The
+// world keeps the truth that no conductor knows, and tests compare.
 #pragma once
 
 #include <map>
@@ -21,7 +21,8 @@
 struct SharedWorld {
   static constexpr double kTickMs = 100;
 
-  // How budgets are kept: as the program does, or in ways that it does not take, to see what each breaks.
+  // How budgets are kept: as the program does, or in ways that it does not take, to see what each
+  // breaks.
   enum class Way { kLent, kEachAlone, kOneCounter };
 
   struct Options {
@@ -49,7 +50,8 @@
     return config;
   }
 
-  // ---- The store -----------------------------------------------------------------------------------
+  // ---- The store
+  // -----------------------------------------------------------------------------------
   struct State {
     std::map<std::string, coordination::Doc> docs;
     std::uint64_t revision = 0;
@@ -57,22 +59,28 @@
   coordination::CommitAnswer commit(const std::vector<coordination::Write>& writes,
                                     std::optional<std::uint64_t> fence) {
     using coordination::Committed;
-    if (fence && *fence != this->fence) return {Committed::kStaleFence, 0};
-    if (!coordination::acceptable(writes)) return {Committed::kRefused, 0};
+    if (fence && *fence != this->fence)
+      return {Committed::kStaleFence, 0};
+    if (!coordination::acceptable(writes))
+      return {Committed::kRefused, 0};
     for (const auto& write : writes) {
       const auto it = store.docs.find(write.key);
-      if ((it == store.docs.end() ? 0 : it->second.revision) != write.seen) return {Committed::kConflict, 0};
+      if ((it == store.docs.end() ? 0 : it->second.revision) != write.seen)
+        return {Committed::kConflict, 0};
     }
     ++store.revision;
     for (const auto& write : writes) {
       bytes += write.value ? write.value->size() : 0;
-      if (write.value) store.docs[write.key] = {*write.value, store.revision};
-      else store.docs.erase(write.key);
+      if (write.value)
+        store.docs[write.key] = {*write.value, store.revision};
+      else
+        store.docs.erase(write.key);
     }
     return {Committed::kDone, store.revision};
   }
 
-  // ---- Conductors ----------------------------------------------------------------------------------
+  // ---- Conductors
+  // ----------------------------------------------------------------------------------
   struct Open {
     std::string tenant;
     Reservation reservation;
@@ -116,7 +124,9 @@
     hold(0);
   }
 
-  double draw(double least, double most) { return std::uniform_real_distribution<>(least, most)(random); }
+  double draw(double least, double most) {
+    return std::uniform_real_distribution<>(least, most)(random);
+  }
   bool chance(double share) { return draw(0, 1) < share; }
 
   void start(std::size_t i) {
@@ -125,8 +135,8 @@
     node.shared = std::make_unique<SharedNode>(
         options.config, node.name, [this] { return ++drawn; }, now);
     node.task = std::make_unique<DigestTask>(
-        coordination::TaskConfig{"digest", options.config.digestMs, 300}, [this] { return options.config; },
-        [this, i] { return unix() + nodes[i].offsetMs; });
+        coordination::TaskConfig{"digest", options.config.digestMs, 300},
+        [this] { return options.config; }, [this, i] { return unix() + nodes[i].offsetMs; });
     node.downUntil = node.stoppedUntil = 0;
     node.readMs = now + draw(0, 300);
     node.view.reset();
@@ -134,8 +144,10 @@
   }
   void kill(std::size_t i, double forMs) {
     Node& node = nodes[i];
-    if (!alive(i)) return;
-    // What it counted since its last word is gone with it; what it had promised may have been produced.
+    if (!alive(i))
+      return;
+    // What it counted since its last word is gone with it; what it had promised may have been
+    // produced.
     UsageTable unsaid = node.shared->usage();
     addUsage(diedWith, unsaid);
     node.open.clear();
@@ -152,7 +164,8 @@
   }
   double unix() const { return 1.7e12 + now; }
 
-  // ---- The truth -----------------------------------------------------------------------------------
+  // ---- The truth
+  // -----------------------------------------------------------------------------------
   struct Truth {
     std::uint64_t promised = 0;  // spent, and what may still be
     std::uint64_t most = 0;
@@ -172,8 +185,8 @@
   }
 
   void ask(std::size_t i, const std::string& tenant) {
-    ask(i, {tenant, static_cast<std::uint64_t>(draw(100, 1500)), static_cast<std::uint64_t>(draw(50, 400)), 0,
-            0});
+    ask(i, {tenant, static_cast<std::uint64_t>(draw(100, 1500)),
+            static_cast<std::uint64_t>(draw(50, 400)), 0, 0});
   }
   void ask(std::size_t i, Again asked_) {
     Node& node = nodes[i];
@@ -183,10 +196,12 @@
     if (options.way != Way::kLent) {
       answer = {};
       Naive& naive = naives[{i, tenant}];
-      if (naive.period != period) naive = {period, 0, 0};
+      if (naive.period != period)
+        naive = {period, 0, 0};
       if (naive.others + naive.own + prompt + most > options.config.budgets.at(tenant))
         answer.denial = Denial::kUsedUp;
-      else naive.own += prompt + most;
+      else
+        naive.own += prompt + most;
     }
     ++asked;
     if (answer.denial != Denial::kNone) {
@@ -197,7 +212,8 @@
       counted[{tenant, "chat"}].add(refused);
       SharedNode::Ended how{SharedNode::Ended::How::kRefused, 0, 0, prompt + most};
       node.shared->ended(tenant, "chat", answer.reservation, how, now);
-      if (times < 3) node.again.push_back({tenant, prompt, most, now + draw(1000, 2000), times + 1});
+      if (times < 3)
+        node.again.push_back({tenant, prompt, most, now + draw(1000, 2000), times + 1});
       return;
     }
     ++granted;
@@ -235,7 +251,8 @@
     }
   }
 
-  // Ways that are not taken: each by its own count alone, or by one counter that all add to when they can.
+  // Ways that are not taken: each by its own count alone, or by one counter that all add to when
+  // they can.
   struct Naive {
     std::uint64_t period = 0, own = 0, others = 0;
   };
@@ -243,7 +260,8 @@
   std::map<std::pair<std::string, std::uint64_t>, std::uint64_t> counter;
   void addToCounter(std::size_t i) {
     for (auto& [key, naive] : naives) {
-      if (key.first != i) continue;
+      if (key.first != i)
+        continue;
       std::uint64_t& sum = counter[{key.second, naive.period}];
       sum += naive.own;
       naive.own = 0;
@@ -251,51 +269,65 @@
     }
   }
 
-  // ---- Boxes ---------------------------------------------------------------------------------------
+  // ---- Boxes
+  // ---------------------------------------------------------------------------------------
   std::map<std::string, KnownInstance> boxes;
   std::set<std::string> badBoxes;
   void look(std::size_t i) {
-    if (!options.observations || boxes.empty()) return;
+    if (!options.observations || boxes.empty())
+      return;
     Node& node = nodes[i];
     auto availability = node.shared->availabilities(boxes, now);
     if (options.believeAny && node.shared->digest())
       for (const auto& [box, verdict] : node.shared->digest()->boxes)
-        if (verdict.bad > 0 && availability.count(box) != 0) availability[box] = Availability::kExcluded;
+        if (verdict.bad > 0 && availability.count(box) != 0)
+          availability[box] = Availability::kExcluded;
     std::map<std::string, std::size_t> in;
-    for (const auto& [box, at] : availability) in[boxes.at(box).role] += at != Availability::kExcluded;
-    for (const auto& [role, left] : in) fewestIn = std::min(fewestIn, left);
+    for (const auto& [box, at] : availability)
+      in[boxes.at(box).role] += at != Availability::kExcluded;
+    for (const auto& [role, left] : in)
+      fewestIn = std::min(fewestIn, left);
     for (const auto& [box, known] : boxes) {
       const Availability at = availability.at(box);
-      if (at == Availability::kExcluded || at == Availability::kOperator || !chance(0.04)) continue;
+      if (at == Availability::kExcluded || at == Availability::kOperator || !chance(0.04))
+        continue;
       const bool well = badBoxes.count(box) == 0 && !node.badLink;
       ++(well ? goodTries : badTries);
-      if (well) node.shared->observations().recordSuccess(box, now);
-      else node.shared->observations().recordFailure(box, FailureKind::kTimeout, now);
+      if (well)
+        node.shared->observations().recordSuccess(box, now);
+      else
+        node.shared->observations().recordFailure(box, FailureKind::kTimeout, now);
     }
   }
   std::uint64_t goodTries = 0, badTries = 0;
   std::size_t fewestIn = SIZE_MAX;  // of any role, at any conductor
 
-  // ---- Time ----------------------------------------------------------------------------------------
+  // ---- Time
+  // ----------------------------------------------------------------------------------------
   void step() {
     now += kTickMs;
     for (std::size_t i = 0; i < nodes.size(); ++i)
-      if (!alive(i) && now >= nodes[i].downUntil) start(i);
+      if (!alive(i) && now >= nodes[i].downUntil)
+        start(i);
     for (auto it = answers.begin(); it != answers.end();) {
       if (now < it->atMs || (alive(it->node) && !runs(it->node))) {
         ++it;
         continue;
       }
-      if (alive(it->node) && lives[it->node] == it->life) nodes[it->node].shared->written(it->how, now);
+      if (alive(it->node) && lives[it->node] == it->life)
+        nodes[it->node].shared->written(it->how, now);
       it = answers.erase(it);
     }
     for (std::size_t i = 0; i < nodes.size(); ++i)
-      if (runs(i)) turn(i);
+      if (runs(i))
+        turn(i);
     for (std::size_t i = 0; i < nodes.size(); ++i)
-      if (runs(i)) carry(i);
+      if (runs(i))
+        carry(i);
   }
   void run(double ms) {
-    for (const double until = now + ms; now < until;) step();
+    for (const double until = now + ms; now < until;)
+      step();
   }
 
   std::vector<Node> nodes;
@@ -315,20 +347,24 @@
   void turn(std::size_t i) {
     finish(i);
     look(i);
-    if (!traffic) return;
+    if (!traffic)
+      return;
     for (std::size_t k = nodes[i].again.size(); k-- > 0;) {
-      if (now < nodes[i].again[k].atMs) continue;
+      if (now < nodes[i].again[k].atMs)
+        continue;
       const Again due = nodes[i].again[k];
       nodes[i].again.erase(nodes[i].again.begin() + static_cast<std::ptrdiff_t>(k));
       ask(i, due);
     }
-    if (!nodes[i].asked) return;
+    if (!nodes[i].asked)
+      return;
     const double ticks = options.config.periodMs / kTickMs;
     for (const auto& [tenant, limit] : options.config.budgets) {
-      const double mean =
-          static_cast<double>(limit) * options.load / 1000 / ticks / static_cast<double>(nodes.size());
+      const double mean = static_cast<double>(limit) * options.load / 1000 / ticks /
+                          static_cast<double>(nodes.size());
       const int count = std::poisson_distribution<int>(mean)(random);
-      for (int k = 0; k < count; ++k) ask(i, tenant);
+      for (int k = 0; k < count; ++k)
+        ask(i, tenant);
     }
   }
 
@@ -338,28 +374,36 @@
       node.readMs = now + 300;
       std::map<std::string, coordination::Doc> mine;
       for (const std::string& key : node.shared->keys())
-        if (const auto it = store.docs.find(key); it != store.docs.end()) mine[key] = it->second;
+        if (const auto it = store.docs.find(key); it != store.docs.end())
+          mine[key] = it->second;
       node.shared->read(mine, now, now);
-      if (options.way == Way::kOneCounter && node.writes) addToCounter(i);
-      if (node.fence != 0) node.view = coordination::View{store.docs, store.revision, now};
+      if (options.way == Way::kOneCounter && node.writes)
+        addToCounter(i);
+      if (node.fence != 0)
+        node.view = coordination::View{store.docs, store.revision, now};
     }
     if (const auto write = node.shared->next(unix() + node.offsetMs, now)) {
       ++writesAsked;
       coordination::CommitAnswer how;
       const bool arrives = storeUp && node.writes && !chance(lossShare);
-      if (arrives) how = commit({*write}, std::nullopt);
+      if (arrives)
+        how = commit({*write}, std::nullopt);
       const bool heard = arrives && node.reads && !chance(lossShare);
-      answers.push_back(
-          {i, lives[i], now + (heard ? draw(0, 200) : 1000), heard ? how : coordination::CommitAnswer{}});
+      answers.push_back({i, lives[i], now + (heard ? draw(0, 200) : 1000),
+                         heard ? how : coordination::CommitAnswer{}});
     }
-    // Whoever believes to hold the lease goes on by what it last read; the store looks at its fence.
-    if (node.fence == 0 || !node.view || now < node.taskMs) return;
+    // Whoever believes to hold the lease goes on by what it last read; the store looks at its
+    // fence.
+    if (node.fence == 0 || !node.view || now < node.taskMs)
+      return;
     node.taskMs = now + options.config.digestMs;
     const auto step = node.task->next(*node.view, node.fence, now);
-    if (!step || !storeUp || !node.writes) return;
+    if (!step || !storeUp || !node.writes)
+      return;
     const auto how = commit(step->writes, node.fence);
     digests += how.how == coordination::Committed::kDone;
-    if (how.how == coordination::Committed::kStaleFence) node.fence = 0;
+    if (how.how == coordination::Committed::kStaleFence)
+      node.fence = 0;
   }
 
   std::vector<Answer> answers;
--- a/tests/support/site.h
+++ b/tests/support/site.h
@@ -1,4 +1,5 @@
-// Both fronts on the whole program but its signals, between clients and model boxes of a test's own.
+// Both fronts on the whole program but its signals, between clients and model boxes of a test's
+// own.
 #pragma once
 
 #include <map>
@@ -25,12 +26,15 @@
       auto& box = boxes[kind.id];
       box = std::make_unique<StandInBox>(io, clock, boxDeadlines);
       box->script = kind.role == "read" ? answerRead : streamWhole;
-      boxList.push_back(
-          {{"id", kind.id}, {"address", text(box->address())}, {"role", kind.role}, {"cell", kind.cell}});
+      boxList.push_back({{"id", kind.id},
+                         {"address", text(box->address())},
+                         {"role", kind.role},
+                         {"cell", kind.cell}});
     }
     site = fronts::operatorFileOf(
         {{"listen", "127.0.0.1:0"},
-         {"keys", {{{"key", "k"}, {"tenant", "club"}}, {{"key", "desk"}, {"class", "membership-changes"}}}},
+         {"keys",
+          {{{"key", "k"}, {"tenant", "club"}}, {{"key", "desk"}, {"class", "membership-changes"}}}},
          {"models", {{"ask", "member-questions"}, {"change", "membership-changes"}}},
          {"default_max_tokens", 100},
          {"boxes", boxList},
@@ -43,20 +47,22 @@
     });
     engine->conductor.list(site.boxes);
     if (openai)
-      front = std::make_unique<fronts::OpenAiFront>(engine->conductor, site, clock, engine->counters,
-                                                    [this] { return "id" + std::to_string(ids++); });
+      front =
+          std::make_unique<fronts::OpenAiFront>(engine->conductor, site, clock, engine->counters,
+                                                [this] { return "id" + std::to_string(ids++); });
     else
       front = std::make_unique<fronts::PlatformFront>(engine->conductor, site.setup.names, clock,
                                                       engine->counters);
-    listener = std::make_unique<net::Listener>(engine->io, anyPort(), 100, *front, clock, engine->deadlines,
-                                               engine->counters);
+    listener = std::make_unique<net::Listener>(engine->io, anyPort(), 100, *front, clock,
+                                               engine->deadlines, engine->counters);
     clients = std::make_unique<net::Pool>(io, clock, boxDeadlines, ownCounters,
                                           net::Pool::Limits{100, 1000, 100'000});
   }
   ~Site() {
     clients.reset();
     for (const auto& [name, value] : engine->counters.all())
-      if (name.rfind("invariants.violated.", 0) == 0) ADD_FAILURE() << name << " " << value;
+      if (name.rfind("invariants.violated.", 0) == 0)
+        ADD_FAILURE() << name << " " << value;
   }
 
   static std::string text(const net::Endpoint& at) {
@@ -67,11 +73,13 @@
     clock.advance(ms);
     engine->deadlines.runDue(clock.nowMs());
   }
-  std::shared_ptr<Reply> post(const std::string& target, net::Fields fields, const std::string& body) {
+  std::shared_ptr<Reply> post(const std::string& target,
+                              net::Fields fields,
+                              const std::string& body) {
     const auto reply = std::make_shared<Reply>();
-    last =
-        clients->call(listener->address(),
-                      messageText("POST " + target + " HTTP/1.1", std::move(fields), body), nullptr, reply);
+    last = clients->call(listener->address(),
+                         messageText("POST " + target + " HTTP/1.1", std::move(fields), body),
+                         nullptr, reply);
     return reply;
   }
   std::shared_ptr<Reply> chat(json body, const std::string& key = "k") {
@@ -86,13 +94,15 @@
   }
   int chats() const {
     int all = 0;
-    for (const auto& [id, box] : boxes) all += box->chats();
+    for (const auto& [id, box] : boxes)
+      all += box->chats();
     return all;
   }
   StandInBox::Taken* streaming() {
     for (const auto& [id, box] : boxes)
       for (const auto& taken : box->taken)
-        if (taken->connection->state() == net::ClientConnection::State::kStreaming) return taken.get();
+        if (taken->connection->state() == net::ClientConnection::State::kStreaming)
+          return taken.get();
     return nullptr;
   }
 
@@ -112,9 +122,14 @@
   int ids = 0;
 };
 
-inline const std::vector<Site::Kind> kMixed{{"m1", "both", 0}, {"m2", "both", 0}, {"m3", "both", 1}};
-inline const std::vector<Site::Kind> kSplit{
-    {"r1", "read", 0}, {"r2", "read", 1}, {"w1", "write", 0}, {"w2", "write", 0}, {"w3", "write", 1}};
+inline const std::vector<Site::Kind> kMixed{{"m1", "both", 0},
+                                            {"m2", "both", 0},
+                                            {"m3", "both", 1}};
+inline const std::vector<Site::Kind> kSplit{{"r1", "read", 0},
+                                            {"r2", "read", 1},
+                                            {"w1", "write", 0},
+                                            {"w2", "write", 0},
+                                            {"w3", "write", 1}};
 
 // A script that begins a stream and leaves the rest to the test.
 inline void beginOnly(StandInBox&, StandInBox::Taken& taken) {
