--- a/tests/support/stage.h
+++ b/tests/support/stage.h
@@ -1,6 +1,6 @@
-// What the tests of the network code stand on: loopback sockets, a clock that the test sets, stand-ins for
-// the parties at the other ends. Nothing sleeps; until() runs the program's own handlers until something is
-// true.
+// What the tests of the network code stand on: loopback sockets, a clock that the test sets,
+// stand-ins for the parties at the other ends. Nothing sleeps; until() runs the program's own
+// handlers until something is true.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -25,15 +25,19 @@
 
 using boost::asio::ip::tcp;
 
-inline net::Endpoint anyPort() { return {boost::asio::ip::make_address("127.0.0.1"), 0}; }
+inline net::Endpoint anyPort() {
+  return {boost::asio::ip::make_address("127.0.0.1"), 0};
+}
 
 // Only a test that has failed runs into the limit.
 inline bool until(boost::asio::io_context& io, const std::function<bool()>& met) {
   const auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(20);
   while (!met()) {
-    if (std::chrono::steady_clock::now() > limit) return false;
+    if (std::chrono::steady_clock::now() > limit)
+      return false;
     io.restart();
-    if (io.poll() == 0) io.run_one_for(std::chrono::milliseconds(1));
+    if (io.poll() == 0)
+      io.run_one_for(std::chrono::milliseconds(1));
   }
   return true;
 }
@@ -64,7 +68,8 @@
   void written() override { wasWritten = true; }
   void head(const net::ResponseHead& head) override {
     status = head.result_int();
-    for (const auto& field : head) fields[std::string(field.name_string())] = std::string(field.value());
+    for (const auto& field : head)
+      fields[std::string(field.name_string())] = std::string(field.value());
   }
   bool body(std::string_view part) override {
     text += part;
@@ -77,7 +82,9 @@
   }
 };
 
-inline std::string messageText(const std::string& firstLine, net::Fields fields, const std::string& body) {
+inline std::string messageText(const std::string& firstLine,
+                               net::Fields fields,
+                               const std::string& body) {
   fields.emplace_back("Content-Length", std::to_string(body.size()));
   return net::headText(firstLine, fields) + body;
 }
@@ -112,18 +119,23 @@
     return bytes;
   }
   bool hasBytes() { return socket_.available() > 0; }
-  // Whether the other side has ended; what it sent before is kept in seen. As clients do, it closes then.
+  // Whether the other side has ended; what it sent before is kept in seen. As clients do, it closes
+  // then.
   bool ended() {
-    if (!socket_.is_open()) return true;
+    if (!socket_.is_open())
+      return true;
     socket_.non_blocking(true);
     boost::system::error_code error;
     std::string bytes(64 * 1024, '\0');
     for (;;) {
       const std::size_t count = socket_.read_some(boost::asio::buffer(bytes), error);
-      if (error == boost::asio::error::would_block) return false;
-      if (error == boost::asio::error::interrupted) continue;
+      if (error == boost::asio::error::would_block)
+        return false;
+      if (error == boost::asio::error::interrupted)
+        continue;
       if (error) {
-        if (closes) socket_.close();
+        if (closes)
+          socket_.close();
         return true;
       }
       seen.append(bytes, 0, count);
@@ -163,24 +175,29 @@
       : listener_(io, anyPort(), 1000, *this, clock, deadlines, counters_) {}
 
   net::Endpoint address() const { return listener_.address(); }
-  void request(const std::shared_ptr<net::ClientConnection>& connection, net::HttpRequest&& request,
+  void request(const std::shared_ptr<net::ClientConnection>& connection,
+               net::HttpRequest&& request,
                double) override {
     std::string id(request["X-Call-Id"]);
-    if (id.empty()) id = std::string(request["X-Request-Id"]);
+    if (id.empty())
+      id = std::string(request["X-Request-Id"]);
     taken.push_back(std::make_unique<Taken>(Taken{connection, std::string(request.method_string()),
                                                   std::string(request.target()), request.body(), id,
                                                   std::string(request["X-Budget-Ms"])}));
     Taken& now = *taken.back();
     for (const auto& field : request)
       now.fields.emplace_back(std::string(field.name_string()), std::string(field.value()));
-    if (now.method == "DELETE") return hears ? now.connection->answer(releases ? 204 : 500, {}, "") : void();
+    if (now.method == "DELETE")
+      return hears ? now.connection->answer(releases ? 204 : 500, {}, "") : void();
     if (now.method == "POST" && now.target.rfind("/bootstrap/", 0) == 0)
       return places ? now.connection->answer(200, {}, "") : void();
-    if (script) script(*this, now);
+    if (script)
+      script(*this, now);
   }
   void gone(net::ClientConnection& connection) override {
     for (const auto& one : taken)
-      if (one->connection.get() == &connection) one->gone = true;
+      if (one->connection.get() == &connection)
+        one->gone = true;
   }
   void drained(net::ClientConnection&) override { ++drains; }
   void reject(net::ClientConnection& connection, unsigned status, std::string_view) override {
@@ -188,7 +205,8 @@
   }
   int count(const std::string& method, const std::string& prefix) const {
     int found = 0;
-    for (const auto& one : taken) found += one->method == method && one->target.rfind(prefix, 0) == 0;
+    for (const auto& one : taken)
+      found += one->method == method && one->target.rfind(prefix, 0) == 0;
     return found;
   }
   int chats() const { return count("POST", "/v1/"); }
--- a/tests/unanswered_requests_test.cpp
+++ b/tests/unanswered_requests_test.cpp
@@ -1,5 +1,5 @@
-// What has been read from a client gets an answer, and what will not be answered is not read: closes of all
-// kinds against requests that are standing, arriving, or half there.
+// What has been read from a client gets an answer, and what will not be answered is not read:
+// closes of all kinds against requests that are standing, arriving, or half there.
 #include <gtest/gtest.h>
 #include <sys/ioctl.h>
 #include <sys/socket.h>
@@ -27,12 +27,14 @@
 const std::string kRequest = "POST /v1 HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc";
 const std::string kHalf = kRequest.substr(0, 30);
 
-// ---- Reading one request -----------------------------------------------------------------------------
+// ---- Reading one request
+// -----------------------------------------------------------------------------
 
 struct Pair {
   Pair() { EXPECT_EQ(::socketpair(AF_UNIX, SOCK_STREAM, 0, ends.data()), 0); }
   ~Pair() {
-    for (const int end : ends) ::close(end);
+    for (const int end : ends)
+      ::close(end);
   }
   void write(std::string_view bytes) const {
     ASSERT_EQ(::write(ends[0], bytes.data(), bytes.size()), static_cast<ssize_t>(bytes.size()));
@@ -47,7 +49,8 @@
 
 TEST(RequestReader, TakesNothingOfWhatStandsBehindARequestHoweverItArrives) {
   const std::string chunked =
-      "POST /v1 HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n";
+      "POST /v1 HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: "
+      "chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n";
   for (const std::string& request : {kRequest, chunked}) {
     for (std::size_t cut = 0; cut <= request.size() + kRequest.size(); ++cut) {
       SCOPED_TRACE(cut);
@@ -66,7 +69,8 @@
       auto progress = take();
       if (progress != RequestReader::Progress::kWhole) {
         pair.write(all.substr(cut));
-        while (progress != RequestReader::Progress::kWhole) progress = reader.read(pair.ends[1], error);
+        while (progress != RequestReader::Progress::kWhole)
+          progress = reader.read(pair.ends[1], error);
         ASSERT_EQ(pair.unread(), static_cast<int>(kRequest.size()));
       } else {
         ASSERT_EQ(pair.unread(), static_cast<int>(cut - request.size()));
@@ -95,15 +99,25 @@
   EXPECT_EQ(pair.unread(), 0);
 }
 
-// ---- The cap, idle closes, pipelines ---------------------------------------------------------------
+// ---- The cap, idle closes, pipelines
+// ---------------------------------------------------------------
 
 struct Service : Stage, net::RequestHandler {
   explicit Service(std::size_t cap, admission::AdmissionController* gate = nullptr)
-      : listener(io, anyPort(), cap, *this, clock, deadlines, counters,
+      : listener(io,
+                 anyPort(),
+                 cap,
+                 *this,
+                 clock,
+                 deadlines,
+                 counters,
                  {.sharedPort = false, .open = true, .gate = gate, .ledger = nullptr}) {}
-  void request(const std::shared_ptr<ClientConnection>& connection, net::HttpRequest&&, double) override {
+  void request(const std::shared_ptr<ClientConnection>& connection,
+               net::HttpRequest&&,
+               double) override {
     asked.push_back(connection);
-    if (answers) connection->answer(200, {}, "served");
+    if (answers)
+      connection->answer(200, {}, "served");
   }
   void gone(ClientConnection&) override {}
   void drained(ClientConnection&) override {}
@@ -113,7 +127,8 @@
   std::unique_ptr<RawPeer> client(const std::string& says = "") {
     auto peer = std::make_unique<RawPeer>(io);
     peer->connect(listener.address());
-    if (!says.empty()) peer->write(says);
+    if (!says.empty())
+      peer->write(says);
     return peer;
   }
   // A client whose connection rests after an answer.
@@ -121,8 +136,10 @@
     const std::size_t before = asked.size();
     auto peer = client(kRequest);
     EXPECT_TRUE(until([&] { return asked.size() == before + 1; }));
-    if (!answers) asked.back()->answer(200, {}, "served");
-    EXPECT_TRUE(until([&] { return asked.back()->state() == State::kIdle && sees(*peer, "served"); }));
+    if (!answers)
+      asked.back()->answer(200, {}, "served");
+    EXPECT_TRUE(
+        until([&] { return asked.back()->state() == State::kIdle && sees(*peer, "served"); }));
     peer->seen.clear();
     return peer;
   }
@@ -215,7 +232,8 @@
     const auto client = service.client(late ? kRequest : kRequest + kRequest + kRequest);
     ASSERT_TRUE(service.until([&] { return service.asked.size() == 1; }));
     service.listener.drain(0, [&] { done = true; });
-    if (late) client->write(kRequest + kRequest);  // behind the close, ahead of the answer
+    if (late)
+      client->write(kRequest + kRequest);  // behind the close, ahead of the answer
     for (std::size_t i = 0; i < 3; ++i) {
       ASSERT_TRUE(service.until([&] { return service.asked.size() == i + 1; })) << i;
       service.asked[i]->answer(200, {}, "answer" + std::to_string(i));
@@ -252,7 +270,8 @@
   ASSERT_TRUE(service.until([&] { return service.listener.size() == 1; }));
   service.listener.drain(0, [&] { done = true; });
   EXPECT_TRUE(service.until([&] {
-    if (!client->ended()) client->write(kRequest + kRequest + kRequest + kRequest);
+    if (!client->ended())
+      client->write(kRequest + kRequest + kRequest + kRequest);
     return client->ended();
   }));
   service.pass(501);
@@ -260,14 +279,16 @@
   EXPECT_LT(service.asked.size(), 100U);
 }
 
-// A stream that breaks off ends its connection: what stands behind it is not read before that is known.
+// A stream that breaks off ends its connection: what stands behind it is not read before that is
+// known.
 TEST(Pipelines, AreNotReadWhileTheAnswerAheadOfThemIsUnderWay) {
   Service service(3);
   const auto client = service.client(kRequest + kRequest);
   ASSERT_TRUE(service.until([&] { return service.asked.size() == 1; }));
   service.asked[0]->beginStream({});
   service.asked[0]->pass("event");
-  ASSERT_TRUE(service.until([&] { return service.sees(*client, "event") && service.asked[0]->rest(); }));
+  ASSERT_TRUE(
+      service.until([&] { return service.sees(*client, "event") && service.asked[0]->rest(); }));
   for (int i = 0; i < 3; ++i) {
     service.pass(51);
     service.io.poll();
@@ -330,7 +351,8 @@
   EXPECT_EQ(shed.unanswered(), 2U);
 }
 
-// ---- Admission -------------------------------------------------------------------------------------
+// ---- Admission
+// -------------------------------------------------------------------------------------
 
 admission::Rules rules(std::size_t total, std::size_t perAddress) {
   admission::Rules rules;
@@ -346,8 +368,10 @@
   const auto first = service.client(kRequest);
   ASSERT_TRUE(service.until([&] { return service.asked.size() == 1; }));
   std::vector<std::unique_ptr<RawPeer>> others;
-  for (int i = 0; i < 60; ++i) others.push_back(service.client(kRequest));
-  for (auto& one : others) EXPECT_TRUE(service.answered(*one, "429")) << one->seen;
+  for (int i = 0; i < 60; ++i)
+    others.push_back(service.client(kRequest));
+  for (auto& one : others)
+    EXPECT_TRUE(service.answered(*one, "429")) << one->seen;
   EXPECT_EQ(service.asked.size(), 1U);
 }
 
@@ -365,22 +389,26 @@
       client = service.resting();
     }
     service.pass(150);
-    if (!half) client->write(kRequest);  // the loop has not seen it
+    if (!half)
+      client->write(kRequest);  // the loop has not seen it
     service.listener.close({1});
     EXPECT_TRUE(service.answered(*client, "503")) << client->seen;
   }
 }
 
-// ---- The door --------------------------------------------------------------------------------------
+// ---- The door
+// --------------------------------------------------------------------------------------
 
 TEST(TheDoor, WhoStandsInTheQueueAtTheCapIsToldAsItCloses) {
   Service service(1);
   const auto first = service.client(kRequest);
   ASSERT_TRUE(service.until([&] { return service.asked.size() == 1; }));
   std::vector<std::unique_ptr<RawPeer>> queue;
-  for (int i = 0; i < 5; ++i) queue.push_back(service.client(kRequest));
+  for (int i = 0; i < 5; ++i)
+    queue.push_back(service.client(kRequest));
   service.listener.drain(0, [] {});
-  for (auto& one : queue) EXPECT_TRUE(service.answered(*one, "503")) << one->seen;
+  for (auto& one : queue)
+    EXPECT_TRUE(service.answered(*one, "503")) << one->seen;
   service.asked[0]->answer(200, {}, "served");
   EXPECT_TRUE(service.answered(*first, "200")) << first->seen;
 }
@@ -389,13 +417,15 @@
 class Hammer {
  public:
   explicit Hammer(const net::Endpoint& to, std::string request) : request_(std::move(request)) {
-    for (auto& thread : threads_) thread = std::thread([this, to] { run(to); });
+    for (auto& thread : threads_)
+      thread = std::thread([this, to] { run(to); });
   }
   ~Hammer() { stop(); }
   void stop() {
     stopped_ = true;
     for (auto& thread : threads_)
-      if (thread.joinable()) thread.join();
+      if (thread.joinable())
+        thread.join();
   }
   int connected() const { return connected_; }
   int unanswered() const { return unanswered_; }
@@ -412,7 +442,8 @@
         ++connected_;
         std::array<char, 64> answer{};
         const auto sent = ::send(client, request_.data(), request_.size(), MSG_NOSIGNAL);
-        if (sent < 0 || ::recv(client, answer.data(), answer.size(), 0) <= 0) ++unanswered_;
+        if (sent < 0 || ::recv(client, answer.data(), answer.size(), 0) <= 0)
+          ++unanswered_;
       }
       ::close(client);
     }
@@ -446,7 +477,8 @@
   }
 }
 
-// ---- The program -----------------------------------------------------------------------------------
+// ---- The program
+// -----------------------------------------------------------------------------------
 
 struct SmallSite : Stage {
   Folder folder;
@@ -464,7 +496,8 @@
         {"admin_addr", textOf(door)},
         {"keys", {{{"key", "k"}, {"tenant", "club"}}}},
         {"models", {{"m", "member-questions"}}},
-        {"boxes", {{{"id", "b"}, {"address", textOf(box.address())}, {"role", "both"}, {"cell", 0}}}},
+        {"boxes",
+         {{{"id", "b"}, {"address", textOf(box.address())}, {"role", "both"}, {"cell", 0}}}},
         {"settings", siteSettings()}}.dump();
   }
   pid_t start() {
@@ -474,8 +507,8 @@
   }
   static std::string ask() {
     const std::string body = R"({"model":"m","messages":[{"role":"user","content":"hi"}]})";
-    return messageText("POST /v1/chat/completions HTTP/1.1", {{"Host", "x"}, {"Authorization", "Bearer k"}},
-                       body);
+    return messageText("POST /v1/chat/completions HTTP/1.1",
+                       {{"Host", "x"}, {"Authorization", "Bearer k"}}, body);
   }
   bool ended(pid_t process) {
     return until([&] { return programs.ended(process).has_value(); });
@@ -495,7 +528,8 @@
   }
 }
 
-// Another address in the file changes nothing before the next start: nobody's connection closes for it.
+// Another address in the file changes nothing before the next start: nobody's connection closes for
+// it.
 TEST(Program, KeepsItsAddressAndItsClientsOverASighupThatNamesAnother) {
   SmallSite site;
   const pid_t process = site.start();
@@ -519,14 +553,16 @@
   EXPECT_TRUE(served(late, SmallSite::ask()));
 }
 
-// Each request is written behind the one before it without waiting, as the operators send everybody away.
+// Each request is written behind the one before it without waiting, as the operators send everybody
+// away.
 TEST(Program, ServesAPipelineToItsEndWhileItIsEvacuated) {
   SmallSite site;
   const pid_t process = site.start();
   RawPeer client(site.io);
   client.connect(site.listen);
   constexpr int kRequests = 5;
-  for (int i = 0; i < kRequests; ++i) client.write(SmallSite::ask());
+  for (int i = 0; i < kRequests; ++i)
+    client.write(SmallSite::ask());
   EXPECT_EQ(callAdmin(site.io, site.door, "evacuate").rfind("ok", 0), 0U);
   ASSERT_TRUE(site.until([&] { return client.ended(); }));
   int answers = 0;
@@ -538,11 +574,13 @@
   EXPECT_TRUE(site.ended(process));
 }
 
-// ---- A successor -----------------------------------------------------------------------------------
+// ---- A successor
+// -----------------------------------------------------------------------------------
 
 TEST(HandedConnections, CarryTheRequestThatStandsBehindTheirStream) {
   Site before(kMixed, false), after(kMixed, false);
-  for (auto& [id, box] : before.boxes) box->script = beginOnly;
+  for (auto& [id, box] : before.boxes)
+    box->script = beginOnly;
   const auto ask = [](const std::string& id) {
     net::Fields fields = platformFields(id);
     fields.emplace_back("Host", "x");
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -1,5 +1,5 @@
-// One process of a conductor replaces another: streams under way pass from one to the other, piece by piece
-// first, then with two real processes and clients that go on asking.
+// One process of a conductor replaces another: streams under way pass from one to the other, piece
+// by piece first, then with two real processes and clients that go on asking.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -19,7 +19,8 @@
   return size.data() + data + "\r\n";
 }
 
-// ---- An answer under way ---------------------------------------------------------------------------
+// ---- An answer under way
+// ---------------------------------------------------------------------------
 
 // Wherever a chunked answer is cut, who takes it up reads on as if it had read it from the start.
 TEST(AnswerUnderWay, IsTakenUpAtAnyByte) {
@@ -128,7 +129,8 @@
   EXPECT_EQ(sender.send(std::string(app::PassingReceiver::kLargest + 1, 'x'), {}),
             app::PassingSender::Result::kBroken);
   int sent = 0;  // nobody reads meanwhile
-  while (sent < 10'000 && sender.send(std::string(100'000, 'x'), {}) == app::PassingSender::Result::kSent)
+  while (sent < 10'000 &&
+         sender.send(std::string(100'000, 'x'), {}) == app::PassingSender::Result::kSent)
     ++sent;
   EXPECT_LT(sent, 10'000);
   ASSERT_TRUE(until(io, [&] { return taken.size() == 1U + sent; }));
@@ -137,19 +139,23 @@
   ::close(pipe[1]);
 }
 
-// ---- A successor that is slow, or ends ----------------------------------------------------------------
+// ---- A successor that is slow, or ends
+// ----------------------------------------------------------------
 
 // Streams under way here, and a process to pass them to whose loop runs only when the test says so.
 struct Passes : Site {
   Passes() : Site(kMixed, false) {
-    for (auto& [id, box] : boxes) box->script = beginOnly;
+    for (auto& [id, box] : boxes)
+      box->script = beginOnly;
   }
   void open(std::size_t count) {
     for (std::size_t i = 0; i < count; ++i)
-      replies.push_back(post("/v1/chat/completions", platformFields("s" + std::to_string(i)), "{}"));
+      replies.push_back(
+          post("/v1/chat/completions", platformFields("s" + std::to_string(i)), "{}"));
     ASSERT_TRUE(until([&] {
-      return std::all_of(replies.begin(), replies.end(),
-                         [](const auto& reply) { return reply->text.find("first") != std::string::npos; });
+      return std::all_of(replies.begin(), replies.end(), [](const auto& reply) {
+        return reply->text.find("first") != std::string::npos;
+      });
     }));
   }
   void pass() {
@@ -169,9 +175,10 @@
         }
   }
   std::size_t whole() const {
-    return static_cast<std::size_t>(std::count_if(replies.begin(), replies.end(), [](const auto& reply) {
-      return reply->whole && reply->text.find("second") != std::string::npos;
-    }));
+    return static_cast<std::size_t>(
+        std::count_if(replies.begin(), replies.end(), [](const auto& reply) {
+          return reply->whole && reply->text.find("second") != std::string::npos;
+        }));
   }
   Folder folder;
   std::vector<std::shared_ptr<Reply>> replies;
@@ -181,10 +188,12 @@
   Passes site;
   site.open(3);
   boost::asio::io_context never;
-  auto successor = std::make_unique<app::PassingReceiver>(never, site.folder.path, "in", [](app::Passed) {});
+  auto successor =
+      std::make_unique<app::PassingReceiver>(never, site.folder.path, "in", [](app::Passed) {});
   app::Handover handover(*site.engine, *site.front, *site.listener);
   handover.begin(site.folder.path, "in");
-  while (site.handed() < 3) site.pass();
+  while (site.handed() < 3)
+    site.pass();
   EXPECT_EQ(handover.unheard(), 3U);
   site.endAll();  // while nobody reads it
   site.pass();
@@ -207,7 +216,8 @@
                                 [&](app::Passed passed) { takes.take(std::move(passed)); });
   app::Handover handover(*site.engine, *site.front, *site.listener);
   handover.begin(site.folder.path, "in");
-  for (int i = 0; i < 20; ++i) site.pass();
+  for (int i = 0; i < 20; ++i)
+    site.pass();
   EXPECT_EQ(site.handed(), 16U);
   site.endAll();
   ASSERT_TRUE(site.until([&] {
@@ -223,7 +233,8 @@
   EXPECT_EQ(next.engine->counters["streams.taken_over"], 16U);
 }
 
-// ---- Two processes -----------------------------------------------------------------------------------
+// ---- Two processes
+// -----------------------------------------------------------------------------------
 
 bool whole(const std::string& answer) {
   return answer.rfind("HTTP/1.1 200", 0) == 0 && answer.find("data: [DONE]") != std::string::npos &&
@@ -236,7 +247,8 @@
   bool hold = true;
   for (StandInBox* box : {&platform.box, &platform.other})
     box->script = [&](StandInBox& at, StandInBox::Taken& taken) {
-      if (!hold) return streamWhole(at, taken);
+      if (!hold)
+        return streamWhole(at, taken);
       taken.connection->beginStream({{"Content-Type", "text/event-stream"}});
       taken.connection->pass(eventOf("first"));
       held.push_back(&taken);
@@ -254,8 +266,9 @@
     streams.back()->connect(platform.listen);
     streams.back()->write(platform.ask());
     ASSERT_TRUE(platform.until([&] { return held.size() > i; }));
-    ASSERT_TRUE(platform.until(
-        [&] { return !streams[i]->ended() && streams[i]->seen.find("first") != std::string::npos; }));
+    ASSERT_TRUE(platform.until([&] {
+      return !streams[i]->ended() && streams[i]->seen.find("first") != std::string::npos;
+    }));
   }
   EXPECT_EQ(platform.other.chats(), 0);
   EXPECT_NE(platform.call(oldDoor, "telemetry").find("app_active 6\n"), std::string::npos);
@@ -283,7 +296,8 @@
   for (int i = 0; i < 20 || !status; ++i) {  // a steady client while the old process ends
     ASSERT_LT(i, 5000);
     askOnce();
-    if (!status) status = platform.programs.ended(old);
+    if (!status)
+      status = platform.programs.ended(old);
   }
   EXPECT_EQ(status, 0);
   EXPECT_GE(answered, 20);
@@ -313,10 +327,12 @@
   EXPECT_EQ(platform.endOf(fresh), 0);
 }
 
-// Killed outright, a process leaves files; the next one starts as if alone and keeps the exclusions.
+// Killed outright, a process leaves files; the next one starts as if alone and keeps the
+// exclusions.
 TEST(Upgrade, WhatAKilledProcessLeavesBehindDoesNoHarm) {
   Platform platform;
-  for (StandInBox* box : {&platform.box, &platform.other}) box->script = streamWhole;
+  for (StandInBox* box : {&platform.box, &platform.other})
+    box->script = streamWhole;
   const net::Endpoint first = freePort(), second = freePort();
   const pid_t killed = platform.start(first);
   ASSERT_TRUE(platform.ready(first));
@@ -333,8 +349,8 @@
   EXPECT_EQ(platform.other.chats(), 1);
 }
 
-// Between two SIGTERMs a SIGHUP is taken, as what was accepted still needs the list; the stream under way
-// ends whole, and so does the process.
+// Between two SIGTERMs a SIGHUP is taken, as what was accepted still needs the list; the stream
+// under way ends whole, and so does the process.
 TEST(Upgrade, ASecondSigtermWithASighupBeforeItChangesNothing) {
   Platform platform;
   StandInBox::Taken* held = nullptr;
@@ -355,8 +371,8 @@
   RawPeer client(platform.io);
   client.connect(platform.listen);
   client.write(platform.ask());
-  ASSERT_TRUE(
-      platform.until([&] { return !client.ended() && client.seen.find("first") != std::string::npos; }));
+  ASSERT_TRUE(platform.until(
+      [&] { return !client.ended() && client.seen.find("first") != std::string::npos; }));
   ::kill(process, SIGTERM);
   // The door closes for good: the process has heard the first one, whatever comes next.
   ASSERT_TRUE(platform.until([&] {
@@ -386,7 +402,8 @@
   EXPECT_EQ(platform.endOf(process), 0);
 }
 
-// The successor is stopped as the streams come to it, and killed: the process that ends goes on with them.
+// The successor is stopped as the streams come to it, and killed: the process that ends goes on
+// with them.
 TEST(Upgrade, ASuccessorThatIsStoppedAndKilledInMidHandOverBreaksNoStream) {
   Platform platform;
   std::vector<StandInBox::Taken*> held;
@@ -404,15 +421,17 @@
     clients.push_back(std::make_unique<RawPeer>(platform.io));
     clients.back()->connect(platform.listen);
     clients.back()->write(platform.ask());
-    ASSERT_TRUE(platform.until(
-        [&] { return !clients[i]->ended() && clients[i]->seen.find("first") != std::string::npos; }));
+    ASSERT_TRUE(platform.until([&] {
+      return !clients[i]->ended() && clients[i]->seen.find("first") != std::string::npos;
+    }));
   }
   const pid_t fresh = platform.start(newDoor);
   ASSERT_TRUE(platform.ready(newDoor));
   ::kill(fresh, SIGSTOP);
   ::kill(old, SIGTERM);
-  ASSERT_TRUE(platform.until(
-      [&] { return platform.call(oldDoor, "telemetry").find("app_active 0\n") != std::string::npos; }));
+  ASSERT_TRUE(platform.until([&] {
+    return platform.call(oldDoor, "telemetry").find("app_active 0\n") != std::string::npos;
+  }));
   platform.programs.kill(fresh);
   for (StandInBox::Taken* taken : held) {
     EXPECT_FALSE(taken->gone);
--- a/tests/wall_clock_test.cpp
+++ b/tests/wall_clock_test.cpp
@@ -1,5 +1,5 @@
-// The program while the wall clock is wrong or stepped: spans are real time, and how old an instance is does
-// not depend on this machine's clock.
+// The program while the wall clock is wrong or stepped: spans are real time, and how old an
+// instance is does not depend on this machine's clock.
 #include <array>
 #include <chrono>
 #include <fstream>
@@ -14,11 +14,13 @@
 constexpr double kEarliestWarmMs = 0.7 * kColdMs;  // lists and looks at them take time
 
 double unixMs() {
-  return std::chrono::duration<double, std::milli>(std::chrono::system_clock::now().time_since_epoch())
+  return std::chrono::duration<double, std::milli>(
+             std::chrono::system_clock::now().time_since_epoch())
       .count();
 }
 double steadyMs() {
-  return std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now().time_since_epoch())
+  return std::chrono::duration<double, std::milli>(
+             std::chrono::steady_clock::now().time_since_epoch())
       .count();
 }
 
@@ -27,9 +29,10 @@
   explicit SteppedPlatform(double stepMs, double fromMs = 0) {
     settings["contract"]["coldMs"] = kColdMs;
     writeConfiguration();
-    std::ofstream(folder.path + "/faults")
-        << "clock step step=" << std::to_string(stepMs) << " from=" << std::to_string(fromMs) << "\n";
-    environment = {"LD_PRELOAD=" SYSTEM_CALL_FAULTS_LIBRARY, "SYSTEM_CALL_FAULTS=" + folder.path + "/faults",
+    std::ofstream(folder.path + "/faults") << "clock step step=" << std::to_string(stepMs)
+                                           << " from=" << std::to_string(fromMs) << "\n";
+    environment = {"LD_PRELOAD=" SYSTEM_CALL_FAULTS_LIBRARY,
+                   "SYSTEM_CALL_FAULTS=" + folder.path + "/faults",
                    "ASAN_OPTIONS=verify_asan_link_order=0"};
   }
   void begin() {
@@ -55,8 +58,9 @@
   for (const double stepMs : kStepsMs) {
     SCOPED_TRACE(stepMs);
     SteppedPlatform platform(stepMs);
-    const auto members = nlohmann::json::array({Platform::memberOf("m1", platform.box, unixMs()),
-                                                Platform::memberOf("m2", platform.other, unixMs() - 60'000)});
+    const auto members =
+        nlohmann::json::array({Platform::memberOf("m1", platform.box, unixMs()),
+                               Platform::memberOf("m2", platform.other, unixMs() - 60'000)});
     platform.discovery.line = Platform::listOf(1, true, members);
     platform.begin();
     EXPECT_TRUE(platform.is("m1", "warming"));
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -9,15 +9,21 @@
 
 const char* const kSetup =
     "ENLIST\t7\tcontract.askWithinMs=10000\tcontract.coldFrom=0.3\tcontract.coldMs=10000\t"
-    "contract.drainGraceMs=1000\tcontract.fallMs=3000\tcontract.graceToAnswerMs=8\tcontract.overloadFactor="
+    "contract.drainGraceMs=1000\tcontract.fallMs=3000\tcontract.graceToAnswerMs=8\tcontract."
+    "overloadFactor="
     "3\t"
     "discovery=push\tfamilyInfo.ahead=true\tfamilyInfo.aimUsPer1000PromptTokens=40000.0\t"
-    "familyInfo.dutyByKind=read,write\tfamilyInfo.memoryTokens=200000,100000\tfamilyInfo.releaseMs=500\t"
-    "familyInfo.resume=false\tfamilyInfo.tokenAimMs=60\tfamilyInfo.writersRead=false\tgrades.count=1\t"
-    "grades.0.effect=idempotent\tgrades.0.goalTimeMs=1000\tgrades.0.hardLimitMs=6000\tgrades.0.lateShare=0."
+    "familyInfo.dutyByKind=read,write\tfamilyInfo.memoryTokens=200000,100000\tfamilyInfo.releaseMs="
+    "500\t"
+    "familyInfo.resume=false\tfamilyInfo.tokenAimMs=60\tfamilyInfo.writersRead=false\tgrades.count="
+    "1\t"
+    "grades.0.effect=idempotent\tgrades.0.goalTimeMs=1000\tgrades.0.hardLimitMs=6000\tgrades.0."
+    "lateShare=0."
     "3\t"
-    "grades.0.name=ask\tgrades.0.stream=true\tgrades.0.worth=1\tkinds=reader,writer\tlimits.cancel=true\t"
-    "limits.dialTimeoutMs=250\tlimits.maxAttempts=4\tlimits.maxRetryAfterMs=2000\tlimits.peers=false\t"
+    "grades.0.name=ask\tgrades.0.stream=true\tgrades.0.worth=1\tkinds=reader,writer\tlimits.cancel="
+    "true\t"
+    "limits.dialTimeoutMs=250\tlimits.maxAttempts=4\tlimits.maxRetryAfterMs=2000\tlimits.peers="
+    "false\t"
     "limits.probing=false\tlimits.retryAfter=true\tlimits.secondCopies=false\tme=0\tmyZone=z\torgs="
     "\tpeersTotal=1\t"
     "report.how=off\ttickMs=2\tunheardOf=1\tzones=z\n";
@@ -48,7 +54,9 @@
   return "";
 }
 
-TEST(Host, AnEmptyBatchIsAnsweredWithItsNumber) { EXPECT_EQ(play(batch("", 12)), "OK\t12\n"); }
+TEST(Host, AnEmptyBatchIsAnsweredWithItsNumber) {
+  EXPECT_EQ(play(batch("", 12)), "OK\t12\n");
+}
 
 TEST(Host, PlaysARequestForTheInstanceNamed) {
   const std::string reply = play(batch(std::string("FOR\tnode-3\n") + kSetup + kList + kArrival));
@@ -58,8 +66,8 @@
 }
 
 TEST(Host, KeepsInstancesApart) {
-  const std::string reply =
-      play(batch(std::string("FOR\tnode-0\n") + kSetup + kList + "FOR\tnode-1\n" + kSetup + kArrival));
+  const std::string reply = play(
+      batch(std::string("FOR\tnode-0\n") + kSetup + kList + "FOR\tnode-1\n" + kSetup + kArrival));
   EXPECT_EQ(reply.find("ISSUE"), std::string::npos);
 }
 
@@ -71,7 +79,8 @@
 
 TEST(Malformed, NamesTheLineAndTheField) {
   const std::string head = batch("");
-  EXPECT_NE(complaint("BEGIN_BATCH\tsoon\t1\n").find("line 1 (BEGIN_BATCH), field 1"), std::string::npos);
+  EXPECT_NE(complaint("BEGIN_BATCH\tsoon\t1\n").find("line 1 (BEGIN_BATCH), field 1"),
+            std::string::npos);
   EXPECT_NE(complaint(head + "HELLO\n").find("line 3"), std::string::npos);
 }
 
@@ -92,10 +101,12 @@
     return complaint(batch("FOR\tn\n" + setup));
   };
   EXPECT_EQ(with("coldMs=10000", "coldMs=10000"), "");
-  EXPECT_NE(with("coldMs=10000", "coldMs=-1").find("contract.coldMs is below 0"), std::string::npos);
+  EXPECT_NE(with("coldMs=10000", "coldMs=-1").find("contract.coldMs is below 0"),
+            std::string::npos);
   EXPECT_NE(with("memoryTokens=200000", "memoryTokens=-5").find("memoryTokens is below 0"),
             std::string::npos);
-  EXPECT_NE(with("fallMs=3000", "fallMs=1e300").find("contract.fallMs is too large"), std::string::npos);
+  EXPECT_NE(with("fallMs=3000", "fallMs=1e300").find("contract.fallMs is too large"),
+            std::string::npos);
   EXPECT_NE(with("maxAttempts=4", "maxAttempts=1e10").find("limits.maxAttempts is too large"),
             std::string::npos);
   EXPECT_NE(with("grades.count=1", "grades.count=1e300").find("grades.count is too large"),
@@ -103,8 +114,9 @@
 }
 
 TEST(Malformed, UnknownMessagesAndInstancesAreNamed) {
-  EXPECT_NE(complaint(batch(std::string("FOR\tn\n") + kSetup + "GREETING\n")).find("unknown message"),
-            std::string::npos);
+  EXPECT_NE(
+      complaint(batch(std::string("FOR\tn\n") + kSetup + "GREETING\n")).find("unknown message"),
+      std::string::npos);
   EXPECT_NE(complaint(batch("FOR\tn\nBELL\t1\n")).find("not running"), std::string::npos);
   EXPECT_NE(complaint(batch("BELL\t1\n")).find("before any FOR"), std::string::npos);
 }
@@ -156,8 +168,8 @@
 
 TEST(Codec, Base64GoesBothWays) {
   const Line line("X\t-", 1);
-  for (const std::string& bytes : {std::string(), std::string("a"), std::string("ab"), std::string("abc"),
-                                   std::string("\0\xff\x10", 3)}) {
+  for (const std::string& bytes : {std::string(), std::string("a"), std::string("ab"),
+                                   std::string("abc"), std::string("\0\xff\x10", 3)}) {
     EXPECT_EQ(decodeBase64(encodeBase64(bytes), line, 1), bytes);
   }
   EXPECT_THROW(decodeBase64("a", line, 1), Malformed);
