--- a/adapter/host.cpp
+++ b/adapter/host.cpp
@@ -3,7 +3,7 @@
 #include <istream>
 #include <ostream>
 
-namespace leverrelay::wire {
+namespace inference_router::routing::wire {
 
 bool Host::readLine(std::istream& in, std::string& text) {
   if (!std::getline(in, text))
@@ -98,4 +98,4 @@
   return news;
 }
 
-}  // namespace leverrelay::wire
+}  // namespace inference_router::routing::wire
--- a/adapter/host.h
+++ b/adapter/host.h
@@ -8,7 +8,7 @@
 
 #include "wire.h"
 
-namespace leverrelay::wire {
+namespace inference_router::routing::wire {
 
 class Host {
  public:
@@ -34,4 +34,4 @@
   std::size_t lineNumber_ = 0;
 };
 
-}  // namespace leverrelay::wire
+}  // namespace inference_router::routing::wire
--- a/adapter/wire.cpp
+++ b/adapter/wire.cpp
@@ -7,7 +7,7 @@
 #include <cstdio>
 #include <type_traits>
 
-namespace leverrelay::wire {
+namespace inference_router::routing::wire {
 namespace {
 
 constexpr double kLongestMs = 1e12;   // of a setting: sums of such times stay far from any overflow
@@ -577,4 +577,4 @@
   return bytes;
 }
 
-}  // namespace leverrelay::wire
+}  // namespace inference_router::routing::wire
--- a/adapter/wire.h
+++ b/adapter/wire.h
@@ -7,9 +7,9 @@
 #include <string_view>
 #include <vector>
 
-#include "leverrelay/router.h"
+#include "inference_router/router.h"
 
-namespace leverrelay::wire {
+namespace inference_router::routing::wire {
 
 // Text that the protocol does not allow. It ends the process: there is nothing to go on with.
 struct Malformed : std::runtime_error {
@@ -63,4 +63,4 @@
 std::string encodeBase64(std::string_view bytes);
 std::string decodeBase64(std::string_view text, const Line& line, std::size_t field);
 
-}  // namespace leverrelay::wire
+}  // namespace inference_router::routing::wire
--- a/benchmarks/decision_cost.cpp
+++ b/benchmarks/decision_cost.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-using namespace leverrelay;
+using namespace inference_router::routing;
 
 // A third of the boxes read, the others write; five to a cell.
 std::vector<ListEntry> boxes(int count) {
--- a/benchmarks/gate_cost.cpp
+++ b/benchmarks/gate_cost.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-using namespace dahliastall::admission;
+using namespace inference_router::admission;
 
 Rules rules() {
   return rulesOf({{"connections", {{"total", 400}, {"per_address", 32}}},
--- a/example/toy_box.cpp
+++ b/example/example_instance.cpp
@@ -7,13 +7,13 @@
 #include <memory>
 #include <nlohmann/json.hpp>
 
-#include "fronts/boxes/directory.h"
 #include "net/listener.h"
 #include "net/loop.h"
+#include "upstream/instance_directory.h"
 
 namespace {
 
-using namespace dahliastall;
+using namespace inference_router;
 using nlohmann::json;
 
 constexpr double kWordEveryMs = 150;
@@ -94,7 +94,7 @@
     core::Counters counters;
     const net::Loop loop(io, clock, deadlines);
     ToyBox box(argv[1], clock, deadlines);
-    net::Listener listener(io, fronts::endpointOf(argv[1]), 100, box, clock, deadlines, counters);
+    net::Listener listener(io, net::endpointOf(argv[1]), 100, box, clock, deadlines, counters);
     boost::asio::signal_set signals(io, SIGTERM, SIGINT);
     signals.async_wait([&](const boost::system::error_code&, int) { io.stop(); });
     std::cout << argv[1] << ": a toy box listens" << std::endl;
--- a/include/leverrelay/router.h
+++ b/include/inference_router/router.h
@@ -1,4 +1,4 @@
-// The whole interface of leverrelay: settings handed in once, events in, actions out.
+// The whole interface of the routing module: settings handed in once, events in, actions out.
 //
 // A Router decides for one node. It owns no thread, clock or socket: time comes with each event and
 // every draw from the seed. Nothing here has a default that tunes a decision.
@@ -14,7 +14,7 @@
 #include <variant>
 #include <vector>
 
-namespace leverrelay {
+namespace inference_router::routing {
 
 using Duration = std::chrono::microseconds;
 
@@ -360,4 +360,4 @@
   std::unique_ptr<Impl> impl_;
 };
 
-}  // namespace leverrelay
+}  // namespace inference_router::routing
--- a/soak/client.cpp
+++ b/soak/client.cpp
@@ -2,7 +2,7 @@
 
 #include "net/message.h"
 
-namespace dahliastall::soak {
+namespace inference_router::soak {
 
 namespace {
 
@@ -132,4 +132,4 @@
     environment_.ledger.of(id_).undecided = true;
 }
 
-}  // namespace dahliastall::soak
+}  // namespace inference_router::soak
--- a/soak/client.h
+++ b/soak/client.h
@@ -9,7 +9,7 @@
 #include "net/endpoint.h"
 #include "net/pool.h"
 
-namespace dahliastall::soak {
+namespace inference_router::soak {
 
 /// A client of one conductor, which sends one request after the other.
 class Client {
@@ -46,4 +46,4 @@
   bool resent_ = false, paused_ = false, stopped_ = false, onlyOpen_ = false;
 };
 
-}  // namespace dahliastall::soak
+}  // namespace inference_router::soak
--- a/soak/conductor_process.cpp
+++ b/soak/conductor_process.cpp
@@ -10,7 +10,7 @@
 
 #include "settings.h"
 
-namespace dahliastall::soak {
+namespace inference_router::soak {
 
 ConductorProcess::ConductorProcess(Programs programs,
                                    std::string folder,
@@ -86,4 +86,4 @@
   return found;
 }
 
-}  // namespace dahliastall::soak
+}  // namespace inference_router::soak
--- a/soak/conductor_process.h
+++ b/soak/conductor_process.h
@@ -11,7 +11,7 @@
 
 #include "net/endpoint.h"
 
-namespace dahliastall::soak {
+namespace inference_router::soak {
 
 struct Programs {
   std::string conductor, faults;  ///< paths of the program and of the library
@@ -50,4 +50,4 @@
   pid_t process_ = -1;
 };
 
-}  // namespace dahliastall::soak
+}  // namespace inference_router::soak
--- a/soak/discovery_agent.cpp
+++ b/soak/discovery_agent.cpp
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-namespace dahliastall::soak {
+namespace inference_router::soak {
 
 namespace {
 
@@ -73,4 +73,4 @@
   });
 }
 
-}  // namespace dahliastall::soak
+}  // namespace inference_router::soak
--- a/soak/discovery_agent.h
+++ b/soak/discovery_agent.h
@@ -9,7 +9,7 @@
 #include "net/endpoint.h"
 #include "net/listener.h"
 
-namespace dahliastall::soak {
+namespace inference_router::soak {
 
 /// Discovery's agent on one conductor's machine.
 class Agent final : public net::RequestHandler {
@@ -36,4 +36,4 @@
   net::Listener listener_;
 };
 
-}  // namespace dahliastall::soak
+}  // namespace inference_router::soak
--- a/soak/environment.h
+++ b/soak/environment.h
@@ -10,7 +10,7 @@
 #include "core/deadlines.h"
 #include "ledger.h"
 
-namespace dahliastall::soak {
+namespace inference_router::soak {
 
 /// The emulator's own loop, clock and source of chance.
 struct Environment {
@@ -29,4 +29,4 @@
   }
 };
 
-}  // namespace dahliastall::soak
+}  // namespace inference_router::soak
--- a/soak/held_ledger.cpp
+++ b/soak/held_ledger.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace dahliastall::soak {
+namespace inference_router::soak {
 
 namespace {
 
@@ -95,4 +95,4 @@
   return found;
 }
 
-}  // namespace dahliastall::soak
+}  // namespace inference_router::soak
--- a/soak/held_ledger.h
+++ b/soak/held_ledger.h
@@ -10,7 +10,7 @@
 
 #include "ledger.h"
 
-namespace dahliastall::soak {
+namespace inference_router::soak {
 
 class HeldLedger {
  public:
@@ -60,4 +60,4 @@
   std::map<std::string, Entry> requests_;
 };
 
-}  // namespace dahliastall::soak
+}  // namespace inference_router::soak
--- a/soak/idle_clients.cpp
+++ b/soak/idle_clients.cpp
@@ -2,7 +2,7 @@
 
 #include <boost/asio/buffer.hpp>
 
-namespace dahliastall::soak {
+namespace inference_router::soak {
 
 namespace {
 
@@ -57,4 +57,4 @@
   environment_.after(kAgainMs, [this, connection] { connect(connection); });
 }
 
-}  // namespace dahliastall::soak
+}  // namespace inference_router::soak
--- a/soak/idle_clients.h
+++ b/soak/idle_clients.h
@@ -10,7 +10,7 @@
 #include "environment.h"
 #include "net/endpoint.h"
 
-namespace dahliastall::soak {
+namespace inference_router::soak {
 
 class IdleClients {
  public:
@@ -35,4 +35,4 @@
   bool stopped_ = false;
 };
 
-}  // namespace dahliastall::soak
+}  // namespace inference_router::soak
--- a/soak/instance.cpp
+++ b/soak/instance.cpp
@@ -3,7 +3,7 @@
 #include <cstdlib>
 #include <utility>
 
-namespace dahliastall::soak {
+namespace inference_router::soak {
 
 namespace {
 
@@ -221,4 +221,4 @@
   connection.answer(status, {}, "");
 }
 
-}  // namespace dahliastall::soak
+}  // namespace inference_router::soak
--- a/soak/instance.h
+++ b/soak/instance.h
@@ -13,7 +13,7 @@
 #include "net/endpoint.h"
 #include "net/listener.h"
 
-namespace dahliastall::soak {
+namespace inference_router::soak {
 
 enum class Behaviour {
   kServes,
@@ -97,4 +97,4 @@
   net::Listener listener_;
 };
 
-}  // namespace dahliastall::soak
+}  // namespace inference_router::soak
--- a/soak/ledger.cpp
+++ b/soak/ledger.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace dahliastall::soak {
+namespace inference_router::soak {
 
 namespace {
 
@@ -67,4 +67,4 @@
       [](const auto& entry) { return entry.second.status == 200 && entry.second.whole; }));
 }
 
-}  // namespace dahliastall::soak
+}  // namespace inference_router::soak
--- a/soak/ledger.h
+++ b/soak/ledger.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-namespace dahliastall::soak {
+namespace inference_router::soak {
 
 /// A request as it reached an instance.
 struct Arrival {
@@ -57,4 +57,4 @@
   std::vector<Break> process_;
 };
 
-}  // namespace dahliastall::soak
+}  // namespace inference_router::soak
--- a/soak/main.cpp
+++ b/soak/main.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 namespace options = boost::program_options;
-using namespace dahliastall::soak;
+using namespace inference_router::soak;
 
 constexpr const char* kUsage =
     "usage: dahliastall_soak run --first SEED --last SEED [options]\n"
--- a/soak/plan.cpp
+++ b/soak/plan.cpp
@@ -5,7 +5,7 @@
 #include <nlohmann/json.hpp>
 #include <random>
 
-namespace dahliastall::soak {
+namespace inference_router::soak {
 
 using nlohmann::json;
 
@@ -148,4 +148,4 @@
   }
 }
 
-}  // namespace dahliastall::soak
+}  // namespace inference_router::soak
--- a/soak/plan.h
+++ b/soak/plan.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-namespace dahliastall::soak {
+namespace inference_router::soak {
 
 enum class FaultKind {
   kSystemCalls,    ///< calls of one conductor fail, in its preloaded library
@@ -50,4 +50,4 @@
 std::string textOf(const Plan& plan);
 std::optional<Plan> planOf(const std::string& text);
 
-}  // namespace dahliastall::soak
+}  // namespace inference_router::soak
--- a/soak/scenario.cpp
+++ b/soak/scenario.cpp
@@ -18,7 +18,7 @@
 #include "net/loop.h"
 #include "settings.h"
 
-namespace dahliastall::soak {
+namespace inference_router::soak {
 
 namespace {
 
@@ -439,4 +439,4 @@
   return scenario.run();
 }
 
-}  // namespace dahliastall::soak
+}  // namespace inference_router::soak
--- a/soak/scenario.h
+++ b/soak/scenario.h
@@ -10,7 +10,7 @@
 #include "ledger.h"
 #include "plan.h"
 
-namespace dahliastall::soak {
+namespace inference_router::soak {
 
 struct Outcome {
   std::vector<Break> breaks;
@@ -21,4 +21,4 @@
 /// Plays a plan in an empty folder, in which logs are left.
 Outcome play(const Plan& plan, const Programs& programs, const std::string& folder);
 
-}  // namespace dahliastall::soak
+}  // namespace inference_router::soak
--- a/soak/settings.cpp
+++ b/soak/settings.cpp
@@ -1,6 +1,6 @@
 #include "settings.h"
 
-namespace dahliastall::soak {
+namespace inference_router::soak {
 
 namespace {
 
@@ -33,4 +33,4 @@
   return settings;
 }
 
-}  // namespace dahliastall::soak
+}  // namespace inference_router::soak
--- a/soak/settings.h
+++ b/soak/settings.h
@@ -6,7 +6,7 @@
 
 #include "net/endpoint.h"
 
-namespace dahliastall::soak {
+namespace inference_router::soak {
 
 inline constexpr double kDrainGraceMs = 1'000;
 
@@ -16,4 +16,4 @@
 
 nlohmann::json settings(double longestDeadlineMs);
 
-}  // namespace dahliastall::soak
+}  // namespace inference_router::soak
--- a/src/admission/address.cpp
+++ b/src/admission/address.cpp
@@ -6,7 +6,7 @@
 #include <charconv>
 #include <cstring>
 
-namespace dahliastall::admission {
+namespace inference_router::admission {
 
 namespace {
 
@@ -75,4 +75,4 @@
   return base_.text() + "/" + std::to_string(base_.isV4() ? bits_ - kMappedBits : bits_);
 }
 
-}  // namespace dahliastall::admission
+}  // namespace inference_router::admission
--- a/src/admission/address.h
+++ b/src/admission/address.h
@@ -8,7 +8,7 @@
 #include <optional>
 #include <string>
 
-namespace dahliastall::admission {
+namespace inference_router::admission {
 
 // An IPv6 address in network byte order.
 struct Address {
@@ -37,4 +37,4 @@
   int bits_ = 128;
 };
 
-}  // namespace dahliastall::admission
+}  // namespace inference_router::admission
--- a/src/admission/admission_controller.cpp
+++ b/src/admission/admission_controller.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace dahliastall::admission {
+namespace inference_router::admission {
 
 namespace {
 
@@ -337,4 +337,4 @@
   return evicted;
 }
 
-}  // namespace dahliastall::admission
+}  // namespace inference_router::admission
--- a/src/admission/admission_controller.h
+++ b/src/admission/admission_controller.h
@@ -16,7 +16,7 @@
 #include "admission/descriptor_budget.h"
 #include "admission/rules.h"
 
-namespace dahliastall::admission {
+namespace inference_router::admission {
 
 // Why a connection was refused.
 enum class Reason { kNone, kRate, kAddress, kNetwork, kFull, kReserved, kDescriptors };
@@ -132,4 +132,4 @@
   std::size_t openUnknown_ = 0;
 };
 
-}  // namespace dahliastall::admission
+}  // namespace inference_router::admission
--- a/src/admission/descriptor_budget.cpp
+++ b/src/admission/descriptor_budget.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace dahliastall::admission {
+namespace inference_router::admission {
 
 namespace {
 
@@ -79,4 +79,4 @@
   return level_;
 }
 
-}  // namespace dahliastall::admission
+}  // namespace inference_router::admission
--- a/src/admission/descriptor_budget.h
+++ b/src/admission/descriptor_budget.h
@@ -6,7 +6,7 @@
 #include <cstddef>
 #include <cstdint>
 
-namespace dahliastall::admission {
+namespace inference_router::admission {
 
 // The purpose of a descriptor. kOwn: log, event loop, listeners, the spare one. kRefusals: clients
 // that are sent the reason of their refusal.
@@ -66,4 +66,4 @@
   double exhaustedUntilMs_ = 0;
 };
 
-}  // namespace dahliastall::admission
+}  // namespace inference_router::admission
--- a/src/admission/rules.cpp
+++ b/src/admission/rules.cpp
@@ -4,7 +4,7 @@
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
-namespace dahliastall::admission {
+namespace inference_router::admission {
 
 using nlohmann::json;
 
@@ -230,4 +230,4 @@
   return text;
 }
 
-}  // namespace dahliastall::admission
+}  // namespace inference_router::admission
--- a/src/admission/rules.h
+++ b/src/admission/rules.h
@@ -9,7 +9,7 @@
 
 #include "admission/address.h"
 
-namespace dahliastall::admission {
+namespace inference_router::admission {
 
 // Validated rules; see docs/operators/connection-admission.md for their meaning.
 struct Rules {
@@ -48,4 +48,4 @@
                     const Address& address,
                     const std::optional<std::string>& keyName);
 
-}  // namespace dahliastall::admission
+}  // namespace inference_router::admission
--- a/src/app/admin_client.cpp
+++ b/src/app/admin_client.cpp
@@ -6,7 +6,7 @@
 #include <chrono>
 #include <stdexcept>
 
-namespace dahliastall::app {
+namespace inference_router::app {
 
 std::string callAdmin(const net::Endpoint& endpoint, const std::string& line, double withinMs) {
   boost::asio::io_context io;
@@ -40,4 +40,4 @@
   return answer;
 }
 
-}  // namespace dahliastall::app
+}  // namespace inference_router::app
--- a/src/app/admin_client.h
+++ b/src/app/admin_client.h
@@ -5,7 +5,7 @@
 
 #include "net/endpoint.h"
 
-namespace dahliastall::app {
+namespace inference_router::app {
 
 // Sends one line and returns the whole answer. Blocks; throws std::runtime_error if the endpoint
 // cannot be reached or does not answer within withinMs.
@@ -13,4 +13,4 @@
                       const std::string& line,
                       double withinMs = 10'000);
 
-}  // namespace dahliastall::app
+}  // namespace inference_router::app
--- a/src/app/admission_watch.cpp
+++ b/src/app/admission_watch.cpp
@@ -2,7 +2,7 @@
 
 #include <spdlog/spdlog.h>
 
-namespace dahliastall::app {
+namespace inference_router::app {
 
 namespace {
 
@@ -76,4 +76,4 @@
   return text + "descriptors_level{is=\"" + admission::nameOf(level) + "\"} 1\n";
 }
 
-}  // namespace dahliastall::app
+}  // namespace inference_router::app
--- a/src/app/admission_watch.h
+++ b/src/app/admission_watch.h
@@ -7,9 +7,9 @@
 #include <string>
 
 #include "admission/admission_controller.h"
-#include "app/conductor_app.h"
+#include "app/server.h"
 
-namespace dahliastall::app {
+namespace inference_router::app {
 
 class AdmissionWatch {
  public:
@@ -29,4 +29,4 @@
   std::optional<core::Deadlines::Key> next_;
 };
 
-}  // namespace dahliastall::app
+}  // namespace inference_router::app
--- a/src/app/config.cpp
+++ b/src/app/config.cpp
@@ -4,10 +4,10 @@
 #include <fstream>
 #include <sstream>
 
-#include "fronts/boxes/directory.h"
-#include "fronts/settings_json.h"
+#include "frontend/settings_json.h"
+#include "upstream/instance_directory.h"
 
-namespace dahliastall::app {
+namespace inference_router::app {
 
 using nlohmann::json;
 
@@ -65,12 +65,12 @@
   try {
     Config config;
     config.name = pick(file, environment, "GW_NAME", "name");
-    config.listen = fronts::endpointOf(pick(file, environment, "GW_LISTEN", "listen"));
-    config.discovery = fronts::endpointOf(pick(file, environment, "GW_DISCOVERY", "discovery"));
+    config.listen = net::endpointOf(pick(file, environment, "GW_LISTEN", "listen"));
+    config.discovery = net::endpointOf(pick(file, environment, "GW_DISCOVERY", "discovery"));
     if (file.contains("discovery"))
-      config.discoveryInFile = fronts::endpointOf(file.at("discovery").get<std::string>());
+      config.discoveryInFile = net::endpointOf(file.at("discovery").get<std::string>());
     if (file.contains("admin_addr") || environment.count("GW_ADMIN_ADDR") != 0)
-      config.admin = fronts::endpointOf(pick(file, environment, "GW_ADMIN_ADDR", "admin_addr"));
+      config.admin = net::endpointOf(pick(file, environment, "GW_ADMIN_ADDR", "admin_addr"));
     if (const auto folder = environment.find("TMPDIR"); folder != environment.end())
       config.sharedFolder = folder->second;
     config.seed = seedOf(file);
@@ -81,7 +81,7 @@
     if (!file.contains("settings"))
       throw ConfigError("settings is missing");
     const json& settings = file.at("settings");
-    config.setup = fronts::settingsOf(settings);
+    config.setup = frontend::settingsOf(settings);
     if (settings.contains("limits"))
       config.idleCloseMs = settings.at("limits").value("idleCloseMs", config.idleCloseMs);
     if (file.contains("known"))
@@ -91,9 +91,9 @@
     throw ConfigError(fault.what());
   } catch (const std::invalid_argument& fault) {
     throw ConfigError(fault.what());
-  } catch (const leverrelay::wire::Malformed& fault) {
+  } catch (const routing::wire::Malformed& fault) {
     throw ConfigError(fault.what());
   }
 }
 
-}  // namespace dahliastall::app
+}  // namespace inference_router::app
--- a/src/app/config.h
+++ b/src/app/config.h
@@ -11,7 +11,7 @@
 #include "net/pool.h"
 #include "wire.h"
 
-namespace dahliastall::app {
+namespace inference_router::app {
 
 struct ConfigError : std::runtime_error {
   using std::runtime_error::runtime_error;
@@ -37,7 +37,7 @@
   std::uint64_t seed = 0;
   Limits limits;
   nlohmann::json known;
-  leverrelay::wire::Setup setup;
+  routing::wire::Setup setup;
   double idleCloseMs = 30'000;
 };
 
@@ -50,4 +50,4 @@
 // ConfigError.
 Config configOf(const nlohmann::json& file, const Environment& environment);
 
-}  // namespace dahliastall::app
+}  // namespace inference_router::app
--- a/src/app/coordinator.cpp
+++ b/src/app/coordinator.cpp
@@ -4,10 +4,10 @@
 
 #include <charconv>
 
-#include "app/fleet_boxes.h"
+#include "app/fleet_instances.h"
 #include "coordination/sqlite_store.h"
 
-namespace dahliastall::app {
+namespace inference_router::app {
 
 using namespace coordination;
 using control::Service;
@@ -122,7 +122,7 @@
 }
 
 Coordinator::Coordinator(Engine& engine,
-                         const leverrelay::wire::Setup& site,
+                         const routing::wire::Setup& site,
                          Setup setup,
                          Sharer* sharer)
     : engine_(engine),
@@ -246,10 +246,10 @@
   const auto news = engine_.membership.setPlannedDrains(drained, engine_.clock.nowMs());
   if (!news)
     return;
-  for (const leverrelay::ListEntry& entry : news->entries) {
+  for (const routing::ListEntry& entry : news->entries) {
     const bool out = drained.count(entry.engine.value) != 0;
     spdlog::info("maintenance: box {} is {}", entry.engine.value, out ? "drained" : "back");
-    const fronts::Box* box = engine_.directory.find(entry.engine);
+    const upstream::Box* box = engine_.directory.find(entry.engine);
     if (!out && box != nullptr)
       engine_.pool.dropIdle(box->address);
   }
@@ -338,4 +338,4 @@
   });
 }
 
-}  // namespace dahliastall::app
+}  // namespace inference_router::app
--- a/src/app/coordinator.h
+++ b/src/app/coordinator.h
@@ -8,19 +8,19 @@
 #include <string>
 #include <vector>
 
-#include "app/conductor_app.h"
-#include "app/sharer.h"
+#include "app/server.h"
+#include "app/shared_state_service.h"
 #include "control/commands.h"
 #include "coordination/runner.h"
 #include "coordination/setup.h"
 
-namespace dahliastall::app {
+namespace inference_router::app {
 
 class Coordinator {
  public:
   // sharer: what else the store carries; none where nothing is shared beside leases.
   Coordinator(Engine& engine,
-              const leverrelay::wire::Setup& site,
+              const routing::wire::Setup& site,
               coordination::Setup setup,
               Sharer* sharer = nullptr);
   ~Coordinator();
@@ -57,7 +57,7 @@
                std::function<void(control::Service::Done)> reply);
 
   Engine& engine_;
-  const leverrelay::wire::Setup& site_;
+  const routing::wire::Setup& site_;
   Sharer* sharer_;
   coordination::Holder who_;
   std::uint64_t seed_;
@@ -70,4 +70,4 @@
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-}  // namespace dahliastall::app
+}  // namespace inference_router::app
--- a/src/app/files.cpp
+++ b/src/app/files.cpp
@@ -5,7 +5,7 @@
 
 #include <cerrno>
 
-namespace dahliastall::app {
+namespace inference_router::app {
 
 namespace {
 
@@ -64,4 +64,4 @@
   return true;
 }
 
-}  // namespace dahliastall::app
+}  // namespace inference_router::app
--- a/src/app/files.h
+++ b/src/app/files.h
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <utility>
 
-namespace dahliastall::app {
+namespace inference_router::app {
 
 /// An open file that closes with its owner.
 class File {
@@ -34,4 +34,4 @@
 /// Has the system put what was written on the storage. False if it could not.
 [[nodiscard]] bool sync(int descriptor);
 
-}  // namespace dahliastall::app
+}  // namespace inference_router::app
--- a/src/app/fleet_boxes.h
+++ b/src/app/fleet_instances.h
@@ -6,10 +6,10 @@
 #include <cstdint>
 #include <random>
 
-#include "app/conductor_app.h"
+#include "app/server.h"
 #include "coordination/maintenance.h"
 
-namespace dahliastall::app {
+namespace inference_router::app {
 
 inline std::uint64_t freshNumber() {
   std::random_device source;
@@ -18,16 +18,16 @@
 
 // The listed instances, without the drains of a maintenance.
 inline coordination::FleetBoxes fleetBoxes(const fleet::Membership& members,
-                                           const leverrelay::Settings& settings) {
+                                           const routing::Settings& settings) {
   constexpr std::array<const char*, 3> kRoles{"read", "write", "both"};
   coordination::FleetBoxes found;
   for (const auto& [id, entry] : members.listed()) {
     coordination::FleetBox& box = found[id.value];
     box.role = kRoles.at(static_cast<std::size_t>(settings.kinds[entry.kind.value].role));
     box.cell = entry.cell.value;
-    box.serves = entry.presence == leverrelay::Presence::kActive && !members.excluded(id);
+    box.serves = entry.presence == routing::Presence::kActive && !members.excluded(id);
   }
   return found;
 }
 
-}  // namespace dahliastall::app
+}  // namespace inference_router::app
--- a/src/app/handover.cpp
+++ b/src/app/handover.cpp
@@ -7,7 +7,7 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
-namespace dahliastall::app {
+namespace inference_router::app {
 
 using nlohmann::json;
 
@@ -31,7 +31,7 @@
 }  // namespace
 
 std::string textOf(const HandedStream& stream) {
-  const leverrelay::Arrival& told = stream.arrival;
+  const routing::Arrival& told = stream.arrival;
   const json whole{{"id", binary(told.request.value)},
                    {"class", told.cls.value},
                    {"tenant", told.tenant ? json(told.tenant->value) : json()},
@@ -60,14 +60,14 @@
   stream.arrival.request = {bytesOf(whole.at("id"))};
   stream.arrival.cls = {whole.at("class").get<std::uint32_t>()};
   if (!whole.at("tenant").is_null())
-    stream.arrival.tenant = leverrelay::TenantIndex{whole.at("tenant").get<std::uint32_t>()};
+    stream.arrival.tenant = routing::TenantIndex{whole.at("tenant").get<std::uint32_t>()};
   stream.arrival.session = bytesOf(whole.at("session"));
   stream.arrival.prefix = bytesOf(whole.at("prefix"));
   stream.arrival.promptTokens = whole.at("prompt").get<double>();
   stream.arrival.prefixTokens = whole.at("shared").get<double>();
   stream.arrival.maxTokens = whole.at("most").get<double>();
   stream.engine = {bytesOf(whole.at("engine"))};
-  stream.address = fronts::endpointOf(whole.at("address").get<std::string>());
+  stream.address = net::endpointOf(whole.at("address").get<std::string>());
   stream.box.call.unread = bytesOf(whole.at("unread"));
   stream.box.call.chunkLeft = whole.at("chunk").get<std::uint64_t>();
   stream.box.call.keepAlive = whole.at("box_keeps").get<bool>();
@@ -85,7 +85,7 @@
 void Handover::begin(const std::string& folder, const std::string& name) {
   if (to_)
     return;
-  to_ = std::make_unique<PassingSender>(folder, name);
+  to_ = std::make_unique<net::PassingSender>(folder, name);
   if (!to_->isOpen())
     spdlog::warn("the other process takes no streams: their clients will ask for the rest");
   tick();
@@ -124,15 +124,15 @@
   const auto client = front_.connectionOf(key);
   const auto rest = client ? client->rest() : std::nullopt;
   const auto box = engine_.boxes.rest(stream->attempt);
-  const fronts::Box* known = engine_.directory.find(stream->engine);
+  const upstream::Box* known = engine_.directory.find(stream->engine);
   if (!rest || !box || known == nullptr)
     return engine_.boxes.goOn(stream->attempt);
-  Passed kept{textOf({stream->arrival, stream->engine, known->address, *box, *rest}), {}};
+  net::Passed kept{textOf({stream->arrival, stream->engine, known->address, *box, *rest}), {}};
   for (const int descriptor : {rest->descriptor, box->call.descriptor})
     kept.descriptors.emplace_back(::fcntl(descriptor, F_DUPFD_CLOEXEC, 0));
   const bool may = sent_.size() < kMostUnheard && kept.descriptors[0] && kept.descriptors[1];
   if (!may || to_->send(kept.bytes, {rest->descriptor, box->call.descriptor}) !=
-                  PassingSender::Result::kSent)
+                  net::PassingSender::Result::kSent)
     return engine_.boxes.goOn(stream->attempt);
   sent_.push_back(std::move(kept));
   ++engine_.counters["streams.handed_over"];
@@ -141,7 +141,7 @@
   engine_.conductor.handedOver(key);
 }
 
-void Handover::take(Passed passed) {
+void Handover::take(net::Passed passed) {
   if (passed.descriptors.size() != 2)
     return;
   HandedStream stream{};
@@ -165,7 +165,7 @@
   stream.box.call.descriptor = passed.descriptors[1].take();
   if (!engine_.boxes.adopt(taken->attempt, stream.arrival.request, stream.engine, stream.address,
                            stream.box))
-    engine_.conductor.ended(taken->attempt, {leverrelay::Outcome::kConnectionLost});
+    engine_.conductor.ended(taken->attempt, {routing::Outcome::kConnectionLost});
 }
 
-}  // namespace dahliastall::app
+}  // namespace inference_router::app
--- a/src/app/handover.h
+++ b/src/app/handover.h
@@ -6,17 +6,17 @@
 #include <memory>
 #include <string>
 
-#include "app/conductor_app.h"
-#include "app/passing.h"
+#include "app/server.h"
+#include "net/descriptor_transfer.h"
 
-namespace dahliastall::app {
+namespace inference_router::app {
 
 // The text form of a stream without its descriptors, and back; throws on what is none.
 struct HandedStream {
-  leverrelay::Arrival arrival;
-  leverrelay::EngineId engine;
+  routing::Arrival arrival;
+  routing::EngineId engine;
   net::Endpoint address;
-  fronts::Boxes::Rest box;
+  upstream::Boxes::Rest box;
   net::ClientConnection::Rest client;
 };
 std::string textOf(const HandedStream& stream);
@@ -24,7 +24,7 @@
 
 class Handover {
  public:
-  Handover(Engine& engine, fronts::Front& front, net::Listener& listener)
+  Handover(Engine& engine, frontend::Front& front, net::Listener& listener)
       : engine_(engine), front_(front), listener_(listener) {}
   ~Handover();
 
@@ -36,7 +36,7 @@
   std::size_t unheard() const { return sent_.size(); }
   // A stream from another process. One that cannot be taken over breaks, and its client asks for
   // the rest.
-  void take(Passed passed);
+  void take(net::Passed passed);
 
  private:
   void settle();
@@ -44,11 +44,11 @@
   void hand(core::RequestKey key);
 
   Engine& engine_;
-  fronts::Front& front_;
+  frontend::Front& front_;
   net::Listener& listener_;
-  std::unique_ptr<PassingSender> to_;
-  std::deque<Passed> sent_;  // with descriptors of this process's own
+  std::unique_ptr<net::PassingSender> to_;
+  std::deque<net::Passed> sent_;  // with descriptors of this process's own
   std::optional<core::Deadlines::Key> next_;
 };
 
-}  // namespace dahliastall::app
+}  // namespace inference_router::app
--- a/src/app/operations.cpp
+++ b/src/app/operations.cpp
@@ -6,9 +6,9 @@
 
 #include "app/coordinator.h"
 
-namespace dahliastall::app {
+namespace inference_router::app {
 
-using leverrelay::ListNews;
+using routing::ListNews;
 
 namespace {
 
@@ -37,9 +37,9 @@
 }
 
 void Operations::openReceiver() {
-  receiver_ = std::make_unique<PassingReceiver>(
+  receiver_ = std::make_unique<net::PassingReceiver>(
       parts_.engine.io, folder_->folder(), folder_->receiver(),
-      [this](Passed passed) { handover_.take(std::move(passed)); });
+      [this](net::Passed passed) { handover_.take(std::move(passed)); });
 }
 
 Operations::~Operations() {
@@ -133,7 +133,7 @@
     const std::size_t parts = others.alive + 1;
     parts_.listener.capAt(parts_.limits.clients() / parts);
     parts_.engine.pool.capAt(parts_.limits.boxes() / parts);
-    leverrelay::Settings settings = parts_.setup.settings;
+    routing::Settings settings = parts_.setup.settings;
     settings.nodes += static_cast<int>(others.alive);
     parts_.engine.conductor.reconfigure(settings);
   }
@@ -143,11 +143,11 @@
 void Operations::tell(const std::optional<ListNews>& news) {
   if (!news)
     return;
-  for (const leverrelay::ListEntry& entry : news->entries) {
+  for (const routing::ListEntry& entry : news->entries) {
     const bool out = parts_.engine.membership.excluded(entry.engine);
     spdlog::info("instance {} is {}", entry.engine.value, out ? "excluded" : "included");
     // It may have been started anew: what led to it would only end as resets.
-    const fronts::Box* box = parts_.engine.directory.find(entry.engine);
+    const upstream::Box* box = parts_.engine.directory.find(entry.engine);
     if (!out && box != nullptr)
       parts_.engine.pool.dropIdle(box->address);
   }
@@ -283,7 +283,7 @@
   const auto& members = parts_.engine.membership;
   const double coldMs = core::toMs(parts_.setup.settings.contract.coldFor);
   for (const auto& [id, entry] : members.listed()) {
-    const leverrelay::ListEntry effective = members.effectiveOf(id).value_or(entry);
+    const routing::ListEntry effective = members.effectiveOf(id).value_or(entry);
     fleet::InstanceFacts facts;
     facts.listed = true;
     facts.warm = !effective.started || now - core::toMs(*effective.started) >= coldMs;
@@ -291,10 +291,10 @@
       facts.drainedBy = "operator";
     else if (members.drained().count(id.value) != 0)
       facts.drainedBy = "maintenance";
-    else if (entry.presence != leverrelay::Presence::kActive)
+    else if (entry.presence != routing::Presence::kActive)
       facts.drainedBy = "list";
     facts.avoided = parts_.engine.conductor.avoids(id);
-    if (const fronts::Box* box = parts_.engine.directory.find(id))
+    if (const upstream::Box* box = parts_.engine.directory.find(id))
       facts.reachable = box->failedMs <= box->heardMs;
     facts.open = parts_.engine.conductor.openAt(id);
     const auto lifecycle = lifecycles_.try_emplace(id, !facts.warm, now).first;
@@ -332,4 +332,4 @@
   return pool;
 }
 
-}  // namespace dahliastall::app
+}  // namespace inference_router::app
--- a/src/app/operations.h
+++ b/src/app/operations.h
@@ -8,14 +8,14 @@
 #include <vector>
 
 #include "app/admission_watch.h"
-#include "app/conductor_app.h"
 #include "app/config.h"
 #include "app/handover.h"
+#include "app/server.h"
 #include "app/shared_folder.h"
 #include "control/commands.h"
 #include "fleet/lifecycle.h"
 
-namespace dahliastall::app {
+namespace inference_router::app {
 
 class Coordinator;
 class Sharer;
@@ -25,10 +25,10 @@
   struct Parts {
     Engine& engine;
     net::Listener& listener;
-    const leverrelay::wire::Setup& setup;
+    const routing::wire::Setup& setup;
     Limits limits;
     std::function<bool()> spoken;  // whether the list is what discovery says now
-    fronts::Front& front;
+    frontend::Front& front;
     bool doors = false;  // whether anybody can ask
   };
 
@@ -74,7 +74,7 @@
   void merge(const std::string& text);
   bool storeExclusions();
   void sayServing();
-  void tell(const std::optional<leverrelay::ListNews>& news);
+  void tell(const std::optional<routing::ListNews>& news);
   Done setExcluded(const std::string& id, bool out);
   bool mayServe() const;
   bool exclusionsAreKnown() const;
@@ -84,7 +84,7 @@
   Parts parts_;
   std::unique_ptr<SharedFolder> folder_;
   Handover handover_;
-  std::unique_ptr<PassingReceiver> receiver_;
+  std::unique_ptr<net::PassingReceiver> receiver_;
   SharedFolder::Others others_;
   bool exclusionsRead_ = false;  // what the folder stores is known here
   bool unstored_ = false;        // what holds here is not stored there
@@ -93,11 +93,11 @@
   AdmissionWatch* admission_ = nullptr;
   Coordinator* coordinator_ = nullptr;  // none: this conductor shares nothing
   Sharer* sharer_ = nullptr;            // none: nothing but leases
-  std::map<leverrelay::EngineId, fleet::InstanceLifecycle>
+  std::map<routing::EngineId, fleet::InstanceLifecycle>
       lifecycles_;  // of the boxes that are listed, and of a few that are gone
   double reconciledMs_ = 0;
   std::optional<core::Deadlines::Key> next_;
   double startedMs_;
 };
 
-}  // namespace dahliastall::app
+}  // namespace inference_router::app
--- a/src/app/otlp.cpp
+++ b/src/app/otlp.cpp
@@ -4,7 +4,7 @@
 
 #include "net/message.h"
 
-namespace dahliastall::app {
+namespace inference_router::app {
 
 using nlohmann::json;
 
@@ -88,4 +88,4 @@
   deadlines_.add(clock_.nowMs() + intervalMs_, [this] { send(); });
 }
 
-}  // namespace dahliastall::app
+}  // namespace inference_router::app
--- a/src/app/otlp.h
+++ b/src/app/otlp.h
@@ -10,7 +10,7 @@
 #include "core/deadlines.h"
 #include "net/pool.h"
 
-namespace dahliastall::app {
+namespace inference_router::app {
 
 // An ExportMetricsServiceRequest: each counter as a cumulative, monotonic sum.
 std::string otlpMetrics(const core::Counters& counters,
@@ -48,4 +48,4 @@
   std::shared_ptr<net::Call> call_;
 };
 
-}  // namespace dahliastall::app
+}  // namespace inference_router::app
--- a/src/app/conductor_app.cpp
+++ b/src/app/server.cpp
@@ -1,4 +1,4 @@
-#include "app/conductor_app.h"
+#include "app/server.h"
 
 #include <spdlog/spdlog.h>
 #include <sys/resource.h>
@@ -13,7 +13,7 @@
 #include "app/trace.h"
 #include "net/line_server.h"
 
-namespace dahliastall::app {
+namespace inference_router::app {
 
 namespace {
 
@@ -58,11 +58,11 @@
 
 Engine::Engine(boost::asio::io_context& context,
                const core::Clock& time,
-               const leverrelay::wire::Setup& setup,
+               const routing::wire::Setup& setup,
                std::uint64_t seed,
                std::size_t boxConnections,
                double idleCloseMs,
-               fronts::BoxDialect dialect,
+               upstream::BoxDialect dialect,
                std::size_t descriptors)
     : io(context),
       clock(time),
@@ -92,7 +92,7 @@
   conductor.onLog([](const std::string& text) { spdlog::info("module: {}", text); });
 }
 
-void Engine::reconfigure(const leverrelay::Settings& settings, fronts::BoxDialect dialect) {
+void Engine::reconfigure(const routing::Settings& settings, upstream::BoxDialect dialect) {
   conductor.reconfigure(settings);
   pool.dialWithin(core::toMs(settings.limits.dialTimeout));
   boxes.reconfigure(std::move(dialect), core::toMs(settings.contract.releaseWithin));
@@ -232,7 +232,7 @@
 
 }  // namespace
 
-Engine::Ending platformEnding(const leverrelay::Settings& settings) {
+Engine::Ending platformEnding(const routing::Settings& settings) {
   if (!settings.resume)
     return {kDoorOpenMs, std::nullopt, {}, {}};
   double longest = 0;
@@ -247,11 +247,12 @@
   const core::SystemClock clock;
   const Limits limits{descriptorsOf(config.limits.sockets)};
   Engine engine(io, clock, config.setup, config.seed, limits.boxes(), config.idleCloseMs,
-                fronts::platformDialect(), limits.sockets);
-  fronts::PlatformFront front(engine.conductor, config.setup.names, engine.clock, engine.counters);
-  fronts::Discovery discovery(engine.io, engine.clock, engine.deadlines, engine.counters, engine,
-                              engine.directory, engine.pool, config.setup.names,
-                              fleet::DiscoveryBackoff(config.setup.settings.nodes, config.seed));
+                frontend::platformDialect(), limits.sockets);
+  frontend::PlatformFront front(engine.conductor, config.setup.names, engine.clock,
+                                engine.counters);
+  frontend::Discovery discovery(engine.io, engine.clock, engine.deadlines, engine.counters, engine,
+                                engine.directory, engine.pool, config.setup.names,
+                                fleet::DiscoveryBackoff(config.setup.settings.nodes, config.seed));
   discovery.accountTo(engine.ledger);
   traceTo(engine, telemetry);
   if (!config.known.is_null())
@@ -290,7 +291,7 @@
 
 // The module numbers classes, tenants and kinds by their order: those there are keep their places,
 // more may follow. Checked before anything changes.
-void takeOver(fronts::OperatorFile fresh, fronts::OperatorFile& site, Engine& engine) {
+void takeOver(frontend::OperatorFile fresh, frontend::OperatorFile& site, Engine& engine) {
   const auto keeps = [](const auto& old, const auto& now, const char* what) {
     if (now.size() < old.size() || !std::equal(old.begin(), old.end(), now.begin()))
       throw ConfigError(std::string(what) +
@@ -309,23 +310,23 @@
   fresh.sockets = site.sockets;
   fresh.boxes.version = site.boxes.version + 1;
   site = std::move(fresh);
-  engine.reconfigure(site.setup.settings, fronts::openaiDialect(site));
+  engine.reconfigure(site.setup.settings, frontend::openaiDialect(site));
   engine.directory.update(site.directory.all(), /*whole=*/true, engine.pool);
   engine.list(site.boxes);
 }
 
-void serve(const fronts::OperatorFile& first,
+void serve(const frontend::OperatorFile& first,
            const Telemetry& telemetry,
-           const Reread<fronts::OperatorFile>& reread) {
-  fronts::OperatorFile site = first;
+           const Reread<frontend::OperatorFile>& reread) {
+  frontend::OperatorFile site = first;
   boost::asio::io_context io;
   const core::SystemClock clock;
   const Limits limits{descriptorsOf(site.sockets)};
   Engine engine(io, clock, site.setup, site.seed, limits.boxes(), site.idleCloseMs,
-                fronts::openaiDialect(site), limits.sockets);
+                frontend::openaiDialect(site), limits.sockets);
   std::unique_ptr<admission::AdmissionController> gate;
   if (site.admission) {
-    if (site.admission->total > fronts::mostAdmitted(limits.sockets))
+    if (site.admission->total > frontend::mostAdmitted(limits.sockets))
       throw ConfigError("admission.connections.total cannot be met: the system gives only " +
                         std::to_string(limits.sockets) + " descriptors");
     gate = std::make_unique<admission::AdmissionController>(*site.admission);
@@ -333,8 +334,8 @@
   traceTo(engine, telemetry);
   engine.directory = site.directory;
   engine.list(site.boxes);
-  fronts::OpenAiFront front(engine.conductor, site, engine.clock, engine.counters,
-                            fronts::randomIds());
+  frontend::OpenAiFront front(engine.conductor, site, engine.clock, engine.counters,
+                              frontend::randomIds());
   const auto exporter = exporterFor(engine, telemetry);
   net::Listener listener(
       engine.io, site.listen, limits.clients(), front, engine.clock, engine.deadlines,
@@ -367,12 +368,12 @@
     ending.hasLeft = [&] { return coordinator->out(); };
   }
   engine.run(listener, ending, [&] {
-    fronts::OperatorFile fresh = reread();
+    frontend::OperatorFile fresh = reread();
     if (fresh.admission.has_value() != site.admission.has_value()) {
       spdlog::warn("SIGHUP: admission is switched on or off with the next start only");
       fresh.admission = site.admission;
     }
-    if (fresh.admission && fresh.admission->total > fronts::mostAdmitted(limits.sockets))
+    if (fresh.admission && fresh.admission->total > frontend::mostAdmitted(limits.sockets))
       throw ConfigError(
           "admission.connections.total is over what the descriptors of this process allow");
     if (fresh.coordination.has_value() != site.coordination.has_value()) {
@@ -395,4 +396,4 @@
   });
 }
 
-}  // namespace dahliastall::app
+}  // namespace inference_router::app
--- a/src/app/conductor_app.h
+++ b/src/app/server.h
@@ -7,27 +7,27 @@
 #include <optional>
 
 #include "app/config.h"
-#include "core/conductor.h"
+#include "core/request_dispatcher.h"
 #include "fleet/membership.h"
-#include "fronts/boxes/boxes.h"
-#include "fronts/openai/openai_front.h"
-#include "fronts/platform/discovery.h"
-#include "fronts/platform/platform_front.h"
+#include "frontend/openai/openai_front.h"
+#include "frontend/platform/discovery.h"
+#include "frontend/platform/platform_front.h"
 #include "net/listener.h"
 #include "net/loop.h"
+#include "upstream/http_instance_client.h"
 
-namespace dahliastall::app {
+namespace inference_router::app {
 
 // The part that every front needs: loop, core, pool and boxes.
 class Engine final : public core::ListSink {
  public:
   Engine(boost::asio::io_context& context,
          const core::Clock& time,
-         const leverrelay::wire::Setup& setup,
+         const routing::wire::Setup& setup,
          std::uint64_t seed,
          std::size_t boxConnections,
          double idleCloseMs,
-         fronts::BoxDialect dialect,
+         upstream::BoxDialect dialect,
          std::size_t descriptors = 1024);
 
   struct Ending {
@@ -47,12 +47,12 @@
   void run(net::Listener& listener, const Ending& ending, std::function<void()> reload);
 
   // What a list says goes through the membership to the module.
-  void list(leverrelay::ListNews news) override {
+  void list(routing::ListNews news) override {
     conductor.list(membership.told(news, clock.nowMs()));
   }
 
   // What a reload brings, as far as it can change under way.
-  void reconfigure(const leverrelay::Settings& settings, fronts::BoxDialect dialect);
+  void reconfigure(const routing::Settings& settings, upstream::BoxDialect dialect);
 
   boost::asio::io_context& io;
   const core::Clock& clock;
@@ -63,8 +63,8 @@
   core::Conductor conductor;
   fleet::Membership membership;
   net::Pool pool;
-  fronts::Directory directory;
-  fronts::Boxes boxes;
+  upstream::Directory directory;
+  upstream::Boxes boxes;
 
  private:
   void onSignal();
@@ -95,18 +95,18 @@
 using Reread = std::function<What()>;
 
 // How a planned restart goes on the platform, by the settings.
-Engine::Ending platformEnding(const leverrelay::Settings& settings);
+Engine::Ending platformEnding(const routing::Settings& settings);
 
 // On the platform: its protocol, its discovery. SIGHUP takes over the file's `discovery`.
 void serve(const Config& config, const Telemetry& telemetry, const Reread<Config>& reread);
 
 // At a small site: the chat API, the boxes of the operator's file, which SIGHUP takes over whole
 // but for what needs a new start.
-void takeOver(fronts::OperatorFile fresh,
-              fronts::OperatorFile& site,
+void takeOver(frontend::OperatorFile fresh,
+              frontend::OperatorFile& site,
               Engine& engine);  // throws ConfigError
-void serve(const fronts::OperatorFile& first,
+void serve(const frontend::OperatorFile& first,
            const Telemetry& telemetry,
-           const Reread<fronts::OperatorFile>& reread);
+           const Reread<frontend::OperatorFile>& reread);
 
-}  // namespace dahliastall::app
+}  // namespace inference_router::app
--- a/src/app/shared_folder.cpp
+++ b/src/app/shared_folder.cpp
@@ -16,7 +16,7 @@
 #include "app/files.h"
 #include "fleet/exclusions.h"
 
-namespace dahliastall::app {
+namespace inference_router::app {
 
 namespace {
 
@@ -158,4 +158,4 @@
   return sync(folder.get()) || errno == EINVAL;  // where a file system has nothing to sync
 }
 
-}  // namespace dahliastall::app
+}  // namespace inference_router::app
--- a/src/app/shared_folder.h
+++ b/src/app/shared_folder.h
@@ -10,7 +10,7 @@
 #include <optional>
 #include <string>
 
-namespace dahliastall::app {
+namespace inference_router::app {
 
 class SharedFolder {
  public:
@@ -69,4 +69,4 @@
   std::optional<Stamp> seen_;
 };
 
-}  // namespace dahliastall::app
+}  // namespace inference_router::app
--- a/src/app/sharer.cpp
+++ b/src/app/shared_state_service.cpp
@@ -1,16 +1,16 @@
-#include "app/sharer.h"
+#include "app/shared_state_service.h"
 
 #include <spdlog/spdlog.h>
 
 #include <nlohmann/json.hpp>
 
-#include "app/fleet_boxes.h"
+#include "app/fleet_instances.h"
 
-namespace dahliastall::app {
+namespace inference_router::app {
 
 using namespace shared;
-using leverrelay::Outcome;
 using nlohmann::json;
+using routing::Outcome;
 
 namespace {
 
@@ -21,14 +21,14 @@
 }  // namespace
 
 Sharer::Sharer(Engine& engine,
-               const leverrelay::wire::Setup& site,
+               const routing::wire::Setup& site,
                SharedSetup setup,
                const std::string& name)
     : engine_(engine),
       site_(site),
       setup_(std::move(setup)),
       node_(setup_.config, name, freshNumber, engine.clock.nowMs()) {
-  engine_.conductor.onEvent([this](const leverrelay::Event& event) { witness(event); });
+  engine_.conductor.onEvent([this](const routing::Event& event) { witness(event); });
   tick();
 }
 
@@ -83,11 +83,11 @@
 
 // Records the result of an attempt. Rejections and cancellations say nothing of the instance's
 // health.
-void Sharer::witness(const leverrelay::Event& event) {
+void Sharer::witness(const routing::Event& event) {
   const double now = engine_.clock.nowMs();
-  if (const auto* opened = std::get_if<leverrelay::StreamOpened>(&event))
+  if (const auto* opened = std::get_if<routing::StreamOpened>(&event))
     return node_.observations().recordSuccess(opened->engine.value, now);
-  const auto* ended = std::get_if<leverrelay::AttemptEnded>(&event);
+  const auto* ended = std::get_if<routing::AttemptEnded>(&event);
   if (ended == nullptr)
     return;
   const std::string& box = ended->engine.value;
@@ -144,8 +144,8 @@
   const auto news = engine_.membership.setPeerExclusions(out, now);
   if (!news)
     return;
-  for (const leverrelay::ListEntry& entry : news->entries) {
-    const fronts::Box* box = engine_.directory.find(entry.engine);
+  for (const routing::ListEntry& entry : news->entries) {
+    const upstream::Box* box = engine_.directory.find(entry.engine);
     if (out.count(entry.engine.value) == 0 && box != nullptr)
       engine_.pool.dropIdle(box->address);
   }
@@ -163,7 +163,7 @@
   if (among == splitAmong_)
     return;
   splitAmong_ = among;
-  leverrelay::Settings settings = site_.settings;
+  routing::Settings settings = site_.settings;
   settings.nodes = static_cast<int>(among);
   engine_.conductor.reconfigure(settings);
 }
@@ -171,10 +171,10 @@
 // ---- Accounts
 // ------------------------------------------------------------------------------------------
 
-std::optional<fronts::BudgetDenied> Sharer::reserve(const std::string& tenant,
-                                                    const std::string& cls,
-                                                    std::uint64_t tokens,
-                                                    Reservation& to) {
+std::optional<frontend::BudgetDenied> Sharer::reserve(const std::string& tenant,
+                                                      const std::string& cls,
+                                                      std::uint64_t tokens,
+                                                      Reservation& to) {
   const double now = engine_.clock.nowMs();
   const TokenBudgets::Answer answer = node_.reserve(tenant, tokens, now);
   to = answer.reservation;
@@ -187,16 +187,16 @@
   node_.ended(tenant, cls, answer.reservation, refused, now);
   switch (answer.denial) {
     case Denial::kUsedUp:
-      return fronts::BudgetDenied{"the token budget of " + tenant + " is used up for this period",
-                                  std::max(kLeastWaitMs, node_.periodEndsMs() - now)};
+      return frontend::BudgetDenied{"the token budget of " + tenant + " is used up for this period",
+                                    std::max(kLeastWaitMs, node_.periodEndsMs() - now)};
     case Denial::kTooLarge:
-      return fronts::BudgetDenied{
+      return frontend::BudgetDenied{
           "the request may need more tokens than the whole budget of " + tenant, 0};
     case Denial::kLoanExpired:
-      return fronts::BudgetDenied{"this conductor does not hear of the token budget of " + tenant,
-                                  kComeAgainMs};
+      return frontend::BudgetDenied{"this conductor does not hear of the token budget of " + tenant,
+                                    kComeAgainMs};
     default:
-      return fronts::BudgetDenied{
+      return frontend::BudgetDenied{
           "no tokens of the budget of " + tenant + " are at hand here just now", kComeAgainMs};
   }
 }
@@ -332,4 +332,4 @@
   return text;
 }
 
-}  // namespace dahliastall::app
+}  // namespace inference_router::app
--- a/src/app/sharer.h
+++ b/src/app/shared_state_service.h
@@ -8,22 +8,22 @@
 #include <string>
 #include <vector>
 
-#include "app/conductor_app.h"
+#include "app/server.h"
 #include "coordination/task.h"
-#include "fronts/openai/meter.h"
+#include "frontend/openai/meter.h"
 #include "shared/digest_task.h"
 #include "shared/node.h"
 #include "shared/setup.h"
 
-namespace dahliastall::app {
+namespace inference_router::app {
 
-class Sharer final : public fronts::TokenMeter {
+class Sharer final : public frontend::TokenMeter {
  public:
   using Put =
       std::function<void(coordination::Write, std::function<void(coordination::CommitAnswer)>)>;
 
   Sharer(Engine& engine,
-         const leverrelay::wire::Setup& site,
+         const routing::wire::Setup& site,
          shared::SharedSetup setup,
          const std::string& name);
   ~Sharer() override;
@@ -42,10 +42,10 @@
 
   std::string report(bool json);
 
-  std::optional<fronts::BudgetDenied> reserve(const std::string& tenant,
-                                              const std::string& cls,
-                                              std::uint64_t tokens,
-                                              shared::Reservation& to) override;
+  std::optional<frontend::BudgetDenied> reserve(const std::string& tenant,
+                                                const std::string& cls,
+                                                std::uint64_t tokens,
+                                                shared::Reservation& to) override;
   void ended(const std::string& tenant,
              const std::string& cls,
              const shared::Reservation& reservation,
@@ -57,11 +57,11 @@
   void judge();
   void split();
   void say();
-  void witness(const leverrelay::Event& event);
+  void witness(const routing::Event& event);
   std::map<std::string, shared::KnownInstance> boxes() const;
 
   Engine& engine_;
-  const leverrelay::wire::Setup& site_;
+  const routing::wire::Setup& site_;
   shared::SharedSetup setup_;
   shared::SharedNode node_;
   shared::DigestTask* task_ = nullptr;  // owned by the runner; replaced by the next call of task()
@@ -74,4 +74,4 @@
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-}  // namespace dahliastall::app
+}  // namespace inference_router::app
--- a/src/app/trace.cpp
+++ b/src/app/trace.cpp
@@ -5,9 +5,9 @@
 #include <array>
 #include <type_traits>
 
-namespace dahliastall::app {
+namespace inference_router::app {
 
-using namespace leverrelay;
+using namespace inference_router::routing;
 
 namespace {
 
@@ -86,4 +86,4 @@
       action);
 }
 
-}  // namespace dahliastall::app
+}  // namespace inference_router::app
--- a/src/app/trace.h
+++ b/src/app/trace.h
@@ -3,12 +3,12 @@
 
 #include <string>
 
-#include "leverrelay/router.h"
+#include "inference_router/router.h"
 
-namespace dahliastall::app {
+namespace inference_router::app {
 
 // Nothing for what only keeps time.
-std::string traceLine(const leverrelay::Event& event);
-std::string traceLine(const leverrelay::Action& action);
+std::string traceLine(const routing::Event& event);
+std::string traceLine(const routing::Action& action);
 
-}  // namespace dahliastall::app
+}  // namespace inference_router::app
--- a/src/control/commands.cpp
+++ b/src/control/commands.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <vector>
 
-namespace dahliastall::control {
+namespace inference_router::control {
 
 namespace {
 
@@ -129,4 +129,4 @@
                       [reply = std::move(reply)](const Service::Done& done) { reply(line(done)); });
 }
 
-}  // namespace dahliastall::control
+}  // namespace inference_router::control
--- a/src/control/commands.h
+++ b/src/control/commands.h
@@ -6,9 +6,9 @@
 #include <string>
 #include <string_view>
 
-#include "core/figures.h"
+#include "core/request_metrics.h"
 
-namespace dahliastall::control {
+namespace inference_router::control {
 
 // What commands act on; implemented by app::Operations.
 class Service {
@@ -62,4 +62,4 @@
 // The counters in exposition format.
 std::string telemetry(Service& service);
 
-}  // namespace dahliastall::control
+}  // namespace inference_router::control
--- a/src/coordination/cleanup.cpp
+++ b/src/coordination/cleanup.cpp
@@ -3,7 +3,7 @@
 #include "coordination/plan.h"
 #include "coordination/presence.h"
 
-namespace dahliastall::coordination {
+namespace inference_router::coordination {
 
 std::optional<Step> Cleanup::next(const View& view, std::uint64_t, double nowMs) {
   // Who did not look for a while, as a holder that was stopped, knows nothing of what has happened
@@ -28,4 +28,4 @@
   return std::nullopt;
 }
 
-}  // namespace dahliastall::coordination
+}  // namespace inference_router::coordination
--- a/src/coordination/cleanup.h
+++ b/src/coordination/cleanup.h
@@ -7,7 +7,7 @@
 #include "coordination/seen.h"
 #include "coordination/task.h"
 
-namespace dahliastall::coordination {
+namespace inference_router::coordination {
 
 class Cleanup final : public FleetTask {
  public:
@@ -28,4 +28,4 @@
   double lookedMs_ = 0;
 };
 
-}  // namespace dahliastall::coordination
+}  // namespace inference_router::coordination
--- a/src/coordination/etcd_store.cpp
+++ b/src/coordination/etcd_store.cpp
@@ -10,7 +10,7 @@
 #include "coordination/records.h"
 #include "net/message.h"
 
-namespace dahliastall::coordination {
+namespace inference_router::coordination {
 
 using nlohmann::json;
 
@@ -402,7 +402,7 @@
     const auto own = own_.find(fence->task());
     if (own == own_.end() || own->second.fence != fence->number())
       return answer({Committed::kStaleFence, 0});
-#ifndef DAHLIASTALL_WITHOUT_FENCE  // a build of the tests, which they have to find out
+#ifndef INFERENCE_ROUTER_WITHOUT_FENCE  // a build of the tests, which they have to find out
     compares.push_back(wasCreated(leaseKey(fence->task()), own->second.created));
     compares.push_back(hasValue(fenceKey(fence->task()), std::to_string(fence->number())));
 #endif
@@ -419,7 +419,7 @@
            return answer({Committed::kUnavailable, 0});
          if (done->value("succeeded", false))
            return answer({Committed::kDone,
-                          dahliastall::coordination::number(done->at("header"), "revision")});
+                          inference_router::coordination::number(done->at("header"), "revision")});
          const bool stale = !number.empty() &&
                             (firstOf(*done, 0).is_null() || valueOf(firstOf(*done, 1)) != number);
          answer({stale ? Committed::kStaleFence : Committed::kConflict, 0});
@@ -471,4 +471,4 @@
   }
 }
 
-}  // namespace dahliastall::coordination
+}  // namespace inference_router::coordination
--- a/src/coordination/etcd_store.h
+++ b/src/coordination/etcd_store.h
@@ -17,7 +17,7 @@
 #include "core/deadlines.h"
 #include "net/pool.h"
 
-namespace dahliastall::coordination {
+namespace inference_router::coordination {
 
 struct EtcdPlace {
   std::vector<net::Endpoint> endpoints;
@@ -86,4 +86,4 @@
   std::set<Exchange*> open_;
 };
 
-}  // namespace dahliastall::coordination
+}  // namespace inference_router::coordination
--- a/src/coordination/lease.cpp
+++ b/src/coordination/lease.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <utility>
 
-namespace dahliastall::coordination {
+namespace inference_router::coordination {
 
 namespace {
 
@@ -330,4 +330,4 @@
           asked};
 }
 
-}  // namespace dahliastall::coordination
+}  // namespace inference_router::coordination
--- a/src/coordination/lease.h
+++ b/src/coordination/lease.h
@@ -11,7 +11,7 @@
 #include <string>
 #include <tuple>
 
-namespace dahliastall::coordination {
+namespace inference_router::coordination {
 
 // One process: a conductor's name, and a number that is new with each start.
 struct Holder {
@@ -219,4 +219,4 @@
   Counts counts_;
 };
 
-}  // namespace dahliastall::coordination
+}  // namespace inference_router::coordination
--- a/src/coordination/lease_rules.cpp
+++ b/src/coordination/lease_rules.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace dahliastall::coordination {
+namespace inference_router::coordination {
 
 namespace {
 
@@ -56,4 +56,4 @@
          cell.record->holder == who;
 }
 
-}  // namespace dahliastall::coordination
+}  // namespace inference_router::coordination
--- a/src/coordination/lease_rules.h
+++ b/src/coordination/lease_rules.h
@@ -7,7 +7,7 @@
 
 #include "coordination/lease.h"
 
-namespace dahliastall::coordination {
+namespace inference_router::coordination {
 
 // All that is kept of one task. The fence outlives the lease: it may only go up.
 struct LeaseCell {
@@ -25,4 +25,4 @@
 // Whether an effect under this fence is in order: it is the newest, and was not given back.
 bool accepts(const LeaseCell& cell, const Holder& who, std::uint64_t fence);
 
-}  // namespace dahliastall::coordination
+}  // namespace inference_router::coordination
--- a/src/coordination/maintenance.cpp
+++ b/src/coordination/maintenance.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <set>
 
-namespace dahliastall::coordination {
+namespace inference_router::coordination {
 
 namespace {
 
@@ -244,4 +244,4 @@
   return {"", Write{kPlanKey, revision, plan.text()}, said};
 }
 
-}  // namespace dahliastall::coordination
+}  // namespace inference_router::coordination
--- a/src/coordination/maintenance.h
+++ b/src/coordination/maintenance.h
@@ -13,7 +13,7 @@
 #include "coordination/task.h"
 #include "fleet/drains.h"
 
-namespace dahliastall::coordination {
+namespace inference_router::coordination {
 
 struct FleetBox {
   std::string role;
@@ -74,4 +74,4 @@
                   const FleetBoxes& boxes,
                   double unixMs);
 
-}  // namespace dahliastall::coordination
+}  // namespace inference_router::coordination
--- a/src/coordination/plan.cpp
+++ b/src/coordination/plan.cpp
@@ -5,7 +5,7 @@
 #include <cmath>
 #include <nlohmann/json.hpp>
 
-namespace dahliastall::coordination {
+namespace inference_router::coordination {
 
 using nlohmann::json;
 
@@ -97,4 +97,4 @@
   }
 }
 
-}  // namespace dahliastall::coordination
+}  // namespace inference_router::coordination
--- a/src/coordination/plan.h
+++ b/src/coordination/plan.h
@@ -11,7 +11,7 @@
 
 #include "coordination/store.h"
 
-namespace dahliastall::coordination {
+namespace inference_router::coordination {
 
 inline constexpr const char* kPlanKey = "plan";
 
@@ -58,4 +58,4 @@
   static std::optional<Plan> parse(std::string_view text);
 };
 
-}  // namespace dahliastall::coordination
+}  // namespace inference_router::coordination
--- a/src/coordination/presence.cpp
+++ b/src/coordination/presence.cpp
@@ -2,7 +2,7 @@
 
 #include <nlohmann/json.hpp>
 
-namespace dahliastall::coordination {
+namespace inference_router::coordination {
 
 using nlohmann::json;
 
@@ -79,4 +79,4 @@
   nextMs_ = nowMs;
 }
 
-}  // namespace dahliastall::coordination
+}  // namespace inference_router::coordination
--- a/src/coordination/presence.h
+++ b/src/coordination/presence.h
@@ -12,7 +12,7 @@
 #include "coordination/lease.h"
 #include "coordination/store.h"
 
-namespace dahliastall::coordination {
+namespace inference_router::coordination {
 
 inline constexpr const char* kNodePrefix = "node/";
 
@@ -55,4 +55,4 @@
   bool known_ = false, writing_ = false, rivalled_ = false, owned_ = false;
 };
 
-}  // namespace dahliastall::coordination
+}  // namespace inference_router::coordination
--- a/src/coordination/records.cpp
+++ b/src/coordination/records.cpp
@@ -5,7 +5,7 @@
 
 #include "coordination/store.h"
 
-namespace dahliastall::coordination {
+namespace inference_router::coordination {
 
 using nlohmann::json;
 
@@ -112,4 +112,4 @@
   return bytes <= kMostChangeBytes;
 }
 
-}  // namespace dahliastall::coordination
+}  // namespace inference_router::coordination
--- a/src/coordination/records.h
+++ b/src/coordination/records.h
@@ -7,11 +7,11 @@
 
 #include "coordination/lease_rules.h"
 
-namespace dahliastall::coordination {
+namespace inference_router::coordination {
 
 std::string textOf(const LeaseRecord& record);
 std::optional<LeaseRecord> recordOf(std::string_view text);
 std::string textOf(const LeaseCell& cell);
 std::optional<LeaseCell> cellOf(std::string_view text);
 
-}  // namespace dahliastall::coordination
+}  // namespace inference_router::coordination
--- a/src/coordination/runner.cpp
+++ b/src/coordination/runner.cpp
@@ -7,7 +7,7 @@
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
-namespace dahliastall::coordination {
+namespace inference_router::coordination {
 
 namespace {
 
@@ -289,4 +289,4 @@
          "\n" + text;
 }
 
-}  // namespace dahliastall::coordination
+}  // namespace inference_router::coordination
--- a/src/coordination/runner.h
+++ b/src/coordination/runner.h
@@ -13,7 +13,7 @@
 #include "core/counters.h"
 #include "core/deadlines.h"
 
-namespace dahliastall::coordination {
+namespace inference_router::coordination {
 
 class Runner {
  public:
@@ -85,4 +85,4 @@
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-}  // namespace dahliastall::coordination
+}  // namespace inference_router::coordination
--- a/src/coordination/seen.h
+++ b/src/coordination/seen.h
@@ -6,7 +6,7 @@
 #include <map>
 #include <string>
 
-namespace dahliastall::coordination {
+namespace inference_router::coordination {
 
 class Seen {
  public:
@@ -30,4 +30,4 @@
   std::map<std::string, One> all_;
 };
 
-}  // namespace dahliastall::coordination
+}  // namespace inference_router::coordination
--- a/src/coordination/setup.cpp
+++ b/src/coordination/setup.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cctype>
 
-namespace dahliastall::coordination {
+namespace inference_router::coordination {
 
 namespace {
 
@@ -95,4 +95,4 @@
   return setup;
 }
 
-}  // namespace dahliastall::coordination
+}  // namespace inference_router::coordination
--- a/src/coordination/setup.h
+++ b/src/coordination/setup.h
@@ -11,7 +11,7 @@
 #include "coordination/maintenance.h"
 #include "core/fields.h"
 
-namespace dahliastall::coordination {
+namespace inference_router::coordination {
 
 struct Setup {
   std::string name;
@@ -27,4 +27,4 @@
 // Throws std::invalid_argument with the path of what is wrong. coldMs: that a box takes to be warm.
 Setup setupOf(const core::Fields& given, double coldMs);
 
-}  // namespace dahliastall::coordination
+}  // namespace inference_router::coordination
--- a/src/coordination/sqlite_store.cpp
+++ b/src/coordination/sqlite_store.cpp
@@ -11,7 +11,7 @@
 
 #include "coordination/records.h"
 
-namespace dahliastall::coordination {
+namespace inference_router::coordination {
 
 namespace {
 
@@ -204,7 +204,7 @@
   if (!acceptable(writes))
     return {Committed::kRefused, 0};
   Transaction whole(db_);
-#ifndef DAHLIASTALL_WITHOUT_FENCE  // a build of the tests, which they have to find out
+#ifndef INFERENCE_ROUTER_WITHOUT_FENCE  // a build of the tests, which they have to find out
   if (fence != nullptr && !accepts(cell(fence->task()), fence->holder(), fence->number()))
     return {Committed::kStaleFence, 0};
 #endif
@@ -335,4 +335,4 @@
                std::move(answer));
 }
 
-}  // namespace dahliastall::coordination
+}  // namespace inference_router::coordination
--- a/src/coordination/sqlite_store.h
+++ b/src/coordination/sqlite_store.h
@@ -15,7 +15,7 @@
 
 struct sqlite3;
 
-namespace dahliastall::coordination {
+namespace inference_router::coordination {
 
 // A machine's clock that all its processes share, and its boot.
 struct MachineTime {
@@ -85,4 +85,4 @@
   StorageThread thread_;             // last: ends before what it uses
 };
 
-}  // namespace dahliastall::coordination
+}  // namespace inference_router::coordination
--- a/src/coordination/storage_thread.cpp
+++ b/src/coordination/storage_thread.cpp
@@ -3,7 +3,7 @@
 #include <csignal>
 #include <utility>
 
-namespace dahliastall::coordination {
+namespace inference_router::coordination {
 
 // Signals are for the loop's thread alone.
 StorageThread::StorageThread() {
@@ -54,4 +54,4 @@
   }
 }
 
-}  // namespace dahliastall::coordination
+}  // namespace inference_router::coordination
--- a/src/coordination/storage_thread.h
+++ b/src/coordination/storage_thread.h
@@ -9,7 +9,7 @@
 #include <mutex>
 #include <thread>
 
-namespace dahliastall::coordination {
+namespace inference_router::coordination {
 
 class StorageThread {
  public:
@@ -33,4 +33,4 @@
   std::thread thread_;
 };
 
-}  // namespace dahliastall::coordination
+}  // namespace inference_router::coordination
--- a/src/coordination/store.h
+++ b/src/coordination/store.h
@@ -12,7 +12,7 @@
 
 #include "coordination/lease.h"
 
-namespace dahliastall::coordination {
+namespace inference_router::coordination {
 
 // What a fleet may have. All tables that are kept by conductor or by instance reach to these; the
 // sizes of texts and of the store follow from them (docs/design/bounds.md).
@@ -82,4 +82,4 @@
 // Whether writes keep the bounds above.
 bool acceptable(const std::vector<Write>& writes);
 
-}  // namespace dahliastall::coordination
+}  // namespace inference_router::coordination
--- a/src/coordination/task.h
+++ b/src/coordination/task.h
@@ -9,7 +9,7 @@
 
 #include "coordination/store.h"
 
-namespace dahliastall::coordination {
+namespace inference_router::coordination {
 
 struct TaskConfig {
   std::string name;
@@ -40,4 +40,4 @@
   virtual std::optional<Step> next(const View& view, std::uint64_t fence, double nowMs) = 0;
 };
 
-}  // namespace dahliastall::coordination
+}  // namespace inference_router::coordination
--- a/src/core/clock.h
+++ b/src/core/clock.h
@@ -5,9 +5,9 @@
 #include <chrono>
 #include <cmath>
 
-#include "leverrelay/router.h"
+#include "inference_router/router.h"
 
-namespace dahliastall::core {
+namespace inference_router::core {
 
 /// Milliseconds that only grow. What they count from means nothing, except that all processes of a
 /// machine count from the same moment.
@@ -49,17 +49,17 @@
 }
 
 // The only place where the program's milliseconds meet the module's microseconds.
-inline leverrelay::Duration toModule(double ms) {
-  return leverrelay::Duration(std::llround(ms * 1000));
+inline routing::Duration toModule(double ms) {
+  return routing::Duration(std::llround(ms * 1000));
 }
-inline leverrelay::Time toModuleTime(double ms) {
-  return leverrelay::Time(toModule(ms));
+inline routing::Time toModuleTime(double ms) {
+  return routing::Time(toModule(ms));
 }
-inline double toMs(leverrelay::Duration span) {
+inline double toMs(routing::Duration span) {
   return static_cast<double>(span.count()) / 1000;
 }
-inline double toMs(leverrelay::Time time) {
+inline double toMs(routing::Time time) {
   return toMs(time.time_since_epoch());
 }
 
-}  // namespace dahliastall::core
+}  // namespace inference_router::core
--- a/src/core/counters.h
+++ b/src/core/counters.h
@@ -5,7 +5,7 @@
 #include <map>
 #include <string>
 
-namespace dahliastall::core {
+namespace inference_router::core {
 
 class Counters {
  public:
@@ -17,4 +17,4 @@
   std::map<std::string, std::uint64_t> values_;
 };
 
-}  // namespace dahliastall::core
+}  // namespace inference_router::core
--- a/src/core/deadlines.h
+++ b/src/core/deadlines.h
@@ -9,7 +9,7 @@
 #include <optional>
 #include <utility>
 
-namespace dahliastall::core {
+namespace inference_router::core {
 
 class Deadlines {
  public:
@@ -62,4 +62,4 @@
   Task onEarlier_;
 };
 
-}  // namespace dahliastall::core
+}  // namespace inference_router::core
--- a/src/core/fields.h
+++ b/src/core/fields.h
@@ -11,7 +11,7 @@
 #include <type_traits>
 #include <vector>
 
-namespace dahliastall::core {
+namespace inference_router::core {
 
 class Fields {
  public:
@@ -119,4 +119,4 @@
   std::string path_;
 };
 
-}  // namespace dahliastall::core
+}  // namespace inference_router::core
--- a/src/core/ports.h
+++ b/src/core/ports.h
@@ -6,10 +6,10 @@
 #include <string>
 #include <string_view>
 
-#include "core/slots.h"
-#include "leverrelay/router.h"
+#include "core/slot_table.h"
+#include "inference_router/router.h"
 
-namespace dahliastall::core {
+namespace inference_router::core {
 
 using RequestKey = SlotKey;
 using AttemptKey = SlotKey;
@@ -45,13 +45,13 @@
 class ListSink {
  public:
   virtual ~ListSink() = default;
-  virtual void list(leverrelay::ListNews news) = 0;
+  virtual void list(routing::ListNews news) = 0;
 };
 
 struct Dispatch {
   AttemptKey attempt;
-  leverrelay::RequestId request;
-  leverrelay::EngineId engine;
+  routing::RequestId request;
+  routing::EngineId engine;
   std::shared_ptr<const Payload> payload;
   double untilMs;
   bool reads;              // at a reader: what it leaves is a state, and it takes none
@@ -69,19 +69,19 @@
   virtual void resume(AttemptKey attempt) = 0;  // after Conductor::passed() said to wait
   // Whether more of its answer has come than was passed on, its end included.
   virtual bool unread(AttemptKey attempt) const = 0;
-  virtual void holdPlace(const leverrelay::RequestId& request,
+  virtual void holdPlace(const routing::RequestId& request,
                          AttemptKey reading,
-                         const leverrelay::EngineId& engine) = 0;
-  virtual void release(const leverrelay::RequestId& request) = 0;
-  virtual void probe(const leverrelay::EngineId& engine) = 0;
+                         const routing::EngineId& engine) = 0;
+  virtual void release(const routing::RequestId& request) = 0;
+  virtual void probe(const routing::EngineId& engine) = 0;
 };
 
 struct Result {
-  leverrelay::Outcome outcome;
+  routing::Outcome outcome;
   double keptTokens = 0;
   bool stateGone = false;
   bool doubtful =
       false;  // the answer may have been one to an earlier request on the same connection
 };
 
-}  // namespace dahliastall::core
+}  // namespace inference_router::core
--- a/src/core/conductor.cpp
+++ b/src/core/request_dispatcher.cpp
@@ -1,13 +1,13 @@
-#include "core/conductor.h"
+#include "core/request_dispatcher.h"
 
 #include <algorithm>
 #include <set>
 #include <type_traits>
 #include <variant>
 
-namespace dahliastall::core {
+namespace inference_router::core {
 
-using namespace leverrelay;
+using namespace inference_router::routing;
 
 namespace {
 
@@ -669,4 +669,4 @@
   close(key, {Outcome::kConnectionLost});
 }
 
-}  // namespace dahliastall::core
+}  // namespace inference_router::core
--- a/src/core/conductor.h
+++ b/src/core/request_dispatcher.h
@@ -15,17 +15,17 @@
 #include "core/clock.h"
 #include "core/counters.h"
 #include "core/deadlines.h"
-#include "core/figures.h"
 #include "core/ports.h"
+#include "core/request_metrics.h"
 #include "core/request_permits.h"
-#include "core/slots.h"
-#include "leverrelay/router.h"
+#include "core/slot_table.h"
+#include "inference_router/router.h"
 
-namespace dahliastall::core {
+namespace inference_router::core {
 
 class Conductor final : public ListSink {
  public:
-  Conductor(const leverrelay::Settings& settings,
+  Conductor(const routing::Settings& settings,
             std::uint64_t seed,
             const Clock& clock,
             Deadlines& deadlines,
@@ -36,66 +36,66 @@
   void note(const std::string& text) { log_(text); }
   void onLog(std::function<void(const std::string&)> log) { log_ = std::move(log); }
   // Sees every action of the module before it is carried out.
-  void onAction(std::function<void(const leverrelay::Action&)> watch) { watch_ = std::move(watch); }
+  void onAction(std::function<void(const routing::Action&)> watch) { watch_ = std::move(watch); }
   // Sees every event before the module does. Several may.
-  void onEvent(std::function<void(const leverrelay::Event&)> watch) {
+  void onEvent(std::function<void(const routing::Event&)> watch) {
     watchEvents_.push_back(std::move(watch));
   }
 
   // Settings that came later. Classes, tenants and kinds keep their numbers; more may have been
   // added.
-  void reconfigure(const leverrelay::Settings& settings);
+  void reconfigure(const routing::Settings& settings);
 
   // From clients. Nothing if a request of this id is still known: the front answers that itself.
-  std::optional<RequestKey> take(leverrelay::Arrival arrival,
+  std::optional<RequestKey> take(routing::Arrival arrival,
                                  std::shared_ptr<const Payload> payload,
                                  std::shared_ptr<Answerer> answerer);
   void clientGone(RequestKey key);
   void clientReady(RequestKey key);
 
   // From discovery.
-  void list(leverrelay::ListNews news) override;
+  void list(routing::ListNews news) override;
 
   // From the engines' side.
   bool maySend(AttemptKey key);  // asked again just before a send that had to wait is written
   // Whether the client of this attempt is there and waits, by what its machine has said up to this
   // moment.
   bool attemptIsWanted(AttemptKey key);
-  bool mayHold(const leverrelay::EngineId& engine) const;
+  bool mayHold(const routing::EngineId& engine) const;
   // Whether nothing that is held for a request can be of use to it any more: it streams, or is
   // over.
-  bool needsNothingHeld(const leverrelay::RequestId& request) const;
+  bool needsNothingHeld(const routing::RequestId& request) const;
   bool passed(AttemptKey key, std::string_view part);
   void written(AttemptKey key);  // the attempt's last byte is out
   void ended(AttemptKey key, const Result& result);
-  void placeAnswered(AttemptKey reading, const leverrelay::EngineId& engine, bool held);
-  void probed(const leverrelay::EngineId& engine, double tookMs, bool answered);
+  void placeAnswered(AttemptKey reading, const routing::EngineId& engine, bool held);
+  void probed(const routing::EngineId& engine, double tookMs, bool answered);
 
   // From the operators: this process ends, and is killed no sooner than so long from now.
-  void stopping(double graceMs) { post(leverrelay::Stopping{toModule(graceMs)}); }
+  void stopping(double graceMs) { post(routing::Stopping{toModule(graceMs)}); }
 
   // ---- Streams that pass from one process of this conductor to the next ----
   struct Stream {
     RequestKey request;
     AttemptKey attempt;
-    leverrelay::Arrival arrival;
-    leverrelay::EngineId engine;
+    routing::Arrival arrival;
+    routing::EngineId engine;
   };
   std::vector<RequestKey> streams() const;
   std::optional<Stream> streamOf(RequestKey key) const;
   void handedOver(
       RequestKey key);  // another process has it: no answer and no attempt of it is here any more
   // Nothing if a request of this id is known here.
-  std::optional<Stream> adopt(leverrelay::Arrival arrival,
-                              const leverrelay::EngineId& engine,
+  std::optional<Stream> adopt(routing::Arrival arrival,
+                              const routing::EngineId& engine,
                               std::shared_ptr<Answerer> answerer);
 
   std::size_t enginesKnown() const { return fleet_.size(); }
   std::size_t open() const { return unanswered_; }  // requests that are owed an answer or its rest
-  std::size_t openAt(const leverrelay::EngineId& engine) const;  // attempts that are out there
+  std::size_t openAt(const routing::EngineId& engine) const;  // attempts that are out there
   const Figures& figures() const { return figures_; }
   // Whether the module passes a listed engine over by its own judgement.
-  bool avoids(const leverrelay::EngineId& engine) const {
+  bool avoids(const routing::EngineId& engine) const {
     return router_.avoids(toModuleTime(clock_.nowMs()), engine);
   }
 
@@ -107,15 +107,15 @@
   struct Attempt {
     RequestKey request;
     int number = 0;
-    leverrelay::EngineId engine;
+    routing::EngineId engine;
     double sentMs = 0;
-    leverrelay::Time before = leverrelay::Time::max();  // to go out
+    routing::Time before = routing::Time::max();  // to go out
     bool opened = false;
     std::optional<Deadlines::Key> until;
   };
   struct Request {
-    leverrelay::RequestId id;
-    leverrelay::Arrival told;
+    routing::RequestId id;
+    routing::Arrival told;
     std::size_t cls = 0;
     std::shared_ptr<const Payload> payload;
     std::shared_ptr<Answerer>
@@ -135,24 +135,24 @@
   bool clientWaits(RequestKey key);
   bool clientPresent(RequestKey key);
   Permit permitOf(AttemptKey key);
-  const InstanceFacts* instance(const leverrelay::EngineId& engine) const;
+  const InstanceFacts* instance(const routing::EngineId& engine) const;
   void report(const std::vector<Violation>& violations, const Request& request);
-  void refuse(const leverrelay::Refuse& refuse);
-  void fail(const leverrelay::Fail& fail);
-  void learn(const leverrelay::Settings& settings);
-  RequestFacts factsOf(leverrelay::ClassIndex cls) const;
+  void refuse(const routing::Refuse& refuse);
+  void fail(const routing::Fail& fail);
+  void learn(const routing::Settings& settings);
+  RequestFacts factsOf(routing::ClassIndex cls) const;
   bool repeatsFreely(const Request& request) const;
   double closesArriveMs(const Request& request, bool safeToo) const;
-  void post(leverrelay::Event event);
+  void post(routing::Event event);
   void run();
-  void act(const leverrelay::Action& action);
-  void carryOut(const leverrelay::Send& send);
-  void carryOut(const leverrelay::HoldPlace& hold);
-  void carryOut(const leverrelay::Cancel& cancel);
-  void carryOut(const leverrelay::MoveStream& move);
+  void act(const routing::Action& action);
+  void carryOut(const routing::Send& send);
+  void carryOut(const routing::HoldPlace& hold);
+  void carryOut(const routing::Cancel& cancel);
+  void carryOut(const routing::MoveStream& move);
   void moveOnceRead(AttemptKey key, int looks);
 
-  Request* byId(const leverrelay::RequestId& id);
+  Request* byId(const routing::RequestId& id);
   void timeOut(AttemptKey key);
   void close(AttemptKey key, const Result& result);
   void callOffAll(RequestKey key);
@@ -163,26 +163,26 @@
   const Clock& clock_;
   Deadlines& deadlines_;
   Counters& counters_;
-  leverrelay::Router router_;
+  routing::Router router_;
   double drainGraceMs_, answerGraceMs_;
   RequestPermits permits_;
   std::vector<bool> kindReads_;  // by kind of engine
-  std::vector<leverrelay::ClassSettings> classes_;
+  std::vector<routing::ClassSettings> classes_;
   bool secondCopies_ = false;
   Engines* engines_ = nullptr;
   std::function<void(const std::string&)> log_ = [](const std::string&) {};
-  std::function<void(const leverrelay::Action&)> watch_;
-  std::vector<std::function<void(const leverrelay::Event&)>> watchEvents_;
+  std::function<void(const routing::Action&)> watch_;
+  std::vector<std::function<void(const routing::Event&)>> watchEvents_;
   Slots<Request> requests_;
   Slots<Attempt> attempts_;
-  std::map<leverrelay::RequestId, RequestKey> byId_;
-  std::map<leverrelay::EngineId, Listing> fleet_;
-  std::map<leverrelay::EngineId, std::size_t> outAt_;  // of engines with any
-  std::deque<leverrelay::Event> events_;
+  std::map<routing::RequestId, RequestKey> byId_;
+  std::map<routing::EngineId, Listing> fleet_;
+  std::map<routing::EngineId, std::size_t> outAt_;  // of engines with any
+  std::deque<routing::Event> events_;
   std::vector<RequestKey> lapsed_;
   Figures figures_;
   std::size_t unanswered_ = 0;
   bool running_ = false;
 };
 
-}  // namespace dahliastall::core
+}  // namespace inference_router::core
--- a/src/core/figures.h
+++ b/src/core/request_metrics.h
@@ -6,7 +6,7 @@
 #include <cstdint>
 #include <vector>
 
-namespace dahliastall::core {
+namespace inference_router::core {
 
 enum class Ending { kOk, kShed, kError, kAbandoned, kHandedOver };
 
@@ -65,4 +65,4 @@
   std::vector<ClassFigures> byClass_;
 };
 
-}  // namespace dahliastall::core
+}  // namespace inference_router::core
--- a/src/core/request_permits.cpp
+++ b/src/core/request_permits.cpp
@@ -2,9 +2,9 @@
 
 #include <algorithm>
 
-namespace dahliastall::core {
+namespace inference_router::core {
 
-using leverrelay::Effect;
+using routing::Effect;
 
 namespace {
 
@@ -125,4 +125,4 @@
   return text.empty() ? "no attempt" : text;
 }
 
-}  // namespace dahliastall::core
+}  // namespace inference_router::core
--- a/src/core/request_permits.h
+++ b/src/core/request_permits.h
@@ -9,9 +9,9 @@
 #include <string>
 #include <vector>
 
-#include "leverrelay/router.h"
+#include "inference_router/router.h"
 
-namespace dahliastall::core {
+namespace inference_router::core {
 
 /// Whether something may happen now, or why not.
 enum class Permit {
@@ -60,7 +60,7 @@
 
 /// What the core knows of a request.
 struct RequestFacts {
-  leverrelay::Effect effect = leverrelay::Effect::kSafe;
+  routing::Effect effect = routing::Effect::kSafe;
   bool repeatsFindFirst =
       false;  ///< wherever a repeat of a keyed class goes, the first one is known there
   double repeatWindowMs = 0;  ///< of a keyed class
@@ -118,4 +118,4 @@
 /// A request's attempts in one line, for the log.
 std::string historyOf(const RequestFacts& request, double nowMs);
 
-}  // namespace dahliastall::core
+}  // namespace inference_router::core
--- a/src/core/slots.h
+++ b/src/core/slot_table.h
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-namespace dahliastall::core {
+namespace inference_router::core {
 
 struct SlotKey {
   std::uint32_t slot = UINT32_MAX;
@@ -59,4 +59,4 @@
   std::vector<std::uint32_t> free_;
 };
 
-}  // namespace dahliastall::core
+}  // namespace inference_router::core
--- a/src/fleet/discovery_backoff.h
+++ b/src/fleet/discovery_backoff.h
@@ -20,7 +20,7 @@
 #include <cstdint>
 #include <random>
 
-namespace dahliastall::fleet {
+namespace inference_router::fleet {
 
 // The delay before the next retry. One object per watch.
 class DiscoveryBackoff {
@@ -70,4 +70,4 @@
   std::mt19937_64 random_;
 };
 
-}  // namespace dahliastall::fleet
+}  // namespace inference_router::fleet
--- a/src/fleet/drains.cpp
+++ b/src/fleet/drains.cpp
@@ -2,7 +2,7 @@
 
 #include <array>
 
-namespace dahliastall::fleet {
+namespace inference_router::fleet {
 
 const char* nameOf(DrainCode code) {
   constexpr std::array<const char*, 5> kNames{"done", "conflict", "unknown_box", "last_of_role",
@@ -62,4 +62,4 @@
   return state.drained && state.doneByMs && open > 0 && nowMs > *state.doneByMs;
 }
 
-}  // namespace dahliastall::fleet
+}  // namespace inference_router::fleet
--- a/src/fleet/drains.h
+++ b/src/fleet/drains.h
@@ -10,7 +10,7 @@
 #include <optional>
 #include <string>
 
-namespace dahliastall::fleet {
+namespace inference_router::fleet {
 
 // A command of an operator. Times in milliseconds of the caller's clock.
 struct DrainCommand {
@@ -75,4 +75,4 @@
   std::list<std::string> order_;
 };
 
-}  // namespace dahliastall::fleet
+}  // namespace inference_router::fleet
--- a/src/fleet/exclusions.cpp
+++ b/src/fleet/exclusions.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <nlohmann/json.hpp>
 
-namespace dahliastall::fleet {
+namespace inference_router::fleet {
 
 using nlohmann::json;
 
@@ -78,4 +78,4 @@
   }
 }
 
-}  // namespace dahliastall::fleet
+}  // namespace inference_router::fleet
--- a/src/fleet/exclusions.h
+++ b/src/fleet/exclusions.h
@@ -10,7 +10,7 @@
 #include <tuple>
 #include <vector>
 
-namespace dahliastall::fleet {
+namespace inference_router::fleet {
 
 // The last decision on one instance; excluded is false after an inclusion.
 struct Exclusion {
@@ -64,4 +64,4 @@
   std::map<std::string, Exclusion> exclusions_;
 };
 
-}  // namespace dahliastall::fleet
+}  // namespace inference_router::fleet
--- a/src/fleet/instance_ages.cpp
+++ b/src/fleet/instance_ages.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace dahliastall::fleet {
+namespace inference_router::fleet {
 
 void InstanceAges::sees(double upSinceMs) {
   if (upSinceMs <= 0)
@@ -34,4 +34,4 @@
   std::erase_if(known_, [&](const auto& entry) { return listed.count(entry.first) == 0; });
 }
 
-}  // namespace dahliastall::fleet
+}  // namespace inference_router::fleet
--- a/src/fleet/instance_ages.h
+++ b/src/fleet/instance_ages.h
@@ -16,7 +16,7 @@
 
 #include "core/clock.h"
 
-namespace dahliastall::fleet {
+namespace inference_router::fleet {
 
 class InstanceAges {
  public:
@@ -48,4 +48,4 @@
   std::map<std::string, Known> known_;
 };
 
-}  // namespace dahliastall::fleet
+}  // namespace inference_router::fleet
--- a/src/fleet/lifecycle.cpp
+++ b/src/fleet/lifecycle.cpp
@@ -2,7 +2,7 @@
 
 #include <array>
 
-namespace dahliastall::fleet {
+namespace inference_router::fleet {
 
 const char* nameOf(LifecycleState state) {
   constexpr std::array<const char*, 7> kNames{"warming",     "active",  "draining", "drained",
@@ -99,4 +99,4 @@
     lifecycle.apply(E::kAvoided, nowMs, "", "module");
 }
 
-}  // namespace dahliastall::fleet
+}  // namespace inference_router::fleet
--- a/src/fleet/lifecycle.h
+++ b/src/fleet/lifecycle.h
@@ -8,7 +8,7 @@
 #include <optional>
 #include <string>
 
-namespace dahliastall::fleet {
+namespace inference_router::fleet {
 
 // Names in reports are given by nameOf.
 enum class LifecycleState { kWarming, kActive, kDraining, kDrained, kUnreachable, kAvoided, kGone };
@@ -76,4 +76,4 @@
 // Applies the events that lead from the present state to the facts.
 void reconcile(InstanceLifecycle& lifecycle, const InstanceFacts& facts, double nowMs);
 
-}  // namespace dahliastall::fleet
+}  // namespace inference_router::fleet
--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -4,9 +4,9 @@
 
 #include "core/clock.h"
 
-namespace dahliastall::fleet {
+namespace inference_router::fleet {
 
-using namespace leverrelay;
+using namespace inference_router::routing;
 
 namespace {
 
@@ -134,4 +134,4 @@
   }
 }
 
-}  // namespace dahliastall::fleet
+}  // namespace inference_router::fleet
--- a/src/fronts/front.cpp
+++ b/src/frontend/front.cpp
@@ -1,13 +1,13 @@
-#include "fronts/front.h"
+#include "frontend/front.h"
 
 #include <utility>
 
-namespace dahliastall::fronts {
+namespace inference_router::frontend {
 
 bool Front::submit(net::ClientConnection& connection,
-                   leverrelay::Arrival arrival,
+                   routing::Arrival arrival,
                    double arrivedMs,
-                   std::shared_ptr<const ChatPayload> payload,
+                   std::shared_ptr<const upstream::ChatPayload> payload,
                    std::shared_ptr<core::Answerer> answerer) {
   arrival.timeLeft -= core::toModule(clock_.nowMs() - arrivedMs);
   open_[&connection] = {};  // before it is taken: the module may answer at once
@@ -53,4 +53,4 @@
     conductor_.clientReady(it->second);
 }
 
-}  // namespace dahliastall::fronts
+}  // namespace inference_router::frontend
--- a/src/fronts/front.h
+++ b/src/frontend/front.h
@@ -5,11 +5,11 @@
 #include <map>
 #include <memory>
 
-#include "core/conductor.h"
-#include "fronts/boxes/boxes.h"
+#include "core/request_dispatcher.h"
 #include "net/client_connection.h"
+#include "upstream/http_instance_client.h"
 
-namespace dahliastall::fronts {
+namespace inference_router::frontend {
 
 class Front : public net::RequestHandler {
  public:
@@ -36,9 +36,9 @@
   // arrivedMs: when the request's first byte was read; the client's patience began no later.
   // False if a request of this id is under way; nothing has been answered then.
   bool submit(net::ClientConnection& connection,
-              leverrelay::Arrival arrival,
+              routing::Arrival arrival,
               double arrivedMs,
-              std::shared_ptr<const ChatPayload> payload,
+              std::shared_ptr<const upstream::ChatPayload> payload,
               std::shared_ptr<core::Answerer> answerer);
   void answerReady(net::ClientConnection& connection);
   // Every final answer of a front calls this first.
@@ -53,4 +53,4 @@
   std::map<net::ClientConnection*, core::RequestKey> open_;
 };
 
-}  // namespace dahliastall::fronts
+}  // namespace inference_router::frontend
--- a/src/fronts/openai/api_error.h
+++ b/src/frontend/openai/api_error.h
@@ -5,7 +5,7 @@
 #include <optional>
 #include <string>
 
-namespace dahliastall::fronts {
+namespace inference_router::frontend {
 
 struct ApiError {
   unsigned status;
@@ -32,4 +32,4 @@
   return {400, std::move(message), "invalid_request_error", std::move(param), std::move(code)};
 }
 
-}  // namespace dahliastall::fronts
+}  // namespace inference_router::frontend
--- a/src/fronts/openai/chat_request.cpp
+++ b/src/frontend/openai/chat_request.cpp
@@ -1,8 +1,8 @@
-#include "fronts/openai/chat_request.h"
+#include "frontend/openai/chat_request.h"
 
-#include "fronts/openai/api_error.h"
+#include "frontend/openai/api_error.h"
 
-namespace dahliastall::fronts {
+namespace inference_router::frontend {
 
 using nlohmann::json;
 
@@ -101,4 +101,4 @@
   return request;
 }
 
-}  // namespace dahliastall::fronts
+}  // namespace inference_router::frontend
--- a/src/fronts/openai/chat_request.h
+++ b/src/frontend/openai/chat_request.h
@@ -4,7 +4,7 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-namespace dahliastall::fronts {
+namespace inference_router::frontend {
 
 struct ChatRequest {
   std::string model;
@@ -19,4 +19,4 @@
 // Throws ApiError.
 ChatRequest readChatRequest(const std::string& body, double defaultMaxTokens);
 
-}  // namespace dahliastall::fronts
+}  // namespace inference_router::frontend
--- a/src/fronts/openai/completion.cpp
+++ b/src/frontend/openai/completion.cpp
@@ -1,6 +1,6 @@
-#include "fronts/openai/completion.h"
+#include "frontend/openai/completion.h"
 
-namespace dahliastall::fronts {
+namespace inference_router::frontend {
 
 using nlohmann::json;
 
@@ -80,4 +80,4 @@
   return whole.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-}  // namespace dahliastall::fronts
+}  // namespace inference_router::frontend
--- a/src/fronts/openai/completion.h
+++ b/src/frontend/openai/completion.h
@@ -4,7 +4,7 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-namespace dahliastall::fronts {
+namespace inference_router::frontend {
 
 class Completion {
  public:
@@ -22,4 +22,4 @@
   std::size_t size_ = 0;
 };
 
-}  // namespace dahliastall::fronts
+}  // namespace inference_router::frontend
--- a/src/fronts/openai/derive.cpp
+++ b/src/frontend/openai/derive.cpp
@@ -1,11 +1,11 @@
-#include "fronts/openai/derive.h"
+#include "frontend/openai/derive.h"
 
 #include <cmath>
 #include <cstdint>
 #include <cstdio>
 #include <nlohmann/json.hpp>
 
-namespace dahliastall::fronts {
+namespace inference_router::frontend {
 
 using nlohmann::json;
 
@@ -81,4 +81,4 @@
   return found;
 }
 
-}  // namespace dahliastall::fronts
+}  // namespace inference_router::frontend
--- a/src/fronts/openai/derive.h
+++ b/src/frontend/openai/derive.h
@@ -16,7 +16,7 @@
 #include <nlohmann/json_fwd.hpp>
 #include <string>
 
-namespace dahliastall::fronts {
+namespace inference_router::frontend {
 
 struct Derived {
   std::string session;
@@ -31,4 +31,4 @@
 // The text of a message's content, of all its parts if it has parts.
 std::string contentOf(const nlohmann::json& message);
 
-}  // namespace dahliastall::fronts
+}  // namespace inference_router::frontend
--- a/src/fronts/openai/meter.h
+++ b/src/frontend/openai/meter.h
@@ -8,7 +8,7 @@
 
 #include "shared/node.h"
 
-namespace dahliastall::fronts {
+namespace inference_router::frontend {
 
 struct BudgetDenied {
   std::string why;
@@ -69,4 +69,4 @@
   std::uint64_t asked_;
 };
 
-}  // namespace dahliastall::fronts
+}  // namespace inference_router::frontend
--- a/src/fronts/openai/openai_front.cpp
+++ b/src/frontend/openai/openai_front.cpp
@@ -1,4 +1,4 @@
-#include "fronts/openai/openai_front.h"
+#include "frontend/openai/openai_front.h"
 
 #include <algorithm>
 #include <array>
@@ -7,11 +7,11 @@
 #include <memory>
 #include <random>
 
-#include "fronts/openai/completion.h"
-#include "fronts/openai/derive.h"
-#include "fronts/openai/sse.h"
+#include "frontend/openai/completion.h"
+#include "frontend/openai/derive.h"
+#include "frontend/openai/sse.h"
 
-namespace dahliastall::fronts {
+namespace inference_router::frontend {
 
 using nlohmann::json;
 namespace http = boost::beast::http;
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-BoxDialect openaiDialect(const OperatorFile& site) {
+upstream::BoxDialect openaiDialect(const OperatorFile& site) {
   net::Fields extra;
   if (!site.boxKey.empty())
     extra.emplace_back("Authorization", "Bearer " + site.boxKey);
@@ -278,11 +278,11 @@
     return static_cast<std::uint32_t>(std::find(list.begin(), list.end(), name) - list.begin());
   };
   const Derived derived = derive(asked.messages, key.tenant, asked.user);
-  leverrelay::Arrival arrival{};
+  routing::Arrival arrival{};
   arrival.request = {newId_()};
   arrival.cls = {index(names.classes, cls)};
   if (!key.tenant.empty())
-    arrival.tenant = leverrelay::TenantIndex{index(names.tenants, key.tenant)};
+    arrival.tenant = routing::TenantIndex{index(names.tenants, key.tenant)};
   arrival.session = derived.session;
   arrival.prefix = derived.prefix;
   arrival.promptTokens = derived.promptTokens;
@@ -291,7 +291,7 @@
   // These clients do not say how long they wait: the class does.
   arrival.timeLeft = site_.setup.settings.classes[arrival.cls.value].deadline;
   std::unique_ptr<Bill> bill = billFor(key, cls, derived.promptTokens, asked.maxTokens);
-  const auto payload = std::make_shared<ChatPayload>();
+  const auto payload = std::make_shared<upstream::ChatPayload>();
   payload->method = "POST";
   payload->target = kChat;
   payload->contentType = "application/json";
@@ -375,4 +375,4 @@
   refuse(connection, {status, std::string(why), "invalid_request_error", {}, {}});
 }
 
-}  // namespace dahliastall::fronts
+}  // namespace inference_router::frontend
--- a/src/fronts/openai/openai_front.h
+++ b/src/frontend/openai/openai_front.h
@@ -5,15 +5,15 @@
 #include <functional>
 #include <string>
 
-#include "fronts/front.h"
-#include "fronts/openai/api_error.h"
-#include "fronts/openai/chat_request.h"
-#include "fronts/openai/meter.h"
-#include "fronts/openai/operator_file.h"
+#include "frontend/front.h"
+#include "frontend/openai/api_error.h"
+#include "frontend/openai/chat_request.h"
+#include "frontend/openai/meter.h"
+#include "frontend/openai/operator_file.h"
 
-namespace dahliastall::fronts {
+namespace inference_router::frontend {
 
-BoxDialect openaiDialect(const OperatorFile& site);
+upstream::BoxDialect openaiDialect(const OperatorFile& site);
 
 class OpenAiFront final : public Front {
  public:
@@ -58,4 +58,4 @@
 // Ids of requests, fresh also after a restart.
 OpenAiFront::NewId randomIds();
 
-}  // namespace dahliastall::fronts
+}  // namespace inference_router::frontend
--- a/src/fronts/openai/operator_file.cpp
+++ b/src/frontend/openai/operator_file.cpp
@@ -1,4 +1,4 @@
-#include "fronts/openai/operator_file.h"
+#include "frontend/openai/operator_file.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
@@ -8,11 +8,11 @@
 #include "admission/descriptor_budget.h"
 #include "core/clock.h"
 #include "core/fields.h"
-#include "fronts/settings_json.h"
+#include "frontend/settings_json.h"
 
-namespace dahliastall::fronts {
+namespace inference_router::frontend {
 
-using namespace leverrelay;
+using namespace inference_router::routing;
 using nlohmann::json;
 
 namespace {
@@ -63,7 +63,7 @@
 }
 
 net::Endpoint addressAt(const core::Fields& field) {
-  return field.read([](const std::string& text) { return endpointOf(text); });
+  return field.read([](const std::string& text) { return net::endpointOf(text); });
 }
 
 void readBoxes(const core::Fields& file, OperatorFile& to) {
@@ -71,7 +71,7 @@
   for (const core::Fields& entry : file.at("boxes").list()) {
     const EngineId id{entry.at("id").as<std::string>()};
     const double size = entry.above0("size", 1.0);
-    Box box;
+    upstream::Box box;
     box.address = addressAt(entry.at("address"));
     if (id.value.empty() || !to.directory.all().emplace(id, box).second)
       entry.at("id").fail("is empty or stands twice");
@@ -137,4 +137,4 @@
   return to;
 }
 
-}  // namespace dahliastall::fronts
+}  // namespace inference_router::frontend
--- a/src/fronts/openai/operator_file.h
+++ b/src/frontend/openai/operator_file.h
@@ -10,11 +10,11 @@
 
 #include "admission/rules.h"
 #include "coordination/setup.h"
-#include "fronts/boxes/directory.h"
 #include "shared/setup.h"
+#include "upstream/instance_directory.h"
 #include "wire.h"
 
-namespace dahliastall::fronts {
+namespace inference_router::frontend {
 
 struct ApiKey {
   std::string tenant;
@@ -32,9 +32,9 @@
   std::string boxKey;                         // sent to the boxes, if any
   std::map<std::string, ApiKey> keys;         // by the key itself
   std::map<std::string, std::string> models;  // name to class
-  leverrelay::wire::Setup setup;
-  leverrelay::ListNews boxes;
-  Directory directory;
+  routing::wire::Setup setup;
+  routing::ListNews boxes;
+  upstream::Directory directory;
   std::optional<admission::Rules> admission;  // none: whoever finds room may connect
   std::optional<coordination::Setup>
       coordination;                           // none: this conductor shares nothing with others
@@ -47,4 +47,4 @@
 // Throws std::invalid_argument with a plain complaint, or json::exception or wire::Malformed.
 OperatorFile operatorFileOf(const nlohmann::json& file);
 
-}  // namespace dahliastall::fronts
+}  // namespace inference_router::frontend
--- a/src/fronts/openai/sse.h
+++ b/src/frontend/openai/sse.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <string_view>
 
-namespace dahliastall::fronts {
+namespace inference_router::frontend {
 
 class EventCutter {
  public:
@@ -52,4 +52,4 @@
   return data;
 }
 
-}  // namespace dahliastall::fronts
+}  // namespace inference_router::frontend
--- a/src/fronts/platform/discovery.cpp
+++ b/src/frontend/platform/discovery.cpp
@@ -1,16 +1,16 @@
-#include "fronts/platform/discovery.h"
+#include "frontend/platform/discovery.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
 #include <set>
 #include <utility>
 
-#include "fronts/platform/document_gate.h"
+#include "frontend/platform/json_document_splitter.h"
 #include "net/message.h"
 
-namespace dahliastall::fronts {
+namespace inference_router::frontend {
 
-using namespace leverrelay;
+using namespace inference_router::routing;
 using nlohmann::json;
 
 namespace {
@@ -95,7 +95,7 @@
                      core::Deadlines& deadlines,
                      core::Counters& counters,
                      core::ListSink& lists,
-                     Directory& directory,
+                     upstream::Directory& directory,
                      net::Pool& droppable,
                      const wire::Vocabulary& names,
                      fleet::DiscoveryBackoff pace)
@@ -219,7 +219,7 @@
 }
 
 // An instance that leaves and comes back is a new one, whatever start time it has.
-void Discovery::fixAges(ListNews& news, const std::map<EngineId, Box>& told) {
+void Discovery::fixAges(ListNews& news, const std::map<EngineId, upstream::Box>& told) {
   for (const auto& [id, box] : told)
     ages_.sees(box.startedMs);
   std::set<std::string> listed;
@@ -242,14 +242,14 @@
   news.version = list.at("revision").get<std::uint64_t>();
   const bool whole = list.value("complete", false);
   news.form = form.value_or(whole ? ListForm::kFull : ListForm::kChanges);
-  std::map<EngineId, Box> named;
+  std::map<EngineId, upstream::Box> named;
   for (const json& member : list.at("members")) {
     const std::uint32_t zone = placeOf(names_.zones, member.at("locality").get<std::string>());
     if (zone == names_.zones.size())
       continue;  // of a zone that the settings do not name
     const EngineId id{member.at("id").get<std::string>()};
-    Box box;
-    box.address = endpointOf(member.at("host_port").get<std::string>());
+    upstream::Box box;
+    box.address = net::endpointOf(member.at("host_port").get<std::string>());
     box.presence = presenceOf(member.at("phase").get<std::string>());
     box.startedMs = member.value("up_since_ms", 0.0);
     news.entries.push_back({
@@ -270,4 +270,4 @@
   lists_.list(std::move(news));
 }
 
-}  // namespace dahliastall::fronts
+}  // namespace inference_router::frontend
--- a/src/fronts/platform/discovery.h
+++ b/src/frontend/platform/discovery.h
@@ -15,11 +15,11 @@
 #include "core/ports.h"
 #include "fleet/discovery_backoff.h"
 #include "fleet/instance_ages.h"
-#include "fronts/boxes/directory.h"
 #include "net/pool.h"
+#include "upstream/instance_directory.h"
 #include "wire.h"
 
-namespace dahliastall::fronts {
+namespace inference_router::frontend {
 
 class Discovery {
  public:
@@ -29,9 +29,9 @@
             core::Deadlines& deadlines,
             core::Counters& counters,
             core::ListSink& lists,
-            Directory& directory,
+            upstream::Directory& directory,
             net::Pool& droppable,
-            const leverrelay::wire::Vocabulary& names,
+            const routing::wire::Vocabulary& names,
             fleet::DiscoveryBackoff pace);
 
   ~Discovery();
@@ -57,17 +57,17 @@
   bool silent(const Watch& watch);  // whether that one is kept
   void openLater();
   void leaveNext();
-  void apply(const nlohmann::json& list, std::optional<leverrelay::ListForm> form);
+  void apply(const nlohmann::json& list, std::optional<routing::ListForm> form);
   // Sets when the instances of a list started, from the start times that it tells.
-  void fixAges(leverrelay::ListNews& news, const std::map<leverrelay::EngineId, Box>& told);
+  void fixAges(routing::ListNews& news, const std::map<routing::EngineId, upstream::Box>& told);
 
   const core::Clock& clock_;
   core::Deadlines& deadlines_;
   core::Counters& counters_;
   core::ListSink& lists_;
-  Directory& directory_;
+  upstream::Directory& directory_;
   net::Pool& boxes_;
-  const leverrelay::wire::Vocabulary& names_;
+  const routing::wire::Vocabulary& names_;
   net::Pool own_;
   net::Endpoint address_, spokenFor_;    // where to watch, and where the version was told
   std::shared_ptr<Watch> watch_, next_;  // the one that speaks, and the one that has not spoken yet
@@ -78,4 +78,4 @@
   std::uint64_t revision_ = 0;
 };
 
-}  // namespace dahliastall::fronts
+}  // namespace inference_router::frontend
--- a/src/fronts/platform/document_gate.h
+++ b/src/frontend/platform/json_document_splitter.h
@@ -6,7 +6,7 @@
 #include <cstddef>
 #include <string_view>
 
-namespace dahliastall::fronts {
+namespace inference_router::frontend {
 
 class DocumentGate {
  public:
@@ -50,4 +50,4 @@
   bool inString_ = false, escaped_ = false;
 };
 
-}  // namespace dahliastall::fronts
+}  // namespace inference_router::frontend
--- a/src/fronts/platform/platform_front.cpp
+++ b/src/frontend/platform/platform_front.cpp
@@ -1,4 +1,4 @@
-#include "fronts/platform/platform_front.h"
+#include "frontend/platform/platform_front.h"
 
 #include <algorithm>
 #include <array>
@@ -8,9 +8,9 @@
 #include <optional>
 #include <stdexcept>
 
-namespace dahliastall::fronts {
+namespace inference_router::frontend {
 
-using leverrelay::Arrival;
+using routing::Arrival;
 namespace http = boost::beast::http;
 
 namespace {
@@ -35,13 +35,13 @@
 }
 
 // A guess may not cost a request: one that cannot be read, or says nothing, is none.
-std::optional<leverrelay::Duration> costOf(std::string_view text) {
+std::optional<routing::Duration> costOf(std::string_view text) {
   double us = 0;
   const auto [end, fault] = std::from_chars(text.data(), text.data() + text.size(), us);
   const bool whole = fault == std::errc() && end == text.data() + text.size();
   if (!whole || !(us > 0 && us <= kMostMs * 1000.0))
     return std::nullopt;
-  return leverrelay::Duration(std::llround(us));
+  return routing::Duration(std::llround(us));
 }
 
 // The id becomes part of paths and headers towards the boxes.
@@ -102,11 +102,11 @@
 
 }  // namespace
 
-BoxDialect platformDialect() {
+upstream::BoxDialect platformDialect() {
   return {"X-Call-Id", "X-Budget-Ms", "X-Rejected", "/bootstrap/rooms/", "/-/healthy", {}};
 }
 
-Arrival arrivalOf(const net::HttpRequest& request, const leverrelay::wire::Vocabulary& names) {
+Arrival arrivalOf(const net::HttpRequest& request, const routing::wire::Vocabulary& names) {
   Arrival arrival{};
   arrival.request = {textOf(request, "X-Call-Id")};
   if (!plainId(arrival.request.value))
@@ -120,7 +120,7 @@
       std::find(names.tenants.begin(), names.tenants.end(), textOf(request, "X-Caller"));
   if (tenant != names.tenants.end())
     arrival.tenant =
-        leverrelay::TenantIndex{static_cast<std::uint32_t>(tenant - names.tenants.begin())};
+        routing::TenantIndex{static_cast<std::uint32_t>(tenant - names.tenants.begin())};
   arrival.session = textOf(request, "X-Route-Hash");
   arrival.timeLeft =
       core::toModule(numberOf(textOf(request, "X-Budget-Ms"), "X-Budget-Ms", kMostMs));
@@ -201,7 +201,7 @@
   } catch (const std::invalid_argument& fault) {
     return reject(*connection, 400, fault.what());
   }
-  const auto payload = std::make_shared<ChatPayload>();
+  const auto payload = std::make_shared<upstream::ChatPayload>();
   payload->method = std::string(request.method_string());
   payload->target = std::string(request.target());
   payload->contentType = textOf(request, "Content-Type");
@@ -225,4 +225,4 @@
   connection.answer(status, {{"Content-Type", "text/plain"}}, std::string(why) + "\n");
 }
 
-}  // namespace dahliastall::fronts
+}  // namespace inference_router::frontend
--- a/src/fronts/platform/platform_front.h
+++ b/src/frontend/platform/platform_front.h
@@ -4,24 +4,23 @@
 #include <memory>
 #include <string>
 
-#include "core/conductor.h"
-#include "fronts/boxes/boxes.h"
-#include "fronts/front.h"
+#include "core/request_dispatcher.h"
+#include "frontend/front.h"
 #include "net/client_connection.h"
+#include "upstream/http_instance_client.h"
 #include "wire.h"
 
-namespace dahliastall::fronts {
+namespace inference_router::frontend {
 
-BoxDialect platformDialect();
+upstream::BoxDialect platformDialect();
 
 // What the headers of a request say. Throws std::invalid_argument with a plain complaint.
-leverrelay::Arrival arrivalOf(const net::HttpRequest& request,
-                              const leverrelay::wire::Vocabulary& names);
+routing::Arrival arrivalOf(const net::HttpRequest& request, const routing::wire::Vocabulary& names);
 
 class PlatformFront final : public Front {
  public:
   PlatformFront(core::Conductor& conductor,
-                const leverrelay::wire::Vocabulary& names,
+                const routing::wire::Vocabulary& names,
                 const core::Clock& clock,
                 core::Counters& counters)
       : Front(conductor, clock, counters), names_(names) {}
@@ -36,7 +35,7 @@
  private:
   class Answer;
 
-  const leverrelay::wire::Vocabulary& names_;
+  const routing::wire::Vocabulary& names_;
 };
 
-}  // namespace dahliastall::fronts
+}  // namespace inference_router::frontend
--- a/src/fronts/settings_json.cpp
+++ b/src/frontend/settings_json.cpp
@@ -1,12 +1,12 @@
-#include "fronts/settings_json.h"
+#include "frontend/settings_json.h"
 
 #include <algorithm>
 #include <stdexcept>
 
-namespace dahliastall::fronts {
+namespace inference_router::frontend {
 
 using nlohmann::json;
-using namespace leverrelay;
+using namespace inference_router::routing;
 
 namespace {
 
@@ -60,4 +60,4 @@
   return setup;
 }
 
-}  // namespace dahliastall::fronts
+}  // namespace inference_router::frontend
--- a/src/fronts/settings_json.h
+++ b/src/frontend/settings_json.h
@@ -7,11 +7,11 @@
 
 #include "wire.h"
 
-namespace dahliastall::fronts {
+namespace inference_router::frontend {
 
 std::string pairsOf(const nlohmann::json& settings, const std::string& seed);
 
 // Throws wire::Malformed or std::invalid_argument, with a plain complaint.
-leverrelay::wire::Setup settingsOf(const nlohmann::json& settings);
+routing::wire::Setup settingsOf(const nlohmann::json& settings);
 
-}  // namespace dahliastall::fronts
+}  // namespace inference_router::frontend
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -9,13 +9,13 @@
 #include <vector>
 
 #include "app/admin_client.h"
-#include "app/conductor_app.h"
 #include "app/config.h"
+#include "app/server.h"
 
 namespace {
 
 namespace options = boost::program_options;
-using namespace dahliastall;
+using namespace inference_router;
 
 constexpr const char* kUsage =
     "usage: dahliastall COMMAND [options]\n"
@@ -80,7 +80,7 @@
     throw app::ConfigError("--otlp-interval is 0.1 or more");
   telemetry.trace = given["trace"].as<bool>();
   if (given.count("otlp") != 0)
-    telemetry.collector = fronts::endpointOf(given["otlp"].as<std::string>());
+    telemetry.collector = net::endpointOf(given["otlp"].as<std::string>());
   return telemetry;
 }
 
@@ -88,10 +88,10 @@
   const app::Telemetry telemetry = readTelemetry(given);
   if (given.count("operator") != 0) {
     const auto path = given["operator"].as<std::string>();
-    const auto site = fronts::operatorFileOf(app::readJson(path));
+    const auto site = frontend::operatorFileOf(app::readJson(path));
     if (!check)
       return app::serve(site, telemetry,
-                        [path] { return fronts::operatorFileOf(app::readJson(path)); });
+                        [path] { return frontend::operatorFileOf(app::readJson(path)); });
     std::cout << "usable: " << site.boxes.entries.size() << " boxes, " << site.models.size()
               << " models, " << site.keys.size() << " keys\n";
     return;
@@ -121,7 +121,7 @@
   options::store(
       options::command_line_parser(words).options(describeExplain()).positional({}).run(), given);
   options::notify(given);
-  const auto site = fronts::operatorFileOf(app::readJson(given["operator"].as<std::string>()));
+  const auto site = frontend::operatorFileOf(app::readJson(given["operator"].as<std::string>()));
   const auto text = given["address"].as<std::string>();
   const auto address = admission::Address::parse(text);
   if (!address)
@@ -187,7 +187,7 @@
   } else if (command == "leases" || command == "maintenance" || command == "shared") {
     return callAtDoor(command, rest);
   } else if (command == "version" || command == "--version") {
-    std::cout << "dahliastall " << DAHLIASTALL_VERSION << '\n';
+    std::cout << "dahliastall " << INFERENCE_ROUTER_VERSION << '\n';
   } else if (command == "help" || command == "--help") {
     std::cout << kUsage << describe() << describeExplain() << describeDoor();
   } else {
--- a/src/net/arrival_times.h
+++ b/src/net/arrival_times.h
@@ -6,7 +6,7 @@
 #include <cstddef>
 #include <deque>
 
-namespace dahliastall::net {
+namespace inference_router::net {
 
 class ArrivalTimes {
  public:
@@ -49,4 +49,4 @@
   std::size_t bytes_ = 0;
 };
 
-}  // namespace dahliastall::net
+}  // namespace inference_router::net
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -12,7 +12,7 @@
 #include "net/socket_calls.h"
 #include "net/socket_input.h"
 
-namespace dahliastall::net {
+namespace inference_router::net {
 
 namespace http = boost::beast::http;
 
@@ -651,4 +651,4 @@
   owner_.closed(self);
 }
 
-}  // namespace dahliastall::net
+}  // namespace inference_router::net
--- a/src/net/client_connection.h
+++ b/src/net/client_connection.h
@@ -15,7 +15,7 @@
 #include "net/request_reader.h"
 #include "net/shed_requests.h"
 
-namespace dahliastall::net {
+namespace inference_router::net {
 
 class ClientConnection;
 
@@ -155,4 +155,4 @@
        lingering_ = false, refused_ = false;
 };
 
-}  // namespace dahliastall::net
+}  // namespace inference_router::net
--- a/src/app/passing.cpp
+++ b/src/net/descriptor_transfer.cpp
@@ -1,4 +1,4 @@
-#include "app/passing.h"
+#include "net/descriptor_transfer.h"
 
 #include <fcntl.h>
 #include <sys/socket.h>
@@ -12,7 +12,7 @@
 #include <cstring>
 #include <utility>
 
-namespace dahliastall::app {
+namespace inference_router::net {
 
 namespace {
 
@@ -292,4 +292,4 @@
   return count;
 }
 
-}  // namespace dahliastall::app
+}  // namespace inference_router::net
--- a/src/app/passing.h
+++ b/src/net/descriptor_transfer.h
@@ -12,7 +12,7 @@
 #include <string>
 #include <vector>
 
-namespace dahliastall::app {
+namespace inference_router::net {
 
 // A descriptor that is closed unless it is taken.
 class Descriptor {
@@ -76,4 +76,4 @@
   Descriptor socket_;
 };
 
-}  // namespace dahliastall::app
+}  // namespace inference_router::net
--- a/src/net/endpoint.cpp
+++ b/src/net/endpoint.cpp
@@ -3,7 +3,7 @@
 #include <charconv>
 #include <stdexcept>
 
-namespace dahliastall::net {
+namespace inference_router::net {
 
 Endpoint endpointOf(const std::string& hostPort) {
   const std::size_t colon = hostPort.rfind(':');
@@ -19,4 +19,4 @@
   throw std::invalid_argument("'" + hostPort + "' is not an address like 127.0.0.1:8000");
 }
 
-}  // namespace dahliastall::net
+}  // namespace inference_router::net
--- a/src/net/endpoint.h
+++ b/src/net/endpoint.h
@@ -4,11 +4,11 @@
 #include <boost/asio/ip/tcp.hpp>
 #include <string>
 
-namespace dahliastall::net {
+namespace inference_router::net {
 
 using Endpoint = boost::asio::ip::tcp::endpoint;
 
 // "host:port" with a numeric host; throws std::invalid_argument.
 Endpoint endpointOf(const std::string& hostPort);
 
-}  // namespace dahliastall::net
+}  // namespace inference_router::net
--- a/src/net/last_answer.cpp
+++ b/src/net/last_answer.cpp
@@ -4,7 +4,7 @@
 
 #include "net/socket_calls.h"
 
-namespace dahliastall::net {
+namespace inference_router::net {
 
 namespace {
 
@@ -22,4 +22,4 @@
   return whole;
 }
 
-}  // namespace dahliastall::net
+}  // namespace inference_router::net
--- a/src/net/line_server.cpp
+++ b/src/net/line_server.cpp
@@ -6,7 +6,7 @@
 #include "net/send_operation.h"
 #include "net/socket_calls.h"
 
-namespace dahliastall::net {
+namespace inference_router::net {
 
 namespace {
 
@@ -170,4 +170,4 @@
   calls_.back()->start();
 }
 
-}  // namespace dahliastall::net
+}  // namespace inference_router::net
--- a/src/net/line_server.h
+++ b/src/net/line_server.h
@@ -15,7 +15,7 @@
 #include "core/counters.h"
 #include "core/deadlines.h"
 
-namespace dahliastall::net {
+namespace inference_router::net {
 
 class LineServer {
  public:
@@ -89,4 +89,4 @@
   admission::DescriptorBudget* ledger_ = nullptr;
 };
 
-}  // namespace dahliastall::net
+}  // namespace inference_router::net
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -12,7 +12,7 @@
 
 #include "net/last_answer.h"
 
-namespace dahliastall::net {
+namespace inference_router::net {
 
 using admission::Address;
 
@@ -481,4 +481,4 @@
   boost::asio::post(io_, std::exchange(done_, nullptr));
 }
 
-}  // namespace dahliastall::net
+}  // namespace inference_router::net
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -16,7 +16,7 @@
 #include "net/client_connection.h"
 #include "net/socket_calls.h"
 
-namespace dahliastall::net {
+namespace inference_router::net {
 
 class Listener final : public ClientConnection::Owner {
  public:
@@ -119,4 +119,4 @@
        evacuated_ = false;
 };
 
-}  // namespace dahliastall::net
+}  // namespace inference_router::net
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <chrono>
 
-namespace dahliastall::net {
+namespace inference_router::net {
 
 Loop::Loop(boost::asio::io_context& io, const core::Clock& clock, core::Deadlines& deadlines)
     : clock_(clock), deadlines_(deadlines), timer_(io) {
@@ -27,4 +27,4 @@
   });
 }
 
-}  // namespace dahliastall::net
+}  // namespace inference_router::net
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -8,7 +8,7 @@
 #include "core/clock.h"
 #include "core/deadlines.h"
 
-namespace dahliastall::net {
+namespace inference_router::net {
 
 class Loop {
  public:
@@ -22,4 +22,4 @@
   boost::asio::steady_timer timer_;
 };
 
-}  // namespace dahliastall::net
+}  // namespace inference_router::net
--- a/src/net/message.cpp
+++ b/src/net/message.cpp
@@ -6,7 +6,7 @@
 // Boost 1.74 does not bring <ostream> itself.
 #include <boost/beast/http/status.hpp>
 
-namespace dahliastall::net {
+namespace inference_router::net {
 
 namespace {
 
@@ -54,4 +54,4 @@
   return {reason.data(), reason.size()};
 }
 
-}  // namespace dahliastall::net
+}  // namespace inference_router::net
--- a/src/net/message.h
+++ b/src/net/message.h
@@ -7,7 +7,7 @@
 #include <utility>
 #include <vector>
 
-namespace dahliastall::net {
+namespace inference_router::net {
 
 inline constexpr std::size_t kBodyLimit = 256 * 1024;
 inline constexpr std::size_t kHeadLimit = 16 * 1024;
@@ -26,4 +26,4 @@
 
 std::string_view reasonFor(unsigned status);
 
-}  // namespace dahliastall::net
+}  // namespace inference_router::net
--- a/src/net/pool.cpp
+++ b/src/net/pool.cpp
@@ -15,7 +15,7 @@
 
 #include "net/socket_calls.h"
 
-namespace dahliastall::net {
+namespace inference_router::net {
 
 namespace http = boost::beast::http;
 
@@ -618,4 +618,4 @@
   });
 }
 
-}  // namespace dahliastall::net
+}  // namespace inference_router::net
--- a/src/net/pool.h
+++ b/src/net/pool.h
@@ -25,7 +25,7 @@
 #include "net/message.h"
 #include "net/send_operation.h"
 
-namespace dahliastall::net {
+namespace inference_router::net {
 
 using ResponseHead = boost::beast::http::response_header<>;
 
@@ -220,4 +220,4 @@
   bool serving_ = false;
 };
 
-}  // namespace dahliastall::net
+}  // namespace inference_router::net
--- a/src/net/request_reader.cpp
+++ b/src/net/request_reader.cpp
@@ -9,7 +9,7 @@
 #include "net/message.h"
 #include "net/socket_calls.h"
 
-namespace dahliastall::net {
+namespace inference_router::net {
 
 namespace http = boost::beast::http;
 
@@ -81,4 +81,4 @@
   return parser_->is_done() ? Progress::kWhole : Progress::kPart;
 }
 
-}  // namespace dahliastall::net
+}  // namespace inference_router::net
--- a/src/net/request_reader.h
+++ b/src/net/request_reader.h
@@ -12,7 +12,7 @@
 #include <string>
 #include <string_view>
 
-namespace dahliastall::net {
+namespace inference_router::net {
 
 using HttpRequest = boost::beast::http::request<boost::beast::http::string_body>;
 
@@ -55,4 +55,4 @@
   std::string input_;  // read, and not parsed: a head or a chunk's size line that is not whole yet
 };
 
-}  // namespace dahliastall::net
+}  // namespace inference_router::net
--- a/src/net/send_operation.cpp
+++ b/src/net/send_operation.cpp
@@ -8,7 +8,7 @@
 
 #include "net/socket_calls.h"
 
-namespace dahliastall::net {
+namespace inference_router::net {
 
 std::shared_ptr<SendOperation> SendOperation::start(
     std::shared_ptr<boost::asio::ip::tcp::socket> socket,
@@ -91,4 +91,4 @@
       [self = shared_from_this(), done = std::exchange(done_, nullptr), error] { done(error); });
 }
 
-}  // namespace dahliastall::net
+}  // namespace inference_router::net
--- a/src/net/send_operation.h
+++ b/src/net/send_operation.h
@@ -13,7 +13,7 @@
 #include <memory>
 #include <string_view>
 
-namespace dahliastall::net {
+namespace inference_router::net {
 
 class SendOperation final : public std::enable_shared_from_this<SendOperation> {
  public:
@@ -48,4 +48,4 @@
   boost::system::error_code waitsFor_;
 };
 
-}  // namespace dahliastall::net
+}  // namespace inference_router::net
--- a/src/net/shed_requests.cpp
+++ b/src/net/shed_requests.cpp
@@ -1,6 +1,6 @@
 #include "net/shed_requests.h"
 
-namespace dahliastall::net {
+namespace inference_router::net {
 
 void ShedRequests::read(std::string_view bytes) {
   if (unreadable_)
@@ -23,4 +23,4 @@
   }
 }
 
-}  // namespace dahliastall::net
+}  // namespace inference_router::net
--- a/src/net/shed_requests.h
+++ b/src/net/shed_requests.h
@@ -7,7 +7,7 @@
 
 #include "net/request_reader.h"
 
-namespace dahliastall::net {
+namespace inference_router::net {
 
 class ShedRequests {
  public:
@@ -25,4 +25,4 @@
   bool midway_ = false, unreadable_ = false;
 };
 
-}  // namespace dahliastall::net
+}  // namespace inference_router::net
--- a/src/net/socket_calls.cpp
+++ b/src/net/socket_calls.cpp
@@ -9,7 +9,7 @@
 #include <array>
 #include <cerrno>
 
-namespace dahliastall::net {
+namespace inference_router::net {
 
 namespace {
 
@@ -163,4 +163,4 @@
   return error;
 }
 
-}  // namespace dahliastall::net
+}  // namespace inference_router::net
--- a/src/net/socket_calls.h
+++ b/src/net/socket_calls.h
@@ -10,7 +10,7 @@
 #include <span>
 #include <string_view>
 
-namespace dahliastall::net {
+namespace inference_router::net {
 
 /// Before a call that failed for lack of this machine's resources is tried again.
 inline constexpr double kResourceRetryMs = 5;
@@ -69,4 +69,4 @@
                                  const boost::asio::ip::tcp& protocol,
                                  int descriptor);
 
-}  // namespace dahliastall::net
+}  // namespace inference_router::net
--- a/src/net/socket_input.cpp
+++ b/src/net/socket_input.cpp
@@ -5,7 +5,7 @@
 #include <sys/ioctl.h>
 #include <sys/socket.h>
 
-namespace dahliastall::net {
+namespace inference_router::net {
 
 namespace {
 
@@ -43,4 +43,4 @@
   ::setsockopt(descriptor, SOL_SOCKET, SO_RCVLOWAT, &least, sizeof least);
 }
 
-}  // namespace dahliastall::net
+}  // namespace inference_router::net
--- a/src/net/socket_input.h
+++ b/src/net/socket_input.h
@@ -3,7 +3,7 @@
 
 #include <cstddef>
 
-namespace dahliastall::net {
+namespace inference_router::net {
 
 std::size_t unreadBytes(int descriptor);
 
@@ -16,4 +16,4 @@
 // The socket counts as readable only with so many bytes unread, or once its peer has ended.
 void setReadableFrom(int descriptor, std::size_t bytes);
 
-}  // namespace dahliastall::net
+}  // namespace inference_router::net
--- a/src/estimates/decaying_sum.h
+++ b/src/routing/decaying_sum.h
@@ -3,9 +3,9 @@
 
 #include <cmath>
 
-#include "estimates/duration_math.h"
+#include "routing/duration_math.h"
 
-namespace leverrelay {
+namespace inference_router::routing {
 
 class DecayingSum {
  public:
@@ -25,4 +25,4 @@
   Time lastChange_{};
 };
 
-}  // namespace leverrelay
+}  // namespace inference_router::routing
--- a/src/estimates/duration_math.h
+++ b/src/routing/duration_math.h
@@ -4,9 +4,9 @@
 #include <algorithm>
 #include <cmath>
 
-#include "leverrelay/router.h"
+#include "inference_router/router.h"
 
-namespace leverrelay {
+namespace inference_router::routing {
 
 /// Returns numerator / denominator. A denominator below one microsecond counts as one microsecond,
 /// so the result is always finite.
@@ -36,4 +36,4 @@
   return std::exp2(-ratio(now - last, halfLife));
 }
 
-}  // namespace leverrelay
+}  // namespace inference_router::routing
--- a/src/estimates/fading_average.h
+++ b/src/routing/fading_average.h
@@ -1,9 +1,9 @@
 // A weighted mean in which each new sample takes weight from the older ones.
 #pragma once
 
-#include "estimates/duration_math.h"
+#include "routing/duration_math.h"
 
-namespace leverrelay {
+namespace inference_router::routing {
 
 class FadingAverage {
  public:
@@ -33,4 +33,4 @@
   Time lastSample_{};
 };
 
-}  // namespace leverrelay
+}  // namespace inference_router::routing
--- a/src/estimates/key_popularity.cpp
+++ b/src/routing/key_popularity.cpp
@@ -1,8 +1,8 @@
-#include "estimates/key_popularity.h"
+#include "routing/key_popularity.h"
 
 #include <algorithm>
 
-namespace leverrelay {
+namespace inference_router::routing {
 namespace {
 
 constexpr double kPriorArrivals = 10;  // arrivals of other keys that are assumed beside those seen
@@ -30,4 +30,4 @@
   return others / (arrivals(now) + kPriorArrivals);
 }
 
-}  // namespace leverrelay
+}  // namespace inference_router::routing
--- a/src/estimates/key_popularity.h
+++ b/src/routing/key_popularity.h
@@ -5,9 +5,9 @@
 #include <map>
 #include <string>
 
-#include "estimates/decaying_sum.h"
+#include "routing/decaying_sum.h"
 
-namespace leverrelay {
+namespace inference_router::routing {
 
 /// Counts arrivals by key; a count decays with the time constant given. Keys that were not seen for
 /// long are forgotten once there are many, so memory is bounded by the traffic within some time
@@ -33,4 +33,4 @@
   std::map<std::string, DecayingSum> keys_;
 };
 
-}  // namespace leverrelay
+}  // namespace inference_router::routing
--- a/src/records/request_record.cpp
+++ b/src/routing/request_record.cpp
@@ -1,8 +1,8 @@
-#include "records/request_record.h"
+#include "routing/request_record.h"
 
 #include <algorithm>
 
-namespace leverrelay {
+namespace inference_router::routing {
 
 const AttemptRecord* RequestRecord::mayHaveRun() const {
   const auto found = std::find_if(attempts.begin(), attempts.end(),
@@ -22,4 +22,4 @@
                      [&engine](const AttemptRecord& a) { return a.engine == &engine; });
 }
 
-}  // namespace leverrelay
+}  // namespace inference_router::routing
--- a/src/records/request_record.h
+++ b/src/routing/request_record.h
@@ -7,9 +7,9 @@
 #include <set>
 #include <vector>
 
-#include "leverrelay/router.h"
+#include "inference_router/router.h"
 
-namespace leverrelay {
+namespace inference_router::routing {
 
 struct Engine;  // an instance, owned by the module; records only refer to it
 
@@ -70,4 +70,4 @@
   bool refersTo(const Engine& engine) const;
 };
 
-}  // namespace leverrelay
+}  // namespace inference_router::routing
--- a/src/rules.cpp
+++ b/src/routing/router.cpp
@@ -7,16 +7,16 @@
 #include <map>
 #include <set>
 
-#include "estimates/decaying_sum.h"
-#include "estimates/duration_math.h"
-#include "estimates/fading_average.h"
-#include "estimates/key_popularity.h"
-#include "estimates/stable_hash.h"
-#include "leverrelay/router.h"
-#include "policy/slow_start_budget.h"
-#include "records/request_record.h"
-
-namespace leverrelay {
+#include "inference_router/router.h"
+#include "routing/decaying_sum.h"
+#include "routing/duration_math.h"
+#include "routing/fading_average.h"
+#include "routing/key_popularity.h"
+#include "routing/request_record.h"
+#include "routing/slow_start_budget.h"
+#include "routing/stable_hash.h"
+
+namespace inference_router::routing {
 namespace {
 
 using std::chrono::seconds;
@@ -1171,4 +1171,4 @@
   impl_->handle(now, event, actions);
 }
 
-}  // namespace leverrelay
+}  // namespace inference_router::routing
--- a/src/settings_check.cpp
+++ b/src/routing/settings_check.cpp
@@ -1,8 +1,8 @@
 // Which settings the decision module can work with. Chooses nothing: a check before the first
 // event.
-#include "leverrelay/router.h"
+#include "inference_router/router.h"
 
-namespace leverrelay {
+namespace inference_router::routing {
 
 std::optional<std::string> problemWith(const Settings& settings) {
   if (settings.classes.empty())
@@ -21,4 +21,4 @@
   return std::nullopt;
 }
 
-}  // namespace leverrelay
+}  // namespace inference_router::routing
--- a/src/policy/slow_start_budget.cpp
+++ b/src/routing/slow_start_budget.cpp
@@ -1,12 +1,12 @@
-#include "policy/slow_start_budget.h"
+#include "routing/slow_start_budget.h"
 
 #include <algorithm>
 #include <cmath>
 
-#include "estimates/duration_math.h"
-#include "estimates/stable_hash.h"
+#include "routing/duration_math.h"
+#include "routing/stable_hash.h"
 
-namespace leverrelay {
+namespace inference_router::routing {
 namespace {
 
 constexpr double kCountedSafety = 0.7;  // share of the budget that is used where sends are counted,
@@ -66,4 +66,4 @@
   usedSlot_ = slotOf(contract, now);
 }
 
-}  // namespace leverrelay
+}  // namespace inference_router::routing
--- a/src/policy/slow_start_budget.h
+++ b/src/routing/slow_start_budget.h
@@ -8,9 +8,9 @@
 /// traffic over them, also where some restart and forget.
 #pragma once
 
-#include "leverrelay/router.h"
+#include "inference_router/router.h"
 
-namespace leverrelay {
+namespace inference_router::routing {
 
 /// Share of its capacity that an instance has by its age; 1 if it is warm or has not started
 /// lately.
@@ -50,4 +50,4 @@
   std::int64_t usedSlot_ = -1;
 };
 
-}  // namespace leverrelay
+}  // namespace inference_router::routing
--- a/src/estimates/stable_hash.cpp
+++ b/src/routing/stable_hash.cpp
@@ -1,6 +1,6 @@
-#include "estimates/stable_hash.h"
+#include "routing/stable_hash.h"
 
-namespace leverrelay {
+namespace inference_router::routing {
 namespace {
 
 constexpr std::uint64_t kFnvOffset = 14695981039346656037ULL;
@@ -35,4 +35,4 @@
   return (static_cast<double>(stableHash(first, second) >> kDroppedBits) + 0.5) / kDraws;
 }
 
-}  // namespace leverrelay
+}  // namespace inference_router::routing
--- a/src/estimates/stable_hash.h
+++ b/src/routing/stable_hash.h
@@ -4,7 +4,7 @@
 #include <cstdint>
 #include <string>
 
-namespace leverrelay {
+namespace inference_router::routing {
 
 /// A 64-bit hash of a pair of strings (FNV-1a with the finalizer of MurmurHash3).
 std::uint64_t stableHash(const std::string& first, const std::string& second);
@@ -15,4 +15,4 @@
 /// The same for a pair of numbers (finalizer of splitmix64); 0 is possible.
 double stableDraw(std::uint64_t seed, std::int64_t index);
 
-}  // namespace leverrelay
+}  // namespace inference_router::routing
--- a/src/shared/budget.cpp
+++ b/src/shared/budget.cpp
@@ -4,7 +4,7 @@
 #include <array>
 #include <cmath>
 
-namespace dahliastall::shared {
+namespace inference_router::shared {
 
 namespace {
 
@@ -252,4 +252,4 @@
   line.charged = saturatingSubtract(line.charged + used, charged);
 }
 
-}  // namespace dahliastall::shared
+}  // namespace inference_router::shared
--- a/src/shared/budget.h
+++ b/src/shared/budget.h
@@ -17,7 +17,7 @@
 
 #include "shared/usage_counters.h"
 
-namespace dahliastall::shared {
+namespace inference_router::shared {
 
 constexpr std::size_t kMaxTenants = 32;  // that may have a budget
 
@@ -169,4 +169,4 @@
 // Replaces the charge of an evicted conductor that came back by what it really used.
 void refund(BudgetLine& line, std::uint64_t charged, std::uint64_t used);
 
-}  // namespace dahliastall::shared
+}  // namespace inference_router::shared
--- a/src/shared/codec.cpp
+++ b/src/shared/codec.cpp
@@ -8,7 +8,7 @@
 #include <cstdio>
 #include <stdexcept>
 
-namespace dahliastall::shared {
+namespace inference_router::shared {
 
 using nlohmann::json;
 
@@ -359,4 +359,4 @@
   return {decodeError, digest};
 }
 
-}  // namespace dahliastall::shared
+}  // namespace inference_router::shared
--- a/src/shared/codec.h
+++ b/src/shared/codec.h
@@ -17,7 +17,7 @@
 #include "shared/health_observation.h"
 #include "shared/usage_counters.h"
 
-namespace dahliastall::shared {
+namespace inference_router::shared {
 
 // Keys in the store.
 inline constexpr const char* kPartPrefix = "part/";
@@ -114,4 +114,4 @@
 DecodedPart decodePart(std::string_view text);
 DecodedDigest decodeDigest(std::string_view text);
 
-}  // namespace dahliastall::shared
+}  // namespace inference_router::shared
--- a/src/shared/config.h
+++ b/src/shared/config.h
@@ -10,7 +10,7 @@
 #include "shared/connectivity.h"
 #include "shared/health_observation.h"
 
-namespace dahliastall::shared {
+namespace inference_router::shared {
 
 // Safety checks that tests switch off one by one, to show that the tests then fail.
 struct SharedGuards {
@@ -47,4 +47,4 @@
   }
 };
 
-}  // namespace dahliastall::shared
+}  // namespace inference_router::shared
--- a/src/shared/connectivity.cpp
+++ b/src/shared/connectivity.cpp
@@ -4,7 +4,7 @@
 #include <array>
 #include <random>
 
-namespace dahliastall::shared {
+namespace inference_router::shared {
 
 const char* nameOf(ConnectivityState state) {
   constexpr std::array<const char*, 4> kNames{"connected", "late", "alone", "returning"};
@@ -62,4 +62,4 @@
     enter(ConnectivityState::kConnected, nowMs);
 }
 
-}  // namespace dahliastall::shared
+}  // namespace inference_router::shared
--- a/src/shared/connectivity.h
+++ b/src/shared/connectivity.h
@@ -8,7 +8,7 @@
 #include <cstdint>
 #include <string>
 
-namespace dahliastall::shared {
+namespace inference_router::shared {
 
 enum class ConnectivityState : std::uint8_t {
   kConnected,
@@ -55,4 +55,4 @@
   std::uint64_t rejoinSequence_ = 0;  // the last report before kRejoining was entered
 };
 
-}  // namespace dahliastall::shared
+}  // namespace inference_router::shared
--- a/src/shared/digest_task.cpp
+++ b/src/shared/digest_task.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace dahliastall::shared {
+namespace inference_router::shared {
 
 using coordination::Doc;
 using coordination::Step;
@@ -303,4 +303,4 @@
   return Step{"digest " + std::to_string(digest.sequence), std::move(writes)};
 }
 
-}  // namespace dahliastall::shared
+}  // namespace inference_router::shared
--- a/src/shared/digest_task.h
+++ b/src/shared/digest_task.h
@@ -15,7 +15,7 @@
 #include "shared/codec.h"
 #include "shared/config.h"
 
-namespace dahliastall::shared {
+namespace inference_router::shared {
 
 class DigestTask final : public coordination::FleetTask {
  public:
@@ -76,4 +76,4 @@
   Stats stats_;
 };
 
-}  // namespace dahliastall::shared
+}  // namespace inference_router::shared
--- a/src/shared/health_observation.cpp
+++ b/src/shared/health_observation.cpp
@@ -4,7 +4,7 @@
 #include <array>
 #include <cmath>
 
-namespace dahliastall::shared {
+namespace inference_router::shared {
 
 namespace {
 
@@ -178,4 +178,4 @@
   return next;
 }
 
-}  // namespace dahliastall::shared
+}  // namespace inference_router::shared
--- a/src/shared/health_observation.h
+++ b/src/shared/health_observation.h
@@ -12,7 +12,7 @@
 
 #include "coordination/store.h"
 
-namespace dahliastall::shared {
+namespace inference_router::shared {
 
 // Why an attempt at an instance failed.
 enum class FailureKind : std::uint8_t { kNone, kConnectionRefused, kTimeout, kError, kSlow };
@@ -106,4 +106,4 @@
                           const ObservationConfig& observations,
                           const VerdictConfig& config);
 
-}  // namespace dahliastall::shared
+}  // namespace inference_router::shared
--- a/src/shared/node.cpp
+++ b/src/shared/node.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace dahliastall::shared {
+namespace inference_router::shared {
 
 using coordination::CommitAnswer;
 using coordination::Committed;
@@ -284,4 +284,4 @@
       nowMs);
 }
 
-}  // namespace dahliastall::shared
+}  // namespace inference_router::shared
--- a/src/shared/node.h
+++ b/src/shared/node.h
@@ -17,7 +17,7 @@
 #include "shared/config.h"
 #include "shared/remote_health.h"
 
-namespace dahliastall::shared {
+namespace inference_router::shared {
 
 // Not thread-safe; owned by app::Sharer.
 class SharedNode {
@@ -130,4 +130,4 @@
   Stats stats_;
 };
 
-}  // namespace dahliastall::shared
+}  // namespace inference_router::shared
--- a/src/shared/remote_health.cpp
+++ b/src/shared/remote_health.cpp
@@ -7,7 +7,7 @@
 #include <random>
 #include <tuple>
 
-namespace dahliastall::shared {
+namespace inference_router::shared {
 
 namespace {
 
@@ -127,4 +127,4 @@
   return decisions;
 }
 
-}  // namespace dahliastall::shared
+}  // namespace inference_router::shared
--- a/src/shared/remote_health.h
+++ b/src/shared/remote_health.h
@@ -12,7 +12,7 @@
 #include "coordination/maintenance.h"
 #include "shared/health_observation.h"
 
-namespace dahliastall::shared {
+namespace inference_router::shared {
 
 // An instance as this conductor knows it. serves: not taken out by an operator or a maintenance,
 // which take precedence over verdicts.
@@ -58,4 +58,4 @@
 // The availability of each known instance, by id.
 std::map<std::string, Availability> availabilities(const RemoteHealthInput& input, double nowMs);
 
-}  // namespace dahliastall::shared
+}  // namespace inference_router::shared
--- a/src/shared/setup.cpp
+++ b/src/shared/setup.cpp
@@ -5,7 +5,7 @@
 
 #include "shared/codec.h"
 
-namespace dahliastall::shared {
+namespace inference_router::shared {
 
 namespace {
 
@@ -84,4 +84,4 @@
   return setup;
 }
 
-}  // namespace dahliastall::shared
+}  // namespace inference_router::shared
--- a/src/shared/setup.h
+++ b/src/shared/setup.h
@@ -10,7 +10,7 @@
 #include "core/fields.h"
 #include "shared/config.h"
 
-namespace dahliastall::shared {
+namespace inference_router::shared {
 
 struct SharedSetup {
   SharedConfig config;
@@ -20,4 +20,4 @@
 // Throws std::invalid_argument with the path of what is wrong. tenants: that the settings name.
 SharedSetup sharedOf(const core::Fields& given, const std::vector<std::string>& tenants);
 
-}  // namespace dahliastall::shared
+}  // namespace inference_router::shared
--- a/src/shared/usage_counters.cpp
+++ b/src/shared/usage_counters.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <array>
 
-namespace dahliastall::shared {
+namespace inference_router::shared {
 
 namespace {
 
@@ -80,4 +80,4 @@
   return all;
 }
 
-}  // namespace dahliastall::shared
+}  // namespace inference_router::shared
--- a/src/shared/usage_counters.h
+++ b/src/shared/usage_counters.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <utility>
 
-namespace dahliastall::shared {
+namespace inference_router::shared {
 
 // Identifies one process of one conductor. The incarnation is new with each start, and with each
 // eviction of a process that turns out to be alive.
@@ -68,4 +68,4 @@
   std::map<Origin, UsageTable> parts_;
 };
 
-}  // namespace dahliastall::shared
+}  // namespace inference_router::shared
--- a/src/fronts/boxes/event_gate.h
+++ b/src/upstream/event_stream_filter.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <string_view>
 
-namespace dahliastall::fronts {
+namespace inference_router::upstream {
 
 class EventGate {
  public:
@@ -65,4 +65,4 @@
   bool finished_ = false;
 };
 
-}  // namespace dahliastall::fronts
+}  // namespace inference_router::upstream
--- a/src/fronts/boxes/boxes.cpp
+++ b/src/upstream/http_instance_client.cpp
@@ -1,18 +1,18 @@
-#include "fronts/boxes/boxes.h"
+#include "upstream/http_instance_client.h"
 
 #include <algorithm>
 #include <cmath>
 #include <functional>
 #include <utility>
 
-#include "fronts/boxes/event_gate.h"
-#include "fronts/boxes/usage.h"
+#include "upstream/event_stream_filter.h"
+#include "upstream/usage_reader.h"
 
-namespace dahliastall::fronts {
+namespace inference_router::upstream {
 
-using leverrelay::EngineId;
-using leverrelay::Outcome;
-using leverrelay::RequestId;
+using routing::EngineId;
+using routing::Outcome;
+using routing::RequestId;
 
 namespace {
 
@@ -475,4 +475,4 @@
   });
 }
 
-}  // namespace dahliastall::fronts
+}  // namespace inference_router::upstream
--- a/src/fronts/boxes/boxes.h
+++ b/src/upstream/http_instance_client.h
@@ -7,15 +7,15 @@
 #include <memory>
 #include <string>
 
-#include "core/conductor.h"
-#include "fronts/boxes/directory.h"
-#include "fronts/boxes/owed_release_calls.h"
-#include "fronts/boxes/releases.h"
-#include "fronts/boxes/reservations.h"
+#include "core/request_dispatcher.h"
 #include "net/message.h"
 #include "net/pool.h"
+#include "upstream/instance_directory.h"
+#include "upstream/owed_release_calls.h"
+#include "upstream/releases.h"
+#include "upstream/reservations.h"
 
-namespace dahliastall::fronts {
+namespace inference_router::upstream {
 
 struct BoxDialect {
   std::string idHeader;
@@ -49,11 +49,11 @@
   void abandon(core::AttemptKey attempt) override;
   void resume(core::AttemptKey attempt) override;
   bool unread(core::AttemptKey attempt) const override;
-  void holdPlace(const leverrelay::RequestId& request,
+  void holdPlace(const routing::RequestId& request,
                  core::AttemptKey reading,
-                 const leverrelay::EngineId& engine) override;
-  void release(const leverrelay::RequestId& request) override;
-  void probe(const leverrelay::EngineId& engine) override;
+                 const routing::EngineId& engine) override;
+  void release(const routing::RequestId& request) override;
+  void probe(const routing::EngineId& engine) override;
 
   // A stream under way, as it passes from one process to another.
   struct Rest {
@@ -67,8 +67,8 @@
   void goOn(core::AttemptKey attempt);
   void leave(core::AttemptKey attempt);  // lets go of a stream that another process has now
   bool adopt(core::AttemptKey attempt,
-             const leverrelay::RequestId& request,
-             const leverrelay::EngineId& engine,
+             const routing::RequestId& request,
+             const routing::EngineId& engine,
              const net::Endpoint& address,
              const Rest& rest);
 
@@ -87,16 +87,16 @@
   class ProbeCall;
 
   std::shared_ptr<AttemptCall> attempt(core::AttemptKey key) const;
-  std::optional<double> heldBackMs(const leverrelay::RequestId& request) const;
+  std::optional<double> heldBackMs(const routing::RequestId& request) const;
   std::string roomHead(const std::string& method,
-                       const leverrelay::RequestId& request,
+                       const routing::RequestId& request,
                        const Box& box) const;
   std::string head(const std::string& method,
                    const std::string& target,
                    const Box& box,
                    net::Fields fields) const;
-  void heard(const leverrelay::EngineId& engine);
-  void unheard(const leverrelay::EngineId& engine);
+  void heard(const routing::EngineId& engine);
+  void unheard(const routing::EngineId& engine);
 
   BoxDialect dialect_;
   core::Conductor& conductor_;
@@ -113,4 +113,4 @@
   Reservations reservations_;
 };
 
-}  // namespace dahliastall::fronts
+}  // namespace inference_router::upstream
--- a/src/fronts/boxes/directory.cpp
+++ b/src/upstream/instance_directory.cpp
@@ -1,10 +1,8 @@
-#include "fronts/boxes/directory.h"
+#include "upstream/instance_directory.h"
 
-namespace dahliastall::fronts {
+namespace inference_router::upstream {
 
-void Directory::update(const std::map<leverrelay::EngineId, Box>& told,
-                       bool whole,
-                       net::Pool& pool) {
+void Directory::update(const std::map<routing::EngineId, Box>& told, bool whole, net::Pool& pool) {
   for (const auto& [id, news] : told) {
     Box& box = boxes_[id];
     const bool fresh = box.startedMs != news.startedMs || box.address != news.address;
@@ -17,7 +15,7 @@
     box.startedMs = news.startedMs;
   }
   std::erase_if(boxes_, [&](const auto& entry) {
-    const bool gone = entry.second.presence == leverrelay::Presence::kGone ||
+    const bool gone = entry.second.presence == routing::Presence::kGone ||
                       (whole && told.count(entry.first) == 0);
     if (gone)
       pool.dropIdle(entry.second.address);
@@ -25,4 +23,4 @@
   });
 }
 
-}  // namespace dahliastall::fronts
+}  // namespace inference_router::upstream
--- a/src/fronts/boxes/directory.h
+++ b/src/upstream/instance_directory.h
@@ -5,14 +5,14 @@
 #include <string>
 #include <vector>
 
-#include "leverrelay/router.h"
+#include "inference_router/router.h"
 #include "net/pool.h"
 
-namespace dahliastall::fronts {
+namespace inference_router::upstream {
 
 struct Box {
   net::Endpoint address;
-  leverrelay::Presence presence = leverrelay::Presence::kActive;
+  routing::Presence presence = routing::Presence::kActive;
   double startedMs = 0;
   double heardMs = 0;   // when it last answered anything
   double failedMs = 0;  // when it last could not be reached or did not answer
@@ -20,22 +20,20 @@
 
 class Directory {
  public:
-  Box* find(const leverrelay::EngineId& engine) {
+  Box* find(const routing::EngineId& engine) {
     const auto it = boxes_.find(engine);
     return it == boxes_.end() ? nullptr : &it->second;
   }
-  std::map<leverrelay::EngineId, Box>& all() { return boxes_; }
+  std::map<routing::EngineId, Box>& all() { return boxes_; }
 
   // Takes over what a list names; a whole list names every box that there is. Connections go with
   // what they led to: those from before a restart or to an old address would only end as resets,
   // which may have run for all that is known. Boxes that are gone are let go of, or every replaced
   // box would stay for good.
-  void update(const std::map<leverrelay::EngineId, Box>& told, bool whole, net::Pool& pool);
+  void update(const std::map<routing::EngineId, Box>& told, bool whole, net::Pool& pool);
 
  private:
-  std::map<leverrelay::EngineId, Box> boxes_;
+  std::map<routing::EngineId, Box> boxes_;
 };
 
-using net::endpointOf;
-
-}  // namespace dahliastall::fronts
+}  // namespace inference_router::upstream
--- a/src/fronts/boxes/owed_release_calls.cpp
+++ b/src/upstream/owed_release_calls.cpp
@@ -1,12 +1,12 @@
-#include "fronts/boxes/owed_release_calls.h"
+#include "upstream/owed_release_calls.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace dahliastall::fronts {
+namespace inference_router::upstream {
 
-using leverrelay::EngineId;
-using leverrelay::RequestId;
+using routing::EngineId;
+using routing::RequestId;
 
 namespace {
 
@@ -19,7 +19,7 @@
 
 class OwedReleaseCalls::Sink final : public net::CallSink {
  public:
-  Sink(OwedReleaseCalls& owner, std::uint64_t number, fleet::OwedReleases::Release release)
+  Sink(OwedReleaseCalls& owner, std::uint64_t number, OwedReleases::Release release)
       : owner_(owner), number_(number), release_(std::move(release)) {}
   void head(const net::ResponseHead& head) override { accepted_ = head.result_int() == 204; }
   void done() override { owner_.ended(number_, release_, accepted_); }
@@ -28,7 +28,7 @@
  private:
   OwedReleaseCalls& owner_;
   std::uint64_t number_;
-  fleet::OwedReleases::Release release_;
+  OwedReleases::Release release_;
   bool accepted_ = false;
 };
 
@@ -59,7 +59,7 @@
 
 void OwedReleaseCalls::owe(const EngineId& instance, const RequestId& request) {
   const Box* box = directory_.find(instance);
-  if (box == nullptr || box->presence == leverrelay::Presence::kGone)
+  if (box == nullptr || box->presence == routing::Presence::kGone)
     return;
   ++counters_["releases.owed"];
   startedMs_.try_emplace(instance, box->startedMs);
@@ -71,7 +71,7 @@
 void OwedReleaseCalls::forgetReplaced() {
   std::erase_if(startedMs_, [this](const auto& entry) {
     const Box* box = directory_.find(entry.first);
-    const bool gone = box == nullptr || box->presence == leverrelay::Presence::kGone;
+    const bool gone = box == nullptr || box->presence == routing::Presence::kGone;
     const bool replaced = gone || box->startedMs != entry.second;
     if (replaced)
       owed_.forget(entry.first);
@@ -98,7 +98,7 @@
   });
 }
 
-void OwedReleaseCalls::send(const fleet::OwedReleases::Release& release) {
+void OwedReleaseCalls::send(const OwedReleases::Release& release) {
   const Box& box = *directory_.find(release.instance);
   const std::uint64_t number = ++calls_;
   const auto sink = std::make_shared<Sink>(*this, number, release);
@@ -118,7 +118,7 @@
 }
 
 void OwedReleaseCalls::ended(std::uint64_t number,
-                             const fleet::OwedReleases::Release& release,
+                             const OwedReleases::Release& release,
                              bool accepted) {
   const auto it = sent_.find(number);
   if (it != sent_.end()) {
@@ -132,4 +132,4 @@
   stepAt(owed_.nextMs());
 }
 
-}  // namespace dahliastall::fronts
+}  // namespace inference_router::upstream
--- a/src/fronts/boxes/owed_release_calls.h
+++ b/src/upstream/owed_release_calls.h
@@ -1,5 +1,5 @@
 /// Carries the releases that are owed to single instances; when they are due is
-/// fleet::OwedReleases'.
+/// OwedReleases'.
 #pragma once
 
 #include <functional>
@@ -11,16 +11,16 @@
 #include "core/clock.h"
 #include "core/counters.h"
 #include "core/deadlines.h"
-#include "fleet/owed_releases.h"
-#include "fronts/boxes/directory.h"
 #include "net/pool.h"
+#include "upstream/instance_directory.h"
+#include "upstream/owed_releases.h"
 
-namespace dahliastall::fronts {
+namespace inference_router::upstream {
 
 class OwedReleaseCalls {
  public:
   /// The head of the message that releases a request.
-  using Head = std::function<std::string(const leverrelay::RequestId&, const Box&)>;
+  using Head = std::function<std::string(const routing::RequestId&, const Box&)>;
 
   OwedReleaseCalls(net::Pool& pool,
                    Directory& directory,
@@ -34,7 +34,7 @@
   OwedReleaseCalls& operator=(const OwedReleaseCalls&) = delete;
 
   /// A call for the request was written to the instance and given up without an answer.
-  void owe(const leverrelay::EngineId& instance, const leverrelay::RequestId& request);
+  void owe(const routing::EngineId& instance, const routing::RequestId& request);
   void within(double ms) { owed_.apart(ms / 2); }
   std::size_t size() const { return owed_.size(); }
 
@@ -47,8 +47,8 @@
 
   void step();
   void stepAt(std::optional<double> atMs);
-  void send(const fleet::OwedReleases::Release& release);
-  void ended(std::uint64_t number, const fleet::OwedReleases::Release& release, bool accepted);
+  void send(const OwedReleases::Release& release);
+  void ended(std::uint64_t number, const OwedReleases::Release& release, bool accepted);
   void forgetReplaced();
 
   net::Pool& pool_;
@@ -57,12 +57,11 @@
   core::Deadlines& deadlines_;
   core::Counters& counters_;
   Head head_;
-  fleet::OwedReleases owed_;
-  std::map<leverrelay::EngineId, double>
-      startedMs_;  // of instances that are owed any, as told then
+  OwedReleases owed_;
+  std::map<routing::EngineId, double> startedMs_;  // of instances that are owed any, as told then
   std::map<std::uint64_t, Sent> sent_;
   std::optional<core::Deadlines::Key> next_;
   std::uint64_t calls_ = 0;
 };
 
-}  // namespace dahliastall::fronts
+}  // namespace inference_router::upstream
--- a/src/fleet/owed_releases.cpp
+++ b/src/upstream/owed_releases.cpp
@@ -1,11 +1,11 @@
-#include "fleet/owed_releases.h"
+#include "upstream/owed_releases.h"
 
 #include <algorithm>
 
-namespace dahliastall::fleet {
+namespace inference_router::upstream {
 
-using leverrelay::EngineId;
-using leverrelay::RequestId;
+using routing::EngineId;
+using routing::RequestId;
 
 void OwedReleases::owe(const EngineId& instance, const RequestId& request, double nowMs) {
   instances_[instance].entries[request] = Entry{.sinceMs = nowMs, .dueMs = nowMs};
@@ -119,4 +119,4 @@
   std::erase_if(instances_, [](const auto& entry) { return entry.second.entries.empty(); });
 }
 
-}  // namespace dahliastall::fleet
+}  // namespace inference_router::upstream
--- a/src/fleet/owed_releases.h
+++ b/src/upstream/owed_releases.h
@@ -7,9 +7,9 @@
 #include <optional>
 #include <vector>
 
-#include "leverrelay/router.h"
+#include "inference_router/router.h"
 
-namespace dahliastall::fleet {
+namespace inference_router::upstream {
 
 /// What an instance has not read yet cannot be released: once it goes on, it may grant a
 /// reservation, or prefill, for a request that is long over. Such a release is owed to this very
@@ -25,28 +25,26 @@
   static constexpr std::size_t kMostSent = 8;  ///< at a time, to an instance that answers
 
   struct Release {
-    leverrelay::EngineId instance;
-    leverrelay::RequestId request;
+    routing::EngineId instance;
+    routing::RequestId request;
   };
 
   /// apartMs: between two releases of the same request.
   explicit OwedReleases(double apartMs) : apartMs_(apartMs) {}
   void apart(double ms) { apartMs_ = ms; }
 
-  void owe(const leverrelay::EngineId& instance,
-           const leverrelay::RequestId& request,
-           double nowMs);
+  void owe(const routing::EngineId& instance, const routing::RequestId& request, double nowMs);
   /// The releases to send now. Each counts as sent until it is accepted or has failed.
   std::vector<Release> due(double nowMs);
   void accepted(const Release& release, double nowMs);
   void failed(const Release& release, double nowMs);
   /// The instance is gone or has started anew, and holds nothing of before.
-  void forget(const leverrelay::EngineId& instance) { instances_.erase(instance); }
+  void forget(const routing::EngineId& instance) { instances_.erase(instance); }
 
   std::optional<double> nextMs() const;
   std::size_t size() const;
   std::size_t dropped() const { return dropped_; }
-  std::vector<leverrelay::EngineId> instances() const;
+  std::vector<routing::EngineId> instances() const;
 
  private:
   struct Entry {
@@ -55,7 +53,7 @@
     bool sent = false;
   };
   struct Instance {
-    std::map<leverrelay::RequestId, Entry> entries;
+    std::map<routing::RequestId, Entry> entries;
     bool answers = false;  ///< since the last call that failed
     double resumesMs = 0;  ///< nothing is sent before
   };
@@ -65,8 +63,8 @@
   void expire(double nowMs);
 
   double apartMs_;
-  std::map<leverrelay::EngineId, Instance> instances_;
+  std::map<routing::EngineId, Instance> instances_;
   std::size_t dropped_ = 0;
 };
 
-}  // namespace dahliastall::fleet
+}  // namespace inference_router::upstream
--- a/src/fleet/release_retry.h
+++ b/src/upstream/release_retry.h
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <cstddef>
 
-namespace dahliastall::fleet {
+namespace inference_router::upstream {
 
 // The release of one request, in rounds. A round asks one instance, then doubles the number with
 // each wave until one answers. The close of an attempt, a reservation and the release travel on
@@ -81,4 +81,4 @@
   int rounds_ = kRounds, taken_ = 0;  // rounds that remain, and rounds accepted
 };
 
-}  // namespace dahliastall::fleet
+}  // namespace inference_router::upstream
--- a/src/fronts/boxes/releases.cpp
+++ b/src/upstream/releases.cpp
@@ -1,14 +1,14 @@
-#include "fronts/boxes/releases.h"
+#include "upstream/releases.h"
 
 #include <algorithm>
 #include <cmath>
 #include <tuple>
 #include <utility>
 
-namespace dahliastall::fronts {
+namespace inference_router::upstream {
 
-using leverrelay::EngineId;
-using leverrelay::RequestId;
+using routing::EngineId;
+using routing::RequestId;
 
 namespace {
 
@@ -138,7 +138,7 @@
   const EngineId* best = nullptr;
   std::tuple<bool, bool, bool, double> most;
   for (const auto& [engine, box] : directory_.all()) {
-    if (state.tried.count(engine) != 0 || box.presence == leverrelay::Presence::kGone)
+    if (state.tried.count(engine) != 0 || box.presence == routing::Presence::kGone)
       continue;
     const std::tuple<bool, bool, bool, double> worth{box.heardMs >= box.failedMs,
                                                      pool_.hasIdle(box.address),
@@ -296,4 +296,4 @@
     go();
 }
 
-}  // namespace dahliastall::fronts
+}  // namespace inference_router::upstream
--- a/src/fleet/reservation_lease.h
+++ b/src/upstream/reservation_lease.h
@@ -4,7 +4,7 @@
 
 #include <optional>
 
-namespace dahliastall::fleet {
+namespace inference_router::upstream {
 
 /// A granted reservation says that its instance holds a place. It proves nothing about the prefill,
 /// whose bytes may never be read, or whose answer may be lost; and a reservation of which no
@@ -97,4 +97,4 @@
   bool prefillEnded_ = false;
 };
 
-}  // namespace dahliastall::fleet
+}  // namespace inference_router::upstream
--- a/src/fronts/boxes/reservations.cpp
+++ b/src/upstream/reservations.cpp
@@ -1,15 +1,14 @@
-#include "fronts/boxes/reservations.h"
+#include "upstream/reservations.h"
 
 #include <algorithm>
 #include <cmath>
 #include <utility>
 #include <vector>
 
-namespace dahliastall::fronts {
+namespace inference_router::upstream {
 
-using fleet::ReservationLease;
-using leverrelay::EngineId;
-using leverrelay::RequestId;
+using routing::EngineId;
+using routing::RequestId;
 
 namespace {
 
@@ -261,4 +260,4 @@
   return until;
 }
 
-}  // namespace dahliastall::fronts
+}  // namespace inference_router::upstream
--- a/src/fronts/boxes/reservations.h
+++ b/src/upstream/reservations.h
@@ -1,5 +1,5 @@
 /// Carries the calls for reservations at decode instances, and renews what was granted while the
-/// prefill is out. When to renew and when to release is fleet::ReservationLease's.
+/// prefill is out. When to renew and when to release is ReservationLease's.
 #pragma once
 
 #include <cstdint>
@@ -10,21 +10,21 @@
 #include <string>
 
 #include "core/clock.h"
-#include "core/conductor.h"
 #include "core/counters.h"
 #include "core/deadlines.h"
-#include "fleet/reservation_lease.h"
-#include "fronts/boxes/directory.h"
-#include "fronts/boxes/owed_release_calls.h"
-#include "fronts/boxes/releases.h"
+#include "core/request_dispatcher.h"
 #include "net/pool.h"
+#include "upstream/instance_directory.h"
+#include "upstream/owed_release_calls.h"
+#include "upstream/releases.h"
+#include "upstream/reservation_lease.h"
 
-namespace dahliastall::fronts {
+namespace inference_router::upstream {
 
 class Reservations {
  public:
   /// The head of the message that asks for a reservation.
-  using Head = std::function<std::string(const leverrelay::RequestId&, const Box&)>;
+  using Head = std::function<std::string(const routing::RequestId&, const Box&)>;
   using PrefillIsOut = std::function<bool(core::AttemptKey)>;
 
   Reservations(core::Conductor& conductor,
@@ -43,30 +43,30 @@
   Reservations& operator=(const Reservations&) = delete;
 
   /// Asks an instance to hold a place for the request whose prefill has just been written.
-  void ask(const leverrelay::RequestId& request,
+  void ask(const routing::RequestId& request,
            core::AttemptKey prefill,
-           const leverrelay::EngineId& engine);
+           const routing::EngineId& engine);
   void prefillEnded(core::AttemptKey prefill);
   /// Until when a release beside the request's prefill could take a reservation that it waits for.
-  double coversUntilMs(const leverrelay::RequestId& request) const;
+  double coversUntilMs(const routing::RequestId& request) const;
   void within(double ms) { withinMs_ = ms; }
 
  private:
   class Sink;
   using Number = std::uint64_t;
   struct Reservation {
-    Reservation(leverrelay::RequestId request,
+    Reservation(routing::RequestId request,
                 core::AttemptKey prefill,
-                leverrelay::EngineId engine,
+                routing::EngineId engine,
                 double withinMs)
         : request(std::move(request)),
           prefill(prefill),
           engine(std::move(engine)),
           lease(withinMs) {}
-    leverrelay::RequestId request;
+    routing::RequestId request;
     core::AttemptKey prefill;
-    leverrelay::EngineId engine;
-    fleet::ReservationLease lease;
+    routing::EngineId engine;
+    ReservationLease lease;
     double askedMs = 0;  // the last call was written
     bool renewed = false, doubted = false;
     std::shared_ptr<Sink> sink;  // of the call that is out
@@ -100,4 +100,4 @@
   Number numbers_ = 0;
 };
 
-}  // namespace dahliastall::fronts
+}  // namespace inference_router::upstream
--- a/src/fronts/boxes/usage.h
+++ b/src/upstream/usage_reader.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-namespace dahliastall::fronts {
+namespace inference_router::upstream {
 
 class UsageReader {
  public:
@@ -38,4 +38,4 @@
   std::string tail_;
 };
 
-}  // namespace dahliastall::fronts
+}  // namespace inference_router::upstream
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -8,7 +8,7 @@
 #include "admission/admission_controller.h"
 #include "support/admission_rules.h"
 
-namespace dahliastall {
+namespace inference_router {
 namespace {
 
 using namespace admission;
@@ -358,4 +358,4 @@
 }
 
 }  // namespace
-}  // namespace dahliastall
+}  // namespace inference_router
--- a/tests/bounds_test.cpp
+++ b/tests/bounds_test.cpp
@@ -8,14 +8,14 @@
 #include "coordination/maintenance.h"
 #include "coordination/sqlite_store.h"
 #include "fleet/membership.h"
-#include "leverrelay/router.h"
+#include "inference_router/router.h"
 #include "shared/digest_task.h"
 #include "shared/node.h"
 #include "support/live_bytes.h"
 #include "support/program.h"
 #include "support/stage.h"
 
-namespace dahliastall {
+namespace inference_router {
 namespace {
 
 using namespace coordination;
@@ -43,11 +43,11 @@
   return boxes;
 }
 
-leverrelay::ListEntry entryOf(const std::string& id, std::size_t cell = 0) {
-  leverrelay::ListEntry entry{};
+routing::ListEntry entryOf(const std::string& id, std::size_t cell = 0) {
+  routing::ListEntry entry{};
   entry.engine = {id};
   entry.cell = {static_cast<std::uint32_t>(cell)};
-  entry.presence = leverrelay::Presence::kActive;
+  entry.presence = routing::Presence::kActive;
   entry.weight = 1;
   return entry;
 }
@@ -230,7 +230,7 @@
 
 // Every instance is marked, drained and brought back; a table that is full says so.
 TEST_P(Fleet, MarksAndDrainsEveryInstance) {
-  using namespace leverrelay;
+  using namespace inference_router::routing;
   fleet::Membership members(7), other(8);
   ListNews list{1, ListForm::kFull, {}};
   std::set<std::string> all;
@@ -262,7 +262,7 @@
 // The module's table: what is gone for longer than a new one is cold is let go of, under ever new
 // ids and cells; what a request still names is not.
 TEST_P(Fleet, IsForgottenByTheModuleOnceItIsGone) {
-  using namespace leverrelay;
+  using namespace inference_router::routing;
   Settings settings;
   settings.classes = {{}};
   settings.kinds = {{Role::kMixed, 100'000}};
@@ -319,4 +319,4 @@
 }
 
 }  // namespace
-}  // namespace dahliastall
+}  // namespace inference_router
--- a/tests/client_departure_test.cpp
+++ b/tests/client_departure_test.cpp
@@ -6,7 +6,7 @@
 #include "support/folder.h"
 #include "support/site.h"
 
-namespace dahliastall {
+namespace inference_router {
 namespace {
 
 enum class Leaving { kClose, kHalfClose, kReset };
@@ -115,15 +115,15 @@
 // there.
 TEST_P(AClientThatLeft, GetsNoAttemptOutOfTheModulesQueue) {
   Departure site(kSplit, GetParam().openai);
-  leverrelay::ListNews none = site.site.boxes;
-  none.form = leverrelay::ListForm::kFull;
+  routing::ListNews none = site.site.boxes;
+  none.form = routing::ListForm::kFull;
   none.entries.clear();
   site.engine->conductor.list(none);
   site.pass(1'100);  // past the grace of a drain
   site.askUntilTaken();
   site.settle();
   site.leave(GetParam());
-  leverrelay::ListNews all = site.site.boxes;
+  routing::ListNews all = site.site.boxes;
   all.version = none.version + 1;
   site.engine->conductor.list(all);
   site.goOn();
@@ -177,7 +177,7 @@
   auto settings = site.site.setup.settings;
   settings.classes[1].aim = std::chrono::seconds(6);
   site.engine->reconfigure(
-      settings, site.openai ? fronts::openaiDialect(site.site) : fronts::platformDialect());
+      settings, site.openai ? frontend::openaiDialect(site.site) : frontend::platformDialect());
   site.askUntilTaken();
   ASSERT_TRUE(site.until([&] { return site.chats() == 1; }));
   site.pass(3'700);  // the reader is given up
@@ -388,8 +388,8 @@
       site.client.write(requestText(false, "b"));
       site.settle();
       app::Handover takes(*next.engine, *next.front, *next.listener);
-      app::PassingReceiver receiver(next.io, folder.path, "in",
-                                    [&](app::Passed passed) { takes.take(std::move(passed)); });
+      net::PassingReceiver receiver(next.io, folder.path, "in",
+                                    [&](net::Passed passed) { takes.take(std::move(passed)); });
       app::Handover handover(*site.engine, *site.front, *site.listener);
       handover.begin(folder.path, "in");
       for (int i = 0; i < 20 && site.engine->counters["streams.handed_over"] == 0; ++i) {
@@ -414,4 +414,4 @@
 }
 
 }  // namespace
-}  // namespace dahliastall
+}  // namespace inference_router
--- a/tests/cold_sum_test.cpp
+++ b/tests/cold_sum_test.cpp
@@ -12,7 +12,7 @@
 
 #include "fleet.h"
 
-namespace leverrelay {
+namespace inference_router::routing {
 namespace {
 
 constexpr int kWarmReaders = 12, kWarmWriters = 8;
@@ -423,4 +423,4 @@
 }
 
 }  // namespace
-}  // namespace leverrelay
+}  // namespace inference_router::routing
--- a/tests/coordination_store_test.cpp
+++ b/tests/coordination_store_test.cpp
@@ -13,7 +13,7 @@
 #include "support/etcd_stand_in.h"
 #include "support/program.h"
 
-namespace dahliastall {
+namespace inference_router {
 namespace {
 
 using namespace coordination;
@@ -364,4 +364,4 @@
 }
 
 }  // namespace
-}  // namespace dahliastall
+}  // namespace inference_router
--- a/tests/coordination_test.cpp
+++ b/tests/coordination_test.cpp
@@ -17,7 +17,7 @@
 #include "support/plan_checker.h"
 #include "support/program.h"
 
-namespace dahliastall {
+namespace inference_router {
 namespace {
 
 using namespace coordination;
@@ -301,15 +301,15 @@
 }
 
 TEST(MembershipUnderAPlan, DrainsAndBringsBackAsJustStarted) {
-  using leverrelay::Presence, leverrelay::engine, leverrelay::kReader;
+  using routing::Presence, routing::engine, routing::kReader;
   fleet::Membership members(1);
-  members.told({1, leverrelay::ListForm::kFull, {engine("a", kReader), engine("b", kReader)}}, 0);
+  members.told({1, routing::ListForm::kFull, {engine("a", kReader), engine("b", kReader)}}, 0);
   const auto out = members.setPlannedDrains({"a", "unlisted"}, 10);
   ASSERT_TRUE(out);
   ASSERT_EQ(out->entries.size(), 1u);
   EXPECT_EQ(out->entries[0].presence, Presence::kLeaving);
   EXPECT_FALSE(members.setPlannedDrains({"a", "unlisted"}, 20)) << "heard again it is no news";
-  EXPECT_EQ(members.told({2, leverrelay::ListForm::kChanges, {engine("a", kReader)}}, 30)
+  EXPECT_EQ(members.told({2, routing::ListForm::kChanges, {engine("a", kReader)}}, 30)
                 .entries[0]
                 .presence,
             Presence::kLeaving);
@@ -468,4 +468,4 @@
 }
 
 }  // namespace
-}  // namespace dahliastall
+}  // namespace inference_router
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -6,13 +6,13 @@
 #include <map>
 #include <random>
 
-#include "core/conductor.h"
+#include "core/request_dispatcher.h"
 #include "fleet.h"
 
-namespace dahliastall::core {
+namespace inference_router::core {
 namespace {
 
-using namespace leverrelay;
+using namespace inference_router::routing;
 
 TEST(Slots, AKeyThatWasKeptTooLongFindsNothing) {
   Slots<int> slots;
@@ -484,4 +484,4 @@
 }
 
 }  // namespace
-}  // namespace dahliastall::core
+}  // namespace inference_router::core
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -1,8 +1,8 @@
 // Two events that cross, each pair forced on real sockets: what docs/design/crossings.md lists.
-#include "fleet/release_retry.h"
 #include "support/site.h"
+#include "upstream/release_retry.h"
 
-namespace dahliastall {
+namespace inference_router {
 namespace {
 
 using namespace std::chrono_literals;
@@ -12,10 +12,10 @@
 // --------------------------------------------------------------------
 
 TEST(ReleaseRetry, AsksTwiceAsManyEachTimeAndASecondTimeOnceAnswered) {
-  fleet::ReleaseRetry course(1'000, 300);
+  upstream::ReleaseRetry course(1'000, 300);
   std::size_t out = 0;
   std::vector<std::size_t> asked;
-  for (double now = 1'000; now < 1'200; now += fleet::ReleaseRetry::kWaveMs)
+  for (double now = 1'000; now < 1'200; now += upstream::ReleaseRetry::kWaveMs)
     asked.push_back(course.due(now, out)), out += asked.back();
   EXPECT_EQ(asked,
             (std::vector<std::size_t>{1, 2, 4, 8, 1}));  // sixteen without an answer at the most
@@ -28,15 +28,15 @@
   EXPECT_EQ(course.due(1'350, 0), 1U);
   course.taken(1'351, false);
   EXPECT_TRUE(course.done());
-  fleet::ReleaseRetry unheard(0, 300);
-  EXPECT_FALSE(unheard.over(fleet::ReleaseRetry::kGiveUpMs - 1));
-  EXPECT_TRUE(unheard.over(fleet::ReleaseRetry::kGiveUpMs));
+  upstream::ReleaseRetry unheard(0, 300);
+  EXPECT_FALSE(unheard.over(upstream::ReleaseRetry::kGiveUpMs - 1));
+  EXPECT_TRUE(unheard.over(upstream::ReleaseRetry::kGiveUpMs));
 }
 
 // While something may yet come to be held there is another round; what is decided during one makes
 // it too early.
 TEST(ReleaseRetry, GoesOnWhileSomethingIsOpen) {
-  fleet::ReleaseRetry course(0, 300);
+  upstream::ReleaseRetry course(0, 300);
   for (int i = 0; i < 5; ++i) {
     course.go(i * 150);
     EXPECT_EQ(course.due(i * 150, 0), 1U) << i;
@@ -124,7 +124,7 @@
   held.last->abandon();
   ASSERT_TRUE(held.until([&] { return held.releases() == 1; }));
   for (int waves = 0; waves < 4 && last->count("DELETE", "/") == 0; ++waves) {
-    held.pass(fleet::ReleaseRetry::kWaveMs);
+    held.pass(upstream::ReleaseRetry::kWaveMs);
     held.settle();
   }
   EXPECT_GE(last->count("DELETE", "/bootstrap/rooms/a"), 1);
@@ -375,12 +375,12 @@
   held.reading();
   for (auto& [name, box] : held.boxes)
     if (!box->taken.empty())
-      held.engine->directory.find({name})->presence = leverrelay::Presence::kGone;
+      held.engine->directory.find({name})->presence = routing::Presence::kGone;
   held.last->abandon();
   ASSERT_TRUE(held.until([&] { return held.releases() >= 1; }));
   for (const auto& [name, box] : held.boxes)
     EXPECT_TRUE(box->count("DELETE", "/") == 0 ||
-                held.engine->directory.find({name})->presence != leverrelay::Presence::kGone);
+                held.engine->directory.find({name})->presence != routing::Presence::kGone);
 }
 
 // SIGTERM: the program ends no sooner than a call for a place is decided, and what came of it let
@@ -462,7 +462,7 @@
       client.close();
     // The loop hears of neither; the read's end comes straight from the core.
     const auto attempt = core::AttemptKey{0, 1};
-    site.engine->conductor.ended(attempt, {leverrelay::Outcome::kRead});
+    site.engine->conductor.ended(attempt, {routing::Outcome::kRead});
     EXPECT_EQ(site.engine->counters["requests.client_gone"], 1U);
     EXPECT_EQ(site.engine->counters["attempts.not_sent"], 1U);
     ASSERT_TRUE(site.until([&] { return site.engine->conductor.open() == 0; }));
@@ -576,7 +576,7 @@
   Site site(kSplit, false);
   auto settings = site.site.setup.settings;
   settings.classes[1].aim = 6s;
-  site.engine->reconfigure(settings, fronts::platformDialect());
+  site.engine->reconfigure(settings, frontend::platformDialect());
   for (auto& [id, box] : site.boxes)
     box->script = leaveSilent;
   site.post("/v1/x", platformFields("a"), "{}");
@@ -632,10 +632,10 @@
   for (const double waited : {150.0, 210.0}) {
     Site site({{"m1", "both", 0}, {"m2", "both", 0}}, false);
     auto settings = site.site.setup.settings;
-    settings.classes[1].effect = leverrelay::Effect::kKeyed;
-    settings.classes[1].group = leverrelay::Group::kAll;
+    settings.classes[1].effect = routing::Effect::kKeyed;
+    settings.classes[1].group = routing::Group::kAll;
     settings.classes[1].dedupWindow = std::chrono::milliseconds(200);
-    site.engine->reconfigure(settings, fronts::platformDialect());
+    site.engine->reconfigure(settings, frontend::platformDialect());
     for (auto& [id, box] : site.boxes)
       box->script = [&](StandInBox& box, StandInBox::Taken& taken) {
         if (site.chats() > 2)
@@ -721,4 +721,4 @@
 }
 
 }  // namespace
-}  // namespace dahliastall
+}  // namespace inference_router
--- a/tests/estimates_test.cpp
+++ b/tests/estimates_test.cpp
@@ -3,13 +3,13 @@
 
 #include <set>
 
-#include "estimates/decaying_sum.h"
-#include "estimates/duration_math.h"
-#include "estimates/fading_average.h"
-#include "estimates/key_popularity.h"
-#include "estimates/stable_hash.h"
+#include "routing/decaying_sum.h"
+#include "routing/duration_math.h"
+#include "routing/fading_average.h"
+#include "routing/key_popularity.h"
+#include "routing/stable_hash.h"
 
-namespace leverrelay {
+namespace inference_router::routing {
 namespace {
 
 using std::chrono::seconds;
@@ -132,4 +132,4 @@
 }
 
 }  // namespace
-}  // namespace leverrelay
+}  // namespace inference_router::routing
--- a/tests/final_answer_test.cpp
+++ b/tests/final_answer_test.cpp
@@ -6,10 +6,10 @@
 #include <optional>
 #include <thread>
 
-#include "fronts/platform/discovery.h"
+#include "frontend/platform/discovery.h"
 #include "support/site.h"
 
-namespace dahliastall {
+namespace inference_router {
 namespace {
 
 using State = net::ClientConnection::State;
@@ -310,7 +310,7 @@
                   engine->pool,
                   site.setup.names,
                   fleet::DiscoveryBackoff(1, 1)) {}
-  fronts::Discovery discovery;
+  frontend::Discovery discovery;
 };
 
 TEST(DiscoveryTrouble, LeavesEachRequestItsAnswer) {
@@ -355,4 +355,4 @@
 }
 
 }  // namespace
-}  // namespace dahliastall
+}  // namespace inference_router
--- a/tests/fleet.h
+++ b/tests/fleet.h
@@ -5,9 +5,9 @@
 
 #include <map>
 
-#include "leverrelay/router.h"
+#include "inference_router/router.h"
 
-namespace leverrelay {
+namespace inference_router::routing {
 
 using namespace std::chrono_literals;
 
@@ -144,4 +144,4 @@
   std::multimap<Time, std::uint64_t> alarms_;
 };
 
-}  // namespace leverrelay
+}  // namespace inference_router::routing
--- a/tests/fleet_processes_test.cpp
+++ b/tests/fleet_processes_test.cpp
@@ -10,7 +10,7 @@
 
 #include "support/conductors.h"
 
-namespace dahliastall {
+namespace inference_router {
 namespace {
 
 // One trouble after another, drawn; each lasts for up to two leases and is over before the next.
@@ -153,14 +153,14 @@
 
 TEST(AStoppedHolder, FindsItsStepRefusedWhenItArrivesLate) {
   std::string log;
-  const auto broken = stepThatArrivesLate(DAHLIASTALL_PROGRAM, log);
+  const auto broken = stepThatArrivesLate(INFERENCE_ROUTER_PROGRAM, log);
   EXPECT_TRUE(broken.empty()) << ::testing::PrintToString(broken) << "\n" << log;
 }
 
 // The program built without the check of fences: the same course has to be found out.
 TEST(AStoppedHolder, WithoutFencesIsCaughtByTheChecker) {
   std::string log;
-  EXPECT_FALSE(stepThatArrivesLate(DAHLIASTALL_WITHOUT_FENCE_PROGRAM, log).empty()) << log;
+  EXPECT_FALSE(stepThatArrivesLate(INFERENCE_ROUTER_WITHOUT_FENCE_PROGRAM, log).empty()) << log;
 }
 
 // From one second after a conductor was told of a drain its box sees no new work from it, and
@@ -263,7 +263,7 @@
 // A disk that stalls takes the lease from its holder, and nothing from clients: they are answered
 // all the while.
 TEST(ConductorsOnOneMachine, GoOnRoutingWhileTheirStoreStalls) {
-  Conductors fleet(3, {"box-1", "box-2"}, DAHLIASTALL_PROGRAM, /*sqlite=*/true);
+  Conductors fleet(3, {"box-1", "box-2"}, INFERENCE_ROUTER_PROGRAM, /*sqlite=*/true);
   ASSERT_TRUE(fleet.allReady()) << fleet.logs();
   Conductors::One* holder = nullptr;
   const auto held = [&] {
@@ -311,7 +311,7 @@
 // SIGHUP with another store lets go of what is held in the old one first; a file that cannot be
 // used leaves all.
 TEST(ConductorsOnOneMachine, ChangeTheirStoreUnderWay) {
-  Conductors fleet(1, {"box-1"}, DAHLIASTALL_PROGRAM, /*sqlite=*/true);
+  Conductors fleet(1, {"box-1"}, INFERENCE_ROUTER_PROGRAM, /*sqlite=*/true);
   Conductors::One& one = *fleet.all[0];
   const auto holds = [&] { return leaseOf(fleet, one)["state"] == "holding"; };
   ASSERT_TRUE(waitFor(fleet.io, 60, holds)) << fleet.logs();
@@ -361,4 +361,4 @@
 }
 
 }  // namespace
-}  // namespace dahliastall
+}  // namespace inference_router
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -13,7 +13,7 @@
 #include "fleet/instance_ages.h"
 #include "fleet/lifecycle.h"
 
-namespace dahliastall::fleet {
+namespace inference_router::fleet {
 namespace {
 
 // ---- InstanceAges -------------------------------------------------------------------------------
@@ -368,4 +368,4 @@
 }
 
 }  // namespace
-}  // namespace dahliastall::fleet
+}  // namespace inference_router::fleet
--- a/tests/flood_test.cpp
+++ b/tests/flood_test.cpp
@@ -7,11 +7,11 @@
 #include <random>
 
 #include "admission/admission_controller.h"
-#include "app/conductor_app.h"
+#include "app/server.h"
 #include "support/admission_rules.h"
 #include "support/program.h"
 
-namespace dahliastall {
+namespace inference_router {
 namespace {
 
 using namespace admission;
@@ -452,4 +452,4 @@
 }
 
 }  // namespace
-}  // namespace dahliastall
+}  // namespace inference_router
--- a/tests/folder_faults_test.cpp
+++ b/tests/folder_faults_test.cpp
@@ -9,7 +9,7 @@
 #include "support/folder.h"
 #include "support/site.h"
 
-namespace dahliastall {
+namespace inference_router {
 namespace {
 
 using system_call_faults::Call;
@@ -113,4 +113,4 @@
 }
 
 }  // namespace
-}  // namespace dahliastall
+}  // namespace inference_router
--- a/tests/fronts_test.cpp
+++ b/tests/fronts_test.cpp
@@ -5,16 +5,16 @@
 
 #include "app/otlp.h"
 #include "coordination/store.h"
-#include "fronts/openai/derive.h"
-#include "fronts/settings_json.h"
+#include "frontend/openai/derive.h"
+#include "frontend/settings_json.h"
 #include "support/live_bytes.h"
 #include "support/site.h"
 
-namespace dahliastall {
+namespace inference_router {
 namespace {
 
 using nlohmann::json;
-namespace wire = leverrelay::wire;
+namespace wire = routing::wire;
 
 // ---- The same decisions through both fronts
 // --------------------------------------------------------
@@ -43,7 +43,7 @@
     if (openai) {
       reply = site.chat(body);
     } else {
-      const auto derived = fronts::derive(messages, "club", "");
+      const auto derived = frontend::derive(messages, "club", "");
       reply =
           site.post("/v1/chat/completions",
                     {{"X-Call-Id", "id" + std::to_string(i)},
@@ -257,19 +257,17 @@
   return request;
 }
 
-leverrelay::Arrival arrivalWith(const char* name,
-                                const char* value,
-                                const wire::Vocabulary& names) {
+routing::Arrival arrivalWith(const char* name, const char* value, const wire::Vocabulary& names) {
   auto request = requestWith(platformFields("a"));
   if (name != nullptr)
     request.set(name, value);
-  return fronts::arrivalOf(request, names);
+  return frontend::arrivalOf(request, names);
 }
 
 // What only some deployments' clients say comes from the request alone: nobody has to say it, and a
 // guess that is none refuses nothing.
 TEST(Platform, TakesTheCostThatClientsGuessAsTheSimulatorsWireDoes) {
-  const wire::Vocabulary names = fronts::settingsOf(siteSettings()).names;
+  const wire::Vocabulary names = frontend::settingsOf(siteSettings()).names;
   const auto costUs = [&](const char* text) {
     const auto hint =
         arrivalWith(text == nullptr ? nullptr : "X-Call-Cost", text, names).lengthHint;
@@ -281,12 +279,12 @@
        {static_cast<const char*>(nullptr), "", "0", "-3", "soon", "12 ms", "nan", "inf", "1e300"})
     EXPECT_EQ(costUs(none), -1) << (none == nullptr ? "not said" : none);
   const std::string line = "ARRIVAL\ta\tmember-questions\tclub\ts\t6000\t12.0\t-\t100\t0\t50\t1";
-  const auto told = std::get<leverrelay::Arrival>(wire::parseEvent(wire::Line(line, 1), names));
+  const auto told = std::get<routing::Arrival>(wire::parseEvent(wire::Line(line, 1), names));
   EXPECT_EQ(told.lengthHint, arrivalWith("X-Call-Cost", "12000", names).lengthHint);
 }
 
 TEST(Platform, TellsRepeatsFromResumedRequestsAndBothFromClientsThatMarkNothing) {
-  const wire::Vocabulary names = fronts::settingsOf(siteSettings()).names;
+  const wire::Vocabulary names = frontend::settingsOf(siteSettings()).names;
   const auto marks = [&](const char* name, const char* value) {
     const auto told = arrivalWith(name, value, names);
     return std::pair(told.repeat, told.resumed);
@@ -462,7 +460,7 @@
 // Whoever asks for the rest of a stream finds another node; at a small site nobody does, and
 // nothing is cut.
 TEST(Endings, StreamsAreHandedOverWhereTheirClientsAskForTheRest) {
-  leverrelay::Settings settings = fronts::settingsOf(siteSettings()).settings;
+  routing::Settings settings = frontend::settingsOf(siteSettings()).settings;
   const app::Engine::Ending small = app::platformEnding(settings);
   EXPECT_FALSE(small.graceMs);
   settings.resume = true;
@@ -534,17 +532,17 @@
 
 TEST(Derive, TurnsOfAConversationShareTheirSession) {
   json turn{{{"role", "system"}, {"content", "Opening."}}, {{"role", "user"}, {"content", "Hi"}}};
-  const auto first = fronts::derive(turn, "club", "");
+  const auto first = frontend::derive(turn, "club", "");
   turn.push_back({{"role", "assistant"}, {"content", "Hello"}});
   turn.push_back(
       {{"role", "user"}, {"content", json::array({{{"type", "text"}, {"text", "More"}}})}});
-  const auto second = fronts::derive(turn, "club", "");
+  const auto second = frontend::derive(turn, "club", "");
   EXPECT_EQ(first.session, second.session);
   EXPECT_EQ(first.prefix, second.prefix);
   EXPECT_EQ(first.prefixTokens, 2);
   EXPECT_EQ(first.promptTokens, 3);
   EXPECT_EQ(second.promptTokens, 5);
-  EXPECT_NE(first.session, fronts::derive(turn, "other", "").session);
+  EXPECT_NE(first.session, frontend::derive(turn, "other", "").session);
 }
 
 // ---- Discovery, configuration and telemetry
@@ -552,15 +550,15 @@
 
 struct Watching : Stage {
   Watching() { conductor.connect(boxes); }
-  leverrelay::wire::Setup setup = fronts::settingsOf(siteSettings());
+  routing::wire::Setup setup = frontend::settingsOf(siteSettings());
   core::Conductor conductor{setup.settings, 7, clock, deadlines, counters};
   net::Pool pool{io, clock, deadlines, counters, {10, 250, 18'000}};
-  fronts::Directory directory;
-  fronts::Boxes boxes{
-      fronts::platformDialect(), conductor, pool, directory, clock, deadlines, counters, 300};
-  fronts::Discovery discovery{io,       clock,       deadlines,
-                              counters, conductor,   directory,
-                              pool,     setup.names, fleet::DiscoveryBackoff(2, 7)};
+  upstream::Directory directory;
+  upstream::Boxes boxes{
+      frontend::platformDialect(), conductor, pool, directory, clock, deadlines, counters, 300};
+  frontend::Discovery discovery{io,       clock,       deadlines,
+                                counters, conductor,   directory,
+                                pool,     setup.names, fleet::DiscoveryBackoff(2, 7)};
 };
 
 std::string listOf(int revision, bool whole, const std::string& phase) {
@@ -606,7 +604,7 @@
               net::chunkOf(line.substr(0, 30)));
   agent.write(net::chunkOf(line.substr(30) + "\n"));
   ASSERT_TRUE(watching.until([&] { return watching.counters["discovery.lists"] == 2; }));
-  EXPECT_EQ(watching.directory.find({"a"})->presence, leverrelay::Presence::kLeaving);
+  EXPECT_EQ(watching.directory.find({"a"})->presence, routing::Presence::kLeaving);
   agent.reset();
   ASSERT_TRUE(watching.until([&] { return watching.counters["discovery.broken"] == 1; }));
   ASSERT_NE(watching.directory.find({"a"}), nullptr);
@@ -638,7 +636,7 @@
   ASSERT_TRUE(watching.until([&] { return silent.ended(); }));
   before.write(net::chunkOf(listOf(42, false, "leaving")));  // the old one still counts
   ASSERT_TRUE(watching.until([&] { return watching.counters["discovery.lists"] == 2; }));
-  EXPECT_EQ(watching.directory.find({"a"})->presence, leverrelay::Presence::kLeaving);
+  EXPECT_EQ(watching.directory.find({"a"})->presence, routing::Presence::kLeaving);
   EXPECT_FALSE(before.ended());
   watching.pass(1001);  // not a word: asked again, well before 4 s
   watching.pass(151);
@@ -646,7 +644,7 @@
   after.write(head + net::chunkOf(listOf(7, true, "active")));
   ASSERT_TRUE(
       watching.until([&] { return watching.counters["discovery.lists"] == 3 && before.ended(); }));
-  EXPECT_EQ(watching.directory.find({"a"})->presence, leverrelay::Presence::kActive);
+  EXPECT_EQ(watching.directory.find({"a"})->presence, routing::Presence::kActive);
   watching.pass(151);
   EXPECT_EQ(watching.counters["discovery.watches"], 4U);  // the end of the old one opens none
 }
@@ -673,7 +671,7 @@
   EXPECT_FALSE(agent.ended());
   agent.write(net::chunkOf(listOf(42, false, "leaving")));
   ASSERT_TRUE(lists(2));
-  EXPECT_EQ(watching.directory.find({"a"})->presence, leverrelay::Presence::kLeaving);
+  EXPECT_EQ(watching.directory.find({"a"})->presence, routing::Presence::kLeaving);
   watching.pass(1001);  // the one beside it was left when the first went on
   watching.pass(501);
   EXPECT_EQ(watching.counters["discovery.watches"], 2U);
@@ -700,7 +698,7 @@
   for (std::size_t at = 0; at < text.size(); at += 37)
     agent.write(net::chunkOf(text.substr(at, 37)));
   ASSERT_TRUE(watching.until([&] { return watching.counters["discovery.lists"] == 4; }));
-  EXPECT_EQ(watching.directory.find({"a"})->presence, leverrelay::Presence::kLeaving);
+  EXPECT_EQ(watching.directory.find({"a"})->presence, routing::Presence::kLeaving);
   EXPECT_EQ(watching.counters["discovery.malformed"], 0U);
 }
 
@@ -732,7 +730,7 @@
   EXPECT_NE(agent.readSome().find("after=41 "), std::string::npos);
   agent.write(head + net::chunkOf(listOf(42, false, "leaving")));
   ASSERT_TRUE(watching.until([&] { return watching.counters["discovery.lists"] == 2; }));
-  EXPECT_EQ(watching.directory.find({"a"})->presence, leverrelay::Presence::kLeaving);
+  EXPECT_EQ(watching.directory.find({"a"})->presence, routing::Presence::kLeaving);
   EXPECT_LE(passed,
             fleet::DiscoveryBackoff::kWorstSilentWatchMs - fleet::DiscoveryBackoff::kCallTimeoutMs);
 }
@@ -752,10 +750,10 @@
   agent.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
               net::chunkOf(listOf(43, true, "active") + listOf(41, true, "leaving")));
   ASSERT_TRUE(lists(2));
-  EXPECT_EQ(watching.directory.find({"a"})->presence, leverrelay::Presence::kLeaving);
+  EXPECT_EQ(watching.directory.find({"a"})->presence, routing::Presence::kLeaving);
   agent.write(net::chunkOf(listOf(40, false, "active")));
   ASSERT_TRUE(lists(3));
-  EXPECT_EQ(watching.directory.find({"a"})->presence, leverrelay::Presence::kActive);
+  EXPECT_EQ(watching.directory.find({"a"})->presence, routing::Presence::kActive);
   EXPECT_TRUE(watching.conductor.mayHold({"a"}));
   agent.reset();
   ASSERT_TRUE(watching.until([&] { return watching.counters["discovery.broken"] == 1; }));
@@ -789,7 +787,7 @@
     ASSERT_TRUE(lists(known ? 2 : 1));
     EXPECT_TRUE(watching.discovery.spoken());
     EXPECT_EQ(watching.directory.find({"b1"}) != nullptr, known);
-    EXPECT_EQ(watching.directory.find({"b2"})->presence, leverrelay::Presence::kLeaving);
+    EXPECT_EQ(watching.directory.find({"b2"})->presence, routing::Presence::kLeaving);
     EXPECT_EQ(watching.conductor.enginesKnown(), known ? 3U : 2U);
     agent.write(
         net::chunkOf(lineOf(42, true, json::array({memberOf(2, "active", 1002, 0)})) + "\n"));
@@ -951,7 +949,7 @@
     EXPECT_LE(held.most, 192U << 20U >> 4U);
     tell(false, leaving);
     for (const auto& [id, box] : watching.directory.all())
-      ASSERT_EQ(box.presence, leverrelay::Presence::kLeaving) << id.value;
+      ASSERT_EQ(box.presence, routing::Presence::kLeaving) << id.value;
     tell(false, gone);
     EXPECT_EQ(watching.directory.all().size(), static_cast<std::size_t>(kInstances / 2));
     tell(false, json::array({memberOf(3, "active", 7, 0)}));
@@ -970,7 +968,7 @@
     EXPECT_FALSE(watching.discovery.line(bad)) << bad;
   EXPECT_TRUE(watching.discovery.line("  \r"));
   EXPECT_EQ(watching.directory.all().size(), 1U);
-  EXPECT_EQ(watching.directory.find({"a"})->presence, leverrelay::Presence::kActive);
+  EXPECT_EQ(watching.directory.find({"a"})->presence, routing::Presence::kActive);
 }
 
 // Zones, kinds and cells are those that the settings and the list name, however many; a phase that
@@ -978,9 +976,9 @@
 // no evidence of discovery's clock either.
 TEST(DiscoveryWatch, AListThatIsMalformedFixesNoAge) {
   Watching watching;
-  std::optional<leverrelay::Time> started;
-  watching.conductor.onEvent([&](const leverrelay::Event& event) {
-    if (const auto* news = std::get_if<leverrelay::ListNews>(&event))
+  std::optional<routing::Time> started;
+  watching.conductor.onEvent([&](const routing::Event& event) {
+    if (const auto* news = std::get_if<routing::ListNews>(&event))
       started = news->entries.back().started;
   });
   constexpr double kTold = 1e12;
@@ -1002,16 +1000,16 @@
   settings["kinds"] = {"reader", "small", "large", "mixed"};
   settings["familyInfo"]["dutyByKind"] = {"read", "write", "write", "both"};
   settings["familyInfo"]["memoryTokens"] = {200'000, 90'000, 180'000, 150'000};
-  const auto setup = fronts::settingsOf(settings);
+  const auto setup = frontend::settingsOf(settings);
   EXPECT_EQ(setup.settings.zone.value, 1U);
   struct Told : core::ListSink {
-    leverrelay::ListNews news;
-    void list(leverrelay::ListNews told) override { news = std::move(told); }
+    routing::ListNews news;
+    void list(routing::ListNews told) override { news = std::move(told); }
   } told;
   Watching watching;
-  fronts::Discovery discovery{watching.io,       watching.clock, watching.deadlines,
-                              watching.counters, told,           watching.directory,
-                              watching.pool,     setup.names,    fleet::DiscoveryBackoff(2, 7)};
+  frontend::Discovery discovery{watching.io,       watching.clock, watching.deadlines,
+                                watching.counters, told,           watching.directory,
+                                watching.pool,     setup.names,    fleet::DiscoveryBackoff(2, 7)};
   const auto entry = [](const char* id, const char* zone, const char* kind, unsigned cell,
                         const char* phase) {
     return json{{"id", id},         {"host_port", "127.0.0.1:9"},
@@ -1033,13 +1031,13 @@
   EXPECT_EQ(std::tuple(b.zone.value, b.kind.value, b.cell.value), std::tuple(2U, 2U, 7U));
   EXPECT_EQ(setup.settings.kinds[b.kind.value].memoryTokens, 180'000);
   EXPECT_EQ(std::tuple(a.presence, b.presence, c.presence),
-            std::tuple(leverrelay::Presence::kActive, leverrelay::Presence::kLeaving,
-                       leverrelay::Presence::kGone));
+            std::tuple(routing::Presence::kActive, routing::Presence::kLeaving,
+                       routing::Presence::kGone));
   ASSERT_TRUE(discovery.line(json{
       {"revision", 2}, {"complete", false}, {"members", {entry("a", "near", "reader", 3, "left")}}}
                                  .dump()));
-  EXPECT_EQ(told.news.form, leverrelay::ListForm::kChanges);
-  EXPECT_EQ(told.news.entries.at(0).presence, leverrelay::Presence::kGone);
+  EXPECT_EQ(told.news.form, routing::ListForm::kChanges);
+  EXPECT_EQ(told.news.entries.at(0).presence, routing::Presence::kGone);
 }
 
 TEST(Configuration, IsReadByTheAdaptersOwnCodeAndComplainsPlainly) {
@@ -1102,10 +1100,10 @@
       {"settings", settings}};
   json bad = file;
   bad["settings"]["kinds"][2] = "renamed";
-  EXPECT_THROW(app::takeOver(fronts::operatorFileOf(bad), site.site, *site.engine),
+  EXPECT_THROW(app::takeOver(frontend::operatorFileOf(bad), site.site, *site.engine),
                app::ConfigError);
   EXPECT_EQ(site.finished(site.chat({{"model", "ask"}}))->status, 200U);
-  app::takeOver(fronts::operatorFileOf(file), site.site, *site.engine);
+  app::takeOver(frontend::operatorFileOf(file), site.site, *site.engine);
   EXPECT_EQ(site.finished(site.chat({{"model", "ask"}}))->status, 401U);
   EXPECT_EQ(site.finished(site.chat({{"model", "ask"}}, "new"))->status, 404U);
   const int before = site.boxes["m3"]->chats();
@@ -1148,4 +1146,4 @@
 }
 
 }  // namespace
-}  // namespace dahliastall
+}  // namespace inference_router
--- a/tests/handover_faults_test.cpp
+++ b/tests/handover_faults_test.cpp
@@ -2,22 +2,22 @@
 // each.
 #include <cerrno>
 
-#include "app/passing.h"
+#include "net/descriptor_transfer.h"
 #include "support/faults.h"
 #include "support/folder.h"
 #include "support/stage.h"
 
-namespace dahliastall {
+namespace inference_router {
 namespace {
 
 using system_call_faults::Call;
 
 struct Passage : Stage {
   Folder folder;
-  std::vector<app::Passed> taken;
-  app::PassingReceiver receiver{io, folder.path, "receiver",
-                                [this](app::Passed passed) { taken.push_back(std::move(passed)); }};
-  app::PassingSender sender{folder.path, "receiver"};
+  std::vector<net::Passed> taken;
+  net::PassingReceiver receiver{io, folder.path, "receiver",
+                                [this](net::Passed passed) { taken.push_back(std::move(passed)); }};
+  net::PassingSender sender{folder.path, "receiver"};
 };
 
 // Whoever passes a stream on goes on with it until it hears that the other has it.
@@ -25,7 +25,7 @@
   for (const int error : {EINTR, ENOBUFS, ENOMEM, EAGAIN}) {
     SCOPED_TRACE(error);
     Passage passage;
-    ASSERT_EQ(passage.sender.send("stream", {}), app::PassingSender::Result::kSent);
+    ASSERT_EQ(passage.sender.send("stream", {}), net::PassingSender::Result::kSent);
     {
       const Faults faults({{.call = Call::kSend, .error = error, .every = error == EINTR ? 2 : 1}});
       for (int i = 0; i < 50; ++i)
@@ -42,4 +42,4 @@
 }
 
 }  // namespace
-}  // namespace dahliastall
+}  // namespace inference_router
--- a/tests/held_state_processes_test.cpp
+++ b/tests/held_state_processes_test.cpp
@@ -6,7 +6,7 @@
 #include "scenario.h"
 #include "support/folder.h"
 
-namespace dahliastall::soak {
+namespace inference_router::soak {
 namespace {
 
 constexpr double kFirstMs = 500, kBetweenMs = 2'300, kLastsMs = 1'500;
@@ -41,7 +41,7 @@
 void expectNothingHeldTooLong(const Plan& plan) {
   const Folder folder;
   const Outcome outcome =
-      play(plan, {DAHLIASTALL_PROGRAM, SYSTEM_CALL_FAULTS_LIBRARY}, folder.path);
+      play(plan, {INFERENCE_ROUTER_PROGRAM, SYSTEM_CALL_FAULTS_LIBRARY}, folder.path);
   EXPECT_GT(outcome.served, 50U);
   EXPECT_LT(outcome.longestHeldMs, kMostHeldMs);
   if (outcome.longestHeldMs < kMostHeldMs)
@@ -85,4 +85,4 @@
 }
 
 }  // namespace
-}  // namespace dahliastall::soak
+}  // namespace inference_router::soak
--- a/tests/held_state_test.cpp
+++ b/tests/held_state_test.cpp
@@ -9,10 +9,10 @@
 #include <utility>
 #include <vector>
 
-#include "fleet/owed_releases.h"
-#include "fleet/reservation_lease.h"
+#include "upstream/owed_releases.h"
+#include "upstream/reservation_lease.h"
 
-namespace dahliastall::fleet {
+namespace inference_router::upstream {
 namespace {
 
 using Answer = ReservationLease::Answer;
@@ -207,9 +207,9 @@
 // ---- Releases owed to one instance
 // -------------------------------------------------------------------
 
-const leverrelay::EngineId kInstance{"s-1"};
+const routing::EngineId kInstance{"s-1"};
 
-leverrelay::RequestId requestOf(int number) {
+routing::RequestId requestOf(int number) {
   return {"r-" + std::to_string(number)};
 }
 
@@ -288,4 +288,4 @@
 }
 
 }  // namespace
-}  // namespace dahliastall::fleet
+}  // namespace inference_router::upstream
--- a/tests/instance_deadline_test.cpp
+++ b/tests/instance_deadline_test.cpp
@@ -7,7 +7,7 @@
 #include "support/folder.h"
 #include "support/site.h"
 
-namespace dahliastall {
+namespace inference_router {
 namespace {
 
 using namespace std::chrono_literals;
@@ -106,8 +106,8 @@
   Deadlines site(openai, kSplit);
   auto settings = site.site.setup.settings;
   settings.classes[1].aim = 6s;
-  site.engine->reconfigure(settings,
-                           openai ? fronts::openaiDialect(site.site) : fronts::platformDialect());
+  site.engine->reconfigure(
+      settings, openai ? frontend::openaiDialect(site.site) : frontend::platformDialect());
   site.ask();
   EXPECT_TRUE(site.until([&] { return site.chats() == 1; }));
   site.pass(3'700);
@@ -165,8 +165,8 @@
   site.pass(2'000);
   next.pass(2'000);
   app::Handover takes(*next.engine, *next.front, *next.listener);
-  app::PassingReceiver receiver(next.io, folder.path, "in",
-                                [&](app::Passed passed) { takes.take(std::move(passed)); });
+  net::PassingReceiver receiver(next.io, folder.path, "in",
+                                [&](net::Passed passed) { takes.take(std::move(passed)); });
   app::Handover handover(*site.engine, *site.front, *site.listener);
   handover.begin(folder.path, "in");
   for (int i = 0; i < 20 && site.engine->counters["streams.handed_over"] == 0; ++i) {
@@ -250,4 +250,4 @@
 }
 
 }  // namespace
-}  // namespace dahliastall
+}  // namespace inference_router
--- a/tests/lease_test.cpp
+++ b/tests/lease_test.cpp
@@ -10,7 +10,7 @@
 
 #include "support/lease_world.h"
 
-namespace dahliastall {
+namespace inference_router {
 namespace {
 
 // ---- Step by step
@@ -401,4 +401,4 @@
 }
 
 }  // namespace
-}  // namespace dahliastall
+}  // namespace inference_router
