--- a/adapter/host.cpp
+++ b/adapter/host.cpp
@@ -84,8 +84,8 @@
   instance.router->handle(now, event, actions);
 }
 
-ListNews Host::readList(std::istream& in, const Line& head, const Vocabulary& names) {
-  ListNews news = parseListHead(head);
+EndpointListUpdate Host::readList(std::istream& in, const Line& head, const Vocabulary& names) {
+  EndpointListUpdate news = parseListHead(head);
   std::string text;
   for (std::uint64_t left = head.whole(3); left > 0; --left) {
     if (!readLine(in, text))
--- a/adapter/host.h
+++ b/adapter/host.h
@@ -28,7 +28,7 @@
                 const std::string& node,
                 Time now,
                 std::vector<Action>& actions);
-  ListNews readList(std::istream& in, const Line& head, const Vocabulary& names);
+  EndpointListUpdate readList(std::istream& in, const Line& head, const Vocabulary& names);
 
   std::map<std::string, Instance> instances_;
   std::size_t lineNumber_ = 0;
--- a/adapter/wire.cpp
+++ b/adapter/wire.cpp
@@ -51,36 +51,40 @@
   line.complain(field, "unknown word '" + std::string(word) + "'");
 }
 
-constexpr std::array<std::pair<std::string_view, Outcome>, 9> kOutcomes{{
-    {"served", Outcome::kServed},
-    {"server_error", Outcome::kError},
-    {"turned_away", Outcome::kFull},
-    {"no_answer", Outcome::kTimeout},
-    {"no_connection", Outcome::kNoConnection},
-    {"connection_lost", Outcome::kConnectionLost},
-    {"called_off", Outcome::kCancelled},
-    {"not_sent", Outcome::kNotSent},
-    {"read", Outcome::kRead},
+constexpr std::array<std::pair<std::string_view, AttemptOutcome>, 9> kOutcomes{{
+    {"served", AttemptOutcome::kServed},
+    {"server_error", AttemptOutcome::kError},
+    {"turned_away", AttemptOutcome::kRejected},
+    {"no_answer", AttemptOutcome::kTimeout},
+    {"no_connection", AttemptOutcome::kConnectFailed},
+    {"connection_lost", AttemptOutcome::kConnectionLost},
+    {"called_off", AttemptOutcome::kCancelled},
+    {"not_sent", AttemptOutcome::kNotSent},
+    {"read", AttemptOutcome::kPrefilled},
 }};
-constexpr std::array<std::pair<std::string_view, Presence>, 3> kPresences{
-    {{"active", Presence::kActive}, {"leaving", Presence::kLeaving}, {"left", Presence::kGone}}};
-constexpr std::array<std::pair<std::string_view, ListForm>, 4> kForms{
-    {{"delta", ListForm::kChanges},
-     {"full", ListForm::kFull},
-     {"cached", ListForm::kCached},
-     {"failed", ListForm::kFailed}}};
+constexpr std::array<std::pair<std::string_view, EndpointState>, 3> kEndpointStates{
+    {{"active", EndpointState::kActive},
+     {"leaving", EndpointState::kDraining},
+     {"left", EndpointState::kRemoved}}};
+constexpr std::array<std::pair<std::string_view, EndpointListForm>, 4> kForms{
+    {{"delta", EndpointListForm::kChanges},
+     {"full", EndpointListForm::kFull},
+     {"cached", EndpointListForm::kCached},
+     {"failed", EndpointListForm::kFailed}}};
 constexpr std::array<std::pair<std::string_view, Effect>, 3> kEffects{
-    {{"idempotent", Effect::kSafe},
-     {"deduplicated", Effect::kKeyed},
-     {"at_most_once", Effect::kUnsafe}}};
-constexpr std::array<std::pair<std::string_view, Group>, 3> kGroups{
-    {{"all", Group::kAll}, {"zone", Group::kZone}, {"cell", Group::kCell}}};
+    {{"idempotent", Effect::kIdempotent},
+     {"deduplicated", Effect::kDeduplicated},
+     {"at_most_once", Effect::kAtMostOnce}}};
+constexpr std::array<std::pair<std::string_view, DedupScope>, 3> kGroups{
+    {{"all", DedupScope::kAll}, {"zone", DedupScope::kZone}, {"cell", DedupScope::kCell}}};
 constexpr std::array<std::pair<std::string_view, Role>, 3> kRoles{
-    {{"read", Role::kReader}, {"write", Role::kWriter}, {"both", Role::kMixed}}};
+    {{"read", Role::kPrefill}, {"write", Role::kDecode}, {"both", Role::kMixed}}};
 constexpr std::array<std::pair<std::string_view, Discovery>, 2> kDiscoveries{
-    {{"push", Discovery::kPush}, {"ask", Discovery::kAsk}}};
-constexpr std::array<std::pair<std::string_view, Reports>, 3> kReports{
-    {{"off", Reports::kNone}, {"inline", Reports::kInline}, {"on_probe", Reports::kProbed}}};
+    {{"push", Discovery::kPush}, {"ask", Discovery::kPoll}}};
+constexpr std::array<std::pair<std::string_view, LoadReports>, 3> kReports{
+    {{"off", LoadReports::kNone},
+     {"inline", LoadReports::kInline},
+     {"on_probe", LoadReports::kProbed}}};
 
 // The path=value pairs of an ENLIST line.
 class Pairs {
@@ -175,18 +179,18 @@
     const std::string at = "grades." + std::to_string(i) + ".";
     names.classes.push_back(pairs.word(at + "name"));
     const Effect effect = pairs.choice(at + "effect", kEffects);
-    const bool keyed = effect == Effect::kKeyed;
+    const bool keyed = effect == Effect::kDeduplicated;
     classes.push_back({
         .effect = effect,
-        .group =
-            keyed || pairs.has(at + "group") ? pairs.choice(at + "group", kGroups) : Group::kAll,
+        .dedupScope = keyed || pairs.has(at + "group") ? pairs.choice(at + "group", kGroups)
+                                                       : DedupScope::kAll,
         .dedupWindow = keyed ? pairs.span(at + "dedupWindowMs") : Duration::zero(),
-        .aim = pairs.span(at + "goalTimeMs"),
-        .aimPer1000 = fromMillis(std::min(per1000[i] / 1000, kLongestMs)),
-        .tokenAim = fromMillis(std::min(tokenAims[i], kLongestMs)),
+        .latencyObjective = pairs.span(at + "goalTimeMs"),
+        .latencyObjectivePer1000 = fromMillis(std::min(per1000[i] / 1000, kLongestMs)),
+        .tokenIntervalObjective = fromMillis(std::min(tokenAims[i], kLongestMs)),
         .deadline = pairs.span(at + "hardLimitMs"),
-        .lateShare = pairs.decimal(at + "lateShare"),
-        .worth = pairs.decimal(at + "worth"),
+        .lateWeightShare = pairs.decimal(at + "lateShare"),
+        .priorityWeight = pairs.decimal(at + "worth"),
         .stream = pairs.flag(at + "stream"),
     });
   }
@@ -233,7 +237,7 @@
     if (!value)
       line.complain(field, "a report value that is not a number");
     if (name == "active")
-      report.held = value;
+      report.inFlight = value;
     if (name == "waiting")
       report.queued = value;
     if (name == "cpu")
@@ -283,25 +287,26 @@
 
 Event parseEnded(const Line& line, const Vocabulary& names) {
   line.expect(8);
-  const Outcome outcome = lookUp(kOutcomes, line, 4, line.raw(4));
+  const AttemptOutcome outcome = lookUp(kOutcomes, line, 4, line.raw(4));
   const double detail = static_cast<double>(line.whole(7));
   return AttemptEnded{
       .request = {line.required(1)},
       .attempt = static_cast<int>(line.whole(2)),
-      .engine = {line.required(3)},
+      .instance = {line.required(3)},
       .outcome = outcome,
       .took = line.span(5),
       .concluded = line.flag(6),
-      .keptTokens = outcome == Outcome::kRead || outcome == Outcome::kServed ? detail : 0,
-      .stateGone = outcome == Outcome::kFull && detail == 1,
+      .cachedTokens =
+          outcome == AttemptOutcome::kPrefilled || outcome == AttemptOutcome::kServed ? detail : 0,
+      .kvCacheLost = outcome == AttemptOutcome::kRejected && detail == 1,
       .report = parseReport(line, 8, names),
   };
 }
 
 Event parseProbe(const Line& line, const Vocabulary& names) {
   line.expect(4);
-  const bool answered = lookUp(kOutcomes, line, 3, line.raw(3)) == Outcome::kServed;
-  return ProbeEnded{{line.required(1)}, line.span(2), answered, parseReport(line, 4, names)};
+  const bool answered = lookUp(kOutcomes, line, 3, line.raw(3)) == AttemptOutcome::kServed;
+  return HealthCheckEnded{{line.required(1)}, line.span(2), answered, parseReport(line, 4, names)};
 }
 
 std::string oneLine(std::string text) {
@@ -383,22 +388,22 @@
   to.contract = {
       .drainGrace = pairs.span("contract.drainGraceMs"),
       .answerGrace = pairs.span("contract.graceToAnswerMs"),
-      .askWithin = pairs.span("contract.askWithinMs"),
-      .coldFrom = pairs.decimal("contract.coldFrom"),
-      .coldFor = pairs.span("contract.coldMs"),
-      .fallFactor = pairs.decimal("contract.overloadFactor"),
-      .fallFor = pairs.span("contract.fallMs"),
-      .releaseWithin = pairs.span("familyInfo.releaseMs"),
+      .maxListAge = pairs.span("contract.askWithinMs"),
+      .warmupInitialShare = pairs.decimal("contract.coldFrom"),
+      .warmupDuration = pairs.span("contract.coldMs"),
+      .overloadFactor = pairs.decimal("contract.overloadFactor"),
+      .overloadWindow = pairs.span("contract.fallMs"),
+      .releaseLimit = pairs.span("familyInfo.releaseMs"),
   };
   to.limits = {
       .cancel = pairs.flag("limits.cancel"),
-      .peers = pairs.flag("limits.peers"),
-      .probing = pairs.flag("limits.probing"),
-      .secondCopies = pairs.flag("limits.secondCopies"),
+      .gossip = pairs.flag("limits.peers"),
+      .healthChecks = pairs.flag("limits.probing"),
+      .hedgedRequests = pairs.flag("limits.secondCopies"),
       .retryAfter = pairs.flag("limits.retryAfter"),
       .maxAttempts = pairs.whole("limits.maxAttempts"),
       .maxRetryAfter = pairs.span("limits.maxRetryAfterMs"),
-      .dialTimeout = pairs.span("limits.dialTimeoutMs"),
+      .connectTimeout = pairs.span("limits.dialTimeoutMs"),
   };
   to.prices = {
       .crossZone = pairs.decimalOr("prices.crossZone", 0),
@@ -416,11 +421,11 @@
   };
   to.discovery = pairs.choice("discovery", kDiscoveries);
   to.reports = pairs.choice("report.how", kReports);
-  to.placesAhead = pairs.flag("familyInfo.ahead");
-  to.writersRead = pairs.flag("familyInfo.writersRead");
-  to.resume = pairs.flag("familyInfo.resume");
+  to.reservationsAllowed = pairs.flag("familyInfo.ahead");
+  to.decodeCanPrefill = pairs.flag("familyInfo.writersRead");
+  to.streamResumption = pairs.flag("familyInfo.resume");
   to.countedByWork = pairs.wordOr("countedBy", "request") == "work";
-  to.overShareWorth = pairs.decimalOr("overShareWorth", 1);
+  to.overQuotaWeight = pairs.decimalOr("overShareWorth", 1);
   to.nodes = pairs.whole("peersTotal");
   to.me = pairs.whole("me");
   to.tick = pairs.span("tickMs");
@@ -434,23 +439,23 @@
   return setup;
 }
 
-ListNews parseListHead(const Line& line) {
+EndpointListUpdate parseListHead(const Line& line) {
   line.expect(3);
   return {line.whole(1), lookUp(kForms, line, 2, line.raw(2)), {}};
 }
 
-ListEntry parseItem(const Line& line, const Vocabulary& names) {
+EndpointRecord parseItem(const Line& line, const Vocabulary& names) {
   line.expect(7);
   const std::size_t zone = indexOf(names.zones, line.required(2));
   if (zone == names.zones.size())
     line.complain(2, "unknown zone");
   const double started = line.decimal(7);
   return {
-      .engine = {line.required(1)},
+      .instance = {line.required(1)},
       .zone = {static_cast<std::uint32_t>(zone)},
       .kind = {static_cast<std::uint32_t>(indexOf(names.kinds, line.required(3)))},
       .cell = {static_cast<std::uint32_t>(line.whole(4))},
-      .presence = lookUp(kPresences, line, 5, line.raw(5)),
+      .state = lookUp(kEndpointStates, line, 5, line.raw(5)),
       .weight = line.decimal(6),
       .started = started > 0 ? std::optional<Time>(Time(fromMillis(started))) : std::nullopt,
   };
@@ -471,10 +476,10 @@
   }
   if (name == "PLACE_NOTE") {
     line.expect(5);
-    return PlaceNote{{line.required(1)},
-                     static_cast<int>(line.whole(4)),
-                     {line.required(2)},
-                     line.whole(5) == 1};
+    return ReservationResult{{line.required(1)},
+                             static_cast<int>(line.whole(4)),
+                             {line.required(2)},
+                             line.whole(5) == 1};
   }
   if (name == "NEIGHBOUR_SAYS") {
     line.expect(2);
@@ -482,11 +487,11 @@
   }
   if (name == "BELL") {
     line.expect(1);
-    return AlarmRang{line.whole(1)};
+    return TimerFired{line.whole(1)};
   }
   if (name == "LAPSED") {
     line.expect(1);
-    return Lapsed{{line.required(1)}};
+    return RequestAbandoned{{line.required(1)}};
   }
   line.complain(0, "unknown message");
 }
@@ -495,31 +500,31 @@
   return std::visit(
       [](const auto& act) -> std::string {
         using Act = std::decay_t<decltype(act)>;
-        if constexpr (std::is_same_v<Act, Send>) {
-          return "ISSUE\t" + act.request.value + "\t" + act.engine.value + "\t" +
+        if constexpr (std::is_same_v<Act, DispatchAttempt>) {
+          return "ISSUE\t" + act.request.value + "\t" + act.instance.value + "\t" +
                  toMillis(act.until.time_since_epoch());
-        } else if constexpr (std::is_same_v<Act, HoldPlace>) {
-          return "SET_ASIDE\t" + act.request.value + "\t" + act.engine.value;
-        } else if constexpr (std::is_same_v<Act, Release>) {
+        } else if constexpr (std::is_same_v<Act, ReserveDecode>) {
+          return "SET_ASIDE\t" + act.request.value + "\t" + act.instance.value;
+        } else if constexpr (std::is_same_v<Act, ReleaseState>) {
           return "RELEASE\t" + act.request.value;
-        } else if constexpr (std::is_same_v<Act, Refuse>) {
+        } else if constexpr (std::is_same_v<Act, RejectRequest>) {
           return "PUSH_BACK\t" + act.request.value + "\t" +
                  (act.retryAfter ? toMillis(*act.retryAfter) : "-");
-        } else if constexpr (std::is_same_v<Act, Fail>) {
+        } else if constexpr (std::is_same_v<Act, FailRequest>) {
           return "END_FAILED\t" + act.request.value;
-        } else if constexpr (std::is_same_v<Act, Cancel>) {
+        } else if constexpr (std::is_same_v<Act, CancelAttempt>) {
           return "DROP_ATTEMPT\t" + act.request.value + "\t" + std::to_string(act.attempt);
-        } else if constexpr (std::is_same_v<Act, MoveStream>) {
+        } else if constexpr (std::is_same_v<Act, MigrateStream>) {
           return "REASSIGN\t" + act.request.value;
-        } else if constexpr (std::is_same_v<Act, SetAlarm>) {
-          return "SET_ALARM\t" + std::to_string(act.alarm) + "\t" + toMillis(act.in);
-        } else if constexpr (std::is_same_v<Act, Probe>) {
-          return "HEALTH_CHECK\t" + act.engine.value;
-        } else if constexpr (std::is_same_v<Act, TellPeers>) {
+        } else if constexpr (std::is_same_v<Act, SetTimer>) {
+          return "SET_ALARM\t" + std::to_string(act.timer) + "\t" + toMillis(act.in);
+        } else if constexpr (std::is_same_v<Act, SendHealthCheck>) {
+          return "HEALTH_CHECK\t" + act.instance.value;
+        } else if constexpr (std::is_same_v<Act, SendGossip>) {
           return "BROADCAST_TO\t*\t" + encodeBase64(act.bytes);
-        } else if constexpr (std::is_same_v<Act, Subscribe>) {
+        } else if constexpr (std::is_same_v<Act, SubscribeEndpoints>) {
           return "LISTEN\t1";
-        } else if constexpr (std::is_same_v<Act, FetchList>) {
+        } else if constexpr (std::is_same_v<Act, FetchEndpoints>) {
           return "RESOLVE";
         } else {
           return "JOURNAL_LINE\t" + oneLine(act.text);
@@ -541,12 +546,13 @@
 std::string encodeBase64(std::string_view bytes) {
   std::string text;
   for (std::size_t at = 0; at < bytes.size(); at += 3) {
-    std::uint32_t group = 0;
+    std::uint32_t dedupScope = 0;
     for (std::size_t i = 0; i < 3; ++i) {
-      group = group << 8 | (at + i < bytes.size() ? static_cast<unsigned char>(bytes[at + i]) : 0U);
+      dedupScope = dedupScope << 8 |
+                   (at + i < bytes.size() ? static_cast<unsigned char>(bytes[at + i]) : 0U);
     }
     for (std::size_t i = 0; i < 4; ++i) {
-      text += at + i > bytes.size() ? '=' : kAlphabet[group >> (18 - 6 * i) & 63];
+      text += at + i > bytes.size() ? '=' : kAlphabet[dedupScope >> (18 - 6 * i) & 63];
     }
   }
   return text.empty() ? "-" : text;
@@ -558,7 +564,7 @@
     return bytes;
   if (text.size() % 4 != 0)
     line.complain(field, "is not base64");
-  std::uint32_t group = 0;
+  std::uint32_t dedupScope = 0;
   int bits = 0;
   const std::size_t end = std::min(text.find('='), text.size());
   if (text.size() - end > 2)
@@ -567,12 +573,12 @@
     const std::size_t value = kAlphabet.find(c);
     if (value == std::string_view::npos)
       line.complain(field, "is not base64");
-    group = group << 6 | static_cast<std::uint32_t>(value);
+    dedupScope = dedupScope << 6 | static_cast<std::uint32_t>(value);
     bits += 6;
     if (bits < 8)
       continue;
     bits -= 8;
-    bytes += static_cast<char>(group >> bits & 255);
+    bytes += static_cast<char>(dedupScope >> bits & 255);
   }
   return bytes;
 }
--- a/adapter/wire.h
+++ b/adapter/wire.h
@@ -53,8 +53,8 @@
 };
 
 Setup parseSetup(const Line& enlist);
-ListEntry parseItem(const Line& line, const Vocabulary& names);
-ListNews parseListHead(const Line& line);
+EndpointRecord parseItem(const Line& line, const Vocabulary& names);
+EndpointListUpdate parseListHead(const Line& line);
 Event parseEvent(const Line& line, const Vocabulary& names);
 std::string formatAction(const Action& action);
 
--- a/benchmarks/decision_cost.cpp
+++ b/benchmarks/decision_cost.cpp
@@ -1,5 +1,5 @@
 // What the module takes for a request, from its arrival to its end, and for a change of the list,
-// by the number of boxes that are listed.
+// by the number of instances that are listed.
 #include <benchmark/benchmark.h>
 
 #include "../tests/fleet.h"
@@ -8,12 +8,12 @@
 
 using namespace inference_router::routing;
 
-// A third of the boxes read, the others write; five to a cell.
-std::vector<ListEntry> boxes(int count) {
-  std::vector<ListEntry> list;
+// A third of the instances read, the others write; five to a cell.
+std::vector<EndpointRecord> instances(int count) {
+  std::vector<EndpointRecord> list;
   for (int i = 0; i < count; ++i)
-    list.push_back(engine(numbered("box-", i), i % 3 == 0 ? kReader : kWriter,
-                          static_cast<std::uint32_t>(i / 5)));
+    list.push_back(instance(numbered("box-", i), i % 3 == 0 ? kPrefill : kDecode,
+                            static_cast<std::uint32_t>(i / 5)));
   return list;
 }
 
@@ -25,7 +25,7 @@
 
 void wholeRequest(benchmark::State& state) {
   Fleet fleet(hundredNodes());
-  fleet.list(boxes(static_cast<int>(state.range(0))));
+  fleet.list(instances(static_cast<int>(state.range(0))));
   int n = 0;
   for (auto _ : state) {
     fleet.serve(numbered("request-", n), numbered("prefix-", n % 20));
@@ -40,18 +40,18 @@
     ->Repetitions(5)
     ->ReportAggregatesOnly();
 
-void oneBoxChanges(benchmark::State& state) {
+void oneInstanceChanges(benchmark::State& state) {
   Fleet fleet(hundredNodes());
-  const std::vector<ListEntry> all = boxes(static_cast<int>(state.range(0)));
+  const std::vector<EndpointRecord> all = instances(static_cast<int>(state.range(0)));
   fleet.list(all);
   std::size_t n = 0;
   for (auto _ : state) {
-    ListEntry entry = all[n++ % all.size()];
+    EndpointRecord entry = all[n++ % all.size()];
     entry.started = fleet.wait(1ms).now();
-    fleet.list({entry}, ListForm::kChanges);
+    fleet.list({entry}, EndpointListForm::kChanges);
   }
 }
-BENCHMARK(oneBoxChanges)
+BENCHMARK(oneInstanceChanges)
     ->Arg(12)
     ->Arg(60)
     ->Arg(100)
@@ -61,7 +61,7 @@
 
 void wholeListAgain(benchmark::State& state) {
   Fleet fleet(hundredNodes());
-  const std::vector<ListEntry> all = boxes(static_cast<int>(state.range(0)));
+  const std::vector<EndpointRecord> all = instances(static_cast<int>(state.range(0)));
   for (auto _ : state)
     fleet.list(all);
 }
--- a/benchmarks/flood.cpp
+++ b/benchmarks/flood.cpp
@@ -74,11 +74,11 @@
             static_cast<double>(use.ru_utime.tv_usec + use.ru_stime.tv_usec) / 1e6;
 }
 
-json site(const tcp::endpoint& listen, const tcp::endpoint& box, bool admission) {
+json site(const tcp::endpoint& listen, const tcp::endpoint& instance, bool admission) {
   json file = json::parse(std::ifstream("deploy/appliance.json"));
   file["listen"] = text(listen);
   file["boxes"] = {
-      {{"id", "box-1"}, {"address", text(box)}, {"role", "both"}, {"cell", 0}, {"size", 1.0}}};
+      {{"id", "box-1"}, {"address", text(instance)}, {"role", "both"}, {"cell", 0}, {"size", 1.0}}};
   file["sockets"] = 256;
   file["settings"]["orgs"][0]["allowancePerS"] = 10'000;
   file.erase("admin_addr");
@@ -164,12 +164,15 @@
   std::uint64_t asked = 0, connects = 0;
 };
 
-Play play(const std::string& program, const std::string& toyBox, bool admission, bool flooded) {
-  const tcp::endpoint listen = freePort(), boxAt = freePort();
+Play play(const std::string& program,
+          const std::string& toyInstance,
+          bool admission,
+          bool flooded) {
+  const tcp::endpoint listen = freePort(), instanceAt = freePort();
   const auto path =
       std::filesystem::temp_directory_path() / ("flood-" + std::to_string(::getpid()) + ".json");
-  std::ofstream(path) << site(listen, boxAt, admission);
-  const pid_t box = start({toyBox, text(boxAt)});
+  std::ofstream(path) << site(listen, instanceAt, admission);
+  const pid_t instance = start({toyInstance, text(instanceAt)});
   const pid_t conductor = start({program, "serve", "--operator", path.string()});
   {
     Client probe(listen, "127.0.1.200");
@@ -220,7 +223,7 @@
   flood.join();
   Play result;
   stop(conductor, &result.cpuS);
-  stop(box);
+  stop(instance);
   std::filesystem::remove(path);
   std::vector<double> all;
   for (const auto& one : seen)
--- a/benchmarks/sharing_cost.cpp
+++ b/benchmarks/sharing_cost.cpp
@@ -1,4 +1,4 @@
-// What it costs a request that conductors hold leases or share state: one conductor and a box that
+// What it costs a request that routers hold leases or share state: one router and an instance that
 // answers at once, by turns without a store, with leases, with shared state, and with either while
 // the store's file is locked.
 //
@@ -86,10 +86,10 @@
   throw std::runtime_error("nobody listens at " + text(to));
 }
 
-// A box that answers every question at once, on a thread of its own for each connection.
-class InstantBox {
+// An instance that answers every question at once, on a thread of its own for each connection.
+class InstantInstance {
  public:
-  InstantBox() : acceptor_(io_, {boost::asio::ip::make_address("127.0.0.1"), 0}) {
+  InstantInstance() : acceptor_(io_, {boost::asio::ip::make_address("127.0.0.1"), 0}) {
     std::thread([this] {
       for (;;)
         std::thread([socket = acceptor_.accept()]() mutable { serve(std::move(socket)); }).detach();
@@ -141,7 +141,7 @@
 // The time from the last byte of a question to the head of its answer, which comes with the first
 // event.
 Play play(const std::string& program,
-          const tcp::endpoint& box,
+          const tcp::endpoint& instance,
           const std::string& folder,
           const std::string& way) {
   const tcp::endpoint listen = freePort();
@@ -149,7 +149,7 @@
   file["listen"] = text(listen);
   file.erase("admin_addr");
   file["boxes"] = {
-      {{"id", "box-1"}, {"address", text(box)}, {"role", "both"}, {"cell", 0}, {"size", 1.0}}};
+      {{"id", "box-1"}, {"address", text(instance)}, {"role", "both"}, {"cell", 0}, {"size", 1.0}}};
   file["settings"]["orgs"][0]["allowancePerS"] = 100'000;
   const std::string db = folder + "/store.db";
   std::filesystem::remove(db);
@@ -239,12 +239,12 @@
     return 1;
   std::vector<std::string> ways{"off", "leases", "leases, stalled", "shared", "shared, stalled"};
   std::map<std::string, std::vector<Play>> plays;
-  InstantBox box;
+  InstantInstance instance;
   std::mt19937 random(1);
   for (int round = 0; round < std::atoi(argv[1]); ++round) {
     std::shuffle(ways.begin(), ways.end(), random);
     for (const std::string& way : ways)
-      plays[way].push_back(play(argv[2], box.address(), folder, way));
+      plays[way].push_back(play(argv[2], instance.address(), folder, way));
   }
   std::printf("%-18s %-26s %-26s %s\n", "way", "first event, median us", "99th percentile us",
               "processor us a request");
@@ -261,5 +261,5 @@
   std::filesystem::remove_all(folder);
   std::cout.flush();
   std::fflush(stdout);
-  ::_exit(0);  // the box's threads wait for questions for good
+  ::_exit(0);  // the instance's threads wait for questions for good
 }
--- a/example/example_instance.cpp
+++ b/example/example_instance.cpp
@@ -1,4 +1,4 @@
-// A toy model box: answers each chat request with a few streamed words. For trying the conductor,
+// A toy model instance: answers each chat request with a few streamed words. For trying the router,
 // nothing else.
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/signal_set.hpp>
@@ -28,9 +28,9 @@
            {{{"index", 0}, {"delta", std::move(delta)}, {"finish_reason", std::move(finish)}}}}};
 }
 
-class ToyBox final : public net::RequestHandler {
+class ToyInstance final : public net::RequestHandler {
  public:
-  ToyBox(std::string name, const core::Clock& clock, core::Deadlines& deadlines)
+  ToyInstance(std::string name, const core::Clock& clock, core::Deadlines& deadlines)
       : name_(std::move(name)), clock_(clock), deadlines_(deadlines) {}
 
   void request(const std::shared_ptr<net::ClientConnection>& connection,
@@ -93,8 +93,8 @@
     core::Deadlines deadlines;
     core::Counters counters;
     const net::Loop loop(io, clock, deadlines);
-    ToyBox box(argv[1], clock, deadlines);
-    net::Listener listener(io, net::endpointOf(argv[1]), 100, box, clock, deadlines, counters);
+    ToyInstance instance(argv[1], clock, deadlines);
+    net::Listener listener(io, net::endpointOf(argv[1]), 100, instance, clock, deadlines, counters);
     boost::asio::signal_set signals(io, SIGTERM, SIGINT);
     signals.async_wait([&](const boost::system::error_code&, int) { io.stop(); });
     std::cout << argv[1] << ": a toy box listens" << std::endl;
--- a/include/inference_router/router.h
+++ b/include/inference_router/router.h
@@ -33,7 +33,7 @@
   std::string value;
   auto operator<=>(const Name&) const = default;
 };
-using EngineId = Name<struct EngineTag>;
+using InstanceId = Name<struct InstanceTag>;
 using RequestId = Name<struct RequestTag>;
 
 template <class Tag>
@@ -45,27 +45,27 @@
 using TenantIndex = Index<struct TenantTag>;  // into Settings::tenants
 using KindIndex = Index<struct KindTag>;      // into Settings::kinds
 using ZoneIndex = Index<struct ZoneTag>;      // a zone of the site
-using CellIndex = Index<struct CellTag>;      // engines with cheap moves between them
+using CellIndex = Index<struct CellTag>;      // instances with cheap moves between them
 
-enum class Effect { kSafe, kKeyed, kUnsafe };
-enum class Group { kAll, kZone, kCell };  // of a keyed class: which engines drop repeats
-enum class Role { kReader, kWriter, kMixed };
-enum class Discovery { kPush, kAsk };
-enum class Reports { kNone, kInline, kProbed };
+enum class Effect { kIdempotent, kDeduplicated, kAtMostOnce };
+enum class DedupScope { kAll, kZone, kCell };  // of a keyed class: which instances drop repeats
+enum class Role { kPrefill, kDecode, kMixed };
+enum class Discovery { kPush, kPoll };
+enum class LoadReports { kNone, kInline, kProbed };
 
 // ---- Settings
 // ------------------------------------------------------------------------------------
 
 struct ClassSettings {
   Effect effect;
-  Group group;
+  DedupScope dedupScope;
   Duration dedupWindow;  // of a keyed class, from the send of the first attempt that may have run
-  Duration aim;          // first token within this earns the full worth
-  Duration aimPer1000;   // added to the aim for each 1,000 prompt tokens
-  Duration tokenAim;     // mean gap between tokens that earns the full worth
-  Duration deadline;     // how long a client waits over all its tries
-  double lateShare;      // share of the worth for an answer after the aim
-  double worth;
+  Duration latencyObjective;         // first token within this earns the full worth
+  Duration latencyObjectivePer1000;  // added to the aim for each 1,000 prompt tokens
+  Duration tokenIntervalObjective;   // mean gap between tokens that earns the full worth
+  Duration deadline;                 // how long a client waits over all its tries
+  double lateWeightShare;            // share of the worth for an answer after the aim
+  double priorityWeight;
   bool stream;
 };
 
@@ -80,25 +80,25 @@
 };
 
 struct Contract {
-  Duration drainGrace;   // sends to a draining engine end within this
-  Duration answerGrace;  // a final answer this late after the deadline still counts
-  Duration askWithin;    // how old a list may grow where it has to be asked for
-  double coldFrom;       // share of its capacity that a started engine has at least
-  Duration coldFor;      // after which it is warm
-  double fallFactor;     // times its present capacity
-  Duration fallFor;      // for this long topples a cold engine
-  Duration releaseWithin;
+  Duration drainGrace;        // sends to a draining instance end within this
+  Duration answerGrace;       // a final answer this late after the deadline still counts
+  Duration maxListAge;        // how old a list may grow where it has to be asked for
+  double warmupInitialShare;  // share of its capacity that a started instance has at least
+  Duration warmupDuration;    // after which it is warm
+  double overloadFactor;      // times its present capacity
+  Duration overloadWindow;    // for this long topples a cold instance
+  Duration releaseLimit;
 };
 
 struct Limits {
   bool cancel;
-  bool peers;
-  bool probing;
-  bool secondCopies;
+  bool gossip;
+  bool healthChecks;
+  bool hedgedRequests;
   bool retryAfter;
   int maxAttempts;
   Duration maxRetryAfter;
-  Duration dialTimeout;
+  Duration connectTimeout;
 };
 
 struct Prices {  // shares of the result, each times its rate
@@ -126,16 +126,16 @@
   Prices prices;
   Goal goal;
   Discovery discovery;
-  Reports reports;
-  bool placesAhead;       // HoldPlace may be used
-  bool writersRead;       // a writer without a state reads the prompt itself
-  bool resume;            // a broken stream may go on elsewhere; MoveStream may be used
-  bool countedByWork;     // worth counts for each unit of work
-  double overShareWorth;  // part of the worth kept beyond a tenant's share
-  int nodes;              // of this tier, this one included
-  int me;                 // this node's number among them
-  ZoneIndex zone;         // where this node runs
-  Duration tick;          // events come at most this often
+  LoadReports reports;
+  bool reservationsAllowed;  // ReserveDecode may be used
+  bool decodeCanPrefill;     // a decode instance without a state reads the prompt itself
+  bool streamResumption;     // a broken stream may go on elsewhere; MigrateStream may be used
+  bool countedByWork;        // worth counts for each unit of work
+  double overQuotaWeight;    // part of the worth kept beyond a tenant's share
+  int nodes;                 // of this tier, this one included
+  int me;                    // this node's number among them
+  ZoneIndex zone;            // where this node runs
+  Duration tick;             // events come at most this often
 };
 
 // Why settings cannot be used, in plain words; nothing if they can.
@@ -144,33 +144,33 @@
 // ---- Events
 // --------------------------------------------------------------------------------------
 
-struct LoadReport {                     // what an engine said of itself, somewhat old and not exact
-  std::optional<double> held;           // requests in hand, waiting states too
-  std::optional<double> queued;         // requests waiting
-  std::optional<double> slotShare;      // share of slots busy
-  std::optional<double> memoryShare;    // share of memory held
+struct LoadReport {                   // what an instance said of itself, somewhat old and not exact
+  std::optional<double> inFlight;     // requests in hand, waiting states too
+  std::optional<double> queued;       // requests waiting
+  std::optional<double> slotShare;    // share of slots busy
+  std::optional<double> memoryShare;  // share of memory held
   std::optional<double> tokensWaiting;  // prompt tokens to read or fetch
   std::optional<Duration> latency;      // recent time to the end of a read or to the first token
 };
 
-enum class Presence { kActive, kLeaving, kGone };
+enum class EndpointState { kActive, kDraining, kRemoved };
 
-struct ListEntry {
-  EngineId engine;
+struct EndpointRecord {
+  InstanceId instance;
   ZoneIndex zone;
   KindIndex kind;
   CellIndex cell;
-  Presence presence;
-  double weight;                // compares engines of one role
+  EndpointState state;
+  double weight;                // compares instances of one role
   std::optional<Time> started;  // its last start, if not long ago
 };
 
-enum class ListForm { kChanges, kFull, kCached, kFailed };
+enum class EndpointListForm { kChanges, kFull, kCached, kFailed };
 
-struct ListNews {
+struct EndpointListUpdate {
   std::uint64_t version;
-  ListForm form;
-  std::vector<ListEntry> entries;
+  EndpointListForm form;
+  std::vector<EndpointRecord> entries;
 };
 
 struct Arrival {
@@ -188,27 +188,27 @@
   bool resumed;
 };
 
-enum class Outcome {
+enum class AttemptOutcome {
   kServed,
   kError,
-  kFull,
+  kRejected,
   kTimeout,
-  kNoConnection,
+  kConnectFailed,
   kConnectionLost,
   kCancelled,
   kNotSent,
-  kRead
+  kPrefilled
 };
 
 struct AttemptEnded {
   RequestId request;
   int attempt;
-  EngineId engine;
-  Outcome outcome;
+  InstanceId instance;
+  AttemptOutcome outcome;
   Duration took;
-  bool concluded;     // the client has its answer; nothing more is owed
-  double keptTokens;  // on kRead and kServed: prompt tokens that needed no reading
-  bool stateGone;     // no state waits any more: there was none to fetch (kFull), or it was fetched
+  bool concluded;       // the client has its answer; nothing more is owed
+  double cachedTokens;  // on kRead and kServed: prompt tokens that needed no reading
+  bool kvCacheLost;  // no state waits any more: there was none to fetch (kFull), or it was fetched
   std::optional<LoadReport> report;
   bool doubtful = false;  // on kFull: the refusal may have been meant for an earlier request
 };
@@ -216,25 +216,25 @@
 // Whether an outcome proves that its attempt never ran: its connection did not come up, nothing of
 // it went out, or its instance turned it away. A refusal that may have been meant for an earlier
 // request proves nothing.
-constexpr bool provesNoRun(Outcome outcome, bool doubtful) {
-  return outcome == Outcome::kNoConnection || outcome == Outcome::kNotSent ||
-         (outcome == Outcome::kFull && !doubtful);
+constexpr bool provesNotExecuted(AttemptOutcome outcome, bool doubtful) {
+  return outcome == AttemptOutcome::kConnectFailed || outcome == AttemptOutcome::kNotSent ||
+         (outcome == AttemptOutcome::kRejected && !doubtful);
 }
 
 struct StreamOpened {
   RequestId request;
   int attempt;
-  EngineId engine;
+  InstanceId instance;
   Duration took;
 };
-struct PlaceNote {
+struct ReservationResult {
   RequestId request;
   int attempt;
-  EngineId engine;
-  bool held;
+  InstanceId instance;
+  bool granted;
 };
-struct ProbeEnded {
-  EngineId engine;
+struct HealthCheckEnded {
+  InstanceId instance;
   Duration took;
   bool answered;
   std::optional<LoadReport> report;
@@ -243,94 +243,94 @@
   int from;
   std::string bytes;
 };
-struct AlarmRang {
-  std::uint64_t alarm;
+struct TimerFired {
+  std::uint64_t timer;
 };
-struct Lapsed {
+struct RequestAbandoned {
   RequestId request;
 };  // nobody waits for it any more
 
-struct Stopping {
+struct ShutdownStarted {
   Duration grace;
 };  // this node ends, and is killed no sooner than this from now
 
 struct StreamAdopted {
-  Arrival told;
-  EngineId engine;
+  Arrival arrival;
+  InstanceId instance;
 };  // a stream that another process of this node began; its attempt is number 0
 
-using Event = std::variant<ListNews,
+using Event = std::variant<EndpointListUpdate,
                            Arrival,
                            StreamOpened,
                            AttemptEnded,
-                           PlaceNote,
-                           ProbeEnded,
+                           ReservationResult,
+                           HealthCheckEnded,
                            PeerMessage,
-                           AlarmRang,
-                           Lapsed,
-                           Stopping,
+                           TimerFired,
+                           RequestAbandoned,
+                           ShutdownStarted,
                            StreamAdopted>;
 
 // ---- Actions
 // -------------------------------------------------------------------------------------
 
-struct Send {
+struct DispatchAttempt {
   RequestId request;
-  EngineId engine;
+  InstanceId instance;
   Time until;
   Time before =
       Time::max();  // nothing of it goes out from then on: a repeat might not be discarded
 };                  // attempts count from 0
-struct HoldPlace {
+struct ReserveDecode {
   RequestId request;
-  EngineId engine;
+  InstanceId instance;
 };
-struct Release {
+struct ReleaseState {
   RequestId request;
 };
-struct Refuse {
+struct RejectRequest {
   RequestId request;
   std::optional<Duration> retryAfter;
 };  // a repeat is harmless
-struct Fail {
+struct FailRequest {
   RequestId request;
 };  // promises nothing
-struct Cancel {
+struct CancelAttempt {
   RequestId request;
   int attempt;
 };
-struct MoveStream {
+struct MigrateStream {
   RequestId request;
 };
-struct SetAlarm {
-  std::uint64_t alarm;
+struct SetTimer {
+  std::uint64_t timer;
   Duration in;
 };
-struct Probe {
-  EngineId engine;
+struct SendHealthCheck {
+  InstanceId instance;
 };
-struct TellPeers {
+struct SendGossip {
   std::string bytes;
 };  // all of them
-struct Subscribe {};
-struct FetchList {};
-struct Log {
+struct SubscribeEndpoints {};
+struct FetchEndpoints {};
+struct LogMessage {
   std::string text;
 };
 
-using Action = std::variant<Send,
-                            HoldPlace,
-                            Release,
-                            Refuse,
-                            Fail,
-                            Cancel,
-                            MoveStream,
-                            SetAlarm,
-                            Probe,
-                            TellPeers,
-                            Subscribe,
-                            FetchList,
-                            Log>;
+using Action = std::variant<DispatchAttempt,
+                            ReserveDecode,
+                            ReleaseState,
+                            RejectRequest,
+                            FailRequest,
+                            CancelAttempt,
+                            MigrateStream,
+                            SetTimer,
+                            SendHealthCheck,
+                            SendGossip,
+                            SubscribeEndpoints,
+                            FetchEndpoints,
+                            LogMessage>;
 
 // ---- The router
 // ----------------------------------------------------------------------------------
@@ -352,8 +352,8 @@
   // Other settings from now on. Classes, tenants and kinds keep their places; more may follow them.
   void reconfigure(const Settings& settings);
 
-  // Whether an engine that is listed is passed over for now, as it failed or is silent.
-  bool avoids(Time now, const EngineId& engine) const;
+  // Whether an instance that is listed is passed over for now, as it failed or is silent.
+  bool avoids(Time now, const InstanceId& instance) const;
 
  private:
   class Impl;
--- a/soak/client.h
+++ b/soak/client.h
@@ -11,7 +11,7 @@
 
 namespace inference_router::soak {
 
-/// A client of one conductor, which sends one request after the other.
+/// A client of one router, which sends one request after the other.
 class Client {
  public:
   Client(Environment& environment,
@@ -38,7 +38,7 @@
   Environment& environment_;
   int conductor_, number_;
   net::Endpoint to_;
-  net::Pool pool_;
+  net::ConnectionPool pool_;
   std::shared_ptr<net::Call> call_;
   std::string id_;
   int sent_ = 0;
--- a/soak/conductor_process.h
+++ b/soak/conductor_process.h
@@ -1,4 +1,4 @@
-/// One conductor of the soak: the real program as a process, with the library of system call faults
+/// One router of the soak: the real program as a process, with the library of system call faults
 /// loaded.
 #pragma once
 
--- a/soak/discovery_agent.h
+++ b/soak/discovery_agent.h
@@ -1,4 +1,4 @@
-/// Discovery of the soak: an agent on each conductor's machine, and its watches.
+/// Discovery of the soak: an agent on each router's machine, and its watches.
 #pragma once
 
 #include <memory>
@@ -11,7 +11,7 @@
 
 namespace inference_router::soak {
 
-/// Discovery's agent on one conductor's machine.
+/// Discovery's agent on one router's machine.
 class Agent final : public net::RequestHandler {
  public:
   Agent(Environment& environment, const net::Endpoint& address);
--- a/soak/held_ledger.h
+++ b/soak/held_ledger.h
@@ -35,7 +35,7 @@
   bool prefillHasArrived(const std::string& request) const;
   bool attemptIsOut(const std::string& request) const;
 
-  /// What a conductor process left as it ended counts no more.
+  /// What a router process left as it ended counts no more.
   void excuse(const std::function<bool(const std::string& request)>& ofEnded);
   /// Breaks that have come about since the last call.
   std::vector<Break> overdue(double nowMs);
--- a/soak/idle_clients.h
+++ b/soak/idle_clients.h
@@ -1,4 +1,4 @@
-/// A crowd of clients that connect to one conductor, send nothing and connect again once they are
+/// A crowd of clients that connect to one router, send nothing and connect again once they are
 /// sent away.
 #pragma once
 
--- a/soak/instance.h
+++ b/soak/instance.h
@@ -26,7 +26,7 @@
   kLosesRequests,  ///< some connections carry nothing any more in either direction
 };
 
-/// When each conductor was told that an instance drains.
+/// When each router was told that an instance drains.
 using DrainTold = std::function<std::optional<double>(int conductor, int instance)>;
 
 /// What an instance of this fleet makes of a reservation whose prefill it cannot see running.
--- a/soak/ledger.h
+++ b/soak/ledger.h
@@ -13,11 +13,11 @@
 struct Arrival {
   double atMs = 0;
   int instance = 0;
-  double budgetMs = 0;    ///< that the conductor told
+  double budgetMs = 0;    ///< that the router told
   bool rejected = false;  ///< the instance proved that it did not run
   bool reads = false;     ///< a prefill instance, where nothing has an effect
   std::optional<double>
-      drainToldMs;  ///< when the conductor's watch had been told that the instance drains
+      drainToldMs;  ///< when the router's watch had been told that the instance drains
 };
 
 /// A request as its client saw it.
@@ -30,7 +30,7 @@
   std::optional<double> answeredMs;  ///< when the answer had ended
   unsigned status = 0;
   bool whole = false;      ///< of a status 200: the stream came to its end
-  bool undecided = false;  ///< its conductor was killed, or stopped, while it was open
+  bool undecided = false;  ///< its router was killed, or stopped, while it was open
   std::vector<Arrival> arrivals;
 };
 
--- a/soak/main.cpp
+++ b/soak/main.cpp
@@ -1,4 +1,4 @@
-/// dahliastall_soak: plays conductors as real processes under drawn faults and judges them by their
+/// dahliastall_soak: plays routers as real processes under drawn faults and judges them by their
 /// rules.
 #include <algorithm>
 #include <array>
--- a/soak/plan.h
+++ b/soak/plan.h
@@ -10,7 +10,7 @@
 namespace inference_router::soak {
 
 enum class FaultKind {
-  kSystemCalls,    ///< calls of one conductor fail, in its preloaded library
+  kSystemCalls,    ///< calls of one router fail, in its preloaded library
   kTerminate,      ///< SIGTERM, and a successor
   kKill,           ///< SIGKILL, and a successor
   kStop,           ///< SIGSTOP for a while
@@ -29,7 +29,7 @@
 
 struct PlannedFault {
   FaultKind kind = FaultKind::kHang;
-  int target = 0;  ///< number of the conductor or instance
+  int target = 0;  ///< number of the router or instance
   double atMs = 0;
   double forMs = 0;
   std::string rule;  ///< of kSystemCalls: call, fault and share as the library's plan has them
@@ -37,12 +37,12 @@
 
 struct Plan {
   std::uint64_t seed = 0;
-  int conductors = 24, instances = 30, clients = 4;  ///< clients of each conductor
+  int conductors = 24, instances = 30, clients = 4;  ///< clients of each router
   double lengthMs = 12'000;
   double longestDeadlineMs = 3'000;  ///< of the settings' classes
   bool reservationsByArrival =
       false;            ///< a reservation is granted where the bytes of its prefill came
-  int idleClients = 0;  ///< that connect to one conductor and send nothing
+  int idleClients = 0;  ///< that connect to one router and send nothing
   std::vector<PlannedFault> faults;
 };
 
--- a/soak/scenario.cpp
+++ b/soak/scenario.cpp
@@ -34,7 +34,7 @@
 constexpr double kHeldLimitMs =
     650;  // 300 ms of the settings, 300 of the protocol page, 50 of the rules
 constexpr double kMachineSlackMs = 50;
-constexpr double kStopMs = 150;      // that a conductor may be held up
+constexpr double kStopMs = 150;      // that a router may be held up
 constexpr double kWarmUpMs = 1'500;  // of clients, before any fault
 constexpr double kLookMs = 10;
 constexpr double kSettleMs = 1'200;  // at the end, with no client left
@@ -83,7 +83,7 @@
     std::shared_ptr<net::Call> asking;
   };
 
-  // Asks whether a conductor is ready, again and again.
+  // Asks whether a router is ready, again and again.
   class ReadyCall final : public net::CallSink {
    public:
     ReadyCall(Scenario& scenario, Node& node) : scenario_(scenario), node_(node) {}
@@ -359,7 +359,7 @@
       startProcess(node);
   }
 
-  // Whether system calls of a conductor fail now: it tries on until it is killed, and cannot end
+  // Whether system calls of a router fail now: it tries on until it is killed, and cannot end
   // before.
   bool callsFail(const Node& node, double nowMs) const {
     return std::any_of(plan_.faults.begin(), plan_.faults.end(), [&](const PlannedFault& fault) {
@@ -428,7 +428,7 @@
   std::vector<std::unique_ptr<Node>> nodes_;
   std::set<const Client*> begun_;
   std::unique_ptr<IdleClients> crowd_;
-  net::Pool probes_{io_, clock_, deadlines_, counters_, {64, 500, 1'000}};
+  net::ConnectionPool probes_{io_, clock_, deadlines_, counters_, {64, 500, 1'000}};
   bool finishing_ = false;
 };
 
--- a/soak/scenario.h
+++ b/soak/scenario.h
@@ -1,4 +1,4 @@
-/// One play of the soak: conductors as real processes between emulated instances, discovery and
+/// One play of the soak: routers as real processes between emulated instances, discovery and
 /// clients, under the faults of a plan.
 #pragma once
 
--- a/src/admission/descriptor_budget.h
+++ b/src/admission/descriptor_budget.h
@@ -10,7 +10,7 @@
 
 // The purpose of a descriptor. kOwn: log, event loop, listeners, the spare one. kRefusals: clients
 // that are sent the reason of their refusal.
-enum class Account { kClients, kBoxes, kDiscovery, kControl, kTelemetry, kOwn, kRefusals };
+enum class Account { kClients, kInstances, kDiscovery, kControl, kTelemetry, kOwn, kRefusals };
 // How scarce descriptors are.
 enum class Level { kNormal, kTight, kExhausted };
 
--- a/src/app/admin_client.h
+++ b/src/app/admin_client.h
@@ -1,4 +1,4 @@
-// A client of the admin endpoint of a running conductor, for sub-commands of the program.
+// A client of the admin endpoint of a running router, for sub-commands of the program.
 #pragma once
 
 #include <string>
--- a/src/app/admission_watch.cpp
+++ b/src/app/admission_watch.cpp
@@ -10,14 +10,14 @@
 
 }  // namespace
 
-AdmissionWatch::AdmissionWatch(Engine& engine, admission::AdmissionController* gate)
-    : engine_(engine), gate_(gate) {
+AdmissionWatch::AdmissionWatch(Server& server, admission::AdmissionController* gate)
+    : server_(server), gate_(gate) {
   if (gate_ != nullptr)
     tick();
 }
 
 AdmissionWatch::~AdmissionWatch() {
-  engine_.deadlines.cancel(next_);
+  server_.deadlines.cancel(next_);
 }
 
 void AdmissionWatch::tick() {
@@ -35,12 +35,12 @@
     spdlog::warn("admission refused{} open={} unknown={} most={}", reasons, gate_->open(),
                  gate_->unknown(), top.empty() ? "-" : top.front().address);
   }
-  const admission::Level now = engine_.ledger.level(engine_.clock.nowMs());
+  const admission::Level now = server_.descriptorBudget.level(server_.clock.nowMs());
   if (now != level_)
     spdlog::warn("descriptors are {} now, {} of {} held", admission::nameOf(now),
-                 engine_.ledger.total(), engine_.ledger.shares().limit);
+                 server_.descriptorBudget.total(), server_.descriptorBudget.shares().limit);
   level_ = now;
-  next_ = engine_.deadlines.add(engine_.clock.nowMs() + kSayMs, [this] { tick(); });
+  next_ = server_.deadlines.add(server_.clock.nowMs() + kSayMs, [this] { tick(); });
 }
 
 std::string AdmissionWatch::report() {
@@ -68,11 +68,11 @@
   for (std::size_t i = 0; i < admission::DescriptorBudget::kAccounts; ++i) {
     const auto account = static_cast<admission::Account>(i);
     text += labelled("descriptors_held", "account", admission::nameOf(account),
-                     engine_.ledger.held(account));
+                     server_.descriptorBudget.held(account));
     text += labelled("descriptors_most", "account", admission::nameOf(account),
-                     engine_.ledger.shares().most[i]);
+                     server_.descriptorBudget.shares().most[i]);
   }
-  const admission::Level level = engine_.ledger.level(engine_.clock.nowMs());
+  const admission::Level level = server_.descriptorBudget.level(server_.clock.nowMs());
   return text + "descriptors_level{is=\"" + admission::nameOf(level) + "\"} 1\n";
 }
 
--- a/src/app/admission_watch.h
+++ b/src/app/admission_watch.h
@@ -13,7 +13,7 @@
 
 class AdmissionWatch {
  public:
-  AdmissionWatch(Engine& engine, admission::AdmissionController* gate);
+  AdmissionWatch(Server& server, admission::AdmissionController* gate);
   ~AdmissionWatch();
 
   // Empty without a gate.
@@ -22,7 +22,7 @@
  private:
   void tick();
 
-  Engine& engine_;
+  Server& server_;
   admission::AdmissionController* gate_;
   std::array<std::uint64_t, admission::kReasons> said_{};
   admission::Level level_ = admission::Level::kNormal;
--- a/src/app/config.h
+++ b/src/app/config.h
@@ -1,4 +1,4 @@
-// What a conductor on the platform is told when it starts.
+// What a router on the platform is told when it starts.
 #pragma once
 
 #include <cstdint>
@@ -22,7 +22,7 @@
   // Shares of them: each request takes one connection on either side, and files and discovery a
   // few.
   std::size_t clients() const { return (sockets - spare()) / 2; }
-  std::size_t boxes() const { return sockets - spare() - clients(); }
+  std::size_t instances() const { return sockets - spare() - clients(); }
 
  private:
   std::size_t spare() const { return 64; }
--- a/src/app/coordinator.cpp
+++ b/src/app/coordinator.cpp
@@ -14,18 +14,18 @@
 
 namespace {
 
-static_assert(control::kLongestPlanLine >= Plan::kMostBoxes * (Plan::kLongestWord + 1));
+static_assert(control::kLongestPlanLine >= Plan::kMaxInstances * (Plan::kLongestWord + 1));
 constexpr int kTries = 3;       // to write an operator's word, if others write at the same moment
 constexpr double kTurnMs = 20;  // between looks whether all is let go of
 constexpr std::size_t kBeats =
-    6;  // that a conductor speaks within the time after which it counts as silent
+    6;  // that a router speaks within the time after which it counts as silent
 
-std::unique_ptr<Store> storeOf(Engine& engine, const Setup& setup) {
+std::unique_ptr<Store> storeOf(Server& server, const Setup& setup) {
   if (!setup.etcd)
-    return std::make_unique<SqliteStore>(engine.io, setup.sqlitePath);
-  auto store = std::make_unique<EtcdStore>(engine.io, engine.clock, engine.deadlines,
-                                           engine.counters, *setup.etcd);
-  store->accountTo(engine.ledger);
+    return std::make_unique<SqliteStore>(server.io, setup.sqlitePath);
+  auto store = std::make_unique<EtcdStore>(server.io, server.clock, server.deadlines,
+                                           server.counters, *setup.etcd);
+  store->accountTo(server.descriptorBudget);
   return store;
 }
 
@@ -94,7 +94,7 @@
   if (wanted == 2)
     command.id = plain[0];
   if (wanted > 0)
-    command.boxes = listIn(plain[wanted - 1]);
+    command.instances = listIn(plain[wanted - 1]);
   return command;
 }
 
@@ -102,32 +102,33 @@
 
 Coordinator::Run::Run(Coordinator& owner, Setup given)
     : setup(std::move(given)),
-      store(storeOf(owner.engine_, setup)),
-      runner({*store, owner.engine_.clock, owner.engine_.deadlines, owner.engine_.counters},
+      store(storeOf(owner.server_, setup)),
+      runner({*store, owner.server_.clock, owner.server_.deadlines, owner.server_.counters},
              owner.who_,
              owner.seed_,
              setup.lease,
              setup.watchMs) {
-  runner.add(std::make_unique<Maintenance>(setup.maintenance, [&owner] { return owner.boxes(); }));
+  runner.add(
+      std::make_unique<Maintenance>(setup.maintenance, [&owner] { return owner.instances(); }));
   runner.add(std::make_unique<Cleanup>(setup.cleanup));
-  if (owner.sharer_ == nullptr)
+  if (owner.sharedState_ == nullptr)
     return;
-  runner.add(owner.sharer_->task(setup.lease.longestStepMs));
+  runner.add(owner.sharedState_->task(setup.lease.longestStepMs));
   // With a digest to go by, nobody but holders needs to read what all others say.
   runner.needs([&owner] {
-    std::vector<std::string> keys = owner.sharer_->keys();
+    std::vector<std::string> keys = owner.sharedState_->keys();
     keys.insert(keys.end(), {kPlanKey, kNodePrefix + owner.who_.name});
     return keys;
   });
 }
 
-Coordinator::Coordinator(Engine& engine,
+Coordinator::Coordinator(Server& server,
                          const routing::wire::Setup& site,
                          Setup setup,
-                         Sharer* sharer)
-    : engine_(engine),
+                         SharedStateService* sharedState)
+    : server_(server),
       site_(site),
-      sharer_(sharer),
+      sharedState_(sharedState),
       who_{setup.name, freshNumber()},
       seed_(who_.incarnation),
       presence_(who_, setup.maintenance.silentNodeMs / kBeats) {
@@ -136,22 +137,22 @@
 
 Coordinator::~Coordinator() {
   *alive_ = false;
-  if (sharer_ != nullptr)
-    sharer_->carriedBy(nullptr);
-  engine_.deadlines.cancel(turn_);
+  if (sharedState_ != nullptr)
+    sharedState_->carriedBy(nullptr);
+  server_.deadlines.cancel(turn_);
 }
 
 void Coordinator::begin(Setup setup) {
-  if (sharer_ != nullptr)
-    sharer_->carriedBy(nullptr);
+  if (sharedState_ != nullptr)
+    sharedState_->carriedBy(nullptr);
   run_ = nullptr;
   presence_ = OwnPresence(who_, setup.maintenance.silentNodeMs / kBeats);
   run_ = std::make_unique<Run>(*this, std::move(setup));
   spdlog::info("coordination: {} is {} in {}", who_.name, who_.incarnation,
                run_->store->describe());
   run_->runner.onView([this](const View& view, bool whole) { saw(view, whole); });
-  if (sharer_ != nullptr)
-    sharer_->carriedBy([this](Write write, std::function<void(CommitAnswer)> answer) {
+  if (sharedState_ != nullptr)
+    sharedState_->carriedBy([this](Write write, std::function<void(CommitAnswer)> answer) {
       run_->store->put(std::move(write), std::move(answer));
     });
   if (resigned_)
@@ -174,22 +175,22 @@
     turn_.reset();
     if (run_->runner.out())
       return begin(*std::exchange(coming_, std::nullopt));
-    turn_ = engine_.deadlines.add(engine_.clock.nowMs() + kTurnMs, [again] { again(again); });
+    turn_ = server_.deadlines.add(server_.clock.nowMs() + kTurnMs, [again] { again(again); });
   };
-  turn_ = engine_.deadlines.add(engine_.clock.nowMs(), [turn] { turn(turn); });
+  turn_ = server_.deadlines.add(server_.clock.nowMs(), [turn] { turn(turn); });
 }
 
 void Coordinator::resign() {
   resigned_ = true;
-  if (sharer_ != nullptr)
-    sharer_->leave(true);
+  if (sharedState_ != nullptr)
+    sharedState_->leave(true);
   run_->runner.resign();
 }
 
 void Coordinator::again() {
   resigned_ = false;
-  if (sharer_ != nullptr)
-    sharer_->leave(false);
+  if (sharedState_ != nullptr)
+    sharedState_->leave(false);
   if (!presence_.rivalled())
     run_->runner.again();
 }
@@ -199,22 +200,22 @@
 }
 
 void Coordinator::saw(const View& view, bool whole) {
-  presence_.read(view.docs, engine_.clock.nowMs());
+  presence_.read(view.docs, server_.clock.nowMs());
   if (presence_.rivalled() && !std::exchange(saidRival_, true)) {
     spdlog::error(
         "coordination: another conductor has the name {}; this one holds no leases any more",
         who_.name);
-    ++engine_.counters["coordination.rivalled"];
+    ++server_.counters["coordination.rivalled"];
     run_->runner.resign();
   }
   std::size_t nodes = 0;
   for (const auto& [key, doc] : view.docs)
     nodes += key.rfind(kNodePrefix, 0) == 0;
   if (!whole)
-    nodes = sharer_->nodes();
+    nodes = sharedState_->nodes();
   run_->runner.candidates(std::max<std::size_t>(1, nodes));
-  if (sharer_ != nullptr)
-    sharer_->saw(view);
+  if (sharedState_ != nullptr)
+    sharedState_->saw(view);
   apply(view);
   speak();
 }
@@ -226,13 +227,13 @@
   const auto stored = view.docs.find(kPlanKey);
   auto plan = stored == view.docs.end() ? std::nullopt : Plan::parse(stored->second.value);
   if (stored != view.docs.end() && !plan) {
-    ++engine_.counters["coordination.unreadable"];
+    ++server_.counters["coordination.unreadable"];
     return;
   }
   const bool behind = plan && plan_ && plan->id == plan_->id &&
                       (plan->steps < plan_->steps || plan->fence < plan_->fence);
   if (behind) {
-    ++engine_.counters["coordination.behind"];
+    ++server_.counters["coordination.behind"];
     if (!std::exchange(saidBack_, true))
       spdlog::error(
           "coordination: plan {} is at step {}, and step {} was carried out; it is not followed",
@@ -243,17 +244,17 @@
   plan_ = std::move(plan);
   const std::set<std::string> drained =
       plan_ && !plan_->over() ? plan_->drained() : std::set<std::string>();
-  const auto news = engine_.membership.setPlannedDrains(drained, engine_.clock.nowMs());
+  const auto news = server_.membership.setPlannedDrains(drained, server_.clock.nowMs());
   if (!news)
     return;
-  for (const routing::ListEntry& entry : news->entries) {
-    const bool out = drained.count(entry.engine.value) != 0;
-    spdlog::info("maintenance: box {} is {}", entry.engine.value, out ? "drained" : "back");
-    const upstream::Box* box = engine_.directory.find(entry.engine);
-    if (!out && box != nullptr)
-      engine_.pool.dropIdle(box->address);
+  for (const routing::EndpointRecord& entry : news->entries) {
+    const bool out = drained.count(entry.instance.value) != 0;
+    spdlog::info("maintenance: box {} is {}", entry.instance.value, out ? "drained" : "back");
+    const upstream::InstanceEndpoint* instance = server_.directory.find(entry.instance);
+    if (!out && instance != nullptr)
+      server_.pool.dropIdle(instance->address);
   }
-  engine_.conductor.list(*news);
+  server_.dispatcher.list(*news);
 }
 
 void Coordinator::speak() {
@@ -261,21 +262,21 @@
   if (plan_) {
     now.plan = plan_->id;
     now.steps = plan_->steps;
-    for (const std::string& box : plan_->drained())
-      if (const std::size_t open = engine_.conductor.openAt({box}); open > 0)
-        now.open[box] = open;
+    for (const std::string& instance : plan_->drained())
+      if (const std::size_t open = server_.dispatcher.openAt({instance}); open > 0)
+        now.open[instance] = open;
   }
-  const auto write = presence_.next(now, engine_.clock.nowMs());
+  const auto write = presence_.next(now, server_.clock.nowMs());
   if (!write)
     return;
   run_->store->put(*write, [this, alive = alive_](CommitAnswer answer) {
     if (*alive)
-      presence_.written(answer, engine_.clock.nowMs());
+      presence_.written(answer, server_.clock.nowMs());
   });
 }
 
-FleetBoxes Coordinator::boxes() const {
-  return fleetBoxes(engine_.membership, site_.settings);
+FleetInstances Coordinator::instances() const {
+  return fleetInstances(server_.membership, site_.settings);
 }
 
 std::string Coordinator::plan() const {
@@ -290,7 +291,7 @@
                   stored == run_->runner.view().docs.end() ? 0 : stored->second.revision,
                   plan_->steps, plan_->fence, run_->runner.hears() ? "" : " as last heard");
   for (const PlanItem& item : plan_->items)
-    text += fmt::format("item {} {} at_step={} why=\"{}\"\n", item.box,
+    text += fmt::format("item {} {} at_step={} why=\"{}\"\n", item.instance,
                         coordination::nameOf(item.state), item.changed, item.why);
   return text;
 }
@@ -311,8 +312,8 @@
       return;
     if (!all.ok)
       return reply({false, "the store cannot be read: " + all.why});
-    const PlanAnswer answer =
-        decide(asked, {all.docs, all.revision, engine_.clock.nowMs()}, boxes(), core::unixNowMs());
+    const PlanAnswer answer = decide(asked, {all.docs, all.revision, server_.clock.nowMs()},
+                                     instances(), core::unixNowMs());
     if (!answer.problem.empty())
       return reply({false, answer.problem});
     if (!answer.write)
--- a/src/app/coordinator.h
+++ b/src/app/coordinator.h
@@ -1,5 +1,5 @@
-// What conductors of one installation do together, put together for one of them: the store that the
-// operator's file names, the leases and tasks, this conductor's own word, and the plan's drains in
+// What routers of one installation do together, put together for one of them: the store that the
+// operator's file names, the leases and tasks, this router's own word, and the plan's drains in
 // its membership.
 #pragma once
 
@@ -19,10 +19,10 @@
 class Coordinator {
  public:
   // sharer: what else the store carries; none where nothing is shared beside leases.
-  Coordinator(Engine& engine,
+  Coordinator(Server& server,
               const routing::wire::Setup& site,
               coordination::Setup setup,
-              Sharer* sharer = nullptr);
+              SharedStateService* sharedState = nullptr);
   ~Coordinator();
 
   // Another store or other times: what is held is let go first. A name that changes needs a new
@@ -51,14 +51,14 @@
   void saw(const coordination::View& view, bool whole);
   void speak();
   void apply(const coordination::View& view);
-  coordination::FleetBoxes boxes() const;
+  coordination::FleetInstances instances() const;
   void command(coordination::PlanCommand command,
                int tries,
                std::function<void(control::Service::Done)> reply);
 
-  Engine& engine_;
+  Server& server_;
   const routing::wire::Setup& site_;
-  Sharer* sharer_;
+  SharedStateService* sharedState_;
   coordination::Holder who_;
   std::uint64_t seed_;
   coordination::OwnPresence presence_;
--- a/src/app/fleet_instances.h
+++ b/src/app/fleet_instances.h
@@ -17,15 +17,15 @@
 }
 
 // The listed instances, without the drains of a maintenance.
-inline coordination::FleetBoxes fleetBoxes(const fleet::Membership& members,
-                                           const routing::Settings& settings) {
+inline coordination::FleetInstances fleetInstances(const fleet::Membership& members,
+                                                   const routing::Settings& settings) {
   constexpr std::array<const char*, 3> kRoles{"read", "write", "both"};
-  coordination::FleetBoxes found;
+  coordination::FleetInstances found;
   for (const auto& [id, entry] : members.listed()) {
-    coordination::FleetBox& box = found[id.value];
-    box.role = kRoles.at(static_cast<std::size_t>(settings.kinds[entry.kind.value].role));
-    box.cell = entry.cell.value;
-    box.serves = entry.presence == routing::Presence::kActive && !members.excluded(id);
+    coordination::FleetInstance& instance = found[id.value];
+    instance.role = kRoles.at(static_cast<std::size_t>(settings.kinds[entry.kind.value].role));
+    instance.cell = entry.cell.value;
+    instance.serves = entry.state == routing::EndpointState::kActive && !members.excluded(id);
   }
   return found;
 }
--- a/src/app/handover.cpp
+++ b/src/app/handover.cpp
@@ -40,13 +40,13 @@
                    {"prompt", told.promptTokens},
                    {"shared", told.prefixTokens},
                    {"most", told.maxTokens},
-                   {"engine", binary(stream.engine.value)},
+                   {"engine", binary(stream.instance.value)},
                    {"address", stream.address.address().to_string() + ":" +
                                    std::to_string(stream.address.port())},
-                   {"unread", binary(stream.box.call.unread)},
-                   {"chunk", stream.box.call.chunkLeft},
-                   {"box_keeps", stream.box.call.keepAlive},
-                   {"event", binary(stream.box.event)},
+                   {"unread", binary(stream.instanceTransfer.call.unread)},
+                   {"chunk", stream.instanceTransfer.call.chunkLeft},
+                   {"box_keeps", stream.instanceTransfer.call.keepAlive},
+                   {"event", binary(stream.instanceTransfer.event)},
                    {"ahead", binary(stream.client.ahead)},
                    {"ahead_came", stream.client.aheadCameMs},
                    {"client_keeps", stream.client.keepAlive}};
@@ -66,12 +66,12 @@
   stream.arrival.promptTokens = whole.at("prompt").get<double>();
   stream.arrival.prefixTokens = whole.at("shared").get<double>();
   stream.arrival.maxTokens = whole.at("most").get<double>();
-  stream.engine = {bytesOf(whole.at("engine"))};
+  stream.instance = {bytesOf(whole.at("engine"))};
   stream.address = net::endpointOf(whole.at("address").get<std::string>());
-  stream.box.call.unread = bytesOf(whole.at("unread"));
-  stream.box.call.chunkLeft = whole.at("chunk").get<std::uint64_t>();
-  stream.box.call.keepAlive = whole.at("box_keeps").get<bool>();
-  stream.box.event = bytesOf(whole.at("event"));
+  stream.instanceTransfer.call.unread = bytesOf(whole.at("unread"));
+  stream.instanceTransfer.call.chunkLeft = whole.at("chunk").get<std::uint64_t>();
+  stream.instanceTransfer.call.keepAlive = whole.at("box_keeps").get<bool>();
+  stream.instanceTransfer.event = bytesOf(whole.at("event"));
   stream.client.ahead = bytesOf(whole.at("ahead"));
   stream.client.aheadCameMs = whole.value("ahead_came", 0.0);  // earlier versions do not say it
   stream.client.keepAlive = whole.at("client_keeps").get<bool>();
@@ -79,13 +79,13 @@
 }
 
 Handover::~Handover() {
-  engine_.deadlines.cancel(next_);
+  server_.deadlines.cancel(next_);
 }
 
 void Handover::begin(const std::string& folder, const std::string& name) {
   if (to_)
     return;
-  to_ = std::make_unique<net::PassingSender>(folder, name);
+  to_ = std::make_unique<net::DescriptorSender>(folder, name);
   if (!to_->isOpen())
     spdlog::warn("the other process takes no streams: their clients will ask for the rest");
   tick();
@@ -107,41 +107,43 @@
   settle();
   if (!to_->isOpen())
     return;
-  for (const core::RequestKey key : engine_.conductor.streams()) {
-    const auto stream = engine_.conductor.streamOf(key);
+  for (const core::RequestKey key : server_.dispatcher.streams()) {
+    const auto stream = server_.dispatcher.streamOf(key);
     if (stream)
-      engine_.boxes.pause(stream->attempt, [this, key] { hand(key); });
+      server_.instanceClient.pause(stream->attempt, [this, key] { hand(key); });
   }
-  next_ = engine_.deadlines.add(engine_.clock.nowMs() + kLookMs, [this] { tick(); });
+  next_ = server_.deadlines.add(server_.clock.nowMs() + kLookMs, [this] { tick(); });
 }
 
 // Called when nothing is being read from the box. Whatever stands in the way now, the stream goes
 // on here and is looked at again.
 void Handover::hand(core::RequestKey key) {
-  const auto stream = engine_.conductor.streamOf(key);
+  const auto stream = server_.dispatcher.streamOf(key);
   if (!stream)
     return;
   const auto client = front_.connectionOf(key);
-  const auto rest = client ? client->rest() : std::nullopt;
-  const auto box = engine_.boxes.rest(stream->attempt);
-  const upstream::Box* known = engine_.directory.find(stream->engine);
-  if (!rest || !box || known == nullptr)
-    return engine_.boxes.goOn(stream->attempt);
-  net::Passed kept{textOf({stream->arrival, stream->engine, known->address, *box, *rest}), {}};
-  for (const int descriptor : {rest->descriptor, box->call.descriptor})
+  const auto clientState = client ? client->rest() : std::nullopt;
+  const auto instanceState = server_.instanceClient.rest(stream->attempt);
+  const upstream::InstanceEndpoint* known = server_.directory.find(stream->instance);
+  if (!clientState || !instanceState || known == nullptr)
+    return server_.instanceClient.unpause(stream->attempt);
+  net::ReceivedMessage kept{
+      textOf({stream->arrival, stream->instance, known->address, *instanceState, *clientState}),
+      {}};
+  for (const int descriptor : {clientState->descriptor, instanceState->call.descriptor})
     kept.descriptors.emplace_back(::fcntl(descriptor, F_DUPFD_CLOEXEC, 0));
   const bool may = sent_.size() < kMostUnheard && kept.descriptors[0] && kept.descriptors[1];
-  if (!may || to_->send(kept.bytes, {rest->descriptor, box->call.descriptor}) !=
-                  net::PassingSender::Result::kSent)
-    return engine_.boxes.goOn(stream->attempt);
+  if (!may || to_->send(kept.bytes, {clientState->descriptor, instanceState->call.descriptor}) !=
+                  net::DescriptorSender::Result::kSent)
+    return server_.instanceClient.unpause(stream->attempt);
   sent_.push_back(std::move(kept));
-  ++engine_.counters["streams.handed_over"];
-  engine_.boxes.leave(stream->attempt);
+  ++server_.counters["streams.handed_over"];
+  server_.instanceClient.leave(stream->attempt);
   front_.leave(*client);
-  engine_.conductor.handedOver(key);
+  server_.dispatcher.handedOver(key);
 }
 
-void Handover::take(net::Passed passed) {
+void Handover::take(net::ReceivedMessage passed) {
   if (passed.descriptors.size() != 2)
     return;
   HandedStream stream{};
@@ -155,17 +157,18 @@
   const auto client = listener_.adopt(stream.client);
   if (!client)
     return;
-  const auto answerer = front_.adopted(client);
-  const auto taken =
-      answerer ? engine_.conductor.adopt(stream.arrival, stream.engine, answerer) : std::nullopt;
+  const auto responseWriter = front_.adopted(client);
+  const auto taken = responseWriter
+                         ? server_.dispatcher.adopt(stream.arrival, stream.instance, responseWriter)
+                         : std::nullopt;
   if (!taken)
     return client->breakOff();
-  ++engine_.counters["streams.taken_over"];
+  ++server_.counters["streams.taken_over"];
   front_.adopt(*client, taken->request);
-  stream.box.call.descriptor = passed.descriptors[1].take();
-  if (!engine_.boxes.adopt(taken->attempt, stream.arrival.request, stream.engine, stream.address,
-                           stream.box))
-    engine_.conductor.ended(taken->attempt, {routing::Outcome::kConnectionLost});
+  stream.instanceTransfer.call.descriptor = passed.descriptors[1].take();
+  if (!server_.instanceClient.adopt(taken->attempt, stream.arrival.request, stream.instance,
+                                    stream.address, stream.instanceTransfer))
+    server_.dispatcher.ended(taken->attempt, {routing::AttemptOutcome::kConnectionLost});
 }
 
 }  // namespace inference_router::app
--- a/src/app/handover.h
+++ b/src/app/handover.h
@@ -14,18 +14,18 @@
 // The text form of a stream without its descriptors, and back; throws on what is none.
 struct HandedStream {
   routing::Arrival arrival;
-  routing::EngineId engine;
+  routing::InstanceId instance;
   net::Endpoint address;
-  upstream::Boxes::Rest box;
-  net::ClientConnection::Rest client;
+  upstream::HttpInstanceClient::TransferState instanceTransfer;
+  net::ClientConnection::TransferState client;
 };
 std::string textOf(const HandedStream& stream);
 HandedStream handedStreamOf(const std::string& text);
 
 class Handover {
  public:
-  Handover(Engine& engine, frontend::Front& front, net::Listener& listener)
-      : engine_(engine), front_(front), listener_(listener) {}
+  Handover(Server& server, frontend::Front& front, net::Listener& listener)
+      : server_(server), front_(front), listener_(listener) {}
   ~Handover();
 
   // From now on every stream that is open, or opens, goes to the process that receives under this
@@ -36,18 +36,18 @@
   std::size_t unheard() const { return sent_.size(); }
   // A stream from another process. One that cannot be taken over breaks, and its client asks for
   // the rest.
-  void take(net::Passed passed);
+  void take(net::ReceivedMessage passed);
 
  private:
   void settle();
   void tick();
   void hand(core::RequestKey key);
 
-  Engine& engine_;
+  Server& server_;
   frontend::Front& front_;
   net::Listener& listener_;
-  std::unique_ptr<net::PassingSender> to_;
-  std::deque<net::Passed> sent_;  // with descriptors of this process's own
+  std::unique_ptr<net::DescriptorSender> to_;
+  std::deque<net::ReceivedMessage> sent_;  // with descriptors of this process's own
   std::optional<core::Deadlines::Key> next_;
 };
 
--- a/src/app/operations.cpp
+++ b/src/app/operations.cpp
@@ -8,7 +8,7 @@
 
 namespace inference_router::app {
 
-using routing::ListNews;
+using routing::EndpointListUpdate;
 
 namespace {
 
@@ -19,16 +19,16 @@
 constexpr double kListWaitMs = 2'000;
 constexpr double kExclusionsWaitMs =
     5'000;                           // for stored exclusions that cannot be read; 10 s are allowed
-constexpr double kFollowMs = 500;    // between looks at the boxes' lives
-constexpr double kGoneMs = 600'000;  // that a box is shown after it has left the list
+constexpr double kFollowMs = 500;    // between looks at the instances' lives
+constexpr double kGoneMs = 600'000;  // that an instance is shown after it has left the list
 
 }  // namespace
 
 Operations::Operations(Parts parts, std::unique_ptr<SharedFolder> folder)
     : parts_(std::move(parts)),
       folder_(std::move(folder)),
-      handover_(parts_.engine, parts_.front, parts_.listener),
-      startedMs_(parts_.engine.clock.nowMs()) {
+      handover_(parts_.server, parts_.front, parts_.listener),
+      startedMs_(parts_.server.clock.nowMs()) {
   if (!folder_)
     return;
   openReceiver();
@@ -37,13 +37,13 @@
 }
 
 void Operations::openReceiver() {
-  receiver_ = std::make_unique<net::PassingReceiver>(
-      parts_.engine.io, folder_->folder(), folder_->receiver(),
-      [this](net::Passed passed) { handover_.take(std::move(passed)); });
+  receiver_ = std::make_unique<net::DescriptorReceiver>(
+      parts_.server.io, folder_->folder(), folder_->receiver(),
+      [this](net::ReceivedMessage passed) { handover_.take(std::move(passed)); });
 }
 
 Operations::~Operations() {
-  parts_.engine.deadlines.cancel(next_);
+  parts_.server.deadlines.cancel(next_);
 }
 
 void Operations::start() {
@@ -75,7 +75,7 @@
     openDoor();
   if (parts_.doors)
     reconcileLifecycles();
-  next_ = parts_.engine.deadlines.add(parts_.engine.clock.nowMs() + kLookMs, [this] { tick(); });
+  next_ = parts_.server.deadlines.add(parts_.server.clock.nowMs() + kLookMs, [this] { tick(); });
 }
 
 // All that may have failed before is tried again here. Who cannot be seen now counts as before.
@@ -102,13 +102,13 @@
 // take to come back.
 bool Operations::exclusionsAreKnown() const {
   return !folder_ || exclusionsRead_ ||
-         parts_.engine.clock.nowMs() - startedMs_ >= kExclusionsWaitMs;
+         parts_.server.clock.nowMs() - startedMs_ >= kExclusionsWaitMs;
 }
 
 bool Operations::mayServe() const {
   if (!exclusionsAreKnown())
     return false;
-  return parts_.spoken() || parts_.engine.clock.nowMs() - startedMs_ >= kListWaitMs;
+  return parts_.spoken() || parts_.server.clock.nowMs() - startedMs_ >= kListWaitMs;
 }
 
 void Operations::openDoor() {
@@ -120,11 +120,11 @@
 void Operations::sayServing() {
   saidServing_ = folder_->sayServing();
   if (!saidServing_)
-    ++parts_.engine.counters["folder.serving_unsaid"];
+    ++parts_.server.counters["folder.serving_unsaid"];
 }
 
-// Two processes of one conductor keep within one's limits: each takes its part of the connections,
-// and what a cold box may be sent is shared among one node more.
+// Two processes of one router keep within one's limits: each takes its part of the connections,
+// and what a cold instance may be sent is shared among one node more.
 void Operations::share(SharedFolder::Others others) {
   if (others == others_)
     return;
@@ -132,26 +132,26 @@
     spdlog::info("processes of this conductor beside this one: {}", others.alive);
     const std::size_t parts = others.alive + 1;
     parts_.listener.capAt(parts_.limits.clients() / parts);
-    parts_.engine.pool.capAt(parts_.limits.boxes() / parts);
+    parts_.server.pool.capAt(parts_.limits.instances() / parts);
     routing::Settings settings = parts_.setup.settings;
     settings.nodes += static_cast<int>(others.alive);
-    parts_.engine.conductor.reconfigure(settings);
+    parts_.server.dispatcher.reconfigure(settings);
   }
   others_ = others;
 }
 
-void Operations::tell(const std::optional<ListNews>& news) {
+void Operations::tell(const std::optional<EndpointListUpdate>& news) {
   if (!news)
     return;
-  for (const routing::ListEntry& entry : news->entries) {
-    const bool out = parts_.engine.membership.excluded(entry.engine);
-    spdlog::info("instance {} is {}", entry.engine.value, out ? "excluded" : "included");
+  for (const routing::EndpointRecord& entry : news->entries) {
+    const bool out = parts_.server.membership.excluded(entry.instance);
+    spdlog::info("instance {} is {}", entry.instance.value, out ? "excluded" : "included");
     // It may have been started anew: what led to it would only end as resets.
-    const upstream::Box* box = parts_.engine.directory.find(entry.engine);
-    if (!out && box != nullptr)
-      parts_.engine.pool.dropIdle(box->address);
+    const upstream::InstanceEndpoint* instance = parts_.server.directory.find(entry.instance);
+    if (!out && instance != nullptr)
+      parts_.server.pool.dropIdle(instance->address);
   }
-  parts_.engine.conductor.list(*news);
+  parts_.server.dispatcher.list(*news);
 }
 
 void Operations::readExclusions() {
@@ -159,13 +159,13 @@
   switch (read.status) {
     case SharedFolder::ReadStatus::kUnreadable:
       exclusionsRead_ = false;
-      ++parts_.engine.counters["marks.unreadable"];
+      ++parts_.server.counters["marks.unreadable"];
       return;
     case SharedFolder::ReadStatus::kFresh:
       exclusionsRead_ = true;
       return merge(read.text);
     case SharedFolder::ReadStatus::kAbsent:
-      if (parts_.engine.membership.exclusions().size() > 0)
+      if (parts_.server.membership.exclusions().size() > 0)
         unstored_ = true;
       exclusionsRead_ = true;
       return;
@@ -179,14 +179,14 @@
 void Operations::merge(const std::string& text) {
   auto exclusions = fleet::Exclusions::parse(text);
   if (exclusions) {
-    exclusions->boundTimes(parts_.engine.clock.nowMs());
-    tell(parts_.engine.membership.merge(*exclusions));
+    exclusions->boundTimes(parts_.server.clock.nowMs());
+    tell(parts_.server.membership.merge(*exclusions));
   } else {
     spdlog::error("the shared file of exclusions makes no sense; it is ignored");
-    ++parts_.engine.counters["marks.damaged"];
+    ++parts_.server.counters["marks.damaged"];
   }
   // Written by both at once, one's news may be missing from it.
-  unstored_ = !exclusions || !(parts_.engine.membership.exclusions() == *exclusions);
+  unstored_ = !exclusions || !(parts_.server.membership.exclusions() == *exclusions);
 }
 
 // Not over a file that could not be read: what it holds would be lost.
@@ -195,12 +195,12 @@
     return true;
   const bool failedBefore = unstored_;
   unstored_ =
-      !exclusionsRead_ || !folder_->writeExclusions(parts_.engine.membership.exclusions().text());
+      !exclusionsRead_ || !folder_->writeExclusions(parts_.server.membership.exclusions().text());
   if (!unstored_)
     return true;
   if (!failedBefore)
     spdlog::error("exclusions cannot be stored now; they hold here and are stored later");
-  ++parts_.engine.counters["marks.unwritten"];
+  ++parts_.server.counters["marks.unwritten"];
   return false;
 }
 
@@ -215,8 +215,8 @@
 control::Service::Done Operations::setExcluded(const std::string& id, bool out) {
   if (folder_)
     readExclusions();  // what the other process was told comes before this
-  const double now = parts_.engine.clock.nowMs();
-  fleet::Membership& members = parts_.engine.membership;
+  const double now = parts_.server.clock.nowMs();
+  fleet::Membership& members = parts_.server.membership;
   const auto change = out ? members.exclude(id, now) : members.include(id, now);
   if (change.verdict == fleet::Membership::Verdict::kUnknown)
     return {false, "no instance has this id"};
@@ -260,7 +260,7 @@
 }
 
 std::string Operations::shared(bool json) {
-  return sharer_ == nullptr ? "" : sharer_->report(json);
+  return sharedState_ == nullptr ? "" : sharedState_->report(json);
 }
 
 std::string Operations::plan() {
@@ -274,16 +274,16 @@
   coordinator_->maintenance(words, std::move(reply));
 }
 
-// What is listed now, and how each box has got there.
+// What is listed now, and how each instance has got there.
 void Operations::reconcileLifecycles() {
-  const double now = parts_.engine.clock.nowMs();
+  const double now = parts_.server.clock.nowMs();
   if (now - reconciledMs_ < kFollowMs)
     return;
   reconciledMs_ = now;
-  const auto& members = parts_.engine.membership;
-  const double coldMs = core::toMs(parts_.setup.settings.contract.coldFor);
+  const auto& members = parts_.server.membership;
+  const double coldMs = core::toMs(parts_.setup.settings.contract.warmupDuration);
   for (const auto& [id, entry] : members.listed()) {
-    const routing::ListEntry effective = members.effectiveOf(id).value_or(entry);
+    const routing::EndpointRecord effective = members.effectiveOf(id).value_or(entry);
     fleet::InstanceFacts facts;
     facts.listed = true;
     facts.warm = !effective.started || now - core::toMs(*effective.started) >= coldMs;
@@ -291,12 +291,12 @@
       facts.drainedBy = "operator";
     else if (members.drained().count(id.value) != 0)
       facts.drainedBy = "maintenance";
-    else if (entry.presence != routing::Presence::kActive)
+    else if (entry.state != routing::EndpointState::kActive)
       facts.drainedBy = "list";
-    facts.avoided = parts_.engine.conductor.avoids(id);
-    if (const upstream::Box* box = parts_.engine.directory.find(id))
-      facts.reachable = box->failedMs <= box->heardMs;
-    facts.open = parts_.engine.conductor.openAt(id);
+    facts.avoided = parts_.server.dispatcher.avoids(id);
+    if (const upstream::InstanceEndpoint* instance = parts_.server.directory.find(id))
+      facts.reachable = instance->failedMs <= instance->heardMs;
+    facts.open = parts_.server.dispatcher.openAt(id);
     const auto lifecycle = lifecycles_.try_emplace(id, !facts.warm, now).first;
     fleet::reconcile(lifecycle->second, facts, now);
   }
@@ -309,15 +309,15 @@
   });
 }
 
-std::string Operations::boxes() {
+std::string Operations::instances() {
   reconciledMs_ = 0;
   reconcileLifecycles();
-  const double now = parts_.engine.clock.nowMs();
+  const double now = parts_.server.clock.nowMs();
   std::string text;
   for (const auto& [id, lifecycle] : lifecycles_)
     text += "box " + id.value + " " + fleet::nameOf(lifecycle.state()) +
             " for_s=" + std::to_string(static_cast<long>((now - lifecycle.sinceMs()) / 1000)) +
-            " open=" + std::to_string(parts_.engine.conductor.openAt(id)) +
+            " open=" + std::to_string(parts_.server.dispatcher.openAt(id)) +
             " revision=" + std::to_string(lifecycle.revision()) +
             " by=" + (lifecycle.by().empty() ? "-" : lifecycle.by()) + " why=\"" + lifecycle.why() +
             "\"\n";
@@ -325,9 +325,9 @@
 }
 
 control::Service::Pool Operations::pool() {
-  Pool pool{parts_.engine.membership.listed().size(), 0};
-  for (const auto& [id, entry] : parts_.engine.membership.listed())
-    if (parts_.engine.membership.excluded(id) || parts_.engine.conductor.avoids(id))
+  Pool pool{parts_.server.membership.listed().size(), 0};
+  for (const auto& [id, entry] : parts_.server.membership.listed())
+    if (parts_.server.membership.excluded(id) || parts_.server.dispatcher.avoids(id))
       ++pool.avoided;
   return pool;
 }
--- a/src/app/operations.h
+++ b/src/app/operations.h
@@ -1,5 +1,5 @@
 // What operators' calls act on: the parts of the running program, and what two processes of one
-// conductor share while one replaces the other.
+// router share while one replaces the other.
 #pragma once
 
 #include <map>
@@ -18,12 +18,12 @@
 namespace inference_router::app {
 
 class Coordinator;
-class Sharer;
+class SharedStateService;
 
 class Operations final : public control::Service {
  public:
   struct Parts {
-    Engine& engine;
+    Server& server;
     net::Listener& listener;
     const routing::wire::Setup& setup;
     Limits limits;
@@ -38,7 +38,7 @@
 
   void admissionBy(AdmissionWatch& watch) { admission_ = &watch; }
   void coordinatedBy(Coordinator& coordinator) { coordinator_ = &coordinator; }
-  void sharedBy(Sharer& sharer) { sharer_ = &sharer; }
+  void sharedBy(SharedStateService& sharedState) { sharedState_ = &sharedState; }
 
   // Opens the listener: at once where nobody serves, else as soon as the list is known.
   void start();
@@ -54,10 +54,10 @@
   Done include(const std::string& id) override;
   Done evacuate() override;
   Done activate() override;
-  const core::Figures& figures() override { return parts_.engine.conductor.figures(); }
-  std::size_t open() override { return parts_.engine.conductor.open(); }
+  const core::RequestMetrics& metrics() override { return parts_.server.dispatcher.metrics(); }
+  std::size_t open() override { return parts_.server.dispatcher.open(); }
   Pool pool() override;
-  std::string boxes() override;
+  std::string instances() override;
   std::string admission() override { return admission_ == nullptr ? "" : admission_->report(); }
   std::string leases(bool json) override;
   std::string plan() override;
@@ -74,7 +74,7 @@
   void merge(const std::string& text);
   bool storeExclusions();
   void sayServing();
-  void tell(const std::optional<routing::ListNews>& news);
+  void tell(const std::optional<routing::EndpointListUpdate>& news);
   Done setExcluded(const std::string& id, bool out);
   bool mayServe() const;
   bool exclusionsAreKnown() const;
@@ -84,17 +84,17 @@
   Parts parts_;
   std::unique_ptr<SharedFolder> folder_;
   Handover handover_;
-  std::unique_ptr<net::PassingReceiver> receiver_;
+  std::unique_ptr<net::DescriptorReceiver> receiver_;
   SharedFolder::Others others_;
   bool exclusionsRead_ = false;  // what the folder stores is known here
   bool unstored_ = false;        // what holds here is not stored there
   bool saidServing_ = false;
   bool folderFails_ = false;  // as was logged
   AdmissionWatch* admission_ = nullptr;
-  Coordinator* coordinator_ = nullptr;  // none: this conductor shares nothing
-  Sharer* sharer_ = nullptr;            // none: nothing but leases
-  std::map<routing::EngineId, fleet::InstanceLifecycle>
-      lifecycles_;  // of the boxes that are listed, and of a few that are gone
+  Coordinator* coordinator_ = nullptr;         // none: this router shares nothing
+  SharedStateService* sharedState_ = nullptr;  // none: nothing but leases
+  std::map<routing::InstanceId, fleet::InstanceLifecycle>
+      lifecycles_;  // of the instances that are listed, and of a few that are gone
   double reconciledMs_ = 0;
   std::optional<core::Deadlines::Key> next_;
   double startedMs_;
--- a/src/app/otlp.h
+++ b/src/app/otlp.h
@@ -27,8 +27,8 @@
                const net::Endpoint& collector,
                double intervalMs);
 
-  void accountTo(admission::DescriptorBudget& ledger) {
-    pool_.accountTo(ledger, admission::Account::kTelemetry);
+  void accountTo(admission::DescriptorBudget& descriptorBudget) {
+    pool_.accountTo(descriptorBudget, admission::Account::kTelemetry);
   }
 
   // One export now; one that is still under way is given up for it, as sums say all there is to
@@ -42,7 +42,7 @@
   core::Deadlines& deadlines_;
   core::Counters& counters_;
   core::Counters unseen_;  // of the exporter's own pool: exporting must not count as work
-  net::Pool pool_;
+  net::ConnectionPool pool_;
   net::Endpoint collector_;
   double intervalMs_, startUnixMs_;
   std::shared_ptr<net::Call> call_;
--- a/src/app/server.cpp
+++ b/src/app/server.cpp
@@ -17,8 +17,8 @@
 
 namespace {
 
-// An idle connection is retired at this share of the time after which the box closes it, so that no
-// request is ever written to one that is being closed.
+// An idle connection is retired at this share of the time after which the instance closes it, so
+// that no request is ever written to one that is being closed.
 constexpr double kIdleShare = 0.6;
 // Connections arrive for 0.2 to 0.4 s after SIGTERM, so the door stays open a little longer.
 constexpr double kDoorOpenMs = 500;
@@ -33,7 +33,8 @@
 // reads them should find this process there. SIGKILL follows the last answers by 0.2 s.
 constexpr double kLastWordsMs = 100;
 constexpr double kLeaveMs = 2'000;  // for a store to hear that leases are let go; else they lapse
-constexpr std::uint64_t kAnswerBytes = 16 << 20;  // of a box's answer, far above the longest stream
+constexpr std::uint64_t kAnswerBytes =
+    16 << 20;  // of an instance's answer, far above the longest stream
 
 void letReloadsThrough() {
   sigset_t reloads;
@@ -56,51 +57,53 @@
   pthread_sigmask(SIG_BLOCK, &reloads, nullptr);
 }
 
-Engine::Engine(boost::asio::io_context& context,
+Server::Server(boost::asio::io_context& context,
                const core::Clock& time,
                const routing::wire::Setup& setup,
                std::uint64_t seed,
-               std::size_t boxConnections,
+               std::size_t instanceConnections,
                double idleCloseMs,
-               upstream::BoxDialect dialect,
+               upstream::InstanceProtocol dialect,
                std::size_t descriptors)
     : io(context),
       clock(time),
-      ledger(admission::DescriptorBudget::sharesOf(descriptors)),
+      descriptorBudget(admission::DescriptorBudget::sharesOf(descriptors)),
       loop(io, clock, deadlines),
-      conductor(setup.settings, seed, clock, deadlines, counters),
+      dispatcher(setup.settings, seed, clock, deadlines, counters),
       membership(seed),
       pool(io,
            clock,
            deadlines,
            counters,
-           {boxConnections, core::toMs(setup.settings.limits.dialTimeout), idleCloseMs * kIdleShare,
-            kAnswerBytes}),
-      boxes(std::move(dialect),
-            conductor,
-            pool,
-            directory,
-            clock,
-            deadlines,
-            counters,
-            core::toMs(setup.settings.contract.releaseWithin)),
+           {instanceConnections, core::toMs(setup.settings.limits.connectTimeout),
+            idleCloseMs * kIdleShare, kAnswerBytes}),
+      instanceClient(std::move(dialect),
+                     dispatcher,
+                     pool,
+                     directory,
+                     clock,
+                     deadlines,
+                     counters,
+                     core::toMs(setup.settings.contract.releaseLimit)),
       signals_(io, SIGTERM, SIGINT, SIGUSR1) {
   for (std::size_t i = 0; i < kOwnDescriptors; ++i)
-    ledger.force(admission::Account::kOwn);
-  pool.accountTo(ledger, admission::Account::kBoxes);
+    descriptorBudget.force(admission::Account::kOwn);
+  pool.accountTo(descriptorBudget, admission::Account::kInstances);
   signals_.add(SIGHUP);
-  conductor.onLog([](const std::string& text) { spdlog::info("module: {}", text); });
+  dispatcher.onLog([](const std::string& text) { spdlog::info("module: {}", text); });
 }
 
-void Engine::reconfigure(const routing::Settings& settings, upstream::BoxDialect dialect) {
-  conductor.reconfigure(settings);
-  pool.dialWithin(core::toMs(settings.limits.dialTimeout));
-  boxes.reconfigure(std::move(dialect), core::toMs(settings.contract.releaseWithin));
+void Server::reconfigure(const routing::Settings& settings, upstream::InstanceProtocol dialect) {
+  dispatcher.reconfigure(settings);
+  pool.dialWithin(core::toMs(settings.limits.connectTimeout));
+  instanceClient.reconfigure(std::move(dialect), core::toMs(settings.contract.releaseLimit));
 }
 
-void Engine::run(net::Listener& listener, const Ending& ending, std::function<void()> reload) {
+void Server::run(net::Listener& listener,
+                 const ShutdownOptions& shutdown,
+                 std::function<void()> reload) {
   listener_ = &listener;
-  ending_ = ending;
+  shutdown_ = shutdown;
   reload_ = std::move(reload);
   onSignal();
   letReloadsThrough();
@@ -108,7 +111,7 @@
   printCounters(counters);
 }
 
-void Engine::onSignal() {
+void Server::onSignal() {
   signals_.async_wait([this](const boost::system::error_code& error, int signal) {
     if (error)
       return;
@@ -123,24 +126,24 @@
   });
 }
 
-void Engine::stop() {
+void Server::stop() {
   const bool replaced = succeeded();
   spdlog::info("stopping: {}, then finishing what was taken",
                replaced ? "another process serves what arrives" : "serving what still arrives");
   if (!stoppedMs_)
     stoppedMs_ = clock.nowMs();
-  if (ending_.leave)
-    ending_.leave();
-  if (ending_.graceMs)
-    conductor.stopping(*ending_.graceMs);
-  listener_->drain(replaced ? 0 : ending_.doorOpenMs, [this] { finish(); });
+  if (shutdown_.leave)
+    shutdown_.leave();
+  if (shutdown_.graceMs)
+    dispatcher.stopping(*shutdown_.graceMs);
+  listener_->drain(replaced ? 0 : shutdown_.doorOpenMs, [this] { finish(); });
   if (replaced)
-    ending_.handOver();
+    shutdown_.handOver();
 }
 
 // Also while the program drains: what it has taken still needs the list. A file that cannot be read
 // or used leaves everything as it was.
-void Engine::reload() {
+void Server::reload() {
   try {
     reload_();
     ++counters["reloads.done"];
@@ -151,13 +154,13 @@
 }
 
 // The clients have their answers; what is held for them is let go before the program ends.
-void Engine::finish() {
+void Server::finish() {
   const double now = clock.nowMs();
   if (!finishedMs_)
     finishedMs_ = now;
-  const bool leaving = ending_.hasLeft && !ending_.hasLeft() && now < *stoppedMs_ + kLeaveMs;
+  const bool leaving = shutdown_.hasLeft && !shutdown_.hasLeft() && now < *stoppedMs_ + kLeaveMs;
   const bool cameBack = listener_->size() > 0;  // from a successor that ended with streams untaken
-  if (boxes.releasing() > 0 || leaving || cameBack || now < *finishedMs_ + kLastWordsMs) {
+  if (instanceClient.releasing() > 0 || leaving || cameBack || now < *finishedMs_ + kLastWordsMs) {
     deadlines.add(clock.nowMs() + 5, [this] { finish(); });
     return;
   }
@@ -166,42 +169,42 @@
 
 namespace {
 
-void traceTo(Engine& engine, const Telemetry& telemetry) {
+void traceTo(Server& server, const Telemetry& telemetry) {
   if (!telemetry.trace)
     return;
   const auto log = [](const auto& what) {
     if (const std::string line = traceLine(what); !line.empty())
       spdlog::info("trace: {}", line);
   };
-  engine.conductor.onEvent(log);
-  engine.conductor.onAction(log);
-  engine.pool.onWire([](const std::string& line) { spdlog::info("wire: {}", line); });
+  server.dispatcher.onEvent(log);
+  server.dispatcher.onAction(log);
+  server.pool.onWire([](const std::string& line) { spdlog::info("wire: {}", line); });
 }
 
-std::unique_ptr<OtlpExporter> exporterFor(Engine& engine, const Telemetry& telemetry) {
+std::unique_ptr<OtlpExporter> exporterFor(Server& server, const Telemetry& telemetry) {
   if (!telemetry.collector)
     return nullptr;
   auto exporter =
-      std::make_unique<OtlpExporter>(engine.io, engine.clock, engine.deadlines, engine.counters,
+      std::make_unique<OtlpExporter>(server.io, server.clock, server.deadlines, server.counters,
                                      *telemetry.collector, telemetry.intervalMs);
-  exporter->accountTo(engine.ledger);
+  exporter->accountTo(server.descriptorBudget);
   return exporter;
 }
 
 std::unique_ptr<net::LineServer> doorFor(const std::optional<net::Endpoint>& address,
                                          Operations& operations,
-                                         Engine& engine) {
+                                         Server& server) {
   if (!address)
     return nullptr;
   auto door = std::make_unique<net::LineServer>(
-      engine.io, *address,
+      server.io, *address,
       net::LineServer::LaterAnswer(
           [&operations](std::string_view line, net::LineServer::Reply reply) {
             control::handle(operations, line, std::move(reply));
           }),
-      engine.clock, engine.deadlines, engine.counters,
+      server.clock, server.deadlines, server.counters,
       net::LineServer::Limits{.lineBytes = control::kLongestPlanLine});
-  door->accountTo(engine.ledger);
+  door->accountTo(server.descriptorBudget);
   return door;
 }
 
@@ -232,8 +235,8 @@
 
 }  // namespace
 
-Engine::Ending platformEnding(const routing::Settings& settings) {
-  if (!settings.resume)
+ShutdownOptions platformShutdown(const routing::Settings& settings) {
+  if (!settings.streamResumption)
     return {kDoorOpenMs, std::nullopt, {}, {}};
   double longest = 0;
   for (const auto& cls : settings.classes)
@@ -246,39 +249,39 @@
   boost::asio::io_context io;
   const core::SystemClock clock;
   const Limits limits{descriptorsOf(config.limits.sockets)};
-  Engine engine(io, clock, config.setup, config.seed, limits.boxes(), config.idleCloseMs,
+  Server server(io, clock, config.setup, config.seed, limits.instances(), config.idleCloseMs,
                 frontend::platformDialect(), limits.sockets);
-  frontend::PlatformFront front(engine.conductor, config.setup.names, engine.clock,
-                                engine.counters);
-  frontend::Discovery discovery(engine.io, engine.clock, engine.deadlines, engine.counters, engine,
-                                engine.directory, engine.pool, config.setup.names,
+  frontend::PlatformFront front(server.dispatcher, config.setup.names, server.clock,
+                                server.counters);
+  frontend::Discovery discovery(server.io, server.clock, server.deadlines, server.counters, server,
+                                server.directory, server.pool, config.setup.names,
                                 fleet::DiscoveryBackoff(config.setup.settings.nodes, config.seed));
-  discovery.accountTo(engine.ledger);
-  traceTo(engine, telemetry);
+  discovery.accountTo(server.descriptorBudget);
+  traceTo(server, telemetry);
   if (!config.known.is_null())
     discovery.known(config.known);
   discovery.watch(config.discovery);
-  const auto exporter = exporterFor(engine, telemetry);
-  net::Listener listener(engine.io, config.listen, limits.clients(), front, engine.clock,
-                         engine.deadlines, engine.counters,
+  const auto exporter = exporterFor(server, telemetry);
+  net::Listener listener(server.io, config.listen, limits.clients(), front, server.clock,
+                         server.deadlines, server.counters,
                          {.sharedPort = config.admin.has_value(),
                           .open = false,
                           .gate = nullptr,
-                          .ledger = &engine.ledger});
+                          .descriptorBudget = &server.descriptorBudget});
   front.readyWhen([&listener] { return !listener.evacuated(); });
-  Operations operations({engine, listener, config.setup, limits, [&] { return discovery.spoken(); },
+  Operations operations({server, listener, config.setup, limits, [&] { return discovery.spoken(); },
                          front, config.admin.has_value()},
                         folderFor(config));
-  const auto door = doorFor(config.admin, operations, engine);
+  const auto door = doorFor(config.admin, operations, server);
   sayListening(config.name, listener);
   operations.start();
-  Engine::Ending ending = platformEnding(config.setup.settings);
-  ending.successor = [&operations] { return operations.hasSuccessor(); };
-  ending.handOver = [&operations] { operations.handOver(); };
-  ending.hasLeft = [&operations] { return !operations.handsOver(); };
+  ShutdownOptions shutdown = platformShutdown(config.setup.settings);
+  shutdown.successor = [&operations] { return operations.hasSuccessor(); };
+  shutdown.handOver = [&operations] { operations.handOver(); };
+  shutdown.hasLeft = [&operations] { return !operations.handsOver(); };
   // $GW_DISCOVERY holds what counted at the start: only a change within the file says that it has
   // moved.
-  engine.run(listener, ending, [&, inFile = config.discoveryInFile]() mutable {
+  server.run(listener, shutdown, [&, inFile = config.discoveryInFile]() mutable {
     const Config fresh = reread();
     if (!fresh.discoveryInFile || fresh.discoveryInFile == inFile)
       return;
@@ -291,7 +294,7 @@
 
 // The module numbers classes, tenants and kinds by their order: those there are keep their places,
 // more may follow. Checked before anything changes.
-void takeOver(frontend::OperatorFile fresh, frontend::OperatorFile& site, Engine& engine) {
+void takeOver(frontend::OperatorFile fresh, frontend::OperatorFile& site, Server& server) {
   const auto keeps = [](const auto& old, const auto& now, const char* what) {
     if (now.size() < old.size() || !std::equal(old.begin(), old.end(), now.begin()))
       throw ConfigError(std::string(what) +
@@ -308,11 +311,11 @@
   fresh.listen = site.listen;
   fresh.admin = site.admin;
   fresh.sockets = site.sockets;
-  fresh.boxes.version = site.boxes.version + 1;
+  fresh.instances.version = site.instances.version + 1;
   site = std::move(fresh);
-  engine.reconfigure(site.setup.settings, frontend::openaiDialect(site));
-  engine.directory.update(site.directory.all(), /*whole=*/true, engine.pool);
-  engine.list(site.boxes);
+  server.reconfigure(site.setup.settings, frontend::openaiDialect(site));
+  server.directory.update(site.directory.all(), /*whole=*/true, server.pool);
+  server.list(site.instances);
 }
 
 void serve(const frontend::OperatorFile& first,
@@ -322,7 +325,7 @@
   boost::asio::io_context io;
   const core::SystemClock clock;
   const Limits limits{descriptorsOf(site.sockets)};
-  Engine engine(io, clock, site.setup, site.seed, limits.boxes(), site.idleCloseMs,
+  Server server(io, clock, site.setup, site.seed, limits.instances(), site.idleCloseMs,
                 frontend::openaiDialect(site), limits.sockets);
   std::unique_ptr<admission::AdmissionController> gate;
   if (site.admission) {
@@ -331,43 +334,46 @@
                         std::to_string(limits.sockets) + " descriptors");
     gate = std::make_unique<admission::AdmissionController>(*site.admission);
   }
-  traceTo(engine, telemetry);
-  engine.directory = site.directory;
-  engine.list(site.boxes);
-  frontend::OpenAiFront front(engine.conductor, site, engine.clock, engine.counters,
+  traceTo(server, telemetry);
+  server.directory = site.directory;
+  server.list(site.instances);
+  frontend::OpenAiFront front(server.dispatcher, site, server.clock, server.counters,
                               frontend::randomIds());
-  const auto exporter = exporterFor(engine, telemetry);
-  net::Listener listener(
-      engine.io, site.listen, limits.clients(), front, engine.clock, engine.deadlines,
-      engine.counters,
-      {.sharedPort = false, .open = false, .gate = gate.get(), .ledger = &engine.ledger});
+  const auto exporter = exporterFor(server, telemetry);
+  net::Listener listener(server.io, site.listen, limits.clients(), front, server.clock,
+                         server.deadlines, server.counters,
+                         {.sharedPort = false,
+                          .open = false,
+                          .gate = gate.get(),
+                          .descriptorBudget = &server.descriptorBudget});
   front.readyWhen([&listener] { return !listener.evacuated(); });
   Operations operations(
-      {engine, listener, site.setup, limits, [] { return true; }, front, site.admin.has_value()},
+      {server, listener, site.setup, limits, [] { return true; }, front, site.admin.has_value()},
       nullptr);
-  AdmissionWatch watch(engine, gate.get());
+  AdmissionWatch watch(server, gate.get());
   operations.admissionBy(watch);
-  std::shared_ptr<Sharer> sharer;
+  std::shared_ptr<SharedStateService> sharedState;
   if (site.shared) {
-    sharer = std::make_shared<Sharer>(engine, site.setup, *site.shared, site.coordination->name);
-    operations.sharedBy(*sharer);
-    front.meterBy(sharer);
+    sharedState = std::make_shared<SharedStateService>(server, site.setup, *site.shared,
+                                                       site.coordination->name);
+    operations.sharedBy(*sharedState);
+    front.meterBy(sharedState);
   }
   std::unique_ptr<Coordinator> coordinator;
   if (site.coordination) {
     coordinator =
-        std::make_unique<Coordinator>(engine, site.setup, *site.coordination, sharer.get());
+        std::make_unique<Coordinator>(server, site.setup, *site.coordination, sharedState.get());
     operations.coordinatedBy(*coordinator);
   }
-  const auto door = doorFor(site.admin, operations, engine);
+  const auto door = doorFor(site.admin, operations, server);
   sayListening("chat API", listener);
   operations.start();
-  Engine::Ending ending{kDoorOpenMs, std::nullopt, {}, {}};
+  ShutdownOptions shutdown{kDoorOpenMs, std::nullopt, {}, {}};
   if (coordinator) {
-    ending.leave = [&] { coordinator->resign(); };
-    ending.hasLeft = [&] { return coordinator->out(); };
+    shutdown.leave = [&] { coordinator->resign(); };
+    shutdown.hasLeft = [&] { return coordinator->out(); };
   }
-  engine.run(listener, ending, [&] {
+  server.run(listener, shutdown, [&] {
     frontend::OperatorFile fresh = reread();
     if (fresh.admission.has_value() != site.admission.has_value()) {
       spdlog::warn("SIGHUP: admission is switched on or off with the next start only");
@@ -384,14 +390,14 @@
       spdlog::warn("SIGHUP: shared is switched on or off with the next start only");
       fresh.shared = site.shared;
     }
-    takeOver(std::move(fresh), site, engine);
-    if (sharer)
-      sharer->reconfigure(*site.shared);
+    takeOver(std::move(fresh), site, server);
+    if (sharedState)
+      sharedState->reconfigure(*site.shared);
     if (coordinator)
       coordinator->reconfigure(*site.coordination);
     if (gate)
-      listener.close(gate->reconfigure(*site.admission, engine.clock.nowMs()));
-    spdlog::info("SIGHUP: {} boxes, {} models, {} keys", site.boxes.entries.size(),
+      listener.close(gate->reconfigure(*site.admission, server.clock.nowMs()));
+    spdlog::info("SIGHUP: {} boxes, {} models, {} keys", site.instances.entries.size(),
                  site.models.size(), site.keys.size());
   });
 }
--- a/src/app/server.h
+++ b/src/app/server.h
@@ -1,4 +1,4 @@
-// One real conductor on the platform, put together from its parts.
+// One real router on the platform, put together from its parts.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -18,64 +18,64 @@
 
 namespace inference_router::app {
 
-// The part that every front needs: loop, core, pool and boxes.
-class Engine final : public core::ListSink {
+/// How the process ends after SIGTERM or SIGINT.
+struct ShutdownOptions {
+  double doorOpenMs;              // new requests are served so long after the signal
+  std::optional<double> graceMs;  // the process is killed no sooner than this after it; none: never
+  std::function<bool()> successor;     // whether another process serves at the same address; then
+                                       // the door closes at once
+  std::function<void()> handOver;      // and what is open goes to it
+  std::function<void()> leave = {};    // what this process does for others is to be let go of,
+  std::function<bool()> hasLeft = {};  // and whether it is: waited for, but not for long
+};
+
+// The part that every front needs: loop, core, pool and instances.
+class Server final : public core::EndpointListSink {
  public:
-  Engine(boost::asio::io_context& context,
+  Server(boost::asio::io_context& context,
          const core::Clock& time,
          const routing::wire::Setup& setup,
          std::uint64_t seed,
-         std::size_t boxConnections,
+         std::size_t instanceConnections,
          double idleCloseMs,
-         upstream::BoxDialect dialect,
+         upstream::InstanceProtocol dialect,
          std::size_t descriptors = 1024);
 
-  struct Ending {
-    double doorOpenMs;  // new requests are served so long after the signal
-    std::optional<double>
-        graceMs;  // the process is killed no sooner than this after it; none: never
-    std::function<bool()> successor;     // whether another process serves at the same address; then
-                                         // the door closes at once
-    std::function<void()> handOver;      // and what is open goes to it
-    std::function<void()> leave = {};    // what this process does for others is to be let go of,
-    std::function<bool()> hasLeft = {};  // and whether it is: waited for, but not for long
-  };
-
   // Runs until SIGTERM or SIGINT has been followed by the end of all that was taken. Counters go to
   // the log on SIGUSR1 and at the end. SIGHUP calls reload, whose exceptions are logged and change
   // nothing else.
-  void run(net::Listener& listener, const Ending& ending, std::function<void()> reload);
+  void run(net::Listener& listener, const ShutdownOptions& shutdown, std::function<void()> reload);
 
   // What a list says goes through the membership to the module.
-  void list(routing::ListNews news) override {
-    conductor.list(membership.told(news, clock.nowMs()));
+  void list(routing::EndpointListUpdate news) override {
+    dispatcher.list(membership.told(news, clock.nowMs()));
   }
 
   // What a reload brings, as far as it can change under way.
-  void reconfigure(const routing::Settings& settings, upstream::BoxDialect dialect);
+  void reconfigure(const routing::Settings& settings, upstream::InstanceProtocol dialect);
 
   boost::asio::io_context& io;
   const core::Clock& clock;
   core::Deadlines deadlines;
   core::Counters counters;
-  admission::DescriptorBudget ledger;
+  admission::DescriptorBudget descriptorBudget;
   net::Loop loop;
-  core::Conductor conductor;
+  core::RequestDispatcher dispatcher;
   fleet::Membership membership;
-  net::Pool pool;
-  upstream::Directory directory;
-  upstream::Boxes boxes;
+  net::ConnectionPool pool;
+  upstream::InstanceDirectory directory;
+  upstream::HttpInstanceClient instanceClient;
 
  private:
   void onSignal();
   void stop();
-  bool succeeded() const { return ending_.successor && ending_.successor(); }
+  bool succeeded() const { return shutdown_.successor && shutdown_.successor(); }
   void reload();
   void finish();
 
   boost::asio::signal_set signals_;
   net::Listener* listener_ = nullptr;
-  Ending ending_{};
+  ShutdownOptions shutdown_{};
   std::optional<double> stoppedMs_, finishedMs_;
   std::function<void()> reload_;
 };
@@ -95,16 +95,16 @@
 using Reread = std::function<What()>;
 
 // How a planned restart goes on the platform, by the settings.
-Engine::Ending platformEnding(const routing::Settings& settings);
+ShutdownOptions platformShutdown(const routing::Settings& settings);
 
 // On the platform: its protocol, its discovery. SIGHUP takes over the file's `discovery`.
 void serve(const Config& config, const Telemetry& telemetry, const Reread<Config>& reread);
 
-// At a small site: the chat API, the boxes of the operator's file, which SIGHUP takes over whole
-// but for what needs a new start.
+// At a small site: the chat API, the instances of the operator's file, which SIGHUP takes over
+// whole but for what needs a new start.
 void takeOver(frontend::OperatorFile fresh,
               frontend::OperatorFile& site,
-              Engine& engine);  // throws ConfigError
+              Server& server);  // throws ConfigError
 void serve(const frontend::OperatorFile& first,
            const Telemetry& telemetry,
            const Reread<frontend::OperatorFile>& reread);
--- a/src/app/shared_folder.h
+++ b/src/app/shared_folder.h
@@ -1,4 +1,4 @@
-/// What two processes of one conductor share while one replaces the other: a folder, in which each
+/// What two processes of one router share while one replaces the other: a folder, in which each
 /// holds a lock on a file of its own, and one file of operators' exclusions. A lock ends with its
 /// process, however that ends, so whatever a killed process leaves behind is known as such.
 ///
@@ -14,7 +14,7 @@
 
 class SharedFolder {
  public:
-  /// name: of the conductor, so that two of them may use one folder.
+  /// name: of the router, so that two of them may use one folder.
   SharedFolder(std::string folder, const std::string& name);
   ~SharedFolder();
   SharedFolder(const SharedFolder&) = delete;
--- a/src/app/shared_state_service.cpp
+++ b/src/app/shared_state_service.cpp
@@ -10,7 +10,7 @@
 
 using namespace shared;
 using nlohmann::json;
-using routing::Outcome;
+using routing::AttemptOutcome;
 
 namespace {
 
@@ -20,29 +20,29 @@
 
 }  // namespace
 
-Sharer::Sharer(Engine& engine,
-               const routing::wire::Setup& site,
-               SharedSetup setup,
-               const std::string& name)
-    : engine_(engine),
+SharedStateService::SharedStateService(Server& server,
+                                       const routing::wire::Setup& site,
+                                       SharedSetup setup,
+                                       const std::string& name)
+    : server_(server),
       site_(site),
       setup_(std::move(setup)),
-      node_(setup_.config, name, freshNumber, engine.clock.nowMs()) {
-  engine_.conductor.onEvent([this](const routing::Event& event) { witness(event); });
+      node_(setup_.config, name, freshNumber, server.clock.nowMs()) {
+  server_.dispatcher.onEvent([this](const routing::Event& event) { witness(event); });
   tick();
 }
 
-Sharer::~Sharer() {
+SharedStateService::~SharedStateService() {
   *alive_ = false;
-  engine_.deadlines.cancel(next_);
+  server_.deadlines.cancel(next_);
 }
 
-void Sharer::reconfigure(SharedSetup setup) {
+void SharedStateService::reconfigure(SharedSetup setup) {
   setup_ = std::move(setup);
   node_.reconfigure(setup_.config);
 }
 
-std::unique_ptr<coordination::FleetTask> Sharer::task(double longestStepMs) {
+std::unique_ptr<coordination::FleetTask> SharedStateService::task(double longestStepMs) {
   auto task = std::make_unique<DigestTask>(
       coordination::TaskConfig{"digest", setup_.config.digestMs, longestStepMs, /*quiet=*/true},
       [this] { return setup_.config; }, [] { return core::unixNowMs(); });
@@ -53,81 +53,82 @@
 // ---- Carriage
 // ------------------------------------------------------------------------------------------
 
-void Sharer::saw(const coordination::View& view) {
-  node_.read(view.docs, view.readMs, engine_.clock.nowMs());
+void SharedStateService::saw(const coordination::View& view) {
+  node_.read(view.docs, view.readMs, server_.clock.nowMs());
 }
 
-void Sharer::tick() {
+void SharedStateService::tick() {
   speak();
   judge();
   split();
   say();
-  next_ = engine_.deadlines.add(engine_.clock.nowMs() + kTickMs, [this] { tick(); });
+  next_ = server_.deadlines.add(server_.clock.nowMs() + kTickMs, [this] { tick(); });
 }
 
-void Sharer::speak() {
+void SharedStateService::speak() {
   if (!put_)
     return;
-  const double now = engine_.clock.nowMs();
+  const double now = server_.clock.nowMs();
   const auto write = node_.next(core::unixNowMs(), now);
   if (!write)
     return;
   put_(*write, [this, alive = alive_](coordination::CommitAnswer answer) {
     if (*alive)
-      node_.written(answer, engine_.clock.nowMs());
+      node_.written(answer, server_.clock.nowMs());
   });
 }
 
-// ---- Boxes
+// ---- Instances
 // ---------------------------------------------------------------------------------------------
 
 // Records the result of an attempt. Rejections and cancellations say nothing of the instance's
 // health.
-void Sharer::witness(const routing::Event& event) {
-  const double now = engine_.clock.nowMs();
+void SharedStateService::witness(const routing::Event& event) {
+  const double now = server_.clock.nowMs();
   if (const auto* opened = std::get_if<routing::StreamOpened>(&event))
-    return node_.observations().recordSuccess(opened->engine.value, now);
+    return node_.observations().recordSuccess(opened->instance.value, now);
   const auto* ended = std::get_if<routing::AttemptEnded>(&event);
   if (ended == nullptr)
     return;
-  const std::string& box = ended->engine.value;
+  const std::string& instance = ended->instance.value;
   switch (ended->outcome) {
-    case Outcome::kServed:
-    case Outcome::kRead:
-      return node_.observations().recordSuccess(box, now);
-    case Outcome::kError:
-    case Outcome::kConnectionLost:
-      return node_.observations().recordFailure(box, FailureKind::kError, now);
-    case Outcome::kNoConnection:
-      return node_.observations().recordFailure(box, FailureKind::kConnectionRefused, now);
-    case Outcome::kTimeout:
-      return node_.observations().recordFailure(box, FailureKind::kTimeout, now);
+    case AttemptOutcome::kServed:
+    case AttemptOutcome::kPrefilled:
+      return node_.observations().recordSuccess(instance, now);
+    case AttemptOutcome::kError:
+    case AttemptOutcome::kConnectionLost:
+      return node_.observations().recordFailure(instance, FailureKind::kError, now);
+    case AttemptOutcome::kConnectFailed:
+      return node_.observations().recordFailure(instance, FailureKind::kConnectionRefused, now);
+    case AttemptOutcome::kTimeout:
+      return node_.observations().recordFailure(instance, FailureKind::kTimeout, now);
     // Cancelled because it was silent, not because its client is gone or was refused.
-    case Outcome::kCancelled:
-      if (!ended->concluded && engine_.conductor.avoids(ended->engine))
-        node_.observations().recordFailure(box, FailureKind::kTimeout, now);
+    case AttemptOutcome::kCancelled:
+      if (!ended->concluded && server_.dispatcher.avoids(ended->instance))
+        node_.observations().recordFailure(instance, FailureKind::kTimeout, now);
       return;
     default:
       return;
   }
 }
 
-std::map<std::string, KnownInstance> Sharer::boxes() const {
-  auto found = fleetBoxes(engine_.membership, site_.settings);
-  for (const std::string& id : engine_.membership.drained())
-    if (const auto box = found.find(id); box != found.end())
-      box->second.serves = false;
+std::map<std::string, KnownInstance> SharedStateService::instances() const {
+  auto found = fleetInstances(server_.membership, site_.settings);
+  for (const std::string& id : server_.membership.drained())
+    if (const auto instance = found.find(id); instance != found.end())
+      instance->second.serves = false;
   return found;
 }
 
-void Sharer::judge() {
-  const double now = engine_.clock.nowMs();
-  const auto boxes = setup_.hearsay ? this->boxes() : std::map<std::string, KnownInstance>();
+void SharedStateService::judge() {
+  const double now = server_.clock.nowMs();
+  const auto instances =
+      setup_.hearsay ? this->instances() : std::map<std::string, KnownInstance>();
   std::set<std::string> listed, out;
-  for (const auto& [id, box] : boxes)
+  for (const auto& [id, instance] : instances)
     listed.insert(id);
   node_.observations().prune(listed, now);
-  auto availabilities = node_.availabilities(boxes, now);
+  auto availabilities = node_.availabilities(instances, now);
   for (const auto& [id, availability] : availabilities) {
     if (availability == Availability::kExcluded)
       out.insert(id);
@@ -141,21 +142,21 @@
                 "shared box={} standing={} was={}", id, nameOf(availability), nameOf(was));
   }
   availabilities_ = std::move(availabilities);
-  const auto news = engine_.membership.setPeerExclusions(out, now);
+  const auto news = server_.membership.setPeerExclusions(out, now);
   if (!news)
     return;
-  for (const routing::ListEntry& entry : news->entries) {
-    const upstream::Box* box = engine_.directory.find(entry.engine);
-    if (out.count(entry.engine.value) == 0 && box != nullptr)
-      engine_.pool.dropIdle(box->address);
+  for (const routing::EndpointRecord& entry : news->entries) {
+    const upstream::InstanceEndpoint* instance = server_.directory.find(entry.instance);
+    if (out.count(entry.instance.value) == 0 && instance != nullptr)
+      server_.pool.dropIdle(instance->address);
   }
-  engine_.conductor.list(*news);
+  server_.dispatcher.list(*news);
 }
 
 // Fleet-wide limits of the decision module, such as the budget of a cold instance, are split among
-// the live conductors. An isolated conductor keeps the last number that it knew.
-void Sharer::split() {
-  const double now = engine_.clock.nowMs();
+// the live routers. An isolated router keeps the last number that it knew.
+void SharedStateService::split() {
+  const double now = server_.clock.nowMs();
   const auto configured = static_cast<std::size_t>(site_.settings.nodes);
   std::size_t among = std::max(configured, node_.nodes());
   if (node_.connectivityState(now) != ConnectivityState::kConnected)
@@ -165,22 +166,22 @@
   splitAmong_ = among;
   routing::Settings settings = site_.settings;
   settings.nodes = static_cast<int>(among);
-  engine_.conductor.reconfigure(settings);
+  server_.dispatcher.reconfigure(settings);
 }
 
 // ---- Accounts
 // ------------------------------------------------------------------------------------------
 
-std::optional<frontend::BudgetDenied> Sharer::reserve(const std::string& tenant,
-                                                      const std::string& cls,
-                                                      std::uint64_t tokens,
-                                                      Reservation& to) {
-  const double now = engine_.clock.nowMs();
+std::optional<frontend::BudgetDenied> SharedStateService::reserve(const std::string& tenant,
+                                                                  const std::string& cls,
+                                                                  std::uint64_t tokens,
+                                                                  Reservation& to) {
+  const double now = server_.clock.nowMs();
   const TokenBudgets::Answer answer = node_.reserve(tenant, tokens, now);
   to = answer.reservation;
   if (answer.denial == Denial::kNone)
     return std::nullopt;
-  ++engine_.counters[std::string("shared.denied.") + nameOf(answer.denial)];
+  ++server_.counters[std::string("shared.denied.") + nameOf(answer.denial)];
   SharedNode::Ended refused;
   refused.how = SharedNode::Ended::How::kRefused;
   refused.askedTokens = tokens;
@@ -201,18 +202,18 @@
   }
 }
 
-void Sharer::ended(const std::string& tenant,
-                   const std::string& cls,
-                   const Reservation& reservation,
-                   const SharedNode::Ended& how) {
-  node_.ended(tenant, cls, reservation, how, engine_.clock.nowMs());
+void SharedStateService::ended(const std::string& tenant,
+                               const std::string& cls,
+                               const Reservation& reservation,
+                               const SharedNode::Ended& how) {
+  node_.ended(tenant, cls, reservation, how, server_.clock.nowMs());
 }
 
 // ---- Seen from outside
 // ---------------------------------------------------------------------------------
 
-void Sharer::say() {
-  const double now = engine_.clock.nowMs();
+void SharedStateService::say() {
+  const double now = server_.clock.nowMs();
   const ConnectivityState state = node_.connectivityState(now);
   if (state != loggedState_)
     spdlog::info("shared degree={} was={} silence_ms={:.0f}", nameOf(state), nameOf(loggedState_),
@@ -221,7 +222,7 @@
   if (node_.trouble() != saidTrouble_ && !node_.trouble().empty())
     spdlog::warn("shared: {}", node_.trouble());
   saidTrouble_ = node_.trouble();
-  auto& counters = engine_.counters;
+  auto& counters = server_.counters;
   const SharedNode::Stats& node = node_.stats();
   counters["shared.words"] = node.reports;
   counters["shared.conflicts"] = node.conflicts;
@@ -259,11 +260,11 @@
 
 }  // namespace
 
-std::string Sharer::report(bool asJson) {
-  const double now = engine_.clock.nowMs();
+std::string SharedStateService::report(bool asJson) {
+  const double now = server_.clock.nowMs();
   const auto& digest = node_.digest();
   const ConnectivityState state = node_.connectivityState(now);
-  json budgets = json::array(), boxes = json::array();
+  json budgets = json::array(), instances = json::array();
   for (const auto& [tenant, here] : node_.budgets().snapshot()) {
     const auto line =
         digest ? digest->budgets.find(tenant) : std::map<std::string, BudgetLine>::const_iterator();
@@ -281,14 +282,14 @@
                          {"reserved", here.reserved}}}});
   }
   for (const auto& [id, availability] : availabilities_) {
-    const auto verdict =
-        digest ? digest->boxes.find(id) : std::map<std::string, HealthVerdict>::const_iterator();
-    const bool known = digest && verdict != digest->boxes.end();
-    boxes.push_back({{"box", id},
-                     {"standing", nameOf(availability)},
-                     {"bad", known ? verdict->second.bad : 0},
-                     {"good", known ? verdict->second.good : 0},
-                     {"trouble", known ? nameOf(verdict->second.failure) : "none"}});
+    const auto verdict = digest ? digest->instances.find(id)
+                                : std::map<std::string, HealthVerdict>::const_iterator();
+    const bool known = digest && verdict != digest->instances.end();
+    instances.push_back({{"box", id},
+                         {"standing", nameOf(availability)},
+                         {"bad", known ? verdict->second.bad : 0},
+                         {"good", known ? verdict->second.good : 0},
+                         {"trouble", known ? nameOf(verdict->second.failure) : "none"}});
   }
   const json whole{
       {"conductor", node_.self().name},
@@ -301,7 +302,7 @@
       {"restored", digest ? digest->restored : 0},
       {"trouble", node_.trouble()},
       {"budgets", budgets},
-      {"boxes", boxes},
+      {"boxes", instances},
       {"fleet", jsonOf(digest ? digest->total : UsageTable{})},
       {"here", jsonOf(node_.usage())}};
   if (asJson)
@@ -325,7 +326,7 @@
                     t["tenant"].get<std::string>(), t["class"].get<std::string>(),
                     t["served"].dump(), t["refused"].dump(), t["failed"].dump(),
                     t["prompt_tokens"].dump(), t["answer_tokens"].dump());
-  for (const json& b : boxes)
+  for (const json& b : instances)
     text += fmt::format("box {} {} bad={} good={} trouble={}\n", b["box"].get<std::string>(),
                         b["standing"].get<std::string>(), b["bad"].dump(), b["good"].dump(),
                         b["trouble"].get<std::string>());
--- a/src/app/shared_state_service.h
+++ b/src/app/shared_state_service.h
@@ -17,16 +17,16 @@
 
 namespace inference_router::app {
 
-class Sharer final : public frontend::TokenMeter {
+class SharedStateService final : public frontend::TokenMeter {
  public:
   using Put =
       std::function<void(coordination::Write, std::function<void(coordination::CommitAnswer)>)>;
 
-  Sharer(Engine& engine,
-         const routing::wire::Setup& site,
-         shared::SharedSetup setup,
-         const std::string& name);
-  ~Sharer() override;
+  SharedStateService(Server& server,
+                     const routing::wire::Setup& site,
+                     shared::SharedSetup setup,
+                     const std::string& name);
+  ~SharedStateService() override;
 
   // Sets how documents are written from now on.
   void carriedBy(Put put) { put_ = std::move(put); }
@@ -34,7 +34,7 @@
   // leaving: no more requests are taken; false undoes it.
   void leave(bool leaving) { node_.leave(leaving); }
 
-  // The task that makes the digest, for the conductor that holds its lease.
+  // The task that makes the digest, for the router that holds its lease.
   std::unique_ptr<coordination::FleetTask> task(double longestStepMs);
   std::vector<std::string> keys() const { return node_.keys(); }
   std::size_t nodes() const { return node_.nodes(); }
@@ -58,9 +58,9 @@
   void split();
   void say();
   void witness(const routing::Event& event);
-  std::map<std::string, shared::KnownInstance> boxes() const;
+  std::map<std::string, shared::KnownInstance> instances() const;
 
-  Engine& engine_;
+  Server& server_;
   const routing::wire::Setup& site_;
   shared::SharedSetup setup_;
   shared::SharedNode node_;
--- a/src/control/commands.cpp
+++ b/src/control/commands.cpp
@@ -46,18 +46,18 @@
 }  // namespace
 
 std::string telemetry(Service& service) {
-  const auto& figures = service.figures().byClass();
+  const auto& metrics = service.metrics().byClass();
   const auto& names = service.classes();
   std::string text;
-  const auto perClass = [&](const char* name, std::uint64_t core::ClassFigures::*value) {
-    for (std::size_t i = 0; i < figures.size() && i < names.size(); ++i)
+  const auto perClass = [&](const char* name, std::uint64_t core::ClassMetrics::*value) {
+    for (std::size_t i = 0; i < metrics.size() && i < names.size(); ++i)
       text += std::string(name) + "{kind=" + quoted(names[i]) + "} " +
-              std::to_string(figures[i].*value) + "\n";
+              std::to_string(metrics[i].*value) + "\n";
   };
-  perClass("app_ok_total", &core::ClassFigures::ok);
-  perClass("app_shed_total", &core::ClassFigures::shed);
-  perClass("app_errors_total", &core::ClassFigures::errors);
-  perClass("app_tries_total", &core::ClassFigures::tries);
+  perClass("app_ok_total", &core::ClassMetrics::ok);
+  perClass("app_shed_total", &core::ClassMetrics::shed);
+  perClass("app_errors_total", &core::ClassMetrics::errors);
+  perClass("app_tries_total", &core::ClassMetrics::tries);
   const Service::Pool pool = service.pool();
   text += "app_active " + std::to_string(service.open()) + "\n";
   text += "app_pool_size " + std::to_string(pool.listed) + "\n";
@@ -88,7 +88,7 @@
   if (call == "telemetry")
     return telemetry(service) + "eof\n";
   if (call == "boxes")
-    return service.boxes() + "eof\n";
+    return service.instances() + "eof\n";
   if (call == "admission") {
     const std::string report = service.admission();
     return report.empty() ? line({false, "no admission rules are set up here"}) : report + "eof\n";
--- a/src/control/commands.h
+++ b/src/control/commands.h
@@ -29,13 +29,13 @@
   virtual Done include(const std::string& id) = 0;
   virtual Done evacuate() = 0;
   virtual Done activate() = 0;
-  virtual const core::Figures& figures() = 0;
+  virtual const core::RequestMetrics& metrics() = 0;
   virtual std::size_t open() = 0;
   virtual Pool pool() = 0;
   virtual const std::vector<std::string>& classes() = 0;
-  virtual std::string boxes() = 0;                // a line each
+  virtual std::string instances() = 0;            // a line each
   virtual std::string admission() { return ""; }  // lines; empty where none is set up
-  // Lines, or one line of JSON; empty if conductors share nothing.
+  // Lines, or one line of JSON; empty if routers share nothing.
   virtual std::string leases(bool /*json*/) { return ""; }
   virtual std::string plan() { return ""; }
   virtual std::string shared(bool /*json*/) { return ""; }
--- a/src/coordination/cleanup.h
+++ b/src/coordination/cleanup.h
@@ -1,5 +1,5 @@
-// The task that removes what conductors that are gone left behind in the store: their documents,
-// and plans that ended long ago. A conductor counts as gone when its document has not changed for
+// The task that removes what routers that are gone left behind in the store: their documents,
+// and plans that ended long ago. A router counts as gone when its document has not changed for
 // long by the holder's own clock; no clock of another machine is read, and one that comes back
 // writes its document anew. No I/O.
 #pragma once
--- a/src/coordination/etcd_store.cpp
+++ b/src/coordination/etcd_store.cpp
@@ -18,9 +18,9 @@
 
 constexpr std::size_t kConnections = 8;
 constexpr double kIdleMs = 10'000;
-// Of all documents, in base64: a third above their bytes, which conductors keep to. At most two
+// Of all documents, in base64: a third above their bytes, which routers keep to. At most two
 // copies of it are held at a time, as text, as JSON or as documents: 96 MiB of the 192 that a
-// conductor has.
+// router has.
 constexpr std::size_t kAnswerBytes = 48 << 20;
 constexpr std::size_t kMostCalls =
     64;  // open at a time; more are told at once that there is no room
@@ -190,7 +190,7 @@
                      const core::Clock& clock,
                      core::Deadlines& deadlines,
                      core::Counters& counters,
-                     EtcdPlace place)
+                     EtcdConfig place)
     : clock_(clock),
       deadlines_(deadlines),
       counters_(counters),
--- a/src/coordination/etcd_store.h
+++ b/src/coordination/etcd_store.h
@@ -1,4 +1,4 @@
-// The store for conductors on several machines: an etcd cluster, by its published v3 API through
+// The store for routers on several machines: an etcd cluster, by its published v3 API through
 // the JSON gateway. A lease here is a key that is attached to a lease of etcd's; the fence is a key
 // beside it that is changed in the same transaction and outlives it. Nothing of a consensus is
 // decided here.
@@ -19,7 +19,7 @@
 
 namespace inference_router::coordination {
 
-struct EtcdPlace {
+struct EtcdConfig {
   std::vector<net::Endpoint> endpoints;
   std::string prefix = "dahliastall/";  // of all keys
   double callMs = 1'000;                // for one call of the API
@@ -31,10 +31,10 @@
             const core::Clock& clock,
             core::Deadlines& deadlines,
             core::Counters& counters,
-            EtcdPlace place);
+            EtcdConfig place);
   ~EtcdStore() override;
-  void accountTo(admission::DescriptorBudget& ledger) {
-    pool_.accountTo(ledger, admission::Account::kControl);
+  void accountTo(admission::DescriptorBudget& descriptorBudget) {
+    pool_.accountTo(descriptorBudget, admission::Account::kControl);
   }
 
   std::string describe() const override;
@@ -79,8 +79,8 @@
   const core::Clock& clock_;
   core::Deadlines& deadlines_;
   core::Counters& counters_;
-  EtcdPlace place_;
-  net::Pool pool_;
+  EtcdConfig place_;
+  net::ConnectionPool pool_;
   std::size_t at_ = 0;  // the endpoint in use
   std::map<std::string, Own> own_;
   std::set<Exchange*> open_;
--- a/src/coordination/lease.h
+++ b/src/coordination/lease.h
@@ -1,4 +1,4 @@
-// A lease on a task that one conductor does for the whole fleet, as one candidate sees it: a state
+// A lease on a task that one router does for the whole fleet, as one candidate sees it: a state
 // machine that is told the time and what the store answered, and says what to ask the store next.
 // It proves nothing by time alone: whoever acts carries a fence, and the place where the act takes
 // effect refuses an older one. No I/O.
@@ -13,7 +13,7 @@
 
 namespace inference_router::coordination {
 
-// One process: a conductor's name, and a number that is new with each start.
+// One process: a router's name, and a number that is new with each start.
 struct Holder {
   std::string name;
   std::uint64_t incarnation = 0;
--- a/src/coordination/lease_rules.h
+++ b/src/coordination/lease_rules.h
@@ -1,5 +1,5 @@
 // What a store does with the asks of candidates, as one step from one state to the next: for stores
-// that decide by themselves, within one transaction each. An engine that has leases of its own
+// that decide by themselves, within one transaction each. An instance that has leases of its own
 // keeps to the same rules by its own means. No I/O; the time is that of the store's clock.
 #pragma once
 
--- a/src/coordination/maintenance.cpp
+++ b/src/coordination/maintenance.cpp
@@ -15,7 +15,7 @@
   item.state = state;
   item.why = why;
   item.changed = plan.steps + 1;
-  return "box " + item.box + " is " + nameOf(state) + (why.empty() ? "" : ": " + why);
+  return "box " + item.instance + " is " + nameOf(state) + (why.empty() ? "" : ": " + why);
 }
 
 std::optional<std::pair<Plan, std::uint64_t>> planIn(const View& view) {
@@ -33,7 +33,7 @@
 std::optional<Step> Maintenance::next(const View& view, std::uint64_t fence, double nowMs) {
   const auto found = planIn(view);
   if (!found || found->first.over()) {
-    // Only what belongs to a plan is remembered for it; conductors' signs of life are looked at all
+    // Only what belongs to a plan is remembered for it; routers' signs of life are looked at all
     // the time.
     seen_.forget([](const std::string& what) { return what.rfind("box ", 0) == 0; });
     for (const auto& [key, doc] : view.docs)
@@ -59,7 +59,7 @@
       return what;
   }
   if (plan.state == PlanState::kRunning)
-    if (std::string what = beginNext(plan, boxes_(), nowMs); !what.empty())
+    if (std::string what = beginNext(plan, instances_(), nowMs); !what.empty())
       return what;
   const bool left = std::any_of(plan.items.begin(), plan.items.end(), [](const PlanItem& item) {
     return item.state == ItemState::kWaiting || underWay(item.state);
@@ -72,7 +72,7 @@
 
 std::string Maintenance::advanceItem(Plan& plan, PlanItem& item, const View& view, double nowMs) {
   const bool ending = plan.state == PlanState::kCancelled;
-  const double since = seen_.forMs("box " + plan.id + "/" + item.box, item.changed, nowMs);
+  const double since = seen_.forMs("box " + plan.id + "/" + item.instance, item.changed, nowMs);
   switch (item.state) {
     case ItemState::kDraining:
       if (ending)
@@ -91,35 +91,37 @@
   }
 }
 
-// The list is gone through in its order; a box whose role and cell has one under way waits for it,
-// and holds up those behind it only where they are of the same role and cell.
-std::string Maintenance::beginNext(Plan& plan, const FleetBoxes& boxes, double nowMs) {
+// The list is gone through in its order; an instance whose role and cell has one under way waits
+// for it, and holds up those behind it only where they are of the same role and cell.
+std::string Maintenance::beginNext(Plan& plan, const FleetInstances& instances, double nowMs) {
   std::set<std::pair<std::string, std::uint32_t>> busy;
   const std::set<std::string> drained = plan.drained();
   for (const PlanItem& item : plan.items)
-    if (const auto it = boxes.find(item.box); it != boxes.end() && underWay(item.state))
+    if (const auto it = instances.find(item.instance);
+        it != instances.end() && underWay(item.state))
       busy.emplace(it->second.role, it->second.cell);
   for (PlanItem& item : plan.items) {
     if (item.state != ItemState::kWaiting)
       continue;
-    const auto it = boxes.find(item.box);
-    if (it == boxes.end())
+    const auto it = instances.find(item.instance);
+    if (it == instances.end())
       return reach(plan, item, ItemState::kSkipped, "it is in no list any more");
     if (!busy.emplace(it->second.role, it->second.cell).second)
       continue;
     std::size_t others = 0;
-    for (const auto& [id, box] : boxes)
-      others +=
-          id != item.box && box.role == it->second.role && box.serves && drained.count(id) == 0;
-    // A box that still warms after its own turn is one that serves, but not yet one to lean on.
+    for (const auto& [id, instance] : instances)
+      others += id != item.instance && instance.role == it->second.role && instance.serves &&
+                drained.count(id) == 0;
+    // An instance that still warms after its own turn is one that serves, but not yet one to lean
+    // on.
     for (const PlanItem& other : plan.items)
-      if (const auto box = boxes.find(other.box); other.state == ItemState::kWarming &&
-                                                  box != boxes.end() &&
-                                                  box->second.role == it->second.role && others > 0)
+      if (const auto instance = instances.find(other.instance);
+          other.state == ItemState::kWarming && instance != instances.end() &&
+          instance->second.role == it->second.role && others > 0)
         --others;
     fleet::Drains drains;
-    // By names of its own: those of a plan and a box together may be longer than a command's.
-    const auto answer = drains.handle({"step", "plan", item.box, true, 0, {}, false},
+    // By names of its own: those of a plan and an instance together may be longer than a command's.
+    const auto answer = drains.handle({"step", "plan", item.instance, true, 0, {}, false},
                                       {true, others, it->second.role, 0}, nowMs);
     if (answer.code == fleet::DrainCode::kDone)
       return reach(plan, item, ItemState::kDraining);
@@ -127,7 +129,7 @@
   return "";
 }
 
-// Every conductor that speaks has to have heard of the drain, and to have nothing open there.
+// Every router that speaks has to have heard of the drain, and to have nothing open there.
 bool Maintenance::letGo(const Plan& plan, const PlanItem& item, const View& view, double nowMs) {
   bool any = false;
   for (const auto& [key, doc] : view.docs) {
@@ -139,7 +141,7 @@
     any = true;
     if (node->plan != plan.id || node->steps < item.changed)
       return false;
-    const auto open = node->open.find(item.box);
+    const auto open = node->open.find(item.instance);
     if (open != node->open.end() && open->second > 0)
       return false;
   }
@@ -158,16 +160,16 @@
 PlanAnswer start(const PlanCommand& command,
                  const std::optional<std::pair<Plan, std::uint64_t>>& found,
                  std::uint64_t revision,
-                 const FleetBoxes& boxes,
+                 const FleetInstances& instances,
                  double unixMs) {
   if (found && !found->first.over())
     return no("plan " + found->first.id + " of " + found->first.by + " is " +
               nameOf(found->first.state) + " (revision " + std::to_string(found->second) +
               "): cancel it first");
-  if (command.boxes.empty())
+  if (command.instances.empty())
     return no("a plan names at least one box");
-  if (command.boxes.size() > Plan::kMostBoxes)
-    return no("a plan has at most " + std::to_string(Plan::kMostBoxes) + " boxes");
+  if (command.instances.size() > Plan::kMaxInstances)
+    return no("a plan has at most " + std::to_string(Plan::kMaxInstances) + " boxes");
   if (command.id.empty() || command.id.size() > Plan::kLongestWord ||
       command.by.size() > Plan::kLongestWord)
     return no("a plan has an id of 1 to 128 bytes");
@@ -180,12 +182,12 @@
   plan.confirm = command.confirm;
   plan.startedMs = unixMs;
   std::set<std::string> named;
-  for (const std::string& box : command.boxes) {
-    if (boxes.count(box) == 0)
-      return no("no box has the id " + box);
-    if (!named.insert(box).second)
-      return no("box " + box + " stands twice");
-    plan.items.push_back({box, ItemState::kWaiting, 0, false, ""});
+  for (const std::string& instance : command.instances) {
+    if (instances.count(instance) == 0)
+      return no("no box has the id " + instance);
+    if (!named.insert(instance).second)
+      return no("box " + instance + " stands twice");
+    plan.items.push_back({instance, ItemState::kWaiting, 0, false, ""});
   }
   return {"", Write{kPlanKey, revision, plan.text()},
           "plan " + plan.id + " begins with " + std::to_string(plan.items.size()) + " boxes"};
@@ -195,7 +197,7 @@
 
 PlanAnswer decide(const PlanCommand& command,
                   const View& view,
-                  const FleetBoxes& boxes,
+                  const FleetInstances& instances,
                   double unixMs) {
   const auto stored = view.docs.find(kPlanKey);
   const std::uint64_t revision = stored == view.docs.end() ? 0 : stored->second.revision;
@@ -208,7 +210,7 @@
     return no("the stored plan (revision " + std::to_string(revision) +
               ") cannot be read by this program");
   if (command.kind == PlanCommand::Kind::kStart)
-    return start(command, found, revision, boxes, unixMs);
+    return start(command, found, revision, instances, unixMs);
   if (!found || found->first.over())
     return no("no plan is under way");
   Plan plan = found->first;
@@ -232,12 +234,12 @@
     default:
       break;
   }
-  PlanItem* item = command.boxes.empty() ? nullptr : plan.item(command.boxes.front());
+  PlanItem* item = command.instances.empty() ? nullptr : plan.item(command.instances.front());
   if (item == nullptr)
     return no("the plan has no such box");
   if (item->state != ItemState::kOut)
-    return no("box " + item->box + " is " + nameOf(item->state) + ", not out");
-  const std::string said = "box " + item->box + " comes back";
+    return no("box " + item->instance + " is " + nameOf(item->state) + ", not out");
+  const std::string said = "box " + item->instance + " comes back";
   if (item->back)
     return {"", std::nullopt, said};
   item->back = true;
--- a/src/coordination/plan.cpp
+++ b/src/coordination/plan.cpp
@@ -34,23 +34,23 @@
 }
 
 std::set<std::string> Plan::drained() const {
-  std::set<std::string> boxes;
+  std::set<std::string> instances;
   for (const PlanItem& one : items)
     if (one.state == ItemState::kDraining || one.state == ItemState::kOut)
-      boxes.insert(one.box);
-  return boxes;
+      instances.insert(one.instance);
+  return instances;
 }
 
-PlanItem* Plan::item(const std::string& box) {
-  const auto it =
-      std::find_if(items.begin(), items.end(), [&](const PlanItem& one) { return one.box == box; });
+PlanItem* Plan::item(const std::string& instance) {
+  const auto it = std::find_if(items.begin(), items.end(),
+                               [&](const PlanItem& one) { return one.instance == instance; });
   return it == items.end() ? nullptr : &*it;
 }
 
 std::string Plan::text() const {
   json list = json::array();
   for (const PlanItem& one : items)
-    list.push_back({{"box", one.box},
+    list.push_back({{"box", one.instance},
                     {"state", nameOf(one.state)},
                     {"changed", one.changed},
                     {"back", one.back},
@@ -78,16 +78,17 @@
     plan.startedMs = whole.at("started_ms").get<double>();
     if (!std::isfinite(plan.holdMs) || plan.holdMs < 0 || plan.id.empty())
       return std::nullopt;
-    std::set<std::string> boxes;
+    std::set<std::string> instances;
     for (const json& entry : whole.at("items")) {
       plan.items.push_back({entry.at("box").get<std::string>(),
                             stateOf<ItemState>(kItemNames, entry.at("state").get<std::string>()),
                             entry.at("changed").get<std::uint64_t>(), entry.at("back").get<bool>(),
                             entry.at("why").get<std::string>()});
-      if (plan.items.back().box.empty() || !boxes.insert(plan.items.back().box).second)
+      if (plan.items.back().instance.empty() ||
+          !instances.insert(plan.items.back().instance).second)
         return std::nullopt;
     }
-    if (plan.items.empty() || plan.items.size() > kMostBoxes)
+    if (plan.items.empty() || plan.items.size() > kMaxInstances)
       return std::nullopt;
     return plan;
   } catch (const json::exception&) {
--- a/src/coordination/presence.h
+++ b/src/coordination/presence.h
@@ -1,6 +1,6 @@
-// What a conductor says of itself in the store: that it lives, which plan it acts by, and what it
-// still has open at boxes that are drained. Read by whoever holds the maintenance; cleaned up when
-// its conductor is gone.
+// What a router says of itself in the store: that it lives, which plan it acts by, and what it
+// still has open at instances that are drained. Read by whoever holds the maintenance; cleaned up
+// when its router is gone.
 #pragma once
 
 #include <cstdint>
@@ -18,18 +18,17 @@
 
 struct Presence {
   Holder who;
-  std::uint64_t beat =
-      0;             // counts up: a text that stays the same is a conductor that does not speak
-  std::string plan;  // whose steps it has carried out,
-  std::uint64_t steps = 0;                    // and how many of them
-  std::map<std::string, std::uint64_t> open;  // attempts at boxes that the plan drains
+  std::uint64_t beat = 0;   // counts up: a text that stays the same is a router that does not speak
+  std::string plan;         // whose steps it has carried out,
+  std::uint64_t steps = 0;  // and how many of them
+  std::map<std::string, std::uint64_t> open;  // attempts at instances that the plan drains
   bool operator==(const Presence&) const = default;
 
   std::string text() const;
   static std::optional<Presence> parse(std::string_view text);
 };
 
-// Writes this conductor's own document: what to write next, and what the answers mean. No I/O.
+// Writes this router's own document: what to write next, and what the answers mean. No I/O.
 class OwnPresence {
  public:
   OwnPresence(Holder who, double periodMs) : who_(std::move(who)), periodMs_(periodMs) {}
@@ -38,10 +37,10 @@
   // under way.
   std::optional<Write> next(const Presence& now, double nowMs);
   void written(const CommitAnswer& answer, double nowMs);
-  // What the store has under this conductor's name.
+  // What the store has under this router's name.
   void read(const std::map<std::string, Doc>& docs, double nowMs);
 
-  // Another process with this conductor's name that goes on after this one had written: this one
+  // Another process with this router's name that goes on after this one had written: this one
   // steps back.
   bool rivalled() const { return rivalled_; }
 
--- a/src/coordination/runner.cpp
+++ b/src/coordination/runner.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr double kStaleReads =
-    4;  // readings that fail or lag before this conductor counts as not hearing
+    4;                         // readings that fail or lag before this router counts as not hearing
 constexpr double kRestMs = 1;  // between two looks, whatever a machine asks for
 
 }  // namespace
--- a/src/coordination/runner.h
+++ b/src/coordination/runner.h
@@ -1,4 +1,4 @@
-// Carries the leases and tasks of one conductor: asks the store what the machines want asked, reads
+// Carries the leases and tasks of one router: asks the store what the machines want asked, reads
 // what all share, and commits steps under the fence that goes with them. What it decides by itself
 // is only when to look.
 #pragma once
@@ -32,9 +32,9 @@
   Runner& operator=(const Runner&) = delete;
 
   void add(std::unique_ptr<FleetTask> task);
-  // whole: all documents were read, not only those that this conductor needs.
+  // whole: all documents were read, not only those that this router needs.
   void onView(std::function<void(const View&, bool whole)> told) { told_ = std::move(told); }
-  // Who holds no lease reads only these documents: what all conductors read is paid for by all.
+  // Who holds no lease reads only these documents: what all routers read is paid for by all.
   // Without it everybody reads everything.
   void needs(std::function<std::vector<std::string>()> keys) { needs_ = std::move(keys); }
   void start();
--- a/src/coordination/setup.cpp
+++ b/src/coordination/setup.cpp
@@ -11,7 +11,7 @@
 constexpr std::size_t kMostEndpoints = 9;
 
 // It becomes part of keys.
-std::string nameIn(const core::Fields& given) {
+std::string nameIn(const core::ConfigReader& given) {
   auto name = given.as<std::string>();
   const bool plain =
       !name.empty() && name.size() <= kLongestName &&
@@ -23,10 +23,10 @@
   return name;
 }
 
-EtcdPlace etcdOf(const core::Fields& store, double askMs) {
+EtcdConfig etcdOf(const core::ConfigReader& store, double askMs) {
   store.only({"kind", "endpoints", "prefix"});
-  EtcdPlace place;
-  for (const core::Fields& one : store.at("endpoints").list())
+  EtcdConfig place;
+  for (const core::ConfigReader& one : store.at("endpoints").list())
     place.endpoints.push_back(
         one.read([](const std::string& text) { return net::endpointOf(text); }));
   if (place.endpoints.empty())
@@ -42,7 +42,7 @@
 
 }  // namespace
 
-Setup setupOf(const core::Fields& given, double coldMs) {
+Setup setupOf(const core::ConfigReader& given, double coldMs) {
   given.only({"name", "store", "lease_s", "drift", "answer_ms", "idle_holder_s", "spread_ms",
               "watch_ms", "step_ms", "maintenance", "cleanup"});
   Setup setup;
@@ -59,7 +59,7 @@
   lease.task = "any";
   if (const auto problem = problemWith(lease))
     given.fail("cannot be used: " + *problem);
-  const core::Fields store = given.at("store");
+  const core::ConfigReader store = given.at("store");
   const auto kind = store.at("kind").as<std::string>();
   if (kind == "sqlite") {
     store.only({"kind", "path"});
@@ -78,7 +78,7 @@
   for (TaskConfig* task : {&setup.maintenance.task, &setup.cleanup.task})
     task->longestStepMs = lease.longestStepMs;
   if (given.has("maintenance")) {
-    const core::Fields maintenance = given.at("maintenance");
+    const core::ConfigReader maintenance = given.at("maintenance");
     maintenance.only({"silent_node_s", "period_ms"});
     setup.maintenance.silentNodeMs =
         maintenance.above0("silent_node_s", setup.maintenance.silentNodeMs / 1000) * 1000;
@@ -86,7 +86,7 @@
         maintenance.above0("period_ms", setup.maintenance.task.periodMs);
   }
   if (given.has("cleanup")) {
-    const core::Fields cleanup = given.at("cleanup");
+    const core::ConfigReader cleanup = given.at("cleanup");
     cleanup.only({"gone_s", "plan_s", "period_ms"});
     setup.cleanup.goneMs = cleanup.above0("gone_s", setup.cleanup.goneMs / 1000) * 1000;
     setup.cleanup.planMs = cleanup.above0("plan_s", setup.cleanup.planMs / 1000) * 1000;
--- a/src/coordination/setup.h
+++ b/src/coordination/setup.h
@@ -1,5 +1,5 @@
-// What an operator's file says under `coordination`: this conductor's name, the store it shares
-// with the others, and how leases and tasks are to go. Without it a conductor shares nothing, and
+// What an operator's file says under `coordination`: this router's name, the store it shares
+// with the others, and how leases and tasks are to go. Without it a router shares nothing, and
 // none of this is there.
 #pragma once
 
@@ -16,7 +16,7 @@
 struct Setup {
   std::string name;
   std::string sqlitePath;  // empty: etcd
-  std::optional<EtcdPlace> etcd;
+  std::optional<EtcdConfig> etcd;
   LeaseConfig lease;     // of every task; its name and longest step are the task's
   double watchMs = 500;  // between two readings of the store
   MaintenanceConfig maintenance;
@@ -24,7 +24,8 @@
   std::string text;  // as it stood in the file: a change is known by it
 };
 
-// Throws std::invalid_argument with the path of what is wrong. coldMs: that a box takes to be warm.
-Setup setupOf(const core::Fields& given, double coldMs);
+// Throws std::invalid_argument with the path of what is wrong. coldMs: that an instance takes to be
+// warm.
+Setup setupOf(const core::ConfigReader& given, double coldMs);
 
 }  // namespace inference_router::coordination
--- a/src/coordination/sqlite_store.h
+++ b/src/coordination/sqlite_store.h
@@ -1,4 +1,4 @@
-// The store for conductors on one machine: an SQLite file, on the storage thread. Leases are
+// The store for routers on one machine: an SQLite file, on the storage thread. Leases are
 // decided by the rules of lease_rules.h within one transaction each, by the machine's monotonic
 // clock; a lease from before the last boot is void, since no process of that time lives, and its
 // fence stays.
--- a/src/coordination/store.h
+++ b/src/coordination/store.h
@@ -14,7 +14,7 @@
 
 namespace inference_router::coordination {
 
-// What a fleet may have. All tables that are kept by conductor or by instance reach to these; the
+// What a fleet may have. All tables that are kept by router or by instance reach to these; the
 // sizes of texts and of the store follow from them (docs/design/bounds.md).
 constexpr std::size_t kMostConductors = 1024;
 constexpr std::size_t kMostInstances = 1024;
@@ -25,7 +25,7 @@
 constexpr std::size_t kMostWrites = 96;
 // The largest text, with all that may be removed by the same change.
 constexpr std::size_t kMostValueBytes = kMostChangeBytes - kMostWrites * 2 * kLongestKey;
-// Each conductor's own word and part, those of its process before, and what is removed later; the
+// Each router's own word and part, those of its process before, and what is removed later; the
 // plan and the digest.
 constexpr std::size_t kMostDocs = 4 * kMostConductors;
 
@@ -71,7 +71,7 @@
   virtual void commit(const Fence& fence,
                       std::vector<Write> writes,
                       std::function<void(CommitAnswer)> answer) = 0;
-  // What a conductor says of itself, or an operator of a plan: no task's effect, and so without a
+  // What a router says of itself, or an operator of a plan: no task's effect, and so without a
   // fence.
   virtual void put(Write write, std::function<void(CommitAnswer)> answer) = 0;
   virtual void list(std::function<void(const Listing&)> answer) = 0;
--- a/src/coordination/task.h
+++ b/src/coordination/task.h
@@ -1,4 +1,4 @@
-// A task that one conductor does for the whole fleet. All that it may do is written down as a step
+// A task that one router does for the whole fleet. All that it may do is written down as a step
 // of documents; the runner commits a step under the fence of the task's lease, and there is no
 // other way to carry one out. What cannot be put so is not offered as a task.
 #pragma once
--- a/src/core/fields.h
+++ b/src/core/fields.h
@@ -13,10 +13,10 @@
 
 namespace inference_router::core {
 
-class Fields {
+class ConfigReader {
  public:
   // The value has to live as long as this.
-  explicit Fields(const nlohmann::json& value, std::string path = "")
+  explicit ConfigReader(const nlohmann::json& value, std::string path = "")
       : value_(&value), path_(std::move(path)) {}
 
   const std::string& path() const { return path_; }
@@ -24,26 +24,26 @@
   bool has(const std::string& name) const { return value_->is_object() && value_->contains(name); }
 
   // What has to be there. Throws std::invalid_argument, as all that follows.
-  Fields at(const std::string& name) const {
+  ConfigReader at(const std::string& name) const {
     if (!value_->is_object())
       fail("is not an object");
     if (!value_->contains(name))
       throw std::invalid_argument(under(name) + " is missing");
-    return Fields((*value_)[name], under(name));
+    return ConfigReader((*value_)[name], under(name));
   }
-  Fields at(std::size_t index) const {
-    return Fields((*value_)[index], path_ + "[" + std::to_string(index) + "]");
+  ConfigReader at(std::size_t index) const {
+    return ConfigReader((*value_)[index], path_ + "[" + std::to_string(index) + "]");
   }
-  // The entries of a list, each as Fields.
-  std::vector<Fields> list() const {
+  // The entries of a list, each as ConfigReader.
+  std::vector<ConfigReader> list() const {
     if (!value_->is_array())
       fail("is not a list");
-    std::vector<Fields> entries;
+    std::vector<ConfigReader> entries;
     for (std::size_t i = 0; i < value_->size(); ++i)
       entries.push_back(at(i));
     return entries;
   }
-  const Fields& object() const {
+  const ConfigReader& object() const {
     if (!value_->is_object())
       fail("is not an object");
     return *this;
--- a/src/core/ports.h
+++ b/src/core/ports.h
@@ -28,9 +28,9 @@
 };
 
 // The way back to one client.
-class Answerer {
+class ResponseWriter {
  public:
-  virtual ~Answerer() = default;
+  virtual ~ResponseWriter() = default;
   virtual void refuse(const Refusal& refusal) = 0;  // it has not run: a repeat is harmless
   virtual void fail(const Failure& failure) = 0;    // promises nothing
   virtual bool pass(
@@ -42,44 +42,44 @@
 };
 
 // Whoever wants to hear of the fleet list.
-class ListSink {
+class EndpointListSink {
  public:
-  virtual ~ListSink() = default;
-  virtual void list(routing::ListNews news) = 0;
+  virtual ~EndpointListSink() = default;
+  virtual void list(routing::EndpointListUpdate news) = 0;
 };
 
 struct Dispatch {
   AttemptKey attempt;
   routing::RequestId request;
-  routing::EngineId engine;
+  routing::InstanceId instance;
   std::shared_ptr<const Payload> payload;
   double untilMs;
-  bool reads;              // at a reader: what it leaves is a state, and it takes none
+  bool reads;              // at a prefill instance: what it leaves is a state, and it takes none
   double afterMs = 0;      // nothing of it goes out before
   double heldSinceMs = 0;  // the last attempt of its request ended; 0: there was none
 };
 
-// The way to the engines. Whatever it reports comes through Conductor, also at once from within a
+// The way to the instances. Whatever it reports comes through Router, also at once from within a
 // call.
-class Engines {
+class InstanceClient {
  public:
-  virtual ~Engines() = default;
+  virtual ~InstanceClient() = default;
   virtual void start(const Dispatch& dispatch) = 0;
   virtual void abandon(AttemptKey attempt) = 0;
-  virtual void resume(AttemptKey attempt) = 0;  // after Conductor::passed() said to wait
+  virtual void resume(AttemptKey attempt) = 0;  // after Router::passed() said to wait
   // Whether more of its answer has come than was passed on, its end included.
   virtual bool unread(AttemptKey attempt) const = 0;
   virtual void holdPlace(const routing::RequestId& request,
                          AttemptKey reading,
-                         const routing::EngineId& engine) = 0;
+                         const routing::InstanceId& instance) = 0;
   virtual void release(const routing::RequestId& request) = 0;
-  virtual void probe(const routing::EngineId& engine) = 0;
+  virtual void probe(const routing::InstanceId& instance) = 0;
 };
 
 struct Result {
-  routing::Outcome outcome;
-  double keptTokens = 0;
-  bool stateGone = false;
+  routing::AttemptOutcome outcome;
+  double cachedTokens = 0;
+  bool kvCacheLost = false;
   bool doubtful =
       false;  // the answer may have been one to an earlier request on the same connection
 };
--- a/src/core/request_dispatcher.cpp
+++ b/src/core/request_dispatcher.cpp
@@ -14,7 +14,7 @@
 // How long past deadline and grace the module may leave a request without an answer before the core
 // gives one.
 constexpr double kOverdueMs = 10;
-// By how much a close may reach its engine later than what is sent next reaches others, on other
+// By how much a close may reach its instance later than what is sent next reaches others, on other
 // connections: far above the way within a deployment, and far below the slack of each limit.
 constexpr double kCloseMs = 10;
 // A stream that is to move is looked at so often until what has come of it is passed on; a client
@@ -22,25 +22,25 @@
 constexpr double kMoveLookMs = 5;
 constexpr int kMoveLooks = 20;
 
-const char* nameOf(Outcome outcome) {
+const char* nameOf(AttemptOutcome outcome) {
   switch (outcome) {
-    case Outcome::kServed:
+    case AttemptOutcome::kServed:
       return "attempts.served";
-    case Outcome::kError:
+    case AttemptOutcome::kError:
       return "attempts.error";
-    case Outcome::kFull:
+    case AttemptOutcome::kRejected:
       return "attempts.turned_away";
-    case Outcome::kTimeout:
+    case AttemptOutcome::kTimeout:
       return "attempts.timed_out";
-    case Outcome::kNoConnection:
+    case AttemptOutcome::kConnectFailed:
       return "attempts.no_connection";
-    case Outcome::kConnectionLost:
+    case AttemptOutcome::kConnectionLost:
       return "attempts.reset";
-    case Outcome::kCancelled:
+    case AttemptOutcome::kCancelled:
       return "attempts.cancelled";
-    case Outcome::kNotSent:
+    case AttemptOutcome::kNotSent:
       return "attempts.not_sent";
-    case Outcome::kRead:
+    case AttemptOutcome::kPrefilled:
       return "attempts.read";
   }
   return "attempts.unknown";
@@ -48,45 +48,46 @@
 
 }  // namespace
 
-Conductor::Conductor(const Settings& settings,
-                     std::uint64_t seed,
-                     const Clock& clock,
-                     Deadlines& deadlines,
-                     Counters& counters)
+RequestDispatcher::RequestDispatcher(const Settings& settings,
+                                     std::uint64_t seed,
+                                     const Clock& clock,
+                                     Deadlines& deadlines,
+                                     Counters& counters)
     : clock_(clock),
       deadlines_(deadlines),
       counters_(counters),
       router_(settings, seed),
       drainGraceMs_(toMs(settings.contract.drainGrace)),
       answerGraceMs_(toMs(settings.contract.answerGrace)) {
-  figures_.classes(settings.classes.size());
+  metrics_.classes(settings.classes.size());
   learn(settings);
 }
 
-void Conductor::learn(const Settings& settings) {
+void RequestDispatcher::learn(const Settings& settings) {
   kindReads_.clear();
   for (const KindSettings& kind : settings.kinds)
-    kindReads_.push_back(kind.role == Role::kReader);
+    kindReads_.push_back(kind.role == Role::kPrefill);
   classes_ = settings.classes;
-  secondCopies_ = settings.limits.secondCopies;
+  secondCopies_ = settings.limits.hedgedRequests;
   permits_.configure(toMs(settings.contract.drainGrace), secondCopies_);
 }
 
-void Conductor::reconfigure(const Settings& settings) {
+void RequestDispatcher::reconfigure(const Settings& settings) {
   router_.reconfigure(settings);
-  figures_.classes(settings.classes.size());
+  metrics_.classes(settings.classes.size());
   learn(settings);
   drainGraceMs_ = toMs(settings.contract.drainGrace);
   answerGraceMs_ = toMs(settings.contract.answerGrace);
 }
 
-RequestFacts Conductor::factsOf(ClassIndex index) const {
+RequestFacts RequestDispatcher::factsOf(ClassIndex index) const {
   RequestFacts facts;
   if (index.value >= classes_.size())
     return facts;
   const ClassSettings& cls = classes_[index.value];
   facts.effect = cls.effect;
-  facts.repeatsFindFirst = cls.effect == Effect::kKeyed && cls.group == Group::kAll;
+  facts.repeatsFindFirst =
+      cls.effect == Effect::kDeduplicated && cls.dedupScope == DedupScope::kAll;
   facts.repeatWindowMs = toMs(cls.dedupWindow);
   return facts;
 }
@@ -94,9 +95,9 @@
 // ---- From clients
 // ----------------------------------------------------------------------------------
 
-std::optional<RequestKey> Conductor::take(Arrival arrival,
-                                          std::shared_ptr<const Payload> payload,
-                                          std::shared_ptr<Answerer> answerer) {
+std::optional<RequestKey> RequestDispatcher::take(Arrival arrival,
+                                                  std::shared_ptr<const Payload> payload,
+                                                  std::shared_ptr<ResponseWriter> responseWriter) {
   if (byId_.count(arrival.request) != 0)
     return std::nullopt;
   ++counters_["requests.taken"];
@@ -104,9 +105,9 @@
   request.id = arrival.request;
   request.told = arrival;
   request.cls = arrival.cls.value;
-  figures_.taken(request.cls);
+  metrics_.taken(request.cls);
   request.payload = std::move(payload);
-  request.answerer = std::move(answerer);
+  request.responseWriter = std::move(responseWriter);
   request.facts = factsOf(arrival.cls);
   request.facts.deadlineMs = clock_.nowMs() + toMs(arrival.timeLeft);
   const RequestKey key = requests_.add(std::move(request));
@@ -116,59 +117,59 @@
   Request& r = *requests_.find(key);
   r.overdue = deadlines_.add(r.facts.deadlineMs + answerGraceMs_ + kOverdueMs, [this, key] {
     Request* late = requests_.find(key);
-    if (late == nullptr || !late->answerer || late->facts.streaming)
+    if (late == nullptr || !late->responseWriter || late->facts.streaming)
       return;
     late->overdue.reset();
     ++counters_["requests.overdue"];
-    conclude(*late, Ending::kError)->fail({true});
+    conclude(*late, RequestOutcome::kError)->fail({true});
     lapsed_.push_back(key);
-    post(Lapsed{late->id});
+    post(RequestAbandoned{late->id});
   });
   post(std::move(arrival));
   return key;
 }
 
-void Conductor::clientGone(RequestKey key) {
+void RequestDispatcher::clientGone(RequestKey key) {
   Request* r = requests_.find(key);
-  if (r == nullptr || !r->answerer)
+  if (r == nullptr || !r->responseWriter)
     return;
   ++counters_["requests.client_gone"];
-  conclude(*r, Ending::kAbandoned);
+  conclude(*r, RequestOutcome::kAbandoned);
   lapsed_.push_back(key);
-  post(Lapsed{r->id});
+  post(RequestAbandoned{r->id});
 }
 
-void Conductor::clientReady(RequestKey key) {
+void RequestDispatcher::clientReady(RequestKey key) {
   const Request* r = requests_.find(key);
   if (r != nullptr && r->facts.streaming && attempts_.find(r->stream) != nullptr)
-    engines_->resume(r->stream);
+    instanceClient_->resume(r->stream);
 }
 
 // ---- From discovery
 // --------------------------------------------------------------------------------
 
-void Conductor::list(ListNews news) {
-  if (news.form != ListForm::kFailed) {
+void RequestDispatcher::list(EndpointListUpdate news) {
+  if (news.form != EndpointListForm::kFailed) {
     const double now = clock_.nowMs();
     const auto tellOff = [now](Listing& listing, bool gone) {
       listing.gone = gone;
       if (!listing.facts.toldOffMs)
         listing.facts.toldOffMs = now;
     };
-    if (news.form != ListForm::kChanges) {
-      std::set<EngineId> named;
-      for (const ListEntry& entry : news.entries)
-        named.insert(entry.engine);
-      for (auto& [engine, listing] : fleet_)
-        if (named.count(engine) == 0)
+    if (news.form != EndpointListForm::kChanges) {
+      std::set<InstanceId> named;
+      for (const EndpointRecord& entry : news.entries)
+        named.insert(entry.instance);
+      for (auto& [instance, listing] : fleet_)
+        if (named.count(instance) == 0)
           tellOff(listing, true);
     }
-    for (const ListEntry& entry : news.entries) {
-      Listing& listing = fleet_[entry.engine];
-      if (entry.presence == Presence::kActive)
+    for (const EndpointRecord& entry : news.entries) {
+      Listing& listing = fleet_[entry.instance];
+      if (entry.state == EndpointState::kActive)
         listing = Listing{};
       else
-        tellOff(listing, entry.presence == Presence::kGone);
+        tellOff(listing, entry.state == EndpointState::kRemoved);
       listing.facts.listed = true;
       listing.facts.reads = entry.kind.value < kindReads_.size() && kindReads_[entry.kind.value];
     }
@@ -177,18 +178,18 @@
   post(std::move(news));
 }
 
-// ---- From the engines' side
+// ---- From the instances' side
 // ------------------------------------------------------------------------
 
-const InstanceFacts* Conductor::instance(const EngineId& engine) const {
-  const auto told = fleet_.find(engine);
+const InstanceFacts* RequestDispatcher::instanceFacts(const InstanceId& instance) const {
+  const auto told = fleet_.find(instance);
   return told == fleet_.end() ? nullptr : &told->second.facts;
 }
 
 // Guards the table against a fleet whose machines are replaced all day, each under an id of its
-// own. Past the grace nothing goes to an engine that is gone, and what is not known gets nothing
+// own. Past the grace nothing goes to an instance that is gone, and what is not known gets nothing
 // either.
-void Conductor::forgetGone() {
+void RequestDispatcher::forgetGone() {
   const double before = clock_.nowMs() - drainGraceMs_;
   std::erase_if(fleet_, [before](const auto& entry) {
     const Listing& listing = entry.second;
@@ -196,39 +197,39 @@
   });
 }
 
-bool Conductor::mayHold(const EngineId& engine) const {
-  return permits_.toInstance(instance(engine), clock_.nowMs()) == Permit::kAllowed;
+bool RequestDispatcher::mayHold(const InstanceId& instance) const {
+  return permits_.toInstance(instanceFacts(instance), clock_.nowMs()) == Permit::kAllowed;
 }
 
-bool Conductor::needsNothingHeld(const RequestId& request) const {
+bool RequestDispatcher::needsNothingHeld(const RequestId& request) const {
   const auto it = byId_.find(request);
   const Request* r = it == byId_.end() ? nullptr : requests_.find(it->second);
-  return r == nullptr || r->facts.streaming || !r->answerer;
+  return r == nullptr || r->facts.streaming || !r->responseWriter;
 }
 
 // Guards a refusal and the next send against a close that they overtake: until it is there, an
-// attempt that was called off is open at its engine, be it a reader, and may run. Classes that may
-// run twice need no wait.
-double Conductor::closesArriveMs(const Request& request, bool safeToo) const {
+// attempt that was called off is open at its instance, be it a prefill instance, and may run.
+// Classes that may run twice need no wait.
+double RequestDispatcher::closesArriveMs(const Request& request, bool safeToo) const {
   return repeatsFreely(request) && !safeToo ? 0 : request.closedMs + kCloseMs;
 }
 
-bool Conductor::repeatsFreely(const Request& request) const {
-  return request.facts.effect == Effect::kSafe;
+bool RequestDispatcher::repeatsFreely(const Request& request) const {
+  return request.facts.effect == Effect::kIdempotent;
 }
 
 // Time passes between the module's decision and the first byte.
-Permit Conductor::permitOf(AttemptKey key) {
+Permit RequestDispatcher::permitOf(AttemptKey key) {
   const Attempt* a = attempts_.find(key);
   if (a == nullptr)
     return Permit::kAnswered;
   const RequestKey owner = a->request;
   const Request& r = *requests_.find(owner);
-  return permits_.attempt(r.facts, instance(a->engine), toMs(a->before), clock_.nowMs(),
+  return permits_.attempt(r.facts, instanceFacts(a->instance), toMs(a->before), clock_.nowMs(),
                           [this, owner] { return clientPresent(owner); });
 }
 
-bool Conductor::maySend(AttemptKey key) {
+bool RequestDispatcher::maySend(AttemptKey key) {
   const Permit permit = permitOf(key);
   if (permit != Permit::kAllowed)
     ++counters_[std::string("attempts.denied.") + nameOf(permit)];
@@ -236,7 +237,7 @@
 }
 
 // Faults of this program: counted and told with the request's history, so that they can be traced.
-void Conductor::report(const std::vector<Violation>& violations, const Request& request) {
+void RequestDispatcher::report(const std::vector<Violation>& violations, const Request& request) {
   for (const Violation violation : violations) {
     ++counters_[std::string("invariants.violated.") + nameOf(violation)];
     log_(std::string("invariant violated: ") + nameOf(violation) + " by request " +
@@ -244,38 +245,38 @@
   }
 }
 
-bool Conductor::attemptIsWanted(AttemptKey key) {
+bool RequestDispatcher::attemptIsWanted(AttemptKey key) {
   const Attempt* a = attempts_.find(key);
   return a != nullptr && clientWaits(a->request);
 }
 
 // A client's close may have come while its handler still waits for its turn: nothing begins for who
 // has gone.
-bool Conductor::clientWaits(RequestKey key) {
+bool RequestDispatcher::clientWaits(RequestKey key) {
   const Request* r = requests_.find(key);
   return r != nullptr && clock_.nowMs() < r->facts.deadlineMs && clientPresent(key);
 }
 
-bool Conductor::clientPresent(RequestKey key) {
+bool RequestDispatcher::clientPresent(RequestKey key) {
   const Request* r = requests_.find(key);
-  if (r == nullptr || !r->answerer)
+  if (r == nullptr || !r->responseWriter)
     return false;
-  if (r->answerer->present())
+  if (r->responseWriter->present())
     return true;
   clientGone(key);
   return false;
 }
 
-bool Conductor::passed(AttemptKey key, std::string_view part) {
+bool RequestDispatcher::passed(AttemptKey key, std::string_view part) {
   Attempt* a = attempts_.find(key);
   if (a == nullptr)
     return true;
   Request* r = requests_.find(a->request);
   if (!a->opened) {
     // The first event ties the request to this attempt; a later copy's stream is dropped.
-    if (!r->answerer || r->facts.streaming) {
-      engines_->abandon(key);
-      close(key, {Outcome::kCancelled});
+    if (!r->responseWriter || r->facts.streaming) {
+      instanceClient_->abandon(key);
+      close(key, {AttemptOutcome::kCancelled});
       return true;
     }
     a->opened = true;
@@ -285,55 +286,55 @@
     deadlines_.cancel(r->overdue);
     // The event goes out before the module hears of it: a stream that the module moves at once
     // would end its client's connection without any answer.
-    const std::shared_ptr<Answerer> answerer = r->answerer;
-    const bool more = answerer->pass(part);
+    const std::shared_ptr<ResponseWriter> responseWriter = r->responseWriter;
+    const bool more = responseWriter->pass(part);
     a = attempts_.find(key);
     if (a != nullptr)
-      post(StreamOpened{requests_.find(a->request)->id, a->number, a->engine,
+      post(StreamOpened{requests_.find(a->request)->id, a->number, a->instance,
                         toModule(clock_.nowMs() - a->sentMs)});
     return more;
   }
-  if (!r->answerer)
+  if (!r->responseWriter)
     return true;
-  const std::shared_ptr<Answerer> answerer = r->answerer;
-  return answerer->pass(part);
+  const std::shared_ptr<ResponseWriter> responseWriter = r->responseWriter;
+  return responseWriter->pass(part);
 }
 
-void Conductor::written(AttemptKey key) {
+void RequestDispatcher::written(AttemptKey key) {
   const Attempt* a = attempts_.find(key);
   if (a == nullptr)
     return;
   const Request* r = requests_.find(a->request);
   if (r == nullptr)
     return;
-  figures_.tried(r->cls);
-  report(permits_.checkWritten(r->facts, instance(a->engine), clock_.nowMs()), *r);
+  metrics_.tried(r->cls);
+  report(permits_.checkWritten(r->facts, instanceFacts(a->instance), clock_.nowMs()), *r);
 }
 
-void Conductor::ended(AttemptKey key, const Result& result) {
+void RequestDispatcher::ended(AttemptKey key, const Result& result) {
   close(key, result);
 }
 
-void Conductor::placeAnswered(AttemptKey reading, const EngineId& engine, bool held) {
+void RequestDispatcher::placeAnswered(AttemptKey reading, const InstanceId& instance, bool held) {
   const Attempt* a = attempts_.find(reading);
   if (a == nullptr)
     return;  // the read has ended: its note would come too late to mean anything
-  post(PlaceNote{requests_.find(a->request)->id, a->number, engine, held});
+  post(ReservationResult{requests_.find(a->request)->id, a->number, instance, held});
 }
 
-void Conductor::probed(const EngineId& engine, double tookMs, bool answered) {
-  post(ProbeEnded{engine, toModule(tookMs), answered, std::nullopt});
+void RequestDispatcher::probed(const InstanceId& instance, double tookMs, bool answered) {
+  post(HealthCheckEnded{instance, toModule(tookMs), answered, std::nullopt});
 }
 
 // ---- Streams that pass to another process
 // ----------------------------------------------------------
 
-std::size_t Conductor::openAt(const EngineId& engine) const {
-  const auto it = outAt_.find(engine);
+std::size_t RequestDispatcher::openAt(const InstanceId& instance) const {
+  const auto it = outAt_.find(instance);
   return it == outAt_.end() ? 0 : it->second;
 }
 
-std::vector<RequestKey> Conductor::streams() const {
+std::vector<RequestKey> RequestDispatcher::streams() const {
   std::vector<RequestKey> found;
   for (const auto& [id, key] : byId_)
     if (streamOf(key))
@@ -341,63 +342,64 @@
   return found;
 }
 
-std::optional<Conductor::Stream> Conductor::streamOf(RequestKey key) const {
+std::optional<RequestDispatcher::Stream> RequestDispatcher::streamOf(RequestKey key) const {
   const Request* r = requests_.find(key);
-  if (r == nullptr || !r->answerer || !r->facts.streaming || r->out != 1)
+  if (r == nullptr || !r->responseWriter || !r->facts.streaming || r->out != 1)
     return std::nullopt;
   const Attempt* a = attempts_.find(r->stream);
   if (a == nullptr)
     return std::nullopt;
-  return Stream{key, r->stream, r->told, a->engine};
+  return Stream{key, r->stream, r->told, a->instance};
 }
 
-void Conductor::handedOver(RequestKey key) {
+void RequestDispatcher::handedOver(RequestKey key) {
   Request* r = requests_.find(key);
-  if (r == nullptr || !r->answerer)
+  if (r == nullptr || !r->responseWriter)
     return;
   const AttemptKey stream = r->stream;
-  conclude(*r, Ending::kHandedOver);
-  close(stream, {Outcome::kCancelled});
+  conclude(*r, RequestOutcome::kHandedOver);
+  close(stream, {AttemptOutcome::kCancelled});
 }
 
-std::optional<Conductor::Stream> Conductor::adopt(Arrival arrival,
-                                                  const EngineId& engine,
-                                                  std::shared_ptr<Answerer> answerer) {
+std::optional<RequestDispatcher::Stream> RequestDispatcher::adopt(
+    Arrival arrival,
+    const InstanceId& instance,
+    std::shared_ptr<ResponseWriter> responseWriter) {
   if (byId_.count(arrival.request) != 0)
     return std::nullopt;
   Request request;
   request.id = arrival.request;
   request.told = arrival;
   request.cls = arrival.cls.value;
-  request.answerer = std::move(answerer);
+  request.responseWriter = std::move(responseWriter);
   request.facts = factsOf(arrival.cls);
   request.facts.streaming = true;
-  request.facts.attempts.push_back({.instance = engine.value, .sentMs = clock_.nowMs()});
+  request.facts.attempts.push_back({.instance = instance.value, .sentMs = clock_.nowMs()});
   request.out = 1;
-  figures_.taken(request.cls);
+  metrics_.taken(request.cls);
   ++counters_["requests.adopted"];
   const RequestKey key = requests_.add(std::move(request));
   byId_[arrival.request] = key;
   ++unanswered_;
   Attempt attempt;
   attempt.request = key;
-  attempt.engine = engine;
+  attempt.instance = instance;
   attempt.sentMs = clock_.nowMs();
   attempt.opened = true;
   const AttemptKey stream = attempts_.add(std::move(attempt));
   Request& r = *requests_.find(key);
   r.stream = stream;
   r.attempts.push_back(stream);
-  ++outAt_[engine];
-  post(StreamAdopted{arrival, engine});
-  return Stream{key, stream, std::move(arrival), engine};
+  ++outAt_[instance];
+  post(StreamAdopted{arrival, instance});
+  return Stream{key, stream, std::move(arrival), instance};
 }
 
 // ---- Endings
 // ---------------------------------------------------------------------------------------
 
 // The one gate for AttemptEnded: the attempt's slot goes with it, so that there cannot be a second.
-void Conductor::close(AttemptKey key, const Result& result) {
+void RequestDispatcher::close(AttemptKey key, const Result& result) {
   Attempt* a = attempts_.find(key);
   if (a == nullptr)
     return;
@@ -408,98 +410,99 @@
   r.endedMs = clock_.nowMs();
   const bool streamed = a->opened;
   const bool calledOff =
-      result.outcome == Outcome::kCancelled || result.outcome == Outcome::kTimeout;
-  // An answer that cannot be read is closed as well, and goes on at its engine perhaps.
-  const bool spoilt = result.outcome == Outcome::kError && !repeatsFreely(r);
+      result.outcome == AttemptOutcome::kCancelled || result.outcome == AttemptOutcome::kTimeout;
+  // An answer that cannot be read is closed as well, and goes on at its instance perhaps.
+  const bool spoilt = result.outcome == AttemptOutcome::kError && !repeatsFreely(r);
   if (calledOff || spoilt)
     r.closedMs = clock_.nowMs();
-  const InstanceFacts* at = instance(a->engine);
+  const InstanceFacts* at = instanceFacts(a->instance);
   r.lastOutcome = nameOf(result.outcome) + std::string_view("attempts.").size();
   r.lastAt = at == nullptr ? "" : at->reads ? "_reading" : "_answering";
   AttemptHistory& history = r.facts.attempts.at(static_cast<std::size_t>(a->number));
   history.out = false;
   history.outcome = r.lastOutcome;
-  history.mayHaveRun = !provesNoRun(result.outcome, result.doubtful);
+  history.mayHaveRun = !provesNotExecuted(result.outcome, result.doubtful);
   AttemptEnded event{r.id,
                      a->number,
-                     a->engine,
+                     a->instance,
                      result.outcome,
                      toModule(clock_.nowMs() - a->sentMs),
                      false,
-                     result.keptTokens,
-                     result.stateGone,
+                     result.cachedTokens,
+                     result.kvCacheLost,
                      std::nullopt,
                      result.doubtful};
-  const auto out = outAt_.find(a->engine);
+  const auto out = outAt_.find(a->instance);
   if (out != outAt_.end() && --out->second == 0)
     outAt_.erase(out);
   attempts_.remove(key);
   --r.out;
-  if (r.answerer && (streamed || result.outcome == Outcome::kServed)) {
-    const bool whole = result.outcome == Outcome::kServed;
-    const std::shared_ptr<Answerer> answerer = conclude(r, whole ? Ending::kOk : Ending::kError);
+  if (r.responseWriter && (streamed || result.outcome == AttemptOutcome::kServed)) {
+    const bool whole = result.outcome == AttemptOutcome::kServed;
+    const std::shared_ptr<ResponseWriter> responseWriter =
+        conclude(r, whole ? RequestOutcome::kOk : RequestOutcome::kError);
     if (whole) {
       ++counters_["requests.served"];
-      answerer->end();
+      responseWriter->end();
     } else {
       ++counters_["requests.broken"];
-      answerer->broken();
+      responseWriter->broken();
     }
   }
-  event.concluded = !requests_.find(owner)->answerer;
+  event.concluded = !requests_.find(owner)->responseWriter;
   post(std::move(event));
   forgetIfDone(owner);
 }
 
-void Conductor::timeOut(AttemptKey key) {
+void RequestDispatcher::timeOut(AttemptKey key) {
   Attempt* a = attempts_.find(key);
   if (a == nullptr)
     return;
   a->until.reset();
-  engines_->abandon(key);
-  close(key, {Outcome::kTimeout});
+  instanceClient_->abandon(key);
+  close(key, {AttemptOutcome::kTimeout});
 }
 
 // The one gate for final answers: whoever gets the answerer out of here is the only one to use it.
-std::shared_ptr<Answerer> Conductor::conclude(Request& request, Ending how) {
-  figures_.ended(request.cls, how);
+std::shared_ptr<ResponseWriter> RequestDispatcher::conclude(Request& request, RequestOutcome how) {
+  metrics_.ended(request.cls, how);
   request.facts.answered = true;
   deadlines_.cancel(request.overdue);
   --unanswered_;
-  return std::move(request.answerer);
+  return std::move(request.responseWriter);
 }
 
-void Conductor::forgetIfDone(RequestKey key) {
+void RequestDispatcher::forgetIfDone(RequestKey key) {
   const Request* r = requests_.find(key);
-  if (r == nullptr || r->answerer || r->out != 0 || running_)
+  if (r == nullptr || r->responseWriter || r->out != 0 || running_)
     return;
   byId_.erase(r->id);
   requests_.remove(key);
 }
 
-void Conductor::callOffAll(RequestKey key) {
+void RequestDispatcher::callOffAll(RequestKey key) {
   const Request* r = requests_.find(key);
   if (r == nullptr)
     return;
   for (const AttemptKey attempt : std::vector(r->attempts)) {
     if (attempts_.find(attempt) == nullptr)
       continue;
-    engines_->abandon(attempt);
-    close(attempt, {Outcome::kCancelled});
+    instanceClient_->abandon(attempt);
+    close(attempt, {AttemptOutcome::kCancelled});
   }
 }
 
 // ---- The module
 // ------------------------------------------------------------------------------------
 
-void Conductor::post(Event event) {
+void RequestDispatcher::post(Event event) {
   events_.push_back(std::move(event));
   run();
 }
 
 // Events that come up while the module's actions are carried out wait in line: the module sees one
 // at a time.
-void Conductor::run() {
+void RequestDispatcher::run() {
   if (running_)
     return;
   running_ = true;
@@ -512,7 +515,7 @@
       touched.push_back(ended->request);
     if (const auto* arrival = std::get_if<Arrival>(&event))
       touched.push_back(arrival->request);
-    if (const auto* lapsed = std::get_if<Lapsed>(&event))
+    if (const auto* lapsed = std::get_if<RequestAbandoned>(&event))
       touched.push_back(lapsed->request);
     actions.clear();
     for (const auto& watch : watchEvents_)
@@ -532,35 +535,36 @@
   }
 }
 
-Conductor::Request* Conductor::byId(const RequestId& id) {
+RequestDispatcher::Request* RequestDispatcher::byId(const RequestId& id) {
   const auto it = byId_.find(id);
   return it == byId_.end() ? nullptr : requests_.find(it->second);
 }
 
-void Conductor::act(const Action& action) {
+void RequestDispatcher::act(const Action& action) {
   if (watch_)
     watch_(action);
   std::visit(
       [this](const auto& what) {
         using What = std::decay_t<decltype(what)>;
-        if constexpr (std::is_same_v<What, Refuse>) {
+        if constexpr (std::is_same_v<What, RejectRequest>) {
           refuse(what);
-        } else if constexpr (std::is_same_v<What, Fail>) {
+        } else if constexpr (std::is_same_v<What, FailRequest>) {
           fail(what);
-        } else if constexpr (std::is_same_v<What, Release>) {
+        } else if constexpr (std::is_same_v<What, ReleaseState>) {
           ++counters_["releases.sent"];
-          engines_->release(what.request);
-        } else if constexpr (std::is_same_v<What, SetAlarm>) {
+          instanceClient_->release(what.request);
+        } else if constexpr (std::is_same_v<What, SetTimer>) {
           deadlines_.add(clock_.nowMs() + toMs(what.in),
-                         [this, alarm = what.alarm] { post(AlarmRang{alarm}); });
-        } else if constexpr (std::is_same_v<What, Probe>) {
+                         [this, timer = what.timer] { post(TimerFired{timer}); });
+        } else if constexpr (std::is_same_v<What, SendHealthCheck>) {
           ++counters_["probes.sent"];
-          engines_->probe(what.engine);
-        } else if constexpr (std::is_same_v<What, Log>) {
+          instanceClient_->probe(what.instance);
+        } else if constexpr (std::is_same_v<What, LogMessage>) {
           log_(what.text);
-        } else if constexpr (std::is_same_v<What, TellPeers> || std::is_same_v<What, Subscribe> ||
-                             std::is_same_v<What, FetchList>) {
-          // Conductors share nothing, and discovery here is always a watch that is open already.
+        } else if constexpr (std::is_same_v<What, SendGossip> ||
+                             std::is_same_v<What, SubscribeEndpoints> ||
+                             std::is_same_v<What, FetchEndpoints>) {
+          // Routers share nothing, and discovery here is always a watch that is open already.
         } else {
           carryOut(what);
         }
@@ -568,9 +572,9 @@
       action);
 }
 
-void Conductor::refuse(const Refuse& refuse) {
+void RequestDispatcher::refuse(const RejectRequest& refuse) {
   Request* r = byId(refuse.request);
-  if (r == nullptr || !r->answerer || r->facts.streaming)
+  if (r == nullptr || !r->responseWriter || r->facts.streaming)
     return;
   ++counters_["requests.refused"];
   ++counters_[std::string("requests.refused_after.") + r->lastOutcome + r->lastAt];
@@ -578,22 +582,22 @@
   const Refusal refusal{refuse.retryAfter ? std::optional(toMs(*refuse.retryAfter)) : std::nullopt,
                         clock_.nowMs() >= r->facts.deadlineMs};
   const double after = closesArriveMs(*r, /*safeToo=*/false);
-  const std::shared_ptr<Answerer> answerer = conclude(*r, Ending::kShed);
+  const std::shared_ptr<ResponseWriter> responseWriter = conclude(*r, RequestOutcome::kShed);
   if (clock_.nowMs() >= after)
-    return answerer->refuse(refusal);
-  deadlines_.add(after, [answerer, refusal] { answerer->refuse(refusal); });
+    return responseWriter->refuse(refusal);
+  deadlines_.add(after, [responseWriter, refusal] { responseWriter->refuse(refusal); });
 }
 
-void Conductor::fail(const Fail& fail) {
+void RequestDispatcher::fail(const FailRequest& fail) {
   Request* r = byId(fail.request);
-  if (r == nullptr || !r->answerer || r->facts.streaming)
+  if (r == nullptr || !r->responseWriter || r->facts.streaming)
     return;
   ++counters_["requests.failed"];
   const bool late = clock_.nowMs() >= r->facts.deadlineMs;
-  conclude(*r, Ending::kError)->fail({late});
+  conclude(*r, RequestOutcome::kError)->fail({late});
 }
 
-void Conductor::carryOut(const Send& send) {
+void RequestDispatcher::carryOut(const DispatchAttempt& send) {
   Request* r = byId(send.request);
   if (r == nullptr)
     return;
@@ -601,38 +605,38 @@
   Attempt attempt;
   attempt.request = owner;
   attempt.number = static_cast<int>(r->attempts.size());
-  attempt.engine = send.engine;
+  attempt.instance = send.instance;
   attempt.sentMs = clock_.nowMs();
   attempt.before = send.before;
   const AttemptKey key = attempts_.add(std::move(attempt));
-  const InstanceFacts* at = instance(send.engine);
+  const InstanceFacts* at = instanceFacts(send.instance);
   report(permits_.checkAttempt(r->facts), *r);
   r->attempts.push_back(key);
-  r->facts.attempts.push_back({.instance = send.engine.value,
+  r->facts.attempts.push_back({.instance = send.instance.value,
                                .reads = at != nullptr && at->reads,
                                .sentMs = clock_.nowMs()});
   ++r->out;
-  ++outAt_[send.engine];
+  ++outAt_[send.instance];
   ++counters_["attempts.sent"];
   const double until =
       std::min(toMs(send.until) > 0 ? toMs(send.until) : r->facts.deadlineMs, r->facts.deadlineMs);
   if (!maySend(key))
-    return close(key, {Outcome::kNotSent});
+    return close(key, {AttemptOutcome::kNotSent});
   attempts_.find(key)->until = deadlines_.add(until, [this, key] { timeOut(key); });
   const bool reads = at != nullptr && at->reads;
-  engines_->start({key, r->id, send.engine, r->payload, until, reads,
-                   closesArriveMs(*r, !secondCopies_), r->endedMs});
+  instanceClient_->start({key, r->id, send.instance, r->payload, until, reads,
+                          closesArriveMs(*r, !secondCopies_), r->endedMs});
 }
 
-void Conductor::carryOut(const HoldPlace& hold) {
+void RequestDispatcher::carryOut(const ReserveDecode& hold) {
   Request* r = byId(hold.request);
   if (r == nullptr || r->attempts.empty())
     return;
   ++counters_["places.asked"];
-  engines_->holdPlace(r->id, r->attempts.back(), hold.engine);
+  instanceClient_->holdPlace(r->id, r->attempts.back(), hold.instance);
 }
 
-void Conductor::carryOut(const Cancel& cancel) {
+void RequestDispatcher::carryOut(const CancelAttempt& cancel) {
   const Request* r = byId(cancel.request);
   if (r == nullptr || cancel.attempt < 0)
     return;
@@ -640,33 +644,33 @@
     return;
   const AttemptKey key = r->attempts[static_cast<std::size_t>(cancel.attempt)];
   const Attempt* a = attempts_.find(key);
-  if (a == nullptr || (a->opened && r->answerer))
+  if (a == nullptr || (a->opened && r->responseWriter))
     return;  // a begun stream belongs to its client
-  engines_->abandon(key);
-  close(key, {Outcome::kCancelled});
+  instanceClient_->abandon(key);
+  close(key, {AttemptOutcome::kCancelled});
 }
 
-void Conductor::carryOut(const MoveStream& move) {
+void RequestDispatcher::carryOut(const MigrateStream& move) {
   const Request* r = byId(move.request);
   if (r == nullptr || !r->facts.streaming)
     return;
   moveOnceRead(r->stream, kMoveLooks);
 }
 
-// Guards a stream that its engine has finished: what has come is passed on first, and with it
+// Guards a stream that its instance has finished: what has come is passed on first, and with it
 // perhaps the end.
-void Conductor::moveOnceRead(AttemptKey key, int looks) {
+void RequestDispatcher::moveOnceRead(AttemptKey key, int looks) {
   const Attempt* a = attempts_.find(key);
   if (a == nullptr)
     return;
   const Request* r = requests_.find(a->request);
-  if (r->answerer && looks > 0 && engines_->unread(key)) {
+  if (r->responseWriter && looks > 0 && instanceClient_->unread(key)) {
     deadlines_.add(clock_.nowMs() + kMoveLookMs,
                    [this, key, looks] { moveOnceRead(key, looks - 1); });
     return;
   }
-  engines_->abandon(key);
-  close(key, {Outcome::kConnectionLost});
+  instanceClient_->abandon(key);
+  close(key, {AttemptOutcome::kConnectionLost});
 }
 
 }  // namespace inference_router::core
