--- a/src/core/request_dispatcher.h
+++ b/src/core/request_dispatcher.h
@@ -1,5 +1,5 @@
 // Owns every request and attempt, feeds the decision module with events and carries out its
-// actions. Holds two invariants whatever module, clients and engines do: a request gets one final
+// actions. Holds two invariants whatever module, clients and instances do: a request gets one final
 // answer, and each Send gets one AttemptEnded.
 #pragma once
 
@@ -23,15 +23,15 @@
 
 namespace inference_router::core {
 
-class Conductor final : public ListSink {
+class RequestDispatcher final : public EndpointListSink {
  public:
-  Conductor(const routing::Settings& settings,
-            std::uint64_t seed,
-            const Clock& clock,
-            Deadlines& deadlines,
-            Counters& counters);
+  RequestDispatcher(const routing::Settings& settings,
+                    std::uint64_t seed,
+                    const Clock& clock,
+                    Deadlines& deadlines,
+                    Counters& counters);
 
-  void connect(Engines& engines) { engines_ = &engines; }
+  void connect(InstanceClient& client) { instanceClient_ = &client; }
   // A line for the log, from whoever works for the core.
   void note(const std::string& text) { log_(text); }
   void onLog(std::function<void(const std::string&)> log) { log_ = std::move(log); }
@@ -49,37 +49,37 @@
   // From clients. Nothing if a request of this id is still known: the front answers that itself.
   std::optional<RequestKey> take(routing::Arrival arrival,
                                  std::shared_ptr<const Payload> payload,
-                                 std::shared_ptr<Answerer> answerer);
+                                 std::shared_ptr<ResponseWriter> responseWriter);
   void clientGone(RequestKey key);
   void clientReady(RequestKey key);
 
   // From discovery.
-  void list(routing::ListNews news) override;
+  void list(routing::EndpointListUpdate news) override;
 
-  // From the engines' side.
+  // From the instances' side.
   bool maySend(AttemptKey key);  // asked again just before a send that had to wait is written
   // Whether the client of this attempt is there and waits, by what its machine has said up to this
   // moment.
   bool attemptIsWanted(AttemptKey key);
-  bool mayHold(const routing::EngineId& engine) const;
+  bool mayHold(const routing::InstanceId& instance) const;
   // Whether nothing that is held for a request can be of use to it any more: it streams, or is
   // over.
   bool needsNothingHeld(const routing::RequestId& request) const;
   bool passed(AttemptKey key, std::string_view part);
   void written(AttemptKey key);  // the attempt's last byte is out
   void ended(AttemptKey key, const Result& result);
-  void placeAnswered(AttemptKey reading, const routing::EngineId& engine, bool held);
-  void probed(const routing::EngineId& engine, double tookMs, bool answered);
+  void placeAnswered(AttemptKey reading, const routing::InstanceId& instance, bool held);
+  void probed(const routing::InstanceId& instance, double tookMs, bool answered);
 
   // From the operators: this process ends, and is killed no sooner than so long from now.
-  void stopping(double graceMs) { post(routing::Stopping{toModule(graceMs)}); }
+  void stopping(double graceMs) { post(routing::ShutdownStarted{toModule(graceMs)}); }
 
-  // ---- Streams that pass from one process of this conductor to the next ----
+  // ---- Streams that pass from one process of this router to the next ----
   struct Stream {
     RequestKey request;
     AttemptKey attempt;
     routing::Arrival arrival;
-    routing::EngineId engine;
+    routing::InstanceId instance;
   };
   std::vector<RequestKey> streams() const;
   std::optional<Stream> streamOf(RequestKey key) const;
@@ -87,27 +87,27 @@
       RequestKey key);  // another process has it: no answer and no attempt of it is here any more
   // Nothing if a request of this id is known here.
   std::optional<Stream> adopt(routing::Arrival arrival,
-                              const routing::EngineId& engine,
-                              std::shared_ptr<Answerer> answerer);
+                              const routing::InstanceId& instance,
+                              std::shared_ptr<ResponseWriter> responseWriter);
 
-  std::size_t enginesKnown() const { return fleet_.size(); }
+  std::size_t instancesKnown() const { return fleet_.size(); }
   std::size_t open() const { return unanswered_; }  // requests that are owed an answer or its rest
-  std::size_t openAt(const routing::EngineId& engine) const;  // attempts that are out there
-  const Figures& figures() const { return figures_; }
-  // Whether the module passes a listed engine over by its own judgement.
-  bool avoids(const routing::EngineId& engine) const {
-    return router_.avoids(toModuleTime(clock_.nowMs()), engine);
+  std::size_t openAt(const routing::InstanceId& instance) const;  // attempts that are out there
+  const RequestMetrics& metrics() const { return metrics_; }
+  // Whether the module passes a listed instance over by its own judgement.
+  bool avoids(const routing::InstanceId& instance) const {
+    return router_.avoids(toModuleTime(clock_.nowMs()), instance);
   }
 
  private:
-  struct Listing {  // what the list last said of an engine
+  struct Listing {  // what the list last said of an instance
     InstanceFacts facts;
     bool gone = false;
   };
   struct Attempt {
     RequestKey request;
     int number = 0;
-    routing::EngineId engine;
+    routing::InstanceId instance;
     double sentMs = 0;
     routing::Time before = routing::Time::max();  // to go out
     bool opened = false;
@@ -118,16 +118,16 @@
     routing::Arrival told;
     std::size_t cls = 0;
     std::shared_ptr<const Payload> payload;
-    std::shared_ptr<Answerer>
-        answerer;  // none once the final answer is given or the client is gone
+    std::shared_ptr<ResponseWriter>
+        responseWriter;  // none once the final answer is given or the client is gone
     std::vector<AttemptKey> attempts;
     std::size_t out = 0;
     RequestFacts facts;
     double closedMs = 0;  // when a connection of an attempt was last closed from this side
     double endedMs = 0;   // when an attempt last ended
     AttemptKey stream;
-    // Of its last attempt that ended: the names of its outcome, and of what kind of engine that was
-    // at.
+    // Of its last attempt that ended: the names of its outcome, and of what kind of instance that
+    // was at.
     const char *lastOutcome = "nothing_sent", *lastAt = "";
     std::optional<Deadlines::Key> overdue;
   };
@@ -135,10 +135,10 @@
   bool clientWaits(RequestKey key);
   bool clientPresent(RequestKey key);
   Permit permitOf(AttemptKey key);
-  const InstanceFacts* instance(const routing::EngineId& engine) const;
+  const InstanceFacts* instanceFacts(const routing::InstanceId& instance) const;
   void report(const std::vector<Violation>& violations, const Request& request);
-  void refuse(const routing::Refuse& refuse);
-  void fail(const routing::Fail& fail);
+  void refuse(const routing::RejectRequest& refuse);
+  void fail(const routing::FailRequest& fail);
   void learn(const routing::Settings& settings);
   RequestFacts factsOf(routing::ClassIndex cls) const;
   bool repeatsFreely(const Request& request) const;
@@ -146,17 +146,17 @@
   void post(routing::Event event);
   void run();
   void act(const routing::Action& action);
-  void carryOut(const routing::Send& send);
-  void carryOut(const routing::HoldPlace& hold);
-  void carryOut(const routing::Cancel& cancel);
-  void carryOut(const routing::MoveStream& move);
+  void carryOut(const routing::DispatchAttempt& send);
+  void carryOut(const routing::ReserveDecode& hold);
+  void carryOut(const routing::CancelAttempt& cancel);
+  void carryOut(const routing::MigrateStream& move);
   void moveOnceRead(AttemptKey key, int looks);
 
   Request* byId(const routing::RequestId& id);
   void timeOut(AttemptKey key);
   void close(AttemptKey key, const Result& result);
   void callOffAll(RequestKey key);
-  std::shared_ptr<Answerer> conclude(Request& request, Ending how);
+  std::shared_ptr<ResponseWriter> conclude(Request& request, RequestOutcome how);
   void forgetIfDone(RequestKey key);
   void forgetGone();
 
@@ -166,21 +166,21 @@
   routing::Router router_;
   double drainGraceMs_, answerGraceMs_;
   RequestPermits permits_;
-  std::vector<bool> kindReads_;  // by kind of engine
+  std::vector<bool> kindReads_;  // by kind of instance
   std::vector<routing::ClassSettings> classes_;
   bool secondCopies_ = false;
-  Engines* engines_ = nullptr;
+  InstanceClient* instanceClient_ = nullptr;
   std::function<void(const std::string&)> log_ = [](const std::string&) {};
   std::function<void(const routing::Action&)> watch_;
   std::vector<std::function<void(const routing::Event&)>> watchEvents_;
-  Slots<Request> requests_;
-  Slots<Attempt> attempts_;
+  SlotTable<Request> requests_;
+  SlotTable<Attempt> attempts_;
   std::map<routing::RequestId, RequestKey> byId_;
-  std::map<routing::EngineId, Listing> fleet_;
-  std::map<routing::EngineId, std::size_t> outAt_;  // of engines with any
+  std::map<routing::InstanceId, Listing> fleet_;
+  std::map<routing::InstanceId, std::size_t> outAt_;  // of instances with any
   std::deque<routing::Event> events_;
   std::vector<RequestKey> lapsed_;
-  Figures figures_;
+  RequestMetrics metrics_;
   std::size_t unanswered_ = 0;
   bool running_ = false;
 };
--- a/src/core/request_metrics.h
+++ b/src/core/request_metrics.h
@@ -8,23 +8,23 @@
 
 namespace inference_router::core {
 
-enum class Ending { kOk, kShed, kError, kAbandoned, kHandedOver };
+enum class RequestOutcome { kOk, kShed, kError, kAbandoned, kHandedOver };
 
-struct ClassFigures {
+struct ClassMetrics {
   std::uint64_t taken = 0, ok = 0, shed = 0, errors = 0, abandoned = 0;
   std::uint64_t handedOver = 0;  // to the process that replaces this one
-  std::uint64_t tries = 0;       // attempts whose last byte was written to a box
+  std::uint64_t tries = 0;       // attempts whose last byte was written to an instance
   std::uint64_t open = 0;        // taken, and not ended
 };
 
-class Figures {
+class RequestMetrics {
  public:
   // Classes only ever get more: their numbers stay.
   void classes(std::size_t count) {
     if (count > byClass_.size())
       byClass_.resize(count);
   }
-  const std::vector<ClassFigures>& byClass() const { return byClass_; }
+  const std::vector<ClassMetrics>& byClass() const { return byClass_; }
 
   // A class that the settings do not name is counted nowhere.
   void taken(std::size_t cls) {
@@ -37,32 +37,32 @@
     if (cls < byClass_.size())
       ++byClass_[cls].tries;
   }
-  void ended(std::size_t cls, Ending how) {
+  void ended(std::size_t cls, RequestOutcome how) {
     if (cls >= byClass_.size())
       return;
-    ClassFigures& figures = byClass_[cls];
-    --figures.open;
+    ClassMetrics& metrics = byClass_[cls];
+    --metrics.open;
     switch (how) {
-      case Ending::kOk:
-        ++figures.ok;
+      case RequestOutcome::kOk:
+        ++metrics.ok;
         break;
-      case Ending::kShed:
-        ++figures.shed;
+      case RequestOutcome::kShed:
+        ++metrics.shed;
         break;
-      case Ending::kError:
-        ++figures.errors;
+      case RequestOutcome::kError:
+        ++metrics.errors;
         break;
-      case Ending::kAbandoned:
-        ++figures.abandoned;
+      case RequestOutcome::kAbandoned:
+        ++metrics.abandoned;
         break;
-      case Ending::kHandedOver:
-        ++figures.handedOver;
+      case RequestOutcome::kHandedOver:
+        ++metrics.handedOver;
         break;
     }
   }
 
  private:
-  std::vector<ClassFigures> byClass_;
+  std::vector<ClassMetrics> byClass_;
 };
 
 }  // namespace inference_router::core
--- a/src/core/request_permits.cpp
+++ b/src/core/request_permits.cpp
@@ -67,9 +67,9 @@
                      [](const AttemptHistory& attempt) { return attempt.out; });
 }
 
-void RequestPermits::configure(double drainGraceMs, bool secondCopies) {
+void RequestPermits::configure(double drainGraceMs, bool hedgedRequests) {
   drainGraceMs_ = drainGraceMs;
-  secondCopies_ = secondCopies;
+  secondCopies_ = hedgedRequests;
 }
 
 Permit RequestPermits::toInstance(const InstanceFacts* instance, double nowMs) const {
@@ -82,7 +82,7 @@
 
 std::vector<Violation> RequestPermits::checkAttempt(const RequestFacts& request) const {
   std::vector<Violation> found;
-  if (request.effect == Effect::kUnsafe && request.mayHaveRun() != nullptr)
+  if (request.effect == Effect::kAtMostOnce && request.mayHaveRun() != nullptr)
     found.push_back(Violation::kRepeatedEffect);
   if (!secondCopies_ && request.anyOut())
     found.push_back(Violation::kSecondCopy);
@@ -100,7 +100,7 @@
   if (drained)
     found.push_back(Violation::kSentToDrained);
   const AttemptHistory* first = request.mayHaveRun();
-  if (request.effect == Effect::kKeyed && first != nullptr &&
+  if (request.effect == Effect::kDeduplicated && first != nullptr &&
       nowMs > first->sentMs + request.repeatWindowMs)
     found.push_back(Violation::kRepeatedEffect);
   return found;
@@ -108,7 +108,7 @@
 
 std::vector<Violation> RequestPermits::checkRefusal(const RequestFacts& request) const {
   std::vector<Violation> found;
-  const bool repeatsFreely = request.effect == Effect::kSafe || request.repeatsFindFirst;
+  const bool repeatsFreely = request.effect == Effect::kIdempotent || request.repeatsFindFirst;
   if (!repeatsFreely && request.mayHaveRun() != nullptr)
     found.push_back(Violation::kRefusedAfterEffect);
   if (!repeatsFreely && request.anyOut())
--- a/src/core/request_permits.h
+++ b/src/core/request_permits.h
@@ -60,7 +60,7 @@
 
 /// What the core knows of a request.
 struct RequestFacts {
-  routing::Effect effect = routing::Effect::kSafe;
+  routing::Effect effect = routing::Effect::kIdempotent;
   bool repeatsFindFirst =
       false;  ///< wherever a repeat of a keyed class goes, the first one is known there
   double repeatWindowMs = 0;  ///< of a keyed class
@@ -76,7 +76,7 @@
 
 class RequestPermits {
  public:
-  void configure(double drainGraceMs, bool secondCopies);
+  void configure(double drainGraceMs, bool hedgedRequests);
 
   /// Whether an attempt or a reservation may go to an instance.
   Permit toInstance(const InstanceFacts* instance, double nowMs) const;
--- a/src/core/slot_table.h
+++ b/src/core/slot_table.h
@@ -17,7 +17,7 @@
 };
 
 template <class Value>
-class Slots {
+class SlotTable {
  public:
   SlotKey add(Value value) {
     if (free_.empty()) {
@@ -37,7 +37,7 @@
     return entry.value && entry.generation == key.generation ? &*entry.value : nullptr;
   }
 
-  const Value* find(SlotKey key) const { return const_cast<Slots*>(this)->find(key); }
+  const Value* find(SlotKey key) const { return const_cast<SlotTable*>(this)->find(key); }
 
   bool remove(SlotKey key) {
     if (find(key) == nullptr)
--- a/src/fleet/drains.h
+++ b/src/fleet/drains.h
@@ -16,7 +16,7 @@
 struct DrainCommand {
   std::string id;  // unique per sender
   std::string by;
-  std::string box;
+  std::string instance;
   bool drain = true;
   std::uint64_t seen = 0;          // revision
   std::optional<double> doneByMs;  // drain: deadline
@@ -33,7 +33,7 @@
   bool operator==(const DrainState&) const = default;
 };
 
-enum class DrainCode { kDone, kConflict, kUnknownBox, kLastOfRole, kBadCommand };
+enum class DrainCode { kDone, kConflict, kUnknownInstance, kLastOfRole, kBadCommand };
 const char* nameOf(DrainCode code);
 
 // The answer to a command.
@@ -51,7 +51,7 @@
   static constexpr std::size_t kLongestWord = 128;
 
   // The facts of an instance that a command is checked against.
-  struct Box {
+  struct Instance {
     bool known = false;
     std::size_t othersOfRole = 0;  // other instances that serve its role
     std::string role;
@@ -59,16 +59,16 @@
   };
 
   // Executes a command, or repeats the answer to one that was executed before.
-  DrainAnswer handle(const DrainCommand& command, const Box& box, double nowMs);
-  DrainState stateOf(const std::string& box) const;
+  DrainAnswer handle(const DrainCommand& command, const Instance& instance, double nowMs);
+  DrainState stateOf(const std::string& instance) const;
   // Restores a persisted state; revisions continue from there.
-  void restore(const std::string& box, const DrainState& state) { states_[box] = state; }
-  void forget(const std::string& box) { states_.erase(box); }
+  void restore(const std::string& instance, const DrainState& state) { states_[instance] = state; }
+  void forget(const std::string& instance) { states_.erase(instance); }
   // Whether a drain is past its deadline with requests open. Reported only; no request is cut.
-  bool overdue(const std::string& box, std::size_t open, double nowMs) const;
+  bool overdue(const std::string& instance, std::size_t open, double nowMs) const;
 
  private:
-  DrainAnswer decide(const DrainCommand& command, const Box& box, double nowMs);
+  DrainAnswer decide(const DrainCommand& command, const Instance& instance, double nowMs);
 
   std::map<std::string, DrainState> states_;
   std::map<std::string, DrainAnswer> answered_;
--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -18,21 +18,22 @@
 
 }  // namespace
 
-ListEntry Membership::effective(ListEntry entry) const {
-  const auto returned = returned_.find(entry.engine.value);
-  if (drained_.count(entry.engine.value) != 0 || peerExclusions_.count(entry.engine.value) != 0) {
-    if (entry.presence == Presence::kActive)
-      entry.presence = Presence::kLeaving;
+EndpointRecord Membership::effective(EndpointRecord entry) const {
+  const auto returned = returned_.find(entry.instance.value);
+  if (drained_.count(entry.instance.value) != 0 ||
+      peerExclusions_.count(entry.instance.value) != 0) {
+    if (entry.state == EndpointState::kActive)
+      entry.state = EndpointState::kDraining;
   } else if (returned != returned_.end()) {
     const Time back = core::toModuleTime(returned->second);
     entry.started = entry.started ? std::max(*entry.started, back) : back;
   }
-  const Exclusion* exclusion = exclusions_.find(entry.engine.value);
+  const Exclusion* exclusion = exclusions_.find(entry.instance.value);
   if (exclusion == nullptr)
     return entry;
   if (exclusion->excluded) {
-    if (entry.presence == Presence::kActive)
-      entry.presence = Presence::kLeaving;
+    if (entry.state == EndpointState::kActive)
+      entry.state = EndpointState::kDraining;
   } else {
     // It may have been restarted at any time before its inclusion, whatever discovery says.
     const Time included = core::toModuleTime(exclusion->updatedMs);
@@ -41,25 +42,25 @@
   return entry;
 }
 
-ListNews Membership::told(const ListNews& news, double nowMs) {
-  if (news.form == ListForm::kFailed)
+EndpointListUpdate Membership::told(const EndpointListUpdate& news, double nowMs) {
+  if (news.form == EndpointListForm::kFailed)
     return news;
-  ListNews out{++version_, news.form, {}};
-  if (news.form != ListForm::kChanges)
+  EndpointListUpdate out{++version_, news.form, {}};
+  if (news.form != EndpointListForm::kChanges)
     listed_.clear();
-  for (const ListEntry& entry : news.entries) {
-    if (entry.presence == Presence::kGone)
-      listed_.erase(entry.engine);
+  for (const EndpointRecord& entry : news.entries) {
+    if (entry.state == EndpointState::kRemoved)
+      listed_.erase(entry.instance);
     else
-      listed_[entry.engine] = entry;
+      listed_[entry.instance] = entry;
     out.entries.push_back(effective(entry));
   }
   tidy(nowMs);
   return out;
 }
 
-std::optional<ListNews> Membership::changesOf(const std::vector<std::string>& ids) {
-  ListNews news{version_ + 1, ListForm::kChanges, {}};
+std::optional<EndpointListUpdate> Membership::changesOf(const std::vector<std::string>& ids) {
+  EndpointListUpdate news{version_ + 1, EndpointListForm::kChanges, {}};
   for (const std::string& id : ids) {
     const auto it = listed_.find({id});
     if (it != listed_.end())
@@ -85,9 +86,9 @@
   return {Verdict::kDone, changesOf({id})};
 }
 
-std::optional<ListNews> Membership::replaceLayer(std::set<std::string>& layer,
-                                                 const std::set<std::string>& now,
-                                                 double nowMs) {
+std::optional<EndpointListUpdate> Membership::replaceLayer(std::set<std::string>& layer,
+                                                           const std::set<std::string>& now,
+                                                           double nowMs) {
   std::vector<std::string> changed;
   for (const std::string& id : now)
     if (layer.count(id) == 0)
@@ -102,17 +103,17 @@
   return changed.empty() ? std::nullopt : changesOf(changed);
 }
 
-std::optional<ListNews> Membership::setPlannedDrains(const std::set<std::string>& drained,
-                                                     double nowMs) {
+std::optional<EndpointListUpdate> Membership::setPlannedDrains(const std::set<std::string>& drained,
+                                                               double nowMs) {
   return replaceLayer(drained_, drained, nowMs);
 }
 
-std::optional<ListNews> Membership::setPeerExclusions(const std::set<std::string>& out,
-                                                      double nowMs) {
+std::optional<EndpointListUpdate> Membership::setPeerExclusions(const std::set<std::string>& out,
+                                                                double nowMs) {
   return replaceLayer(peerExclusions_, out, nowMs);
 }
 
-std::optional<ListNews> Membership::merge(const Exclusions& others) {
+std::optional<EndpointListUpdate> Membership::merge(const Exclusions& others) {
   return changesOf(exclusions_.merge(others));
 }
 
--- a/src/fleet/membership.h
+++ b/src/fleet/membership.h
@@ -21,58 +21,58 @@
   explicit Membership(std::uint64_t writer) : writer_(writer) {}
 
   // Applies a list of discovery; returns it as the module is to see it.
-  routing::ListNews told(const routing::ListNews& news, double nowMs);
+  routing::EndpointListUpdate told(const routing::EndpointListUpdate& news, double nowMs);
 
   enum class Verdict { kDone, kUnknown, kNoRoom };
   struct Change {
     Verdict verdict;
-    std::optional<routing::ListNews> news;  // nothing: no change for the module
+    std::optional<routing::EndpointListUpdate> news;  // nothing: no change for the module
   };
   Change exclude(const std::string& id, double nowMs) { return setExcluded(id, true, nowMs); }
   Change include(const std::string& id, double nowMs) { return setExcluded(id, false, nowMs); }
 
   // Replaces the instances that a maintenance drains. Instances that are no longer drained return
   // as just started.
-  std::optional<routing::ListNews> setPlannedDrains(const std::set<std::string>& drained,
-                                                    double nowMs);
+  std::optional<routing::EndpointListUpdate> setPlannedDrains(const std::set<std::string>& drained,
+                                                              double nowMs);
 
-  // Replaces the instances that are excluded because other conductors found them unhealthy.
+  // Replaces the instances that are excluded because other routers found them unhealthy.
   // Instances that return count as cold, as they may have been restarted.
-  std::optional<routing::ListNews> setPeerExclusions(const std::set<std::string>& out,
-                                                     double nowMs);
+  std::optional<routing::EndpointListUpdate> setPeerExclusions(const std::set<std::string>& out,
+                                                               double nowMs);
 
   // Merges the exclusions of other processes.
-  std::optional<routing::ListNews> merge(const Exclusions& others);
+  std::optional<routing::EndpointListUpdate> merge(const Exclusions& others);
   // Drops exclusions without effect, and those of instances that have been gone for long.
   void tidy(double nowMs);
 
   const Exclusions& exclusions() const { return exclusions_; }
-  const std::map<routing::EngineId, routing::ListEntry>& listed() const { return listed_; }
+  const std::map<routing::InstanceId, routing::EndpointRecord>& listed() const { return listed_; }
   // The entry as the module sees it; nothing if it is not listed.
-  std::optional<routing::ListEntry> effectiveOf(const routing::EngineId& id) const {
+  std::optional<routing::EndpointRecord> effectiveOf(const routing::InstanceId& id) const {
     const auto it = listed_.find(id);
     return it == listed_.end() ? std::nullopt : std::optional(effective(it->second));
   }
-  bool excluded(const routing::EngineId& id) const { return exclusions_.excluded(id.value); }
+  bool excluded(const routing::InstanceId& id) const { return exclusions_.excluded(id.value); }
   const std::set<std::string>& drained() const { return drained_; }
   const std::set<std::string>& peerExclusions() const { return peerExclusions_; }
 
  private:
   Change setExcluded(const std::string& id, bool excluded, double nowMs);
-  std::optional<routing::ListNews> replaceLayer(std::set<std::string>& layer,
-                                                const std::set<std::string>& now,
-                                                double nowMs);
-  routing::ListEntry effective(routing::ListEntry entry) const;
-  std::optional<routing::ListNews> changesOf(const std::vector<std::string>& ids);
+  std::optional<routing::EndpointListUpdate> replaceLayer(std::set<std::string>& layer,
+                                                          const std::set<std::string>& now,
+                                                          double nowMs);
+  routing::EndpointRecord effective(routing::EndpointRecord entry) const;
+  std::optional<routing::EndpointListUpdate> changesOf(const std::vector<std::string>& ids);
 
   std::uint64_t writer_;
   std::uint64_t version_ = 0;  // of the list that the module has
   Exclusions exclusions_;
-  std::map<routing::EngineId, routing::ListEntry> listed_;  // as discovery lists them
-  std::map<std::string, double> missingSince_;              // excluded, but not listed: since when
-  std::set<std::string> drained_;                           // by the maintenance
-  std::set<std::string> peerExclusions_;                    // by observations of other conductors
-  std::map<std::string, double> returned_;                  // from either, recently: when
+  std::map<routing::InstanceId, routing::EndpointRecord> listed_;  // as discovery lists them
+  std::map<std::string, double> missingSince_;  // excluded, but not listed: since when
+  std::set<std::string> drained_;               // by the maintenance
+  std::set<std::string> peerExclusions_;        // by observations of other routers
+  std::map<std::string, double> returned_;      // from either, recently: when
 };
 
 }  // namespace inference_router::fleet
--- a/src/frontend/front.cpp
+++ b/src/frontend/front.cpp
@@ -7,11 +7,12 @@
 bool Front::submit(net::ClientConnection& connection,
                    routing::Arrival arrival,
                    double arrivedMs,
-                   std::shared_ptr<const upstream::ChatPayload> payload,
-                   std::shared_ptr<core::Answerer> answerer) {
+                   std::shared_ptr<const upstream::ForwardedRequest> payload,
+                   std::shared_ptr<core::ResponseWriter> responseWriter) {
   arrival.timeLeft -= core::toModule(clock_.nowMs() - arrivedMs);
   open_[&connection] = {};  // before it is taken: the module may answer at once
-  const auto key = conductor_.take(std::move(arrival), std::move(payload), std::move(answerer));
+  const auto key =
+      dispatcher_.take(std::move(arrival), std::move(payload), std::move(responseWriter));
   const auto it = open_.find(&connection);
   if (!key)
     open_.erase(it);
@@ -44,13 +45,13 @@
     return;
   const core::RequestKey key = it->second;
   open_.erase(it);
-  conductor_.clientGone(key);
+  dispatcher_.clientGone(key);
 }
 
 void Front::drained(net::ClientConnection& connection) {
   const auto it = open_.find(&connection);
   if (it != open_.end())
-    conductor_.clientReady(it->second);
+    dispatcher_.clientReady(it->second);
 }
 
 }  // namespace inference_router::frontend
--- a/src/frontend/front.h
+++ b/src/frontend/front.h
@@ -24,27 +24,28 @@
   std::shared_ptr<net::ClientConnection> connectionOf(core::RequestKey key) const;
   void leave(net::ClientConnection& connection);
   // Whether this front's answers can be taken up in mid-stream by another process's.
-  virtual std::shared_ptr<core::Answerer> adopted(const std::shared_ptr<net::ClientConnection>&) {
+  virtual std::shared_ptr<core::ResponseWriter> adopted(
+      const std::shared_ptr<net::ClientConnection>&) {
     return nullptr;
   }
   void adopt(net::ClientConnection& connection, core::RequestKey key) { open_[&connection] = key; }
 
  protected:
-  Front(core::Conductor& conductor, const core::Clock& clock, core::Counters& counters)
-      : conductor_(conductor), clock_(clock), counters_(counters) {}
+  Front(core::RequestDispatcher& dispatcher, const core::Clock& clock, core::Counters& counters)
+      : dispatcher_(dispatcher), clock_(clock), counters_(counters) {}
 
   // arrivedMs: when the request's first byte was read; the client's patience began no later.
   // False if a request of this id is under way; nothing has been answered then.
   bool submit(net::ClientConnection& connection,
               routing::Arrival arrival,
               double arrivedMs,
-              std::shared_ptr<const upstream::ChatPayload> payload,
-              std::shared_ptr<core::Answerer> answerer);
+              std::shared_ptr<const upstream::ForwardedRequest> payload,
+              std::shared_ptr<core::ResponseWriter> responseWriter);
   void answerReady(net::ClientConnection& connection);
   // Every final answer of a front calls this first.
   void over(net::ClientConnection& connection) { open_.erase(&connection); }
 
-  core::Conductor& conductor_;
+  core::RequestDispatcher& dispatcher_;
   const core::Clock& clock_;
   core::Counters& counters_;
 
--- a/src/frontend/openai/chat_request.cpp
+++ b/src/frontend/openai/chat_request.cpp
@@ -97,7 +97,7 @@
   request.messages = body.at("messages");
   body["stream"] = true;
   body["stream_options"] = {{"include_usage", true}};
-  request.boxBody = body.dump(-1, ' ', false, json::error_handler_t::replace);
+  request.instanceBody = body.dump(-1, ' ', false, json::error_handler_t::replace);
   return request;
 }
 
--- a/src/frontend/openai/chat_request.h
+++ b/src/frontend/openai/chat_request.h
@@ -1,4 +1,4 @@
-// A request of the chat API: checked, and made ready for the boxes.
+// A request of the chat API: checked, and made ready for the instances.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -13,7 +13,8 @@
   bool stream = false;
   bool includeUsage = false;
   double maxTokens = 0;
-  std::string boxBody;  // the same request as a box gets it: always streamed, always with its usage
+  std::string instanceBody;  // the same request as an instance gets it: always streamed, always
+                             // with its usage
 };
 
 // Throws ApiError.
--- a/src/frontend/openai/derive.cpp
+++ b/src/frontend/openai/derive.cpp
@@ -17,7 +17,7 @@
   return std::ceil(static_cast<double>(bytes) / kBytesPerToken);
 }
 
-// FNV-1a: the same on every conductor and in every build.
+// FNV-1a: the same on every router and in every build.
 class Hash {
  public:
   Hash& add(const std::string& text) {
--- a/src/frontend/openai/openai_front.cpp
+++ b/src/frontend/openai/openai_front.cpp
@@ -30,10 +30,10 @@
 
 }  // namespace
 
-upstream::BoxDialect openaiDialect(const OperatorFile& site) {
+upstream::InstanceProtocol openaiDialect(const OperatorFile& site) {
   net::Fields extra;
-  if (!site.boxKey.empty())
-    extra.emplace_back("Authorization", "Bearer " + site.boxKey);
+  if (!site.instanceKey.empty())
+    extra.emplace_back("Authorization", "Bearer " + site.instanceKey);
   return {"X-Request-Id",      "X-Budget-Ms", "X-Rejected",
           "/bootstrap/rooms/", "/health",     std::move(extra)};
 }
@@ -53,7 +53,7 @@
 // ---- Answers
 // ---------------------------------------------------------------------------------------
 
-class OpenAiFront::Answer final : public core::Answerer {
+class OpenAiFront::Answer final : public core::ResponseWriter {
  public:
   // bill: none where tokens are not counted.
   Answer(OpenAiFront& front,
@@ -164,7 +164,8 @@
     return onlyUsage && !usage_ ? true : put(event);
   }
 
-  // As the box counted them: what is derived here from the text's length only serves to compare.
+  // As the instance counted them: what is derived here from the text's length only serves to
+  // compare.
   void readUsage(const json& chunk) {
     const auto usage = chunk.is_object() ? chunk.find("usage") : chunk.end();
     if (!chunk.is_object() || usage == chunk.end() || !usage->is_object())
@@ -213,12 +214,12 @@
 // ---- Requests
 // --------------------------------------------------------------------------------------
 
-OpenAiFront::OpenAiFront(core::Conductor& conductor,
+OpenAiFront::OpenAiFront(core::RequestDispatcher& dispatcher,
                          const OperatorFile& site,
                          const core::Clock& clock,
                          core::Counters& counters,
                          NewId newId)
-    : Front(conductor, clock, counters),
+    : Front(dispatcher, clock, counters),
       site_(site),
       newId_(std::move(newId)),
       startedS_(static_cast<std::int64_t>(core::unixNowMs() / 1000)) {}
@@ -291,11 +292,11 @@
   // These clients do not say how long they wait: the class does.
   arrival.timeLeft = site_.setup.settings.classes[arrival.cls.value].deadline;
   std::unique_ptr<Bill> bill = billFor(key, cls, derived.promptTokens, asked.maxTokens);
-  const auto payload = std::make_shared<upstream::ChatPayload>();
+  const auto payload = std::make_shared<upstream::ForwardedRequest>();
   payload->method = "POST";
   payload->target = kChat;
   payload->contentType = "application/json";
-  payload->body = std::make_shared<const std::string>(asked.boxBody);
+  payload->body = std::make_shared<const std::string>(asked.instanceBody);
   const std::string id = arrival.request.value;
   if (!submit(*connection, std::move(arrival), arrivedMs, payload,
               std::make_shared<Answer>(*this, connection, asked, id, derived.promptTokens,
@@ -303,7 +304,7 @@
     throw ApiError{503, "try again", "server_error", {}, "id_in_use"};
 }
 
-// Guards a budget that the fleet shares: nothing is begun that might go beyond what this conductor
+// Guards a budget that the fleet shares: nothing is begun that might go beyond what this router
 // may spend.
 std::unique_ptr<Bill> OpenAiFront::billFor(const ApiKey& key,
                                            const std::string& cls,
--- a/src/frontend/openai/openai_front.h
+++ b/src/frontend/openai/openai_front.h
@@ -13,13 +13,13 @@
 
 namespace inference_router::frontend {
 
-upstream::BoxDialect openaiDialect(const OperatorFile& site);
+upstream::InstanceProtocol openaiDialect(const OperatorFile& site);
 
 class OpenAiFront final : public Front {
  public:
   using NewId = std::function<std::string()>;
 
-  OpenAiFront(core::Conductor& conductor,
+  OpenAiFront(core::RequestDispatcher& dispatcher,
               const OperatorFile& site,
               const core::Clock& clock,
               core::Counters& counters,
--- a/src/frontend/openai/operator_file.cpp
+++ b/src/frontend/openai/operator_file.cpp
@@ -21,9 +21,9 @@
   return std::find(names.begin(), names.end(), name) != names.end();
 }
 
-KindIndex kindOf(const Settings& settings, const core::Fields& role) {
+KindIndex kindOf(const Settings& settings, const core::ConfigReader& role) {
   const std::map<std::string, Role> roles{
-      {"read", Role::kReader}, {"write", Role::kWriter}, {"both", Role::kMixed}};
+      {"read", Role::kPrefill}, {"write", Role::kDecode}, {"both", Role::kMixed}};
   const auto name = role.as<std::string>();
   const auto found = roles.find(name);
   if (found == roles.end())
@@ -35,7 +35,7 @@
 }
 
 // A name that has to be one of the settings', or is left out.
-std::string nameAmong(const core::Fields& entry,
+std::string nameAmong(const core::ConfigReader& entry,
                       const char* field,
                       const std::vector<std::string>& names,
                       const char* what) {
@@ -45,8 +45,8 @@
   return name;
 }
 
-void readKeys(const core::Fields& file, OperatorFile& to) {
-  for (const core::Fields& entry : file.at("keys").list()) {
+void readKeys(const core::ConfigReader& file, OperatorFile& to) {
+  for (const core::ConfigReader& entry : file.at("keys").list()) {
     const ApiKey key{nameAmong(entry, "tenant", to.setup.names.tenants, "tenant"),
                      nameAmong(entry, "class", to.setup.names.classes, "class"),
                      entry.value<std::string>("name", "")};
@@ -62,28 +62,28 @@
     file.at("keys").fail("is empty, so nobody could ask");
 }
 
-net::Endpoint addressAt(const core::Fields& field) {
+net::Endpoint addressAt(const core::ConfigReader& field) {
   return field.read([](const std::string& text) { return net::endpointOf(text); });
 }
 
-void readBoxes(const core::Fields& file, OperatorFile& to) {
-  to.boxes = {1, ListForm::kFull, {}};
-  for (const core::Fields& entry : file.at("boxes").list()) {
-    const EngineId id{entry.at("id").as<std::string>()};
+void readInstances(const core::ConfigReader& file, OperatorFile& to) {
+  to.instances = {1, EndpointListForm::kFull, {}};
+  for (const core::ConfigReader& entry : file.at("boxes").list()) {
+    const InstanceId id{entry.at("id").as<std::string>()};
     const double size = entry.above0("size", 1.0);
-    upstream::Box box;
-    box.address = addressAt(entry.at("address"));
-    if (id.value.empty() || !to.directory.all().emplace(id, box).second)
+    upstream::InstanceEndpoint endpoint;
+    endpoint.address = addressAt(entry.at("address"));
+    if (id.value.empty() || !to.directory.all().emplace(id, endpoint).second)
       entry.at("id").fail("is empty or stands twice");
-    to.boxes.entries.push_back({id,
-                                to.setup.settings.zone,
-                                kindOf(to.setup.settings, entry.at("role")),
-                                {entry.value("cell", 0U)},
-                                Presence::kActive,
-                                size,
-                                std::nullopt});
+    to.instances.entries.push_back({id,
+                                    to.setup.settings.zone,
+                                    kindOf(to.setup.settings, entry.at("role")),
+                                    {entry.value("cell", 0U)},
+                                    EndpointState::kActive,
+                                    size,
+                                    std::nullopt});
   }
-  if (to.boxes.entries.empty())
+  if (to.instances.entries.empty())
     file.at("boxes").fail("is empty: there is none to send to");
 }
 
@@ -95,7 +95,7 @@
 }
 
 OperatorFile operatorFileOf(const json& given) {
-  const core::Fields file(given);
+  const core::ConfigReader file(given);
   OperatorFile to;
   to.listen = addressAt(file.at("listen"));
   if (file.has("admin_addr"))
@@ -105,20 +105,20 @@
   if (to.sockets < 128)
     throw std::invalid_argument("sockets is under 128: too few to serve");
   to.defaultMaxTokens = file.above0("default_max_tokens", to.defaultMaxTokens);
-  to.boxKey = file.value<std::string>("box_key", "");
-  const core::Fields settings = file.at("settings").object();
+  to.instanceKey = file.value<std::string>("box_key", "");
+  const core::ConfigReader settings = file.at("settings").object();
   to.setup = settingsOf(settings.json());
   if (settings.has("limits"))
     to.idleCloseMs = settings.at("limits").above0("idleCloseMs", to.idleCloseMs);
   readKeys(file, to);
-  const core::Fields models = file.at("models").object();
+  const core::ConfigReader models = file.at("models").object();
   for (const auto& [model, cls] : models.json().items())
     if ((to.models[model] = nameAmong(models, model.c_str(), to.setup.names.classes, "class"))
             .empty())
       models.at(model).fail("is empty");
   if (to.models.empty())
     models.fail("is empty: there is none to ask for");
-  readBoxes(file, to);
+  readInstances(file, to);
   if (file.has("admission")) {
     std::set<std::string> names;
     for (const auto& [text, key] : to.keys)
@@ -128,7 +128,7 @@
   }
   if (file.has("coordination"))
     to.coordination = coordination::setupOf(file.at("coordination"),
-                                            core::toMs(to.setup.settings.contract.coldFor));
+                                            core::toMs(to.setup.settings.contract.warmupDuration));
   if (file.has("shared")) {
     if (!to.coordination)
       file.at("shared").fail("needs `coordination`, whose store carries it");
--- a/src/frontend/openai/operator_file.h
+++ b/src/frontend/openai/operator_file.h
@@ -1,4 +1,4 @@
-// What the operator of a small site writes down: where to listen, who may ask, and which boxes
+// What the operator of a small site writes down: where to listen, who may ask, and which instances
 // there are.
 #pragma once
 
@@ -29,15 +29,14 @@
   std::size_t sockets = 1024;
   double idleCloseMs = 30'000;
   double defaultMaxTokens = 1024;
-  std::string boxKey;                         // sent to the boxes, if any
+  std::string instanceKey;                    // sent to the instances, if any
   std::map<std::string, ApiKey> keys;         // by the key itself
   std::map<std::string, std::string> models;  // name to class
   routing::wire::Setup setup;
-  routing::ListNews boxes;
-  upstream::Directory directory;
-  std::optional<admission::Rules> admission;  // none: whoever finds room may connect
-  std::optional<coordination::Setup>
-      coordination;                           // none: this conductor shares nothing with others
+  routing::EndpointListUpdate instances;
+  upstream::InstanceDirectory directory;
+  std::optional<admission::Rules> admission;        // none: whoever finds room may connect
+  std::optional<coordination::Setup> coordination;  // none: this router shares nothing with others
   std::optional<shared::SharedSetup> shared;  // none: no budgets, counts or judgements of the fleet
 };
 
--- a/src/frontend/platform/discovery.cpp
+++ b/src/frontend/platform/discovery.cpp
@@ -17,10 +17,10 @@
 
 constexpr std::size_t kLineLimit = 4 * 1024 * 1024;
 
-Presence presenceOf(const std::string& phase) {
+EndpointState endpointStateOf(const std::string& phase) {
   if (phase == "active")
-    return Presence::kActive;
-  return phase == "leaving" ? Presence::kLeaving : Presence::kGone;
+    return EndpointState::kActive;
+  return phase == "leaving" ? EndpointState::kDraining : EndpointState::kRemoved;
 }
 
 std::uint32_t placeOf(const std::vector<std::string>& names, const std::string& name) {
@@ -86,7 +86,7 @@
   std::shared_ptr<net::Call> call_;
   std::optional<core::Deadlines::Key> silent_;
   std::string text_;
-  DocumentGate gate_;
+  JsonDocumentSplitter gate_;
   bool good_ = false;
 };
 
@@ -94,9 +94,9 @@
                      const core::Clock& clock,
                      core::Deadlines& deadlines,
                      core::Counters& counters,
-                     core::ListSink& lists,
-                     upstream::Directory& directory,
-                     net::Pool& droppable,
+                     core::EndpointListSink& lists,
+                     upstream::InstanceDirectory& directory,
+                     net::ConnectionPool& droppable,
                      const wire::Vocabulary& names,
                      fleet::DiscoveryBackoff pace)
     : clock_(clock),
@@ -104,7 +104,7 @@
       counters_(counters),
       lists_(lists),
       directory_(directory),
-      boxes_(droppable),
+      endpoints_(droppable),
       names_(names),
       own_(io, clock, deadlines, counters, {2, fleet::DiscoveryBackoff::kConnectTimeoutMs, 1000}),
       pace_(pace),
@@ -120,7 +120,7 @@
 }
 
 void Discovery::known(const json& list) {
-  apply(list, ListForm::kCached);
+  apply(list, EndpointListForm::kCached);
 }
 
 // Guards against a gap while discovery moves: the old watch goes on and the list stays as it is
@@ -219,52 +219,53 @@
 }
 
 // An instance that leaves and comes back is a new one, whatever start time it has.
-void Discovery::fixAges(ListNews& news, const std::map<EngineId, upstream::Box>& told) {
-  for (const auto& [id, box] : told)
-    ages_.sees(box.startedMs);
+void Discovery::fixAges(EndpointListUpdate& news,
+                        const std::map<InstanceId, upstream::InstanceEndpoint>& told) {
+  for (const auto& [id, endpoint] : told)
+    ages_.sees(endpoint.startedMs);
   std::set<std::string> listed;
-  for (ListEntry& entry : news.entries) {
-    const std::string& id = entry.engine.value;
-    const auto started = ages_.startOf(id, told.at(entry.engine).startedMs);
+  for (EndpointRecord& entry : news.entries) {
+    const std::string& id = entry.instance.value;
+    const auto started = ages_.startOf(id, told.at(entry.instance).startedMs);
     if (started)
       entry.started = core::toModuleTime(*started);
-    if (entry.presence == Presence::kGone)
+    if (entry.state == EndpointState::kRemoved)
       ages_.forget(id);
     listed.insert(id);
   }
-  if (news.form != ListForm::kChanges)
+  if (news.form != EndpointListForm::kChanges)
     ages_.keepOnly(listed);
 }
 
 // Everything is read before anything is changed: a list that is malformed changes nothing.
-void Discovery::apply(const json& list, std::optional<ListForm> form) {
-  ListNews news;
+void Discovery::apply(const json& list, std::optional<EndpointListForm> form) {
+  EndpointListUpdate news;
   news.version = list.at("revision").get<std::uint64_t>();
   const bool whole = list.value("complete", false);
-  news.form = form.value_or(whole ? ListForm::kFull : ListForm::kChanges);
-  std::map<EngineId, upstream::Box> named;
+  news.form = form.value_or(whole ? EndpointListForm::kFull : EndpointListForm::kChanges);
+  std::map<InstanceId, upstream::InstanceEndpoint> named;
   for (const json& member : list.at("members")) {
     const std::uint32_t zone = placeOf(names_.zones, member.at("locality").get<std::string>());
     if (zone == names_.zones.size())
       continue;  // of a zone that the settings do not name
-    const EngineId id{member.at("id").get<std::string>()};
-    upstream::Box box;
-    box.address = net::endpointOf(member.at("host_port").get<std::string>());
-    box.presence = presenceOf(member.at("phase").get<std::string>());
-    box.startedMs = member.value("up_since_ms", 0.0);
+    const InstanceId id{member.at("id").get<std::string>()};
+    upstream::InstanceEndpoint endpoint;
+    endpoint.address = net::endpointOf(member.at("host_port").get<std::string>());
+    endpoint.state = endpointStateOf(member.at("phase").get<std::string>());
+    endpoint.startedMs = member.value("up_since_ms", 0.0);
     news.entries.push_back({
-        .engine = id,
+        .instance = id,
         .zone = {zone},
         .kind = {placeOf(names_.kinds, member.at("flavor").get<std::string>())},
         .cell = {member.value("cell", 0U)},
-        .presence = box.presence,
+        .state = endpoint.state,
         .weight = member.value("size", 1.0),
         .started = std::nullopt,
     });
-    named[id] = box;
+    named[id] = endpoint;
   }
   fixAges(news, named);
-  directory_.update(named, news.form != ListForm::kChanges, boxes_);
+  directory_.update(named, news.form != EndpointListForm::kChanges, endpoints_);
   revision_ = news.version;
   ++counters_["discovery.lists"];
   lists_.list(std::move(news));
--- a/src/frontend/platform/discovery.h
+++ b/src/frontend/platform/discovery.h
@@ -23,14 +23,15 @@
 
 class Discovery {
  public:
-  // droppable: the pool of the boxes, whose idle connections go when a box restarts or leaves.
+  // droppable: the pool of the instances, whose idle connections go when an instance restarts or
+  // leaves.
   Discovery(boost::asio::io_context& io,
             const core::Clock& clock,
             core::Deadlines& deadlines,
             core::Counters& counters,
-            core::ListSink& lists,
-            upstream::Directory& directory,
-            net::Pool& droppable,
+            core::EndpointListSink& lists,
+            upstream::InstanceDirectory& directory,
+            net::ConnectionPool& droppable,
             const routing::wire::Vocabulary& names,
             fleet::DiscoveryBackoff pace);
 
@@ -41,8 +42,8 @@
   // Also while another address is watched: the list stays, and that watch too, until the new one
   // speaks.
   void watch(const net::Endpoint& address);
-  void accountTo(admission::DescriptorBudget& ledger) {
-    own_.accountTo(ledger, admission::Account::kDiscovery);
+  void accountTo(admission::DescriptorBudget& descriptorBudget) {
+    own_.accountTo(descriptorBudget, admission::Account::kDiscovery);
   }
   bool spoken() const { return watch_ != nullptr; }  // whether a watch has said anything
   // One line of the watch; false if it is no list.
@@ -57,18 +58,19 @@
   bool silent(const Watch& watch);  // whether that one is kept
   void openLater();
   void leaveNext();
-  void apply(const nlohmann::json& list, std::optional<routing::ListForm> form);
+  void apply(const nlohmann::json& list, std::optional<routing::EndpointListForm> form);
   // Sets when the instances of a list started, from the start times that it tells.
-  void fixAges(routing::ListNews& news, const std::map<routing::EngineId, upstream::Box>& told);
+  void fixAges(routing::EndpointListUpdate& news,
+               const std::map<routing::InstanceId, upstream::InstanceEndpoint>& told);
 
   const core::Clock& clock_;
   core::Deadlines& deadlines_;
   core::Counters& counters_;
-  core::ListSink& lists_;
-  upstream::Directory& directory_;
-  net::Pool& boxes_;
+  core::EndpointListSink& lists_;
+  upstream::InstanceDirectory& directory_;
+  net::ConnectionPool& endpoints_;
   const routing::wire::Vocabulary& names_;
-  net::Pool own_;
+  net::ConnectionPool own_;
   net::Endpoint address_, spokenFor_;    // where to watch, and where the version was told
   std::shared_ptr<Watch> watch_, next_;  // the one that speaks, and the one that has not spoken yet
   std::optional<core::Deadlines::Key> reopen_;
--- a/src/frontend/platform/json_document_splitter.h
+++ b/src/frontend/platform/json_document_splitter.h
@@ -8,7 +8,7 @@
 
 namespace inference_router::frontend {
 
-class DocumentGate {
+class JsonDocumentSplitter {
  public:
   // The length of the part of text, from its beginning, up to the end of the object that ends in
   // it; 0 if none does yet. A line without any object, empty or not, is a part of its own. What was
@@ -41,7 +41,7 @@
  private:
   std::size_t take() {
     const std::size_t end = seen_ + 1;
-    *this = DocumentGate();
+    *this = JsonDocumentSplitter();
     return end;
   }
 
--- a/src/frontend/platform/platform_front.cpp
+++ b/src/frontend/platform/platform_front.cpp
@@ -44,7 +44,7 @@
   return routing::Duration(std::llround(us));
 }
 
-// The id becomes part of paths and headers towards the boxes.
+// The id becomes part of paths and headers towards the instances.
 bool plainId(const std::string& id) {
   return !id.empty() && id.size() <= 128 && std::all_of(id.begin(), id.end(), [](char c) {
     return std::isalnum(static_cast<unsigned char>(c)) != 0 || c == '-' || c == '_' || c == '.';
@@ -72,7 +72,7 @@
   }
 }
 
-// What the client says to the instance beyond what the conductor words anew: a class whose repeats
+// What the client says to the instance beyond what the router words anew: a class whose repeats
 // are discarded, for one, is known by a header of its client's. Nothing that is meant for one
 // connection alone goes along.
 net::Fields passedOn(const net::HttpRequest& request) {
@@ -102,7 +102,7 @@
 
 }  // namespace
 
-upstream::BoxDialect platformDialect() {
+upstream::InstanceProtocol platformDialect() {
   return {"X-Call-Id", "X-Budget-Ms", "X-Rejected", "/bootstrap/rooms/", "/-/healthy", {}};
 }
 
@@ -135,7 +135,7 @@
 // ---- Answers
 // ---------------------------------------------------------------------------------------
 
-class PlatformFront::Answer final : public core::Answerer {
+class PlatformFront::Answer final : public core::ResponseWriter {
  public:
   Answer(PlatformFront& front,
          std::shared_ptr<net::ClientConnection> connection,
@@ -201,7 +201,7 @@
   } catch (const std::invalid_argument& fault) {
     return reject(*connection, 400, fault.what());
   }
-  const auto payload = std::make_shared<upstream::ChatPayload>();
+  const auto payload = std::make_shared<upstream::ForwardedRequest>();
   payload->method = std::string(request.method_string());
   payload->target = std::string(request.target());
   payload->contentType = textOf(request, "Content-Type");
@@ -212,8 +212,8 @@
     reject(*connection, 400, "a request with this X-Call-Id is under way");
 }
 
-// A stream here is the box's own events after one head: there is nothing else to take over.
-std::shared_ptr<core::Answerer> PlatformFront::adopted(
+// A stream here is the instance's own events after one head: there is nothing else to take over.
+std::shared_ptr<core::ResponseWriter> PlatformFront::adopted(
     const std::shared_ptr<net::ClientConnection>& connection) {
   return std::make_shared<Answer>(*this, connection, /*begun=*/true);
 }
--- a/src/frontend/platform/platform_front.h
+++ b/src/frontend/platform/platform_front.h
@@ -1,4 +1,4 @@
-// The platform's protocol: requests in headers, answers as the boxes give them.
+// The platform's protocol: requests in headers, answers as the instances give them.
 #pragma once
 
 #include <memory>
@@ -12,23 +12,23 @@
 
 namespace inference_router::frontend {
 
-upstream::BoxDialect platformDialect();
+upstream::InstanceProtocol platformDialect();
 
 // What the headers of a request say. Throws std::invalid_argument with a plain complaint.
 routing::Arrival arrivalOf(const net::HttpRequest& request, const routing::wire::Vocabulary& names);
 
 class PlatformFront final : public Front {
  public:
-  PlatformFront(core::Conductor& conductor,
+  PlatformFront(core::RequestDispatcher& dispatcher,
                 const routing::wire::Vocabulary& names,
                 const core::Clock& clock,
                 core::Counters& counters)
-      : Front(conductor, clock, counters), names_(names) {}
+      : Front(dispatcher, clock, counters), names_(names) {}
 
   void request(const std::shared_ptr<net::ClientConnection>& connection,
                net::HttpRequest&& request,
                double arrivedMs) override;
-  std::shared_ptr<core::Answerer> adopted(
+  std::shared_ptr<core::ResponseWriter> adopted(
       const std::shared_ptr<net::ClientConnection>& connection) override;
   void reject(net::ClientConnection& connection, unsigned status, std::string_view why) override;
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -92,7 +92,7 @@
     if (!check)
       return app::serve(site, telemetry,
                         [path] { return frontend::operatorFileOf(app::readJson(path)); });
-    std::cout << "usable: " << site.boxes.entries.size() << " boxes, " << site.models.size()
+    std::cout << "usable: " << site.instances.entries.size() << " boxes, " << site.models.size()
               << " models, " << site.keys.size() << " keys\n";
     return;
   }
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -96,13 +96,14 @@
   read();
 }
 
-std::optional<ClientConnection::Rest> ClientConnection::rest() {
+std::optional<ClientConnection::TransferState> ClientConnection::rest() {
   if (state_ != State::kStreaming || writes_ || !waiting_.empty() || shed_)
     return std::nullopt;
   if (!reader_.takeStanding(descriptor()))
     return std::nullopt;  // they would be read a second time there
   noteArrivals();
-  return Rest{descriptor(), reader_.carried(), came_.empty() ? 0 : came_.firstMs(), keepAlive_};
+  return TransferState{descriptor(), reader_.carried(), came_.empty() ? 0 : came_.firstMs(),
+                       keepAlive_};
 }
 
 // Without a shutdown, which would end the connection for the other process as well.
@@ -118,7 +119,7 @@
   owner_.closed(shared_from_this());
 }
 
-void ClientConnection::takeUp(const Rest& rest) {
+void ClientConnection::adopt(const TransferState& rest) {
   connected_ = idleSince_ = firstByte_ = clock_.nowMs();
   asked_ = true;
   owner_.asks(*this);
--- a/src/net/client_connection.h
+++ b/src/net/client_connection.h
@@ -74,16 +74,16 @@
   Room room() const;
 
   // A stream under way, as it passes from one process to another.
-  struct Rest {
+  struct TransferState {
     int descriptor = -1;
     std::string
         ahead;  // read of the next requests; mostly empty, as they stand unread until their turn
     double aheadCameMs = 0;  // the first byte of these, read or not; 0: not known, or there is none
     bool keepAlive = true;
   };
-  std::optional<Rest> rest();     // nothing while anything waits to be written
-  void leave();                   // lets go of a connection that another process has now
-  void takeUp(const Rest& rest);  // instead of start()
+  std::optional<TransferState> rest();    // nothing while anything waits to be written
+  void leave();                           // lets go of a connection that another process has now
+  void adopt(const TransferState& rest);  // instead of start()
 
   void answer(unsigned status, Fields fields, std::string_view body);
   void beginStream(Fields fields);
--- a/src/net/descriptor_transfer.cpp
+++ b/src/net/descriptor_transfer.cpp
@@ -85,9 +85,9 @@
 // ---- Receiving
 // ---------------------------------------------------------------------------------------
 
-class PassingReceiver::Peer final : public std::enable_shared_from_this<Peer> {
+class DescriptorReceiver::Peer final : public std::enable_shared_from_this<Peer> {
  public:
-  Peer(PassingReceiver& owner, int socket)
+  Peer(DescriptorReceiver& owner, int socket)
       : owner_(&owner), socket_(owner.io_, socket), retry_(owner.io_) {}
 
   void wait() {
@@ -121,7 +121,7 @@
         continue;
       if (count < 0 && (errno == EAGAIN || errno == EWOULDBLOCK))
         return wait();
-      Passed passed;
+      ReceivedMessage passed;
       for (cmsghdr* head = CMSG_FIRSTHDR(&message); count >= 0 && head != nullptr;
            head = CMSG_NXTHDR(&message, head)) {
         if (head->cmsg_level != SOL_SOCKET || head->cmsg_type != SCM_RIGHTS)
@@ -170,15 +170,15 @@
     });
   }
 
-  PassingReceiver* owner_;
+  DescriptorReceiver* owner_;
   boost::asio::posix::stream_descriptor socket_;
   boost::asio::steady_timer retry_;
 };
 
-PassingReceiver::PassingReceiver(boost::asio::io_context& io,
-                                 std::string folder,
-                                 const std::string& name,
-                                 Take take)
+DescriptorReceiver::DescriptorReceiver(boost::asio::io_context& io,
+                                       std::string folder,
+                                       const std::string& name,
+                                       Take take)
     : io_(io),
       folder_(std::move(folder)),
       name_(name),
@@ -199,14 +199,14 @@
   accept();
 }
 
-PassingReceiver::~PassingReceiver() {
+DescriptorReceiver::~DescriptorReceiver() {
   for (const auto& peer : peers_)
     peer->close();
   if (isOpen())
     ::unlink((folder_ + "/" + name_).c_str());
 }
 
-void PassingReceiver::accept() {
+void DescriptorReceiver::accept() {
   listener_.async_wait(boost::asio::posix::stream_descriptor::wait_read,
                        [this](const boost::system::error_code& error) {
                          if (error)
@@ -216,7 +216,7 @@
 }
 
 // A listener that cannot accept stays ready: without a pause it would keep the loop busy.
-void PassingReceiver::acceptOne() {
+void DescriptorReceiver::acceptOne() {
   Descriptor socket(
       ::accept4(listener_.native_handle(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
   if (!socket && errno != EINTR && errno != EAGAIN && errno != ECONNABORTED) {
@@ -237,16 +237,16 @@
 // ---- Sending
 // -----------------------------------------------------------------------------------------
 
-PassingSender::PassingSender(const std::string& folder, const std::string& name)
+DescriptorSender::DescriptorSender(const std::string& folder, const std::string& name)
     : socket_(newSocket()) {
   const Address address(folder, name);
   if (!socket_ || !address.good() || !connectTo(socket_.get(), address))
     socket_ = Descriptor();
 }
 
-PassingSender::Result PassingSender::send(const std::string& bytes,
-                                          const std::vector<int>& descriptors) {
-  if (!isOpen() || bytes.size() > PassingReceiver::kLargest ||
+DescriptorSender::Result DescriptorSender::send(const std::string& bytes,
+                                                const std::vector<int>& descriptors) {
+  if (!isOpen() || bytes.size() > DescriptorReceiver::kLargest ||
       descriptors.size() > kMostDescriptors)
     return Result::kBroken;
   iovec part{const_cast<char*>(bytes.data()), bytes.size()};
@@ -276,7 +276,7 @@
   }
 }
 
-std::size_t PassingSender::taken() {
+std::size_t DescriptorSender::taken() {
   std::size_t count = 0;
   char word = 0;
   while (isOpen()) {
--- a/src/net/descriptor_transfer.h
+++ b/src/net/descriptor_transfer.h
@@ -29,22 +29,22 @@
   int value_;
 };
 
-struct Passed {
+struct ReceivedMessage {
   std::string bytes;
   std::vector<Descriptor> descriptors;
 };
 
-class PassingReceiver {
+class DescriptorReceiver {
  public:
   static constexpr std::size_t kLargest = 160 * 1024;  // under what a Unix socket takes at once
-  using Take = std::function<void(Passed)>;
+  using Take = std::function<void(ReceivedMessage)>;
 
   // Not open if the folder cannot hold such a socket; then nobody can pass anything here.
-  PassingReceiver(boost::asio::io_context& io,
-                  std::string folder,
-                  const std::string& name,
-                  Take take);
-  ~PassingReceiver();
+  DescriptorReceiver(boost::asio::io_context& io,
+                     std::string folder,
+                     const std::string& name,
+                     Take take);
+  ~DescriptorReceiver();
   bool isOpen() const { return listener_.is_open(); }
 
  private:
@@ -60,9 +60,9 @@
   std::list<std::shared_ptr<Peer>> peers_;
 };
 
-class PassingSender {
+class DescriptorSender {
  public:
-  PassingSender(const std::string& folder, const std::string& name);
+  DescriptorSender(const std::string& folder, const std::string& name);
   bool isOpen() const { return static_cast<bool>(socket_); }
 
   enum class Result { kSent, kFull, kBroken };
--- a/src/net/line_server.cpp
+++ b/src/net/line_server.cpp
@@ -36,8 +36,8 @@
     server.deadlines_.cancel(limit_);
     boost::system::error_code ignored;
     socket_.close(ignored);
-    if (server.ledger_ != nullptr)
-      server.ledger_->give(admission::Account::kControl);
+    if (server.descriptorBudget_ != nullptr)
+      server.descriptorBudget_->give(admission::Account::kControl);
     server.calls_.remove(shared_from_this());
   }
 
@@ -164,8 +164,8 @@
     ++counters_["door.made_room"];
     calls_.front()->shut();
   }
-  if (ledger_ != nullptr)
-    ledger_->force(admission::Account::kControl);
+  if (descriptorBudget_ != nullptr)
+    descriptorBudget_->force(admission::Account::kControl);
   calls_.push_back(std::make_shared<Caller>(*this, std::move(socket)));
   calls_.back()->start();
 }
--- a/src/net/line_server.h
+++ b/src/net/line_server.h
@@ -68,7 +68,9 @@
 
   boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
   std::size_t size() const { return calls_.size(); }
-  void accountTo(admission::DescriptorBudget& ledger) { ledger_ = &ledger; }
+  void accountTo(admission::DescriptorBudget& descriptorBudget) {
+    descriptorBudget_ = &descriptorBudget;
+  }
 
  private:
   class Caller;
@@ -86,7 +88,7 @@
   Limits limits_;
   std::list<std::shared_ptr<Caller>> calls_;  // in the order they came
   std::optional<core::Deadlines::Key> pause_;
-  admission::DescriptorBudget* ledger_ = nullptr;
+  admission::DescriptorBudget* descriptorBudget_ = nullptr;
 };
 
 }  // namespace inference_router::net
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -89,8 +89,8 @@
     owner.deadlines_.cancel(limit_);
     boost::system::error_code ignored;
     socket_.close(ignored);
-    if (owner.ledger_ != nullptr)
-      owner.ledger_->give(admission::Account::kRefusals);
+    if (owner.descriptorBudget_ != nullptr)
+      owner.descriptorBudget_->give(admission::Account::kRefusals);
     owner.refusals_.erase(shared_from_this());
   }
 
@@ -130,7 +130,7 @@
       deadlines_(deadlines),
       counters_(counters),
       gate_(options.gate),
-      ledger_(options.ledger),
+      descriptorBudget_(options.descriptorBudget),
       spare_(::open("/dev/null", O_RDONLY | O_CLOEXEC)) {
   acceptor_.open(address.protocol());
   acceptor_.non_blocking(true);
@@ -208,8 +208,8 @@
     return;
   ++counters_["clients.accept_failed"];
   if (why == AcceptStatus::kNoDescriptors) {
-    if (ledger_ != nullptr)
-      ledger_->ranOut(clock_.nowMs());
+    if (descriptorBudget_ != nullptr)
+      descriptorBudget_->ranOut(clock_.nowMs());
     turnAwayOnSpare();
   }
   accepting_ = true;  // until then no other path tries
@@ -264,7 +264,8 @@
   if (error)
     return;  // it has gone already
   const double now = clock_.nowMs();
-  const auto level = ledger_ != nullptr ? ledger_->level(now) : admission::Level::kNormal;
+  const auto level =
+      descriptorBudget_ != nullptr ? descriptorBudget_->level(now) : admission::Level::kNormal;
   const admission::Decision decision = gate_->connect(addressOf(peer), level, now);
   if (decision.evict)
     close({*decision.evict});
@@ -280,7 +281,7 @@
       handler_.turnedAway(statusFor(decision.reason), std::string("too many connections: ") + why,
                           decision.retryAfterMs);
   if (refusals_.size() >= kRefusals ||
-      (ledger_ != nullptr && !ledger_->take(admission::Account::kRefusals))) {
+      (descriptorBudget_ != nullptr && !descriptorBudget_->take(admission::Account::kRefusals))) {
     ++counters_["admission.closed_at_once"];
     if (!sendLastAnswer(socket.native_handle(), text))
       answerCut();
@@ -297,8 +298,8 @@
 
 void Listener::letIn(boost::asio::ip::tcp::socket socket, admission::ConnectionId visitor) {
   ++counters_["clients.accepted"];
-  if (ledger_ != nullptr)
-    ledger_->force(admission::Account::kClients);
+  if (descriptorBudget_ != nullptr)
+    descriptorBudget_->force(admission::Account::kClients);
   const auto connection =
       std::make_shared<ClientConnection>(std::move(socket), handler_, *this, clock_, deadlines_);
   connection->number = visitor;
@@ -332,17 +333,17 @@
     gate_->identified(connection.number, who, clock_.nowMs());
 }
 
-std::shared_ptr<ClientConnection> Listener::adopt(const ClientConnection::Rest& rest) {
+std::shared_ptr<ClientConnection> Listener::adopt(const ClientConnection::TransferState& rest) {
   boost::asio::ip::tcp::socket socket(io_);
   if (assign(socket, protocol_, rest.descriptor))
     return nullptr;  // also once the door is closed
   ++counters_["clients.adopted"];
-  if (ledger_ != nullptr)
-    ledger_->force(admission::Account::kClients);
+  if (descriptorBudget_ != nullptr)
+    descriptorBudget_->force(admission::Account::kClients);
   const auto connection =
       std::make_shared<ClientConnection>(std::move(socket), handler_, *this, clock_, deadlines_);
   connections_.insert(connection);
-  connection->takeUp(rest);
+  connection->adopt(rest);
   return connection;
 }
 
@@ -407,8 +408,8 @@
   visitors_.erase(connection->number);
   if (gate_ != nullptr)
     gate_->closed(connection->number, clock_.nowMs());
-  if (ledger_ != nullptr)
-    ledger_->give(admission::Account::kClients);
+  if (descriptorBudget_ != nullptr)
+    descriptorBudget_->give(admission::Account::kClients);
   finishIfDone();
   // Not from here: makeRoom() closes connections while accept() runs.
   boost::asio::post(io_, [this] { accept(); });
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -24,7 +24,7 @@
     bool sharedPort = false;  // another process may listen on the same address at the same time
     bool open = true;         // at once; else open() does it, and until then nobody can connect
     admission::AdmissionController* gate = nullptr;  // who may connect; none: whoever finds room
-    admission::DescriptorBudget* ledger = nullptr;   // of the process's descriptors
+    admission::DescriptorBudget* descriptorBudget = nullptr;  // of the process's descriptors
   };
 
   // Throws boost::system::system_error if the address cannot be listened on.
@@ -62,7 +62,7 @@
   void capAt(std::size_t cap);
 
   // A connection whose stream another process began; nothing if the descriptor cannot be used.
-  std::shared_ptr<ClientConnection> adopt(const ClientConnection::Rest& rest);
+  std::shared_ptr<ClientConnection> adopt(const ClientConnection::TransferState& rest);
 
   // Goes on accepting and serving for so long, then closes; done is called when all clients are
   // gone.
@@ -108,7 +108,7 @@
   std::set<std::shared_ptr<ClientConnection>> connections_;
   std::function<void()> done_;
   admission::AdmissionController* gate_;
-  admission::DescriptorBudget* ledger_;
+  admission::DescriptorBudget* descriptorBudget_;
   std::map<admission::ConnectionId, std::weak_ptr<ClientConnection>> visitors_;
   class Refusal;
   std::set<std::shared_ptr<Refusal>> refusals_;  // being read by their clients
--- a/src/net/pool.cpp
+++ b/src/net/pool.cpp
@@ -63,7 +63,7 @@
 // ---- Call
 // ------------------------------------------------------------------------------------------
 
-Call::Call(Pool& pool,
+Call::Call(ConnectionPool& pool,
            const Endpoint& to,
            std::string head,
            std::shared_ptr<const std::string> body,
@@ -76,10 +76,10 @@
       sink_(std::move(sink)),
       urgent_(urgent) {}
 
-void Call::begin(std::shared_ptr<Link> link, bool fresh) {
+void Call::begin(std::shared_ptr<Connection> connection, bool fresh) {
   pool_.deadlines_.cancel(dial_);  // of the time in line
-  link_ = std::move(link);
-  ++link_->calls;
+  connection_ = std::move(connection);
+  ++connection_->calls;
   expectAnswer();
   if (fresh)
     connect();
@@ -112,7 +112,7 @@
 
 void Call::dial() {
   ++pool_.counters_["links.opened"];
-  link_->socket.async_connect(
+  connection_->socket.async_connect(
       to_,
       [self = shared_from_this()](const boost::system::error_code& error) { self->dialed(error); });
 }
@@ -133,20 +133,20 @@
 
 void Call::awaitDial() {
   const auto self = shared_from_this();
-  const auto link = link_;
-  link->socket.async_wait(boost::asio::ip::tcp::socket::wait_write,
-                          [self, link](const boost::system::error_code& error) {
-                            if (self->state_ != State::kConnecting)
-                              return;
-                            self->dialed(error ? error : pendingError(link->socket));
-                          });
+  const auto connection = connection_;
+  connection->socket.async_wait(boost::asio::ip::tcp::socket::wait_write,
+                                [self, connection](const boost::system::error_code& error) {
+                                  if (self->state_ != State::kConnecting)
+                                    return;
+                                  self->dialed(error ? error : pendingError(connection->socket));
+                                });
 }
 
 void Call::dialAgain() {
   ++pool_.counters_["links.local_faults"];
   localFault_ = true;
   boost::system::error_code ignored;
-  link_->socket.close(ignored);
+  connection_->socket.close(ignored);
   dialRetry_ =
       pool_.deadlines_.add(pool_.clock_.nowMs() + kResourceRetryMs, [self = shared_from_this()] {
         self->dialRetry_.reset();
@@ -157,7 +157,7 @@
 void Call::connected() {
   pool_.deadlines_.cancel(dial_);
   boost::system::error_code ignored;
-  link_->socket.set_option(boost::asio::ip::tcp::no_delay(true), ignored);
+  connection_->socket.set_option(boost::asio::ip::tcp::no_delay(true), ignored);
   write();
 }
 
@@ -169,9 +169,9 @@
   if (!keep->ready()) {
     if (state_ != State::kWriting)
       return;
-    const auto link = std::exchange(link_, nullptr);
+    const auto connection = std::exchange(connection_, nullptr);
     const auto sink = finish();
-    pool_.give(link);
+    pool_.give(connection);
     return sink->failed(CallFailure::kWithdrawn);
   }
   if (state_ != State::kWriting)
@@ -187,7 +187,7 @@
   });
   const std::string_view body = body_ ? std::string_view(*body_) : std::string_view();
   sending_ =
-      SendOperation::start({link_, &link_->socket}, head_, body,
+      SendOperation::start({connection_, &connection_->socket}, head_, body,
                            [self](const boost::system::error_code& error) { self->wrote(error); });
 }
 
@@ -218,10 +218,10 @@
       self->stuck_.reset();
       self->fail(CallFailure::kGarbled);
     });
-  const auto link = link_;  // lives as long as the operation on it
-  link->socket.async_read_some(
-      link->buffer.prepare(kReadSize),
-      [self, link](const boost::system::error_code& error, std::size_t count) {
+  const auto connection = connection_;  // lives as long as the operation on it
+  connection->socket.async_read_some(
+      connection->buffer.prepare(kReadSize),
+      [self, connection](const boost::system::error_code& error, std::size_t count) {
         self->reading_ = false;
         self->pool_.deadlines_.cancel(self->stuck_);
         if (self->state_ == State::kOver)
@@ -232,7 +232,7 @@
           return self->readLater();
         if (error)
           return self->fail(CallFailure::kReset);
-        link->buffer.commit(count);
+        connection->buffer.commit(count);
         self->parse();
       });
 }
@@ -244,20 +244,21 @@
       pool_.deadlines_.add(pool_.clock_.nowMs() + kResourceRetryMs, [self = shared_from_this()] {
         if (self->state_ != State::kHead && self->state_ != State::kBody)
           return;
-        const auto link = self->link_;
-        link->socket.async_wait(boost::asio::ip::tcp::socket::wait_read,
-                                [self, link](const boost::system::error_code&) {
-                                  self->readRetry_.reset();
-                                  if (self->state_ == State::kHead || self->state_ == State::kBody)
-                                    self->read();
-                                });
+        const auto connection = self->connection_;
+        connection->socket.async_wait(
+            boost::asio::ip::tcp::socket::wait_read,
+            [self, connection](const boost::system::error_code&) {
+              self->readRetry_.reset();
+              if (self->state_ == State::kHead || self->state_ == State::kBody)
+                self->read();
+            });
       });
 }
 
 // Whether the answer has stopped inside of something that is sent in one piece. The parser leaves
 // the end of a chunk's data to the next size line, so that alone is no piece.
 bool Call::midway() const {
-  const auto rest = link_->buffer.data();
+  const auto rest = connection_->buffer.data();
   const std::string_view unread(static_cast<const char*>(rest.data()), rest.size());
   if (!parser_->is_header_done() || !parser_->chunked())
     return !unread.empty() || (headSeen_ && parser_->content_length_remaining().value_or(0) > 0);
@@ -277,9 +278,9 @@
 void Call::parse() {
   const auto keep = sink_;
   boost::system::error_code error;
-  while (link_->buffer.size() > 0 && !parser_->is_done()) {
-    const std::size_t used = parser_->put(link_->buffer.data(), error);
-    link_->buffer.consume(used);
+  while (connection_->buffer.size() > 0 && !parser_->is_done()) {
+    const std::size_t used = parser_->put(connection_->buffer.data(), error);
+    connection_->buffer.consume(used);
     if (error == http::error::need_more)
       break;
     if (error)
@@ -315,14 +316,15 @@
 
 void Call::complete() {
   // Guards the next request on this connection against a second answer right behind this one.
-  const bool again = parser_->keep_alive() && link_->buffer.size() == 0 && quiet(link_->socket);
+  const bool again =
+      parser_->keep_alive() && connection_->buffer.size() == 0 && quiet(connection_->socket);
   tell(again ? "answered" : "answered, not used again", parser_->get().result_int());
-  const auto link = std::exchange(link_, nullptr);
+  const auto connection = std::exchange(connection_, nullptr);
   const auto sink = finish();
   if (again)
-    pool_.give(link);
+    pool_.give(connection);
   else
-    pool_.close(link);
+    pool_.close(connection);
   sink->done();
 }
 
@@ -333,35 +335,35 @@
   if (!reading_)
     return read();
   boost::system::error_code ignored;
-  link_->socket.cancel(ignored);
+  connection_->socket.cancel(ignored);
 }
 
-void Call::goOn() {
+void Call::unpause() {
   quiet_ = nullptr;
   if (state_ != State::kBody)
     return;
   // Bytes that came with the descriptor may be all there is, so they are parsed before any more is
   // waited for.
-  if (link_->buffer.size() > 0 && !reading_)
+  if (connection_->buffer.size() > 0 && !reading_)
     parse();
   else
     read();
 }
 
 // Only a chunked answer says by itself where it ends, whoever reads it.
-std::optional<Call::Rest> Call::rest() const {
+std::optional<Call::TransferState> Call::rest() const {
   if (state_ != State::kBody || reading_ || paused_ || !parser_->chunked())
     return std::nullopt;
-  const auto data = link_->buffer.data();
-  return Rest{link_->socket.native_handle(),
-              std::string(static_cast<const char*>(data.data()), data.size()),
-              announced_ - received_, parser_->keep_alive()};
+  const auto data = connection_->buffer.data();
+  return TransferState{connection_->socket.native_handle(),
+                       std::string(static_cast<const char*>(data.data()), data.size()),
+                       announced_ - received_, parser_->keep_alive()};
 }
 
 // Brings a parser to where the other process's stood: behind a head, within a chunk of which so
 // much is left. One byte more stands before it, since a parser within a chunk reads the end of the
 // last one first.
-void Call::takeUp(const Rest& rest) {
+void Call::adopt(const TransferState& rest) {
   state_ = State::kBody;
   expectAnswer();
   std::array<char, 24> size{};
@@ -382,7 +384,7 @@
   headSeen_ = true;
   received_ = parser_->get().body().size();
   parser_->get().body().clear();
-  auto& buffer = link_->buffer;
+  auto& buffer = connection_->buffer;
   buffer.commit(boost::asio::buffer_copy(buffer.prepare(rest.unread.size()),
                                          boost::asio::buffer(rest.unread)));
 }
@@ -398,10 +400,10 @@
     return;
   constexpr std::array kWhy{"no connection", "reset", "garbled", "withdrawn"};
   tell(kWhy.at(static_cast<std::size_t>(why)));
-  const auto link = std::exchange(link_, nullptr);
+  const auto connection = std::exchange(connection_, nullptr);
   const auto sink = finish();
-  if (link)
-    pool_.close(link);
+  if (connection)
+    pool_.close(connection);
   sink->failed(why);
 }
 
@@ -409,17 +411,17 @@
   if (state_ == State::kOver)
     return;
   tell("abandoned");
-  const auto link = std::exchange(link_, nullptr);
+  const auto connection = std::exchange(connection_, nullptr);
   finish();
-  if (link)
-    pool_.close(link);
+  if (connection)
+    pool_.close(connection);
 }
 
 bool Call::unread() const {
-  if (!link_)
+  if (!connection_)
     return false;
   std::array<char, 1> byte{};
-  const IoStatus seen = peek(link_->socket.native_handle(), byte).status;
+  const IoStatus seen = peek(connection_->socket.native_handle(), byte).status;
   return seen == IoStatus::kDone ||
          seen == IoStatus::kNoResources;  // it may have, where nobody can look
 }
@@ -427,9 +429,9 @@
 void Call::tell(const char* what, int status) const {
   if (!pool_.wire_)
     return;
-  std::string line = "link=" + (link_ ? std::to_string(link_->number) : "none") +
-                     " call=" + (link_ ? std::to_string(link_->calls) : "0") + " " + what +
-                     (status != 0 ? " " + std::to_string(status) : "") + ": " +
+  std::string line = "connection=" + (connection_ ? std::to_string(connection_->number) : "none") +
+                     " call=" + (connection_ ? std::to_string(connection_->calls) : "0") + " " +
+                     what + (status != 0 ? " " + std::to_string(status) : "") + ": " +
                      head_.substr(0, kTold);
   std::replace_if(
       line.begin(), line.end(), [](char c) { return c == '\r' || c == '\n'; }, ' ');
@@ -446,27 +448,27 @@
   return std::move(sink_);
 }
 
-// ---- Pool
+// ---- ConnectionPool
 // ------------------------------------------------------------------------------------------
 
-Pool::Pool(boost::asio::io_context& io,
-           const core::Clock& clock,
-           core::Deadlines& deadlines,
-           core::Counters& counters,
-           Limits limits)
+ConnectionPool::ConnectionPool(boost::asio::io_context& io,
+                               const core::Clock& clock,
+                               core::Deadlines& deadlines,
+                               core::Counters& counters,
+                               Limits limits)
     : io_(io), clock_(clock), deadlines_(deadlines), counters_(counters), limits_(limits) {}
 
-Pool::~Pool() {
-  for (const auto& link : idle_)
-    deadlines_.cancel(link->retire);
+ConnectionPool::~ConnectionPool() {
+  for (const auto& connection : idle_)
+    deadlines_.cancel(connection->retire);
 }
 
-std::shared_ptr<Call> Pool::call(const Endpoint& to,
-                                 std::string head,
-                                 std::shared_ptr<const std::string> body,
-                                 std::shared_ptr<CallSink> sink,
-                                 Urgency urgency,
-                                 double afterMs) {
+std::shared_ptr<Call> ConnectionPool::call(const Endpoint& to,
+                                           std::string head,
+                                           std::shared_ptr<const std::string> body,
+                                           std::shared_ptr<CallSink> sink,
+                                           Urgency urgency,
+                                           double afterMs) {
   const bool urgent = urgency == Urgency::kFirst;
   const auto call =
       std::make_shared<Call>(*this, to, std::move(head), std::move(body), std::move(sink), urgent);
@@ -480,7 +482,7 @@
   return call;
 }
 
-void Pool::enter(const std::shared_ptr<Call>& call) {
+void ConnectionPool::enter(const std::shared_ptr<Call>& call) {
   if (admit(call))
     return;
   ++counters_["calls.waited"];
@@ -495,9 +497,9 @@
   });
 }
 
-bool Pool::admit(const std::shared_ptr<Call>& call) {
-  if (auto link = takeIdle(call->to_)) {
-    call->begin(std::move(link), false);
+bool ConnectionPool::admit(const std::shared_ptr<Call>& call) {
+  if (auto connection = takeIdle(call->to_)) {
+    call->begin(std::move(connection), false);
     return true;
   }
   const Urgency urgency = call->urgent_ ? Urgency::kFirst : Urgency::kInTurn;
@@ -505,68 +507,70 @@
     close(idle_.front());
   if (!room(urgency))
     return false;
-  auto link = std::make_shared<Link>(io_);
-  link->to = call->to_;
-  link->number = ++links_;
+  auto connection = std::make_shared<Connection>(io_);
+  connection->to = call->to_;
+  connection->number = ++connections_;
   ++open_;
-  if (ledger_ != nullptr)
-    ledger_->take(account_);
-  call->begin(std::move(link), true);
+  if (descriptorBudget_ != nullptr)
+    descriptorBudget_->take(account_);
+  call->begin(std::move(connection), true);
   return true;
 }
 
-std::shared_ptr<Call> Pool::adopt(const Endpoint& from,
-                                  const Call::Rest& rest,
-                                  std::shared_ptr<CallSink> sink) {
-  auto link = std::make_shared<Link>(io_);
+std::shared_ptr<Call> ConnectionPool::adopt(const Endpoint& from,
+                                            const Call::TransferState& rest,
+                                            std::shared_ptr<CallSink> sink) {
+  auto connection = std::make_shared<Connection>(io_);
   boost::system::error_code error;
-  link->socket.assign(from.protocol(), rest.descriptor, error);
+  connection->socket.assign(from.protocol(), rest.descriptor, error);
   if (error) {
     ::close(rest.descriptor);
     return nullptr;
   }
-  link->to = from;
-  link->number = ++links_;
+  connection->to = from;
+  connection->number = ++connections_;
   ++open_;
-  if (ledger_ != nullptr)
-    ledger_->force(account_);
+  if (descriptorBudget_ != nullptr)
+    descriptorBudget_->force(account_);
   const auto call = std::make_shared<Call>(*this, from, std::string(), nullptr, std::move(sink));
-  call->link_ = std::move(link);
-  call->takeUp(rest);
+  call->connection_ = std::move(connection);
+  call->adopt(rest);
   return call;
 }
 
 // The one used last: it is the least likely to be closed, and the others can age and go.
-std::shared_ptr<Link> Pool::takeIdle(const Endpoint& to) {
+std::shared_ptr<Connection> ConnectionPool::takeIdle(const Endpoint& to) {
   for (auto it = idle_.end(); it != idle_.begin();) {
     --it;
     if ((*it)->to != to || clock_.nowMs() < (*it)->idleSinceMs + kRestMs)
       continue;
-    const auto link = *it;
+    const auto connection = *it;
     it = idle_.erase(it);
-    deadlines_.cancel(link->retire);
-    if (quiet(link->socket)) {
+    deadlines_.cancel(connection->retire);
+    if (quiet(connection->socket)) {
       boost::system::error_code ignored;
-      link->socket.cancel(ignored);  // the watch for its end
-      return link;
+      connection->socket.cancel(ignored);  // the watch for its end
+      return connection;
     }
-    close(link);
+    close(connection);
     it = idle_.end();
   }
   return nullptr;
 }
 
-bool Pool::hasIdle(const Endpoint& to) const {
-  return std::any_of(idle_.begin(), idle_.end(), [&](const auto& link) { return link->to == to; });
+bool ConnectionPool::hasIdle(const Endpoint& to) const {
+  return std::any_of(idle_.begin(), idle_.end(),
+                     [&](const auto& connection) { return connection->to == to; });
 }
 
-void Pool::give(std::shared_ptr<Link> link) {
-  link->idleSinceMs = clock_.nowMs();
-  idle_.push_back(link);
-  link->retire = deadlines_.add(clock_.nowMs() + limits_.idleMs, [this, link] { close(link); });
-  link->socket.async_wait(
+void ConnectionPool::give(std::shared_ptr<Connection> connection) {
+  connection->idleSinceMs = clock_.nowMs();
+  idle_.push_back(connection);
+  connection->retire =
+      deadlines_.add(clock_.nowMs() + limits_.idleMs, [this, connection] { close(connection); });
+  connection->socket.async_wait(
       boost::asio::ip::tcp::socket::wait_read,
-      [this, weak = std::weak_ptr(link)](const boost::system::error_code& error) {
+      [this, weak = std::weak_ptr(connection)](const boost::system::error_code& error) {
         if (error)
           return;
         if (const auto idle = weak.lock(); idle && idle->retire)
@@ -575,27 +579,27 @@
   serveWaiting();
 }
 
-void Pool::close(std::shared_ptr<Link> link) {
-  if (link->to == Endpoint())
+void ConnectionPool::close(std::shared_ptr<Connection> connection) {
+  if (connection->to == Endpoint())
     return;  // closed before
-  idle_.remove(link);
-  deadlines_.cancel(link->retire);
+  idle_.remove(connection);
+  deadlines_.cancel(connection->retire);
   boost::system::error_code ignored;
-  link->socket.close(ignored);
-  link->to = Endpoint();
+  connection->socket.close(ignored);
+  connection->to = Endpoint();
   --open_;
-  if (ledger_ != nullptr)
-    ledger_->give(account_);
+  if (descriptorBudget_ != nullptr)
+    descriptorBudget_->give(account_);
   serveWaiting();
 }
 
-void Pool::dropIdle(const Endpoint& to) {
-  for (const auto& link : std::vector(idle_.begin(), idle_.end()))
-    if (link->to == to)
-      close(link);
+void ConnectionPool::dropIdle(const Endpoint& to) {
+  for (const auto& connection : std::vector(idle_.begin(), idle_.end()))
+    if (connection->to == to)
+      close(connection);
 }
 
-void Pool::capAt(std::size_t connections) {
+void ConnectionPool::capAt(std::size_t connections) {
   limits_.connections = connections;
   while (open_ > connections && !idle_.empty())
     close(idle_.front());
@@ -603,7 +607,7 @@
 }
 
 // Later, not from within whoever gave a connection back.
-void Pool::serveWaiting() {
+void ConnectionPool::serveWaiting() {
   if (serving_ || waiting_.empty())
     return;
   serving_ = true;
--- a/src/net/pool.h
+++ b/src/net/pool.h
@@ -1,5 +1,5 @@
-// Connections to engines: bounded, kept alive, retired well before the other side would close them.
-// A call is one request on one connection; nothing is ever sent again by itself.
+// Connections to instances: bounded, kept alive, retired well before the other side would close
+// them. A call is one request on one connection; nothing is ever sent again by itself.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -54,10 +54,10 @@
   virtual void failed(CallFailure why) = 0;
 };
 
-class Pool;
+class ConnectionPool;
 
-struct Link {  // one connection
-  explicit Link(boost::asio::io_context& io) : socket(io) {}
+struct Connection {  // one connection
+  explicit Connection(boost::asio::io_context& io) : socket(io) {}
   boost::asio::ip::tcp::socket socket;
   boost::beast::flat_buffer buffer;
   Endpoint to;
@@ -71,7 +71,7 @@
  public:
   enum class State { kWaiting, kConnecting, kWriting, kHead, kBody, kOver };
 
-  Call(Pool& pool,
+  Call(ConnectionPool& pool,
        const Endpoint& to,
        std::string head,
        std::shared_ptr<const std::string> body,
@@ -82,13 +82,13 @@
   void abandon();  // closes the connection; the sink hears no more
   // Whether its connection carried nothing before: HTTP/1.1 does not tell whose answer one on a
   // used one is.
-  bool first() const { return link_ && link_->calls == 1; }
+  bool first() const { return connection_ && connection_->calls == 1; }
   bool unread() const;  // something has come that the sink has not been given
   void resume();
   void garbled() { fail(CallFailure::kGarbled); }  // the sink cannot read the body
 
   // An answer under way, as it passes from one process to another.
-  struct Rest {
+  struct TransferState {
     int descriptor = -1;
     std::string unread;           // come, and not parsed yet
     std::uint64_t chunkLeft = 0;  // of the chunk under way
@@ -97,14 +97,15 @@
   // Reads no more; quiet is called once no operation is under way, and never if the call ends
   // before.
   void pause(std::function<void()> quiet);
-  void goOn();                       // after pause(), as if nothing had been
-  std::optional<Rest> rest() const;  // after pause(); nothing if it cannot be taken up elsewhere
+  void unpause();  // after pause(), as if nothing had been
+  std::optional<TransferState> rest()
+      const;  // after pause(); nothing if it cannot be taken up elsewhere
 
  private:
-  friend class Pool;
+  friend class ConnectionPool;
   using Parser = boost::beast::http::response_parser<boost::beast::http::string_body>;
 
-  void begin(std::shared_ptr<Link> link, bool fresh);
+  void begin(std::shared_ptr<Connection> connection, bool fresh);
   void connect();
   void dial();
   void dialed(const boost::system::error_code& error);
@@ -118,19 +119,19 @@
   void expectAnswer();
   void parse();
   bool skipInterim();
-  void takeUp(const Rest& rest);
+  void adopt(const TransferState& rest);
   bool midway() const;
   void complete();
   void fail(CallFailure why);
   std::shared_ptr<CallSink> finish();
   void tell(const char* what, int status = 0) const;
 
-  Pool& pool_;
+  ConnectionPool& pool_;
   Endpoint to_;
   std::string head_;
   std::shared_ptr<const std::string> body_;
   std::shared_ptr<CallSink> sink_;
-  std::shared_ptr<Link> link_;
+  std::shared_ptr<Connection> connection_;
   std::optional<Parser> parser_;
   std::function<void(std::uint64_t, boost::beast::string_view, boost::beast::error_code&)> onChunk_;
   std::optional<core::Deadlines::Key> dial_, dialRetry_, write_, stuck_, readRetry_;
@@ -143,7 +144,7 @@
   bool localFault_ = false;  // it has cost a part of the dial's time
 };
 
-class Pool {
+class ConnectionPool {
  public:
   struct Limits {
     std::size_t connections;                 // open at a time, idle ones counted
@@ -152,12 +153,12 @@
     std::uint64_t answerBytes = UINT64_MAX;  // of a body; also what a chunk may claim
   };
 
-  Pool(boost::asio::io_context& io,
-       const core::Clock& clock,
-       core::Deadlines& deadlines,
-       core::Counters& counters,
-       Limits limits);
-  ~Pool();
+  ConnectionPool(boost::asio::io_context& io,
+                 const core::Clock& clock,
+                 core::Deadlines& deadlines,
+                 core::Counters& counters,
+                 Limits limits);
+  ~ConnectionPool();
 
   // kFirst: goes ahead of all that wait for a connection, and may use the reserve.
   enum class Urgency { kInTurn, kFirst };
@@ -169,15 +170,16 @@
                              std::shared_ptr<CallSink> sink,
                              Urgency urgency = Urgency::kInTurn,
                              double afterMs = 0);  // it stands nowhere in line until then
-  // Takes up what another process left off; the descriptor is this one's now. Goes on with goOn().
+  // Takes up what another process left off; the descriptor is this one's now. Goes on with
+  // unpause().
   std::shared_ptr<Call> adopt(const Endpoint& from,
-                              const Call::Rest& rest,
+                              const Call::TransferState& rest,
                               std::shared_ptr<CallSink> sink);
   void dropIdle(const Endpoint& to);
   void dialWithin(double ms) { limits_.dialMs = ms; }
   // Where its descriptors are accounted for; what is open already is not.
-  void accountTo(admission::DescriptorBudget& ledger, admission::Account account) {
-    ledger_ = &ledger;
+  void accountTo(admission::DescriptorBudget& descriptorBudget, admission::Account account) {
+    descriptorBudget_ = &descriptorBudget;
     account_ = account;
   }
   // Another cap from now on; idle connections above it close, busy ones end first.
@@ -189,7 +191,7 @@
 
  private:
   friend class Call;
-  using Idle = std::list<std::shared_ptr<Link>>;  // in the order they fell idle
+  using Idle = std::list<std::shared_ptr<Connection>>;  // in the order they fell idle
 
   void enter(const std::shared_ptr<Call>& call);
   bool admit(const std::shared_ptr<Call>& call);
@@ -197,12 +199,14 @@
   std::size_t reserve() const { return limits_.connections / 16; }
   bool room(Urgency urgency) const {
     const std::size_t kept = urgency == Urgency::kFirst ? 0 : reserve();
-    return open_ + kept < limits_.connections && (ledger_ == nullptr || ledger_->may(account_));
+    return open_ + kept < limits_.connections &&
+           (descriptorBudget_ == nullptr || descriptorBudget_->may(account_));
   }
-  std::shared_ptr<Link> takeIdle(const Endpoint& to);
-  void give(std::shared_ptr<Link> link);
-  void close(std::shared_ptr<Link> link);  // by value: the caller's may stand in the list it leaves
-  void forgetIdle(const std::shared_ptr<Link>& link);
+  std::shared_ptr<Connection> takeIdle(const Endpoint& to);
+  void give(std::shared_ptr<Connection> connection);
+  void close(std::shared_ptr<Connection>
+                 connection);  // by value: the caller's may stand in the list it leaves
+  void forgetIdle(const std::shared_ptr<Connection>& connection);
   void serveWaiting();
 
   boost::asio::io_context& io_;
@@ -212,10 +216,10 @@
   Limits limits_;
   Idle idle_;
   std::deque<std::shared_ptr<Call>> waiting_;  // the urgent ones first
-  admission::DescriptorBudget* ledger_ = nullptr;
-  admission::Account account_ = admission::Account::kBoxes;
+  admission::DescriptorBudget* descriptorBudget_ = nullptr;
+  admission::Account account_ = admission::Account::kInstances;
   std::function<void(const std::string&)> wire_;
-  std::uint64_t links_ = 0;
+  std::uint64_t connections_ = 0;
   std::size_t open_ = 0;
   bool serving_ = false;
 };
--- a/src/routing/request_record.cpp
+++ b/src/routing/request_record.cpp
@@ -15,11 +15,11 @@
   return number < 0 || index >= attempts.size() ? nullptr : &attempts[index];
 }
 
-bool RequestRecord::refersTo(const Engine& engine) const {
-  if (place == &engine || reader == &engine || home == &engine || booked == &engine)
+bool RequestRecord::refersTo(const Instance& instance) const {
+  if (place == &instance || reader == &instance || home == &instance || booked == &instance)
     return true;
   return std::any_of(attempts.begin(), attempts.end(),
-                     [&engine](const AttemptRecord& a) { return a.engine == &engine; });
+                     [&instance](const AttemptRecord& a) { return a.instance == &instance; });
 }
 
 }  // namespace inference_router::routing
--- a/src/routing/request_record.h
+++ b/src/routing/request_record.h
@@ -11,7 +11,7 @@
 
 namespace inference_router::routing {
 
-struct Engine;  // an instance, owned by the module; records only refer to it
+struct Instance;  // an instance, owned by the module; records only refer to it
 
 /// Where a request stands, in the order in which it passes.
 enum class Phase {
@@ -25,7 +25,7 @@
 
 /// One attempt at one instance.
 struct AttemptRecord {
-  Engine* engine;
+  Instance* instance;
   Time sentAt;
   bool writes;             ///< at a decode or mixed instance: it may have had its effect
   double tokens;           ///< prompt tokens counted as waiting to be read there
@@ -38,24 +38,24 @@
 
 /// One request, from its arrival until it has its final answer and no attempt is out.
 struct RequestRecord {
-  Arrival told;
+  Arrival arrival;
   Time arrivedAt;
   Time deadline;
-  Time aim;
+  Time objectiveAt;
   Time readAt{};  ///< since when its KV cache has waited unused
   Phase phase = Phase::kWaiting;
   std::vector<AttemptRecord> attempts;
-  std::set<EngineId> avoid;  ///< instances that failed it
-  Engine* place = nullptr;   ///< where a reservation is asked for or held
-  Engine* reader = nullptr;  ///< whose memory holds its KV cache
-  int placesRefused = 0;     ///< reservations that were not granted
+  std::set<InstanceId> avoid;  ///< instances that failed it
+  Instance* place = nullptr;   ///< where a reservation is asked for or held
+  Instance* reader = nullptr;  ///< whose memory holds its KV cache
+  int placesRefused = 0;       ///< reservations that were not granted
   /// When instances in slow start were first looked at, by the phase it was in.
   std::map<Phase, Time> offeredAt;
-  const Engine* home = nullptr;  ///< the first instance in the order of its prefix
-  bool pinned = false;           ///< a KV cache or a reservation may be held for it
-  Engine* booked = nullptr;      ///< the decode instance in whose load it counts
-  double bookedTokens = 0;       ///< by so many tokens
-  std::optional<Time> openedAt;  ///< when its first token came
+  const Instance* home = nullptr;  ///< the first instance in the order of its prefix
+  bool pinned = false;             ///< a KV cache or a reservation may be held for it
+  Instance* booked = nullptr;      ///< the decode instance in whose load it counts
+  double bookedTokens = 0;         ///< by so many tokens
+  std::optional<Time> openedAt;    ///< when its first token came
 
   /// Whether an attempt is out.
   bool attemptOut() const { return !attempts.empty() && attempts.back().out; }
@@ -67,7 +67,7 @@
   AttemptRecord* attempt(int number);
 
   /// Whether it refers to the instance, which must then be kept.
-  bool refersTo(const Engine& engine) const;
+  bool refersTo(const Instance& instance) const;
 };
 
 }  // namespace inference_router::routing
--- a/src/routing/settings_check.cpp
+++ b/src/routing/settings_check.cpp
@@ -13,10 +13,10 @@
     return "fewer than one node";
   if (settings.limits.maxAttempts < 1)
     return "no attempts allowed";
-  if (settings.contract.fallFor <= Duration::zero())
+  if (settings.contract.overloadWindow <= Duration::zero())
     return "no time over which a cold engine falls";
   for (const ClassSettings& cls : settings.classes)
-    if (std::min(cls.aim, cls.deadline) <= Duration::zero())
+    if (std::min(cls.latencyObjective, cls.deadline) <= Duration::zero())
       return "a class without an aim or a deadline";
   return std::nullopt;
 }
--- a/src/routing/slow_start_budget.cpp
+++ b/src/routing/slow_start_budget.cpp
@@ -19,13 +19,13 @@
 }  // namespace
 
 double warmFraction(const Contract& contract, std::optional<Time> started, Time now) {
-  const double age = started ? ratio(now - *started, contract.coldFor) : 1;
-  return age >= 1 ? 1 : std::max({contract.coldFrom, age, kLeastFraction});
+  const double age = started ? ratio(now - *started, contract.warmupDuration) : 1;
+  return age >= 1 ? 1 : std::max({contract.warmupInitialShare, age, kLeastFraction});
 }
 
 // Slots of different processes begin at different times.
 std::int64_t SlowStartBudget::slotOf(const Contract& contract, Time time) const {
-  const Duration slot = std::max(Duration(1), contract.fallFor / kSlotsPerWindow);
+  const Duration slot = std::max(Duration(1), contract.overloadWindow / kSlotsPerWindow);
   return (time.time_since_epoch() + Duration(seed_ % static_cast<std::uint64_t>(slot.count()))) /
          slot;
 }
@@ -44,13 +44,13 @@
   // A send counts in each window that holds it, and the first of these began when the instance bore
   // less.
   const double factor =
-      contract.fallFactor * warmFraction(contract, started, now - contract.fallFor);
+      contract.overloadFactor * warmFraction(contract, started, now - contract.overloadWindow);
   const double own = factor * kCountedSafety * offer.usualPerWindow;
   const bool counts = own >= 1;
   const double perWindow =
       counts ? own : 1.0 / settings.nodes;  // those that draw have one among them all
   tokens_ = std::min(std::max(1.0, perWindow * kBucketWindows),
-                     tokens_ + perWindow * ratio(now - refilledAt_, contract.fallFor));
+                     tokens_ + perWindow * ratio(now - refilledAt_, contract.overloadWindow));
   refilledAt_ = now;
   if (counts || tokens_ >= 1)
     return tokens_ >= 1;
--- a/src/shared/budget.cpp
+++ b/src/shared/budget.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr double kRetainFactor = 2;  // times the demand; a conductor returns loans beyond that
+constexpr double kRetainFactor = 2;  // times the demand; a router returns loans beyond that
 
 std::uint64_t rounded(double tokens) {
   return static_cast<std::uint64_t>(std::max(0.0, std::ceil(tokens)));
@@ -25,7 +25,7 @@
   return kNames[static_cast<std::size_t>(why)];
 }
 
-// ---- The conductor's side
+// ---- The router's side
 // --------------------------------------------------------------------------------
 
 void TokenBudgets::setLimits(const std::map<std::string, std::uint64_t>& limits) {
@@ -111,7 +111,7 @@
         !leaving && nowMs - account.largestMs <= config_.prefetchMs ? account.largest : 0;
     const std::uint64_t ahead = rounded(rate * config_.prefetchMs) + largest;
     account.spend.wants = account.used() + ahead;
-    // Idle loans are returned, as other conductors may need them.
+    // Idle loans are returned, as other routers may need them.
     const std::uint64_t keep = account.used() + rounded(static_cast<double>(ahead) * kRetainFactor);
     if (account.outstanding() > keep)
       account.spend.returned += account.outstanding() - keep;
--- a/src/shared/budget.h
+++ b/src/shared/budget.h
@@ -1,10 +1,10 @@
 // Token budgets that the fleet shares by loans. The two sides meet only through the store:
-// - a conductor spends only up to a ceiling that it has reported and the store has accepted, and
+// - a router spends only up to a ceiling that it has reported and the store has accepted, and
 // the ceiling
 //   lies within what it was lent;
 // - the lender lends no more than what is left of the budget after all outstanding loans, and after
 // all that
-//   evicted conductors may have spent.
+//   evicted routers may have spent.
 // Lent and returned amounts only grow, so a stale report of either side errs towards lending too
 // little. Amounts are tokens. No I/O.
 #pragma once
@@ -21,7 +21,7 @@
 
 constexpr std::size_t kMaxTenants = 32;  // that may have a budget
 
-// A conductor's report on one budget, within the period that the report names.
+// A router's report on one budget, within the period that the report names.
 struct Spend {
   std::uint64_t spent = 0;     // by requests that have ended
   std::uint64_t reserved = 0;  // upper bound for requests in flight
@@ -34,7 +34,7 @@
 
 // Settings of loans. Durations in milliseconds.
 struct BudgetConfig {
-  double prefetchMs = 10'000;  // traffic that a conductor borrows ahead for
+  double prefetchMs = 10'000;  // traffic that a router borrows ahead for
   double ceilingMs = 3'000;    // traffic by which the ceiling exceeds what is in use
   double loanMs = 30'000;      // a loan expires so long after the last accepted report
   double rateMs = 10'000;      // time constant of the measured token rate
@@ -54,21 +54,21 @@
 enum class Denial : std::uint8_t {
   kNone,
   kUsedUp,       // the budget is used up for this period
-  kNoLoan,       // the fleet may have tokens left, this conductor has none
+  kNoLoan,       // the fleet may have tokens left, this router has none
   kLoanExpired,  // no report was accepted for loanMs: nothing may be spent
   kTooLarge,     // more than the whole budget
 };
 const char* nameOf(Denial why);
 
-// ---- Borrower: each conductor
+// ---- Borrower: each router
 // --------------------------------------------------------------------------------
 
-// The budgets of all tenants, as one conductor borrows and spends them.
+// The budgets of all tenants, as one router borrows and spends them.
 class TokenBudgets {
  public:
   explicit TokenBudgets(BudgetConfig config = {}) : config_(config) {}
 
-  // The tenants with a budget, by this conductor's file. Without a loan they may spend nothing; the
+  // The tenants with a budget, by this router's file. Without a loan they may spend nothing; the
   // limit only rejects requests that exceed the whole budget.
   void setLimits(const std::map<std::string, std::uint64_t>& limits);
   bool isLimited(const std::string& tenant) const { return tenants_.count(tenant) != 0; }
@@ -147,7 +147,7 @@
 // was lowered below that.
 struct BudgetLine {
   std::uint64_t limit = 0;
-  std::uint64_t charged = 0;             // upper bound of what evicted conductors spent
+  std::uint64_t charged = 0;             // upper bound of what evicted routers spent
   std::uint64_t left = 0;                // available for loans
   std::map<Origin, std::uint64_t> lent;  // in this period, by borrower
   bool operator==(const BudgetLine&) const = default;
@@ -159,14 +159,14 @@
 std::uint64_t leftOf(const BudgetLine& line, const std::map<Origin, Spend>& spends);
 
 // Grants loans. If there is too little, whole requests are granted as far as it goes, beginning
-// with the conductors that hold the fewest unspent tokens.
+// with the routers that hold the fewest unspent tokens.
 void lend(BudgetLine& line, const std::map<Origin, Spend>& spends);
 
 // Evicts a borrower: it is charged what its last report says it may have spent, or its whole loan
 // without a report; the rest becomes available.
 void charge(BudgetLine& line, const Origin& gone, const std::optional<Spend>& lastSpend);
 
-// Replaces the charge of an evicted conductor that came back by what it really used.
+// Replaces the charge of an evicted router that came back by what it really used.
 void refund(BudgetLine& line, std::uint64_t charged, std::uint64_t used);
 
 }  // namespace inference_router::shared
--- a/src/shared/codec.cpp
+++ b/src/shared/codec.cpp
@@ -208,16 +208,16 @@
   return it == folded.end() ? nullptr : &*it;
 }
 
-// ---- A conductor's part
+// ---- A router's part
 // --------------------------------------------------------------------------------
 
 std::string encode(const Part& part) {
   json spends = json::object(), observations = json::object();
   for (const auto& [tenant, s] : part.spends)
     spends[tenant] = {s.spent, s.reserved, s.ceiling, s.lentSeen, s.returned, s.wants};
-  for (const auto& [box, s] : part.observations)
-    observations[box] = {s.good, s.bad, s.goodAgeMs, s.badAgeMs,
-                         static_cast<std::uint64_t>(s.failure)};
+  for (const auto& [instance, s] : part.observations)
+    observations[instance] = {s.good, s.bad, s.goodAgeMs, s.badAgeMs,
+                              static_cast<std::uint64_t>(s.failure)};
   json value{{"origin", jsonOf(part.origin)},   {"word", part.sequence},
              {"beat", part.digestSequenceSeen}, {"unix_ms", part.unixMs},
              {"period", part.period},           {"spends", spends},
@@ -245,10 +245,10 @@
       part.spends[tenant] = {count(s.at(0)), count(s.at(1)), count(s.at(2)),
                              count(s.at(3)), count(s.at(4)), count(s.at(5))};
     part.usage = usageTableOf(whole.at("tallies"));
-    for (const auto& [box, s] : bounded(whole.at("sights"), kMaxInstances).items())
-      part.observations[box] = {amount(s.at(0), kMaxEvidence), amount(s.at(1), kMaxEvidence),
-                                amount(s.at(3), kMaxAgeMs), amount(s.at(2), kMaxAgeMs),
-                                failureKindOf(s.at(4))};
+    for (const auto& [instance, s] : bounded(whole.at("sights"), kMaxInstances).items())
+      part.observations[instance] = {amount(s.at(0), kMaxEvidence), amount(s.at(1), kMaxEvidence),
+                                     amount(s.at(3), kMaxAgeMs), amount(s.at(2), kMaxAgeMs),
+                                     failureKindOf(s.at(4))};
     if (whole.contains("settled")) {
       const json& s = whole.at("settled");
       part.finalUsage = FinalUsage{unsignedNumber(s.at("incarnation")),
@@ -263,7 +263,7 @@
 // ----------------------------------------------------------------------------------------
 
 std::string encode(const Digest& digest) {
-  // Conductors are named once; everything else refers to their index in that list.
+  // Routers are named once; everything else refers to their index in that list.
   json nodes = json::array();
   std::map<Origin, std::size_t> indexOf;
   const auto name = [&](const Origin& origin, std::uint64_t sequence) {
@@ -276,7 +276,7 @@
   for (const auto& [tenant, line] : digest.budgets)
     for (const auto& [origin, lent] : line.lent)
       name(origin, 0);
-  json budgets = json::object(), folded = json::array(), boxes = json::object();
+  json budgets = json::object(), folded = json::array(), instances = json::object();
   for (const auto& [tenant, line] : digest.budgets) {
     json lent = json::array();
     for (const auto& [origin, tokens] : line.lent)
@@ -286,10 +286,10 @@
   }
   for (const Folded& one : digest.folded)
     folded.push_back({jsonOf(one.origin), one.sequence, one.period, jsonOf(one.charged)});
-  for (const auto& [box, verdict] : digest.boxes)
-    boxes[box] = {verdict.bad,      verdict.good,
-                  verdict.out,      static_cast<std::uint64_t>(verdict.failure),
-                  verdict.evidence, verdict.sinceSequence};
+  for (const auto& [instance, verdict] : digest.instances)
+    instances[instance] = {verdict.bad,      verdict.good,
+                           verdict.out,      static_cast<std::uint64_t>(verdict.failure),
+                           verdict.evidence, verdict.sinceSequence};
   json value = digest.unknown;
   value.update({{"beat", digest.sequence},
                 {"restored", digest.restored},
@@ -302,7 +302,7 @@
                 {"base", jsonOf(digest.base)},
                 {"total", jsonOf(digest.total)},
                 {"folded", folded},
-                {"boxes", boxes}});
+                {"boxes", instances}});
   return seal(kDigestHeader, value);
 }
 
@@ -342,13 +342,13 @@
     for (const json& one : bounded(whole.at("folded"), kMaxFolded))
       digest.folded.push_back({originOf(one.at(0)), unsignedNumber(one.at(1)),
                                unsignedNumber(one.at(2)), amountsOf(one.at(3))});
-    for (const auto& [box, verdict] : bounded(whole.at("boxes"), kMaxInstances).items())
-      digest.boxes[box] = {static_cast<std::uint32_t>(count(verdict.at(0), kMaxNodes)),
-                           static_cast<std::uint32_t>(count(verdict.at(1), kMaxNodes)),
-                           verdict.at(2).get<bool>(),
-                           failureKindOf(verdict.at(3)),
-                           amount(verdict.at(4), kMaxEvidence * kMaxNodes),
-                           unsignedNumber(verdict.at(5))};
+    for (const auto& [instance, verdict] : bounded(whole.at("boxes"), kMaxInstances).items())
+      digest.instances[instance] = {static_cast<std::uint32_t>(count(verdict.at(0), kMaxNodes)),
+                                    static_cast<std::uint32_t>(count(verdict.at(1), kMaxNodes)),
+                                    verdict.at(2).get<bool>(),
+                                    failureKindOf(verdict.at(3)),
+                                    amount(verdict.at(4), kMaxEvidence * kMaxNodes),
+                                    unsignedNumber(verdict.at(5))};
     for (const auto& [field, rest] : whole.items())
       digest.unknown[field] = rest;
     for (const char* known : {"beat", "restored", "lends_from", "fence", "period", "period_ends_ms",
--- a/src/shared/codec.h
+++ b/src/shared/codec.h
@@ -1,4 +1,4 @@
-// The documents of shared state and their encoding: each conductor's part, and the digest that the
+// The documents of shared state and their encoding: each router's part, and the digest that the
 // holder of the digest's lease makes of all parts. A document is a header with a format version, a
 // checksum and a MessagePack value. Unknown fields of a digest are kept when it is rewritten, so
 // that an older and a newer program can share one store. No I/O.
@@ -28,7 +28,7 @@
 constexpr std::size_t kMaxOrigins = 2 * kMaxNodes;  // live ones, and as many that just ended
 constexpr std::size_t kMaxFolded = kMaxNodes;
 constexpr std::size_t kMaxIdentifierBytes = 128;  // of a tenant, a class or an instance
-constexpr std::size_t kMaxNodeNameBytes = 64;     // of a conductor
+constexpr std::size_t kMaxNodeNameBytes = 64;     // of a router
 constexpr std::size_t kMaxDocumentBytes = coordination::kMostValueBytes;
 // Of all parts together. Whoever makes the digest holds them encoded and decoded, about five times
 // their encoded size (tests/bounds_test.cpp), which has to stay within half of its 192 MiB.
@@ -42,12 +42,12 @@
   bool operator==(const FinalUsage&) const = default;
 };
 
-// A conductor's document: its report on budgets, usage and health.
+// A router's document: its report on budgets, usage and health.
 struct Part {
   Origin origin;
   std::uint64_t sequence = 0;            // grows with each report
   std::uint64_t digestSequenceSeen = 0;  // of the newest digest that it read
-  double unixMs = 0;                     // by the conductor's clock
+  double unixMs = 0;                     // by the router's clock
   std::uint64_t period = 0;
   std::map<std::string, Spend> spends;
   UsageTable usage;
@@ -78,9 +78,9 @@
   std::map<std::string, BudgetLine> budgets;
   UsageTable base;                        // of all folded parts
   UsageTable total;                       // of base and parts, for reports
-  std::map<Origin, std::uint64_t> heard;  // live conductors, and the report of each in this digest
+  std::map<Origin, std::uint64_t> heard;  // live routers, and the report of each in this digest
   std::vector<Folded> folded;             // the newest last
-  std::map<std::string, HealthVerdict> boxes;
+  std::map<std::string, HealthVerdict> instances;
   nlohmann::json unknown = nlohmann::json::object();  // fields of a later program
 
   // The entry of an evicted incarnation; null if there is none.
--- a/src/shared/connectivity.cpp
+++ b/src/shared/connectivity.cpp
@@ -32,7 +32,7 @@
     rejoinSequence_ = reportSequence_;
 }
 
-// A conductor that was isolated has rejoined once a digest contains a report that it wrote since.
+// A router that was isolated has rejoined once a digest contains a report that it wrote since.
 void Connectivity::onDigest(std::uint64_t acknowledged, double nowMs) {
   digestMs_ = nowMs;
   acknowledged_ = std::max(acknowledged_, acknowledged);
@@ -51,7 +51,7 @@
   const double silence = silenceMs(nowMs);
   if (silence >= isolatedMs_)
     return enter(ConnectivityState::kIsolated, nowMs);
-  // Reads and writes both have to work: without writes a conductor is as unknown to the others as
+  // Reads and writes both have to work: without writes a router is as unknown to the others as
   // without both.
   if (state_ == ConnectivityState::kIsolated && silence < isolatedMs_ / 2)
     enter(ConnectivityState::kRejoining, nowMs);
--- a/src/shared/connectivity.h
+++ b/src/shared/connectivity.h
@@ -1,7 +1,7 @@
-// How well this conductor is connected to the rest of the fleet, as a state machine over two
+// How well this router is connected to the rest of the fleet, as a state machine over two
 // signals: the last digest that was read and the last report of its own that the store accepted.
 // States are left at half of the limit at which they are entered (hysteresis), and the limits are
-// jittered per conductor, so that a fleet that is partitioned does not change its behaviour in one
+// jittered per router, so that a fleet that is partitioned does not change its behaviour in one
 // instant. No I/O.
 #pragma once
 
@@ -23,7 +23,7 @@
 struct ConnectivityConfig {
   double delayedMs = 3'000;    // of silence until kDelayed
   double isolatedMs = 10'000;  // of silence until kIsolated
-  double jitterShare = 0.2;    // of either limit, drawn once per conductor and added
+  double jitterShare = 0.2;    // of either limit, drawn once per router and added
 };
 
 class Connectivity {
@@ -31,10 +31,10 @@
   // seed: of the jitter; nowMs: the start, from which silence is counted.
   Connectivity(ConnectivityConfig config, std::uint64_t seed, double nowMs);
 
-  // A newer digest was read; acknowledged: the sequence of this conductor's newest report in it, 0
+  // A newer digest was read; acknowledged: the sequence of this router's newest report in it, 0
   // if none.
   void onDigest(std::uint64_t acknowledged, double nowMs);
-  // The store accepted this conductor's report with this sequence.
+  // The store accepted this router's report with this sequence.
   void onReportAccepted(std::uint64_t reportSequence, double nowMs);
   // Applies the passing of time; call before state().
   void tick(double nowMs);
--- a/src/shared/digest_task.cpp
+++ b/src/shared/digest_task.cpp
@@ -64,7 +64,7 @@
 }
 
 // A digest that is older than one that some part has seen was restored from a copy. Nothing is lent
-// until every forgotten loan has expired; live conductors report their loans meanwhile.
+// until every forgotten loan has expired; live routers report their loans meanwhile.
 void DigestTask::detectRollback(Digest& digest, const std::map<Origin, Read>& parts) {
   std::uint64_t newest = lastSequence_;
   for (const auto& [origin, read] : parts)
@@ -119,7 +119,7 @@
   }
 }
 
-// Evicting a conductor needs no proof that it is gone: what it may have spent is charged, and if it
+// Evicting a router needs no proof that it is gone: what it may have spent is charged, and if it
 // is alive, it finds its document gone and restarts under a new incarnation.
 std::vector<Write> DigestTask::fold(Digest& digest, std::map<Origin, Read>& parts, double nowMs) {
   std::vector<Write> writes;
@@ -189,7 +189,7 @@
     fence_ = fence;
     fenceSinceMs_ = nowMs;
   }
-  // A new holder does not know yet whether some conductor has seen a newer digest than the store
+  // A new holder does not know yet whether some router has seen a newer digest than the store
   // has.
   const double settleMs = kIntervalsBeforeLending * config_.reportIntervalMs(digest.heard.size());
   const bool mayLend =
@@ -204,7 +204,7 @@
       if (spend == read.part.spends.end())
         continue;
       words[origin] = spend->second;
-      // A silent conductor keeps its loans, but gets no more.
+      // A silent router keeps its loans, but gets no more.
       if (!mayLend || read.ageMs >= config_.silentMs)
         words[origin].wants = 0;
     }
@@ -219,31 +219,32 @@
     if (read.ageMs >= config_.silentMs)
       continue;
     std::map<std::string, HealthObservation> now;
-    for (const auto& [box, observation] : read.part.observations)
-      now[box] = decayed(observation, read.ageMs, config_.observations);
+    for (const auto& [instance, observation] : read.part.observations)
+      now[instance] = decayed(observation, read.ageMs, config_.observations);
     if (config_.guards.credibleOnly && !isCredible(now, config_.observations)) {
       ++stats_.incredible;
       continue;
     }
-    for (const auto& [box, observation] : now)
-      heard[box].push_back(observation);
+    for (const auto& [instance, observation] : now)
+      heard[instance].push_back(observation);
   }
-  for (const auto& [box, verdict] : digest.boxes)
-    heard[box];
-  std::map<std::string, HealthVerdict> boxes;
-  for (const auto& [box, observations] : heard) {
-    const auto before = digest.boxes.find(box);
+  for (const auto& [instance, verdict] : digest.instances)
+    heard[instance];
+  std::map<std::string, HealthVerdict> instances;
+  for (const auto& [instance, observations] : heard) {
+    const auto before = digest.instances.find(instance);
     const HealthVerdict now =
-        nextVerdict(before == digest.boxes.end() ? HealthVerdict{} : before->second, observations,
-                    digest.sequence, config_.observations, config_.verdict);
+        nextVerdict(before == digest.instances.end() ? HealthVerdict{} : before->second,
+                    observations, digest.sequence, config_.observations, config_.verdict);
     if (now.out || now.bad > 0)
-      boxes[box] = now;
+      instances[instance] = now;
   }
-  while (boxes.size() > kMaxInstances)  // drops instances that are not excluded first
-    boxes.erase(std::min_element(boxes.begin(), boxes.end(), [](const auto& a, const auto& b) {
-      return std::pair(a.second.out, a.second.bad) < std::pair(b.second.out, b.second.bad);
-    }));
-  digest.boxes = std::move(boxes);
+  while (instances.size() > kMaxInstances)  // drops instances that are not excluded first
+    instances.erase(
+        std::min_element(instances.begin(), instances.end(), [](const auto& a, const auto& b) {
+          return std::pair(a.second.out, a.second.bad) < std::pair(b.second.out, b.second.bad);
+        }));
+  digest.instances = std::move(instances);
 }
 
 void DigestTask::count(Digest& digest, const std::map<Origin, Read>& parts) {
@@ -290,7 +291,7 @@
   lendBudgets(digest, parts, fence, nowMs);
   updateVerdicts(digest, parts);
   std::string text = encode(digest);
-  // If there is no room, entries of evicted conductors go first, the older half at a time, then the
+  // If there is no room, entries of evicted routers go first, the older half at a time, then the
   // totals.
   while (text.size() > kMaxDocumentBytes && (!digest.folded.empty() || !digest.total.empty())) {
     if (digest.folded.empty())
--- a/src/shared/digest_task.h
+++ b/src/shared/digest_task.h
@@ -1,5 +1,5 @@
-// The task of the one conductor that holds the digest's lease: it makes a digest of all parts,
-// lends budgets, folds the parts of conductors that are gone, and decides the verdicts on
+// The task of the one router that holds the digest's lease: it makes a digest of all parts,
+// lends budgets, folds the parts of routers that are gone, and decides the verdicts on
 // instances. Each step is one transaction on the documents that it read, under the lease's fence;
 // the store rejects a step from a stale view. No I/O.
 #pragma once
@@ -52,7 +52,7 @@
   void advancePeriod(Digest& digest, const std::map<Origin, Read>& parts);
   // Refunds evicted incarnations that reported what they really used.
   void settle(Digest& digest, const std::map<Origin, Read>& parts);
-  // Folds the parts of conductors that are gone; returns the removals.
+  // Folds the parts of routers that are gone; returns the removals.
   std::vector<coordination::Write> fold(Digest& digest,
                                         std::map<Origin, Read>& parts,
                                         double nowMs);
--- a/src/shared/health_observation.cpp
+++ b/src/shared/health_observation.cpp
@@ -25,8 +25,9 @@
   return kNames[static_cast<std::size_t>(failure)];
 }
 
-LocalObservations::Entry& LocalObservations::decayedEntry(const std::string& box, double nowMs) {
-  Entry& entry = entries_.try_emplace(box).first->second;
+LocalObservations::Entry& LocalObservations::decayedEntry(const std::string& instance,
+                                                          double nowMs) {
+  Entry& entry = entries_.try_emplace(instance).first->second;
   const double left = decayFactor(nowMs - entry.atMs, config_);
   entry.good *= left;
   entry.bad *= left;
@@ -34,19 +35,21 @@
   return entry;
 }
 
-void LocalObservations::recordSuccess(const std::string& box, double nowMs) {
-  if (entries_.count(box) == 0 && entries_.size() >= kMaxInstances)
+void LocalObservations::recordSuccess(const std::string& instance, double nowMs) {
+  if (entries_.count(instance) == 0 && entries_.size() >= kMaxInstances)
     return;
-  Entry& entry = decayedEntry(box, nowMs);
+  Entry& entry = decayedEntry(instance, nowMs);
   entry.good += 1;
   entry.bad *= kReversalFactor;
   entry.goodMs = nowMs;
 }
 
-void LocalObservations::recordFailure(const std::string& box, FailureKind failure, double nowMs) {
-  if (entries_.count(box) == 0 && entries_.size() >= kMaxInstances)
+void LocalObservations::recordFailure(const std::string& instance,
+                                      FailureKind failure,
+                                      double nowMs) {
+  if (entries_.count(instance) == 0 && entries_.size() >= kMaxInstances)
     return;
-  Entry& entry = decayedEntry(box, nowMs);
+  Entry& entry = decayedEntry(instance, nowMs);
   entry.bad += 1;
   entry.good *= kReversalFactor;
   entry.badMs = nowMs;
@@ -63,19 +66,19 @@
 
 std::map<std::string, HealthObservation> LocalObservations::snapshot(double nowMs) const {
   std::map<std::string, HealthObservation> all;
-  for (const auto& [box, entry] : entries_) {
+  for (const auto& [instance, entry] : entries_) {
     const double left = decayFactor(nowMs - entry.atMs, config_);
     const HealthObservation observation{entry.good * left, entry.bad * left,
                                         entry.badMs < 0 ? 0 : nowMs - entry.badMs,
                                         entry.goodMs < 0 ? 0 : nowMs - entry.goodMs, entry.failure};
     if (observation.good + observation.bad >= kNegligible)
-      all[box] = observation;
+      all[instance] = observation;
   }
   return all;
 }
 
-bool LocalObservations::recentlyHealthy(const std::string& box, double nowMs) const {
-  const auto it = entries_.find(box);
+bool LocalObservations::recentlyHealthy(const std::string& instance, double nowMs) const {
+  const auto it = entries_.find(instance);
   return it != entries_.end() && it->second.goodMs >= 0 &&
          nowMs - it->second.goodMs <= config_.freshMs && it->second.goodMs > it->second.badMs;
 }
@@ -85,7 +88,7 @@
 // Evidence on one instance, ordered by failures, then by successes.
 struct Strength {
   double bad = 0, good = 0;
-  std::string box;
+  std::string instance;
   auto operator<=>(const Strength&) const = default;
 };
 
@@ -96,12 +99,12 @@
     return;
   std::vector<Strength> weakest;
   weakest.reserve(observations.size());
-  for (const auto& [box, observation] : observations)
-    weakest.push_back({observation.bad, observation.good, box});
+  for (const auto& [instance, observation] : observations)
+    weakest.push_back({observation.bad, observation.good, instance});
   const auto end = weakest.begin() + static_cast<std::ptrdiff_t>(weakest.size() - most);
   std::nth_element(weakest.begin(), end, weakest.end());
   for (auto it = weakest.begin(); it != end; ++it)
-    observations.erase(it->box);
+    observations.erase(it->instance);
 }
 
 HealthObservation decayed(const HealthObservation& observation,
@@ -128,7 +131,7 @@
 bool isCredible(const std::map<std::string, HealthObservation>& observations,
                 const ObservationConfig& config) {
   std::size_t bad = 0, known = 0;
-  for (const auto& [box, observation] : observations) {
+  for (const auto& [instance, observation] : observations) {
     const Vote vote = voteOf(observation, config);
     known += vote != Vote::kAbstain;
     bad += vote == Vote::kUnhealthy;
--- a/src/shared/health_observation.h
+++ b/src/shared/health_observation.h
@@ -1,5 +1,5 @@
-// Health observations: what one conductor measured of each instance, and how the fleet combines the
-// observations of all conductors into a verdict. A verdict needs several distinct witnesses; a
+// Health observations: what one router measured of each instance, and how the fleet combines the
+// observations of all routers into a verdict. A verdict needs several distinct witnesses; a
 // witness that finds most instances unhealthy is taken to have a network problem of its own and is
 // ignored. No I/O.
 #pragma once
@@ -18,7 +18,7 @@
 enum class FailureKind : std::uint8_t { kNone, kConnectionRefused, kTimeout, kError, kSlow };
 const char* nameOf(FailureKind failure);
 
-// Evidence of one conductor on one instance: decayed counts of successes and failures, as of now.
+// Evidence of one router on one instance: decayed counts of successes and failures, as of now.
 struct HealthObservation {
   double good = 0, bad = 0;
   double badAgeMs = 0, goodAgeMs = 0;        // time since the last of each, by the witness's clock
@@ -30,7 +30,7 @@
   double halfLifeMs = 10'000;  // half-life of evidence
   // Failures from which a witness votes unhealthy: two, slightly decayed.
   double unhealthyFrom = 1.5;
-  // For how long a conductor's own success overrides the verdict of the fleet.
+  // For how long a router's own success overrides the verdict of the fleet.
   double freshMs = 5'000;
   // A witness that finds a larger share of its known instances unhealthy is ignored.
   double maxUnhealthyShare = 0.5;
@@ -41,20 +41,20 @@
 // Keeps at most `most` observations: those with the most failures, then the most successes.
 void keepStrongest(std::map<std::string, HealthObservation>& observations, std::size_t most);
 
-// The observations of this conductor, at most kMaxInstances.
+// The observations of this router, at most kMaxInstances.
 class LocalObservations {
  public:
   explicit LocalObservations(ObservationConfig config = {}) : config_(config) {}
 
-  void recordSuccess(const std::string& box, double nowMs);
-  void recordFailure(const std::string& box, FailureKind failure, double nowMs);
+  void recordSuccess(const std::string& instance, double nowMs);
+  void recordFailure(const std::string& instance, FailureKind failure, double nowMs);
   // Drops instances that are no longer listed, and evidence that has decayed to nothing.
   void prune(const std::set<std::string>& listed, double nowMs);
 
   // All observations, decayed to nowMs, by instance.
   std::map<std::string, HealthObservation> snapshot(double nowMs) const;
   // Whether the last result was a success, within freshMs.
-  bool recentlyHealthy(const std::string& box, double nowMs) const;
+  bool recentlyHealthy(const std::string& instance, double nowMs) const;
 
  private:
   struct Entry {
@@ -62,7 +62,7 @@
     double goodMs = -1, badMs = -1;
     FailureKind failure = FailureKind::kNone;
   };
-  Entry& decayedEntry(const std::string& box, double nowMs);
+  Entry& decayedEntry(const std::string& instance, double nowMs);
 
   ObservationConfig config_;
   std::map<std::string, Entry> entries_;
--- a/src/shared/node.cpp
+++ b/src/shared/node.cpp
@@ -225,7 +225,7 @@
   if (pendingReports_.size() > kMaxPendingReports)
     pendingReports_.erase(pendingReports_.begin() + 1);
   writing_ = true;
-  // One conductor reads all parts, so each has a share of the bytes; observations are dropped to
+  // One router reads all parts, so each has a share of the bytes; observations are dropped to
   // keep it.
   std::string text = encode(part);
   while (text.size() > kMaxPartsBytes / nodes() && part.observations.size() > kMinObservations) {
@@ -272,12 +272,12 @@
 }
 
 std::map<std::string, Availability> SharedNode::availabilities(
-    const std::map<std::string, KnownInstance>& boxes,
+    const std::map<std::string, KnownInstance>& instances,
     double nowMs) const {
   static const std::map<std::string, HealthVerdict> kNone;
   const ConnectivityState state = connectivity_.state();
   return shared::availabilities(
-      {digest_ ? digest_->boxes : kNone, boxes, observations_, nodes_, self_.name,
+      {digest_ ? digest_->instances : kNone, instances, observations_, nodes_, self_.name,
        digestSequenceSeen_,
        state == ConnectivityState::kConnected || state == ConnectivityState::kDelayed,
        config_.maxExcludedShare, config_.probeDigests},
--- a/src/shared/node.h
+++ b/src/shared/node.h
@@ -1,4 +1,4 @@
-// One conductor's participation in shared state: it reads the digest and its own part from the
+// One router's participation in shared state: it reads the digest and its own part from the
 // store, and decides what to write there next. Combines budgets, usage, observations and
 // connectivity; the caller does the I/O. Times are milliseconds of the caller's monotonic clock,
 // unless named unixMs.
@@ -56,7 +56,7 @@
   LocalObservations& observations() { return observations_; }
 
   // ---- Input from the store ----
-  // The keys of the documents that this conductor has to read.
+  // The keys of the documents that this router has to read.
   std::vector<std::string> keys() const;
   // Documents that were read; readBegunMs is when the read was issued. A missing key is a missing
   // document.
@@ -75,9 +75,9 @@
 
   // ---- Decisions and state ----
   std::map<std::string, Availability> availabilities(
-      const std::map<std::string, KnownInstance>& boxes,
+      const std::map<std::string, KnownInstance>& instances,
       double nowMs) const;
-  // The number of live conductors by the last digest; at least one.
+  // The number of live routers by the last digest; at least one.
   std::size_t nodes() const { return std::max<std::size_t>(1, nodes_.size()); }
   ConnectivityState connectivityState(double nowMs);
   double silenceMs(double nowMs) const { return connectivity_.silenceMs(nowMs); }
--- a/src/shared/remote_health.cpp
+++ b/src/shared/remote_health.cpp
@@ -11,9 +11,11 @@
 
 namespace {
 
-// The same at every conductor: the checksum and the generator are both standardised.
-std::uint_fast32_t drawFor(const std::string& box, const std::string& node, std::uint64_t turn) {
-  const std::string text = box + '\n' + node + '\n' + std::to_string(turn);
+// The same at every router: the checksum and the generator are both standardised.
+std::uint_fast32_t drawFor(const std::string& instance,
+                           const std::string& node,
+                           std::uint64_t turn) {
+  const std::string text = instance + '\n' + node + '\n' + std::to_string(turn);
   boost::crc_32_type sum;
   sum.process_bytes(text.data(), text.size());
   return std::minstd_rand(sum.checksum())();
@@ -27,22 +29,22 @@
   return kNames[static_cast<std::size_t>(availability)];
 }
 
-std::size_t maxExcluded(std::size_t boxes, double share) {
-  if (boxes <= 1)
+std::size_t maxExcluded(std::size_t instances, double share) {
+  if (instances <= 1)
     return 0;
-  return std::min(boxes - 1,
-                  static_cast<std::size_t>(std::floor(static_cast<double>(boxes) * share + 1e-9)));
+  return std::min(instances - 1, static_cast<std::size_t>(
+                                     std::floor(static_cast<double>(instances) * share + 1e-9)));
 }
 
-std::string probingNode(const std::string& box,
+std::string probingNode(const std::string& instance,
                         std::uint64_t sequence,
                         std::uint64_t probeDigests,
                         const std::vector<std::string>& nodes) {
   const std::uint64_t turn = sequence / std::max<std::uint64_t>(1, probeDigests);
   const auto best = std::max_element(nodes.begin(), nodes.end(),
                                      [&](const std::string& node, const std::string& other) {
-                                       return std::pair(drawFor(box, node, turn), node) <
-                                              std::pair(drawFor(box, other, turn), other);
+                                       return std::pair(drawFor(instance, node, turn), node) <
+                                              std::pair(drawFor(instance, other, turn), other);
                                      });
   return best == nodes.end() ? std::string() : *best;
 }
@@ -57,8 +59,10 @@
 };
 
 struct Group {
-  std::size_t boxes = 0, out = 0;
-  bool full(double maxExcludedShare) const { return out >= maxExcluded(boxes, maxExcludedShare); }
+  std::size_t instances = 0, out = 0;
+  bool full(double maxExcludedShare) const {
+    return out >= maxExcluded(instances, maxExcludedShare);
+  }
 };
 
 struct ExclusionCandidate {
@@ -67,7 +71,7 @@
   std::string id;
 };
 
-// Most votes first, then most evidence: the same order at every conductor.
+// Most votes first, then most evidence: the same order at every router.
 bool goesFirst(const ExclusionCandidate& one, const ExclusionCandidate& other) {
   return std::tie(other.votes, other.evidence, one.id) <
          std::tie(one.votes, one.evidence, other.id);
@@ -76,15 +80,15 @@
 std::vector<ExclusionCandidate> candidatesIn(const RemoteHealthInput& input) {
   std::vector<ExclusionCandidate> candidates;
   for (const auto& [id, verdict] : input.verdicts) {
-    const auto box = input.boxes.find(id);
-    if (verdict.out && box != input.boxes.end() && box->second.serves)
+    const auto instance = input.instances.find(id);
+    if (verdict.out && instance != input.instances.end() && instance->second.serves)
       candidates.push_back({verdict.bad, verdict.evidence, id});
   }
   std::sort(candidates.begin(), candidates.end(), goesFirst);
   return candidates;
 }
 
-// For a box that the fleet excludes, within the limits.
+// For an instance that the fleet excludes, within the limits.
 Availability excludedOrProbed(const RemoteHealthInput& input, const std::string& id, double nowMs) {
   if (input.own.recentlyHealthy(id, nowMs))
     return Availability::kLocallyHealthy;
@@ -99,18 +103,18 @@
   std::map<std::string, Availability> decisions;
   std::map<std::string, Group> roles;
   std::map<CellRole, Group> cells;
-  for (const auto& [id, box] : input.boxes) {
-    for (Group* group : {&roles[box.role], &cells[{box.role, box.cell}]}) {
-      ++group->boxes;
-      group->out += !box.serves;
+  for (const auto& [id, instance] : input.instances) {
+    for (Group* group : {&roles[instance.role], &cells[{instance.role, instance.cell}]}) {
+      ++group->instances;
+      group->out += !instance.serves;
     }
-    decisions[id] = box.serves ? Availability::kInUse : Availability::kOperator;
+    decisions[id] = instance.serves ? Availability::kInUse : Availability::kOperator;
   }
   for (const ExclusionCandidate& candidate : candidatesIn(input)) {
     Availability& availability = decisions[candidate.id];
-    const KnownInstance& box = input.boxes.at(candidate.id);
-    Group& role = roles[box.role];
-    Group& cell = cells[{box.role, box.cell}];
+    const KnownInstance& instance = input.instances.at(candidate.id);
+    Group& role = roles[instance.role];
+    Group& cell = cells[{instance.role, instance.cell}];
     if (!input.connected) {
       availability = Availability::kDisconnected;
       continue;
@@ -119,7 +123,7 @@
       availability = Availability::kExclusionLimit;
       continue;
     }
-    // It counts towards the limits at every conductor alike, also at the one that probes it.
+    // It counts towards the limits at every router alike, also at the one that probes it.
     ++role.out;
     ++cell.out;
     availability = excludedOrProbed(input, candidate.id, nowMs);
--- a/src/shared/setup.cpp
+++ b/src/shared/setup.cpp
@@ -11,23 +11,23 @@
 
 constexpr double kShortestMs = 50;  // between reports or digests
 
-double seconds(const core::Fields& given, const char* name, double otherwiseMs) {
+double seconds(const core::ConfigReader& given, const char* name, double otherwiseMs) {
   return given.above0(name, otherwiseMs / 1000) * 1000;
 }
 
-double paceOf(const core::Fields& given, const char* name, double otherwiseMs) {
+double paceOf(const core::ConfigReader& given, const char* name, double otherwiseMs) {
   const double ms = given.above0(name, otherwiseMs);
   if (ms < kShortestMs)
     given.at(name).fail("is under 50 ms");
   return ms;
 }
 
-std::map<std::string, std::uint64_t> budgetsOf(const core::Fields& given,
+std::map<std::string, std::uint64_t> budgetsOf(const core::ConfigReader& given,
                                                const std::vector<std::string>& tenants) {
   std::map<std::string, std::uint64_t> budgets;
   given.object();
   for (const auto& [tenant, value] : given.json().items()) {
-    const core::Fields one = given.at(tenant);
+    const core::ConfigReader one = given.at(tenant);
     if (std::find(tenants.begin(), tenants.end(), tenant) == tenants.end())
       one.fail("is for a tenant that the settings do not name");
     const auto tokens = one.as<std::uint64_t>();
@@ -42,7 +42,7 @@
 
 }  // namespace
 
-SharedSetup sharedOf(const core::Fields& given, const std::vector<std::string>& tenants) {
+SharedSetup sharedOf(const core::ConfigReader& given, const std::vector<std::string>& tenants) {
   given.only({"budgets", "period_s", "ahead_s", "slice_s", "loan_s", "word_ms", "digest_ms",
               "gone_s", "silent_s", "late_s", "alone_s", "most_out", "witnesses", "fades_s",
               "hearsay"});
--- a/src/shared/setup.h
+++ b/src/shared/setup.h
@@ -1,5 +1,5 @@
 // What an operator's file says under `shared`: token budgets, and how the fleet keeps what it knows
-// together. It needs `coordination`, whose store carries it. Without it a conductor shares none of
+// together. It needs `coordination`, whose store carries it. Without it a router shares none of
 // this.
 #pragma once
 
@@ -14,10 +14,10 @@
 
 struct SharedSetup {
   SharedConfig config;
-  bool hearsay = true;  // whether boxes are left out by what others saw
+  bool hearsay = true;  // whether instances are left out by what others saw
 };
 
 // Throws std::invalid_argument with the path of what is wrong. tenants: that the settings name.
-SharedSetup sharedOf(const core::Fields& given, const std::vector<std::string>& tenants);
+SharedSetup sharedOf(const core::ConfigReader& given, const std::vector<std::string>& tenants);
 
 }  // namespace inference_router::shared
--- a/src/shared/usage_counters.h
+++ b/src/shared/usage_counters.h
@@ -10,7 +10,7 @@
 
 namespace inference_router::shared {
 
-// Identifies one process of one conductor. The incarnation is new with each start, and with each
+// Identifies one process of one router. The incarnation is new with each start, and with each
 // eviction of a process that turns out to be alive.
 struct Origin {
   std::string name;
@@ -32,7 +32,7 @@
   std::uint64_t billed() const { return promptTokens + answerTokens; }
 };
 
-// One row of the usage table: names rather than indices, as conductors may number them differently.
+// One row of the usage table: names rather than indices, as routers may number them differently.
 struct UsageKey {
   std::string tenant;
   std::string requestClass;
--- a/src/upstream/event_stream_filter.h
+++ b/src/upstream/event_stream_filter.h
@@ -10,7 +10,7 @@
 
 namespace inference_router::upstream {
 
-class EventGate {
+class EventStreamFilter {
  public:
   static constexpr std::size_t kEventLimit = 256 * 1024;  // as large as a body may be
 
--- a/src/upstream/http_instance_client.cpp
+++ b/src/upstream/http_instance_client.cpp
@@ -10,8 +10,8 @@
 
 namespace inference_router::upstream {
 
-using routing::EngineId;
-using routing::Outcome;
+using routing::AttemptOutcome;
+using routing::InstanceId;
 using routing::RequestId;
 
 namespace {
@@ -20,8 +20,8 @@
 constexpr double kSilentMs = 1000;  // without any sign: an instance may be stopped, and go on later
 constexpr double kArrivalMs = 75;   // for what was written to be read where it goes
 constexpr double kLastChunkMs = 1000;  // to follow the event that ends a stream
-// Without anything on a stream that has begun: its client may be left waiting 5 s. Slow boxes send
-// every few seconds at worst.
+// Without anything on a stream that has begun: its client may be left waiting 5 s. Slow instances
+// send every few seconds at worst.
 constexpr double kStallMs = 4200;
 
 }  // namespace
@@ -29,21 +29,21 @@
 // ---- One attempt
 // -----------------------------------------------------------------------------------
 
-class Boxes::AttemptCall final : public net::CallSink {
+class HttpInstanceClient::AttemptCall final : public net::CallSink {
  public:
-  AttemptCall(Boxes& boxes, const core::Dispatch& dispatch)
-      : boxes_(boxes),
+  AttemptCall(HttpInstanceClient& instances, const core::Dispatch& dispatch)
+      : endpoints_(instances),
         key_(dispatch.attempt),
         request_(dispatch.request),
-        engine_(dispatch.engine),
+        instance_(dispatch.instance),
         untilMs_(dispatch.untilMs),
         heldSinceMs_(dispatch.heldSinceMs),
         reads_(dispatch.reads) {}
 
   ~AttemptCall() override {
-    boxes_.deadlines_.cancel(last_);
-    boxes_.deadlines_.cancel(stall_);
-    boxes_.deadlines_.cancel(taken_);
+    endpoints_.deadlines_.cancel(last_);
+    endpoints_.deadlines_.cancel(stall_);
+    endpoints_.deadlines_.cancel(taken_);
   }
 
   const RequestId& request() const { return request_; }
@@ -54,7 +54,7 @@
   // state that waits for it.
   double heldBackMs() const {
     if (reads_)
-      return isWritten() ? writtenMs_ + boxes_.releaseWithinMs_ : 0;
+      return isWritten() ? writtenMs_ + endpoints_.releaseWithinMs_ : 0;
     return isWritten() ? takenByMs() : HUGE_VAL;
   }
   core::AttemptKey key() const { return key_; }
@@ -62,45 +62,46 @@
   net::Call& call() { return *call_; }
 
   // A stream that another process began: its head and first events have passed already.
-  void takeUp(const std::string& event) {
+  void adopt(const std::string& event) {
     status_ = 200;
     begun_ = true;
-    writtenMs_ = boxes_.clock_.nowMs();
+    writtenMs_ = endpoints_.clock_.nowMs();
     gate_.see(event);
   }
   bool finished() const { return gate_.finished(); }
   const std::string& part() const { return gate_.part(); }
 
-  // A place is asked for right after the last byte of the read: before it the box knows of no read.
-  void placeAt(const EngineId& engine) {
+  // A place is asked for right after the last byte of the read: before it the instance knows of no
+  // read.
+  void placeAt(const InstanceId& instance) {
     if (isWritten())
-      boxes_.reservations_.ask(request_, key_, engine);
+      endpoints_.reservations_.ask(request_, key_, instance);
     else
-      place_ = engine;
+      place_ = instance;
   }
 
-  bool ready() override { return boxes_.conductor_.maySend(key_); }
+  bool ready() override { return endpoints_.dispatcher_.maySend(key_); }
 
   // Rounded down: its instance is told no more than its client has left.
   net::Fields fieldsAsWritten() override {
-    const double leftMs = std::max(0.0, std::floor(untilMs_ - boxes_.clock_.nowMs()));
-    return {{boxes_.dialect_.budgetHeader, std::to_string(static_cast<long>(leftMs))}};
+    const double leftMs = std::max(0.0, std::floor(untilMs_ - endpoints_.clock_.nowMs()));
+    return {{endpoints_.dialect_.budgetHeader, std::to_string(static_cast<long>(leftMs))}};
   }
 
   void written() override {
-    writtenMs_ = boxes_.clock_.nowMs();
+    writtenMs_ = endpoints_.clock_.nowMs();
     if (!reads_)
       watchForTaking();
-    boxes_.conductor_.written(key_);
+    endpoints_.dispatcher_.written(key_);
     if (place_)
-      boxes_.reservations_.ask(request_, key_, *std::exchange(place_, std::nullopt));
+      endpoints_.reservations_.ask(request_, key_, *std::exchange(place_, std::nullopt));
   }
 
   void head(const net::ResponseHead& head) override {
     status_ = head.result_int();
     first_ = call_->first();
-    rejected_ = head.find(boxes_.dialect_.rejectedHeader) != head.end();
-    boxes_.heard(engine_);
+    rejected_ = head.find(endpoints_.dialect_.rejectedHeader) != head.end();
+    endpoints_.heard(instance_);
   }
 
   bool body(std::string_view part) override {
@@ -113,7 +114,7 @@
       return true;
     }
     if (gate_.finished() && !last_)
-      last_ = boxes_.deadlines_.add(boxes_.clock_.nowMs() + kLastChunkMs, [this] {
+      last_ = endpoints_.deadlines_.add(endpoints_.clock_.nowMs() + kLastChunkMs, [this] {
         last_.reset();
         call_->garbled();
       });
@@ -122,20 +123,21 @@
     begun_ = true;
     ++parts_;
     watchForStall();
-    if (boxes_.conductor_.passed(key_, *events))
+    if (endpoints_.dispatcher_.passed(key_, *events))
       return true;
-    boxes_.deadlines_.cancel(stall_);  // a slow client holds the stream back, not its box
+    endpoints_.deadlines_.cancel(stall_);  // a slow client holds the stream back, not its instance
     return false;
   }
 
-  // Guards the state that a writer is to take: what was sent to a box that no longer reads this
-  // connection, or was answered with a piece that is none of a stream under way, has taken nothing,
-  // and the time of what is held goes on. Where it did arrive, the release takes nothing from it.
+  // Guards the state that a decode instance is to take: what was sent to an instance that no longer
+  // reads this connection, or was answered with a piece that is none of a stream under way, has
+  // taken nothing, and the time of what is held goes on. Where it did arrive, the release takes
+  // nothing from it.
   void watchForTaking() {
-    taken_ = boxes_.deadlines_.add(takenByMs(), [this] {
+    taken_ = endpoints_.deadlines_.add(takenByMs(), [this] {
       taken_.reset();
       if (parts_ < 2)
-        boxes_.releases_.releaseBeside(request_);
+        endpoints_.releases_.releaseBeside(request_);
     });
   }
 
@@ -143,20 +145,20 @@
   // written; it has a moment to arrive, as a release that overtook it would take its state.
   double takenByMs() const {
     const double heldSinceMs = heldSinceMs_ > 0 ? heldSinceMs_ : writtenMs_;
-    return std::max(heldSinceMs + boxes_.releaseWithinMs_, writtenMs_ + kArrivalMs);
+    return std::max(heldSinceMs + endpoints_.releaseWithinMs_, writtenMs_ + kArrivalMs);
   }
 
-  // Guards a client against a box that goes silent in the middle of its answer.
+  // Guards a client against an instance that goes silent in the middle of its answer.
   void watchForStall() {
-    boxes_.deadlines_.cancel(stall_);
+    endpoints_.deadlines_.cancel(stall_);
     if (!begun_ || call_->state() == net::Call::State::kOver)
       return;
-    stall_ = boxes_.deadlines_.add(boxes_.clock_.nowMs() + kStallMs, [this] {
+    stall_ = endpoints_.deadlines_.add(endpoints_.clock_.nowMs() + kStallMs, [this] {
       stall_.reset();
-      ++boxes_.counters_["attempts.stalled"];
-      boxes_.unheard(engine_);
+      ++endpoints_.counters_["attempts.stalled"];
+      endpoints_.unheard(instance_);
       call_->abandon();
-      end({Outcome::kTimeout});
+      end({AttemptOutcome::kTimeout});
     });
   }
 
@@ -168,62 +170,62 @@
   }
 
   void failed(net::CallFailure why) override {
-    // Any box may send a spoilt answer now and then: it runs, and is not to be left out as one that
-    // is lost. The request may have run, as after any error. A head comes with the first token: a
-    // writer that sent one, however spoilt, had fetched the state, and the next would have to read
-    // the whole prompt itself.
+    // Any instance may send a spoilt answer now and then: it runs, and is not to be left out as one
+    // that is lost. The request may have run, as after any error. A head comes with the first
+    // token: a decode instance that sent one, however spoilt, had fetched the state, and the next
+    // would have to read the whole prompt itself.
     if (why == net::CallFailure::kGarbled) {
-      ++boxes_.counters_["answers.garbled"];
-      return end({Outcome::kError, 0, true});
+      ++endpoints_.counters_["answers.garbled"];
+      return end({AttemptOutcome::kError, 0, true});
     }
     if (why != net::CallFailure::kWithdrawn)
-      boxes_.unheard(engine_);
-    // After a reset the other idle connections to that box are as dead as this one was.
+      endpoints_.unheard(instance_);
+    // After a reset the other idle connections to that instance are as dead as this one was.
     if (why == net::CallFailure::kReset)
-      if (const Box* box = boxes_.directory_.find(engine_))
-        boxes_.pool_.dropIdle(box->address);
-    end({why == net::CallFailure::kNoConnection ? Outcome::kNoConnection
-         : why == net::CallFailure::kReset      ? Outcome::kConnectionLost
-                                                : Outcome::kNotSent});
+      if (const InstanceEndpoint* endpoint = endpoints_.directory_.find(instance_))
+        endpoints_.pool_.dropIdle(endpoint->address);
+    end({why == net::CallFailure::kNoConnection ? AttemptOutcome::kConnectFailed
+         : why == net::CallFailure::kReset      ? AttemptOutcome::kConnectionLost
+                                                : AttemptOutcome::kNotSent});
   }
 
  private:
   core::Result result() const {
     if (status_ == 200)
-      return {Outcome::kServed, usage_.cachedTokens()};
+      return {AttemptOutcome::kServed, usage_.cachedTokens()};
     if (status_ == 202)
-      return {Outcome::kRead, usage_.cachedTokens()};
+      return {AttemptOutcome::kPrefilled, usage_.cachedTokens()};
     // Guards against a late second answer to the request before, which would be taken for a proof
     // that this one never ran: nothing in an answer names its request, so it proves that on a fresh
     // connection alone.
     if (rejected_ && status_ == 410)
-      return {Outcome::kFull, 0, true, !first_};
+      return {AttemptOutcome::kRejected, 0, true, !first_};
     if (rejected_ && (status_ == 503 || status_ == 504))
-      return {Outcome::kFull, 0, false, !first_};
-    return {Outcome::kError};
+      return {AttemptOutcome::kRejected, 0, false, !first_};
+    return {AttemptOutcome::kError};
   }
 
   void end(const core::Result& result) {
-    Boxes& boxes = boxes_;
+    HttpInstanceClient& instances = endpoints_;
     const core::AttemptKey key = key_;
     const bool prefills = reads_;  // the entry may be the last that holds this
-    boxes.deadlines_.cancel(last_);
-    boxes.deadlines_.cancel(stall_);
-    boxes.deadlines_.cancel(taken_);
-    boxes.attempts_.erase(key.slot);
+    instances.deadlines_.cancel(last_);
+    instances.deadlines_.cancel(stall_);
+    instances.deadlines_.cancel(taken_);
+    instances.attempts_.erase(key.slot);
     if (prefills)
-      boxes.reservations_.prefillEnded(key);
-    boxes.conductor_.ended(key, result);
+      instances.reservations_.prefillEnded(key);
+    instances.dispatcher_.ended(key, result);
   }
 
-  Boxes& boxes_;
+  HttpInstanceClient& endpoints_;
   core::AttemptKey key_;
   RequestId request_;
-  EngineId engine_;
+  InstanceId instance_;
   std::shared_ptr<net::Call> call_;
-  std::optional<EngineId> place_;
+  std::optional<InstanceId> place_;
   UsageReader usage_;
-  EventGate gate_;
+  EventStreamFilter gate_;
   std::optional<core::Deadlines::Key> last_, stall_, taken_;
   double untilMs_;               // its answer is waited for
   double heldSinceMs_;           // the last attempt of its request ended; 0: there was none
@@ -237,38 +239,40 @@
 // ---- Probes
 // ------------------------------------------------------------------------------------------
 
-class Boxes::ProbeCall final : public net::CallSink {
+class HttpInstanceClient::ProbeCall final : public net::CallSink {
  public:
-  ProbeCall(Boxes& boxes, EngineId engine)
-      : boxes_(boxes), engine_(std::move(engine)), sentMs_(boxes.clock_.nowMs()) {}
+  ProbeCall(HttpInstanceClient& instances, InstanceId instance)
+      : endpoints_(instances), instance_(std::move(instance)), sentMs_(instances.clock_.nowMs()) {}
   void head(const net::ResponseHead& head) override {
     well_ = head.result_int() == 200;
-    boxes_.heard(engine_);
+    endpoints_.heard(instance_);
   }
   void done() override { end(well_); }
   void failed(net::CallFailure) override { end(false); }
-  void end(bool well) { boxes_.conductor_.probed(engine_, boxes_.clock_.nowMs() - sentMs_, well); }
+  void end(bool well) {
+    endpoints_.dispatcher_.probed(instance_, endpoints_.clock_.nowMs() - sentMs_, well);
+  }
 
  private:
-  Boxes& boxes_;
-  EngineId engine_;
+  HttpInstanceClient& endpoints_;
+  InstanceId instance_;
   double sentMs_;
   bool well_ = false;
 };
 
-// ---- Boxes
+// ---- Instances
 // -----------------------------------------------------------------------------------------
 
-Boxes::Boxes(BoxDialect dialect,
-             core::Conductor& conductor,
-             net::Pool& pool,
-             Directory& directory,
-             const core::Clock& clock,
-             core::Deadlines& deadlines,
-             core::Counters& counters,
-             double releaseWithinMs)
+HttpInstanceClient::HttpInstanceClient(InstanceProtocol dialect,
+                                       core::RequestDispatcher& dispatcher,
+                                       net::ConnectionPool& pool,
+                                       InstanceDirectory& directory,
+                                       const core::Clock& clock,
+                                       core::Deadlines& deadlines,
+                                       core::Counters& counters,
+                                       double releaseWithinMs)
     : dialect_(std::move(dialect)),
-      conductor_(conductor),
+      dispatcher_(dispatcher),
       pool_(pool),
       directory_(directory),
       clock_(clock),
@@ -282,23 +286,23 @@
           deadlines,
           counters,
           releaseWithinMs,
-          [this](const RequestId& request, const Box& box) {
-            return roomHead("DELETE", request, box);
+          [this](const RequestId& request, const InstanceEndpoint& endpoint) {
+            return roomHead("DELETE", request, endpoint);
           },
           [this](const RequestId& request) { return heldBackMs(request); },
-          [&conductor](const std::string& line) { conductor.note(line); }),
+          [&dispatcher](const std::string& line) { dispatcher.note(line); }),
       owed_(pool,
             directory,
             clock,
             deadlines,
             counters,
             releaseWithinMs,
-            [this](const RequestId& request, const Box& box) {
-              return roomHead("DELETE", request, box);
+            [this](const RequestId& request, const InstanceEndpoint& endpoint) {
+              return roomHead("DELETE", request, endpoint);
             }),
       // No id in its head: a call that carries one could be taken for an attempt.
       reservations_(
-          conductor,
+          dispatcher,
           pool,
           directory,
           clock,
@@ -307,26 +311,27 @@
           releases_,
           owed_,
           releaseWithinMs,
-          [this](const RequestId& request, const Box& box) {
-            return roomHead("POST", request, box);
+          [this](const RequestId& request, const InstanceEndpoint& endpoint) {
+            return roomHead("POST", request, endpoint);
           },
           [this](core::AttemptKey prefill) { return attempt(prefill) != nullptr; }) {
-  conductor_.connect(*this);
+  dispatcher_.connect(*this);
 }
 
 // A call and its sink hold each other while it runs.
-Boxes::~Boxes() {
+HttpInstanceClient::~HttpInstanceClient() {
   for (const auto& [slot, sink] : attempts_)
     sink->call().abandon();
 }
 
-std::shared_ptr<Boxes::AttemptCall> Boxes::attempt(core::AttemptKey key) const {
+std::shared_ptr<HttpInstanceClient::AttemptCall> HttpInstanceClient::attempt(
+    core::AttemptKey key) const {
   const auto it = attempts_.find(key.slot);
   return it == attempts_.end() || it->second->key() != key ? nullptr : it->second;
 }
 
 // The last one's, should there be several.
-std::optional<double> Boxes::heldBackMs(const RequestId& request) const {
+std::optional<double> HttpInstanceClient::heldBackMs(const RequestId& request) const {
   std::optional<double> last;
   for (const auto& [slot, sink] : attempts_) {
     if (sink->request() != request)
@@ -338,37 +343,37 @@
   return last;
 }
 
-std::string Boxes::roomHead(const std::string& method,
-                            const RequestId& request,
-                            const Box& box) const {
-  return head(method, dialect_.roomsPath + request.value, box, {{"Content-Length", "0"}});
+std::string HttpInstanceClient::roomHead(const std::string& method,
+                                         const RequestId& request,
+                                         const InstanceEndpoint& endpoint) const {
+  return head(method, dialect_.roomsPath + request.value, endpoint, {{"Content-Length", "0"}});
 }
 
-std::string Boxes::head(const std::string& method,
-                        const std::string& target,
-                        const Box& box,
-                        net::Fields fields) const {
-  fields.insert(fields.begin(), {"Host", box.address.address().to_string() + ":" +
-                                             std::to_string(box.address.port())});
+std::string HttpInstanceClient::head(const std::string& method,
+                                     const std::string& target,
+                                     const InstanceEndpoint& endpoint,
+                                     net::Fields fields) const {
+  fields.insert(fields.begin(), {"Host", endpoint.address.address().to_string() + ":" +
+                                             std::to_string(endpoint.address.port())});
   fields.insert(fields.end(), dialect_.extra.begin(), dialect_.extra.end());
   return net::headText(method + " " + target + " HTTP/1.1", fields);
 }
 
-void Boxes::heard(const EngineId& engine) {
-  if (Box* box = directory_.find(engine))
-    box->heardMs = clock_.nowMs();
+void HttpInstanceClient::heard(const InstanceId& instance) {
+  if (InstanceEndpoint* endpoint = directory_.find(instance))
+    endpoint->heardMs = clock_.nowMs();
 }
 
-void Boxes::unheard(const EngineId& engine) {
-  if (Box* box = directory_.find(engine))
-    box->failedMs = clock_.nowMs();
+void HttpInstanceClient::unheard(const InstanceId& instance) {
+  if (InstanceEndpoint* endpoint = directory_.find(instance))
+    endpoint->failedMs = clock_.nowMs();
 }
 
-void Boxes::start(const core::Dispatch& dispatch) {
-  const Box* box = directory_.find(dispatch.engine);
-  if (box == nullptr)
-    return conductor_.ended(dispatch.attempt, {Outcome::kNotSent});
-  const auto& payload = static_cast<const ChatPayload&>(*dispatch.payload);
+void HttpInstanceClient::start(const core::Dispatch& dispatch) {
+  const InstanceEndpoint* endpoint = directory_.find(dispatch.instance);
+  if (endpoint == nullptr)
+    return dispatcher_.ended(dispatch.attempt, {AttemptOutcome::kNotSent});
+  const auto& payload = static_cast<const ForwardedRequest&>(*dispatch.payload);
   net::Fields fields{{dialect_.idHeader, dispatch.request.value},
                      {"Content-Length", std::to_string(payload.body->size())}};
   if (!payload.contentType.empty())
@@ -377,11 +382,12 @@
   releases_.attemptGoesOut(dispatch.request);
   const auto sink = std::make_shared<AttemptCall>(*this, dispatch);
   attempts_[dispatch.attempt.slot] = sink;
-  sink->hold(pool_.call(box->address, head(payload.method, payload.target, *box, std::move(fields)),
-                        payload.body, sink, net::Pool::Urgency::kInTurn, dispatch.afterMs));
+  sink->hold(pool_.call(
+      endpoint->address, head(payload.method, payload.target, *endpoint, std::move(fields)),
+      payload.body, sink, net::ConnectionPool::Urgency::kInTurn, dispatch.afterMs));
 }
 
-void Boxes::abandon(core::AttemptKey key) {
+void HttpInstanceClient::abandon(core::AttemptKey key) {
   const auto sink = attempt(key);
   if (!sink)
     return;
@@ -391,50 +397,50 @@
     reservations_.prefillEnded(key);
 }
 
-void Boxes::pause(core::AttemptKey key, std::function<void()> quiet) {
+void HttpInstanceClient::pause(core::AttemptKey key, std::function<void()> quiet) {
   if (const auto sink = attempt(key))
     sink->call().pause(std::move(quiet));
 }
 
-void Boxes::goOn(core::AttemptKey key) {
+void HttpInstanceClient::unpause(core::AttemptKey key) {
   if (const auto sink = attempt(key))
-    sink->call().goOn();
+    sink->call().unpause();
 }
 
 // What has its last event is over within a moment.
-std::optional<Boxes::Rest> Boxes::rest(core::AttemptKey key) {
+std::optional<HttpInstanceClient::TransferState> HttpInstanceClient::rest(core::AttemptKey key) {
   const auto sink = attempt(key);
   if (!sink || sink->finished())
     return std::nullopt;
   const auto call = sink->call().rest();
   if (!call)
     return std::nullopt;
-  return Rest{*call, sink->part()};
+  return TransferState{*call, sink->part()};
 }
 
-void Boxes::leave(core::AttemptKey key) {
+void HttpInstanceClient::leave(core::AttemptKey key) {
   abandon(key);
 }
 
-bool Boxes::adopt(core::AttemptKey key,
-                  const RequestId& request,
-                  const EngineId& engine,
-                  const net::Endpoint& address,
-                  const Rest& rest) {
-  const auto sink =
-      std::make_shared<AttemptCall>(*this, core::Dispatch{key, request, engine, nullptr, 0, false});
+bool HttpInstanceClient::adopt(core::AttemptKey key,
+                               const RequestId& request,
+                               const InstanceId& instance,
+                               const net::Endpoint& address,
+                               const TransferState& rest) {
+  const auto sink = std::make_shared<AttemptCall>(
+      *this, core::Dispatch{key, request, instance, nullptr, 0, false});
   const auto call = pool_.adopt(address, rest.call, sink);
   if (!call)
     return false;
   sink->hold(call);
-  sink->takeUp(rest.event);
+  sink->adopt(rest.event);
   attempts_[key.slot] = sink;
   sink->watchForStall();
-  call->goOn();
+  call->unpause();
   return true;
 }
 
-void Boxes::resume(core::AttemptKey key) {
+void HttpInstanceClient::resume(core::AttemptKey key) {
   const auto sink = attempt(key);
   if (!sink)
     return;
@@ -443,30 +449,32 @@
 }
 
 // One whose last event has come is all but over, too.
-bool Boxes::unread(core::AttemptKey key) const {
+bool HttpInstanceClient::unread(core::AttemptKey key) const {
   const auto sink = attempt(key);
   return sink && (sink->finished() || sink->call().unread());
 }
 
 // A release that is still under way would let go of the new place as well.
-void Boxes::holdPlace(const RequestId& request, core::AttemptKey reading, const EngineId& engine) {
-  releases_.afterwards(request, [this, reading, engine] {
+void HttpInstanceClient::holdPlace(const RequestId& request,
+                                   core::AttemptKey reading,
+                                   const InstanceId& instance) {
+  releases_.afterwards(request, [this, reading, instance] {
     if (const auto sink = attempt(reading))
-      sink->placeAt(engine);
+      sink->placeAt(instance);
   });
 }
 
-void Boxes::release(const RequestId& request) {
+void HttpInstanceClient::release(const RequestId& request) {
   releases_.release(request);
 }
 
-void Boxes::probe(const EngineId& engine) {
-  const Box* box = directory_.find(engine);
-  const auto sink = std::make_shared<ProbeCall>(*this, engine);
-  if (box == nullptr)
+void HttpInstanceClient::probe(const InstanceId& instance) {
+  const InstanceEndpoint* endpoint = directory_.find(instance);
+  const auto sink = std::make_shared<ProbeCall>(*this, instance);
+  if (endpoint == nullptr)
     return sink->end(false);
   const auto call =
-      pool_.call(box->address, head("GET", dialect_.healthPath, *box, {}), nullptr, sink);
+      pool_.call(endpoint->address, head("GET", dialect_.healthPath, *endpoint, {}), nullptr, sink);
   deadlines_.add(clock_.nowMs() + kProbeAnswerMs, [call, sink] {
     if (call->state() == net::Call::State::kOver)
       return;
--- a/src/upstream/http_instance_client.h
+++ b/src/upstream/http_instance_client.h
@@ -1,5 +1,5 @@
-// Speaks to the model boxes: a request to a reader or writer, places, releases and probes. Both
-// fronts use it; a dialect holds what they name differently.
+// Speaks to the instances: a request to a prefill instance or decode instance, places, releases and
+// probes. Both fronts use it; a dialect holds what they name differently.
 #pragma once
 
 #include <functional>
@@ -17,7 +17,7 @@
 
 namespace inference_router::upstream {
 
-struct BoxDialect {
+struct InstanceProtocol {
   std::string idHeader;
   std::string budgetHeader;
   std::string rejectedHeader;  // marks an answer that proves that the request never ran
@@ -26,24 +26,24 @@
   net::Fields extra;  // on every message
 };
 
-// What passes on unchanged to whichever box gets the request.
-struct ChatPayload final : core::Payload {
+// What passes on unchanged to whichever instance gets the request.
+struct ForwardedRequest final : core::Payload {
   std::string method, target, contentType;
   net::Fields passed;  // further headers of the client's that go along as they came
   std::shared_ptr<const std::string> body;
 };
 
-class Boxes final : public core::Engines {
+class HttpInstanceClient final : public core::InstanceClient {
  public:
-  Boxes(BoxDialect dialect,
-        core::Conductor& conductor,
-        net::Pool& pool,
-        Directory& directory,
-        const core::Clock& clock,
-        core::Deadlines& deadlines,
-        core::Counters& counters,
-        double releaseWithinMs);
-  ~Boxes() override;
+  HttpInstanceClient(InstanceProtocol dialect,
+                     core::RequestDispatcher& dispatcher,
+                     net::ConnectionPool& pool,
+                     InstanceDirectory& directory,
+                     const core::Clock& clock,
+                     core::Deadlines& deadlines,
+                     core::Counters& counters,
+                     double releaseWithinMs);
+  ~HttpInstanceClient() override;
 
   void start(const core::Dispatch& dispatch) override;
   void abandon(core::AttemptKey attempt) override;
@@ -51,28 +51,28 @@
   bool unread(core::AttemptKey attempt) const override;
   void holdPlace(const routing::RequestId& request,
                  core::AttemptKey reading,
-                 const routing::EngineId& engine) override;
+                 const routing::InstanceId& instance) override;
   void release(const routing::RequestId& request) override;
-  void probe(const routing::EngineId& engine) override;
+  void probe(const routing::InstanceId& instance) override;
 
   // A stream under way, as it passes from one process to another.
-  struct Rest {
-    net::Call::Rest call;
+  struct TransferState {
+    net::Call::TransferState call;
     std::string event;  // the part of one that has come
   };
-  // Quiet is called once rest() can be asked for; if it is not handed over then, goOn() has to
+  // Quiet is called once rest() can be asked for; if it is not handed over then, unpause() has to
   // follow.
   void pause(core::AttemptKey attempt, std::function<void()> quiet);
-  std::optional<Rest> rest(core::AttemptKey attempt);
-  void goOn(core::AttemptKey attempt);
+  std::optional<TransferState> rest(core::AttemptKey attempt);
+  void unpause(core::AttemptKey attempt);
   void leave(core::AttemptKey attempt);  // lets go of a stream that another process has now
   bool adopt(core::AttemptKey attempt,
              const routing::RequestId& request,
-             const routing::EngineId& engine,
+             const routing::InstanceId& instance,
              const net::Endpoint& address,
-             const Rest& rest);
+             const TransferState& rest);
 
-  void reconfigure(BoxDialect dialect, double releaseWithinMs) {
+  void reconfigure(InstanceProtocol dialect, double releaseWithinMs) {
     dialect_ = std::move(dialect);
     releaseWithinMs_ = releaseWithinMs;
     releases_.within(releaseWithinMs);
@@ -90,18 +90,18 @@
   std::optional<double> heldBackMs(const routing::RequestId& request) const;
   std::string roomHead(const std::string& method,
                        const routing::RequestId& request,
-                       const Box& box) const;
+                       const InstanceEndpoint& endpoint) const;
   std::string head(const std::string& method,
                    const std::string& target,
-                   const Box& box,
+                   const InstanceEndpoint& endpoint,
                    net::Fields fields) const;
-  void heard(const routing::EngineId& engine);
-  void unheard(const routing::EngineId& engine);
+  void heard(const routing::InstanceId& instance);
+  void unheard(const routing::InstanceId& instance);
 
-  BoxDialect dialect_;
-  core::Conductor& conductor_;
-  net::Pool& pool_;
-  Directory& directory_;
+  InstanceProtocol dialect_;
+  core::RequestDispatcher& dispatcher_;
+  net::ConnectionPool& pool_;
+  InstanceDirectory& directory_;
   const core::Clock& clock_;
   core::Deadlines& deadlines_;
   core::Counters& counters_;
--- a/src/upstream/instance_directory.cpp
+++ b/src/upstream/instance_directory.cpp
@@ -2,20 +2,22 @@
 
 namespace inference_router::upstream {
 
-void Directory::update(const std::map<routing::EngineId, Box>& told, bool whole, net::Pool& pool) {
+void InstanceDirectory::update(const std::map<routing::InstanceId, InstanceEndpoint>& told,
+                               bool whole,
+                               net::ConnectionPool& pool) {
   for (const auto& [id, news] : told) {
-    Box& box = boxes_[id];
-    const bool fresh = box.startedMs != news.startedMs || box.address != news.address;
+    InstanceEndpoint& endpoint = endpoints_[id];
+    const bool fresh = endpoint.startedMs != news.startedMs || endpoint.address != news.address;
     if (fresh) {
-      pool.dropIdle(box.address);
-      box.failedMs = 0;
+      pool.dropIdle(endpoint.address);
+      endpoint.failedMs = 0;
     }
-    box.address = news.address;
-    box.presence = news.presence;
-    box.startedMs = news.startedMs;
+    endpoint.address = news.address;
+    endpoint.state = news.state;
+    endpoint.startedMs = news.startedMs;
   }
-  std::erase_if(boxes_, [&](const auto& entry) {
-    const bool gone = entry.second.presence == routing::Presence::kGone ||
+  std::erase_if(endpoints_, [&](const auto& entry) {
+    const bool gone = entry.second.state == routing::EndpointState::kRemoved ||
                       (whole && told.count(entry.first) == 0);
     if (gone)
       pool.dropIdle(entry.second.address);
--- a/src/upstream/owed_release_calls.cpp
+++ b/src/upstream/owed_release_calls.cpp
@@ -5,7 +5,7 @@
 
 namespace inference_router::upstream {
 
-using routing::EngineId;
+using routing::InstanceId;
 using routing::RequestId;
 
 namespace {
@@ -32,8 +32,8 @@
   bool accepted_ = false;
 };
 
-OwedReleaseCalls::OwedReleaseCalls(net::Pool& pool,
-                                   Directory& directory,
+OwedReleaseCalls::OwedReleaseCalls(net::ConnectionPool& pool,
+                                   InstanceDirectory& directory,
                                    const core::Clock& clock,
                                    core::Deadlines& deadlines,
                                    core::Counters& counters,
@@ -57,12 +57,12 @@
   }
 }
 
-void OwedReleaseCalls::owe(const EngineId& instance, const RequestId& request) {
-  const Box* box = directory_.find(instance);
-  if (box == nullptr || box->presence == routing::Presence::kGone)
+void OwedReleaseCalls::owe(const InstanceId& instance, const RequestId& request) {
+  const InstanceEndpoint* endpoint = directory_.find(instance);
+  if (endpoint == nullptr || endpoint->state == routing::EndpointState::kRemoved)
     return;
   ++counters_["releases.owed"];
-  startedMs_.try_emplace(instance, box->startedMs);
+  startedMs_.try_emplace(instance, endpoint->startedMs);
   owed_.owe(instance, request, clock_.nowMs());
   step();
 }
@@ -70,9 +70,9 @@
 // What is gone or has started anew holds nothing of before.
 void OwedReleaseCalls::forgetReplaced() {
   std::erase_if(startedMs_, [this](const auto& entry) {
-    const Box* box = directory_.find(entry.first);
-    const bool gone = box == nullptr || box->presence == routing::Presence::kGone;
-    const bool replaced = gone || box->startedMs != entry.second;
+    const InstanceEndpoint* endpoint = directory_.find(entry.first);
+    const bool gone = endpoint == nullptr || endpoint->state == routing::EndpointState::kRemoved;
+    const bool replaced = gone || endpoint->startedMs != entry.second;
     if (replaced)
       owed_.forget(entry.first);
     return replaced;
@@ -99,7 +99,7 @@
 }
 
 void OwedReleaseCalls::send(const OwedReleases::Release& release) {
-  const Box& box = *directory_.find(release.instance);
+  const InstanceEndpoint& endpoint = *directory_.find(release.instance);
   const std::uint64_t number = ++calls_;
   const auto sink = std::make_shared<Sink>(*this, number, release);
   sent_[number].limit = deadlines_.add(clock_.nowMs() + kWaitMs, [this, number, release] {
@@ -111,8 +111,8 @@
       it->second.call->abandon();
     ended(number, release, false);
   });
-  const auto call = pool_.call(box.address, head_(release.request, box), nullptr, sink,
-                               net::Pool::Urgency::kFirst);
+  const auto call = pool_.call(endpoint.address, head_(release.request, endpoint), nullptr, sink,
+                               net::ConnectionPool::Urgency::kFirst);
   if (const auto it = sent_.find(number); it != sent_.end())
     it->second.call = call;
 }
--- a/src/upstream/owed_release_calls.h
+++ b/src/upstream/owed_release_calls.h
@@ -20,10 +20,10 @@
 class OwedReleaseCalls {
  public:
   /// The head of the message that releases a request.
-  using Head = std::function<std::string(const routing::RequestId&, const Box&)>;
+  using Head = std::function<std::string(const routing::RequestId&, const InstanceEndpoint&)>;
 
-  OwedReleaseCalls(net::Pool& pool,
-                   Directory& directory,
+  OwedReleaseCalls(net::ConnectionPool& pool,
+                   InstanceDirectory& directory,
                    const core::Clock& clock,
                    core::Deadlines& deadlines,
                    core::Counters& counters,
@@ -34,7 +34,7 @@
   OwedReleaseCalls& operator=(const OwedReleaseCalls&) = delete;
 
   /// A call for the request was written to the instance and given up without an answer.
-  void owe(const routing::EngineId& instance, const routing::RequestId& request);
+  void owe(const routing::InstanceId& instance, const routing::RequestId& request);
   void within(double ms) { owed_.apart(ms / 2); }
   std::size_t size() const { return owed_.size(); }
 
@@ -51,14 +51,14 @@
   void ended(std::uint64_t number, const OwedReleases::Release& release, bool accepted);
   void forgetReplaced();
 
-  net::Pool& pool_;
-  Directory& directory_;
+  net::ConnectionPool& pool_;
+  InstanceDirectory& directory_;
   const core::Clock& clock_;
   core::Deadlines& deadlines_;
   core::Counters& counters_;
   Head head_;
   OwedReleases owed_;
-  std::map<routing::EngineId, double> startedMs_;  // of instances that are owed any, as told then
+  std::map<routing::InstanceId, double> startedMs_;  // of instances that are owed any, as told then
   std::map<std::uint64_t, Sent> sent_;
   std::optional<core::Deadlines::Key> next_;
   std::uint64_t calls_ = 0;
--- a/src/upstream/owed_releases.cpp
+++ b/src/upstream/owed_releases.cpp
@@ -4,10 +4,10 @@
 
 namespace inference_router::upstream {
 
-using routing::EngineId;
+using routing::InstanceId;
 using routing::RequestId;
 
-void OwedReleases::owe(const EngineId& instance, const RequestId& request, double nowMs) {
+void OwedReleases::owe(const InstanceId& instance, const RequestId& request, double nowMs) {
   instances_[instance].entries[request] = Entry{.sinceMs = nowMs, .dueMs = nowMs};
   if (size() > kMost)
     dropOldest();
@@ -90,8 +90,8 @@
   return count;
 }
 
-std::vector<EngineId> OwedReleases::instances() const {
-  std::vector<EngineId> found;
+std::vector<InstanceId> OwedReleases::instances() const {
+  std::vector<InstanceId> found;
   for (const auto& [id, instance] : instances_)
     found.push_back(id);
   return found;
--- a/src/upstream/owed_releases.h
+++ b/src/upstream/owed_releases.h
@@ -25,7 +25,7 @@
   static constexpr std::size_t kMostSent = 8;  ///< at a time, to an instance that answers
 
   struct Release {
-    routing::EngineId instance;
+    routing::InstanceId instance;
     routing::RequestId request;
   };
 
@@ -33,18 +33,18 @@
   explicit OwedReleases(double apartMs) : apartMs_(apartMs) {}
   void apart(double ms) { apartMs_ = ms; }
 
-  void owe(const routing::EngineId& instance, const routing::RequestId& request, double nowMs);
+  void owe(const routing::InstanceId& instance, const routing::RequestId& request, double nowMs);
   /// The releases to send now. Each counts as sent until it is accepted or has failed.
   std::vector<Release> due(double nowMs);
   void accepted(const Release& release, double nowMs);
   void failed(const Release& release, double nowMs);
   /// The instance is gone or has started anew, and holds nothing of before.
-  void forget(const routing::EngineId& instance) { instances_.erase(instance); }
+  void forget(const routing::InstanceId& instance) { instances_.erase(instance); }
 
   std::optional<double> nextMs() const;
   std::size_t size() const;
   std::size_t dropped() const { return dropped_; }
-  std::vector<routing::EngineId> instances() const;
+  std::vector<routing::InstanceId> instances() const;
 
  private:
   struct Entry {
@@ -63,7 +63,7 @@
   void expire(double nowMs);
 
   double apartMs_;
-  std::map<routing::EngineId, Instance> instances_;
+  std::map<routing::InstanceId, Instance> instances_;
   std::size_t dropped_ = 0;
 };
 
--- a/src/upstream/releases.cpp
+++ b/src/upstream/releases.cpp
@@ -7,7 +7,7 @@
 
 namespace inference_router::upstream {
 
-using routing::EngineId;
+using routing::InstanceId;
 using routing::RequestId;
 
 namespace {
@@ -23,35 +23,38 @@
 
 class Releases::Carrier final : public net::CallSink {
  public:
-  Carrier(Releases& owner, RequestId request, EngineId engine, std::uint64_t number)
-      : owner_(owner), request_(std::move(request)), engine_(std::move(engine)), number_(number) {}
+  Carrier(Releases& owner, RequestId request, InstanceId instance, std::uint64_t number)
+      : owner_(owner),
+        request_(std::move(request)),
+        instance_(std::move(instance)),
+        number_(number) {}
 
   void head(const net::ResponseHead& head) override {
-    if (Box* box = owner_.directory_.find(engine_))
-      box->heardMs = owner_.clock_.nowMs();
+    if (InstanceEndpoint* endpoint = owner_.directory_.find(instance_))
+      endpoint->heardMs = owner_.clock_.nowMs();
     through_ = head.result_int() == 204;  // any other is none to a release
   }
-  void done() override { owner_.answered(request_, number_, engine_, through_); }
+  void done() override { owner_.answered(request_, number_, instance_, through_); }
   void failed(net::CallFailure why) override {
     if (why != net::CallFailure::kWithdrawn)
       unheard();
-    owner_.answered(request_, number_, engine_, false);
+    owner_.answered(request_, number_, instance_, false);
   }
   void unheard() {
-    if (Box* box = owner_.directory_.find(engine_))
-      box->failedMs = owner_.clock_.nowMs();
+    if (InstanceEndpoint* endpoint = owner_.directory_.find(instance_))
+      endpoint->failedMs = owner_.clock_.nowMs();
   }
 
  private:
   Releases& owner_;
   RequestId request_;
-  EngineId engine_;
+  InstanceId instance_;
   std::uint64_t number_;
   bool through_ = false;
 };
 
-Releases::Releases(net::Pool& pool,
-                   Directory& directory,
+Releases::Releases(net::ConnectionPool& pool,
+                   InstanceDirectory& directory,
                    const core::Clock& clock,
                    core::Deadlines& deadlines,
                    core::Counters& counters,
@@ -134,18 +137,18 @@
 // First one with a connection at hand, of those one that did not take the last round, as what was
 // taken for its answer may have been a late one to an earlier call; then the one heard last. One
 // that lately failed comes after those that did not.
-const EngineId* Releases::best(const Releasing& state) const {
-  const EngineId* best = nullptr;
+const InstanceId* Releases::best(const Releasing& state) const {
+  const InstanceId* best = nullptr;
   std::tuple<bool, bool, bool, double> most;
-  for (const auto& [engine, box] : directory_.all()) {
-    if (state.tried.count(engine) != 0 || box.presence == routing::Presence::kGone)
+  for (const auto& [instance, endpoint] : directory_.all()) {
+    if (state.tried.count(instance) != 0 || endpoint.state == routing::EndpointState::kRemoved)
       continue;
-    const std::tuple<bool, bool, bool, double> worth{box.heardMs >= box.failedMs,
-                                                     pool_.hasIdle(box.address),
-                                                     engine != state.heard, box.heardMs};
+    const std::tuple<bool, bool, bool, double> worth{endpoint.heardMs >= endpoint.failedMs,
+                                                     pool_.hasIdle(endpoint.address),
+                                                     instance != state.heard, endpoint.heardMs};
     if (best != nullptr && worth <= most)
       continue;
-    best = &engine;
+    best = &instance;
     most = worth;
   }
   return best;
@@ -189,10 +192,10 @@
     due = std::min<std::size_t>(due, state.calls.empty() ? 1 : 0);
   bool nobody = false;
   for (; due > 0 && !nobody; --due) {
-    const EngineId* const next = best(state);
+    const InstanceId* const next = best(state);
     nobody = next == nullptr;
     if (!nobody)
-      ask(request, state, EngineId(*next));
+      ask(request, state, InstanceId(*next));
   }
   if (directory_.all().empty())
     return finish(request);  // no instances, so nothing is held anywhere
@@ -208,28 +211,28 @@
   });
 }
 
-void Releases::ask(const RequestId& request, Releasing& state, const EngineId& engine) {
+void Releases::ask(const RequestId& request, Releasing& state, const InstanceId& instance) {
   const std::uint64_t number = ++calls_;
-  const Box& box = *directory_.find(engine);
-  state.tried.insert(engine);
+  const InstanceEndpoint& endpoint = *directory_.find(instance);
+  state.tried.insert(instance);
   ++counters_["releases.tried"];
   ++out_;
-  const auto sink = std::make_shared<Carrier>(*this, request, engine, number);
-  const auto call =
-      pool_.call(box.address, head_(request, box), nullptr, sink, net::Pool::Urgency::kFirst);
+  const auto sink = std::make_shared<Carrier>(*this, request, instance, number);
+  const auto call = pool_.call(endpoint.address, head_(request, endpoint), nullptr, sink,
+                               net::ConnectionPool::Urgency::kFirst);
   state.calls[number] = call;
-  deadlines_.add(clock_.nowMs() + kCallMs, [this, request, number, engine, call, sink] {
+  deadlines_.add(clock_.nowMs() + kCallMs, [this, request, number, instance, call, sink] {
     if (call->state() == net::Call::State::kOver)
       return;
     call->abandon();
     sink->unheard();
-    answered(request, number, engine, false);
+    answered(request, number, instance, false);
   });
 }
 
 void Releases::answered(const RequestId& request,
                         std::uint64_t number,
-                        const EngineId& by,
+                        const InstanceId& by,
                         bool through) {
   --out_;
   const auto it = releases_.find(request);
--- a/src/upstream/releases.h
+++ b/src/upstream/releases.h
@@ -24,13 +24,13 @@
 class Releases {
  public:
   using Head = std::function<std::string(const routing::RequestId&,
-                                         const Box&)>;  // of the call's message
+                                         const InstanceEndpoint&)>;  // of the call's message
   // While an attempt of a request is out: until when a release may take what it goes on with.
   using Report = std::function<void(const std::string&)>;  // of a line for the log
   using HeldBackMs = std::function<std::optional<double>(const routing::RequestId&)>;
 
-  Releases(net::Pool& pool,
-           Directory& directory,
+  Releases(net::ConnectionPool& pool,
+           InstanceDirectory& directory,
            const core::Clock& clock,
            core::Deadlines& deadlines,
            core::Counters& counters,
@@ -68,10 +68,10 @@
     Releasing(double nowMs, double withinMs) : course(nowMs, withinMs), askedMs(nowMs) {}
     ReleaseRetry course;
     std::map<std::uint64_t, std::shared_ptr<net::Call>> calls;  // without an answer yet
-    std::set<routing::EngineId> tried;                          // since all were asked once
+    std::set<routing::InstanceId> tried;                        // since all were asked once
     std::uint64_t first =
         0;  // of the calls of this round: an answer to an earlier one proves nothing for it
-    routing::EngineId heard;  // who took the last round: a later one goes to another, if it can
+    routing::InstanceId heard;  // who took the last round: a later one goes to another, if it can
     std::optional<core::Deadlines::Key> next;
     double askedMs = 0;     // since when what may be held has to be let go of
     bool accepted = false;  // by any instance
@@ -84,17 +84,19 @@
   void step(const routing::RequestId& request);
   void checkTime(const routing::RequestId& request, Releasing& state);
   std::optional<double> roundMs(const routing::RequestId& request, const Releasing& state) const;
-  void ask(const routing::RequestId& request, Releasing& state, const routing::EngineId& engine);
+  void ask(const routing::RequestId& request,
+           Releasing& state,
+           const routing::InstanceId& instance);
   void answered(const routing::RequestId& request,
                 std::uint64_t call,
-                const routing::EngineId& by,
+                const routing::InstanceId& by,
                 bool through);
   void leaveUnwritten(Releasing& state);
   void finish(const routing::RequestId& request);
-  const routing::EngineId* best(const Releasing& state) const;
+  const routing::InstanceId* best(const Releasing& state) const;
 
-  net::Pool& pool_;
-  Directory& directory_;
+  net::ConnectionPool& pool_;
+  InstanceDirectory& directory_;
   const core::Clock& clock_;
   core::Deadlines& deadlines_;
   core::Counters& counters_;
