--- a/example/example_instance.cpp
+++ b/example/example_instance.cpp
@@ -30,8 +30,8 @@
 
 class ToyInstance final : public net::RequestHandler {
  public:
-  ToyInstance(std::string name, const core::Clock& clock, core::Deadlines& deadlines)
-      : name_(std::move(name)), clock_(clock), deadlines_(deadlines) {}
+  ToyInstance(std::string name, const core::Clock& clock, core::TimerQueue& timers)
+      : name_(std::move(name)), clock_(clock), timers_(timers) {}
 
   void request(const std::shared_ptr<net::ClientConnection>& connection,
                net::HttpRequest&& request,
@@ -59,8 +59,8 @@
       return;
     if (index < std::size(kWords)) {
       say(*connection, chunkOf(model, {{"content", kWords[index]}}, nullptr));
-      deadlines_.add(clock_.nowMs() + kWordEveryMs,
-                     [this, connection, model, index] { word(connection, model, index + 1); });
+      timers_.add(clock_.nowMs() + kWordEveryMs,
+                  [this, connection, model, index] { word(connection, model, index + 1); });
       return;
     }
     say(*connection, chunkOf(model, json::object(), "stop"));
@@ -77,7 +77,7 @@
 
   std::string name_;
   const core::Clock& clock_;
-  core::Deadlines& deadlines_;
+  core::TimerQueue& timers_;
 };
 
 }  // namespace
@@ -90,11 +90,11 @@
     }
     boost::asio::io_context io;
     const core::SystemClock clock;
-    core::Deadlines deadlines;
+    core::TimerQueue timers;
     core::Counters counters;
-    const net::Loop loop(io, clock, deadlines);
-    ToyInstance instance(argv[1], clock, deadlines);
-    net::Listener listener(io, net::endpointOf(argv[1]), 100, instance, clock, deadlines, counters);
+    const net::Loop loop(io, clock, timers);
+    ToyInstance instance(argv[1], clock, timers);
+    net::Listener listener(io, net::endpointOf(argv[1]), 100, instance, clock, timers, counters);
     boost::asio::signal_set signals(io, SIGTERM, SIGINT);
     signals.async_wait([&](const boost::system::error_code&, int) { io.stop(); });
     std::cout << argv[1] << ": a toy box listens" << std::endl;
--- a/soak/client.cpp
+++ b/soak/client.cpp
@@ -57,7 +57,7 @@
       to_(to),
       pool_(environment.io,
             environment.clock,
-            environment.deadlines,
+            environment.timers,
             environment.counters,
             {2, kClientDialMs, kClientIdleMs}),
       longestDeadlineMs_(longestDeadlineMs) {}
--- a/soak/discovery_agent.cpp
+++ b/soak/discovery_agent.cpp
@@ -18,7 +18,7 @@
                 kConnections,
                 *this,
                 environment.clock,
-                environment.deadlines,
+                environment.timers,
                 environment.counters) {
   beat();
 }
--- a/soak/environment.h
+++ b/soak/environment.h
@@ -7,7 +7,7 @@
 
 #include "core/clock.h"
 #include "core/counters.h"
-#include "core/deadlines.h"
+#include "core/timer_queue.h"
 #include "ledger.h"
 
 namespace inference_router::soak {
@@ -16,7 +16,7 @@
 struct Environment {
   boost::asio::io_context& io;
   const core::Clock& clock;
-  core::Deadlines& deadlines;
+  core::TimerQueue& timers;
   core::Counters& counters;
   Ledger& ledger;
   std::mt19937_64 random;
@@ -24,8 +24,8 @@
   double drawn(double least, double most) {
     return std::uniform_real_distribution<>(least, most)(random);
   }
-  void after(double ms, core::Deadlines::Task task) {
-    deadlines.add(clock.nowMs() + ms, std::move(task));
+  void after(double ms, core::TimerQueue::Task task) {
+    timers.add(clock.nowMs() + ms, std::move(task));
   }
 };
 
--- a/soak/instance.cpp
+++ b/soak/instance.cpp
@@ -44,7 +44,7 @@
                 kConnections,
                 *this,
                 environment.clock,
-                environment.deadlines,
+                environment.timers,
                 environment.counters) {}
 
 void Instance::behave(Behaviour behaviour, double forMs) {
--- a/soak/scenario.cpp
+++ b/soak/scenario.cpp
@@ -50,8 +50,8 @@
       : plan_(plan),
         programs_(programs),
         folder_(std::move(folder)),
-        loop_(io_, clock_, deadlines_),
-        environment_{io_, clock_, deadlines_, counters_, ledger_, std::mt19937_64(plan.seed + 1)},
+        loop_(io_, clock_, timers_),
+        environment_{io_, clock_, timers_, counters_, ledger_, std::mt19937_64(plan.seed + 1)},
         held_(kHeldLimitMs + kMachineSlackMs + (stops() ? kStopMs : 0)),
         startedMs_(clock_.nowMs()) {
     addInstances();
@@ -414,7 +414,7 @@
   std::string folder_;
   boost::asio::io_context io_;
   core::SystemClock clock_;
-  core::Deadlines deadlines_;
+  core::TimerQueue timers_;
   core::Counters counters_;
   net::Loop loop_;
   Ledger ledger_;
@@ -428,7 +428,7 @@
   std::vector<std::unique_ptr<Node>> nodes_;
   std::set<const Client*> begun_;
   std::unique_ptr<IdleClients> crowd_;
-  net::ConnectionPool probes_{io_, clock_, deadlines_, counters_, {64, 500, 1'000}};
+  net::ConnectionPool probes_{io_, clock_, timers_, counters_, {64, 500, 1'000}};
   bool finishing_ = false;
 };
 
--- a/src/app/admission_watch.cpp
+++ b/src/app/admission_watch.cpp
@@ -17,7 +17,7 @@
 }
 
 AdmissionWatch::~AdmissionWatch() {
-  server_.deadlines.cancel(next_);
+  server_.timers.cancel(next_);
 }
 
 void AdmissionWatch::tick() {
@@ -40,7 +40,7 @@
     spdlog::warn("descriptors are {} now, {} of {} held", admission::nameOf(now),
                  server_.descriptorBudget.total(), server_.descriptorBudget.shares().limit);
   level_ = now;
-  next_ = server_.deadlines.add(server_.clock.nowMs() + kSayMs, [this] { tick(); });
+  next_ = server_.timers.add(server_.clock.nowMs() + kSayMs, [this] { tick(); });
 }
 
 std::string AdmissionWatch::report() {
--- a/src/app/admission_watch.h
+++ b/src/app/admission_watch.h
@@ -26,7 +26,7 @@
   admission::AdmissionController* gate_;
   std::array<std::uint64_t, admission::kReasons> said_{};
   admission::Level level_ = admission::Level::kNormal;
-  std::optional<core::Deadlines::Key> next_;
+  std::optional<core::TimerQueue::Key> next_;
 };
 
 }  // namespace inference_router::app
--- a/src/app/coordinator.cpp
+++ b/src/app/coordinator.cpp
@@ -23,8 +23,8 @@
 std::unique_ptr<Store> storeOf(Server& server, const Setup& setup) {
   if (!setup.etcd)
     return std::make_unique<SqliteStore>(server.io, setup.sqlitePath);
-  auto store = std::make_unique<EtcdStore>(server.io, server.clock, server.deadlines,
-                                           server.counters, *setup.etcd);
+  auto store = std::make_unique<EtcdStore>(server.io, server.clock, server.timers, server.counters,
+                                           *setup.etcd);
   store->accountTo(server.descriptorBudget);
   return store;
 }
@@ -103,7 +103,7 @@
 Coordinator::Run::Run(Coordinator& owner, Setup given)
     : setup(std::move(given)),
       store(storeOf(owner.server_, setup)),
-      runner({*store, owner.server_.clock, owner.server_.deadlines, owner.server_.counters},
+      runner({*store, owner.server_.clock, owner.server_.timers, owner.server_.counters},
              owner.who_,
              owner.seed_,
              setup.lease,
@@ -139,7 +139,7 @@
   *alive_ = false;
   if (sharedState_ != nullptr)
     sharedState_->carriedBy(nullptr);
-  server_.deadlines.cancel(turn_);
+  server_.timers.cancel(turn_);
 }
 
 void Coordinator::begin(Setup setup) {
@@ -175,9 +175,9 @@
     turn_.reset();
     if (run_->runner.out())
       return begin(*std::exchange(coming_, std::nullopt));
-    turn_ = server_.deadlines.add(server_.clock.nowMs() + kTurnMs, [again] { again(again); });
+    turn_ = server_.timers.add(server_.clock.nowMs() + kTurnMs, [again] { again(again); });
   };
-  turn_ = server_.deadlines.add(server_.clock.nowMs(), [turn] { turn(turn); });
+  turn_ = server_.timers.add(server_.clock.nowMs(), [turn] { turn(turn); });
 }
 
 void Coordinator::resign() {
--- a/src/app/coordinator.h
+++ b/src/app/coordinator.h
@@ -65,7 +65,7 @@
   std::optional<coordination::Plan> plan_;  // as it was last heard and believed
   std::optional<coordination::Setup> coming_;
   bool resigned_ = false, saidRival_ = false, saidBack_ = false;
-  std::optional<core::Deadlines::Key> turn_;
+  std::optional<core::TimerQueue::Key> turn_;
   std::unique_ptr<Run> run_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/app/handover.cpp
+++ b/src/app/handover.cpp
@@ -79,7 +79,7 @@
 }
 
 Handover::~Handover() {
-  server_.deadlines.cancel(next_);
+  server_.timers.cancel(next_);
 }
 
 void Handover::begin(const std::string& folder, const std::string& name) {
@@ -112,7 +112,7 @@
     if (stream)
       server_.instanceClient.pause(stream->attempt, [this, key] { hand(key); });
   }
-  next_ = server_.deadlines.add(server_.clock.nowMs() + kLookMs, [this] { tick(); });
+  next_ = server_.timers.add(server_.clock.nowMs() + kLookMs, [this] { tick(); });
 }
 
 // Called when nothing is being read from the box. Whatever stands in the way now, the stream goes
--- a/src/app/handover.h
+++ b/src/app/handover.h
@@ -48,7 +48,7 @@
   net::Listener& listener_;
   std::unique_ptr<net::DescriptorSender> to_;
   std::deque<net::ReceivedMessage> sent_;  // with descriptors of this process's own
-  std::optional<core::Deadlines::Key> next_;
+  std::optional<core::TimerQueue::Key> next_;
 };
 
 }  // namespace inference_router::app
--- a/src/app/operations.cpp
+++ b/src/app/operations.cpp
@@ -43,7 +43,7 @@
 }
 
 Operations::~Operations() {
-  parts_.server.deadlines.cancel(next_);
+  parts_.server.timers.cancel(next_);
 }
 
 void Operations::start() {
@@ -75,7 +75,7 @@
     openDoor();
   if (parts_.doors)
     reconcileLifecycles();
-  next_ = parts_.server.deadlines.add(parts_.server.clock.nowMs() + kLookMs, [this] { tick(); });
+  next_ = parts_.server.timers.add(parts_.server.clock.nowMs() + kLookMs, [this] { tick(); });
 }
 
 // All that may have failed before is tried again here. Who cannot be seen now counts as before.
--- a/src/app/operations.h
+++ b/src/app/operations.h
@@ -96,7 +96,7 @@
   std::map<routing::InstanceId, fleet::InstanceLifecycle>
       lifecycles_;  // of the instances that are listed, and of a few that are gone
   double reconciledMs_ = 0;
-  std::optional<core::Deadlines::Key> next_;
+  std::optional<core::TimerQueue::Key> next_;
   double startedMs_;
 };
 
--- a/src/app/otlp.cpp
+++ b/src/app/otlp.cpp
@@ -58,18 +58,18 @@
 
 OtlpExporter::OtlpExporter(boost::asio::io_context& io,
                            const core::Clock& clock,
-                           core::Deadlines& deadlines,
+                           core::TimerQueue& timers,
                            core::Counters& counters,
                            const net::Endpoint& collector,
                            double intervalMs)
     : clock_(clock),
-      deadlines_(deadlines),
+      timers_(timers),
       counters_(counters),
-      pool_(io, clock, deadlines, unseen_, {1, kDialMs, intervalMs * 2}),
+      pool_(io, clock, timers, unseen_, {1, kDialMs, intervalMs * 2}),
       collector_(collector),
       intervalMs_(intervalMs),
       startUnixMs_(core::unixNowMs()) {
-  deadlines_.add(clock_.nowMs() + intervalMs_, [this] { send(); });
+  timers_.add(clock_.nowMs() + intervalMs_, [this] { send(); });
 }
 
 void OtlpExporter::send() {
@@ -85,7 +85,7 @@
                                     {"Content-Type", "application/json"},
                                     {"Content-Length", std::to_string(body->size())}}),
                      body, std::make_shared<Export>(counters_));
-  deadlines_.add(clock_.nowMs() + intervalMs_, [this] { send(); });
+  timers_.add(clock_.nowMs() + intervalMs_, [this] { send(); });
 }
 
 }  // namespace inference_router::app
--- a/src/app/otlp.h
+++ b/src/app/otlp.h
@@ -7,7 +7,7 @@
 
 #include "core/clock.h"
 #include "core/counters.h"
-#include "core/deadlines.h"
+#include "core/timer_queue.h"
 #include "net/pool.h"
 
 namespace inference_router::app {
@@ -22,7 +22,7 @@
  public:
   OtlpExporter(boost::asio::io_context& io,
                const core::Clock& clock,
-               core::Deadlines& deadlines,
+               core::TimerQueue& timers,
                core::Counters& counters,
                const net::Endpoint& collector,
                double intervalMs);
@@ -39,7 +39,7 @@
   class Export;
 
   const core::Clock& clock_;
-  core::Deadlines& deadlines_;
+  core::TimerQueue& timers_;
   core::Counters& counters_;
   core::Counters unseen_;  // of the exporter's own pool: exporting must not count as work
   net::ConnectionPool pool_;
--- a/src/app/server.cpp
+++ b/src/app/server.cpp
@@ -68,12 +68,12 @@
     : io(context),
       clock(time),
       descriptorBudget(admission::DescriptorBudget::sharesOf(descriptors)),
-      loop(io, clock, deadlines),
-      dispatcher(setup.settings, seed, clock, deadlines, counters),
+      loop(io, clock, timers),
+      dispatcher(setup.settings, seed, clock, timers, counters),
       membership(seed),
       pool(io,
            clock,
-           deadlines,
+           timers,
            counters,
            {instanceConnections, core::toMs(setup.settings.limits.connectTimeout),
             idleCloseMs * kIdleShare, kAnswerBytes}),
@@ -82,7 +82,7 @@
                      pool,
                      directory,
                      clock,
-                     deadlines,
+                     timers,
                      counters,
                      core::toMs(setup.settings.contract.releaseLimit)),
       signals_(io, SIGTERM, SIGINT, SIGUSR1) {
@@ -161,7 +161,7 @@
   const bool leaving = shutdown_.hasLeft && !shutdown_.hasLeft() && now < *stoppedMs_ + kLeaveMs;
   const bool cameBack = listener_->size() > 0;  // from a successor that ended with streams untaken
   if (instanceClient.releasing() > 0 || leaving || cameBack || now < *finishedMs_ + kLastWordsMs) {
-    deadlines.add(clock.nowMs() + 5, [this] { finish(); });
+    timers.add(clock.nowMs() + 5, [this] { finish(); });
     return;
   }
   io.stop();
@@ -185,7 +185,7 @@
   if (!telemetry.collector)
     return nullptr;
   auto exporter =
-      std::make_unique<OtlpExporter>(server.io, server.clock, server.deadlines, server.counters,
+      std::make_unique<OtlpExporter>(server.io, server.clock, server.timers, server.counters,
                                      *telemetry.collector, telemetry.intervalMs);
   exporter->accountTo(server.descriptorBudget);
   return exporter;
@@ -202,7 +202,7 @@
           [&operations](std::string_view line, net::LineServer::Reply reply) {
             control::handle(operations, line, std::move(reply));
           }),
-      server.clock, server.deadlines, server.counters,
+      server.clock, server.timers, server.counters,
       net::LineServer::Limits{.lineBytes = control::kLongestPlanLine});
   door->accountTo(server.descriptorBudget);
   return door;
@@ -253,7 +253,7 @@
                 frontend::platformDialect(), limits.sockets);
   frontend::PlatformFront front(server.dispatcher, config.setup.names, server.clock,
                                 server.counters);
-  frontend::Discovery discovery(server.io, server.clock, server.deadlines, server.counters, server,
+  frontend::Discovery discovery(server.io, server.clock, server.timers, server.counters, server,
                                 server.directory, server.pool, config.setup.names,
                                 fleet::DiscoveryBackoff(config.setup.settings.nodes, config.seed));
   discovery.accountTo(server.descriptorBudget);
@@ -263,7 +263,7 @@
   discovery.watch(config.discovery);
   const auto exporter = exporterFor(server, telemetry);
   net::Listener listener(server.io, config.listen, limits.clients(), front, server.clock,
-                         server.deadlines, server.counters,
+                         server.timers, server.counters,
                          {.sharedPort = config.admin.has_value(),
                           .open = false,
                           .gate = nullptr,
@@ -341,7 +341,7 @@
                               frontend::randomIds());
   const auto exporter = exporterFor(server, telemetry);
   net::Listener listener(server.io, site.listen, limits.clients(), front, server.clock,
-                         server.deadlines, server.counters,
+                         server.timers, server.counters,
                          {.sharedPort = false,
                           .open = false,
                           .gate = gate.get(),
--- a/src/app/server.h
+++ b/src/app/server.h
@@ -56,7 +56,7 @@
 
   boost::asio::io_context& io;
   const core::Clock& clock;
-  core::Deadlines deadlines;
+  core::TimerQueue timers;
   core::Counters counters;
   admission::DescriptorBudget descriptorBudget;
   net::Loop loop;
--- a/src/app/shared_state_service.cpp
+++ b/src/app/shared_state_service.cpp
@@ -34,7 +34,7 @@
 
 SharedStateService::~SharedStateService() {
   *alive_ = false;
-  server_.deadlines.cancel(next_);
+  server_.timers.cancel(next_);
 }
 
 void SharedStateService::reconfigure(SharedSetup setup) {
@@ -62,7 +62,7 @@
   judge();
   split();
   say();
-  next_ = server_.deadlines.add(server_.clock.nowMs() + kTickMs, [this] { tick(); });
+  next_ = server_.timers.add(server_.clock.nowMs() + kTickMs, [this] { tick(); });
 }
 
 void SharedStateService::speak() {
--- a/src/app/shared_state_service.h
+++ b/src/app/shared_state_service.h
@@ -70,7 +70,7 @@
   std::size_t splitAmong_ = 0;
   shared::ConnectivityState loggedState_ = shared::ConnectivityState::kRejoining;
   std::string saidTrouble_;
-  std::optional<core::Deadlines::Key> next_;
+  std::optional<core::TimerQueue::Key> next_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/coordination/etcd_store.cpp
+++ b/src/coordination/etcd_store.cpp
@@ -126,7 +126,7 @@
     if (store_ == nullptr)
       return;
     call_ = std::move(call);
-    limit_ = store_->deadlines_.add(store_->clock_.nowMs() + store_->place_.callMs, [this] {
+    limit_ = store_->timers_.add(store_->clock_.nowMs() + store_->place_.callMs, [this] {
       limit_.reset();
       const auto keep = call_;
       end(std::nullopt, "etcd.unanswered");
@@ -156,7 +156,7 @@
   void leave() {
     if (store_ == nullptr)
       return;
-    store_->deadlines_.cancel(limit_);
+    store_->timers_.cancel(limit_);
     store_->open_.erase(this);
     store_ = nullptr;
   }
@@ -181,21 +181,21 @@
   EtcdStore* store_;
   Reply reply_;
   std::shared_ptr<net::Call> call_;
-  std::optional<core::Deadlines::Key> limit_;
+  std::optional<core::TimerQueue::Key> limit_;
   unsigned status_ = 0;
   std::string text_;
 };
 
 EtcdStore::EtcdStore(boost::asio::io_context& io,
                      const core::Clock& clock,
-                     core::Deadlines& deadlines,
+                     core::TimerQueue& timers,
                      core::Counters& counters,
                      EtcdConfig place)
     : clock_(clock),
-      deadlines_(deadlines),
+      timers_(timers),
       counters_(counters),
       place_(std::move(place)),
-      pool_(io, clock, deadlines, counters, {kConnections, place_.callMs, kIdleMs, kAnswerBytes}) {}
+      pool_(io, clock, timers, counters, {kConnections, place_.callMs, kIdleMs, kAnswerBytes}) {}
 
 EtcdStore::~EtcdStore() {
   while (!open_.empty())
--- a/src/coordination/etcd_store.h
+++ b/src/coordination/etcd_store.h
@@ -14,7 +14,7 @@
 #include "coordination/store.h"
 #include "core/clock.h"
 #include "core/counters.h"
-#include "core/deadlines.h"
+#include "core/timer_queue.h"
 #include "net/pool.h"
 
 namespace inference_router::coordination {
@@ -29,7 +29,7 @@
  public:
   EtcdStore(boost::asio::io_context& io,
             const core::Clock& clock,
-            core::Deadlines& deadlines,
+            core::TimerQueue& timers,
             core::Counters& counters,
             EtcdConfig place);
   ~EtcdStore() override;
@@ -77,7 +77,7 @@
   std::string docKey(const std::string& key) const { return place_.prefix + "doc/" + key; }
 
   const core::Clock& clock_;
-  core::Deadlines& deadlines_;
+  core::TimerQueue& timers_;
   core::Counters& counters_;
   EtcdConfig place_;
   net::ConnectionPool pool_;
--- a/src/coordination/runner.cpp
+++ b/src/coordination/runner.cpp
@@ -26,7 +26,7 @@
 
 Runner::~Runner() {
   *alive_ = false;
-  parts_.deadlines.cancel(next_);
+  parts_.timers.cancel(next_);
 }
 
 void Runner::add(std::unique_ptr<FleetTask> task) {
@@ -197,10 +197,10 @@
     if (slot->lease.withinValidity(now))
       next = std::min(next, slot->nextLookMs);
   }
-  parts_.deadlines.cancel(next_);
+  parts_.timers.cancel(next_);
   if (next == HUGE_VAL)
     next = now + watchMs_;
-  next_ = parts_.deadlines.add(std::max(next, now + kRestMs), [this] {
+  next_ = parts_.timers.add(std::max(next, now + kRestMs), [this] {
     next_.reset();
     tick();
   });
--- a/src/coordination/runner.h
+++ b/src/coordination/runner.h
@@ -11,7 +11,7 @@
 #include "coordination/task.h"
 #include "core/clock.h"
 #include "core/counters.h"
-#include "core/deadlines.h"
+#include "core/timer_queue.h"
 
 namespace inference_router::coordination {
 
@@ -20,7 +20,7 @@
   struct Parts {
     Store& store;
     const core::Clock& clock;
-    core::Deadlines& deadlines;
+    core::TimerQueue& timers;
     core::Counters& counters;
   };
 
@@ -81,7 +81,7 @@
   bool whole_ = false;  // the view has all documents
   std::string trouble_ = "not read yet";
   bool reading_ = false, readAgain_ = false;
-  std::optional<core::Deadlines::Key> next_;
+  std::optional<core::TimerQueue::Key> next_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/coordination/setup.h
+++ b/src/coordination/setup.h
@@ -9,7 +9,7 @@
 #include "coordination/cleanup.h"
 #include "coordination/etcd_store.h"
 #include "coordination/maintenance.h"
-#include "core/fields.h"
+#include "core/config_reader.h"
 
 namespace inference_router::coordination {
 
--- a/src/core/request_dispatcher.cpp
+++ b/src/core/request_dispatcher.cpp
@@ -51,10 +51,10 @@
 RequestDispatcher::RequestDispatcher(const Settings& settings,
                                      std::uint64_t seed,
                                      const Clock& clock,
-                                     Deadlines& deadlines,
+                                     TimerQueue& timers,
                                      Counters& counters)
     : clock_(clock),
-      deadlines_(deadlines),
+      timers_(timers),
       counters_(counters),
       router_(settings, seed),
       drainGraceMs_(toMs(settings.contract.drainGrace)),
@@ -115,7 +115,7 @@
   ++unanswered_;
   // Guards the one final answer against a module that forgets a request.
   Request& r = *requests_.find(key);
-  r.overdue = deadlines_.add(r.facts.deadlineMs + answerGraceMs_ + kOverdueMs, [this, key] {
+  r.overdue = timers_.add(r.facts.deadlineMs + answerGraceMs_ + kOverdueMs, [this, key] {
     Request* late = requests_.find(key);
     if (late == nullptr || !late->responseWriter || late->facts.streaming)
       return;
@@ -282,8 +282,8 @@
     a->opened = true;
     r->facts.streaming = true;
     r->stream = key;
-    deadlines_.cancel(a->until);
-    deadlines_.cancel(r->overdue);
+    timers_.cancel(a->until);
+    timers_.cancel(r->overdue);
     // The event goes out before the module hears of it: a stream that the module moves at once
     // would end its client's connection without any answer.
     const std::shared_ptr<ResponseWriter> responseWriter = r->responseWriter;
@@ -403,7 +403,7 @@
   Attempt* a = attempts_.find(key);
   if (a == nullptr)
     return;
-  deadlines_.cancel(a->until);
+  timers_.cancel(a->until);
   Request& r = *requests_.find(a->request);
   const RequestKey owner = a->request;
   ++counters_[nameOf(result.outcome)];
@@ -467,7 +467,7 @@
 std::shared_ptr<ResponseWriter> RequestDispatcher::conclude(Request& request, RequestOutcome how) {
   metrics_.ended(request.cls, how);
   request.facts.answered = true;
-  deadlines_.cancel(request.overdue);
+  timers_.cancel(request.overdue);
   --unanswered_;
   return std::move(request.responseWriter);
 }
@@ -554,8 +554,8 @@
           ++counters_["releases.sent"];
           instanceClient_->release(what.request);
         } else if constexpr (std::is_same_v<What, SetTimer>) {
-          deadlines_.add(clock_.nowMs() + toMs(what.in),
-                         [this, timer = what.timer] { post(TimerFired{timer}); });
+          timers_.add(clock_.nowMs() + toMs(what.in),
+                      [this, timer = what.timer] { post(TimerFired{timer}); });
         } else if constexpr (std::is_same_v<What, SendHealthCheck>) {
           ++counters_["probes.sent"];
           instanceClient_->probe(what.instance);
@@ -585,7 +585,7 @@
   const std::shared_ptr<ResponseWriter> responseWriter = conclude(*r, RequestOutcome::kShed);
   if (clock_.nowMs() >= after)
     return responseWriter->refuse(refusal);
-  deadlines_.add(after, [responseWriter, refusal] { responseWriter->refuse(refusal); });
+  timers_.add(after, [responseWriter, refusal] { responseWriter->refuse(refusal); });
 }
 
 void RequestDispatcher::fail(const FailRequest& fail) {
@@ -622,7 +622,7 @@
       std::min(toMs(send.until) > 0 ? toMs(send.until) : r->facts.deadlineMs, r->facts.deadlineMs);
   if (!maySend(key))
     return close(key, {AttemptOutcome::kNotSent});
-  attempts_.find(key)->until = deadlines_.add(until, [this, key] { timeOut(key); });
+  attempts_.find(key)->until = timers_.add(until, [this, key] { timeOut(key); });
   const bool reads = at != nullptr && at->reads;
   instanceClient_->start({key, r->id, send.instance, r->payload, until, reads,
                           closesArriveMs(*r, !secondCopies_), r->endedMs});
@@ -665,8 +665,7 @@
     return;
   const Request* r = requests_.find(a->request);
   if (r->responseWriter && looks > 0 && instanceClient_->unread(key)) {
-    deadlines_.add(clock_.nowMs() + kMoveLookMs,
-                   [this, key, looks] { moveOnceRead(key, looks - 1); });
+    timers_.add(clock_.nowMs() + kMoveLookMs, [this, key, looks] { moveOnceRead(key, looks - 1); });
     return;
   }
   instanceClient_->abandon(key);
--- a/src/core/request_dispatcher.h
+++ b/src/core/request_dispatcher.h
@@ -14,11 +14,11 @@
 
 #include "core/clock.h"
 #include "core/counters.h"
-#include "core/deadlines.h"
 #include "core/ports.h"
 #include "core/request_metrics.h"
 #include "core/request_permits.h"
 #include "core/slot_table.h"
+#include "core/timer_queue.h"
 #include "inference_router/router.h"
 
 namespace inference_router::core {
@@ -28,7 +28,7 @@
   RequestDispatcher(const routing::Settings& settings,
                     std::uint64_t seed,
                     const Clock& clock,
-                    Deadlines& deadlines,
+                    TimerQueue& timers,
                     Counters& counters);
 
   void connect(InstanceClient& client) { instanceClient_ = &client; }
@@ -111,7 +111,7 @@
     double sentMs = 0;
     routing::Time before = routing::Time::max();  // to go out
     bool opened = false;
-    std::optional<Deadlines::Key> until;
+    std::optional<TimerQueue::Key> until;
   };
   struct Request {
     routing::RequestId id;
@@ -129,7 +129,7 @@
     // Of its last attempt that ended: the names of its outcome, and of what kind of instance that
     // was at.
     const char *lastOutcome = "nothing_sent", *lastAt = "";
-    std::optional<Deadlines::Key> overdue;
+    std::optional<TimerQueue::Key> overdue;
   };
 
   bool clientWaits(RequestKey key);
@@ -161,7 +161,7 @@
   void forgetGone();
 
   const Clock& clock_;
-  Deadlines& deadlines_;
+  TimerQueue& timers_;
   Counters& counters_;
   routing::Router router_;
   double drainGraceMs_, answerGraceMs_;
--- /dev/null
+++ b/src/core/timer_queue.h
@@ -0,0 +1,124 @@
+/// All timers of the process in one ordered structure. Whoever runs the process arms one system
+/// timer for nextMs() and calls runDue() when it fires; tests set the clock and call runDue()
+/// themselves. Belongs to one thread.
+#pragma once
+
+#include <cstdint>
+#include <functional>
+#include <map>
+#include <memory>
+#include <optional>
+#include <utility>
+
+namespace inference_router::core {
+
+class TimerQueue;
+
+/// Owns one scheduled task: cancels it when destroyed or assigned to. May outlive its queue.
+class Timer {
+ public:
+  Timer() = default;
+  ~Timer() { cancel(); }
+  Timer(Timer&& other) noexcept
+      : tasks_(std::move(other.tasks_)), key_(std::exchange(other.key_, std::nullopt)) {}
+  Timer& operator=(Timer&& other) noexcept {
+    if (this != &other) {
+      cancel();
+      tasks_ = std::move(other.tasks_);
+      key_ = std::exchange(other.key_, std::nullopt);
+    }
+    return *this;
+  }
+  Timer(const Timer&) = delete;
+  Timer& operator=(const Timer&) = delete;
+
+  /// The task will not run. Does nothing if it has begun, was cancelled or was never scheduled.
+  void cancel() {
+    if (const auto tasks = key_ ? tasks_.lock() : nullptr)
+      tasks->erase(*key_);
+    key_.reset();
+  }
+  /// Whether the task is still to run; false from the moment in which it begins.
+  bool armed() const {
+    const auto tasks = key_ ? tasks_.lock() : nullptr;
+    return tasks != nullptr && tasks->count(*key_) != 0;
+  }
+
+ private:
+  friend class TimerQueue;
+  using Key = std::pair<double, std::uint64_t>;  // time in milliseconds, then order of addition
+  using Tasks = std::map<Key, std::function<void()>>;
+
+  Timer(const std::shared_ptr<Tasks>& tasks, const Key& key) : tasks_(tasks), key_(key) {}
+
+  std::weak_ptr<Tasks> tasks_;
+  std::optional<Key> key_;
+};
+
+/// The ordered structure. Tasks that are due at the same time run in the order of their addition.
+class TimerQueue {
+ public:
+  using Key = Timer::Key;
+  using Task = std::function<void()>;
+
+  TimerQueue() = default;
+  TimerQueue(const TimerQueue&) = delete;
+  TimerQueue& operator=(const TimerQueue&) = delete;
+
+  /// Runs the task at this time of the process's monotonic clock, in milliseconds, unless the
+  /// returned handle is destroyed before.
+  [[nodiscard]] Timer schedule(double atMs, Task task) {
+    return Timer(tasks_, add(atMs, std::move(task)));
+  }
+  /// The same without a handle: the task runs in any case, as long as the queue lives.
+  void runAt(double atMs, Task task) { add(atMs, std::move(task)); }
+
+  Key add(double atMs, Task task) {
+    const Key key{atMs, ++added_};
+    tasks_->emplace(key, std::move(task));
+    if (onEarlier_ && tasks_->begin()->first == key)
+      onEarlier_();
+    return key;
+  }
+
+  void cancel(std::optional<Key>& key) {
+    if (key)
+      tasks_->erase(*key);
+    key.reset();
+  }
+
+  /// The time of the first task; nothing if there is none.
+  std::optional<double> next() const {
+    return tasks_->empty() ? std::nullopt : std::optional(tasks_->begin()->first.first);
+  }
+
+  /// Runs all tasks that are due. One that is added meanwhile waits for the next call, even if it
+  /// is due: no loop of timers can starve the sockets.
+  void runDue(double nowMs) {
+    const std::uint64_t last = added_;
+    for (auto it = tasks_->begin(); it != tasks_->end() && it->first.first <= nowMs;) {
+      if (it->first.second > last) {
+        ++it;
+        continue;
+      }
+      const Key key = it->first;
+      Task task = std::move(it->second);
+      tasks_->erase(it);
+      task();
+      it = tasks_->lower_bound({key.first, 0});
+      if (it != tasks_->begin())
+        it = tasks_->begin();
+    }
+  }
+
+  /// Calls the task whenever a new timer comes before all others, so that the system timer can be
+  /// set again.
+  void onEarlier(Task task) { onEarlier_ = std::move(task); }
+
+ private:
+  std::shared_ptr<Timer::Tasks> tasks_ = std::make_shared<Timer::Tasks>();
+  std::uint64_t added_ = 0;
+  Task onEarlier_;
+};
+
+}  // namespace inference_router::core
--- a/src/frontend/openai/operator_file.cpp
+++ b/src/frontend/openai/operator_file.cpp
@@ -7,7 +7,7 @@
 
 #include "admission/descriptor_budget.h"
 #include "core/clock.h"
-#include "core/fields.h"
+#include "core/config_reader.h"
 #include "frontend/settings_json.h"
 
 namespace inference_router::frontend {
--- a/src/frontend/platform/discovery.cpp
+++ b/src/frontend/platform/discovery.cpp
@@ -38,7 +38,7 @@
   }
 
   void close() {
-    owner_.deadlines_.cancel(silent_);
+    owner_.timers_.cancel(silent_);
     call_->abandon();
   }
 
@@ -64,8 +64,8 @@
 
  private:
   void sign(double withinMs) {
-    owner_.deadlines_.cancel(silent_);
-    silent_ = owner_.deadlines_.add(owner_.clock_.nowMs() + withinMs, [this] {
+    owner_.timers_.cancel(silent_);
+    silent_ = owner_.timers_.add(owner_.clock_.nowMs() + withinMs, [this] {
       silent_.reset();
       if (!owner_.silent(*this))
         fail();
@@ -77,14 +77,14 @@
     return true;
   }
   void end() {
-    owner_.deadlines_.cancel(silent_);
+    owner_.timers_.cancel(silent_);
     Discovery& owner = owner_;
     owner.broken(*this);
   }
 
   Discovery& owner_;
   std::shared_ptr<net::Call> call_;
-  std::optional<core::Deadlines::Key> silent_;
+  std::optional<core::TimerQueue::Key> silent_;
   std::string text_;
   JsonDocumentSplitter gate_;
   bool good_ = false;
@@ -92,7 +92,7 @@
 
 Discovery::Discovery(boost::asio::io_context& io,
                      const core::Clock& clock,
-                     core::Deadlines& deadlines,
+                     core::TimerQueue& timers,
                      core::Counters& counters,
                      core::EndpointListSink& lists,
                      upstream::InstanceDirectory& directory,
@@ -100,13 +100,13 @@
                      const wire::Vocabulary& names,
                      fleet::DiscoveryBackoff pace)
     : clock_(clock),
-      deadlines_(deadlines),
+      timers_(timers),
       counters_(counters),
       lists_(lists),
       directory_(directory),
       endpoints_(droppable),
       names_(names),
-      own_(io, clock, deadlines, counters, {2, fleet::DiscoveryBackoff::kConnectTimeoutMs, 1000}),
+      own_(io, clock, timers, counters, {2, fleet::DiscoveryBackoff::kConnectTimeoutMs, 1000}),
       pace_(pace),
       ages_(clock) {}
 
@@ -116,7 +116,7 @@
     next_->close();
   if (watch_)
     watch_->close();
-  deadlines_.cancel(reopen_);
+  timers_.cancel(reopen_);
 }
 
 void Discovery::known(const json& list) {
@@ -191,14 +191,14 @@
 }
 
 void Discovery::openLater() {
-  reopen_ = deadlines_.add(clock_.nowMs() + pace_.nextDelayMs(), [this] {
+  reopen_ = timers_.add(clock_.nowMs() + pace_.nextDelayMs(), [this] {
     reopen_.reset();
     open();
   });
 }
 
 void Discovery::leaveNext() {
-  deadlines_.cancel(reopen_);
+  timers_.cancel(reopen_);
   if (next_)
     std::exchange(next_, nullptr)->close();
   pace_.reset();
--- a/src/frontend/platform/discovery.h
+++ b/src/frontend/platform/discovery.h
@@ -11,8 +11,8 @@
 
 #include "core/clock.h"
 #include "core/counters.h"
-#include "core/deadlines.h"
 #include "core/ports.h"
+#include "core/timer_queue.h"
 #include "fleet/discovery_backoff.h"
 #include "fleet/instance_ages.h"
 #include "net/pool.h"
@@ -27,7 +27,7 @@
   // leaves.
   Discovery(boost::asio::io_context& io,
             const core::Clock& clock,
-            core::Deadlines& deadlines,
+            core::TimerQueue& timers,
             core::Counters& counters,
             core::EndpointListSink& lists,
             upstream::InstanceDirectory& directory,
@@ -64,7 +64,7 @@
                const std::map<routing::InstanceId, upstream::InstanceEndpoint>& told);
 
   const core::Clock& clock_;
-  core::Deadlines& deadlines_;
+  core::TimerQueue& timers_;
   core::Counters& counters_;
   core::EndpointListSink& lists_;
   upstream::InstanceDirectory& directory_;
@@ -73,7 +73,7 @@
   net::ConnectionPool own_;
   net::Endpoint address_, spokenFor_;    // where to watch, and where the version was told
   std::shared_ptr<Watch> watch_, next_;  // the one that speaks, and the one that has not spoken yet
-  std::optional<core::Deadlines::Key> reopen_;
+  std::optional<core::TimerQueue::Key> reopen_;
   bool doubted_ = false;  // the watch has gone silent, and another is tried beside it
   fleet::DiscoveryBackoff pace_;
   fleet::InstanceAges ages_;
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -81,12 +81,12 @@
                                    RequestHandler& handler,
                                    Owner& owner,
                                    const core::Clock& clock,
-                                   core::Deadlines& deadlines)
+                                   core::TimerQueue& timers)
     : socket_(std::move(socket)),
       handler_(handler),
       owner_(owner),
       clock_(clock),
-      deadlines_(deadlines) {}
+      timers_(timers) {}
 
 void ClientConnection::start() {
   boost::system::error_code ignored;
@@ -111,8 +111,8 @@
   if (state_ == State::kClosed)
     return;
   state_ = State::kClosed;
-  deadlines_.cancel(slow_);
-  deadlines_.cancel(look_);
+  timers_.cancel(slow_);
+  timers_.cancel(look_);
   wakeAt(1);
   boost::system::error_code ignored;
   socket_.close(ignored);
@@ -255,8 +255,7 @@
 
 // Without readiness: the socket has it already.
 void ClientConnection::retryInput() {
-  deadlines_.add(clock_.nowMs() + kResourceRetryMs,
-                 [self = shared_from_this()] { self->onInput(); });
+  timers_.add(clock_.nowMs() + kResourceRetryMs, [self = shared_from_this()] { self->onInput(); });
 }
 
 // Bytes that have come since the last look. They may have stood in this machine, with its queue of
@@ -283,8 +282,8 @@
 
 // Half a request gets a 408; who has sent nothing gets a close.
 void ClientConnection::expire(double afterMs) {
-  deadlines_.cancel(slow_);
-  slow_ = deadlines_.add(clock_.nowMs() + afterMs, [self = shared_from_this()] {
+  timers_.cancel(slow_);
+  slow_ = timers_.add(clock_.nowMs() + afterMs, [self = shared_from_this()] {
     self->slow_.reset();
     if (self->state_ == State::kReading)
       return self->refuseInput(boost::asio::error::timed_out);
@@ -294,7 +293,7 @@
 }
 
 void ClientConnection::takeRequest() {
-  deadlines_.cancel(slow_);
+  timers_.cancel(slow_);
   came_.remove(reader_.size());
   HttpRequest request = reader_.release();
   reader_.begin();
@@ -310,7 +309,7 @@
 
 // A bad peer costs its own connection and nothing else: input that is no request gets a plain 4xx.
 void ClientConnection::refuseInput(const boost::system::error_code& error) {
-  deadlines_.cancel(slow_);
+  timers_.cancel(slow_);
   const bool parsed = error.category() == http::make_error_code(http::error::bad_method).category();
   if (error != boost::asio::error::timed_out &&
       (!parsed || error == http::error::end_of_stream || error == http::error::partial_message))
@@ -346,7 +345,7 @@
 }
 
 void ClientConnection::refuseShed() {
-  deadlines_.cancel(slow_);
+  timers_.cancel(slow_);
   came_ = {};
   reader_.dropCarried();
   reader_.begin();
@@ -431,8 +430,8 @@
 }
 
 void ClientConnection::watchByClock() {
-  deadlines_.cancel(look_);
-  look_ = deadlines_.add(clock_.nowMs() + kAheadLookMs, [self = shared_from_this()] {
+  timers_.cancel(look_);
+  look_ = timers_.add(clock_.nowMs() + kAheadLookMs, [self = shared_from_this()] {
     self->look_.reset();
     if (!self->answerIsUnderWay())
       return;
@@ -524,7 +523,7 @@
   // Nothing more comes, so what is left is one time limit's worth, however often some of it gets
   // through.
   const auto self = shared_from_this();
-  deadlines_.add(clock_.nowMs() + kBreakOffMs, [self] { self->shut(); });
+  timers_.add(clock_.nowMs() + kBreakOffMs, [self] { self->shut(); });
 }
 
 // Guards a request against a close that crosses it: what has come is read first, and who connected
@@ -554,8 +553,8 @@
   writing_.swap(waiting_);
   waiting_.clear();
   const auto self = shared_from_this();
-  deadlines_.cancel(slow_);
-  slow_ = deadlines_.add(clock_.nowMs() + kSlowOutputMs, [self] {
+  timers_.cancel(slow_);
+  slow_ = timers_.add(clock_.nowMs() + kSlowOutputMs, [self] {
     self->slow_.reset();
     self->shut();
   });
@@ -565,7 +564,7 @@
 
 void ClientConnection::flushed(const boost::system::error_code& error) {
   writes_ = false;
-  deadlines_.cancel(slow_);
+  timers_.cancel(slow_);
   if (state_ == State::kClosed)
     return;
   if (error)
@@ -601,8 +600,8 @@
   const auto self = shared_from_this();
   boost::system::error_code ignored;
   socket_.shutdown(boost::asio::ip::tcp::socket::shutdown_send, ignored);
-  deadlines_.cancel(slow_);
-  slow_ = deadlines_.add(clock_.nowMs() + kLingerMs, [self] {
+  timers_.cancel(slow_);
+  slow_ = timers_.add(clock_.nowMs() + kLingerMs, [self] {
     self->slow_.reset();
     self->shut();
   });
@@ -641,8 +640,8 @@
   const bool owed = state_ == State::kAnswering || state_ == State::kStreaming ||
                     (state_ == State::kFlushing && !lingering_);
   state_ = State::kClosed;
-  deadlines_.cancel(slow_);
-  deadlines_.cancel(look_);
+  timers_.cancel(slow_);
+  timers_.cancel(look_);
   boost::system::error_code ignored;
   socket_.shutdown(boost::asio::ip::tcp::socket::shutdown_both, ignored);
   socket_.close(ignored);
--- a/src/net/client_connection.h
+++ b/src/net/client_connection.h
@@ -9,7 +9,7 @@
 #include <string_view>
 
 #include "core/clock.h"
-#include "core/deadlines.h"
+#include "core/timer_queue.h"
 #include "net/arrival_times.h"
 #include "net/message.h"
 #include "net/request_reader.h"
@@ -55,7 +55,7 @@
                    RequestHandler& handler,
                    Owner& owner,
                    const core::Clock& clock,
-                   core::Deadlines& deadlines);
+                   core::TimerQueue& timers);
 
   // For the owner's own use.
   std::uint64_t number = 0;
@@ -138,12 +138,12 @@
   RequestHandler& handler_;
   Owner& owner_;
   const core::Clock& clock_;
-  core::Deadlines& deadlines_;
+  core::TimerQueue& timers_;
   RequestReader reader_;
   ArrivalTimes came_;                 // of the bytes that are not a request yet, read or not
   std::optional<ShedRequests> shed_;  // once more was sent ahead than is kept
   std::string waiting_, writing_;
-  std::optional<core::Deadlines::Key> slow_, look_;
+  std::optional<core::TimerQueue::Key> slow_, look_;
   State state_ = State::kIdle;
   double connected_ = 0, idleSince_ = 0, firstByte_ = 0;
   std::size_t dropped_ = 0;        // bytes read after a refusal
--- a/src/net/line_server.cpp
+++ b/src/net/line_server.cpp
@@ -21,11 +21,11 @@
       : door_(&server), socket_(std::move(socket)) {}
 
   void start() {
-    limit_ = door_->deadlines_.add(door_->clock_.nowMs() + door_->limits_.callMs,
-                                   [self = shared_from_this()] {
-                                     self->limit_.reset();
-                                     self->shut();
-                                   });
+    limit_ = door_->timers_.add(door_->clock_.nowMs() + door_->limits_.callMs,
+                                [self = shared_from_this()] {
+                                  self->limit_.reset();
+                                  self->shut();
+                                });
     read();
   }
 
@@ -33,7 +33,7 @@
     if (door_ == nullptr)
       return;
     LineServer& server = *std::exchange(door_, nullptr);
-    server.deadlines_.cancel(limit_);
+    server.timers_.cancel(limit_);
     boost::system::error_code ignored;
     socket_.close(ignored);
     if (server.descriptorBudget_ != nullptr)
@@ -103,7 +103,7 @@
   boost::asio::ip::tcp::socket socket_;
   std::array<char, kReadSize> part_{};
   std::string line_, text_;
-  std::optional<core::Deadlines::Key> limit_;
+  std::optional<core::TimerQueue::Key> limit_;
   bool answered_ = false;
 };
 
@@ -111,14 +111,14 @@
                        const boost::asio::ip::tcp::endpoint& address,
                        LaterAnswer answer,
                        const core::Clock& clock,
-                       core::Deadlines& deadlines,
+                       core::TimerQueue& timers,
                        core::Counters& counters,
                        Limits limits)
     : io_(io),
       acceptor_(io, address, /*reuse_addr=*/true),
       answer_(std::move(answer)),
       clock_(clock),
-      deadlines_(deadlines),
+      timers_(timers),
       counters_(counters),
       limits_(limits) {
   acceptor_.non_blocking(true);
@@ -126,7 +126,7 @@
 }
 
 LineServer::~LineServer() {
-  deadlines_.cancel(pause_);
+  timers_.cancel(pause_);
   while (!calls_.empty())
     calls_.front()->shut();
 }
@@ -144,7 +144,7 @@
   const bool waits =
       next.status == AcceptStatus::kNoDescriptors || next.status == AcceptStatus::kNoResources;
   if (waits) {
-    pause_ = deadlines_.add(clock_.nowMs() + kAcceptPauseMs, [this] {
+    pause_ = timers_.add(clock_.nowMs() + kAcceptPauseMs, [this] {
       pause_.reset();
       accept();
     });
--- a/src/net/line_server.h
+++ b/src/net/line_server.h
@@ -13,7 +13,7 @@
 #include "admission/descriptor_budget.h"
 #include "core/clock.h"
 #include "core/counters.h"
-#include "core/deadlines.h"
+#include "core/timer_queue.h"
 
 namespace inference_router::net {
 
@@ -37,14 +37,14 @@
              const boost::asio::ip::tcp::endpoint& address,
              LaterAnswer answer,
              const core::Clock& clock,
-             core::Deadlines& deadlines,
+             core::TimerQueue& timers,
              core::Counters& counters,
              Limits limits);
   LineServer(boost::asio::io_context& io,
              const boost::asio::ip::tcp::endpoint& address,
              Answer answer,
              const core::Clock& clock,
-             core::Deadlines& deadlines,
+             core::TimerQueue& timers,
              core::Counters& counters,
              Limits limits)
       : LineServer(
@@ -54,16 +54,16 @@
               reply(answer(line));
             }),
             clock,
-            deadlines,
+            timers,
             counters,
             limits) {}
   LineServer(boost::asio::io_context& io,
              const boost::asio::ip::tcp::endpoint& address,
              Answer answer,
              const core::Clock& clock,
-             core::Deadlines& deadlines,
+             core::TimerQueue& timers,
              core::Counters& counters)
-      : LineServer(io, address, std::move(answer), clock, deadlines, counters, Limits{}) {}
+      : LineServer(io, address, std::move(answer), clock, timers, counters, Limits{}) {}
   ~LineServer();
 
   boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
@@ -83,11 +83,11 @@
   boost::asio::ip::tcp::acceptor acceptor_;
   LaterAnswer answer_;
   const core::Clock& clock_;
-  core::Deadlines& deadlines_;
+  core::TimerQueue& timers_;
   core::Counters& counters_;
   Limits limits_;
   std::list<std::shared_ptr<Caller>> calls_;  // in the order they came
-  std::optional<core::Deadlines::Key> pause_;
+  std::optional<core::TimerQueue::Key> pause_;
   admission::DescriptorBudget* descriptorBudget_ = nullptr;
 };
 
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -75,18 +75,17 @@
       : owner_(&owner), socket_(std::move(socket)) {}
 
   void start() {
-    limit_ =
-        owner_->deadlines_.add(owner_->clock_.nowMs() + kRefusalMs, [self = shared_from_this()] {
-          self->limit_.reset();
-          self->shut();
-        });
+    limit_ = owner_->timers_.add(owner_->clock_.nowMs() + kRefusalMs, [self = shared_from_this()] {
+      self->limit_.reset();
+      self->shut();
+    });
     read();
   }
   void shut() {
     if (owner_ == nullptr)
       return;
     Listener& owner = *std::exchange(owner_, nullptr);
-    owner.deadlines_.cancel(limit_);
+    owner.timers_.cancel(limit_);
     boost::system::error_code ignored;
     socket_.close(ignored);
     if (owner.descriptorBudget_ != nullptr)
@@ -110,7 +109,7 @@
   Listener* owner_;
   boost::asio::ip::tcp::socket socket_;
   std::array<char, 1024> dropped_{};
-  std::optional<core::Deadlines::Key> limit_;
+  std::optional<core::TimerQueue::Key> limit_;
 };
 
 Listener::Listener(boost::asio::io_context& io,
@@ -118,7 +117,7 @@
                    std::size_t cap,
                    RequestHandler& handler,
                    const core::Clock& clock,
-                   core::Deadlines& deadlines,
+                   core::TimerQueue& timers,
                    core::Counters& counters,
                    Options options)
     : io_(io),
@@ -127,7 +126,7 @@
       cap_(cap),
       handler_(handler),
       clock_(clock),
-      deadlines_(deadlines),
+      timers_(timers),
       counters_(counters),
       gate_(options.gate),
       descriptorBudget_(options.descriptorBudget),
@@ -166,7 +165,7 @@
   if (!hasRoom())
     makeRoom();
   if (!hasRoom()) {  // closed() accepts again, and so does time, which makes more give way
-    deadlines_.add(clock_.nowMs() + kAcceptPauseMs, [this] { accept(); });
+    timers_.add(clock_.nowMs() + kAcceptPauseMs, [this] { accept(); });
     return;
   }
   accepting_ = true;
@@ -213,7 +212,7 @@
     turnAwayOnSpare();
   }
   accepting_ = true;  // until then no other path tries
-  deadlines_.add(clock_.nowMs() + kAcceptPauseMs, [this] {
+  timers_.add(clock_.nowMs() + kAcceptPauseMs, [this] {
     accepting_ = false;
     accept();
   });
@@ -301,7 +300,7 @@
   if (descriptorBudget_ != nullptr)
     descriptorBudget_->force(admission::Account::kClients);
   const auto connection =
-      std::make_shared<ClientConnection>(std::move(socket), handler_, *this, clock_, deadlines_);
+      std::make_shared<ClientConnection>(std::move(socket), handler_, *this, clock_, timers_);
   connection->number = visitor;
   if (visitor != 0)
     visitors_[visitor] = connection;
@@ -341,7 +340,7 @@
   if (descriptorBudget_ != nullptr)
     descriptorBudget_->force(admission::Account::kClients);
   const auto connection =
-      std::make_shared<ClientConnection>(std::move(socket), handler_, *this, clock_, deadlines_);
+      std::make_shared<ClientConnection>(std::move(socket), handler_, *this, clock_, timers_);
   connections_.insert(connection);
   connection->adopt(rest);
   return connection;
@@ -418,19 +417,19 @@
 void Listener::evacuate() {
   if (std::exchange(evacuated_, true))
     return;
-  sweep_ = deadlines_.add(clock_.nowMs() + kFrontLearnsMs, [this] { sweepIdle(); });
+  sweep_ = timers_.add(clock_.nowMs() + kFrontLearnsMs, [this] { sweepIdle(); });
 }
 
 void Listener::activate() {
   evacuated_ = false;
-  deadlines_.cancel(sweep_);
+  timers_.cancel(sweep_);
 }
 
 void Listener::sweepIdle() {
   sweep_.reset();
   for (const auto& connection : std::vector(connections_.begin(), connections_.end()))
     connection->closeIdle();
-  sweep_ = deadlines_.add(clock_.nowMs() + kSweepMs, [this] { sweepIdle(); });
+  sweep_ = timers_.add(clock_.nowMs() + kSweepMs, [this] { sweepIdle(); });
 }
 
 void Listener::capAt(std::size_t cap) {
@@ -450,11 +449,11 @@
   draining_ = true;
   if (doorOpenMs <= 0)
     return closeDoor();
-  deadlines_.add(clock_.nowMs() + std::max(0.0, doorOpenMs - kHandshakeMs), [this] {
+  timers_.add(clock_.nowMs() + std::max(0.0, doorOpenMs - kHandshakeMs), [this] {
     if (isOpen())
       takeNoMore(acceptor_.native_handle());
   });
-  deadlines_.add(clock_.nowMs() + doorOpenMs, [this] { closeDoor(); });
+  timers_.add(clock_.nowMs() + doorOpenMs, [this] { closeDoor(); });
 }
 
 void Listener::closeDoor() {
@@ -464,7 +463,7 @@
     if (!closesByMs_)
       closesByMs_ = now + kQueueMs;
     if (!emptyQueue() && now < *closesByMs_) {
-      deadlines_.add(now + kResourceRetryMs, [this] { closeDoor(); });
+      timers_.add(now + kResourceRetryMs, [this] { closeDoor(); });
       return;
     }
   }
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -12,7 +12,7 @@
 #include "admission/admission_controller.h"
 #include "core/clock.h"
 #include "core/counters.h"
-#include "core/deadlines.h"
+#include "core/timer_queue.h"
 #include "net/client_connection.h"
 #include "net/socket_calls.h"
 
@@ -33,7 +33,7 @@
            std::size_t cap,
            RequestHandler& handler,
            const core::Clock& clock,
-           core::Deadlines& deadlines,
+           core::TimerQueue& timers,
            core::Counters& counters,
            Options options);
   Listener(boost::asio::io_context& io,
@@ -41,9 +41,9 @@
            std::size_t cap,
            RequestHandler& handler,
            const core::Clock& clock,
-           core::Deadlines& deadlines,
+           core::TimerQueue& timers,
            core::Counters& counters)
-      : Listener(io, address, cap, handler, clock, deadlines, counters, Options{}) {}
+      : Listener(io, address, cap, handler, clock, timers, counters, Options{}) {}
 
   ~Listener() override;
 
@@ -103,7 +103,7 @@
   std::size_t cap_;
   RequestHandler& handler_;
   const core::Clock& clock_;
-  core::Deadlines& deadlines_;
+  core::TimerQueue& timers_;
   core::Counters& counters_;
   std::set<std::shared_ptr<ClientConnection>> connections_;
   std::function<void()> done_;
@@ -113,7 +113,7 @@
   class Refusal;
   std::set<std::shared_ptr<Refusal>> refusals_;  // being read by their clients
   int spare_ = -1;  // given up for a moment when the system has no descriptor left
-  std::optional<core::Deadlines::Key> sweep_;
+  std::optional<core::TimerQueue::Key> sweep_;
   std::optional<double> closesByMs_;  // whether or not its queue is empty by then
   bool opened_ = false, accepting_ = false, draining_ = false, doorClosed_ = false,
        evacuated_ = false;
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -5,14 +5,14 @@
 
 namespace inference_router::net {
 
-Loop::Loop(boost::asio::io_context& io, const core::Clock& clock, core::Deadlines& deadlines)
-    : clock_(clock), deadlines_(deadlines), timer_(io) {
-  deadlines_.onEarlier([this] { arm(); });
+Loop::Loop(boost::asio::io_context& io, const core::Clock& clock, core::TimerQueue& timers)
+    : clock_(clock), timers_(timers), timer_(io) {
+  timers_.onEarlier([this] { arm(); });
   arm();
 }
 
 void Loop::arm() {
-  const auto next = deadlines_.next();
+  const auto next = timers_.next();
   if (!next)
     return;
   const std::chrono::duration<double, std::milli> wait(std::max(0.0, *next - clock_.nowMs()));
@@ -22,7 +22,7 @@
   timer_.async_wait([this](const boost::system::error_code& error) {
     if (error)
       return;
-    deadlines_.runDue(clock_.nowMs());
+    timers_.runDue(clock_.nowMs());
     arm();
   });
 }
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -6,19 +6,19 @@
 #include <boost/asio/steady_timer.hpp>
 
 #include "core/clock.h"
-#include "core/deadlines.h"
+#include "core/timer_queue.h"
 
 namespace inference_router::net {
 
 class Loop {
  public:
-  Loop(boost::asio::io_context& io, const core::Clock& clock, core::Deadlines& deadlines);
+  Loop(boost::asio::io_context& io, const core::Clock& clock, core::TimerQueue& timers);
 
  private:
   void arm();
 
   const core::Clock& clock_;
-  core::Deadlines& deadlines_;
+  core::TimerQueue& timers_;
   boost::asio::steady_timer timer_;
 };
 
--- a/src/net/pool.cpp
+++ b/src/net/pool.cpp
@@ -77,7 +77,7 @@
       urgent_(urgent) {}
 
 void Call::begin(std::shared_ptr<Connection> connection, bool fresh) {
-  pool_.deadlines_.cancel(dial_);  // of the time in line
+  pool_.timers_.cancel(dial_);  // of the time in line
   connection_ = std::move(connection);
   ++connection_->calls;
   expectAnswer();
@@ -103,7 +103,7 @@
 void Call::connect() {
   state_ = State::kConnecting;
   const auto self = shared_from_this();
-  dial_ = pool_.deadlines_.add(pool_.clock_.nowMs() + pool_.limits_.dialMs, [self] {
+  dial_ = pool_.timers_.add(pool_.clock_.nowMs() + pool_.limits_.dialMs, [self] {
     self->dial_.reset();
     self->fail(self->localFault_ ? CallFailure::kWithdrawn : CallFailure::kNoConnection);
   });
@@ -148,14 +148,14 @@
   boost::system::error_code ignored;
   connection_->socket.close(ignored);
   dialRetry_ =
-      pool_.deadlines_.add(pool_.clock_.nowMs() + kResourceRetryMs, [self = shared_from_this()] {
+      pool_.timers_.add(pool_.clock_.nowMs() + kResourceRetryMs, [self = shared_from_this()] {
         self->dialRetry_.reset();
         self->dial();
       });
 }
 
 void Call::connected() {
-  pool_.deadlines_.cancel(dial_);
+  pool_.timers_.cancel(dial_);
   boost::system::error_code ignored;
   connection_->socket.set_option(boost::asio::ip::tcp::no_delay(true), ignored);
   write();
@@ -180,7 +180,7 @@
   if (!late.empty())
     head_ = withFields(std::move(head_), late);
   const auto self = shared_from_this();
-  write_ = pool_.deadlines_.add(pool_.clock_.nowMs() + kWriteMs, [self] {
+  write_ = pool_.timers_.add(pool_.clock_.nowMs() + kWriteMs, [self] {
     self->write_.reset();
     if (const auto sending = self->sending_.lock())
       sending->cancel();
@@ -195,7 +195,7 @@
 void Call::wrote(const boost::system::error_code& error) {
   if (state_ != State::kWriting)
     return;
-  pool_.deadlines_.cancel(write_);
+  pool_.timers_.cancel(write_);
   if (error)
     return fail(isLocalFault(error) ? CallFailure::kWithdrawn : CallFailure::kNoConnection);
   state_ = State::kHead;
@@ -214,7 +214,7 @@
   reading_ = true;
   const auto self = shared_from_this();
   if (midway())
-    stuck_ = pool_.deadlines_.add(pool_.clock_.nowMs() + kStuckMs, [self] {
+    stuck_ = pool_.timers_.add(pool_.clock_.nowMs() + kStuckMs, [self] {
       self->stuck_.reset();
       self->fail(CallFailure::kGarbled);
     });
@@ -223,7 +223,7 @@
       connection->buffer.prepare(kReadSize),
       [self, connection](const boost::system::error_code& error, std::size_t count) {
         self->reading_ = false;
-        self->pool_.deadlines_.cancel(self->stuck_);
+        self->pool_.timers_.cancel(self->stuck_);
         if (self->state_ == State::kOver)
           return;
         if (error == boost::asio::error::operation_aborted && self->quiet_)
@@ -241,7 +241,7 @@
 // nothing for a sign that nothing is there; readiness, asked for anew, tells it otherwise.
 void Call::readLater() {
   readRetry_ =
-      pool_.deadlines_.add(pool_.clock_.nowMs() + kResourceRetryMs, [self = shared_from_this()] {
+      pool_.timers_.add(pool_.clock_.nowMs() + kResourceRetryMs, [self = shared_from_this()] {
         if (self->state_ != State::kHead && self->state_ != State::kBody)
           return;
         const auto connection = self->connection_;
@@ -440,11 +440,11 @@
 
 std::shared_ptr<CallSink> Call::finish() {
   state_ = State::kOver;
-  pool_.deadlines_.cancel(dial_);
-  pool_.deadlines_.cancel(dialRetry_);
-  pool_.deadlines_.cancel(write_);
-  pool_.deadlines_.cancel(stuck_);
-  pool_.deadlines_.cancel(readRetry_);
+  pool_.timers_.cancel(dial_);
+  pool_.timers_.cancel(dialRetry_);
+  pool_.timers_.cancel(write_);
+  pool_.timers_.cancel(stuck_);
+  pool_.timers_.cancel(readRetry_);
   return std::move(sink_);
 }
 
@@ -453,14 +453,14 @@
 
 ConnectionPool::ConnectionPool(boost::asio::io_context& io,
                                const core::Clock& clock,
-                               core::Deadlines& deadlines,
+                               core::TimerQueue& timers,
                                core::Counters& counters,
                                Limits limits)
-    : io_(io), clock_(clock), deadlines_(deadlines), counters_(counters), limits_(limits) {}
+    : io_(io), clock_(clock), timers_(timers), counters_(counters), limits_(limits) {}
 
 ConnectionPool::~ConnectionPool() {
   for (const auto& connection : idle_)
-    deadlines_.cancel(connection->retire);
+    timers_.cancel(connection->retire);
 }
 
 std::shared_ptr<Call> ConnectionPool::call(const Endpoint& to,
@@ -475,7 +475,7 @@
   if (clock_.nowMs() >= afterMs)
     enter(call);
   else
-    call->dial_ = deadlines_.add(afterMs, [this, call] {
+    call->dial_ = timers_.add(afterMs, [this, call] {
       call->dial_.reset();
       enter(call);
     });
@@ -491,7 +491,7 @@
       call->urgent_ ? std::find_if(waiting_.begin(), waiting_.end(), behind) : waiting_.end(),
       call);
   // The caller may take it out of the line before by abandon().
-  call->dial_ = deadlines_.add(clock_.nowMs() + limits_.dialMs, [call] {
+  call->dial_ = timers_.add(clock_.nowMs() + limits_.dialMs, [call] {
     call->dial_.reset();
     call->fail(CallFailure::kWithdrawn);
   });
@@ -546,7 +546,7 @@
       continue;
     const auto connection = *it;
     it = idle_.erase(it);
-    deadlines_.cancel(connection->retire);
+    timers_.cancel(connection->retire);
     if (quiet(connection->socket)) {
       boost::system::error_code ignored;
       connection->socket.cancel(ignored);  // the watch for its end
@@ -567,7 +567,7 @@
   connection->idleSinceMs = clock_.nowMs();
   idle_.push_back(connection);
   connection->retire =
-      deadlines_.add(clock_.nowMs() + limits_.idleMs, [this, connection] { close(connection); });
+      timers_.add(clock_.nowMs() + limits_.idleMs, [this, connection] { close(connection); });
   connection->socket.async_wait(
       boost::asio::ip::tcp::socket::wait_read,
       [this, weak = std::weak_ptr(connection)](const boost::system::error_code& error) {
@@ -583,7 +583,7 @@
   if (connection->to == Endpoint())
     return;  // closed before
   idle_.remove(connection);
-  deadlines_.cancel(connection->retire);
+  timers_.cancel(connection->retire);
   boost::system::error_code ignored;
   connection->socket.close(ignored);
   connection->to = Endpoint();
--- a/src/net/pool.h
+++ b/src/net/pool.h
@@ -20,7 +20,7 @@
 #include "admission/descriptor_budget.h"
 #include "core/clock.h"
 #include "core/counters.h"
-#include "core/deadlines.h"
+#include "core/timer_queue.h"
 #include "net/endpoint.h"
 #include "net/message.h"
 #include "net/send_operation.h"
@@ -61,7 +61,7 @@
   boost::asio::ip::tcp::socket socket;
   boost::beast::flat_buffer buffer;
   Endpoint to;
-  std::optional<core::Deadlines::Key> retire;
+  std::optional<core::TimerQueue::Key> retire;
   double idleSinceMs = 0;
   std::uint64_t number = 0;  // of the pool's connections, from one
   int calls = 0;             // that it has carried, the one under way included
@@ -134,7 +134,7 @@
   std::shared_ptr<Connection> connection_;
   std::optional<Parser> parser_;
   std::function<void(std::uint64_t, boost::beast::string_view, boost::beast::error_code&)> onChunk_;
-  std::optional<core::Deadlines::Key> dial_, dialRetry_, write_, stuck_, readRetry_;
+  std::optional<core::TimerQueue::Key> dial_, dialRetry_, write_, stuck_, readRetry_;
   std::weak_ptr<SendOperation> sending_;
   std::function<void()> quiet_;
   std::uint64_t announced_ = 0, received_ = 0;  // bytes of chunks
@@ -155,7 +155,7 @@
 
   ConnectionPool(boost::asio::io_context& io,
                  const core::Clock& clock,
-                 core::Deadlines& deadlines,
+                 core::TimerQueue& timers,
                  core::Counters& counters,
                  Limits limits);
   ~ConnectionPool();
@@ -211,7 +211,7 @@
 
   boost::asio::io_context& io_;
   const core::Clock& clock_;
-  core::Deadlines& deadlines_;
+  core::TimerQueue& timers_;
   core::Counters& counters_;
   Limits limits_;
   Idle idle_;
--- a/src/shared/setup.h
+++ b/src/shared/setup.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "core/fields.h"
+#include "core/config_reader.h"
 #include "shared/config.h"
 
 namespace inference_router::shared {
--- a/src/upstream/http_instance_client.cpp
+++ b/src/upstream/http_instance_client.cpp
@@ -41,9 +41,9 @@
         reads_(dispatch.reads) {}
 
   ~AttemptCall() override {
-    endpoints_.deadlines_.cancel(last_);
-    endpoints_.deadlines_.cancel(stall_);
-    endpoints_.deadlines_.cancel(taken_);
+    endpoints_.timers_.cancel(last_);
+    endpoints_.timers_.cancel(stall_);
+    endpoints_.timers_.cancel(taken_);
   }
 
   const RequestId& request() const { return request_; }
@@ -114,7 +114,7 @@
       return true;
     }
     if (gate_.finished() && !last_)
-      last_ = endpoints_.deadlines_.add(endpoints_.clock_.nowMs() + kLastChunkMs, [this] {
+      last_ = endpoints_.timers_.add(endpoints_.clock_.nowMs() + kLastChunkMs, [this] {
         last_.reset();
         call_->garbled();
       });
@@ -125,7 +125,7 @@
     watchForStall();
     if (endpoints_.dispatcher_.passed(key_, *events))
       return true;
-    endpoints_.deadlines_.cancel(stall_);  // a slow client holds the stream back, not its instance
+    endpoints_.timers_.cancel(stall_);  // a slow client holds the stream back, not its instance
     return false;
   }
 
@@ -134,7 +134,7 @@
   // taken nothing, and the time of what is held goes on. Where it did arrive, the release takes
   // nothing from it.
   void watchForTaking() {
-    taken_ = endpoints_.deadlines_.add(takenByMs(), [this] {
+    taken_ = endpoints_.timers_.add(takenByMs(), [this] {
       taken_.reset();
       if (parts_ < 2)
         endpoints_.releases_.releaseBeside(request_);
@@ -150,10 +150,10 @@
 
   // Guards a client against an instance that goes silent in the middle of its answer.
   void watchForStall() {
-    endpoints_.deadlines_.cancel(stall_);
+    endpoints_.timers_.cancel(stall_);
     if (!begun_ || call_->state() == net::Call::State::kOver)
       return;
-    stall_ = endpoints_.deadlines_.add(endpoints_.clock_.nowMs() + kStallMs, [this] {
+    stall_ = endpoints_.timers_.add(endpoints_.clock_.nowMs() + kStallMs, [this] {
       stall_.reset();
       ++endpoints_.counters_["attempts.stalled"];
       endpoints_.unheard(instance_);
@@ -209,9 +209,9 @@
     HttpInstanceClient& instances = endpoints_;
     const core::AttemptKey key = key_;
     const bool prefills = reads_;  // the entry may be the last that holds this
-    instances.deadlines_.cancel(last_);
-    instances.deadlines_.cancel(stall_);
-    instances.deadlines_.cancel(taken_);
+    instances.timers_.cancel(last_);
+    instances.timers_.cancel(stall_);
+    instances.timers_.cancel(taken_);
     instances.attempts_.erase(key.slot);
     if (prefills)
       instances.reservations_.prefillEnded(key);
@@ -226,7 +226,7 @@
   std::optional<InstanceId> place_;
   UsageReader usage_;
   EventStreamFilter gate_;
-  std::optional<core::Deadlines::Key> last_, stall_, taken_;
+  std::optional<core::TimerQueue::Key> last_, stall_, taken_;
   double untilMs_;               // its answer is waited for
   double heldSinceMs_;           // the last attempt of its request ended; 0: there was none
   double writtenMs_ = HUGE_VAL;  // its last byte; until then in no time
@@ -268,7 +268,7 @@
                                        net::ConnectionPool& pool,
                                        InstanceDirectory& directory,
                                        const core::Clock& clock,
-                                       core::Deadlines& deadlines,
+                                       core::TimerQueue& timers,
                                        core::Counters& counters,
                                        double releaseWithinMs)
     : dialect_(std::move(dialect)),
@@ -276,14 +276,14 @@
       pool_(pool),
       directory_(directory),
       clock_(clock),
-      deadlines_(deadlines),
+      timers_(timers),
       counters_(counters),
       releaseWithinMs_(releaseWithinMs),
       releases_(
           pool,
           directory,
           clock,
-          deadlines,
+          timers,
           counters,
           releaseWithinMs,
           [this](const RequestId& request, const InstanceEndpoint& endpoint) {
@@ -294,7 +294,7 @@
       owed_(pool,
             directory,
             clock,
-            deadlines,
+            timers,
             counters,
             releaseWithinMs,
             [this](const RequestId& request, const InstanceEndpoint& endpoint) {
@@ -306,7 +306,7 @@
           pool,
           directory,
           clock,
-          deadlines,
+          timers,
           counters,
           releases_,
           owed_,
@@ -475,7 +475,7 @@
     return sink->end(false);
   const auto call =
       pool_.call(endpoint->address, head("GET", dialect_.healthPath, *endpoint, {}), nullptr, sink);
-  deadlines_.add(clock_.nowMs() + kProbeAnswerMs, [call, sink] {
+  timers_.add(clock_.nowMs() + kProbeAnswerMs, [call, sink] {
     if (call->state() == net::Call::State::kOver)
       return;
     call->abandon();
--- a/src/upstream/http_instance_client.h
+++ b/src/upstream/http_instance_client.h
@@ -40,7 +40,7 @@
                      net::ConnectionPool& pool,
                      InstanceDirectory& directory,
                      const core::Clock& clock,
-                     core::Deadlines& deadlines,
+                     core::TimerQueue& timers,
                      core::Counters& counters,
                      double releaseWithinMs);
   ~HttpInstanceClient() override;
@@ -103,7 +103,7 @@
   net::ConnectionPool& pool_;
   InstanceDirectory& directory_;
   const core::Clock& clock_;
-  core::Deadlines& deadlines_;
+  core::TimerQueue& timers_;
   core::Counters& counters_;
   double releaseWithinMs_;
   std::map<std::uint32_t, std::shared_ptr<AttemptCall>>
--- a/src/upstream/owed_release_calls.cpp
+++ b/src/upstream/owed_release_calls.cpp
@@ -35,23 +35,23 @@
 OwedReleaseCalls::OwedReleaseCalls(net::ConnectionPool& pool,
                                    InstanceDirectory& directory,
                                    const core::Clock& clock,
-                                   core::Deadlines& deadlines,
+                                   core::TimerQueue& timers,
                                    core::Counters& counters,
                                    double withinMs,
                                    Head head)
     : pool_(pool),
       directory_(directory),
       clock_(clock),
-      deadlines_(deadlines),
+      timers_(timers),
       counters_(counters),
       head_(std::move(head)),
       owed_(withinMs / 2) {}
 
 // A call and its sink hold each other while it runs.
 OwedReleaseCalls::~OwedReleaseCalls() {
-  deadlines_.cancel(next_);
+  timers_.cancel(next_);
   for (auto& [number, sent] : sent_) {
-    deadlines_.cancel(sent.limit);
+    timers_.cancel(sent.limit);
     if (sent.call)
       sent.call->abandon();
   }
@@ -80,7 +80,7 @@
 }
 
 void OwedReleaseCalls::step() {
-  deadlines_.cancel(next_);
+  timers_.cancel(next_);
   forgetReplaced();
   const double now = clock_.nowMs();
   for (const auto& release : owed_.due(now))
@@ -89,10 +89,10 @@
 }
 
 void OwedReleaseCalls::stepAt(std::optional<double> atMs) {
-  deadlines_.cancel(next_);
+  timers_.cancel(next_);
   if (!atMs)
     return;
-  next_ = deadlines_.add(std::max(*atMs, clock_.nowMs() + kLeastPauseMs), [this] {
+  next_ = timers_.add(std::max(*atMs, clock_.nowMs() + kLeastPauseMs), [this] {
     next_.reset();
     step();
   });
@@ -102,7 +102,7 @@
   const InstanceEndpoint& endpoint = *directory_.find(release.instance);
   const std::uint64_t number = ++calls_;
   const auto sink = std::make_shared<Sink>(*this, number, release);
-  sent_[number].limit = deadlines_.add(clock_.nowMs() + kWaitMs, [this, number, release] {
+  sent_[number].limit = timers_.add(clock_.nowMs() + kWaitMs, [this, number, release] {
     const auto it = sent_.find(number);
     if (it == sent_.end())
       return;
@@ -122,7 +122,7 @@
                              bool accepted) {
   const auto it = sent_.find(number);
   if (it != sent_.end()) {
-    deadlines_.cancel(it->second.limit);
+    timers_.cancel(it->second.limit);
     sent_.erase(it);
   }
   if (accepted)
--- a/src/upstream/owed_release_calls.h
+++ b/src/upstream/owed_release_calls.h
@@ -10,7 +10,7 @@
 
 #include "core/clock.h"
 #include "core/counters.h"
-#include "core/deadlines.h"
+#include "core/timer_queue.h"
 #include "net/pool.h"
 #include "upstream/instance_directory.h"
 #include "upstream/owed_releases.h"
@@ -25,7 +25,7 @@
   OwedReleaseCalls(net::ConnectionPool& pool,
                    InstanceDirectory& directory,
                    const core::Clock& clock,
-                   core::Deadlines& deadlines,
+                   core::TimerQueue& timers,
                    core::Counters& counters,
                    double withinMs,
                    Head head);
@@ -42,7 +42,7 @@
   class Sink;
   struct Sent {
     std::shared_ptr<net::Call> call;
-    std::optional<core::Deadlines::Key> limit;
+    std::optional<core::TimerQueue::Key> limit;
   };
 
   void step();
@@ -54,13 +54,13 @@
   net::ConnectionPool& pool_;
   InstanceDirectory& directory_;
   const core::Clock& clock_;
-  core::Deadlines& deadlines_;
+  core::TimerQueue& timers_;
   core::Counters& counters_;
   Head head_;
   OwedReleases owed_;
   std::map<routing::InstanceId, double> startedMs_;  // of instances that are owed any, as told then
   std::map<std::uint64_t, Sent> sent_;
-  std::optional<core::Deadlines::Key> next_;
+  std::optional<core::TimerQueue::Key> next_;
   std::uint64_t calls_ = 0;
 };
 
--- a/src/upstream/releases.cpp
+++ b/src/upstream/releases.cpp
@@ -56,7 +56,7 @@
 Releases::Releases(net::ConnectionPool& pool,
                    InstanceDirectory& directory,
                    const core::Clock& clock,
-                   core::Deadlines& deadlines,
+                   core::TimerQueue& timers,
                    core::Counters& counters,
                    double withinMs,
                    Head head,
@@ -65,7 +65,7 @@
     : pool_(pool),
       directory_(directory),
       clock_(clock),
-      deadlines_(deadlines),
+      timers_(timers),
       counters_(counters),
       withinMs_(withinMs),
       head_(std::move(head)),
@@ -75,7 +75,7 @@
 // A call and its sink hold each other while it runs.
 Releases::~Releases() {
   for (auto& [request, state] : releases_) {
-    deadlines_.cancel(state.next);
+    timers_.cancel(state.next);
     for (const auto& [number, call] : state.calls)
       call->abandon();
   }
@@ -170,7 +170,7 @@
     return;
   Releasing& state = it->second;
   const double now = clock_.nowMs();
-  deadlines_.cancel(state.next);
+  timers_.cancel(state.next);
   double nextMs = now;
   if (state.course.settling()) {
     const auto at = roundMs(request, state);
@@ -202,7 +202,7 @@
   if (nobody && state.calls.empty())
     state.tried.clear();  // once round; one may be back after a breath
   nextMs = std::max({nextMs, state.course.nextMs(), now + kPauseMs});
-  state.next = deadlines_.add(nextMs, [this, request] {
+  state.next = timers_.add(nextMs, [this, request] {
     const auto due = releases_.find(request);
     if (due == releases_.end())
       return;
@@ -221,7 +221,7 @@
   const auto call = pool_.call(endpoint.address, head_(request, endpoint), nullptr, sink,
                                net::ConnectionPool::Urgency::kFirst);
   state.calls[number] = call;
-  deadlines_.add(clock_.nowMs() + kCallMs, [this, request, number, instance, call, sink] {
+  timers_.add(clock_.nowMs() + kCallMs, [this, request, number, instance, call, sink] {
     if (call->state() == net::Call::State::kOver)
       return;
     call->abandon();
@@ -293,7 +293,7 @@
     return;
   Releasing state = std::move(it->second);
   releases_.erase(it);
-  deadlines_.cancel(state.next);
+  timers_.cancel(state.next);
   leaveUnwritten(state);
   for (const auto& go : state.after)
     go();
--- a/src/upstream/releases.h
+++ b/src/upstream/releases.h
@@ -14,7 +14,7 @@
 
 #include "core/clock.h"
 #include "core/counters.h"
-#include "core/deadlines.h"
+#include "core/timer_queue.h"
 #include "net/pool.h"
 #include "upstream/instance_directory.h"
 #include "upstream/release_retry.h"
@@ -32,7 +32,7 @@
   Releases(net::ConnectionPool& pool,
            InstanceDirectory& directory,
            const core::Clock& clock,
-           core::Deadlines& deadlines,
+           core::TimerQueue& timers,
            core::Counters& counters,
            double withinMs,
            Head head,
@@ -72,7 +72,7 @@
     std::uint64_t first =
         0;  // of the calls of this round: an answer to an earlier one proves nothing for it
     routing::InstanceId heard;  // who took the last round: a later one goes to another, if it can
-    std::optional<core::Deadlines::Key> next;
+    std::optional<core::TimerQueue::Key> next;
     double askedMs = 0;     // since when what may be held has to be let go of
     bool accepted = false;  // by any instance
     bool again =
@@ -98,7 +98,7 @@
   net::ConnectionPool& pool_;
   InstanceDirectory& directory_;
   const core::Clock& clock_;
-  core::Deadlines& deadlines_;
+  core::TimerQueue& timers_;
   core::Counters& counters_;
   double withinMs_;
   Head head_;
--- a/src/upstream/reservations.cpp
+++ b/src/upstream/reservations.cpp
@@ -56,7 +56,7 @@
                            net::ConnectionPool& pool,
                            InstanceDirectory& directory,
                            const core::Clock& clock,
-                           core::Deadlines& deadlines,
+                           core::TimerQueue& timers,
                            core::Counters& counters,
                            Releases& releases,
                            OwedReleaseCalls& owed,
@@ -67,7 +67,7 @@
       pool_(pool),
       directory_(directory),
       clock_(clock),
-      deadlines_(deadlines),
+      timers_(timers),
       counters_(counters),
       releases_(releases),
       owed_(owed),
@@ -78,8 +78,8 @@
 // A call and its sink hold each other while it runs.
 Reservations::~Reservations() {
   for (auto& [number, reservation] : reservations_) {
-    deadlines_.cancel(reservation.next);
-    deadlines_.cancel(reservation.limit);
+    timers_.cancel(reservation.next);
+    timers_.cancel(reservation.limit);
     if (reservation.call)
       reservation.call->abandon();
   }
@@ -106,8 +106,7 @@
   const auto sink = std::make_shared<Sink>(*this, number, reservation.instance);
   releases_.placeAsked(reservation.request);
   reservation.sink = sink;
-  reservation.limit =
-      deadlines_.add(clock_.nowMs() + kAnswerMs, [this, number] { giveUp(number); });
+  reservation.limit = timers_.add(clock_.nowMs() + kAnswerMs, [this, number] { giveUp(number); });
   const auto call = pool_.call(endpoint->address, head, nullptr, sink, urgency);
   const auto it = reservations_.find(number);
   if (it != reservations_.end() && it->second.sink == sink)
@@ -180,7 +179,7 @@
 // A call is over.
 void Reservations::settle(Number number) {
   Reservation& reservation = reservations_.at(number);
-  deadlines_.cancel(reservation.limit);
+  timers_.cancel(reservation.limit);
   if (!std::exchange(reservation.sink, nullptr))
     return step(number);
   reservation.call = nullptr;
@@ -194,7 +193,7 @@
   if (it == reservations_.end())
     return;
   Reservation& reservation = it->second;
-  deadlines_.cancel(reservation.next);
+  timers_.cancel(reservation.next);
   const double now = clock_.nowMs();
   switch (reservation.lease.due(now)) {
     case ReservationLease::Step::kRelease:
@@ -212,7 +211,7 @@
   if (reservation.lease.over() && !reservation.sink)
     return close(number);
   if (const auto at = reservation.lease.nextMs())
-    reservation.next = deadlines_.add(*at, [this, number] {
+    reservation.next = timers_.add(*at, [this, number] {
       const auto due = reservations_.find(number);
       if (due == reservations_.end())
         return;
@@ -238,8 +237,8 @@
 
 void Reservations::close(Number number) {
   Reservation& reservation = reservations_.at(number);
-  deadlines_.cancel(reservation.next);
-  deadlines_.cancel(reservation.limit);
+  timers_.cancel(reservation.next);
+  timers_.cancel(reservation.limit);
   reservations_.erase(number);
 }
 
--- a/src/upstream/reservations.h
+++ b/src/upstream/reservations.h
@@ -11,8 +11,8 @@
 
 #include "core/clock.h"
 #include "core/counters.h"
-#include "core/deadlines.h"
 #include "core/request_dispatcher.h"
+#include "core/timer_queue.h"
 #include "net/pool.h"
 #include "upstream/instance_directory.h"
 #include "upstream/owed_release_calls.h"
@@ -31,7 +31,7 @@
                net::ConnectionPool& pool,
                InstanceDirectory& directory,
                const core::Clock& clock,
-               core::Deadlines& deadlines,
+               core::TimerQueue& timers,
                core::Counters& counters,
                Releases& releases,
                OwedReleaseCalls& owed,
@@ -71,7 +71,7 @@
     bool renewed = false, doubted = false;
     std::shared_ptr<Sink> sink;  // of the call that is out
     std::shared_ptr<net::Call> call;
-    std::optional<core::Deadlines::Key> next, limit;
+    std::optional<core::TimerQueue::Key> next, limit;
   };
 
   void send(Number number);
@@ -89,7 +89,7 @@
   net::ConnectionPool& pool_;
   InstanceDirectory& directory_;
   const core::Clock& clock_;
-  core::Deadlines& deadlines_;
+  core::TimerQueue& timers_;
   core::Counters& counters_;
   Releases& releases_;
   OwedReleaseCalls& owed_;
--- a/tests/coordination_store_test.cpp
+++ b/tests/coordination_store_test.cpp
@@ -42,9 +42,9 @@
 
 struct EtcdStandInPlace {
   EtcdStandIn server;
-  explicit EtcdStandInPlace(Stage& stage) : server(stage.io, stage.clock, stage.deadlines) {}
+  explicit EtcdStandInPlace(Stage& stage) : server(stage.io, stage.clock, stage.timers) {}
   std::unique_ptr<Store> open(Stage& stage) {
-    return std::make_unique<EtcdStore>(stage.io, stage.clock, stage.deadlines, stage.counters,
+    return std::make_unique<EtcdStore>(stage.io, stage.clock, stage.timers, stage.counters,
                                        EtcdConfig{{server.address()}, "test/", 1000});
   }
 };
@@ -115,10 +115,10 @@
 // Guards a fleet whose holder has died against waiting a whole lease more than it has left.
 TEST(EtcdOfTheStandIn, TellsACandidateHowLongALeaseHasLeft) {
   Stage stage;
-  EtcdStandIn server(stage.io, stage.clock, stage.deadlines);
+  EtcdStandIn server(stage.io, stage.clock, stage.timers);
   const EtcdConfig place{{server.address()}, "test/", 1000};
-  EtcdStore one(stage.io, stage.clock, stage.deadlines, stage.counters, place),
-      two(stage.io, stage.clock, stage.deadlines, stage.counters, place);
+  EtcdStore one(stage.io, stage.clock, stage.timers, stage.counters, place),
+      two(stage.io, stage.clock, stage.timers, stage.counters, place);
   const auto ask = [&](EtcdStore& store, const Holder& who) {
     std::optional<LeaseAnswer> answer;
     store.ask({Verb::kAcquire, "t", who, 1, 0, 5000, 0},
@@ -271,10 +271,10 @@
 
 struct OnEtcd : ::testing::Test {
   Stage stage;
-  EtcdStandIn server{stage.io, stage.clock, stage.deadlines};
+  EtcdStandIn server{stage.io, stage.clock, stage.timers};
   EtcdStore store{stage.io,
                   stage.clock,
-                  stage.deadlines,
+                  stage.timers,
                   stage.counters,
                   {{server.address()}, "test/", 1000}};
 
@@ -347,7 +347,7 @@
     out.resize(base64::encode(out.data(), text.data(), text.size()));
     return out;
   };
-  net::ConnectionPool pool(stage.io, stage.clock, stage.deadlines, stage.counters, {1, 1000, 1000});
+  net::ConnectionPool pool(stage.io, stage.clock, stage.timers, stage.counters, {1, 1000, 1000});
   const auto reply = std::make_shared<Reply>();
   const auto body = std::make_shared<const std::string>(
       json{{"success",
--- a/tests/coordination_test.cpp
+++ b/tests/coordination_test.cpp
@@ -394,7 +394,7 @@
       net::LineServer::LaterAnswer([&](std::string_view line, net::LineServer::Reply reply) {
         control::handle(service, line, std::move(reply));
       }),
-      stage.clock, stage.deadlines, stage.counters, net::LineServer::Limits{});
+      stage.clock, stage.timers, stage.counters, net::LineServer::Limits{});
   EXPECT_EQ(callAdmin(stage.io, door.address(), "leases"), "lease t\neof\n");
   EXPECT_EQ(callAdmin(stage.io, door.address(), "maintenance"), "plan none\neof\n");
   EXPECT_EQ(callAdmin(stage.io, door.address(), "leases all").substr(0, 4), "fail");
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -27,40 +27,40 @@
 
 TEST(DeadlinesTable, RunsInOrderWhatIsDueAgainstAModel) {
   std::mt19937 random(11);
-  Deadlines deadlines;
-  std::map<Deadlines::Key, int> model;
+  TimerQueue timers;
+  std::map<TimerQueue::Key, int> model;
   std::vector<int> ran, expected;
   double now = 0;
   for (int step = 0; step < 3000; ++step) {
     if (random() % 3 != 0) {
-      model[deadlines.add(now + static_cast<double>(random() % 50),
-                          [&ran, step] { ran.push_back(step); })] = step;
+      model[timers.add(now + static_cast<double>(random() % 50),
+                       [&ran, step] { ran.push_back(step); })] = step;
     } else if (random() % 2 == 0 && !model.empty()) {
-      std::optional<Deadlines::Key> key = std::next(model.begin(), random() % model.size())->first;
+      std::optional<TimerQueue::Key> key = std::next(model.begin(), random() % model.size())->first;
       model.erase(*key);
-      deadlines.cancel(key);
+      timers.cancel(key);
     } else {
       now += random() % 20;
       while (!model.empty() && model.begin()->first.first <= now) {
         expected.push_back(model.begin()->second);
         model.erase(model.begin());
       }
-      deadlines.runDue(now);
+      timers.runDue(now);
     }
     ASSERT_EQ(ran, expected);
-    ASSERT_EQ(deadlines.next().has_value(), !model.empty());
+    ASSERT_EQ(timers.next().has_value(), !model.empty());
   }
 }
 
 TEST(DeadlinesTable, WhatIsAddedWhileItRunsWaitsForTheNextRun) {
-  Deadlines deadlines;
+  TimerQueue timers;
   int ran = 0;
   std::function<void()> again = [&] {
     ++ran;
-    deadlines.add(0, again);
+    timers.add(0, again);
   };
-  deadlines.add(0, again);
-  deadlines.runDue(1);
+  timers.add(0, again);
+  timers.runDue(1);
   EXPECT_EQ(ran, 1);
 }
 
@@ -108,7 +108,7 @@
 
 struct Play {
   explicit Play(Settings settings = plainSettings())
-      : dispatcher(settings, 7, clock, deadlines, counters) {
+      : dispatcher(settings, 7, clock, timers, counters) {
     dispatcher.connect(instances);
     dispatcher.onAction(
         [this](const Action& action) { sends += std::holds_alternative<DispatchAttempt>(action); });
@@ -133,11 +133,11 @@
   }
   void pass(double ms) {
     clock.advance(ms);
-    deadlines.runDue(clock.nowMs());
+    timers.runDue(clock.nowMs());
   }
 
   ManualClock clock;
-  Deadlines deadlines;
+  TimerQueue timers;
   Counters counters;
   PlayedInstances instances;
   RequestDispatcher dispatcher;
@@ -334,10 +334,10 @@
     settings.decodeCanPrefill = word % 2 == 0;
     settings.streamResumption = true;
     ManualClock clock;
-    Deadlines deadlines;
+    TimerQueue timers;
     Counters counters;
     AtMostOnce instances;
-    RequestDispatcher dispatcher(settings, 7, clock, deadlines, counters);
+    RequestDispatcher dispatcher(settings, 7, clock, timers, counters);
     dispatcher.connect(instances);
     std::uint64_t version = 0;
     const auto list = [&](EndpointListForm form, std::vector<EndpointRecord> entries) {
@@ -359,7 +359,7 @@
       const int refusedBefore = client->refused;
       const auto pass = [&](double ms) {
         clock.advance(ms);
-        deadlines.runDue(clock.nowMs());
+        timers.runDue(clock.nowMs());
       };
       if (letter < kOutcomes.size())
         instances.ends(dispatcher, kOutcomes[letter]);
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -419,7 +419,7 @@
 TEST(Pool, ACallThatGetsNoConnectionWithinTheTimeOfADialIsWithdrawn) {
   Stage stage;
   RawPeer peer(stage.io);
-  net::ConnectionPool pool(stage.io, stage.clock, stage.deadlines, stage.counters,
+  net::ConnectionPool pool(stage.io, stage.clock, stage.timers, stage.counters,
                            {1, 250, 18'000, 1 << 20});
   const auto busy = std::make_shared<Reply>(), waits = std::make_shared<Reply>();
   const auto call = [&](const auto& reply) {
@@ -665,7 +665,7 @@
 // -------------------------------------------------------------
 
 struct Door : Stage, net::RequestHandler {
-  net::Listener listener{io, anyPort(), 3, *this, clock, deadlines, counters};
+  net::Listener listener{io, anyPort(), 3, *this, clock, timers, counters};
   std::vector<std::shared_ptr<net::ClientConnection>> asked;
   void request(const std::shared_ptr<net::ClientConnection>& connection,
                net::HttpRequest&&,
--- a/tests/final_answer_test.cpp
+++ b/tests/final_answer_test.cpp
@@ -94,11 +94,11 @@
                                  return;
                                if (way_.everyMs == 0)
                                  return write(peer, way_.goesOn);
-                               site_.server->deadlines.add(site_.clock.nowMs() + way_.everyMs,
-                                                           [this, weak = std::weak_ptr(peer)] {
-                                                             if (const auto open = weak.lock())
-                                                               write(open, way_.goesOn);
-                                                           });
+                               site_.server->timers.add(site_.clock.nowMs() + way_.everyMs,
+                                                        [this, weak = std::weak_ptr(peer)] {
+                                                          if (const auto open = weak.lock())
+                                                            write(open, way_.goesOn);
+                                                        });
                              });
   }
 
@@ -303,7 +303,7 @@
       : Site(kMixed, false),
         discovery(server->io,
                   clock,
-                  server->deadlines,
+                  server->timers,
                   server->counters,
                   *server,
                   server->directory,
--- a/tests/flood_test.cpp
+++ b/tests/flood_test.cpp
@@ -51,7 +51,7 @@
   net::Listener listener{
       io,       anyPort(),
       216,      *this,
-      clock,    deadlines,
+      clock,    timers,
       counters, {.sharedPort = false, .open = true, .gate = &gate, .descriptorBudget = &ledger}};
 };
 
@@ -287,8 +287,8 @@
   Stage stage;
   Folder folder;
   Programs programs;
-  StandInInstance instance(stage.io, stage.clock, stage.deadlines),
-      drained(stage.io, stage.clock, stage.deadlines);
+  StandInInstance instance(stage.io, stage.clock, stage.timers),
+      drained(stage.io, stage.clock, stage.timers);
   std::vector<StandInInstance::Taken*> held;
   bool hold = false;
   drained.script = streamWhole;
@@ -438,7 +438,7 @@
   } plain;
   DescriptorBudget ledger(DescriptorBudget::sharesOf(512));
   net::Listener listener(
-      stage.io, anyPort(), 216, plain, stage.clock, stage.deadlines, stage.counters,
+      stage.io, anyPort(), 216, plain, stage.clock, stage.timers, stage.counters,
       {.sharedPort = false, .open = true, .gate = nullptr, .descriptorBudget = &ledger});
   std::vector<std::unique_ptr<RawPeer>> peers;
   for (int i = 0; i < 100; ++i) {
--- a/tests/fronts_test.cpp
+++ b/tests/fronts_test.cpp
@@ -552,12 +552,12 @@
 struct Watching : Stage {
   Watching() { dispatcher.connect(instances); }
   routing::wire::Setup setup = frontend::settingsOf(siteSettings());
-  core::RequestDispatcher dispatcher{setup.settings, 7, clock, deadlines, counters};
-  net::ConnectionPool pool{io, clock, deadlines, counters, {10, 250, 18'000}};
+  core::RequestDispatcher dispatcher{setup.settings, 7, clock, timers, counters};
+  net::ConnectionPool pool{io, clock, timers, counters, {10, 250, 18'000}};
   upstream::InstanceDirectory directory;
   upstream::HttpInstanceClient instances{
-      frontend::platformDialect(), dispatcher, pool, directory, clock, deadlines, counters, 300};
-  frontend::Discovery discovery{io,       clock,       deadlines,
+      frontend::platformDialect(), dispatcher, pool, directory, clock, timers, counters, 300};
+  frontend::Discovery discovery{io,       clock,       timers,
                                 counters, dispatcher,  directory,
                                 pool,     setup.names, fleet::DiscoveryBackoff(2, 7)};
 };
@@ -811,9 +811,9 @@
   watching.pool.capAt(limits.instances());
   watching.pool.accountTo(ledger, admission::Account::kInstances);
   watching.discovery.accountTo(ledger);
-  StandInInstance front(watching.io, watching.clock, watching.deadlines);  // whatever is asked
+  StandInInstance front(watching.io, watching.clock, watching.timers);  // whatever is asked
   net::Listener listener(watching.io, anyPort(), limits.clients(), front, watching.clock,
-                         watching.deadlines, watching.counters, {.descriptorBudget = &ledger});
+                         watching.timers, watching.counters, {.descriptorBudget = &ledger});
   RawPeer agent(watching.io);
   watching.discovery.watch(agent.address());
   agent.accept();
@@ -1009,7 +1009,7 @@
     void list(routing::EndpointListUpdate told) override { news = std::move(told); }
   } told;
   Watching watching;
-  frontend::Discovery discovery{watching.io,       watching.clock, watching.deadlines,
+  frontend::Discovery discovery{watching.io,       watching.clock, watching.timers,
                                 watching.counters, told,           watching.directory,
                                 watching.pool,     setup.names,    fleet::DiscoveryBackoff(2, 7)};
   const auto entry = [](const char* id, const char* zone, const char* kind, unsigned cell,
@@ -1128,12 +1128,12 @@
 
 TEST(Telemetry, CountersReachACollectorAsOtlp) {
   Stage stage;
-  StandInInstance collector(stage.io, stage.clock, stage.deadlines);
+  StandInInstance collector(stage.io, stage.clock, stage.timers);
   collector.script = [](StandInInstance&, StandInInstance::Taken& taken) {
     taken.connection->answer(200, {}, "{}");
   };
   stage.counters["requests.taken"] = 3;
-  app::OtlpExporter exporter(stage.io, stage.clock, stage.deadlines, stage.counters,
+  app::OtlpExporter exporter(stage.io, stage.clock, stage.timers, stage.counters,
                              collector.address(), 1000);
   stage.pass(999);
   EXPECT_TRUE(collector.taken.empty());
--- a/tests/instance_deadline_test.cpp
+++ b/tests/instance_deadline_test.cpp
@@ -28,8 +28,8 @@
                      {{"Host", "x"}, {"Authorization", "Bearer desk"}}, body.dump());
 }
 
-struct Deadlines : Site {
-  explicit Deadlines(bool openai, const std::vector<Kind>& kinds = {{"m1", "both", 0}})
+struct TimerQueue : Site {
+  explicit TimerQueue(bool openai, const std::vector<Kind>& kinds = {{"m1", "both", 0}})
       : Site(kinds, openai), openai(openai) {
     for (auto& [id, instance] : instances)
       instance->script = leaveSilent;
@@ -68,7 +68,7 @@
 });
 
 TEST_P(ABudget, IsWhatTheClientHasLeftRoundedDown) {
-  Deadlines site(GetParam());
+  TimerQueue site(GetParam());
   site.server->pool.capAt(0);
   site.ask();
   ASSERT_TRUE(site.until([&] { return site.server->counters["calls.waited"] == 1; }));
@@ -79,7 +79,7 @@
 }
 
 TEST_P(ABudget, IsLessByTheTimeOfADial) {
-  Deadlines site(GetParam());
+  TimerQueue site(GetParam());
   site.ask();
   for (int i = 0; i < 10'000 && site.server->counters["attempts.sent"] == 0; ++i) {
     site.io.restart();
@@ -91,7 +91,7 @@
 }
 
 TEST_P(ABudget, IsLessByTheWaitForAConnection) {
-  Deadlines site(GetParam());
+  TimerQueue site(GetParam());
   site.server->pool.capAt(0);
   site.ask();
   ASSERT_TRUE(site.until([&] { return site.server->counters["calls.waited"] == 1; }));
@@ -103,7 +103,7 @@
 
 // What the second attempt tells its instance if its pause and its dial took so long.
 double toldAfterAPauseOf(double ms, bool openai) {
-  Deadlines site(openai, kSplit);
+  TimerQueue site(openai, kSplit);
   auto settings = site.site.setup.settings;
   settings.classes[1].latencyObjective = 6s;
   site.server->reconfigure(
@@ -124,7 +124,7 @@
 
 // A request that stood behind another one has had that time already, as its client sent it before.
 TEST_P(ABudget, IsLessByTheTimeBehindAnEarlierRequest) {
-  Deadlines site(GetParam());
+  TimerQueue site(GetParam());
   site.ask("a");
   ASSERT_TRUE(site.until([&] { return site.chats() == 1; }));
   site.pass(1'000);
@@ -145,7 +145,7 @@
 // Nothing read the request for a while: its connection stood in the queue, or the process was
 // stopped. The system alone knows since when, by its own clock.
 TEST_P(ABudget, IsLessByTheTimeForWhichItsRequestStoodUnread) {
-  Deadlines site(GetParam());
+  TimerQueue site(GetParam());
   site.ask();
   std::this_thread::sleep_for(400ms);
   ASSERT_TRUE(site.until([&] { return site.chats() == 1; }));
@@ -156,7 +156,7 @@
 // A process takes a stream over, and with it the next request, which had waited for a while.
 TEST(ABudget, IsLessByTheTimeBehindAStreamThatWasHandedOver) {
   Folder folder;
-  Deadlines site(false), next(false);
+  TimerQueue site(false), next(false);
   site.instances["m1"]->script = beginOnly;
   site.ask("a");
   ASSERT_TRUE(site.until([&] { return site.streaming() != nullptr && site.client.hasBytes(); }));
@@ -189,7 +189,7 @@
 
 struct Writes : Stage {
   static constexpr std::size_t kMore = 64 << 20;  // than the system takes at once
-  net::ConnectionPool pool{io, clock, deadlines, counters, {4, 250, 18'000, 1 << 20}};
+  net::ConnectionPool pool{io, clock, timers, counters, {4, 250, 18'000, 1 << 20}};
   RawPeer instance{io};
   std::shared_ptr<Reply> reply = std::make_shared<Reply>();
 
@@ -228,7 +228,7 @@
 // have.
 TEST(AWriteThatStopsMidway, IsNotOneThatIsWholeWhenItsTimeIsUp) {
   Stage stage;
-  net::ConnectionPool pool(stage.io, stage.clock, stage.deadlines, stage.counters,
+  net::ConnectionPool pool(stage.io, stage.clock, stage.timers, stage.counters,
                            {4, 250, 18'000, 1 << 20});
   RawPeer instance(stage.io);
   const auto first = std::make_shared<Reply>(), reply = std::make_shared<Reply>();
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -14,7 +14,7 @@
 
 struct Calls : Stage {
   RawPeer peer{io};
-  ConnectionPool pool{io, clock, deadlines, counters, {2, 250, 18'000, 1 << 20}};
+  ConnectionPool pool{io, clock, timers, counters, {2, 250, 18'000, 1 << 20}};
 
   std::shared_ptr<Call> call(const std::shared_ptr<Reply>& reply) {
     return pool.call(peer.address(), headText("GET / HTTP/1.1", {{"Host", "x"}}), nullptr, reply);
@@ -104,8 +104,8 @@
     calls.peer.accept();
     calls.peer.readSome();
     calls.peer.write(answer);
-    const auto seen = calls.deadlines.next();
-    ASSERT_TRUE(calls.until([&] { return calls.deadlines.next() != seen; })) << answer;
+    const auto seen = calls.timers.next();
+    ASSERT_TRUE(calls.until([&] { return calls.timers.next() != seen; })) << answer;
     calls.io.poll();
     calls.pass(801);
     EXPECT_EQ(reply->failure, CallFailure::kGarbled) << answer;
@@ -247,7 +247,7 @@
 // ----------------------------------------------------------------------------
 
 struct Server : Stage, RequestHandler {
-  Listener listener{io, anyPort(), 3, *this, clock, deadlines, counters};
+  Listener listener{io, anyPort(), 3, *this, clock, timers, counters};
   std::vector<std::pair<std::shared_ptr<ClientConnection>, HttpRequest>> asked;
   int left = 0, drains = 0;
 
@@ -295,7 +295,7 @@
   peer.connect(server.listener.address());
   peer.write(kPost.substr(0, 20));
   // The time counts from connecting: a head that trickles in does not gain any.
-  ASSERT_TRUE(server.until([&] { return server.deadlines.next().has_value(); }));
+  ASSERT_TRUE(server.until([&] { return server.timers.next().has_value(); }));
   server.pass(1'900);
   peer.write(kPost.substr(20, 5));
   server.io.poll();
--- a/tests/network_faults_test.cpp
+++ b/tests/network_faults_test.cpp
@@ -45,7 +45,7 @@
       return countOf(peer.seen, "whole") >= times;
     });
   }
-  StandInInstance instance{io, clock, deadlines};
+  StandInInstance instance{io, clock, timers};
 };
 
 // ---- Requests
@@ -79,12 +79,12 @@
   for (const int error : {ENOBUFS, ENOMEM, ECONNABORTED, EPROTO}) {
     SCOPED_TRACE(error);
     Stage stage;
-    StandInInstance handler(stage.io, stage.clock, stage.deadlines);
+    StandInInstance handler(stage.io, stage.clock, stage.timers);
     handler.script = [](StandInInstance&, StandInInstance::Taken& taken) {
       taken.connection->answer(200, {}, "whole");
     };
     core::Counters counters;
-    Listener listener(stage.io, anyPort(), 100, handler, stage.clock, stage.deadlines, counters);
+    Listener listener(stage.io, anyPort(), 100, handler, stage.clock, stage.timers, counters);
     RawPeer client(stage.io);
     bool done = false;
     listener.drain(100, [&] { done = true; });
@@ -136,7 +136,7 @@
   Stage stage;
   const std::string text(20'000, 'x');
   LineServer server(
-      stage.io, anyPort(), [&](std::string_view) { return text; }, stage.clock, stage.deadlines,
+      stage.io, anyPort(), [&](std::string_view) { return text; }, stage.clock, stage.timers,
       stage.counters);
   const Faults faults({{.call = Call::kAccept, .error = ECONNABORTED, .every = 2},
                        {.call = Call::kSend, .error = 0, .every = 1}});
@@ -184,9 +184,9 @@
         Rule{.call = Call::kReceive, .error = EINTR, .every = 2}}) {
     SCOPED_TRACE(static_cast<int>(rule.call));
     Stage stage;
-    StandInInstance handler(stage.io, stage.clock, stage.deadlines);
+    StandInInstance handler(stage.io, stage.clock, stage.timers);
     core::Counters counters;
-    Listener listener(stage.io, anyPort(), 0, handler, stage.clock, stage.deadlines, counters);
+    Listener listener(stage.io, anyPort(), 0, handler, stage.clock, stage.timers, counters);
     RawPeer client(stage.io);
     client.connect(listener.address());
     client.write(kRequest);
@@ -220,7 +220,7 @@
 
 struct Calls : Stage {
   RawPeer peer{io};
-  ConnectionPool pool{io, clock, deadlines, counters, {2, 250, 18'000, 1 << 20}};
+  ConnectionPool pool{io, clock, timers, counters, {2, 250, 18'000, 1 << 20}};
   std::shared_ptr<Reply> reply = std::make_shared<Reply>();
   void call() {
     pool.call(peer.address(), headText("GET / HTTP/1.1", {{"Host", "x"}}), nullptr, reply);
--- a/tests/ops_test.cpp
+++ b/tests/ops_test.cpp
@@ -249,7 +249,7 @@
                          return "ok " + std::to_string(line.size()) + "\n";
                        },
                        clock,
-                       deadlines,
+                       timers,
                        counters,
                        {4, 64, 5'000}};
   std::string answerTo(RawPeer& peer) {
@@ -303,7 +303,7 @@
       net::LineServer::LaterAnswer([&](std::string_view line, net::LineServer::Reply reply) {
         control::handle(planned, line, std::move(reply));
       }),
-      stage.clock, stage.deadlines, stage.counters, {32, control::kLongestPlanLine, 10'000});
+      stage.clock, stage.timers, stage.counters, {32, control::kLongestPlanLine, 10'000});
   const auto answerTo = [&](const std::string& line) {
     RawPeer peer(stage.io);
     peer.connect(door.address());
@@ -350,7 +350,7 @@
 // ------------------------------------------------------------------------------------
 
 struct Clients final : Stage, net::RequestHandler {
-  net::Listener listener{io, anyPort(), 10, *this, clock, deadlines, counters};
+  net::Listener listener{io, anyPort(), 10, *this, clock, timers, counters};
   std::vector<std::shared_ptr<net::ClientConnection>> asked;
   void request(const std::shared_ptr<net::ClientConnection>& connection,
                net::HttpRequest&&,
@@ -494,14 +494,14 @@
 
 TEST(Successor, TwoListenersShareAPortAndOneWithoutLeaveIsRefused) {
   Clients stage;
-  net::Listener first(stage.io, anyPort(), 10, stage, stage.clock, stage.deadlines, stage.counters,
+  net::Listener first(stage.io, anyPort(), 10, stage, stage.clock, stage.timers, stage.counters,
                       {.sharedPort = true, .open = true});
-  net::Listener second(stage.io, first.address(), 10, stage, stage.clock, stage.deadlines,
+  net::Listener second(stage.io, first.address(), 10, stage, stage.clock, stage.timers,
                        stage.counters, {.sharedPort = true, .open = false});
   EXPECT_FALSE(second.isOpen());
   second.open();
   EXPECT_TRUE(second.isOpen());
-  EXPECT_THROW(net::Listener(stage.io, first.address(), 10, stage, stage.clock, stage.deadlines,
+  EXPECT_THROW(net::Listener(stage.io, first.address(), 10, stage, stage.clock, stage.timers,
                              stage.counters),
                boost::system::system_error);
 }
--- a/tests/settings_edges_test.cpp
+++ b/tests/settings_edges_test.cpp
@@ -315,7 +315,7 @@
   }
 }
 
-TEST(Deadlines, WithoutAnyGraceTheAnswerComesBeforeTheDeadline) {
+TEST(TimerQueue, WithoutAnyGraceTheAnswerComesBeforeTheDeadline) {
   Settings settings = plainSettings();
   settings.contract.answerGrace = settings.tick = 0s;
   settings.classes[0].latencyObjective = 1min;
--- a/tests/support/conductors.h
+++ b/tests/support/conductors.h
@@ -50,7 +50,7 @@
              std::function<void(json&)> change = nullptr)
       : program_(std::move(program)), sqlite_(sqlite), change_(std::move(change)) {
     for (const std::string& name : instanceNames) {
-      instances[name] = std::make_unique<StandInInstance>(io, clock, deadlines);
+      instances[name] = std::make_unique<StandInInstance>(io, clock, timers);
       instances[name]->script = [this, name](StandInInstance& instance,
                                              StandInInstance::Taken& taken) {
         arrivals.push_back({name, taken.target, clock.nowMs()});
@@ -187,9 +187,9 @@
 
   boost::asio::io_context io;
   core::SystemClock clock;
-  core::Deadlines deadlines;
-  net::Loop loop{io, clock, deadlines};
-  EtcdStandIn store{io, clock, deadlines};
+  core::TimerQueue timers;
+  net::Loop loop{io, clock, timers};
+  EtcdStandIn store{io, clock, timers};
   std::map<std::string, std::unique_ptr<StandInInstance>> instances;
   struct Arrival {
     std::string instance, target;
--- a/tests/support/etcd_stand_in.h
+++ b/tests/support/etcd_stand_in.h
@@ -26,16 +26,12 @@
     double atMs;
   };
 
-  EtcdStandIn(boost::asio::io_context& io, const core::Clock& clock, core::Deadlines& deadlines)
+  EtcdStandIn(boost::asio::io_context& io, const core::Clock& clock, core::TimerQueue& timers)
       : clock_(clock),
-        deadlines_(deadlines),
-        listener_(std::make_unique<net::Listener>(io,
-                                                  anyPort(),
-                                                  1000,
-                                                  *this,
-                                                  clock,
-                                                  deadlines,
-                                                  counters_)) {}
+        timers_(timers),
+        listener_(
+            std::make_unique<net::Listener>(io, anyPort(), 1000, *this, clock, timers, counters_)) {
+  }
 
   net::Endpoint address() const { return listener_->address(); }
   const std::vector<Event>& history() const { return history_; }
@@ -87,7 +83,7 @@
       }
     };
     if (slowMs > 0)
-      deadlines_.add(clock_.nowMs() + slowMs, work);
+      timers_.add(clock_.nowMs() + slowMs, work);
     else
       work();
   }
@@ -297,7 +293,7 @@
   }
 
   const core::Clock& clock_;
-  core::Deadlines& deadlines_;
+  core::TimerQueue& timers_;
   core::Counters counters_;
   std::map<std::string, Key> keys_;
   std::map<std::uint64_t, Lease> leases_;
--- a/tests/support/platform.h
+++ b/tests/support/platform.h
@@ -12,8 +12,8 @@
 
 // Discovery as the platform has it: watches that say what there is, and then what they are told to.
 struct Discovery final : net::RequestHandler {
-  Discovery(boost::asio::io_context& io, const core::Clock& clock, core::Deadlines& deadlines)
-      : listener(io, anyPort(), 100, *this, clock, deadlines, counters) {}
+  Discovery(boost::asio::io_context& io, const core::Clock& clock, core::TimerQueue& timers)
+      : listener(io, anyPort(), 100, *this, clock, timers, counters) {}
   void request(const std::shared_ptr<net::ClientConnection>& connection,
                net::HttpRequest&&,
                double) override {
@@ -37,8 +37,8 @@
 
 struct Platform : Stage {
   Folder folder;
-  StandInInstance instance{io, clock, deadlines}, other{io, clock, deadlines};
-  Discovery discovery{io, clock, deadlines};
+  StandInInstance instance{io, clock, timers}, other{io, clock, timers};
+  Discovery discovery{io, clock, timers};
   net::Endpoint listen = freePort();
   Programs programs;
   nlohmann::json settings = siteSettings();
--- a/tests/support/site.h
+++ b/tests/support/site.h
@@ -54,7 +54,7 @@
       front = std::make_unique<frontend::PlatformFront>(server->dispatcher, site.setup.names, clock,
                                                         server->counters);
     listener = std::make_unique<net::Listener>(server->io, anyPort(), 100, *front, clock,
-                                               server->deadlines, server->counters);
+                                               server->timers, server->counters);
     clients = std::make_unique<net::ConnectionPool>(
         io, clock, instanceDeadlines, ownCounters, net::ConnectionPool::Limits{100, 1000, 100'000});
   }
@@ -71,7 +71,7 @@
   bool until(const std::function<bool()>& met) { return inference_router::until(io, met); }
   void pass(double ms) {
     clock.advance(ms);
-    server->deadlines.runDue(clock.nowMs());
+    server->timers.runDue(clock.nowMs());
   }
   std::shared_ptr<Reply> post(const std::string& target,
                               net::Fields fields,
@@ -108,7 +108,7 @@
 
   boost::asio::io_context io;  // of the stand-ins
   core::ManualClock clock;
-  core::Deadlines instanceDeadlines;
+  core::TimerQueue instanceDeadlines;
   core::Counters ownCounters;
   std::vector<Kind> kinds_;
   std::map<std::string, std::unique_ptr<StandInInstance>> instances;
--- a/tests/support/stage.h
+++ b/tests/support/stage.h
@@ -17,7 +17,7 @@
 
 #include "core/clock.h"
 #include "core/counters.h"
-#include "core/deadlines.h"
+#include "core/timer_queue.h"
 #include "net/listener.h"
 #include "net/pool.h"
 
@@ -45,13 +45,13 @@
 struct Stage {
   boost::asio::io_context io;
   core::ManualClock clock;
-  core::Deadlines deadlines;
+  core::TimerQueue timers;
   core::Counters counters;
 
   bool until(const std::function<bool()>& met) { return inference_router::until(io, met); }
   void pass(double ms) {
     clock.advance(ms);
-    deadlines.runDue(clock.nowMs());
+    timers.runDue(clock.nowMs());
   }
 };
 
@@ -171,8 +171,8 @@
   };
   using Script = std::function<void(StandInInstance&, Taken&)>;
 
-  StandInInstance(boost::asio::io_context& io, const core::Clock& clock, core::Deadlines& deadlines)
-      : listener_(io, anyPort(), 1000, *this, clock, deadlines, counters_) {}
+  StandInInstance(boost::asio::io_context& io, const core::Clock& clock, core::TimerQueue& timers)
+      : listener_(io, anyPort(), 1000, *this, clock, timers, counters_) {}
 
   net::Endpoint address() const { return listener_.address(); }
   void request(const std::shared_ptr<net::ClientConnection>& connection,
--- a/tests/unanswered_requests_test.cpp
+++ b/tests/unanswered_requests_test.cpp
@@ -109,7 +109,7 @@
                  cap,
                  *this,
                  clock,
-                 deadlines,
+                 timers,
                  counters,
                  {.sharedPort = false, .open = true, .gate = gate, .descriptorBudget = nullptr}) {}
   void request(const std::shared_ptr<ClientConnection>& connection,
@@ -482,7 +482,7 @@
 
 struct SmallSite : Stage {
   Folder folder;
-  StandInInstance instance{io, clock, deadlines};
+  StandInInstance instance{io, clock, timers};
   net::Endpoint listen = freePort(), door = freePort();
   Programs programs;
 
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -31,9 +31,9 @@
   for (std::size_t cut = 5; cut + 5 < body.size(); ++cut) {
     SCOPED_TRACE(cut);
     Stage stage;
-    net::ConnectionPool first(stage.io, stage.clock, stage.deadlines, stage.counters,
+    net::ConnectionPool first(stage.io, stage.clock, stage.timers, stage.counters,
                               {4, 1000, 10'000});
-    net::ConnectionPool second(stage.io, stage.clock, stage.deadlines, stage.counters,
+    net::ConnectionPool second(stage.io, stage.clock, stage.timers, stage.counters,
                                {4, 1000, 10'000});
     RawPeer instance(stage.io);
     const auto before = std::make_shared<Reply>(), after = std::make_shared<Reply>();
@@ -64,8 +64,7 @@
 
 TEST(AnswerUnderWay, GoesOnWhereItIsIfItIsNotHandedOver) {
   Stage stage;
-  net::ConnectionPool pool(stage.io, stage.clock, stage.deadlines, stage.counters,
-                           {4, 1000, 10'000});
+  net::ConnectionPool pool(stage.io, stage.clock, stage.timers, stage.counters, {4, 1000, 10'000});
   RawPeer instance(stage.io);
   const auto reply = std::make_shared<Reply>();
   const auto call = pool.call(instance.address(), "GET / HTTP/1.1\r\n\r\n", nullptr, reply);
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -22,9 +22,9 @@
     "3\t"
     "grades.0.name=ask\tgrades.0.stream=true\tgrades.0.worth=1\tkinds=reader,writer\tlimits.cancel="
     "true\t"
-    "limits.dialTimeoutMs=250\tlimits.maxAttempts=4\tlimits.maxRetryAfterMs=2000\tlimits.gossip="
+    "limits.dialTimeoutMs=250\tlimits.maxAttempts=4\tlimits.maxRetryAfterMs=2000\tlimits.peers="
     "false\t"
-    "limits.healthChecks=false\tlimits.retryAfter=true\tlimits.secondCopies=false\tme=0\tmyZone="
+    "limits.probing=false\tlimits.retryAfter=true\tlimits.secondCopies=false\tme=0\tmyZone="
     "z\torgs="
     "\tpeersTotal=1\t"
     "report.how=off\ttickMs=2\tunheardOf=1\tzones=z\n";
