--- a/adapter/host.cpp
+++ b/adapter/host.cpp
@@ -31,7 +31,9 @@
 void Host::playBatch(std::istream& in, std::ostream& out, const Line& opening) {
   const Time now(opening.span(1));
   const std::string batch = std::to_string(opening.whole(2));
-  std::string node, spoken, text;
+  std::string node;
+  std::string announcedNode;
+  std::string text;
   std::vector<Action> actions;
   for (;;) {
     if (!readLine(in, text))
@@ -46,10 +48,10 @@
     }
     actions.clear();
     playLine(in, line, node, now, actions);
-    if (!actions.empty() && spoken != node)
+    if (!actions.empty() && announcedNode != node)
       out << "ON_BEHALF\t" << node << '\n';
     if (!actions.empty())
-      spoken = node;
+      announcedNode = node;
     for (const Action& action : actions)
       out << formatAction(action) << '\n';
   }
@@ -65,27 +67,27 @@
     line.complain(0, "an event before any FOR");
   if (line.name() == "ENLIST") {
     Setup setup = parseSetup(line);
-    instances_[node] = {std::move(setup.names),
-                        std::make_unique<Router>(setup.settings, line.whole(1))};
+    routers_[node] = {std::move(setup.names),
+                      std::make_unique<Router>(setup.settings, line.whole(1))};
     return;
   }
   if (line.name() == "EXIT") {
     line.expect(0);
-    instances_.erase(node);
+    routers_.erase(node);
     return;
   }
-  const auto found = instances_.find(node);
-  if (found == instances_.end())
+  const auto found = routers_.find(node);
+  if (found == routers_.end())
     line.complain(0, "an event for " + node + ", which is not running");
-  Instance& instance = found->second;
+  HostedRouter& hosted = found->second;
   const bool list = line.name() == "UPDATE";
   const Event event =
-      list ? Event(readList(in, line, instance.names)) : parseEvent(line, instance.names);
-  instance.router->handle(now, event, actions);
+      list ? Event(readList(in, line, hosted.names)) : parseEvent(line, hosted.names);
+  hosted.router->handle(now, event, actions);
 }
 
 EndpointListUpdate Host::readList(std::istream& in, const Line& head, const Vocabulary& names) {
-  EndpointListUpdate news = parseListHead(head);
+  EndpointListUpdate update = parseListHead(head);
   std::string text;
   for (std::uint64_t left = head.whole(3); left > 0; --left) {
     if (!readLine(in, text))
@@ -93,9 +95,9 @@
     const Line line(text, lineNumber_);
     if (line.name() != "ITEM")
       line.complain(0, "expected ITEM");
-    news.entries.push_back(parseItem(line, names));
+    update.entries.push_back(parseItem(line, names));
   }
-  return news;
+  return update;
 }
 
 }  // namespace inference_router::routing::wire
--- a/adapter/host.h
+++ b/adapter/host.h
@@ -1,4 +1,4 @@
-// Keeps the instances of one process apart and answers batch by batch.
+/// The routers that one adapter process hosts: keeps them apart by name and answers batch by batch.
 #pragma once
 
 #include <iosfwd>
@@ -6,17 +6,18 @@
 #include <memory>
 #include <string>
 
-#include "wire.h"
+#include "message_codec.h"
+#include "settings_parser.h"
 
 namespace inference_router::routing::wire {
 
 class Host {
  public:
-  // Reads batches until the input ends, writing one reply for each. Throws Malformed.
+  /// Reads batches until the input ends and writes one reply for each. Throws Malformed.
   void run(std::istream& in, std::ostream& out);
 
  private:
-  struct Instance {
+  struct HostedRouter {
     Vocabulary names;
     std::unique_ptr<Router> router;
   };
@@ -30,7 +31,7 @@
                 std::vector<Action>& actions);
   EndpointListUpdate readList(std::istream& in, const Line& head, const Vocabulary& names);
 
-  std::map<std::string, Instance> instances_;
+  std::map<std::string, HostedRouter> routers_;
   std::size_t lineNumber_ = 0;
 };
 
--- a/src/app/config.h
+++ b/src/app/config.h
@@ -9,7 +9,7 @@
 #include <string>
 
 #include "net/pool.h"
-#include "wire.h"
+#include "settings_parser.h"
 
 namespace inference_router::app {
 
--- a/src/frontend/openai/operator_file.h
+++ b/src/frontend/openai/operator_file.h
@@ -12,7 +12,7 @@
 #include "coordination/setup.h"
 #include "shared/setup.h"
 #include "upstream/instance_directory.h"
-#include "wire.h"
+#include "settings_parser.h"
 
 namespace inference_router::frontend {
 
--- a/src/frontend/platform/discovery.h
+++ b/src/frontend/platform/discovery.h
@@ -17,7 +17,7 @@
 #include "fleet/instance_ages.h"
 #include "net/pool.h"
 #include "upstream/instance_directory.h"
-#include "wire.h"
+#include "settings_parser.h"
 
 namespace inference_router::frontend {
 
--- a/src/frontend/platform/platform_front.h
+++ b/src/frontend/platform/platform_front.h
@@ -8,7 +8,7 @@
 #include "frontend/front.h"
 #include "net/client_connection.h"
 #include "upstream/http_instance_client.h"
-#include "wire.h"
+#include "settings_parser.h"
 
 namespace inference_router::frontend {
 
--- a/src/frontend/settings_json.h
+++ b/src/frontend/settings_json.h
@@ -5,7 +5,7 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-#include "wire.h"
+#include "settings_parser.h"
 
 namespace inference_router::frontend {
 
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -2,7 +2,9 @@
 
 #include <sstream>
 
+#include "base64.h"
 #include "host.h"
+#include "message_codec.h"
 
 namespace inference_router::routing::wire {
 namespace {
