--- a/benchmarks/flood.cpp
+++ b/benchmarks/flood.cpp
@@ -50,7 +50,7 @@
   return at.address().to_string() + ":" + std::to_string(at.port());
 }
 
-pid_t start(const std::vector<std::string>& words) {
+pid_t start(const std::vector<std::string>& arguments) {
   const pid_t process = ::fork();
   if (process != 0)
     return process;
@@ -58,8 +58,8 @@
   ::dup2(quiet, 1);
   ::dup2(quiet, 2);
   std::vector<char*> raw;
-  for (const std::string& word : words)
-    raw.push_back(const_cast<char*>(word.c_str()));
+  for (const std::string& argument : arguments)
+    raw.push_back(const_cast<char*>(argument.c_str()));
   raw.push_back(nullptr);
   ::execv(raw[0], raw.data());
   ::_exit(127);
@@ -253,9 +253,9 @@
   std::map<std::string, std::vector<Play>> plays;
   for (int round = 0; round < rounds; ++round)
     for (int i = 3; i < argc; ++i) {
-      const std::string word = argv[i];
-      const std::string name = word.substr(0, word.find('=')),
-                        program = word.substr(word.find('=') + 1);
+      const std::string argument = argv[i];
+      const std::string name = argument.substr(0, argument.find('=')),
+                        program = argument.substr(argument.find('=') + 1);
       for (const bool flooded : {false, true})
         plays[name + (flooded ? ", flood" : ", no flood")].push_back(
             play(program, argv[2], name.rfind("gate", 0) == 0, flooded));
--- a/benchmarks/sharing_cost.cpp
+++ b/benchmarks/sharing_cost.cpp
@@ -50,13 +50,13 @@
   return tcp::acceptor(io, {boost::asio::ip::make_address("127.0.0.1"), 0}).local_endpoint();
 }
 
-pid_t start(std::vector<std::string> words) {
+pid_t start(std::vector<std::string> arguments) {
   const pid_t process = ::fork();
   if (process != 0)
     return process;
   std::vector<char*> raw;
-  for (std::string& word : words)
-    raw.push_back(word.data());
+  for (std::string& argument : arguments)
+    raw.push_back(argument.data());
   raw.push_back(nullptr);
   if (std::freopen("/dev/null", "w", stderr) == nullptr ||
       std::freopen("/dev/null", "w", stdout) == nullptr)
--- a/soak/client.cpp
+++ b/soak/client.cpp
@@ -24,7 +24,7 @@
   void written() override { written_ = true; }
   void done() override {
     view().answeredMs = client_.environment_.clock.nowMs();
-    view().whole = tail_.find("data: [DONE]") != std::string::npos;
+    view().complete = tail_.find("data: [DONE]") != std::string::npos;
     client_.over(id_, /*resend=*/false);
   }
   // A connection that rests may end as the next request crosses its end: that one is sent once
@@ -40,19 +40,19 @@
   }
 
  private:
-  ClientView& view() { return client_.environment_.ledger.of(id_); }
+  ClientView& view() { return client_.environment_.requestLog.entry(id_); }
   Client& client_;
   std::string id_, tail_;
   bool written_ = false;
 };
 
 Client::Client(Environment& environment,
-               int conductor,
+               int router,
                int number,
                const net::Endpoint& to,
-               double longestDeadlineMs)
+               double maxDeadlineMs)
     : environment_(environment),
-      conductor_(conductor),
+      conductor_(router),
       number_(number),
       to_(to),
       pool_(environment.io,
@@ -60,7 +60,7 @@
             environment.timers,
             environment.counters,
             {2, kClientDialMs, kClientIdleMs}),
-      longestDeadlineMs_(longestDeadlineMs) {}
+      maxDeadlineMs_(maxDeadlineMs) {}
 
 void Client::start() {
   environment_.after(environment_.drawn(0, 300), [this] { send(); });
@@ -73,10 +73,10 @@
     return start();
   const std::string id =
       std::to_string(conductor_) + "-" + std::to_string(number_) + "-" + std::to_string(++sent_);
-  ClientView& view = environment_.ledger.of(id);
+  ClientView& view = environment_.requestLog.entry(id);
   view.atMostOnce = environment_.drawn(0, 1) < kChangeShare;
-  view.conductor = conductor_;
-  view.budgetMs = environment_.drawn(kLeastBudget, 1) * longestDeadlineMs_;
+  view.router = conductor_;
+  view.budgetMs = environment_.drawn(kLeastBudget, 1) * maxDeadlineMs_;
   view.sentMs = environment_.clock.nowMs();
   resent_ = false;
   open(id);
@@ -85,7 +85,7 @@
   environment_.after(environment_.drawn(2, 400), [this, id] {
     if (!call_ || id_ != id)
       return;
-    environment_.ledger.of(id).goneMs = environment_.clock.nowMs();
+    environment_.requestLog.entry(id).closedMs = environment_.clock.nowMs();
     call_->abandon();
     over(id, false);
   });
@@ -98,15 +98,16 @@
       "POST /v1/chat/completions HTTP/1.1",
       {{"Host", "soak"},
        {"X-Call-Id", id},
-       {"X-Call-Class", environment_.ledger.of(id).atMostOnce ? "change" : "ask"},
+       {"X-Call-Class", environment_.requestLog.entry(id).atMostOnce ? "change" : "ask"},
        {"X-Caller", "club"},
        {"X-Route-Hash", std::to_string(number_)},
-       {"X-Budget-Ms", std::to_string(static_cast<long>(environment_.ledger.of(id).budgetMs))},
+       {"X-Budget-Ms",
+        std::to_string(static_cast<long>(environment_.requestLog.entry(id).budgetMs))},
        {"X-Call-Info", "prompt_len=100,max_out=50"},
        {"Content-Length", std::to_string(body.size())}});
   call_ = pool_.call(to_, head, std::make_shared<const std::string>(body),
                      std::make_shared<Exchange>(*this, id));
-  environment_.after(environment_.ledger.of(id).budgetMs + kPatienceMs, [this, id] {
+  environment_.after(environment_.requestLog.entry(id).budgetMs + kPatienceMs, [this, id] {
     if (!call_ || id_ != id)
       return;
     call_->abandon();
@@ -127,9 +128,9 @@
   start();
 }
 
-void Client::doubt(double sentByMs) {
-  if (!id_.empty() && environment_.ledger.of(id_).sentMs <= sentByMs)
-    environment_.ledger.of(id_).undecided = true;
+void Client::markUndecided(double sentByMs) {
+  if (!id_.empty() && environment_.requestLog.entry(id_).sentMs <= sentByMs)
+    environment_.requestLog.entry(id_).undecided = true;
 }
 
 }  // namespace inference_router::soak
--- a/soak/client.h
+++ b/soak/client.h
@@ -15,10 +15,10 @@
 class Client {
  public:
   Client(Environment& environment,
-         int conductor,
+         int router,
          int number,
          const net::Endpoint& to,
-         double longestDeadlineMs);
+         double maxDeadlineMs);
   void start();
   void pause() { paused_ = true; }  ///< the front layer sends nothing there
   void resume() { paused_ = onlyOpen_ = false; }
@@ -27,7 +27,7 @@
   void stop() { stopped_ = true; }
   bool busy() const { return call_ != nullptr; }
   /// What is open and was sent by then cannot be judged any more.
-  void doubt(double sentByMs = HUGE_VAL);
+  void markUndecided(double sentByMs = HUGE_VAL);
 
  private:
   class Exchange;
@@ -42,7 +42,7 @@
   std::shared_ptr<net::Call> call_;
   std::string id_;
   int sent_ = 0;
-  double longestDeadlineMs_;
+  double maxDeadlineMs_;
   bool resent_ = false, paused_ = false, stopped_ = false, onlyOpen_ = false;
 };
 
--- a/soak/discovery_agent.cpp
+++ b/soak/discovery_agent.cpp
@@ -51,8 +51,8 @@
   connection.answer(status, {}, "");
 }
 
-void Agent::list(std::string whole, const std::string& changes) {
-  whole_ = std::move(whole);
+void Agent::list(std::string complete, const std::string& changes) {
+  whole_ = std::move(complete);
   if (changes.empty())
     return;
   for (const auto& watch : watches_)
--- a/soak/discovery_agent.h
+++ b/soak/discovery_agent.h
@@ -22,7 +22,7 @@
   void drained(net::ClientConnection&) override {}
   void reject(net::ClientConnection& connection, unsigned status, std::string_view why) override;
   /// The whole list, as whoever opens a watch gets it from now on; changes go to the open ones.
-  void list(std::string whole, const std::string& changes);
+  void list(std::string complete, const std::string& changes);
   void down(double forMs);
   net::Endpoint address() const { return listener_.address(); }
 
--- a/soak/environment.h
+++ b/soak/environment.h
@@ -8,7 +8,7 @@
 #include "core/clock.h"
 #include "core/counters.h"
 #include "core/timer_queue.h"
-#include "ledger.h"
+#include "request_log.h"
 
 namespace inference_router::soak {
 
@@ -18,11 +18,11 @@
   const core::Clock& clock;
   core::TimerQueue& timers;
   core::Counters& counters;
-  Ledger& ledger;
+  RequestLog& requestLog;
   std::mt19937_64 random;
 
-  double drawn(double least, double most) {
-    return std::uniform_real_distribution<>(least, most)(random);
+  double drawn(double min, double max) {
+    return std::uniform_real_distribution<>(min, max)(random);
   }
   void after(double ms, core::TimerQueue::Task task) {
     timers.add(clock.nowMs() + ms, std::move(task));
--- a/soak/held_ledger.cpp
+++ b/soak/held_state_monitor.cpp
@@ -1,4 +1,4 @@
-#include "held_ledger.h"
+#include "held_state_monitor.h"
 
 #include <algorithm>
 
@@ -12,41 +12,41 @@
 
 }  // namespace
 
-HeldLedger::Entry& HeldLedger::note(const std::string& request,
-                                    const char* what,
-                                    int instance,
-                                    double nowMs) {
+HeldStateMonitor::Entry& HeldStateMonitor::note(const std::string& request,
+                                                const char* what,
+                                                int instance,
+                                                double nowMs) {
   Entry& entry = requests_[request];
   measure(entry, nowMs);
   entry.history.push_back(wholeMs(nowMs) + " " + what + " at " + std::to_string(instance));
   return entry;
 }
 
-void HeldLedger::measure(const Entry& entry, double nowMs) {
+void HeldStateMonitor::measure(const Entry& entry, double nowMs) {
   if (uncovered(entry))
-    longestMs_ = std::max(longestMs_, nowMs - entry.sinceMs);
+    maxHeldMs_ = std::max(maxHeldMs_, nowMs - entry.sinceMs);
 }
 
-void HeldLedger::prefillArrived(const std::string& request, int instance, double nowMs) {
+void HeldStateMonitor::prefillArrived(const std::string& request, int instance, double nowMs) {
   note(request, "prefill arrived", instance, nowMs).prefillArrived = true;
 }
 
-void HeldLedger::attemptBegan(const std::string& request, int instance, double nowMs) {
+void HeldStateMonitor::attemptBegan(const std::string& request, int instance, double nowMs) {
   ++note(request, "attempt began", instance, nowMs).out;
 }
 
-void HeldLedger::attemptEnded(const std::string& request, int instance, double nowMs) {
+void HeldStateMonitor::attemptEnded(const std::string& request, int instance, double nowMs) {
   Entry& entry = note(request, "attempt ended", instance, nowMs);
   entry.out = std::max(0, entry.out - 1);
   entry.prefillArrived = false;
   entry.sinceMs = nowMs;
 }
 
-void HeldLedger::reservationArrived(const std::string& request, int instance, double nowMs) {
+void HeldStateMonitor::reservationArrived(const std::string& request, int instance, double nowMs) {
   note(request, "reservation asked", instance, nowMs).sinceMs = nowMs;
 }
 
-void HeldLedger::hold(const std::string& request, Kind kind, int instance, double nowMs) {
+void HeldStateMonitor::hold(const std::string& request, Kind kind, int instance, double nowMs) {
   Entry& entry =
       note(request, kind == Kind::kState ? "state held" : "reservation held", instance, nowMs);
   if (entry.held.empty())
@@ -54,34 +54,34 @@
   entry.held[kind] = instance;
 }
 
-void HeldLedger::drop(const std::string& request, Kind kind) {
+void HeldStateMonitor::drop(const std::string& request, Kind kind) {
   requests_[request].held.erase(kind);
 }
 
-void HeldLedger::take(const std::string& request, int instance, double nowMs) {
+void HeldStateMonitor::take(const std::string& request, int instance, double nowMs) {
   note(request, "taken", instance, nowMs).held.clear();
 }
 
-void HeldLedger::release(const std::string& request, int instance, double nowMs) {
+void HeldStateMonitor::release(const std::string& request, int instance, double nowMs) {
   note(request, "released", instance, nowMs).held.clear();
 }
 
-bool HeldLedger::prefillHasArrived(const std::string& request) const {
+bool HeldStateMonitor::prefillHasArrived(const std::string& request) const {
   const auto it = requests_.find(request);
   return it != requests_.end() && it->second.prefillArrived;
 }
 
-bool HeldLedger::attemptIsOut(const std::string& request) const {
+bool HeldStateMonitor::attemptIsOut(const std::string& request) const {
   const auto it = requests_.find(request);
   return it != requests_.end() && it->second.out > 0;
 }
 
-void HeldLedger::excuse(const std::function<bool(const std::string&)>& ofEnded) {
+void HeldStateMonitor::forgive(const std::function<bool(const std::string&)>& ofEnded) {
   std::erase_if(requests_, [&](const auto& entry) { return ofEnded(entry.first); });
 }
 
-std::vector<Break> HeldLedger::overdue(double nowMs) {
-  std::vector<Break> found;
+std::vector<Violation> HeldStateMonitor::overdue(double nowMs) {
+  std::vector<Violation> found;
   for (auto& [request, entry] : requests_) {
     measure(entry, nowMs);
     if (entry.reported || !uncovered(entry) || nowMs - entry.sinceMs <= limitMs_)
--- a/soak/held_ledger.h
+++ b/soak/held_state_monitor.h
@@ -8,15 +8,15 @@
 #include <string>
 #include <vector>
 
-#include "ledger.h"
+#include "request_log.h"
 
 namespace inference_router::soak {
 
-class HeldLedger {
+class HeldStateMonitor {
  public:
   enum class Kind { kState, kReservation };
 
-  explicit HeldLedger(double limitMs) : limitMs_(limitMs) {}
+  explicit HeldStateMonitor(double limitMs) : limitMs_(limitMs) {}
 
   /// The bytes of a prefill attempt came, whether or not its instance takes it up.
   void prefillArrived(const std::string& request, int instance, double nowMs);
@@ -36,10 +36,10 @@
   bool attemptIsOut(const std::string& request) const;
 
   /// What a router process left as it ended counts no more.
-  void excuse(const std::function<bool(const std::string& request)>& ofEnded);
+  void forgive(const std::function<bool(const std::string& request)>& ofEnded);
   /// Breaks that have come about since the last call.
-  std::vector<Break> overdue(double nowMs);
-  double longestMs() const { return longestMs_; }
+  std::vector<Violation> overdue(double nowMs);
+  double maxHeldMs() const { return maxHeldMs_; }
 
  private:
   struct Entry {
@@ -56,7 +56,7 @@
   static bool uncovered(const Entry& entry) { return entry.out == 0 && !entry.held.empty(); }
   void measure(const Entry& entry, double nowMs);
 
-  double limitMs_, longestMs_ = 0;
+  double limitMs_, maxHeldMs_ = 0;
   std::map<std::string, Entry> requests_;
 };
 
--- a/soak/instance.cpp
+++ b/soak/instance.cpp
@@ -13,7 +13,7 @@
 constexpr double kUnknownMs = 300;    // until a reservation is answered whose prefill is not known
 constexpr double kRefusedShare = 0.05;  // of reservations
 constexpr double kLongShare = 0.3;      // of prefills
-const std::string kRoomsPath = "/bootstrap/rooms/";
+const std::string kReservationPath = "/bootstrap/rooms/";
 
 const std::string kEvent =
     "data: "
@@ -27,18 +27,18 @@
 }  // namespace
 
 Instance::Instance(Environment& environment,
-                   HeldLedger& held,
+                   HeldStateMonitor& held,
                    ReservationRule rule,
                    int number,
                    std::string kind,
                    const net::Endpoint& address,
-                   DrainTold drainTold)
+                   DrainNotifiedMs drainNotifiedMs)
     : environment_(environment),
-      held_(held),
+      heldState_(held),
       rule_(rule),
       number_(number),
       kind_(std::move(kind)),
-      drainTold_(std::move(drainTold)),
+      drainNotifiedMs_(std::move(drainNotifiedMs)),
       listener_(environment.io,
                 address,
                 kConnections,
@@ -66,8 +66,8 @@
   Call call{connection, std::move(request), arrivedMs};
   if (behaviour_ != Behaviour::kReadsNothing)
     return read(call);
-  if (kind_ == "reader" && std::string(call.request.target()).rfind(kRoomsPath, 0) != 0)
-    held_.prefillArrived(std::string(call.request["X-Call-Id"]), number_, now());
+  if (kind_ == "reader" && std::string(call.request.target()).rfind(kReservationPath, 0) != 0)
+    heldState_.prefillArrived(std::string(call.request["X-Call-Id"]), number_, now());
   unread_.push_back(std::move(call));
 }
 
@@ -96,13 +96,13 @@
 }
 
 void Instance::read(const Call& call) {
-  const bool swallowed = silenceOf(call.connection.get()) == Silence::kBoth;
+  const bool ignored = silenceOf(call.connection.get()) == Silence::kBoth;
   const std::string target(call.request.target());
-  if (target.rfind(kRoomsPath, 0) != 0)
-    return attempt(call, swallowed);
-  if (swallowed || behaviour_ == Behaviour::kHangs)
+  if (target.rfind(kReservationPath, 0) != 0)
+    return attempt(call, ignored);
+  if (ignored || behaviour_ == Behaviour::kHangs)
     return;
-  const std::string request = target.substr(kRoomsPath.size());
+  const std::string request = target.substr(kReservationPath.size());
   if (call.request.method_string() == "DELETE")
     release(call.connection, request);
   else
@@ -110,7 +110,7 @@
 }
 
 void Instance::release(const Connection& connection, const std::string& request) {
-  held_.release(request, number_, now());
+  heldState_.release(request, number_, now());
   answer(connection, 204, {}, "");
 }
 
@@ -119,36 +119,37 @@
 void Instance::reserve(const Connection& connection, const std::string& request) {
   if (kind_ == "reader")
     return answer(connection, 404, {}, "");
-  held_.reservationArrived(request, number_, now());
-  held_.drop(request, HeldLedger::Kind::kReservation);
-  const bool known = rule_ == ReservationRule::kByArrival ? held_.prefillHasArrived(request)
-                                                          : held_.attemptIsOut(request);
+  heldState_.reservationArrived(request, number_, now());
+  heldState_.drop(request, HeldStateMonitor::Kind::kReservation);
+  const bool known = rule_ == ReservationRule::kByArrival ? heldState_.prefillHasArrived(request)
+                                                          : heldState_.attemptIsOut(request);
   if (known && environment_.drawn(0, 1) < kRefusedShare)
     return answer(connection, 409, {}, "");
-  held_.hold(request, HeldLedger::Kind::kReservation, number_, now());
+  heldState_.hold(request, HeldStateMonitor::Kind::kReservation, number_, now());
   if (known)
     return answer(connection, 200, {}, "");
   environment_.after(kUnknownMs, [this, connection] { answer(connection, 204, {}, ""); });
 }
 
-void Instance::attempt(const Call& call, bool swallowed) {
+void Instance::attempt(const Call& call, bool ignored) {
   const std::string id(call.request["X-Call-Id"]);
-  if (!environment_.ledger.knows(id))
-    environment_.ledger.breaks("unknown", "an attempt with an id that no client sent: " + id);
-  const bool reads = kind_ == "reader";
-  ClientView& view = environment_.ledger.of(id);
+  if (!environment_.requestLog.knows(id))
+    environment_.requestLog.addViolation("unknown",
+                                         "an attempt with an id that no client sent: " + id);
+  const bool prefills = kind_ == "reader";
+  ClientView& view = environment_.requestLog.entry(id);
   view.arrivals.push_back({.atMs = call.arrivedMs,
                            .instance = number_,
                            .budgetMs = std::atof(std::string(call.request["X-Budget-Ms"]).c_str()),
                            .rejected = behaviour_ == Behaviour::kRejects,
-                           .reads = reads,
-                           .drainToldMs = drainTold_(view.conductor, number_)});
-  if (reads)
-    held_.prefillArrived(id, number_, now());
-  if (swallowed || call.connection->state() != net::ClientConnection::State::kAnswering)
+                           .prefills = prefills,
+                           .drainNotifiedMs = drainNotifiedMs_(view.router, number_)});
+  if (prefills)
+    heldState_.prefillArrived(id, number_, now());
+  if (ignored || call.connection->state() != net::ClientConnection::State::kAnswering)
     return;
-  held_.attemptBegan(id, number_, now());
-  running_[call.connection.get()] = {id, reads};
+  heldState_.attemptBegan(id, number_, now());
+  running_[call.connection.get()] = {id, prefills};
   if (behaviour_ == Behaviour::kHangs)
     return;
   if (behaviour_ == Behaviour::kRejects || behaviour_ == Behaviour::kResets) {
@@ -157,9 +158,9 @@
       return call.connection->breakOff();
     return answer(call.connection, 503, {{"X-Rejected", "1"}}, "");
   }
-  if (reads)
+  if (prefills)
     return prefill(call.connection, id);
-  held_.take(id, number_, now());
+  heldState_.take(id, number_, now());
   decode(call.connection, id);
 }
 
@@ -170,7 +171,7 @@
     if (it == running_.end() || it->second.request != request)
       return;
     end(connection.get());
-    held_.hold(request, HeldLedger::Kind::kState, number_, now());
+    heldState_.hold(request, HeldStateMonitor::Kind::kState, number_, now());
     answer(connection, 202, {{"Content-Type", "application/json"}}, "{\"cached_tokens\":0}");
   });
 }
@@ -182,7 +183,7 @@
       return;
     if (silenceOf(connection.get()) != Silence::kNone)
       return;
-    held_.take(request, number_, now());  // the first event releases the rest
+    heldState_.take(request, number_, now());  // the first event releases the rest
     connection->beginStream({{"Content-Type", "text/event-stream"}});
     stream(connection, kEvents);
   });
@@ -206,7 +207,7 @@
   const auto it = running_.find(connection);
   if (it == running_.end())
     return;
-  held_.attemptEnded(it->second.request, number_, now());
+  heldState_.attemptEnded(it->second.request, number_, now());
   running_.erase(it);
 }
 
@@ -216,8 +217,8 @@
 }
 
 void Instance::reject(net::ClientConnection& connection, unsigned status, std::string_view why) {
-  environment_.ledger.breaks("malformed",
-                             "an instance got what is no request: " + std::string(why));
+  environment_.requestLog.addViolation("malformed",
+                                       "an instance got what is no request: " + std::string(why));
   connection.answer(status, {}, "");
 }
 
--- a/soak/instance.h
+++ b/soak/instance.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "environment.h"
-#include "held_ledger.h"
+#include "held_state_monitor.h"
 #include "net/endpoint.h"
 #include "net/listener.h"
 
@@ -27,7 +27,7 @@
 };
 
 /// When each router was told that an instance drains.
-using DrainTold = std::function<std::optional<double>(int conductor, int instance)>;
+using DrainNotifiedMs = std::function<std::optional<double>(int router, int instance)>;
 
 /// What an instance of this fleet makes of a reservation whose prefill it cannot see running.
 enum class ReservationRule {
@@ -38,12 +38,12 @@
 class Instance final : public net::RequestHandler {
  public:
   Instance(Environment& environment,
-           HeldLedger& held,
+           HeldStateMonitor& held,
            ReservationRule rule,
            int number,
            std::string kind,
            const net::Endpoint& address,
-           DrainTold drainTold);
+           DrainNotifiedMs drainNotifiedMs);
   void request(const std::shared_ptr<net::ClientConnection>& connection,
                net::HttpRequest&& request,
                double arrivedMs) override;
@@ -70,7 +70,7 @@
 
   void read(const Call& call);
   void readLate();
-  void attempt(const Call& call, bool swallowed);
+  void attempt(const Call& call, bool ignored);
   void prefill(const Connection& connection, const std::string& request);
   void decode(const Connection& connection, const std::string& request);
   void reserve(const Connection& connection, const std::string& request);
@@ -85,11 +85,11 @@
   double now() const { return environment_.clock.nowMs(); }
 
   Environment& environment_;
-  HeldLedger& held_;
+  HeldStateMonitor& heldState_;
   ReservationRule rule_;
   int number_;
   std::string kind_;
-  DrainTold drainTold_;
+  DrainNotifiedMs drainNotifiedMs_;
   Behaviour behaviour_ = Behaviour::kServes;
   std::vector<Call> unread_;
   std::map<const net::ClientConnection*, Running> running_;
--- a/soak/main.cpp
+++ b/soak/main.cpp
@@ -40,11 +40,12 @@
   std::ofstream(folder + "/plan.json") << textOf(plan) << '\n';
   Outcome outcome = play(plan, session.programs, folder);
   if (session.orderOnly)
-    std::erase_if(outcome.breaks, [](const Break& one) { return dependsOnSpeed(one.rule); });
+    std::erase_if(outcome.violations,
+                  [](const Violation& one) { return dependsOnSpeed(one.rule); });
   std::ofstream report(folder + "/breaks");
-  for (const Break& one : outcome.breaks)
+  for (const Violation& one : outcome.violations)
     report << one.rule << ' ' << one.request << ": " << one.detail << '\n';
-  if (outcome.breaks.empty())
+  if (outcome.violations.empty())
     std::filesystem::remove_all(folder);
   return outcome;
 }
@@ -52,10 +53,10 @@
 void tell(const Plan& plan, const Outcome& outcome) {
   std::cout << "seed " << plan.seed << ": " << outcome.requests << " requests, " << outcome.served
             << " served, " << outcome.undecided << " undecided, held for "
-            << std::lround(outcome.longestHeldMs) << " ms at most, " << outcome.breaks.size()
+            << std::lround(outcome.maxHeldMs) << " ms at most, " << outcome.violations.size()
             << " breaks" << std::endl;
   std::map<std::string, int> byRule;
-  for (const Break& one : outcome.breaks)
+  for (const Violation& one : outcome.violations)
     if (++byRule[one.rule] <= 3)
       std::cout << "  " << one.rule << ' ' << one.request << ": " << one.detail << '\n';
 }
@@ -77,7 +78,7 @@
                                given["length-ms"].as<double>());
     const Outcome outcome = playInto(plan, session);
     tell(plan, outcome);
-    broken += !outcome.breaks.empty();
+    broken += !outcome.violations.empty();
   }
   std::cout << broken << " seeds broke a rule\n";
   return broken == 0 ? 0 : 1;
@@ -85,16 +86,16 @@
 
 // Drops faults one by one while the same rule still breaks.
 void shrink(Plan plan, const Session& session) {
-  const Outcome whole = playInto(plan, session);
-  if (whole.breaks.empty())
+  const Outcome complete = playInto(plan, session);
+  if (complete.violations.empty())
     throw std::runtime_error("the plan breaks no rule");
-  const std::string rule = whole.breaks.front().rule;
+  const std::string rule = complete.violations.front().rule;
   for (std::size_t i = plan.faults.size(); i-- > 0;) {
     Plan less = plan;
     less.faults.erase(less.faults.begin() + static_cast<std::ptrdiff_t>(i));
     const Outcome outcome = playInto(less, session);
-    const bool still = std::any_of(outcome.breaks.begin(), outcome.breaks.end(),
-                                   [&](const Break& one) { return one.rule == rule; });
+    const bool still = std::any_of(outcome.violations.begin(), outcome.violations.end(),
+                                   [&](const Violation& one) { return one.rule == rule; });
     if (still)
       plan = less;
   }
@@ -140,7 +141,7 @@
       throw std::runtime_error("no such command");
     const Outcome outcome = playInto(plan, session);
     tell(plan, outcome);
-    return outcome.breaks.empty() ? 0 : 1;
+    return outcome.violations.empty() ? 0 : 1;
   } catch (const std::exception& fault) {
     std::cerr << "dahliastall_soak: " << fault.what() << '\n' << kUsage << known;
     return 2;
--- a/soak/plan.cpp
+++ b/soak/plan.cpp
@@ -44,8 +44,8 @@
                             "clock step step=-3600000",
                             "clock step step=3000"};
 
-constexpr int kLeastFaults = 4, kMostFaults = 9;
-constexpr double kLeastMs = 100, kMostMs = 1'500;
+constexpr int kLeastFaults = 4, kMaxFaults = 9;
+constexpr double kLeastMs = 100, kMaxMs = 1'500;
 
 }  // namespace
 
@@ -53,22 +53,22 @@
   return kNames.at(static_cast<std::size_t>(fault));
 }
 
-Plan drawPlan(std::uint64_t seed, int conductors, int instances, double lengthMs) {
+Plan drawPlan(std::uint64_t seed, int routers, int instances, double lengthMs) {
   std::mt19937_64 random(seed);
-  const auto number = [&](int least, int most) {
-    return std::uniform_int_distribution<int>(least, most)(random);
+  const auto number = [&](int min, int max) {
+    return std::uniform_int_distribution<int>(min, max)(random);
   };
   Plan plan;
   plan.seed = seed;
-  plan.conductors = conductors;
+  plan.routers = routers;
   plan.instances = instances;
   plan.lengthMs = lengthMs;
-  plan.longestDeadlineMs = kDeadlinesMs.at(seed % kDeadlinesMs.size());
+  plan.maxDeadlineMs = kDeadlinesMs.at(seed % kDeadlinesMs.size());
   plan.reservationsByArrival = seed % 2 == 0;
   plan.idleClients = seed % kCrowdEvery == 3 ? kCrowd : 0;
   // Faults gather about one moment, so that they overlap.
   const double centreMs = number(3'000, static_cast<int>(lengthMs) - 4'000);
-  for (int left = number(kLeastFaults, kMostFaults); left > 0; --left) {
+  for (int left = number(kLeastFaults, kMaxFaults); left > 0; --left) {
     PlannedFault next;
     const int drawn =
         number(0, 2 * static_cast<int>(kNames.size()));  // half of them are system calls
@@ -76,7 +76,7 @@
                                                         : FaultKind::kSystemCalls;
     next.target = number(0, 1'000'000);
     next.atMs = centreMs + number(-800, 800);
-    next.forMs = number(static_cast<int>(kLeastMs), static_cast<int>(kMostMs));
+    next.forMs = number(static_cast<int>(kLeastMs), static_cast<int>(kMaxMs));
     if (next.kind == FaultKind::kSystemCalls)
       next.rule =
           kRules.at(static_cast<std::size_t>(number(0, static_cast<int>(kRules.size()) - 1)));
@@ -89,7 +89,7 @@
   constexpr int kRoles = 3, kRolesInTurn = 2;  // prefill, decode and mixed by number; the first two
   const int role = static_cast<int>(seed / 2 % kRolesInTurn);
   const int instance = number(0, 1'000'000) * kRoles + role;
-  const double lastsMs = number(static_cast<int>(kMostMs) / 2, static_cast<int>(kMostMs));
+  const double lastsMs = number(static_cast<int>(kMaxMs) / 2, static_cast<int>(kMaxMs));
   const FaultKind always = kAlways.at(seed / 2 % kAlways.size());
   plan.faults.push_back({always, instance, centreMs + number(-800, 800), lastsMs, {}});
   plan.faults.push_back(
@@ -106,11 +106,11 @@
                     {"for_ms", fault.forMs},
                     {"rule", fault.rule}});
   return json{{"seed", plan.seed},
-              {"conductors", plan.conductors},
+              {"conductors", plan.routers},
               {"instances", plan.instances},
               {"clients", plan.clients},
               {"length_ms", plan.lengthMs},
-              {"longest_deadline_ms", plan.longestDeadlineMs},
+              {"longest_deadline_ms", plan.maxDeadlineMs},
               {"reservations_by_arrival", plan.reservationsByArrival},
               {"idle_clients", plan.idleClients},
               {"faults", list}}
@@ -119,17 +119,17 @@
 
 std::optional<Plan> planOf(const std::string& text) {
   try {
-    const json whole = json::parse(text);
+    const json complete = json::parse(text);
     Plan plan;
-    plan.seed = whole.at("seed");
-    plan.conductors = whole.at("conductors");
-    plan.instances = whole.at("instances");
-    plan.clients = whole.at("clients");
-    plan.lengthMs = whole.at("length_ms");
-    plan.longestDeadlineMs = whole.at("longest_deadline_ms");
-    plan.reservationsByArrival = whole.at("reservations_by_arrival");
-    plan.idleClients = whole.at("idle_clients");
-    for (const json& entry : whole.at("faults")) {
+    plan.seed = complete.at("seed");
+    plan.routers = complete.at("conductors");
+    plan.instances = complete.at("instances");
+    plan.clients = complete.at("clients");
+    plan.lengthMs = complete.at("length_ms");
+    plan.maxDeadlineMs = complete.at("longest_deadline_ms");
+    plan.reservationsByArrival = complete.at("reservations_by_arrival");
+    plan.idleClients = complete.at("idle_clients");
+    for (const json& entry : complete.at("faults")) {
       PlannedFault next;
       const auto name = entry.at("fault").get<std::string>();
       const auto* const it = std::find(kNames.begin(), kNames.end(), name);
--- a/soak/plan.h
+++ b/soak/plan.h
@@ -37,16 +37,16 @@
 
 struct Plan {
   std::uint64_t seed = 0;
-  int conductors = 24, instances = 30, clients = 4;  ///< clients of each router
+  int routers = 24, instances = 30, clients = 4;  ///< clients of each router
   double lengthMs = 12'000;
-  double longestDeadlineMs = 3'000;  ///< of the settings' classes
+  double maxDeadlineMs = 3'000;  ///< of the settings' classes
   bool reservationsByArrival =
       false;            ///< a reservation is granted where the bytes of its prefill came
   int idleClients = 0;  ///< that connect to one router and send nothing
   std::vector<PlannedFault> faults;
 };
 
-Plan drawPlan(std::uint64_t seed, int conductors, int instances, double lengthMs);
+Plan drawPlan(std::uint64_t seed, int routers, int instances, double lengthMs);
 std::string textOf(const Plan& plan);
 std::optional<Plan> planOf(const std::string& text);
 
--- a/soak/ledger.cpp
+++ b/soak/request_log.cpp
@@ -1,4 +1,4 @@
-#include "ledger.h"
+#include "request_log.h"
 
 #include <algorithm>
 
@@ -18,21 +18,21 @@
 
 }  // namespace
 
-std::vector<Break> Ledger::judge(double drainGraceMs) const {
-  std::vector<Break> found = process_;
+std::vector<Violation> RequestLog::findViolations(double drainGraceMs) const {
+  std::vector<Violation> found = process_;
   for (const auto& [id, view] : requests_) {
     const auto add = [&, request = id](const char* rule, const std::string& detail) {
-      found.push_back({rule, request, detail + ", conductor " + std::to_string(view.conductor)});
+      found.push_back({rule, request, detail + ", conductor " + std::to_string(view.router)});
     };
-    const auto ran =
-        std::count_if(view.arrivals.begin(), view.arrivals.end(),
-                      [](const Arrival& arrival) { return !arrival.rejected && !arrival.reads; });
+    const auto ran = std::count_if(
+        view.arrivals.begin(), view.arrivals.end(),
+        [](const Arrival& arrival) { return !arrival.rejected && !arrival.prefills; });
     if (view.atMostOnce && ran > 1)
       add("duplicate", std::to_string(ran) + " attempts may have run");
     const bool refused = view.status == 429 || view.status == 503;
     if (view.atMostOnce && refused && ran > 0)
       add("refused", "refused after an attempt that may have run");
-    const bool owed = !view.goneMs && !view.undecided;
+    const bool owed = !view.closedMs && !view.undecided;
     if (owed && !view.answeredMs)
       add("lost", "no answer to a client that stayed");
     if (owed && view.answeredMs && view.status != 200 &&
@@ -40,31 +40,32 @@
       add("lost",
           "answered " + number(*view.answeredMs - view.sentMs - view.budgetMs) + " ms late");
     for (const Arrival& arrival : view.arrivals) {
-      if (view.goneMs && arrival.atMs > *view.goneMs + kGoneSlackMs)
-        add("gone", "begun " + number(arrival.atMs - *view.goneMs) + " ms after the client left, " +
-                        number(*view.goneMs - view.sentMs) + " ms after it had sent, at instance " +
-                        std::to_string(arrival.instance));
+      if (view.closedMs && arrival.atMs > *view.closedMs + kGoneSlackMs)
+        add("gone", "begun " + number(arrival.atMs - *view.closedMs) +
+                        " ms after the client left, " + number(*view.closedMs - view.sentMs) +
+                        " ms after it had sent, at instance " + std::to_string(arrival.instance));
       const double leftMs = view.sentMs + view.budgetMs - arrival.atMs;
       if (arrival.budgetMs > std::max(0.0, leftMs) + kBudgetSlackMs)
         add("deadline", "told " + number(arrival.budgetMs) + " of " + number(leftMs) + " ms");
-      if (arrival.drainToldMs && arrival.atMs > *arrival.drainToldMs + drainGraceMs + kDrainSlackMs)
+      if (arrival.drainNotifiedMs &&
+          arrival.atMs > *arrival.drainNotifiedMs + drainGraceMs + kDrainSlackMs)
         add("drain",
-            "sent " + number(arrival.atMs - *arrival.drainToldMs) + " ms after it was told");
+            "sent " + number(arrival.atMs - *arrival.drainNotifiedMs) + " ms after it was told");
     }
   }
   return found;
 }
 
-std::size_t Ledger::undecided() const {
+std::size_t RequestLog::undecided() const {
   return static_cast<std::size_t>(
       std::count_if(requests_.begin(), requests_.end(),
                     [](const auto& entry) { return entry.second.undecided; }));
 }
 
-std::size_t Ledger::served() const {
+std::size_t RequestLog::served() const {
   return static_cast<std::size_t>(std::count_if(
       requests_.begin(), requests_.end(),
-      [](const auto& entry) { return entry.second.status == 200 && entry.second.whole; }));
+      [](const auto& entry) { return entry.second.status == 200 && entry.second.complete; }));
 }
 
 }  // namespace inference_router::soak
--- a/soak/ledger.h
+++ b/soak/request_log.h
@@ -15,9 +15,9 @@
   int instance = 0;
   double budgetMs = 0;    ///< that the router told
   bool rejected = false;  ///< the instance proved that it did not run
-  bool reads = false;     ///< a prefill instance, where nothing has an effect
+  bool prefills = false;  ///< a prefill instance, where nothing has an effect
   std::optional<double>
-      drainToldMs;  ///< when the router's watch had been told that the instance drains
+      drainNotifiedMs;  ///< when the router's watch had been told that the instance drains
 };
 
 /// A request as its client saw it.
@@ -25,36 +25,36 @@
   bool atMostOnce = false;
   double sentMs = 0;
   double budgetMs = 0;
-  int conductor = 0;
-  std::optional<double> goneMs;      ///< when the client closed
+  int router = 0;
+  std::optional<double> closedMs;    ///< when the client closed
   std::optional<double> answeredMs;  ///< when the answer had ended
   unsigned status = 0;
-  bool whole = false;      ///< of a status 200: the stream came to its end
+  bool complete = false;   ///< of a status 200: the stream came to its end
   bool undecided = false;  ///< its router was killed, or stopped, while it was open
   std::vector<Arrival> arrivals;
 };
 
-struct Break {
+struct Violation {
   std::string rule, request, detail;
 };
 
-class Ledger {
+class RequestLog {
  public:
-  ClientView& of(const std::string& request) { return requests_[request]; }
+  ClientView& entry(const std::string& request) { return requests_[request]; }
   bool knows(const std::string& request) const { return requests_.count(request) != 0; }
   /// Rules about processes, which are not told by requests.
-  void breaks(std::string rule, std::string detail) {
+  void addViolation(std::string rule, std::string detail) {
     process_.push_back({std::move(rule), "", std::move(detail)});
   }
-  void add(Break one) { process_.push_back(std::move(one)); }
-  std::vector<Break> judge(double drainGraceMs) const;
+  void add(Violation one) { process_.push_back(std::move(one)); }
+  std::vector<Violation> findViolations(double drainGraceMs) const;
   std::size_t size() const { return requests_.size(); }
   std::size_t undecided() const;
   std::size_t served() const;
 
  private:
   std::map<std::string, ClientView> requests_;
-  std::vector<Break> process_;
+  std::vector<Violation> process_;
 };
 
 }  // namespace inference_router::soak
--- a/soak/conductor_process.cpp
+++ b/soak/router_process.cpp
@@ -1,4 +1,4 @@
-#include "conductor_process.h"
+#include "router_process.h"
 
 #include <fcntl.h>
 #include <signal.h>
@@ -12,30 +12,30 @@
 
 namespace inference_router::soak {
 
-ConductorProcess::ConductorProcess(Programs programs,
-                                   std::string folder,
-                                   net::Endpoint listen,
-                                   net::Endpoint discovery,
-                                   nlohmann::json settings)
+RouterProcess::RouterProcess(Programs programs,
+                             std::string folder,
+                             net::Endpoint listen,
+                             net::Endpoint discovery,
+                             nlohmann::json settings)
     : programs_(std::move(programs)), folder_(std::move(folder)), listen_(std::move(listen)) {
   writeConfiguration(discovery, settings);
 }
 
-ConductorProcess::~ConductorProcess() {
+RouterProcess::~RouterProcess() {
   if (!running())
     return;
   ::kill(process_, SIGKILL);
   ::waitpid(process_, nullptr, 0);
 }
 
-void ConductorProcess::writeConfiguration(const net::Endpoint& discovery,
-                                          const nlohmann::json& settings) const {
+void RouterProcess::writeConfiguration(const net::Endpoint& discovery,
+                                       const nlohmann::json& settings) const {
   std::ofstream(folder_ + "/config.json") << nlohmann::json{
       {"name", "n0"}, {"listen", textOf(listen_)},    {"discovery", textOf(discovery)},
       {"seed", "7"},  {"limits", {{"sockets", 256}}}, {"settings", settings}};
 }
 
-void ConductorProcess::start() {
+void RouterProcess::start() {
   std::vector<std::string> variables{"GW_CONFIG=" + folder_ + "/config.json", "TMPDIR=" + folder_,
                                      "ASAN_OPTIONS=verify_asan_link_order=0"};
   if (!rules_.empty()) {
@@ -58,18 +58,18 @@
   ::dup2(file, STDERR_FILENO);
   // A socket of the emulator's that lived on here would stay open as the emulator closes it.
   ::close_range(STDERR_FILENO + 1, ~0U, 0);
-  std::string program = programs_.conductor, word = "serve";
+  std::string program = programs_.router, word = "serve";
   char* const words[] = {program.data(), word.data(), nullptr};
   ::execve(program.c_str(), words, environment.data());
   ::_exit(127);
 }
 
-void ConductorProcess::signal(int number) const {
+void RouterProcess::signal(int number) const {
   if (running())
     ::kill(process_, number);
 }
 
-std::optional<int> ConductorProcess::ended() {
+std::optional<int> RouterProcess::ended() {
   int status = 0;
   if (!running() || ::waitpid(process_, &status, WNOHANG) != process_)
     return std::nullopt;
@@ -77,7 +77,7 @@
   return WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
 }
 
-std::vector<std::string> ConductorProcess::logged(const std::string& text) const {
+std::vector<std::string> RouterProcess::logged(const std::string& text) const {
   std::vector<std::string> found;
   std::ifstream log(folder_ + "/log");
   for (std::string line; std::getline(log, line);)
--- a/soak/conductor_process.h
+++ b/soak/router_process.h
@@ -14,20 +14,20 @@
 namespace inference_router::soak {
 
 struct Programs {
-  std::string conductor, faults;  ///< paths of the program and of the library
+  std::string router, faults;  ///< paths of the program and of the library
 };
 
-class ConductorProcess {
+class RouterProcess {
  public:
   /// folder: its own, with its configuration, its shared files and its log.
-  ConductorProcess(Programs programs,
-                   std::string folder,
-                   net::Endpoint listen,
-                   net::Endpoint discovery,
-                   nlohmann::json settings);
-  ~ConductorProcess();
-  ConductorProcess(const ConductorProcess&) = delete;
-  ConductorProcess& operator=(const ConductorProcess&) = delete;
+  RouterProcess(Programs programs,
+                std::string folder,
+                net::Endpoint listen,
+                net::Endpoint discovery,
+                nlohmann::json settings);
+  ~RouterProcess();
+  RouterProcess(const RouterProcess&) = delete;
+  RouterProcess& operator=(const RouterProcess&) = delete;
 
   /// Lines of the library's plan, for the processes that start from now on.
   void faults(std::vector<std::string> rules) { rules_ = std::move(rules); }
--- a/soak/scenario.cpp
+++ b/soak/scenario.cpp
@@ -24,11 +24,10 @@
 
 using nlohmann::json;
 
-constexpr double kReadyMs = 10'000;  // allowed from the start of a process
-constexpr double kFrontMs = 300;     // after SIGTERM the front layer goes on sending
-constexpr double kLongestGraceMs =
-    3'000;                            // of the deadlines; SIGKILL follows SIGTERM so long after it
-constexpr double kKillAfterMs = 700;  // and this, at its earliest
+constexpr double kReadyMs = 10'000;    // allowed from the start of a process
+constexpr double kFrontMs = 300;       // after SIGTERM the front layer goes on sending
+constexpr double kMaxGraceMs = 3'000;  // of the deadlines; SIGKILL follows SIGTERM so long after it
+constexpr double kKillAfterMs = 700;   // and this, at its earliest
 constexpr double kTakenAfterMs =
     700;  // after SIGTERM; what came later has to be answered before SIGKILL
 constexpr double kHeldLimitMs =
@@ -36,9 +35,9 @@
 constexpr double kMachineSlackMs = 50;
 constexpr double kStopMs = 150;      // that a router may be held up
 constexpr double kWarmUpMs = 1'500;  // of clients, before any fault
-constexpr double kLookMs = 10;
-constexpr double kSettleMs = 1'200;  // at the end, with no client left
-constexpr int kMostAlike = 3;        // instances of one role that a fault hits
+constexpr double kCheckIntervalMs = 10;
+constexpr double kSettleMs = 1'200;       // at the end, with no client left
+constexpr int kMaxInstancesPerFault = 3;  // instances of one role that a fault hits
 constexpr std::array kKinds{"reader", "writer", "mixed"};
 constexpr std::array kFurtherSignals{SIGHUP, SIGTERM, SIGINT};  // to a process that ends
 constexpr double kFurtherSignalMs = 150;
@@ -51,11 +50,11 @@
         programs_(programs),
         folder_(std::move(folder)),
         loop_(io_, clock_, timers_),
-        environment_{io_, clock_, timers_, counters_, ledger_, std::mt19937_64(plan.seed + 1)},
-        held_(kHeldLimitMs + kMachineSlackMs + (stops() ? kStopMs : 0)),
+        environment_{io_, clock_, timers_, counters_, requestLog_, std::mt19937_64(plan.seed + 1)},
+        heldState_(kHeldLimitMs + kMachineSlackMs + (stops() ? kStopMs : 0)),
         startedMs_(clock_.nowMs()) {
     addInstances();
-    addConductors();
+    addRouters();
   }
 
   Outcome run() {
@@ -64,23 +63,23 @@
     for (auto& node : nodes_)
       for (auto& client : node->clients)
         client->stop();
-    runUntil(clock_.nowMs() + 5'500, [this] { return allQuiet(); });
+    runUntil(clock_.nowMs() + 5'500, [this] { return allClientsIdle(); });
     runUntil(clock_.nowMs() + kSettleMs, [] { return false; });  // what is held has to go by itself
     finish();
-    Outcome outcome{ledger_.judge(kDrainGraceMs), ledger_.size(), ledger_.served(),
-                    ledger_.undecided(), held_.longestMs()};
+    Outcome outcome{requestLog_.findViolations(kDrainGraceMs), requestLog_.size(),
+                    requestLog_.served(), requestLog_.undecided(), heldState_.maxHeldMs()};
     return outcome;
   }
 
  private:
   struct Node {
     std::unique_ptr<Agent> agent;
-    std::unique_ptr<ConductorProcess> process;
+    std::unique_ptr<RouterProcess> process;
     std::vector<std::unique_ptr<Client>> clients;
-    std::map<int, double> drainToldMs;  // by instance
+    std::map<int, double> drainNotifiedMs;  // by instance
     std::optional<double> readyByMs, endsByMs, terminatedMs;
     bool expectedEnd = false;
-    std::shared_ptr<net::Call> asking;
+    std::shared_ptr<net::Call> readyCall;
   };
 
   // Asks whether a router is ready, again and again.
@@ -88,8 +87,8 @@
    public:
     ReadyCall(Scenario& scenario, Node& node) : scenario_(scenario), node_(node) {}
     void head(const net::ResponseHead& head) override { ready_ = head.result_int() == 200; }
-    void done() override { scenario_.asked(node_, ready_); }
-    void failed(net::CallFailure) override { scenario_.asked(node_, false); }
+    void done() override { scenario_.readyAnswered(node_, ready_); }
+    void failed(net::CallFailure) override { scenario_.readyAnswered(node_, false); }
 
    private:
     Scenario& scenario_;
@@ -106,35 +105,35 @@
   void addInstances() {
     for (int i = 0; i < plan_.instances; ++i) {
       instances_.push_back(std::make_unique<Instance>(
-          environment_, held_,
+          environment_, heldState_,
           plan_.reservationsByArrival ? ReservationRule::kByArrival : ReservationRule::kByRunning,
           i, kKinds.at(static_cast<std::size_t>(i) % kKinds.size()), nextAddress(),
-          [this](int node, int instance) { return drainTold(node, instance); }));
-      leaving_.push_back(false);
+          [this](int node, int instance) { return drainNotifiedMs(node, instance); }));
+      draining_.push_back(false);
     }
   }
 
-  void addConductors() {
-    for (int i = 0; i < plan_.conductors; ++i) {
+  void addRouters() {
+    for (int i = 0; i < plan_.routers; ++i) {
       const std::string own = folder_ + "/" + std::to_string(i);
       std::filesystem::create_directories(own);
       auto node = std::make_unique<Node>();
       node->agent = std::make_unique<Agent>(environment_, nextAddress());
       node->agent->list(listOf(true), "");
-      node->process = std::make_unique<ConductorProcess>(
-          programs_, own, nextAddress(), node->agent->address(), settings(plan_.longestDeadlineMs));
+      node->process = std::make_unique<RouterProcess>(
+          programs_, own, nextAddress(), node->agent->address(), settings(plan_.maxDeadlineMs));
       node->process->faults(rulesOf(i));
       for (int k = 0; k < plan_.clients; ++k)
         node->clients.push_back(std::make_unique<Client>(
-            environment_, i, k, node->process->address(), plan_.longestDeadlineMs));
+            environment_, i, k, node->process->address(), plan_.maxDeadlineMs));
       nodes_.push_back(std::move(node));
     }
   }
 
-  std::vector<std::string> rulesOf(int conductor) const {
+  std::vector<std::string> rulesOf(int router) const {
     std::vector<std::string> rules;
     for (const PlannedFault& fault : plan_.faults) {
-      if (fault.kind != FaultKind::kSystemCalls || fault.target % plan_.conductors != conductor)
+      if (fault.kind != FaultKind::kSystemCalls || fault.target % plan_.routers != router)
         continue;
       const double from = monotonicMs(startedMs_ + kWarmUpMs + fault.atMs);
       rules.push_back(fault.rule + " from=" + std::to_string(from) +
@@ -150,8 +149,8 @@
     return now.count() + (atMs - clock_.nowMs());
   }
 
-  std::optional<double> drainTold(int node, int instance) const {
-    const auto& told = nodes_.at(static_cast<std::size_t>(node))->drainToldMs;
+  std::optional<double> drainNotifiedMs(int node, int instance) const {
+    const auto& told = nodes_.at(static_cast<std::size_t>(node))->drainNotifiedMs;
     const auto it = told.find(instance);
     return it == told.end() ? std::nullopt : std::optional(it->second);
   }
@@ -163,7 +162,7 @@
             {"locality", "z"},
             {"flavor", instances_[at]->kind()},
             {"cell", 0},
-            {"phase", leaving_[at] ? "leaving" : "active"},
+            {"phase", draining_[at] ? "leaving" : "active"},
             {"size", 1.0},
             {"up_since_ms", 0}};
   }
@@ -182,12 +181,12 @@
       startProcess(*node);
     for (const PlannedFault& fault : plan_.faults)
       environment_.after(kWarmUpMs + fault.atMs, [this, &fault] { inject(fault); });
-    look();
+    checkProcesses();
     if (plan_.idleClients == 0)
       return;
-    crowd_ = std::make_unique<IdleClients>(environment_, nodes_.front()->process->address(),
-                                           plan_.idleClients);
-    environment_.after(kWarmUpMs, [this] { crowd_->start(); });
+    idleClients_ = std::make_unique<IdleClients>(environment_, nodes_.front()->process->address(),
+                                                 plan_.idleClients);
+    environment_.after(kWarmUpMs, [this] { idleClients_->start(); });
   }
 
   void startProcess(Node& node) {
@@ -198,38 +197,38 @@
     node.terminatedMs.reset();
     for (auto& client : node.clients)
       client->pause();
-    ask(node);
+    askReady(node);
   }
 
-  void ask(Node& node) {
-    node.asking = probes_.call(
+  void askReady(Node& node) {
+    node.readyCall = probes_.call(
         node.process->address(),
         net::headText("GET /-/ready HTTP/1.1", {{"Host", "soak"}, {"Connection", "close"}}),
         nullptr, std::make_shared<ReadyCall>(*this, node));
   }
 
-  void asked(Node& node, bool ready) {
-    node.asking = nullptr;
+  void readyAnswered(Node& node, bool ready) {
+    node.readyCall = nullptr;
     if (!node.readyByMs || !node.process->running())
       return;
     if (!ready) {
       environment_.after(50, [this, &node] {
-        if (node.readyByMs && !node.asking)
-          ask(node);
+        if (node.readyByMs && !node.readyCall)
+          askReady(node);
       });
       return;
     }
     node.readyByMs.reset();
     for (auto& client : node.clients) {
       client->resume();
-      if (!begun_.count(client.get()))
+      if (!startedClients_.count(client.get()))
         client->start();
-      begun_.insert(client.get());
+      startedClients_.insert(client.get());
     }
   }
 
   void inject(const PlannedFault& fault) {
-    Node& node = *nodes_[static_cast<std::size_t>(fault.target % plan_.conductors)];
+    Node& node = *nodes_[static_cast<std::size_t>(fault.target % plan_.routers)];
     const int instance = fault.target % plan_.instances;
     Instance& at = *instances_[static_cast<std::size_t>(instance)];
     switch (fault.kind) {
@@ -267,16 +266,14 @@
   // One to three instances of the role that the target has.
   void behaveAlike(const PlannedFault& fault, Behaviour behaviour) {
     const int roles = static_cast<int>(kKinds.size());
-    const int count = 1 + fault.target / plan_.instances % kMostAlike;
+    const int count = 1 + fault.target / plan_.instances % kMaxInstancesPerFault;
     for (int i = 0; i < count; ++i) {
       const int instance = (fault.target + i * roles) % plan_.instances;
       instances_[static_cast<std::size_t>(instance)]->behave(behaviour, fault.forMs);
     }
   }
 
-  double killAfterMs() const {
-    return std::min(plan_.longestDeadlineMs, kLongestGraceMs) + kKillAfterMs;
-  }
+  double killAfterMs() const { return std::min(plan_.maxDeadlineMs, kMaxGraceMs) + kKillAfterMs; }
 
   bool stops() const {
     return std::any_of(plan_.faults.begin(), plan_.faults.end(),
@@ -309,41 +306,41 @@
       return;
     node.expectedEnd = true;
     for (auto& client : node.clients)
-      client->doubt();
+      client->markUndecided();
     node.process->signal(SIGKILL);
   }
 
   void drain(int instance) {
-    leaving_[static_cast<std::size_t>(instance)] = true;
+    draining_[static_cast<std::size_t>(instance)] = true;
     ++revision_;
     const double now = clock_.nowMs();
     for (auto& node : nodes_) {
       node->agent->list(listOf(true), listOf(false, instance));
-      node->drainToldMs.emplace(instance, now + kToldSlackMs);
+      node->drainNotifiedMs.emplace(instance, now + kNotificationSlackMs);
     }
   }
 
   // Processes that have ended, or should have.
-  void look() {
+  void checkProcesses() {
     for (auto& node : nodes_)
-      lookAt(*node);
-    for (Break& one : held_.overdue(clock_.nowMs()))
-      ledger_.add(std::move(one));
-    environment_.after(kLookMs, [this] { look(); });
+      checkProcess(*node);
+    for (Violation& one : heldState_.overdue(clock_.nowMs()))
+      requestLog_.add(std::move(one));
+    environment_.after(kCheckIntervalMs, [this] { checkProcesses(); });
   }
 
-  void lookAt(Node& node) {
+  void checkProcess(Node& node) {
     const double now = clock_.nowMs();
     const std::string name = textOf(node.process->address());
     if (node.readyByMs && now > *node.readyByMs) {
-      ledger_.breaks("ready", name + " is not ready in time");
+      requestLog_.addViolation("ready", name + " is not ready in time");
       node.readyByMs.reset();
     }
     if (node.endsByMs && now > *node.endsByMs) {
       for (auto& client : node.clients)
-        client->doubt(*node.terminatedMs + kTakenAfterMs);
+        client->markUndecided(*node.terminatedMs + kTakenAfterMs);
       if (!callsFail(node, now))
-        ledger_.breaks("end", name + " still runs when it is killed");
+        requestLog_.addViolation("end", name + " still runs when it is killed");
       node.process->signal(SIGKILL);
       node.endsByMs.reset();
     }
@@ -351,10 +348,10 @@
     if (!status)
       return;
     if (!node.expectedEnd || (node.endsByMs && *status != 0))
-      ledger_.breaks("crash", name + " ended with " + std::to_string(*status));
+      requestLog_.addViolation("crash", name + " ended with " + std::to_string(*status));
     for (auto& client : node.clients)
       client->pause();
-    excuseHeldOf(node);
+    forgiveHeldBy(node);
     if (!finishing_)
       startProcess(node);
   }
@@ -365,20 +362,20 @@
     return std::any_of(plan_.faults.begin(), plan_.faults.end(), [&](const PlannedFault& fault) {
       if (fault.kind != FaultKind::kSystemCalls)
         return false;
-      const auto target = static_cast<std::size_t>(fault.target % plan_.conductors);
+      const auto target = static_cast<std::size_t>(fault.target % plan_.routers);
       const double fromMs = startedMs_ + kWarmUpMs + fault.atMs;
       return nodes_.at(target).get() == &node && nowMs >= fromMs && nowMs < fromMs + fault.forMs;
     });
   }
 
   // Instances free by themselves what a process that has ended left.
-  void excuseHeldOf(const Node& node) {
-    held_.excuse([&](const std::string& request) {
-      return nodes_.at(static_cast<std::size_t>(ledger_.of(request).conductor)).get() == &node;
+  void forgiveHeldBy(const Node& node) {
+    heldState_.forgive([&](const std::string& request) {
+      return nodes_.at(static_cast<std::size_t>(requestLog_.entry(request).router)).get() == &node;
     });
   }
 
-  bool allQuiet() const {
+  bool allClientsIdle() const {
     for (const auto& node : nodes_)
       for (const auto& client : node->clients)
         if (client->busy())
@@ -388,8 +385,8 @@
 
   void finish() {
     finishing_ = true;
-    if (crowd_)
-      crowd_->stop();
+    if (idleClients_)
+      idleClients_->stop();
     for (auto& node : nodes_)
       terminate(*node);
     runUntil(clock_.nowMs() + killAfterMs() + 500, [this] {
@@ -398,7 +395,7 @@
     });
     for (auto& node : nodes_)
       for (const std::string& line : node->process->logged("invariant violated"))
-        ledger_.breaks("invariant", line);
+        requestLog_.addViolation("invariant", line);
   }
 
   template <typename Met>
@@ -407,7 +404,7 @@
       io_.run_one_for(std::chrono::milliseconds(5));
   }
 
-  static constexpr double kToldSlackMs = 5;
+  static constexpr double kNotificationSlackMs = 5;
 
   Plan plan_;
   Programs programs_;
@@ -417,17 +414,17 @@
   core::TimerQueue timers_;
   core::Counters counters_;
   net::Loop loop_;
-  Ledger ledger_;
+  RequestLog requestLog_;
   Environment environment_;
-  HeldLedger held_;
+  HeldStateMonitor heldState_;
   double startedMs_;
   std::uint16_t port_ = kFirstPort;
   int revision_ = 1;
-  std::vector<bool> leaving_;
+  std::vector<bool> draining_;
   std::vector<std::unique_ptr<Instance>> instances_;
   std::vector<std::unique_ptr<Node>> nodes_;
-  std::set<const Client*> begun_;
-  std::unique_ptr<IdleClients> crowd_;
+  std::set<const Client*> startedClients_;
+  std::unique_ptr<IdleClients> idleClients_;
   net::ConnectionPool probes_{io_, clock_, timers_, counters_, {64, 500, 1'000}};
   bool finishing_ = false;
 };
--- a/soak/scenario.h
+++ b/soak/scenario.h
@@ -6,16 +6,16 @@
 #include <string>
 #include <vector>
 
-#include "conductor_process.h"
-#include "ledger.h"
 #include "plan.h"
+#include "request_log.h"
+#include "router_process.h"
 
 namespace inference_router::soak {
 
 struct Outcome {
-  std::vector<Break> breaks;
+  std::vector<Violation> violations;
   std::size_t requests = 0, served = 0, undecided = 0;
-  double longestHeldMs = 0;  ///< that anything was held with no attempt out
+  double maxHeldMs = 0;  ///< that anything was held with no attempt out
 };
 
 /// Plays a plan in an empty folder, in which logs are left.
--- a/soak/settings.cpp
+++ b/soak/settings.cpp
@@ -8,7 +8,7 @@
 
 }  // namespace
 
-nlohmann::json settings(double longestDeadlineMs) {
+nlohmann::json settings(double maxDeadlineMs) {
   nlohmann::json settings = nlohmann::json::parse(R"({
     "me":0,"peersTotal":24,"tickMs":2.0,"discovery":"push","zones":["z"],"myZone":"z","countedBy":"work",
     "kinds":["reader","writer","mixed"],
@@ -27,8 +27,8 @@
       "maxAttempts":4,"maxRetryAfterMs":2000.0,"dialTimeoutMs":250.0,"idleCloseMs":30000.0},
     "report":{"how":"off"}})");
   for (nlohmann::json& grade : settings["grades"]) {
-    grade["hardLimitMs"] = longestDeadlineMs;
-    grade["goalTimeMs"] = longestDeadlineMs / kDeadlineOfAim;
+    grade["hardLimitMs"] = maxDeadlineMs;
+    grade["goalTimeMs"] = maxDeadlineMs / kDeadlineOfAim;
   }
   return settings;
 }
--- a/soak/settings.h
+++ b/soak/settings.h
@@ -14,6 +14,6 @@
   return at.address().to_string() + ":" + std::to_string(at.port());
 }
 
-nlohmann::json settings(double longestDeadlineMs);
+nlohmann::json settings(double maxDeadlineMs);
 
 }  // namespace inference_router::soak
--- a/tests/held_state_processes_test.cpp
+++ b/tests/held_state_processes_test.cpp
@@ -15,15 +15,15 @@
 constexpr int kTimes = 2;
 // Over the 650 ms of the rule, for a machine that is busy; what broke it was held for 0.9 s and
 // longer.
-constexpr double kMostHeldMs = 850;
+constexpr double kMaxHeldMs = 850;
 
 Plan planOf(FaultKind kind, bool reservationsByArrival, int role, int alike = 3) {
   Plan plan;
-  plan.conductors = 2;
+  plan.routers = 2;
   plan.instances = 12;
   plan.clients = 8;
   plan.lengthMs = kFirstMs + kTimes * kBetweenMs;
-  plan.longestDeadlineMs = 7'000;
+  plan.maxDeadlineMs = 7'000;
   plan.reservationsByArrival = reservationsByArrival;
   for (int i = 0; i < kTimes; ++i) {
     PlannedFault fault;
@@ -43,10 +43,10 @@
   const Outcome outcome =
       play(plan, {INFERENCE_ROUTER_PROGRAM, SYSTEM_CALL_FAULTS_LIBRARY}, folder.path);
   EXPECT_GT(outcome.served, 50U);
-  EXPECT_LT(outcome.longestHeldMs, kMostHeldMs);
-  if (outcome.longestHeldMs < kMostHeldMs)
+  EXPECT_LT(outcome.maxHeldMs, kMaxHeldMs);
+  if (outcome.maxHeldMs < kMaxHeldMs)
     return;
-  for (const Break& one : outcome.breaks)
+  for (const Violation& one : outcome.violations)
     if (one.rule == "held")
       ADD_FAILURE() << one.request << ": " << one.detail;
 }
