--- a/example/example_instance.cpp
+++ b/example/example_instance.cpp
@@ -85,7 +85,7 @@
 int main(int argc, char** argv) {
   try {
     if (argc != 2) {
-      std::cerr << "usage: toy_box 127.0.0.1:PORT\n";
+      std::cerr << "usage: example_instance 127.0.0.1:PORT\n";
       return 2;
     }
     boost::asio::io_context io;
@@ -101,7 +101,7 @@
     io.run();
     return 0;
   } catch (const std::exception& fault) {
-    std::cerr << "toy_box: " << fault.what() << '\n';
+    std::cerr << "example_instance: " << fault.what() << '\n';
     return 1;
   }
 }
