--- a/example/example_instance.cpp
+++ b/example/example_instance.cpp
@@ -1,5 +1,5 @@
-// A toy model instance: answers each chat request with a few streamed words. For trying the router,
-// nothing else.
+/// An example instance: answers each chat request with a few streamed words. For trying the router,
+/// nothing else.
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/signal_set.hpp>
 #include <csignal>
@@ -16,11 +16,11 @@
 using namespace inference_router;
 using nlohmann::json;
 
-constexpr double kWordEveryMs = 150;
+constexpr double kWordIntervalMs = 150;
 constexpr const char* kWords[] = {"The", " club", " opens", " at", " seven", "."};
 
 json chunkOf(const std::string& model, json delta, json finish) {
-  return {{"id", "chatcmpl-toy"},
+  return {{"id", "chatcmpl-example"},
           {"object", "chat.completion.chunk"},
           {"created", 0},
           {"model", model},
@@ -28,9 +28,9 @@
            {{{"index", 0}, {"delta", std::move(delta)}, {"finish_reason", std::move(finish)}}}}};
 }
 
-class ToyInstance final : public net::RequestHandler {
+class ExampleInstance final : public net::RequestHandler {
  public:
-  ToyInstance(std::string name, const core::Clock& clock, core::TimerQueue& timers)
+  ExampleInstance(std::string name, const core::Clock& clock, core::TimerQueue& timers)
       : name_(std::move(name)), clock_(clock), timers_(timers) {}
 
   void request(const std::shared_ptr<net::ClientConnection>& connection,
@@ -58,20 +58,21 @@
     if (connection->state() != net::ClientConnection::State::kStreaming)
       return;
     if (index < std::size(kWords)) {
-      say(*connection, chunkOf(model, {{"content", kWords[index]}}, nullptr));
-      timers_.add(clock_.nowMs() + kWordEveryMs,
+      sendChunk(*connection, chunkOf(model, {{"content", kWords[index]}}, nullptr));
+      timers_.add(clock_.nowMs() + kWordIntervalMs,
                   [this, connection, model, index] { word(connection, model, index + 1); });
       return;
     }
-    say(*connection, chunkOf(model, json::object(), "stop"));
-    say(*connection, {{"id", "chatcmpl-toy"},
-                      {"object", "chat.completion.chunk"},
-                      {"choices", json::array()},
-                      {"usage", {{"prompt_tokens", 8}, {"completion_tokens", std::size(kWords)}}}});
+    sendChunk(*connection, chunkOf(model, json::object(), "stop"));
+    sendChunk(*connection,
+              {{"id", "chatcmpl-example"},
+               {"object", "chat.completion.chunk"},
+               {"choices", json::array()},
+               {"usage", {{"prompt_tokens", 8}, {"completion_tokens", std::size(kWords)}}}});
     connection->pass("data: [DONE]\n\n");
     connection->endStream();
   }
-  static void say(net::ClientConnection& connection, const json& chunk) {
+  static void sendChunk(net::ClientConnection& connection, const json& chunk) {
     connection.pass("data: " + chunk.dump() + "\n\n");
   }
 
@@ -93,11 +94,11 @@
     core::TimerQueue timers;
     core::Counters counters;
     const net::Loop loop(io, clock, timers);
-    ToyInstance instance(argv[1], clock, timers);
+    ExampleInstance instance(argv[1], clock, timers);
     net::Listener listener(io, net::endpointOf(argv[1]), 100, instance, clock, timers, counters);
     boost::asio::signal_set signals(io, SIGTERM, SIGINT);
     signals.async_wait([&](const boost::system::error_code&, int) { io.stop(); });
-    std::cout << argv[1] << ": a toy box listens" << std::endl;
+    std::cout << argv[1] << ": listens" << std::endl;
     io.run();
     return 0;
   } catch (const std::exception& fault) {
--- a/soak/client.cpp
+++ b/soak/client.cpp
@@ -2,6 +2,8 @@
 
 #include "net/message.h"
 
+#include <utility>
+
 namespace inference_router::soak {
 
 namespace {
@@ -49,12 +51,12 @@
 Client::Client(Environment& environment,
                int router,
                int number,
-               const net::Endpoint& to,
+               net::Endpoint to,
                double maxDeadlineMs)
     : environment_(environment),
       conductor_(router),
       number_(number),
-      to_(to),
+      to_(std::move(to)),
       pool_(environment.io,
             environment.clock,
             environment.timers,
--- a/soak/client.h
+++ b/soak/client.h
@@ -14,11 +14,7 @@
 /// A client of one router, which sends one request after the other.
 class Client {
  public:
-  Client(Environment& environment,
-         int router,
-         int number,
-         const net::Endpoint& to,
-         double maxDeadlineMs);
+  Client(Environment& environment, int router, int number, net::Endpoint to, double maxDeadlineMs);
   void start();
   void pause() { paused_ = true; }  ///< the front layer sends nothing there
   void resume() { paused_ = onlyOpen_ = false; }
--- a/soak/idle_clients.cpp
+++ b/soak/idle_clients.cpp
@@ -2,6 +2,8 @@
 
 #include <boost/asio/buffer.hpp>
 
+#include <utility>
+
 namespace inference_router::soak {
 
 namespace {
@@ -10,8 +12,8 @@
 
 }  // namespace
 
-IdleClients::IdleClients(Environment& environment, const net::Endpoint& to, int count)
-    : environment_(environment), to_(to) {
+IdleClients::IdleClients(Environment& environment, net::Endpoint to, int count)
+    : environment_(environment), to_(std::move(to)) {
   for (int i = 0; i < count; ++i)
     connections_.push_back(std::make_shared<Connection>(environment.io));
 }
--- a/soak/idle_clients.h
+++ b/soak/idle_clients.h
@@ -14,7 +14,7 @@
 
 class IdleClients {
  public:
-  IdleClients(Environment& environment, const net::Endpoint& to, int count);
+  IdleClients(Environment& environment, net::Endpoint to, int count);
   void start();
   void stop();
 
--- a/soak/request_log.cpp
+++ b/soak/request_log.cpp
@@ -21,8 +21,9 @@
 std::vector<Violation> RequestLog::findViolations(double drainGraceMs) const {
   std::vector<Violation> found = process_;
   for (const auto& [id, view] : requests_) {
-    const auto add = [&, request = id](const char* rule, const std::string& detail) {
-      found.push_back({rule, request, detail + ", conductor " + std::to_string(view.router)});
+    const auto add = [&found, &request = id, &router = view.router](const char* rule,
+                                                                    const std::string& detail) {
+      found.push_back({rule, request, detail + ", conductor " + std::to_string(router)});
     };
     const auto ran = std::count_if(
         view.arrivals.begin(), view.arrivals.end(),
--- a/soak/router_process.cpp
+++ b/soak/router_process.cpp
@@ -1,10 +1,10 @@
 #include "router_process.h"
 
 #include <fcntl.h>
-#include <signal.h>
 #include <sys/wait.h>
 #include <unistd.h>
 
+#include <csignal>
 #include <fstream>
 #include <nlohmann/json.hpp>
 
@@ -15,8 +15,8 @@
 RouterProcess::RouterProcess(Programs programs,
                              std::string folder,
                              net::Endpoint listen,
-                             net::Endpoint discovery,
-                             nlohmann::json settings)
+                             const net::Endpoint& discovery,
+                             const nlohmann::json& settings)
     : programs_(std::move(programs)), folder_(std::move(folder)), listen_(std::move(listen)) {
   writeConfiguration(discovery, settings);
 }
@@ -46,6 +46,7 @@
     variables.push_back("SYSTEM_CALL_FAULTS=" + folder_ + "/faults");
   }
   std::vector<char*> environment;
+  environment.reserve(variables.size() + 1);
   for (std::string& variable : variables)
     environment.push_back(variable.data());
   environment.push_back(nullptr);
--- a/soak/router_process.h
+++ b/soak/router_process.h
@@ -23,8 +23,8 @@
   RouterProcess(Programs programs,
                 std::string folder,
                 net::Endpoint listen,
-                net::Endpoint discovery,
-                nlohmann::json settings);
+                const net::Endpoint& discovery,
+                const nlohmann::json& settings);
   ~RouterProcess();
   RouterProcess(const RouterProcess&) = delete;
   RouterProcess& operator=(const RouterProcess&) = delete;
--- a/soak/scenario.cpp
+++ b/soak/scenario.cpp
@@ -1,12 +1,12 @@
 #include "scenario.h"
 
-#include <signal.h>
 #include <unistd.h>
 
 #include <algorithm>
 #include <array>
 #include <boost/asio/io_context.hpp>
 #include <chrono>
+#include <csignal>
 #include <filesystem>
 #include <memory>
 #include <nlohmann/json.hpp>
@@ -45,12 +45,12 @@
 
 class Scenario {
  public:
-  Scenario(const Plan& plan, const Programs& programs, std::string folder)
-      : plan_(plan),
-        programs_(programs),
+  Scenario(Plan plan, Programs programs, std::string folder)
+      : plan_(std::move(plan)),
+        programs_(std::move(programs)),
         folder_(std::move(folder)),
         loop_(io_, clock_, timers_),
-        environment_{io_, clock_, timers_, counters_, requestLog_, std::mt19937_64(plan.seed + 1)},
+        environment_{io_, clock_, timers_, counters_, requestLog_, std::mt19937_64(plan_.seed + 1)},
         heldState_(kHeldLimitMs + kMachineSlackMs + (stops() ? kStopMs : 0)),
         startedMs_(clock_.nowMs()) {
     addInstances();
--- a/soak/system_call_faults.cpp
+++ b/soak/system_call_faults.cpp
@@ -285,6 +285,8 @@
 
 using system_call_faults::Call;
 
+// The interposed functions, with parameter names of their own.
+// NOLINTBEGIN(readability-inconsistent-declaration-parameter-name)
 extern "C" {
 
 ssize_t recv(int descriptor, void* into, size_t size, int flags) {
@@ -423,3 +425,4 @@
 }
 
 }  // extern "C"
+// NOLINTEND(readability-inconsistent-declaration-parameter-name)
--- a/soak/system_call_faults.h
+++ b/soak/system_call_faults.h
@@ -40,7 +40,7 @@
 };
 
 /// Replaces the rules.
-void install(std::vector<Rule> rules);
+void install(std::vector<Rule> fresh);
 void clear();
 /// Calls that were hit since install().
 std::uint64_t hits();
