--- a/src/routing/request_record.cpp
+++ b/src/routing/request_record.cpp
@@ -4,9 +4,10 @@
 
 namespace inference_router::routing {
 
-const AttemptRecord* RequestRecord::mayHaveRun() const {
-  const auto found = std::find_if(attempts.begin(), attempts.end(),
-                                  [](const AttemptRecord& a) { return a.writes && !a.harmless; });
+const AttemptRecord* RequestRecord::possiblyExecutedAttempt() const {
+  const auto found = std::find_if(
+      attempts.begin(), attempts.end(),
+      [](const AttemptRecord& attempt) { return attempt.decodes && !attempt.provedNotExecuted; });
   return found == attempts.end() ? nullptr : &*found;
 }
 
@@ -16,10 +17,12 @@
 }
 
 bool RequestRecord::refersTo(const Instance& instance) const {
-  if (place == &instance || reader == &instance || home == &instance || booked == &instance)
+  if (reservation == &instance || prefillInstance == &instance || affinityInstance == &instance ||
+      reservedOn == &instance)
     return true;
-  return std::any_of(attempts.begin(), attempts.end(),
-                     [&instance](const AttemptRecord& a) { return a.instance == &instance; });
+  return std::any_of(attempts.begin(), attempts.end(), [&instance](const AttemptRecord& attempt) {
+    return attempt.instance == &instance;
+  });
 }
 
 }  // namespace inference_router::routing
--- a/src/routing/request_record.h
+++ b/src/routing/request_record.h
@@ -15,25 +15,25 @@
 
 /// Where a request stands, in the order in which it passes.
 enum class Phase {
-  kWaiting,    ///< no attempt is out and no KV cache waits for it
-  kReading,    ///< out at a prefill instance
-  kRead,       ///< its KV cache waits for a decode instance
-  kWriting,    ///< out at a decode or mixed instance, no token yet
-  kStreaming,  ///< its first token has come
-  kOver        ///< it has had its final answer
+  kWaiting,     ///< no attempt is out and no KV cache waits for it
+  kPrefilling,  ///< out at a prefill instance
+  kPrefilled,   ///< its KV cache waits for a decode instance
+  kDecoding,    ///< out at a decode or mixed instance, no token yet
+  kStreaming,   ///< its first token has come
+  kFinished     ///< it has had its final answer
 };
 
 /// One attempt at one instance.
 struct AttemptRecord {
   Instance* instance;
   Time sentAt;
-  bool writes;             ///< at a decode or mixed instance: it may have had its effect
-  double tokens;           ///< prompt tokens counted as waiting to be read there
-  bool home;               ///< at the first instance in the order of its prefix
-  bool out = true;         ///< no outcome yet; true of the last attempt of a request at most
-  bool calledOff = false;  ///< cancelled by the module, its outcome still to come
-  int overtaken = 0;       ///< later attempts there that were answered well ahead of it
-  bool harmless = false;   ///< its outcome proved that it never ran
+  bool decodes;             ///< at a decode or mixed instance: it may have had its effect
+  double prefillTokens;     ///< prompt tokens counted as waiting to be read there
+  bool atAffinityInstance;  ///< at the first instance in the order of its prefix
+  bool out = true;          ///< no outcome yet; true of the last attempt of a request at most
+  bool cancelled = false;   ///< cancelled by the module, its outcome still to come
+  int timesOvertaken = 0;   ///< later attempts there that were answered well ahead of it
+  bool provedNotExecuted = false;  ///< its outcome proved that it never ran
 };
 
 /// One request, from its arrival until it has its final answer and no attempt is out.
@@ -42,26 +42,26 @@
   Time arrivedAt;
   Time deadline;
   Time objectiveAt;
-  Time readAt{};  ///< since when its KV cache has waited unused
+  Time prefilledAt{};  ///< since when its KV cache has waited unused
   Phase phase = Phase::kWaiting;
   std::vector<AttemptRecord> attempts;
-  std::set<InstanceId> avoid;  ///< instances that failed it
-  Instance* place = nullptr;   ///< where a reservation is asked for or held
-  Instance* reader = nullptr;  ///< whose memory holds its KV cache
-  int placesRefused = 0;       ///< reservations that were not granted
+  std::set<InstanceId> excludedInstances;  ///< instances that failed it
+  Instance* reservation = nullptr;         ///< where a reservation is asked for or held
+  Instance* prefillInstance = nullptr;     ///< whose memory holds its KV cache
+  int reservationsRejected = 0;            ///< reservations that were not granted
   /// When instances in slow start were first looked at, by the phase it was in.
-  std::map<Phase, Time> offeredAt;
-  const Instance* home = nullptr;  ///< the first instance in the order of its prefix
-  bool pinned = false;             ///< a KV cache or a reservation may be held for it
-  Instance* booked = nullptr;      ///< the decode instance in whose load it counts
-  double bookedTokens = 0;         ///< by so many tokens
-  std::optional<Time> openedAt;    ///< when its first token came
+  std::map<Phase, Time> slowStartOfferedAt;
+  const Instance* affinityInstance = nullptr;  ///< the first instance in the order of its prefix
+  bool holdsRemoteState = false;               ///< a KV cache or a reservation may be held for it
+  Instance* reservedOn = nullptr;              ///< the decode instance in whose load it counts
+  double reservedTokens = 0;                   ///< by so many tokens
+  std::optional<Time> firstTokenAt;            ///< when its first token came
 
   /// Whether an attempt is out.
   bool attemptOut() const { return !attempts.empty() && attempts.back().out; }
 
   /// The first attempt that may have had its effect; null if all are known not to have run.
-  const AttemptRecord* mayHaveRun() const;
+  const AttemptRecord* possiblyExecutedAttempt() const;
 
   /// The attempt of that number, from 0; null if there is none.
   AttemptRecord* attempt(int number);
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -80,14 +80,14 @@
 constexpr double kHandOverTo = 0.9;  // when a peer that ended before it is back, until here
 constexpr double kLastCall = 0.93;   // what has no stream by then gets its answer
 
-std::size_t at(Role role) {
+std::size_t roleIndex(Role role) {
   return static_cast<std::size_t>(role);
 }
 
 // What a cell has of the fleet, by the list alone, so that every node reckons the same.
 struct CellPlan {
-  double readers = 0, writers = 0;  // weight of each
-  double share = 0, writes = 0;     // of all reads and of all answers that it is to do
+  double prefillWeight = 0, decodeWeight = 0;
+  double prefillShare = 0, decodeShare = 0;  // of all prefills and of all decodes that it is to do
 };
 
 // Of the instances that do a step: when all of the fleet is there, listed now, and of these in slow
@@ -99,103 +99,111 @@
 }  // namespace
 
 struct Instance {
-  EndpointRecord info;
+  EndpointRecord endpoint;
   Role role = Role::kPrefill;
-  std::optional<Time> toldOff;  // when the list said it drains or is gone
-  double readTokens = 0;        // own prompt tokens out to be read here
-  int streams = 0;              // own sends, places and streams that write here
-  double heldTokens = 0;        // own tokens expected in its memory
-  int out = 0;                  // own attempts that have shown no sign yet
-  Time quietSince{};            // last sign while attempts were out
-  Duration wait{};              // before a read there begins, as seen last
-  Time waitAt{};
-  FadingAverage fails;
+  std::optional<Time> drainingSince;  // when the list said it drains or is gone
+  double prefillTokens = 0;           // own prompt tokens out to be read here
+  int streams = 0;                    // own sends, places and streams that write here
+  double reservedTokens = 0;          // own tokens expected in its memory
+  int unansweredAttempts = 0;         // own attempts that have shown no sign yet
+  Time silentSince{};                 // last sign while attempts were out
+  Duration queueingDelay{};           // before a read there begins, as seen last
+  Time queueingDelayAt{};
+  FadingAverage failureRate;
   bool ejected = false;
   Time ejectedAt{};
   int trialsLeft = 0;  // to go well before it is trusted again
-  Duration pause = kFirstPause;
-  Time trialAt{}, fullUntil{};  // when an ejected instance may be tried; no room is expected until
+  Duration ejectionBackoff = kFirstPause;
+  Time nextTrialAt{},
+      fullUntil{};  // when an ejected instance may be tried; no room is expected until
   SlowStartBudget slowStart;
 };
 
 class Router::Impl {
  public:
   Impl(const Settings& settings, std::uint64_t seed)
-      : set_(settings), problem_(problemWith(settings)), salt_(std::to_string(seed)) {}
+      : settings_(settings), problem_(problemWith(settings)), salt_(std::to_string(seed)) {}
 
   void reconfigure(const Settings& settings) {
-    set_ = settings;
+    settings_ = settings;
     problem_ = problemWith(settings);
   }
 
   void handle(Time now, const Event& event, std::vector<Action>& actions) {
     now_ = now;
-    act_ = &actions;
+    actions_ = &actions;
     if (!started_)
       start();
     std::visit([this](const auto& what) { on(what); }, event);
-    if (stopsAt_)
-      handOver();  // first: what is owed its answer gets no attempt in the same moment
-    pump();
-    keepPulse();
+    if (shutdownAt_)
+      migrateStreams();  // first: what is owed its answer gets no attempt in the same moment
+    processQueue();
+    armTimer();
   }
 
   bool avoids(Time now, const InstanceId& id) {
     now_ = now;
     const auto it = instances_.find(id);
-    return it != instances_.end() && listed(it->second) &&
-           (it->second.ejected || silent(it->second));
+    return it != instances_.end() && isListed(it->second) &&
+           (it->second.ejected || isSilent(it->second));
   }
 
  private:
   // ---- 2 Fleet view
   // --------------------------------------------------------------------------------
 
-  const ClassSettings& classOf(const RequestRecord& r) const {
-    return set_.classes[r.arrival.cls.value];
+  const ClassSettings& classOf(const RequestRecord& request) const {
+    return settings_.classes[request.arrival.cls.value];
   }
 
-  bool listed(const Instance& e) const { return !e.toldOff; }
+  bool isListed(const Instance& instance) const { return !instance.drainingSince; }
 
   // A silent instance is passed over while it stays silent: a hang, a one-way link or a jam look
   // alike.
-  bool silent(const Instance& e) const {
-    if (e.out == 0)
+  bool isSilent(const Instance& instance) const {
+    if (instance.unansweredAttempts == 0)
       return false;
-    const auto work = static_cast<double>(timeFor(e.readTokens).count());
-    const double expected = std::max(answer_[at(e.role)].mean(), work) * kSilentFor;
-    const Duration limit = std::max(microseconds(expected), scaled(shortestAim(), kSilentAims));
-    return now_ - e.quietSince > limit;
+    const auto work = static_cast<double>(prefillTime(instance.prefillTokens).count());
+    const double expected =
+        std::max(responseTime_[roleIndex(instance.role)].mean(), work) * kSilentFor;
+    const Duration limit =
+        std::max(microseconds(expected), scaled(shortestObjective(), kSilentAims));
+    return now_ - instance.silentSince > limit;
   }
 
-  bool fit(const Instance& e) const {
-    const bool trial = now_ >= e.trialAt && e.out == 0;  // a single one at a time
-    return listed(e) && !silent(e) && (!e.ejected || trial);
+  bool isUsable(const Instance& instance) const {
+    const bool trial =
+        now_ >= instance.nextTrialAt && instance.unansweredAttempts == 0;  // a single one at a time
+    return isListed(instance) && !isSilent(instance) && (!instance.ejected || trial);
   }
 
-  double memoryOf(const Instance& e) const { return set_.kinds[e.info.kind.value].memoryTokens; }
+  double memoryOf(const Instance& instance) const {
+    return settings_.kinds[instance.endpoint.kind.value].memoryTokens;
+  }
 
-  bool eligible(const RequestRecord& r, const Instance& e) const {
-    return fit(e) && r.avoid.count(e.info.instance) == 0 && r.arrival.promptTokens <= memoryOf(e);
+  bool isEligible(const RequestRecord& request, const Instance& instance) const {
+    return isUsable(instance) && request.excludedInstances.count(instance.endpoint.instance) == 0 &&
+           request.arrival.promptTokens <= memoryOf(instance);
   }
 
-  double warmShare(const Instance& e) const {
-    return warmFraction(set_.contract, e.info.started, now_);
+  double warmth(const Instance& instance) const {
+    return warmFraction(settings_.contract, instance.endpoint.started, now_);
   }
 
   // A node that has just started has seen its present list alone: it takes what is missing there
   // for large.
   RoleWeights weightsFor(Role step) const {
-    RoleWeights weights{std::max(mostWeight_[at(step)], kTiny) + mostWeight_[at(Role::kMixed)]};
-    for (const auto& [id, e] : instances_) {
-      if (!listed(e) || (e.role != step && e.role != Role::kMixed))
+    RoleWeights weights{std::max(maxWarmWeight_[roleIndex(step)], kTiny) +
+                        maxWarmWeight_[roleIndex(Role::kMixed)]};
+    for (const auto& [id, instance] : instances_) {
+      if (!isListed(instance) || (instance.role != step && instance.role != Role::kMixed))
         continue;
-      weights.listed += e.info.weight;
-      if (warmShare(e) < 1)
-        weights.cold += e.info.weight;
+      weights.listed += instance.endpoint.weight;
+      if (warmth(instance) < 1)
+        weights.cold += instance.endpoint.weight;
     }
     weights.whole = std::max(weights.whole, weights.cold);
-    if (!young())
+    if (!recentlyStarted())
       return weights;
     const double other = *std::max_element(weight_.begin(), weight_.end());
     weights.whole =
@@ -203,213 +211,225 @@
     return weights;
   }
 
-  bool young() const { return now_ - startedAt_ < set_.contract.warmupDuration; }
+  bool recentlyStarted() const { return now_ - startedAt_ < settings_.contract.warmupDuration; }
 
   // Guards rule four. Offered: the weight of the instances that share this request, and this one's
   // part of it.
-  bool slowStartAllows(RequestRecord& r,
-                       Instance& e,
+  bool slowStartAllows(RequestRecord& request,
+                       Instance& instance,
                        const RoleWeights& weights,
                        double offered,
                        double part) {
-    if (warmShare(e) >= 1)
+    if (warmth(instance) >= 1)
       return true;
-    const Duration seen = std::max(now_ - startedAt_, set_.contract.overloadWindow);
+    const Duration seen = std::max(now_ - startedAt_, settings_.contract.overloadWindow);
     const double demand =
-        (young() ? popularity_.arrivals(now_) : sends_[at(e.role)].at(now_, kFlowMemory)) /
+        (recentlyStarted() ? popularity_.arrivals(now_)
+                           : dispatches_[roleIndex(instance.role)].at(now_, kFlowMemory)) /
         -std::expm1(-ratio(seen, kFlowMemory));
-    const double usual =
-        demand * ratio(set_.contract.overloadWindow, kFlowMemory) * e.info.weight / weights.whole;
-    const Time since = r.offeredAt.try_emplace(r.phase, now_).first->second;
-    return e.slowStart.admits(set_, e.info.started, {usual, offered / weights.whole, part, since},
-                              now_);
+    const double usual = demand * ratio(settings_.contract.overloadWindow, kFlowMemory) *
+                         instance.endpoint.weight / weights.whole;
+    const Time since = request.slowStartOfferedAt.try_emplace(request.phase, now_).first->second;
+    return instance.slowStart.admits(settings_, instance.endpoint.started,
+                                     {usual, offered / weights.whole, part, since}, now_);
   }
 
-  void countSend(Instance& e) {
-    e.slowStart.countSend(set_.contract, now_);
-    sends_[at(e.role)].add(1, now_, kFlowMemory);
+  void countSend(Instance& instance) {
+    instance.slowStart.countSend(settings_.contract, now_);
+    dispatches_[roleIndex(instance.role)].add(1, now_, kFlowMemory);
   }
 
-  void eject(Instance& e, const char* why, int trials) {
-    if (!e.ejected)
-      say("passing over " + e.info.instance.value + ": " + why);
-    std::tie(e.ejected, e.ejectedAt, e.trialsLeft) = std::tuple(true, now_, trials);
-    std::tie(e.trialAt, e.pause) =
-        std::pair(now_ + e.pause, std::min<Duration>(e.pause * 2, kLongestPause));
+  void eject(Instance& instance, const char* why, int trials) {
+    if (!instance.ejected)
+      log("passing over " + instance.endpoint.instance.value + ": " + why);
+    std::tie(instance.ejected, instance.ejectedAt, instance.trialsLeft) =
+        std::tuple(true, now_, trials);
+    std::tie(instance.nextTrialAt, instance.ejectionBackoff) =
+        std::pair(now_ + instance.ejectionBackoff,
+                  std::min<Duration>(instance.ejectionBackoff * 2, kLongestPause));
   }
 
-  void trust(Instance& e) {
-    std::tie(e.ejected, e.pause, e.fails) = std::tuple(false, kFirstPause, FadingAverage());
+  void reinstate(Instance& instance) {
+    std::tie(instance.ejected, instance.ejectionBackoff, instance.failureRate) =
+        std::tuple(false, kFirstPause, FadingAverage());
   }
 
   // What fails or swallows some may do one trial well: it takes several, and what was sent before
   // is none.
-  void noteGood(Instance& e, Time sentAt) {
-    e.fails.add(0);
-    if (!e.ejected || (e.trialsLeft > 1 && sentAt < e.ejectedAt))
+  void recordSuccess(Instance& instance, Time sentAt) {
+    instance.failureRate.add(0);
+    if (!instance.ejected || (instance.trialsLeft > 1 && sentAt < instance.ejectedAt))
       return;
-    e.trialAt = now_;
-    if (--e.trialsLeft > 0)
+    instance.nextTrialAt = now_;
+    if (--instance.trialsLeft > 0)
       return;
-    trust(e);
-    say("using " + e.info.instance.value + " again");
+    reinstate(instance);
+    log("using " + instance.endpoint.instance.value + " again");
   }
 
   // By the best in use: where all fail alike, leaving one out gains nothing.
-  double failsAllowed(const Instance& e) const {
+  double allowedFailureRate(const Instance& instance) const {
     double best = 1;
-    for (const auto& [id, x] : instances_)
-      if (&x != &e && x.role == e.role && listed(x) && !x.ejected)
-        best = std::min(best, x.fails.mean());
+    for (const auto& [id, other] : instances_)
+      if (&other != &instance && other.role == instance.role && isListed(other) && !other.ejected)
+        best = std::min(best, other.failureRate.mean());
     return std::max(kEjectAt, best * kEjectTimes);
   }
 
   // Fast failures make an instance look idle. Dials that were out as it was left out are no trials
   // that failed.
-  void noteBad(Instance& e, Time sentAt, const char* why, bool certain) {
-    e.fails.add(1);
-    if (e.ejected && certain && sentAt < e.ejectedAt)
+  void recordFailure(Instance& instance, Time sentAt, const char* why, bool certain) {
+    instance.failureRate.add(1);
+    if (instance.ejected && certain && sentAt < instance.ejectedAt)
       return;
-    if (e.ejected || certain || e.fails.mean() > failsAllowed(e))
-      eject(e, why, certain ? 1 : kGoodTrials);
+    if (instance.ejected || certain || instance.failureRate.mean() > allowedFailureRate(instance))
+      eject(instance, why, certain ? 1 : kGoodTrials);
   }
 
   // ---- 3 Reader choice
   // -----------------------------------------------------------------------------
 
-  double unread(const RequestRecord& r, const Instance& e) const {
-    return r.arrival.promptTokens * (1 - kept_[r.home == &e ? 1 : 0].mean());
+  double uncachedTokens(const RequestRecord& request, const Instance& instance) const {
+    return request.arrival.promptTokens *
+           (1 - cacheHitRate_[request.affinityInstance == &instance ? 1 : 0].mean());
   }
 
   // By the fastest reads of late: what is slower than that waited, or is at an instance that is
   // slow.
-  Duration timeFor(double tokens) const {
-    return readRate_ > 0 ? microseconds(tokens / readRate_) : Duration::zero();
+  Duration prefillTime(double tokens) const {
+    return prefillThroughput_ > 0 ? microseconds(tokens / prefillThroughput_) : Duration::zero();
   }
 
-  Duration fade() const {
+  Duration halfLife() const {
     const double seen = std::max(popularity_.arrivals(now_), kTiny);
     return std::clamp<Duration>(scaled(kFlowMemory, std::min(1.0, kFadeArrivals / seen)), kFade,
                                 kLongestFade);
   }
 
   // What a read showed last loses its say with its age; own work is known.
-  Duration waitAt(const Instance& e) const {
-    return std::max(timeFor(e.readTokens / warmShare(e)),
-                    scaled(e.wait, decay(now_, e.waitAt, fade())));
+  Duration queueingDelay(const Instance& instance) const {
+    return std::max(
+        prefillTime(instance.prefillTokens / warmth(instance)),
+        scaled(instance.queueingDelay, decay(now_, instance.queueingDelayAt, halfLife())));
   }
 
-  void noteWait(Instance& e, Duration wait) { std::tie(e.wait, e.waitAt) = std::pair(wait, now_); }
+  void recordQueueingDelay(Instance& instance, Duration wait) {
+    std::tie(instance.queueingDelay, instance.queueingDelayAt) = std::pair(wait, now_);
+  }
 
-  Duration readTime(const RequestRecord& r, const Instance& e) const {
-    return waitAt(e) + timeFor(unread(r, e));
+  Duration timeToPrefill(const RequestRecord& request, const Instance& instance) const {
+    return queueingDelay(instance) + prefillTime(uncachedTokens(request, instance));
   }
 
-  const std::string& keyOf(const RequestRecord& r) const {
-    if (!r.arrival.prefix.empty())
-      return r.arrival.prefix;
-    return r.arrival.session.empty() ? r.arrival.request.value : r.arrival.session;
+  const std::string& affinityKey(const RequestRecord& request) const {
+    if (!request.arrival.prefix.empty())
+      return request.arrival.prefix;
+    return request.arrival.session.empty() ? request.arrival.request.value
+                                           : request.arrival.session;
   }
 
   // A cell reads what its decode instances can write, within bounds of its prefill instances; the
   // rest crosses the link by plan.
-  void plan() {
+  void planCells() {
     cells_.clear();
     weight_ = count_ = {};
     std::array<double, 3> warm{};
-    for (const auto& [id, e] : instances_) {
-      if (!listed(e))
+    for (const auto& [id, instance] : instances_) {
+      if (!isListed(instance))
         continue;
-      weight_[at(e.role)] += e.info.weight;
-      warm[at(e.role)] += e.info.weight * warmShare(e);
-      count_[at(e.role)] += 1;
-      CellPlan& cell = cells_[e.info.cell];
-      if (e.role == Role::kPrefill)
-        cell.readers += e.info.weight;
-      if (e.role == Role::kDecode)
-        cell.writers += e.info.weight;
+      weight_[roleIndex(instance.role)] += instance.endpoint.weight;
+      warm[roleIndex(instance.role)] += instance.endpoint.weight * warmth(instance);
+      count_[roleIndex(instance.role)] += 1;
+      CellPlan& cell = cells_[instance.endpoint.cell];
+      if (instance.role == Role::kPrefill)
+        cell.prefillWeight += instance.endpoint.weight;
+      if (instance.role == Role::kDecode)
+        cell.decodeWeight += instance.endpoint.weight;
     }
     for (std::size_t i = 0; i < weight_.size(); ++i)
-      mostWeight_[i] = std::max(mostWeight_[i], warm[i]);
+      maxWarmWeight_[i] = std::max(maxWarmWeight_[i], warm[i]);
     double sum = 0;
     for (auto& [index, c] : cells_) {
-      const double even = c.readers / std::max(weight_[at(Role::kPrefill)], kTiny);
-      c.writes = c.writers / std::max(weight_[at(Role::kDecode)], kTiny);
-      c.share = std::clamp(c.writes, even * kLeastRead, even * kMostRead);
-      sum += c.share;
+      const double even = c.prefillWeight / std::max(weight_[roleIndex(Role::kPrefill)], kTiny);
+      c.decodeShare = c.decodeWeight / std::max(weight_[roleIndex(Role::kDecode)], kTiny);
+      c.prefillShare = std::clamp(c.decodeShare, even * kLeastRead, even * kMostRead);
+      sum += c.prefillShare;
     }
     for (auto& [index, c] : cells_)
-      c.share /= std::max(sum, kTiny);
+      c.prefillShare /= std::max(sum, kTiny);
   }
 
   // Readers share the work of the decode instances; a mixed instance takes the share that it writes
   // as well.
-  double hashWeight(const Instance& e) const {
-    const double writers = weight_[at(Role::kDecode)];
-    if (e.role == Role::kMixed || writers <= 0)
-      return std::max(kTiny, e.info.weight);
-    const CellPlan& cell = cells_.at(e.info.cell);
-    return std::max(kTiny, writers * cell.share * e.info.weight / std::max(kTiny, cell.readers));
+  double hashWeight(const Instance& instance) const {
+    const double writers = weight_[roleIndex(Role::kDecode)];
+    if (instance.role == Role::kMixed || writers <= 0)
+      return std::max(kTiny, instance.endpoint.weight);
+    const CellPlan& cell = cells_.at(instance.endpoint.cell);
+    return std::max(kTiny, writers * cell.prefillShare * instance.endpoint.weight /
+                               std::max(kTiny, cell.prefillWeight));
   }
 
   // Weighted rendezvous hashing, the same at every node.
-  void rank(std::vector<Instance*>& instances, std::size_t first, const std::string& key) const {
+  void rankByRendezvousHash(std::vector<Instance*>& instances,
+                            std::size_t first,
+                            const std::string& key) const {
     std::multimap<double, Instance*> scored;
     for (std::size_t i = 0; i < first; ++i)
-      scored.emplace(
-          -std::log(stableDraw(key, instances[i]->info.instance.value)) / hashWeight(*instances[i]),
-          instances[i]);
+      scored.emplace(-std::log(stableDraw(key, instances[i]->endpoint.instance.value)) /
+                         hashWeight(*instances[i]),
+                     instances[i]);
     std::transform(scored.begin(), scored.end(), instances.begin(),
-                   [](const auto& x) { return x.second; });
+                   [](const auto& other) { return other.second; });
   }
 
   // The key's order. A popular key, by this node's sample, has as many homes as carry it together;
   // a session picks one of them, the same at every node, and so keeps its text.
-  std::vector<Instance*> readersInOrder(const RequestRecord& r) {
+  std::vector<Instance*> prefillInstancesInOrder(const RequestRecord& request) {
     std::vector<Instance*> order;
     double all = 0, carried = 0;
-    for (auto& [id, e] : instances_) {
-      if (e.role == Role::kDecode || !listed(e))
+    for (auto& [id, instance] : instances_) {
+      if (instance.role == Role::kDecode || !isListed(instance))
         continue;
-      order.push_back(&e);
-      all += hashWeight(e);
+      order.push_back(&instance);
+      all += hashWeight(instance);
     }
-    rank(order, order.size(), keyOf(r));
-    if (r.arrival.session.empty())
+    rankByRendezvousHash(order, order.size(), affinityKey(request));
+    if (request.arrival.session.empty())
       return order;
-    const double wanted = popularity_.shareOfOthers(keyOf(r), now_);
+    const double wanted = popularity_.shareOfOthers(affinityKey(request), now_);
     std::size_t homes = 0;
     while (homes < order.size() && carried * kKeyPart < wanted * all)
       carried += hashWeight(*order[homes++]);
-    rank(order, homes, r.arrival.session);
+    rankByRendezvousHash(order, homes, request.arrival.session);
     return order;
   }
 
   // The first in the key's order whose reads wait within the bound, or an earlier one that would be
   // done sooner, as it keeps the text: a jam must not feed itself by moving keys.
-  Instance* chooseReader(RequestRecord& r) {
-    const Duration bound = scaled(timeFor(r.arrival.promptTokens), kReadBound);
-    const std::vector<Instance*> order = readersInOrder(r);
+  Instance* choosePrefillInstance(RequestRecord& request) {
+    const Duration bound = scaled(prefillTime(request.arrival.promptTokens), kReadBound);
+    const std::vector<Instance*> order = prefillInstancesInOrder(request);
     if (!order.empty())
-      r.home = order.front();
+      request.affinityInstance = order.front();
     const RoleWeights weights = weightsFor(Role::kPrefill);
     Instance* best = nullptr;
     int offers = 0;
-    for (Instance* e : order) {
-      if (!eligible(r, *e) || now_ < e->fullUntil)
+    for (Instance* instance : order) {
+      if (!isEligible(request, *instance) || now_ < instance->fullUntil)
         continue;
-      if (e->role == Role::kMixed && full(*e))
+      if (instance->role == Role::kMixed && isFull(*instance))
         continue;
-      if (warmShare(*e) < 1)
+      if (warmth(*instance) < 1)
         ++offers;
-      const double offered = e == r.home ? weights.listed : weights.cold;
-      if (!slowStartAllows(r, *e, weights, offered, offers > kSlowStartOffers ? 0 : 1))
+      const double offered = instance == request.affinityInstance ? weights.listed : weights.cold;
+      if (!slowStartAllows(request, *instance, weights, offered, offers > kSlowStartOffers ? 0 : 1))
         continue;
-      if (best != nullptr && readTime(r, *e) >= readTime(r, *best))
+      if (best != nullptr && timeToPrefill(request, *instance) >= timeToPrefill(request, *best))
         continue;
-      best = e;
-      if (waitAt(*e) <= bound)
-        return e;
+      best = instance;
+      if (queueingDelay(*instance) <= bound)
+        return instance;
     }
     return best;
   }
@@ -417,78 +437,86 @@
   // ---- 4 Writer choice and places
   // ------------------------------------------------------------------
 
-  double load(const Instance& e) const {
-    return e.streams / (std::max(e.info.weight, kTiny) * warmShare(e));
+  double load(const Instance& instance) const {
+    return instance.streams / (std::max(instance.endpoint.weight, kTiny) * warmth(instance));
   }
 
-  double tokensOf(const RequestRecord& r) const {
-    return r.arrival.promptTokens + kOutputShare * r.arrival.maxTokens;
+  double expectedMemory(const RequestRecord& request) const {
+    return request.arrival.promptTokens + kOutputShare * request.arrival.maxTokens;
   }
 
   // Share of all answers that is at a place of this weight: what own answers show, as far as they
   // are many.
-  double shareOf(double own, double weight) const {
+  double fleetShare(double own, double weight) const {
     const double even =
-        weight / std::max(weight_[at(Role::kDecode)] + weight_[at(Role::kMixed)], kTiny);
-    return held_ > 0 ? (streams_ * own / held_ + kPriorStreams * even) / (streams_ + kPriorStreams)
-                     : even;
+        weight /
+        std::max(weight_[roleIndex(Role::kDecode)] + weight_[roleIndex(Role::kMixed)], kTiny);
+    return reservedTokens_ > 0 ? (streams_ * own / reservedTokens_ + kPriorStreams * even) /
+                                     (streams_ + kPriorStreams)
+                               : even;
   }
 
-  double expectedTokens(const Instance& e) const {
-    return e.heldTokens + (set_.nodes - 1) * held_ * shareOf(e.heldTokens, e.info.weight);
+  double expectedTokens(const Instance& instance) const {
+    return instance.reservedTokens +
+           (settings_.nodes - 1) * reservedTokens_ *
+               fleetShare(instance.reservedTokens, instance.endpoint.weight);
   }
 
-  bool full(const Instance& e, double share = kFullMemory) const {
-    return now_ < e.fullUntil || expectedTokens(e) > memoryOf(e) * share;
+  bool isFull(const Instance& instance, double share = kFullMemory) const {
+    return now_ < instance.fullUntil || expectedTokens(instance) > memoryOf(instance) * share;
   }
 
-  bool everyWriterFull() const {
+  bool allDecodeInstancesFull() const {
     int fits = 0;
-    for (const auto& [id, e] : instances_) {
-      if (e.role == Role::kPrefill || !fit(e))
+    for (const auto& [id, instance] : instances_) {
+      if (instance.role == Role::kPrefill || !isUsable(instance))
         continue;
-      if (++fits; !full(e))
+      if (++fits; !isFull(instance))
         return false;
     }
     return fits > 0;
   }
 
   // Fewest own streams for its size; nodes break ties differently, so that they do not herd.
-  Instance* leastLoaded(RequestRecord& r, std::optional<CellIndex> cell) {
+  Instance* leastLoadedDecodeInstance(RequestRecord& request, std::optional<CellIndex> cell) {
     Instance* best = nullptr;
     const RoleWeights weights = weightsFor(Role::kDecode);
     const double offered = kSlowStartOffers * weights.cold;
-    auto worth = [&](const Instance& e) {
-      return std::make_tuple(full(e), load(e), stableHash(salt_, e.info.instance.value));
+    auto worth = [&](const Instance& instance) {
+      return std::make_tuple(isFull(instance), load(instance),
+                             stableHash(salt_, instance.endpoint.instance.value));
     };
-    for (auto& [id, e] : instances_) {
-      const bool elsewhere = cell && (e.role == Role::kMixed || e.info.cell != *cell);
-      if (e.role == Role::kPrefill || elsewhere || !eligible(r, e))
+    for (auto& [id, instance] : instances_) {
+      const bool elsewhere =
+          cell && (instance.role == Role::kMixed || instance.endpoint.cell != *cell);
+      if (instance.role == Role::kPrefill || elsewhere || !isEligible(request, instance))
         continue;
-      const double part = e.info.weight / std::max(weights.cold, kTiny);
-      if (!slowStartAllows(r, e, weights, offered, part))
+      const double part = instance.endpoint.weight / std::max(weights.cold, kTiny);
+      if (!slowStartAllows(request, instance, weights, offered, part))
         continue;
-      if (best == nullptr || worth(e) < worth(*best))
-        best = &e;
+      if (best == nullptr || worth(instance) < worth(*best))
+        best = &instance;
     }
     return best;
   }
 
   // The prefill instance's cell, or one with room if that cell's prefill instances do more than its
   // decode instances can write.
-  CellIndex writingCell(const RequestRecord& r) const {
-    CellIndex best = r.reader->info.cell;
-    const auto home = cells_.find(best);  // none: nothing of it is listed any more
-    if (home != cells_.end() && stableDraw(r.arrival.request.value, "near") <
-                                    home->second.writes / std::max(home->second.share, kTiny))
+  CellIndex decodeCell(const RequestRecord& request) const {
+    CellIndex best = request.prefillInstance->endpoint.cell;
+    const auto affinityInstance = cells_.find(best);  // none: nothing of it is listed any more
+    if (affinityInstance != cells_.end() &&
+        stableDraw(request.arrival.request.value, "near") <
+            affinityInstance->second.decodeShare /
+                std::max(affinityInstance->second.prefillShare, kTiny))
       return best;
     double least = HUGE_VAL;
     for (const auto& [index, cell] : cells_) {
-      const double room = cell.writes - cell.share;
+      const double room = cell.decodeShare - cell.prefillShare;
       if (room <= 0)
         continue;
       const double score =
-          -std::log(stableDraw(r.arrival.request.value, std::to_string(index.value))) / room;
+          -std::log(stableDraw(request.arrival.request.value, std::to_string(index.value))) / room;
       if (score < least)
         std::tie(least, best) = std::pair(score, index);
     }
@@ -497,66 +525,68 @@
 
   // The decode instance of the planned cell; another cell's only when this one has none with room
   // (the spill).
-  Instance* chooseWriter(RequestRecord& r) {
-    Instance* near = leastLoaded(r, writingCell(r));
-    if (near != nullptr && !full(*near))
+  Instance* chooseDecodeInstance(RequestRecord& request) {
+    Instance* near = leastLoadedDecodeInstance(request, decodeCell(request));
+    if (near != nullptr && !isFull(*near))
       return near;
-    Instance* any = leastLoaded(r, {});
-    return any != nullptr && !full(*any) ? any : near;
+    Instance* any = leastLoadedDecodeInstance(request, {});
+    return any != nullptr && !isFull(*any) ? any : near;
   }
 
-  void book(RequestRecord& r, Instance& e) {
-    if (r.booked == &e)
+  void reserveCapacity(RequestRecord& request, Instance& instance) {
+    if (request.reservedOn == &instance)
       return;
-    unbook(r);
-    r.booked = &e;
-    r.bookedTokens = tokensOf(r);
-    e.streams += 1;
-    e.heldTokens += r.bookedTokens;
+    freeCapacity(request);
+    request.reservedOn = &instance;
+    request.reservedTokens = expectedMemory(request);
+    instance.streams += 1;
+    instance.reservedTokens += request.reservedTokens;
     streams_ += 1;
-    held_ += r.bookedTokens;
+    reservedTokens_ += request.reservedTokens;
   }
 
-  void unbook(RequestRecord& r) {
-    if (r.booked == nullptr)
+  void freeCapacity(RequestRecord& request) {
+    if (request.reservedOn == nullptr)
       return;
-    r.booked->streams -= 1;
-    r.booked->heldTokens -= r.bookedTokens;
+    request.reservedOn->streams -= 1;
+    request.reservedOn->reservedTokens -= request.reservedTokens;
     streams_ -= 1;
-    held_ -= r.bookedTokens;
-    r.booked = nullptr;
+    reservedTokens_ -= request.reservedTokens;
+    request.reservedOn = nullptr;
   }
 
-  void askPlace(RequestRecord& r) {
-    Instance* writer = set_.reservationsAllowed ? chooseWriter(r) : nullptr;
+  void reserveDecode(RequestRecord& request) {
+    Instance* writer = settings_.reservationsAllowed ? chooseDecodeInstance(request) : nullptr;
     if (writer == nullptr)
       return;
     countSend(*writer);
-    book(r, *writer);
-    r.place = writer;
-    r.pinned = true;
-    emit(ReserveDecode{r.arrival.request, writer->info.instance});
+    reserveCapacity(request, *writer);
+    request.reservation = writer;
+    request.holdsRemoteState = true;
+    emit(ReserveDecode{request.arrival.request, writer->endpoint.instance});
   }
 
   // A place on a draining decode instance is still used early in the grace: the state may exist
   // only there.
-  bool placeUsable(const RequestRecord& r) const {
-    if (r.place == nullptr || r.avoid.count(r.place->info.instance) != 0)
+  bool reservationUsable(const RequestRecord& request) const {
+    if (request.reservation == nullptr ||
+        request.excludedInstances.count(request.reservation->endpoint.instance) != 0)
       return false;
-    if (!r.place->toldOff)
-      return fit(*r.place);
-    return now_ - *r.place->toldOff < set_.contract.drainGrace / 2 &&
-           r.place->info.state == EndpointState::kDraining;
+    if (!request.reservation->drainingSince)
+      return isUsable(*request.reservation);
+    return now_ - *request.reservation->drainingSince < settings_.contract.drainGrace / 2 &&
+           request.reservation->endpoint.state == EndpointState::kDraining;
   }
 
-  void startWrite(RequestRecord& r) {
-    r.phase = Phase::kRead;
-    Instance* writer = placeUsable(r) ? r.place : chooseWriter(r);
+  void startDecode(RequestRecord& request) {
+    request.phase = Phase::kPrefilled;
+    Instance* writer =
+        reservationUsable(request) ? request.reservation : chooseDecodeInstance(request);
     if (writer == nullptr)
       return;  // pump() tries again or lets go
-    const bool prepaid = writer == r.place;
-    book(r, *writer);
-    if (sendTo(r, *writer, Phase::kWriting) && !prepaid)
+    const bool reserved = writer == request.reservation;
+    reserveCapacity(request, *writer);
+    if (dispatch(request, *writer, Phase::kDecoding) && !reserved)
       countSend(*writer);
   }
 
@@ -564,94 +594,106 @@
   // ---------------------------------------------------------------------------------
 
   // What a read may take at most for those who would wait behind it: every class worth as much.
-  Duration shortestAim(double worth = 0) const {
+  Duration shortestObjective(double worth = 0) const {
     Duration least = Duration::max();
-    for (const ClassSettings& cls : set_.classes)
+    for (const ClassSettings& cls : settings_.classes)
       if (cls.priorityWeight >= worth)
         least = std::min(least, cls.latencyObjective);
     return least;
   }
 
-  Duration usual(Role role) const {
-    return microseconds(answer_[at(role)].decayedMean(now_, fade()));
+  Duration usualResponseTime(Role role) const {
+    return microseconds(responseTime_[roleIndex(role)].decayedMean(now_, halfLife()));
   }
 
   // Early refusal: late answers earn little and make those behind them late.
-  bool worthless(const RequestRecord& r, const Instance& reader) const {
-    const Duration rest = reader.role == Role::kPrefill ? usual(Role::kDecode) : Duration::zero();
-    const Duration others =
-        r.arrival.resumed ? Duration::max() : shortestAim(classOf(r).priorityWeight);
-    const Duration left = std::min(r.objectiveAt - now_, others);
-    return scaled(readTime(r, reader), decay(now_, lastRead_, fade())) + rest > left;
+  bool missesLatencyObjective(const RequestRecord& request, const Instance& prefillInstance) const {
+    const Duration rest = prefillInstance.role == Role::kPrefill ? usualResponseTime(Role::kDecode)
+                                                                 : Duration::zero();
+    const Duration others = request.arrival.resumed
+                                ? Duration::max()
+                                : shortestObjective(classOf(request).priorityWeight);
+    const Duration left = std::min(request.objectiveAt - now_, others);
+    return scaled(timeToPrefill(request, prefillInstance),
+                  decay(now_, lastPrefillAt_, halfLife())) +
+               rest >
+           left;
   }
 
   // Readers may be too few or fail while decode instances rest, which read too, more slowly:
   // between their steps.
-  bool readAtWriter(RequestRecord& r) {
+  bool prefillAtDecodeInstance(RequestRecord& request) {
     Instance* best = nullptr;
-    for (auto& [id, e] : instances_) {
-      const bool rests = !e.ejected && warmShare(e) >= 1 && !full(e, kRoomToRead);
-      if (e.role != Role::kDecode || !eligible(r, e) || !rests)
+    for (auto& [id, instance] : instances_) {
+      const bool rests =
+          !instance.ejected && warmth(instance) >= 1 && !isFull(instance, kRoomToRead);
+      if (instance.role != Role::kDecode || !isEligible(request, instance) || !rests)
         continue;
-      if (best == nullptr ||
-          std::pair(e.readTokens, load(e)) < std::pair(best->readTokens, load(*best)))
-        best = &e;
+      if (best == nullptr || std::pair(instance.prefillTokens, load(instance)) <
+                                 std::pair(best->prefillTokens, load(*best)))
+        best = &instance;
     }
     // Each node alone sees the decode instances idle, so it reckons what they would read if all did
     // as it does.
-    const Duration all = kWriterReads * timeFor(writerReads_.at(now_, kFlowMemory)) * set_.nodes;
-    const double spare = std::max(kWriterSpare, kFewNodes / set_.nodes) * count_[at(Role::kDecode)];
-    if (best == nullptr || !set_.decodeCanPrefill || all > scaled(kFlowMemory, spare))
+    const Duration all =
+        kWriterReads * prefillTime(decodePrefillTokens_.at(now_, kFlowMemory)) * settings_.nodes;
+    const double spare =
+        std::max(kWriterSpare, kFewNodes / settings_.nodes) * count_[roleIndex(Role::kDecode)];
+    if (best == nullptr || !settings_.decodeCanPrefill || all > scaled(kFlowMemory, spare))
       return false;
-    if (now_ + scaled(timeFor(best->readTokens + r.arrival.promptTokens), kWriterReads) >
-        r.objectiveAt)
+    if (now_ +
+            scaled(prefillTime(best->prefillTokens + request.arrival.promptTokens), kWriterReads) >
+        request.objectiveAt)
       return false;
-    letGo(r);
-    book(r, *best);
-    if (sendTo(r, *best, Phase::kWriting))
+    releaseState(request);
+    reserveCapacity(request, *best);
+    if (dispatch(request, *best, Phase::kDecoding))
       countSend(*best);
-    writerReads_.add(r.arrival.promptTokens, now_, kFlowMemory);
+    decodePrefillTokens_.add(request.arrival.promptTokens, now_, kFlowMemory);
     return true;
   }
 
   // Guards against a jam that many nodes keep up with a few reads each. Who cannot know each
   // prefill instance reads little more than was read in time at any, and its part of some trials
   // that show the jam's end.
-  bool throttled(const RequestRecord& r) const {
-    const double tried = reads_.at(now_, kJamMemory),
-                 known = kKnownReads * count_[at(Role::kPrefill)];
+  bool throttled(const RequestRecord& request) const {
+    const double tried = prefillOutcomes_.at(now_, kJamMemory),
+                 known = kKnownReads * count_[roleIndex(Role::kPrefill)];
     const double allowed =
-        kJamTimes * timely_.at(now_, kJamMemory) + std::max(1.0, known / set_.nodes);
-    return tried < known && stableDraw(r.arrival.request.value, "throttle") * tried > allowed;
+        kJamTimes * timelyPrefills_.at(now_, kJamMemory) + std::max(1.0, known / settings_.nodes);
+    return tried < known && stableDraw(request.arrival.request.value, "throttle") * tried > allowed;
   }
 
-  void startRead(RequestRecord& r) {
-    Instance* reader = chooseReader(r);
-    const bool late = reader != nullptr && worthless(r, *reader);
+  void startPrefill(RequestRecord& request) {
+    Instance* prefillInstance = choosePrefillInstance(request);
+    const bool late =
+        prefillInstance != nullptr && missesLatencyObjective(request, *prefillInstance);
     const bool slow =
-        reader == nullptr || readTime(r, *reader) > scaled(r.objectiveAt - now_, kLongRead);
-    if ((late || slow) && readAtWriter(r))
+        prefillInstance == nullptr ||
+        timeToPrefill(request, *prefillInstance) > scaled(request.objectiveAt - now_, kLongRead);
+    if ((late || slow) && prefillAtDecodeInstance(request))
       return;
-    if (reader == nullptr || late || throttled(r))
-      return reader == nullptr ? void() : finish(r);
-    letGo(r);
-    r.reader = reader;
-    if (reader->role == Role::kMixed)
-      book(r, *reader);
-    if (!sendTo(r, *reader, reader->role == Role::kMixed ? Phase::kWriting : Phase::kReading))
+    if (prefillInstance == nullptr || late || throttled(request))
+      return prefillInstance == nullptr ? void() : finish(request);
+    releaseState(request);
+    request.prefillInstance = prefillInstance;
+    if (prefillInstance->role == Role::kMixed)
+      reserveCapacity(request, *prefillInstance);
+    if (!dispatch(request, *prefillInstance,
+                  prefillInstance->role == Role::kMixed ? Phase::kDecoding : Phase::kPrefilling))
       return;
-    countSend(*reader);
-    if (reader->role == Role::kPrefill)
-      askPlace(r);
+    countSend(*prefillInstance);
+    if (prefillInstance->role == Role::kPrefill)
+      reserveDecode(request);
   }
 
   // A prompt needs the memory of a kind that reads it and of one that writes its answer.
-  bool tooBig(const RequestRecord& r) const {
+  bool exceedsMemory(const RequestRecord& request) const {
     bool read = false, written = false;
-    for (const KindSettings& kind : set_.kinds) {
-      if (r.arrival.promptTokens > kind.memoryTokens)
+    for (const KindSettings& kind : settings_.kinds) {
+      if (request.arrival.promptTokens > kind.memoryTokens)
         continue;
-      read = read || kind.role != Role::kDecode || set_.decodeCanPrefill;
+      read = read || kind.role != Role::kDecode || settings_.decodeCanPrefill;
       written = written || kind.role != Role::kPrefill;
     }
     return !read || !written;
@@ -659,520 +701,552 @@
 
   // What cannot be answered any more is told so while a retry elsewhere may help, in the last pulse
   // at latest.
-  bool hopeless(const RequestRecord& r) const {
-    const Duration least = r.phase == Phase::kRead ? usual(Role::kDecode)
-                                                   : usual(Role::kPrefill) + usual(Role::kDecode);
-    return r.deadline - now_ < std::max(least, Duration(kPulse + 2 * set_.tick));
+  bool cannotMeetDeadline(const RequestRecord& request) const {
+    const Duration least =
+        request.phase == Phase::kPrefilled
+            ? usualResponseTime(Role::kDecode)
+            : usualResponseTime(Role::kPrefill) + usualResponseTime(Role::kDecode);
+    return request.deadline - now_ < std::max(least, Duration(kPulse + 2 * settings_.tick));
   }
 
   // ---- 6 Deadlines and further attempts
   // ------------------------------------------------------------
 
   // Leaves time for another attempt and no more: a time-out in a jam only reads the prompt twice.
-  Time patience(const RequestRecord& r, const Instance& e) const {
-    const bool last = static_cast<int>(r.attempts.size()) + 1 >= set_.limits.maxAttempts;
-    if (last || (classOf(r).effect == Effect::kAtMostOnce && e.role != Role::kPrefill))
-      return r.deadline;
-    return now_ + scaled(r.deadline - now_, kSpareShare);
+  Time attemptTimeout(const RequestRecord& request, const Instance& instance) const {
+    const bool last = static_cast<int>(request.attempts.size()) + 1 >= settings_.limits.maxAttempts;
+    if (last || (classOf(request).effect == Effect::kAtMostOnce && instance.role != Role::kPrefill))
+      return request.deadline;
+    return now_ + scaled(request.deadline - now_, kSpareShare);
   }
 
   // What an instance swallows is overtaken: by others sent later, well ahead for their size. Jams
   // hold all up.
-  void overtake(const AttemptRecord& by, Duration took) {
-    for (auto& [id, r] : requests_) {
-      if (r.phase != Phase::kReading && r.phase != Phase::kWriting)
+  void countOvertakenAttempts(const AttemptRecord& answered, Duration took) {
+    for (auto& [id, request] : requests_) {
+      if (request.phase != Phase::kPrefilling && request.phase != Phase::kDecoding)
         continue;
-      AttemptRecord& a = r.attempts.back();
-      if (!a.out || a.instance != by.instance || a.sentAt >= by.sentAt)
+      AttemptRecord& attempt = request.attempts.back();
+      if (!attempt.out || attempt.instance != answered.instance ||
+          attempt.sentAt >= answered.sentAt)
         continue;
-      const double size = std::max(1.0, (a.tokens + 1) / (by.tokens + 1));
-      if (now_ - a.sentAt > scaled(took, size * kOvertakenTimes))
-        ++a.overtaken;
+      const double size = std::max(1.0, (attempt.prefillTokens + 1) / (answered.prefillTokens + 1));
+      if (now_ - attempt.sentAt > scaled(took, size * kOvertakenTimes))
+        ++attempt.timesOvertaken;
     }
   }
 
-  bool anotherFor(const RequestRecord& r, const Instance& e) const {
-    for (const auto& [id, x] : instances_)
-      if (&x != &e && (x.role == Role::kPrefill) == (e.role == Role::kPrefill) && eligible(r, x))
+  bool hasAlternative(const RequestRecord& request, const Instance& instance) const {
+    for (const auto& [id, other] : instances_)
+      if (&other != &instance &&
+          (other.role == Role::kPrefill) == (instance.role == Role::kPrefill) &&
+          isEligible(request, other))
         return true;
     return false;
   }
 
   // Calls off what waits at a silent instance, or was swallowed, while another could take it.
-  void rescue(RequestRecord& r) {
-    AttemptRecord& a = r.attempts.back();
-    if (!set_.limits.cancel || retries_ < 1 || !a.out || a.calledOff)
+  void cancelStraggler(RequestRecord& request) {
+    AttemptRecord& attempt = request.attempts.back();
+    if (!settings_.limits.cancel || retryBudget_ < 1 || !attempt.out || attempt.cancelled)
       return;
-    if (a.writes && classOf(r).effect == Effect::kAtMostOnce)
+    if (attempt.decodes && classOf(request).effect == Effect::kAtMostOnce)
       return;  // a read has no effect
-    const bool longOut = now_ - a.sentAt >= scaled(r.objectiveAt - r.arrivedAt, kSilentAims);
-    const bool swallowed = a.overtaken >= kOvertaken && (longOut || !a.writes);
-    if ((!swallowed && !(longOut && silent(*a.instance))) || !anotherFor(r, *a.instance))
+    const bool longOut =
+        now_ - attempt.sentAt >= scaled(request.objectiveAt - request.arrivedAt, kSilentAims);
+    const bool lost = attempt.timesOvertaken >= kOvertaken && (longOut || !attempt.decodes);
+    if ((!lost && !(longOut && isSilent(*attempt.instance))) ||
+        !hasAlternative(request, *attempt.instance))
       return;
-    a.calledOff = true;
-    noteBad(*a.instance, a.sentAt, "silent", false);
-    emit(CancelAttempt{r.arrival.request, static_cast<int>(r.attempts.size()) - 1});
+    attempt.cancelled = true;
+    recordFailure(*attempt.instance, attempt.sentAt, "silent", false);
+    emit(CancelAttempt{request.arrival.request, static_cast<int>(request.attempts.size()) - 1});
   }
 
-  static bool sameGroup(const EndpointRecord& a, const EndpointRecord& b, DedupScope dedupScope) {
+  static bool sameDedupScope(const EndpointRecord& attempt,
+                             const EndpointRecord& b,
+                             DedupScope dedupScope) {
     return dedupScope == DedupScope::kAll ||
-           (dedupScope == DedupScope::kZone ? a.zone == b.zone : a.cell == b.cell);
+           (dedupScope == DedupScope::kZone ? attempt.zone == b.zone : attempt.cell == b.cell);
   }
 
   // Until when what may have run may go out again, as repeats of it do no harm or are discarded.
-  Time repeatsUntil(const RequestRecord& r) const {
-    const AttemptRecord* first = r.mayHaveRun();
-    if (first == nullptr || classOf(r).effect == Effect::kIdempotent)
+  Time repeatsUntil(const RequestRecord& request) const {
+    const AttemptRecord* first = request.possiblyExecutedAttempt();
+    if (first == nullptr || classOf(request).effect == Effect::kIdempotent)
       return Time::max();
-    return classOf(r).effect == Effect::kDeduplicated ? first->sentAt + classOf(r).dedupWindow
-                                                      : now_;
+    return classOf(request).effect == Effect::kDeduplicated
+               ? first->sentAt + classOf(request).dedupWindow
+               : now_;
   }
 
   // Guards rule two for sends: of a keyed class, all that may have run is in the group of the first
   // of it.
-  bool effectAllows(const RequestRecord& r, const Instance& e) const {
-    const AttemptRecord* first =
-        classOf(r).effect == Effect::kDeduplicated ? r.mayHaveRun() : nullptr;
+  bool effectAllowsDispatch(const RequestRecord& request, const Instance& instance) const {
+    const AttemptRecord* first = classOf(request).effect == Effect::kDeduplicated
+                                     ? request.possiblyExecutedAttempt()
+                                     : nullptr;
     const bool apart =
-        first != nullptr && !sameGroup(first->instance->info, e.info, classOf(r).dedupScope);
-    return now_ < repeatsUntil(r) && !apart;
+        first != nullptr &&
+        !sameDedupScope(first->instance->endpoint, instance.endpoint, classOf(request).dedupScope);
+    return now_ < repeatsUntil(request) && !apart;
   }
 
   // Guards rule two for refusals, which tell the client that a repeat is harmless.
-  bool mayRefuse(const RequestRecord& r) const {
-    const bool everywhere =
-        classOf(r).effect == Effect::kDeduplicated && classOf(r).dedupScope == DedupScope::kAll;
-    return everywhere || repeatsUntil(r) == Time::max();
+  bool mayReject(const RequestRecord& request) const {
+    const bool everywhere = classOf(request).effect == Effect::kDeduplicated &&
+                            classOf(request).dedupScope == DedupScope::kAll;
+    return everywhere || repeatsUntil(request) == Time::max();
   }
 
   // The one gate for sends: rules one (nothing after the end), two, three and the attempt limits.
-  bool sendTo(RequestRecord& r, Instance& e, Phase next) {
-    if (r.phase == Phase::kOver || r.phase == Phase::kStreaming || now_ >= r.deadline)
+  bool dispatch(RequestRecord& request, Instance& instance, Phase next) {
+    if (request.phase == Phase::kFinished || request.phase == Phase::kStreaming ||
+        now_ >= request.deadline)
       return false;
-    if (r.attemptOut() || static_cast<int>(r.attempts.size()) >= set_.limits.maxAttempts)
+    if (request.attemptOut() ||
+        static_cast<int>(request.attempts.size()) >= settings_.limits.maxAttempts)
       return false;
-    if ((e.toldOff && !(&e == r.place && placeUsable(r))) || !effectAllows(r, e))
+    if ((instance.drainingSince &&
+         !(&instance == request.reservation && reservationUsable(request))) ||
+        !effectAllowsDispatch(request, instance))
       return false;
-    const bool reads = next == Phase::kReading || (e.role == Role::kDecode && r.reader == nullptr);
-    const double tokens = reads ? unread(r, e) : 0;
-    e.readTokens += tokens;
-    const Time before = repeatsUntil(r);
-    r.attempts.push_back({&e, now_, e.role != Role::kPrefill, tokens, r.home == &e});
-    r.phase = next;
-    r.pinned =
+    const bool reads = next == Phase::kPrefilling ||
+                       (instance.role == Role::kDecode && request.prefillInstance == nullptr);
+    const double tokens = reads ? uncachedTokens(request, instance) : 0;
+    instance.prefillTokens += tokens;
+    const Time before = repeatsUntil(request);
+    request.attempts.push_back({&instance, now_, instance.role != Role::kPrefill, tokens,
+                                request.affinityInstance == &instance});
+    request.phase = next;
+    request.holdsRemoteState =
         true;  // whatever the role: a mixed instance that times out may leave its own reading held
-    if (e.out++ == 0)
-      e.quietSince = now_;
-    emit(DispatchAttempt{r.arrival.request, e.info.instance, patience(r, e), before});
+    if (instance.unansweredAttempts++ == 0)
+      instance.silentSince = now_;
+    emit(DispatchAttempt{request.arrival.request, instance.endpoint.instance,
+                         attemptTimeout(request, instance), before});
     return true;
   }
 
   // After a failure: another instance, within the attempts, the time and the budget that cannot
   // feed a jam.
-  void again(RequestRecord& r, Instance& failed, bool stateLives) {
-    r.avoid.insert(failed.info.instance);
-    r.offeredAt.clear();
-    const bool spent =
-        static_cast<int>(r.attempts.size()) + (stateLives ? 1 : 2) > set_.limits.maxAttempts;
-    if (spent || retries_ < 1 || hopeless(r) || now_ >= repeatsUntil(r))
-      return finish(r);
-    retries_ -= 1;
-    unbook(r);
+  void retry(RequestRecord& request, Instance& failed, bool stateLives) {
+    request.excludedInstances.insert(failed.endpoint.instance);
+    request.slowStartOfferedAt.clear();
+    const bool spent = static_cast<int>(request.attempts.size()) + (stateLives ? 1 : 2) >
+                       settings_.limits.maxAttempts;
+    if (spent || retryBudget_ < 1 || cannotMeetDeadline(request) || now_ >= repeatsUntil(request))
+      return finish(request);
+    retryBudget_ -= 1;
+    freeCapacity(request);
     if (stateLives)
-      return startWrite(r);
-    letGo(r);
-    r.phase = Phase::kWaiting;
-    startRead(r);
+      return startDecode(request);
+    releaseState(request);
+    request.phase = Phase::kWaiting;
+    startPrefill(request);
   }
 
   // ---- 7 Release
   // -----------------------------------------------------------------------------------
 
   // Guards rule five: whatever may be held for it anywhere is let go.
-  void letGo(RequestRecord& r) {
-    if (r.pinned)
-      emit(ReleaseState{r.arrival.request});
-    r.pinned = false;
-    r.place = r.reader = nullptr;
-    unbook(r);
+  void releaseState(RequestRecord& request) {
+    if (request.holdsRemoteState)
+      emit(ReleaseState{request.arrival.request});
+    request.holdsRemoteState = false;
+    request.reservation = request.prefillInstance = nullptr;
+    freeCapacity(request);
   }
 
-  void callOff(const RequestRecord& r) {
-    if (set_.limits.cancel && r.attemptOut())
-      emit(CancelAttempt{r.arrival.request, static_cast<int>(r.attempts.size()) - 1});
+  void cancelAttempt(const RequestRecord& request) {
+    if (settings_.limits.cancel && request.attemptOut())
+      emit(CancelAttempt{request.arrival.request, static_cast<int>(request.attempts.size()) - 1});
   }
 
   // The one gate for endings: one final answer, nothing after it, nothing left out or held.
-  void finish(RequestRecord& r) {
-    if (r.phase == Phase::kOver)
+  void finish(RequestRecord& request) {
+    if (request.phase == Phase::kFinished)
       return;
-    callOff(r);
-    letGo(r);  // first, as a refusal says that nothing is under way anywhere
-    const Duration advice = scaled(set_.limits.maxRetryAfter, kAdvice);
-    if (!mayRefuse(r))
-      emit(FailRequest{r.arrival.request});
+    cancelAttempt(request);
+    releaseState(request);  // first, as a refusal says that nothing is under way anywhere
+    const Duration advice = scaled(settings_.limits.maxRetryAfter, kAdvice);
+    if (!mayReject(request))
+      emit(FailRequest{request.arrival.request});
     else
-      emit(RejectRequest{r.arrival.request,
-                         set_.limits.retryAfter ? std::optional(advice) : std::nullopt});
-    close(r);
+      emit(RejectRequest{request.arrival.request,
+                         settings_.limits.retryAfter ? std::optional(advice) : std::nullopt});
+    close(request);
   }
 
-  void close(RequestRecord& r) {  // a read still out may yet leave a state: it stays known
-    r.phase = Phase::kOver;
-    letGo(r);
+  void close(RequestRecord& request) {  // a read still out may yet leave a state: it stays known
+    request.phase = Phase::kFinished;
+    releaseState(request);
   }
 
-  void forgetIfDone(const RequestId& id) {
-    const RequestRecord* r = held(id);
-    if (r != nullptr && r->phase == Phase::kOver && !r->attemptOut())
+  void forgetIfFinished(const RequestId& id) {
+    const RequestRecord* request = findRequest(id);
+    if (request != nullptr && request->phase == Phase::kFinished && !request->attemptOut())
       requests_.erase(id);
   }
 
   // ---- 8 Event handlers
   // ----------------------------------------------------------------------------
 
-  void emit(Action act) { act_->push_back(std::move(act)); }
+  void emit(Action act) { actions_->push_back(std::move(act)); }
 
-  void say(std::string text) { emit(LogMessage{std::move(text)}); }
+  void log(std::string text) { emit(LogMessage{std::move(text)}); }
 
   void start() {
     std::tie(started_, startedAt_) = std::pair(true, now_);
     if (problem_)
-      say("unusable settings: " + *problem_);
-    if (set_.discovery == Discovery::kPoll)
+      log("unusable settings: " + *problem_);
+    if (settings_.discovery == Discovery::kPoll)
       emit(SubscribeEndpoints{});
   }
 
-  void on(const EndpointListUpdate& news) {
-    if (news.form == EndpointListForm::kFailed)
-      return void(askAgainAt_ = now_ + kAskPause);
-    if (news.form != EndpointListForm::kChanges)  // a whole list; what it names is taken back in
-      for (auto& [id, e] : instances_)
-        tellOff(e, EndpointState::kRemoved);
-    for (const EndpointRecord& entry : news.entries)
-      take(entry);
-    forgetGone();
-    plan();
+  void on(const EndpointListUpdate& update) {
+    if (update.form == EndpointListForm::kFailed)
+      return void(pollEndpointsAt_ = now_ + kAskPause);
+    if (update.form != EndpointListForm::kChanges)  // a whole list; what it names is taken back in
+      for (auto& [id, instance] : instances_)
+        markDraining(instance, EndpointState::kRemoved);
+    for (const EndpointRecord& entry : update.entries)
+      applyEndpoint(entry);
+    forgetRemoved();
+    planCells();
   }
 
-  void tellOff(Instance& e, EndpointState state) {
-    if (!e.toldOff)
-      e.toldOff = now_;
-    e.info.state = state;
+  void markDraining(Instance& instance, EndpointState state) {
+    if (!instance.drainingSince)
+      instance.drainingSince = now_;
+    instance.endpoint.state = state;
   }
 
   // What has been gone for longer than a new one is cold, unless a request still names it.
-  void forgetGone() {
+  void forgetRemoved() {
     std::erase_if(instances_, [this](const auto& entry) {
-      const Instance& e = entry.second;
-      const bool gone = e.toldOff && e.info.state == EndpointState::kRemoved;
-      if (!gone || now_ - *e.toldOff <= set_.contract.warmupDuration)
+      const Instance& instance = entry.second;
+      const bool gone =
+          instance.drainingSince && instance.endpoint.state == EndpointState::kRemoved;
+      if (!gone || now_ - *instance.drainingSince <= settings_.contract.warmupDuration)
         return false;
-      return std::none_of(requests_.begin(), requests_.end(),
-                          [&e](const auto& request) { return request.second.refersTo(e); });
+      return std::none_of(requests_.begin(), requests_.end(), [&instance](const auto& request) {
+        return request.second.refersTo(instance);
+      });
     });
   }
 
-  void take(const EndpointRecord& entry) {
-    if (entry.kind.value >= set_.kinds.size())
+  void applyEndpoint(const EndpointRecord& entry) {
+    if (entry.kind.value >= settings_.kinds.size())
       return;
     auto [it, fresh] = instances_.try_emplace(entry.instance);
-    Instance& e = it->second;
-    const bool restarted = !fresh && entry.started && entry.started != e.info.started;
-    e.info = entry;
-    e.info.weight = std::max(0.0, entry.weight);
-    e.role = set_.kinds[entry.kind.value].role;
+    Instance& instance = it->second;
+    const bool restarted = !fresh && entry.started && entry.started != instance.endpoint.started;
+    instance.endpoint = entry;
+    instance.endpoint.weight = std::max(0.0, entry.weight);
+    instance.role = settings_.kinds[entry.kind.value].role;
     for (int i = 0; fresh && i < kNewIsGood; ++i)
-      e.fails.add(0);
+      instance.failureRate.add(0);
     if (fresh || restarted)
-      e.slowStart.reset(stableHash(salt_, entry.instance.value), set_.nodes, now_);
+      instance.slowStart.reset(stableHash(salt_, entry.instance.value), settings_.nodes, now_);
     if (restarted)
-      trust(e);
+      reinstate(instance);
     if (entry.state == EndpointState::kActive)
-      e.toldOff.reset();
+      instance.drainingSince.reset();
     else
-      tellOff(e, entry.state);
+      markDraining(instance, entry.state);
   }
 
   void on(const Arrival& arrival) {
-    if (problem_ || arrival.cls.value >= set_.classes.size())
+    if (problem_ || arrival.cls.value >= settings_.classes.size())
       return emit(FailRequest{arrival.request});
     auto [it, fresh] = requests_.try_emplace(arrival.request);
     if (!fresh)
       return;
-    RequestRecord& r = it->second;
-    r.arrival = arrival;
-    r.arrivedAt = now_;
-    r.deadline = now_ + arrival.timeLeft;
+    RequestRecord& request = it->second;
+    request.arrival = arrival;
+    request.arrivedAt = now_;
+    request.deadline = now_ + arrival.timeLeft;
     // Whoever asks for the rest had its first token: the mean pace counts, and a refusal loses it
     // all.
-    r.objectiveAt = now_ + classOf(r).latencyObjective +
-                    scaled(classOf(r).latencyObjectivePer1000, arrival.promptTokens / 1000);
+    request.objectiveAt =
+        now_ + classOf(request).latencyObjective +
+        scaled(classOf(request).latencyObjectivePer1000, arrival.promptTokens / 1000);
     if (arrival.resumed)
-      r.objectiveAt = r.deadline;
-    popularity_.count(keyOf(r), now_);
+      request.objectiveAt = request.deadline;
+    popularity_.count(affinityKey(request), now_);
     const double seen = kRetryShare * popularity_.arrivals(now_) + 1;
-    retries_ = std::min({kRetryBurst, retries_ + kRetryShare, seen});
-    if (tooBig(r) || hopeless(r))
-      finish(r);
-    forgetIfDone(arrival.request);
+    retryBudget_ = std::min({kRetryBurst, retryBudget_ + kRetryShare, seen});
+    if (exceedsMemory(request) || cannotMeetDeadline(request))
+      finish(request);
+    forgetIfFinished(arrival.request);
   }
 
   void on(const StreamOpened& opened) {
-    RequestRecord* r = held(opened.request);
-    AttemptRecord* a = r == nullptr ? nullptr : r->attempt(opened.attempt);
-    if (a == nullptr)
+    RequestRecord* request = findRequest(opened.request);
+    AttemptRecord* attempt = request == nullptr ? nullptr : request->attempt(opened.attempt);
+    if (attempt == nullptr)
       return;
-    signOfLife(*a, opened.took, a->out && a->tokens <= 0);
-    noteGood(*a->instance, a->sentAt);
-    overtake(*a, opened.took);
-    a->instance->readTokens -= std::exchange(a->tokens, 0);
-    if (r->phase == Phase::kOver)
+    recordSign(*attempt, opened.took, attempt->out && attempt->prefillTokens <= 0);
+    recordSuccess(*attempt->instance, attempt->sentAt);
+    countOvertakenAttempts(*attempt, opened.took);
+    attempt->instance->prefillTokens -= std::exchange(attempt->prefillTokens, 0);
+    if (request->phase == Phase::kFinished)
       return;
-    std::tie(r->phase, r->openedAt, r->pinned) = std::tuple(Phase::kStreaming, now_, false);
-    book(*r, *a->instance);
+    std::tie(request->phase, request->firstTokenAt, request->holdsRemoteState) =
+        std::tuple(Phase::kStreaming, now_, false);
+    reserveCapacity(*request, *attempt->instance);
   }
 
   void on(const ReservationResult& note) {
-    RequestRecord* r = held(note.request);
-    if (r == nullptr || r->place == nullptr || r->place->info.instance != note.instance ||
-        note.granted)
+    RequestRecord* request = findRequest(note.request);
+    if (request == nullptr || request->reservation == nullptr ||
+        request->reservation->endpoint.instance != note.instance || note.granted)
       return;
-    r->place->fullUntil =
-        now_ + scaled(shortestAim(), kFullAims);  // no slot or memory, or some wait already
-    r->place = nullptr;
-    if (r->phase != Phase::kReading)
+    request->reservation->fullUntil =
+        now_ + scaled(shortestObjective(), kFullAims);  // no slot or memory, or some wait already
+    request->reservation = nullptr;
+    if (request->phase != Phase::kPrefilling)
       return;
-    unbook(*r);
-    if (++r->placesRefused < kPlaceTries)
-      askPlace(*r);
+    freeCapacity(*request);
+    if (++request->reservationsRejected < kPlaceTries)
+      reserveDecode(*request);
   }
 
   void on(const StreamAdopted& stream) {
-    const auto e = instances_.find(stream.instance);
-    if (e == instances_.end())
+    const auto instance = instances_.find(stream.instance);
+    if (instance == instances_.end())
       return;
-    RequestRecord& r = requests_[stream.arrival.request];
-    r.arrival = stream.arrival;
-    r.openedAt = r.arrivedAt = r.deadline = r.objectiveAt = now_;
-    r.phase = Phase::kStreaming;
-    r.attempts.assign(1, {&e->second, now_, true, 0, false});
-    book(r, e->second);
+    RequestRecord& request = requests_[stream.arrival.request];
+    request.arrival = stream.arrival;
+    request.firstTokenAt = request.arrivedAt = request.deadline = request.objectiveAt = now_;
+    request.phase = Phase::kStreaming;
+    request.attempts.assign(1, {&instance->second, now_, true, 0, false});
+    reserveCapacity(request, instance->second);
   }
 
   void on(const AttemptEnded& ended) {
-    RequestRecord* r = held(ended.request);
-    AttemptRecord* a = r == nullptr ? nullptr : r->attempt(ended.attempt);
-    if (a == nullptr || !a->out)
+    RequestRecord* request = findRequest(ended.request);
+    AttemptRecord* attempt = request == nullptr ? nullptr : request->attempt(ended.attempt);
+    if (attempt == nullptr || !attempt->out)
       return;
-    Instance& e = *a->instance;
-    if (!r->openedAt)
-      signOfLife(*a, ended.took, ended.outcome == AttemptOutcome::kPrefilled);
-    a->out = false;
+    Instance& instance = *attempt->instance;
+    if (!request->firstTokenAt)
+      recordSign(*attempt, ended.took, ended.outcome == AttemptOutcome::kPrefilled);
+    attempt->out = false;
     if (ended.outcome == AttemptOutcome::kPrefilled)
-      overtake(*a, ended.took);
-    e.readTokens -= a->tokens;
-    judge(*r, *a, ended);
-    settle(*r, e, ended);
-    forgetIfDone(ended.request);
+      countOvertakenAttempts(*attempt, ended.took);
+    instance.prefillTokens -= attempt->prefillTokens;
+    recordOutcome(*request, *attempt, ended);
+    applyOutcome(*request, instance, ended);
+    forgetIfFinished(ended.request);
   }
 
-  void judge(RequestRecord& r, AttemptRecord& a, const AttemptEnded& ended) {
-    Instance& e = *a.instance;
+  void recordOutcome(RequestRecord& request, AttemptRecord& attempt, const AttemptEnded& ended) {
+    Instance& instance = *attempt.instance;
     const AttemptOutcome outcome = ended.outcome;
     if (outcome == AttemptOutcome::kPrefilled)
-      learnRead(r, a, ended);
+      recordPrefill(request, attempt, ended);
     // What is not read in time waited at least so long: a jam is known by what it does not answer.
     const bool late = outcome == AttemptOutcome::kTimeout || outcome == AttemptOutcome::kCancelled;
-    if (a.tokens > 0 && late && a.overtaken < kOvertaken)
-      noteWait(e, ended.took);
-    const bool shows = a.tokens > 0 && (late || outcome == AttemptOutcome::kPrefilled ||
-                                        outcome == AttemptOutcome::kRejected);
-    reads_.add(shows ? 1 : 0, now_, kJamMemory);
-    timely_.add(shows && outcome == AttemptOutcome::kPrefilled && now_ < r.objectiveAt ? 1 : 0,
-                now_, kJamMemory);
+    if (attempt.prefillTokens > 0 && late && attempt.timesOvertaken < kOvertaken)
+      recordQueueingDelay(instance, ended.took);
+    const bool shows =
+        attempt.prefillTokens > 0 &&
+        (late || outcome == AttemptOutcome::kPrefilled || outcome == AttemptOutcome::kRejected);
+    prefillOutcomes_.add(shows ? 1 : 0, now_, kJamMemory);
+    timelyPrefills_.add(
+        shows && outcome == AttemptOutcome::kPrefilled && now_ < request.objectiveAt ? 1 : 0, now_,
+        kJamMemory);
     if (outcome == AttemptOutcome::kPrefilled)
-      noteGood(e, a.sentAt);
+      recordSuccess(instance, attempt.sentAt);
     if (outcome == AttemptOutcome::kError)
-      noteBad(e, a.sentAt, "errors", false);
+      recordFailure(instance, attempt.sentAt, "errors", false);
     if (outcome == AttemptOutcome::kTimeout)
-      noteBad(e, a.sentAt, "no answers", false);
+      recordFailure(instance, attempt.sentAt, "no answers", false);
     if (outcome == AttemptOutcome::kConnectFailed)
-      noteBad(e, a.sentAt, "no connection", true);
+      recordFailure(instance, attempt.sentAt, "no connection", true);
     // One stream that breaks is no sign of the next: an instance that is gone refuses the next
     // connection.
-    if (outcome == AttemptOutcome::kConnectionLost && !a.calledOff)
-      noteBad(e, a.sentAt, "lost connections", false);
-    a.harmless = provesNotExecuted(outcome, ended.doubtful);
+    if (outcome == AttemptOutcome::kConnectionLost && !attempt.cancelled)
+      recordFailure(instance, attempt.sentAt, "lost connections", false);
+    attempt.provedNotExecuted = provesNotExecuted(outcome, ended.doubtful);
   }
 
-  void settle(RequestRecord& r, Instance& e, const AttemptEnded& ended) {
-    if (r.phase == Phase::kOver || ended.concluded) {
+  void applyOutcome(RequestRecord& request, Instance& instance, const AttemptEnded& ended) {
+    if (request.phase == Phase::kFinished || ended.concluded) {
       // A release skips what an attempt still waits for, so each late outcome brings another.
-      r.pinned = !r.openedAt;
-      return close(r);
+      request.holdsRemoteState = !request.firstTokenAt;
+      return close(request);
     }
     const bool sent = ended.outcome != AttemptOutcome::kConnectFailed &&
                       ended.outcome != AttemptOutcome::kNotSent;
     if (sent)
-      r.readAt = now_;  // what never came up was no send: the state's time goes on
+      request.prefilledAt = now_;  // what never came up was no send: the state's time goes on
     if (ended.outcome == AttemptOutcome::kPrefilled) {
-      r.reader = &e;
-      return startWrite(r);
+      request.prefillInstance = &instance;
+      return startDecode(request);
     }
-    if (now_ >= r.deadline)
-      return finish(r);
-    const bool wrote = r.phase == Phase::kWriting && e.role == Role::kDecode && r.reader != nullptr;
-    const Time tried = now_ + set_.limits.connectTimeout;  // if the next never comes up either
-    again(r, e,
-          wrote && !ended.kvCacheLost && (sent || tried - r.readAt < set_.contract.releaseLimit));
-  }
-
-  void learnRead(const RequestRecord& r, const AttemptRecord& a, const AttemptEnded& ended) {
-    Instance& e = *a.instance;
-    kept_[a.home ? 1 : 0].add(
-        std::clamp(ended.cachedTokens / std::max(1.0, r.arrival.promptTokens), 0.0, 1.0));
-    const double done = std::max(1.0, r.arrival.promptTokens - ended.cachedTokens);
-    lastRead_ = now_;
-    readRate_ =
-        std::max(readRate_ * kRateKept,
+    if (now_ >= request.deadline)
+      return finish(request);
+    const bool wrote = request.phase == Phase::kDecoding && instance.role == Role::kDecode &&
+                       request.prefillInstance != nullptr;
+    const Time tried = now_ + settings_.limits.connectTimeout;  // if the next never comes up either
+    retry(request, instance,
+          wrote && !ended.kvCacheLost &&
+              (sent || tried - request.prefilledAt < settings_.contract.releaseLimit));
+  }
+
+  void recordPrefill(const RequestRecord& request,
+                     const AttemptRecord& attempt,
+                     const AttemptEnded& ended) {
+    Instance& instance = *attempt.instance;
+    cacheHitRate_[attempt.atAffinityInstance ? 1 : 0].add(
+        std::clamp(ended.cachedTokens / std::max(1.0, request.arrival.promptTokens), 0.0, 1.0));
+    const double done = std::max(1.0, request.arrival.promptTokens - ended.cachedTokens);
+    lastPrefillAt_ = now_;
+    prefillThroughput_ =
+        std::max(prefillThroughput_ * kRateKept,
                  done / static_cast<double>(std::max<Duration::rep>(1, ended.took.count())));
-    noteWait(e, std::max(Duration::zero(), ended.took - timeFor(done)));
+    recordQueueingDelay(instance, std::max(Duration::zero(), ended.took - prefillTime(done)));
   }
 
-  void signOfLife(AttemptRecord& a, Duration took, bool counts) {
-    Instance& e = *a.instance;
+  void recordSign(AttemptRecord& attempt, Duration took, bool counts) {
+    Instance& instance = *attempt.instance;
     if (counts)
-      answer_[at(e.role)].add(static_cast<double>(took.count()), now_);
-    std::tie(e.quietSince, e.out) = std::pair(now_, std::max(0, e.out - 1));
+      responseTime_[roleIndex(instance.role)].add(static_cast<double>(took.count()), now_);
+    std::tie(instance.silentSince, instance.unansweredAttempts) =
+        std::pair(now_, std::max(0, instance.unansweredAttempts - 1));
   }
 
   void on(const HealthCheckEnded&) {}  // none is asked for
 
   void on(const PeerMessage&) {}  // nodes share nothing
 
-  void on(const TimerFired&) { pulseSet_ = false; }
+  void on(const TimerFired&) { timerArmed_ = false; }
 
   void on(const ShutdownStarted& stopping) {
-    std::tie(stopsAt_, grace_) = std::pair(stopsAt_.value_or(now_), stopping.grace);
+    std::tie(shutdownAt_, grace_) = std::pair(shutdownAt_.value_or(now_), stopping.grace);
   }
 
   void on(const RequestAbandoned& lapsed) {
-    RequestRecord* r = held(lapsed.request);
-    if (r == nullptr || r->phase == Phase::kOver)
+    RequestRecord* request = findRequest(lapsed.request);
+    if (request == nullptr || request->phase == Phase::kFinished)
       return;
-    callOff(*r);
-    close(*r);
-    forgetIfDone(lapsed.request);
+    cancelAttempt(*request);
+    close(*request);
+    forgetIfFinished(lapsed.request);
   }
 
-  RequestRecord* held(const RequestId& id) {
+  RequestRecord* findRequest(const RequestId& id) {
     const auto it = requests_.find(id);
     return it == requests_.end() ? nullptr : &it->second;
   }
 
   // Work that waits: states first, for they pin memory; then by worth and by the order of their
   // ends.
-  void pump() {
+  void processQueue() {
     std::vector<std::tuple<bool, double, Time, RequestId>> work;
-    for (auto& [id, r] : requests_) {
-      if (r.phase == Phase::kReading || r.phase == Phase::kWriting)
-        rescue(r);
-      if (r.phase == Phase::kWaiting || r.phase == Phase::kRead)
-        work.emplace_back(r.phase == Phase::kWaiting, -classOf(r).priorityWeight, r.deadline, id);
+    for (auto& [id, request] : requests_) {
+      if (request.phase == Phase::kPrefilling || request.phase == Phase::kDecoding)
+        cancelStraggler(request);
+      if (request.phase == Phase::kWaiting || request.phase == Phase::kPrefilled)
+        work.emplace_back(request.phase == Phase::kWaiting, -classOf(request).priorityWeight,
+                          request.deadline, id);
     }
     std::sort(work.begin(), work.end());
     for (const auto& [fresh, worth, deadline, id] : work) {
       advance(requests_.at(id));
-      forgetIfDone(id);
+      forgetIfFinished(id);
     }
   }
 
   // A node that ends moves its streams over the end of its grace, the longest first: a kill moves
   // all.
-  void handOver() {
-    const double passed = ratio(now_ - *stopsAt_, grace_);
+  void migrateStreams() {
+    const double passed = ratio(now_ - *shutdownAt_, grace_);
     std::vector<std::tuple<double, Time, RequestId>> streams;
     std::vector<RequestId> owed;
-    for (const auto& [id, r] : requests_) {
-      if (r.phase < Phase::kStreaming && passed >= kLastCall)
+    for (const auto& [id, request] : requests_) {
+      if (request.phase < Phase::kStreaming && passed >= kLastCall)
         owed.push_back(id);
-      if (r.phase == Phase::kStreaming && !r.attempts.back().calledOff)
-        streams.emplace_back(r.arrival.maxTokens, *r.openedAt, id);
+      if (request.phase == Phase::kStreaming && !request.attempts.back().cancelled)
+        streams.emplace_back(request.arrival.maxTokens, *request.firstTokenAt, id);
     }
     for (const RequestId& id : owed) {
       finish(requests_.at(id));
-      forgetIfDone(id);
+      forgetIfFinished(id);
     }
-    if (!set_.streamResumption || passed < kHandOverFrom)
+    if (!settings_.streamResumption || passed < kHandOverFrom)
       return;
-    mostStreams_ = std::max(mostStreams_, streams.size());
+    maxStreams_ = std::max(maxStreams_, streams.size());
     const double left = std::max(0.0, (kHandOverTo - passed) / (kHandOverTo - kHandOverFrom));
-    const auto stay = static_cast<std::size_t>(left * static_cast<double>(mostStreams_));
+    const auto stay = static_cast<std::size_t>(left * static_cast<double>(maxStreams_));
     std::sort(streams.rbegin(), streams.rend());
     for (std::size_t i = 0; i + stay < streams.size(); ++i) {
-      RequestRecord& r = requests_.at(std::get<RequestId>(streams[i]));
-      r.attempts.back().calledOff = true;
-      emit(MigrateStream{r.arrival.request});
+      RequestRecord& request = requests_.at(std::get<RequestId>(streams[i]));
+      request.attempts.back().cancelled = true;
+      emit(MigrateStream{request.arrival.request});
     }
   }
 
-  void advance(RequestRecord& r) {
-    if (hopeless(r))
-      return finish(r);
-    if (r.phase == Phase::kRead) {
-      startWrite(r);
-      if (r.phase != Phase::kRead ||
-          now_ - r.readAt < scaled(set_.contract.releaseLimit, kHoldShare))
+  void advance(RequestRecord& request) {
+    if (cannotMeetDeadline(request))
+      return finish(request);
+    if (request.phase == Phase::kPrefilled) {
+      startDecode(request);
+      if (request.phase != Phase::kPrefilled ||
+          now_ - request.prefilledAt < scaled(settings_.contract.releaseLimit, kHoldShare))
         return;
-      letGo(r);
-      r.phase = Phase::kWaiting;
-      if (static_cast<int>(r.attempts.size()) + 2 > set_.limits.maxAttempts)
-        return finish(r);
+      releaseState(request);
+      request.phase = Phase::kWaiting;
+      if (static_cast<int>(request.attempts.size()) + 2 > settings_.limits.maxAttempts)
+        return finish(request);
     }
-    if (now_ + usual(Role::kPrefill) > r.objectiveAt)
-      return finish(r);
-    if (!everyWriterFull())
-      startRead(r);
+    if (now_ + usualResponseTime(Role::kPrefill) > request.objectiveAt)
+      return finish(request);
+    if (!allDecodeInstancesFull())
+      startPrefill(request);
   }
 
-  void keepPulse() {
-    if (askAgainAt_ && now_ >= *askAgainAt_) {
+  void armTimer() {
+    if (pollEndpointsAt_ && now_ >= *pollEndpointsAt_) {
       emit(SubscribeEndpoints{});
-      askAgainAt_.reset();
+      pollEndpointsAt_.reset();
     }
-    const bool open = (stopsAt_ && !requests_.empty()) ||
+    const bool open = (shutdownAt_ && !requests_.empty()) ||
                       std::any_of(requests_.begin(), requests_.end(), [](const auto& entry) {
                         return entry.second.phase < Phase::kStreaming;
                       });
-    if (pulseSet_ || (!open && !askAgainAt_))
+    if (timerArmed_ || (!open && !pollEndpointsAt_))
       return;
-    pulseSet_ = true;
-    emit(SetTimer{++alarms_, open ? Duration(kPulse) : Duration(kAskPause)});
+    timerArmed_ = true;
+    emit(SetTimer{++timersSet_, open ? Duration(kPulse) : Duration(kAskPause)});
   }
 
-  Settings set_;
+  Settings settings_;
   std::optional<std::string> problem_;
   std::string salt_;
-  FadingAverage kept_[2];    // share of a prompt found kept: elsewhere, at its home
-  FadingAverage answer_[3];  // by role, microseconds to the end of a read or the first token
+  FadingAverage cacheHitRate_[2];  // share of a prompt found kept: elsewhere, at its home
+  FadingAverage responseTime_[3];  // by role, microseconds to the end of a read or the first token
   std::map<InstanceId, Instance> instances_;
   std::map<CellIndex, CellPlan> cells_;
   KeyPopularity popularity_{kFlowMemory};
-  double readRate_ = 0;  // unread tokens a microsecond where nothing waits
-  double held_ = 0, streams_ = 0,
-         retries_ = kRetryBurst;        // own answers' tokens, and how many; spare retries
-  DecayingSum sends_[3], writerReads_;  // sends by role; tokens sent to be read by decode instances
-  DecayingSum reads_, timely_;          // reads that ended, and those of them in time
-  std::array<double, 3> weight_{}, mostWeight_{},
+  double prefillThroughput_ = 0;  // unread tokens a microsecond where nothing waits
+  double reservedTokens_ = 0, streams_ = 0,
+         retryBudget_ = kRetryBurst;  // own answers' tokens, and how many; spare retries
+  DecayingSum dispatches_[3],
+      decodePrefillTokens_;  // sends by role; tokens sent to be read by decode instances
+  DecayingSum prefillOutcomes_, timelyPrefills_;  // reads that ended, and those of them in time
+  std::array<double, 3> weight_{}, maxWarmWeight_{},
       count_{};  // by role: listed, the most ever, how many
   std::map<RequestId, RequestRecord> requests_;
-  std::optional<Time> askAgainAt_, stopsAt_;
+  std::optional<Time> pollEndpointsAt_, shutdownAt_;
   Duration grace_{};
-  std::uint64_t alarms_ = 0, mostStreams_ = 0;  // seen since they began to move
-  bool pulseSet_ = false, started_ = false;
-  Time now_{}, lastRead_{}, startedAt_{};
-  std::vector<Action>* act_ = nullptr;
+  std::uint64_t timersSet_ = 0, maxStreams_ = 0;  // seen since they began to move
+  bool timerArmed_ = false, started_ = false;
+  Time now_{}, lastPrefillAt_{}, startedAt_{};
+  std::vector<Action>* actions_ = nullptr;
 };
 
 Router::Router(const Settings& settings, std::uint64_t seed)
--- a/tests/request_record_test.cpp
+++ b/tests/request_record_test.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-AttemptRecord attemptAt(Instance& instance, bool writes) {
-  return {&instance, Time{}, writes, 0, false};
+AttemptRecord attemptAt(Instance& instance, bool decodes) {
+  return {&instance, Time{}, decodes, 0, false};
 }
 
 TEST(RequestRecord, HasAnAttemptOutOnlyWhileTheLastOneIs) {
@@ -29,11 +29,11 @@
   RequestRecord request;
   request.attempts = {attemptAt(instance, false), attemptAt(instance, true),
                       attemptAt(instance, true)};
-  EXPECT_EQ(request.mayHaveRun(), &request.attempts[1]);
-  request.attempts[1].harmless = true;
-  EXPECT_EQ(request.mayHaveRun(), &request.attempts[2]);
-  request.attempts[2].harmless = true;
-  EXPECT_EQ(request.mayHaveRun(), nullptr);
+  EXPECT_EQ(request.possiblyExecutedAttempt(), &request.attempts[1]);
+  request.attempts[1].provedNotExecuted = true;
+  EXPECT_EQ(request.possiblyExecutedAttempt(), &request.attempts[2]);
+  request.attempts[2].provedNotExecuted = true;
+  EXPECT_EQ(request.possiblyExecutedAttempt(), nullptr);
 }
 
 TEST(RequestRecord, FindsAttemptsByNumberAndNoneBeyond) {
@@ -46,19 +46,20 @@
 }
 
 TEST(RequestRecord, RefersToEachInstanceThatItNames) {
-  Instance place;
-  Instance reader;
-  Instance home;
-  Instance booked;
+  Instance reservation;
+  Instance prefillInstance;
+  Instance affinityInstance;
+  Instance reservedOn;
   Instance attempted;
   Instance stranger;
   RequestRecord request;
-  request.place = &place;
-  request.reader = &reader;
-  request.home = &home;
-  request.booked = &booked;
+  request.reservation = &reservation;
+  request.prefillInstance = &prefillInstance;
+  request.affinityInstance = &affinityInstance;
+  request.reservedOn = &reservedOn;
   request.attempts.push_back(attemptAt(attempted, true));
-  for (const Instance* named : {&place, &reader, &home, &booked, &attempted})
+  for (const Instance* named :
+       {&reservation, &prefillInstance, &affinityInstance, &reservedOn, &attempted})
     EXPECT_TRUE(request.refersTo(*named));
   EXPECT_FALSE(request.refersTo(stranger));
 }
