--- /dev/null
+++ b/src/routing/decode_prefill_selector.cpp
@@ -0,0 +1,78 @@
+#include "routing/decode_prefill_selector.h"
+
+#include <algorithm>
+#include <utility>
+
+#include "routing/constants.h"
+#include "routing/duration_math.h"
+
+namespace inference_router::routing {
+namespace {
+
+// Upper bound of the memory share of a decode instance that prefills as well.
+constexpr double kMaxMemoryShare = 0.45;
+// Times that a decode instance takes to prefill, compared with a prefill instance.
+constexpr int kSlowdown = 2;
+// Upper bound of the time that a prefill instance may take, as a share of the time to the
+// objective, without a decode instance being tried.
+constexpr double kMaxObjectiveShare = 0.6;
+// Share of the time of all decode instances that they may spend on prefills.
+constexpr double kSpareTimeShare = 0.15;
+// The same for a fleet of few nodes: this number divided by the number of nodes, if that is more.
+constexpr double kSpareTimeShareNodes = 3;
+
+}  // namespace
+
+bool DecodePrefillSelector::isWorthTrying(const RequestRecord& request,
+                                          const Instance* prefillInstance,
+                                          Time now) const {
+  return prefillInstance == nullptr ||
+         inputs_.estimates.timeToPrefill(request, *prefillInstance, now) >
+             scaled(request.objectiveAt - now, kMaxObjectiveShare);
+}
+
+Instance* DecodePrefillSelector::choose(const RequestRecord& request, Time now) const {
+  if (!inputs_.settings.decodeCanPrefill || !hasSpareTime(now))
+    return nullptr;
+  Instance* best = leastPrefilling(request, now);
+  if (best == nullptr)
+    return nullptr;
+  const double tokens = best->prefillTokens + request.arrival.promptTokens;
+  const Duration prefillTime = scaled(inputs_.estimates.prefillTime(tokens), kSlowdown);
+  return now + prefillTime > request.objectiveAt ? nullptr : best;
+}
+
+Instance* DecodePrefillSelector::leastPrefilling(const RequestRecord& request, Time now) const {
+  Instance* best = nullptr;
+  for (auto& [id, instance] : inputs_.registry.instances()) {
+    if (instance.role != Role::kDecode || instance.ejection.ejected ||
+        warmFraction(inputs_.settings, instance, now) < 1)
+      continue;
+    if (inputs_.capacity.isFull(instance, now, kMaxMemoryShare) ||
+        !inputs_.availability.isEligible(request, instance, now))
+      continue;
+    const auto cost = [&](const Instance& candidate) {
+      return std::pair(candidate.prefillTokens, inputs_.capacity.load(candidate, now));
+    };
+    if (best == nullptr || cost(instance) < cost(*best))
+      best = &instance;
+  }
+  return best;
+}
+
+// Each node alone sees the decode instances idle, so it assumes that all nodes send them as much as
+// it does.
+bool DecodePrefillSelector::hasSpareTime(Time now) const {
+  const int nodes = inputs_.settings.nodes;
+  const double ownTokens = prefillTokens_.at(now, kTrafficTimeConstant);
+  const Duration spent = kSlowdown * inputs_.estimates.prefillTime(ownTokens) * nodes;
+  const double instancesSpared = std::max(kSpareTimeShare, kSpareTimeShareNodes / nodes) *
+                                 inputs_.cells.listedCount(Role::kDecode);
+  return spent <= scaled(kTrafficTimeConstant, instancesSpared);
+}
+
+void DecodePrefillSelector::countDispatch(const RequestRecord& request, Time now) {
+  prefillTokens_.add(request.arrival.promptTokens, now, kTrafficTimeConstant);
+}
+
+}  // namespace inference_router::routing
--- /dev/null
+++ b/src/routing/decode_selector.cpp
@@ -0,0 +1,77 @@
+#include "routing/decode_selector.h"
+
+#include <algorithm>
+
+#include "routing/constants.h"
+#include "routing/stable_hash.h"
+
+namespace inference_router::routing {
+namespace {
+
+// Divisor of the drain grace period: reservations on a draining instance are used before the end of
+// that part of it.
+constexpr int kDrainGraceDivisor = 2;
+
+}  // namespace
+
+Instance* DecodeSelector::choose(RequestRecord& request, Time now) {
+  const CellIndex cell =
+      inputs_.cells.decodeCell(request.arrival.request, request.prefillInstance->endpoint.cell);
+  Instance* planned = leastLoaded(request, cell, now);
+  if (planned != nullptr && !inputs_.capacity.isFull(*planned, now))
+    return planned;
+  Instance* anywhere = leastLoaded(request, std::nullopt, now);
+  const bool hasCapacity = anywhere != nullptr && !inputs_.capacity.isFull(*anywhere, now);
+  return hasCapacity ? anywhere : planned;
+}
+
+// Of the decode instances of the cell; without a cell, of all decode and mixed instances.
+Instance* DecodeSelector::leastLoaded(RequestRecord& request,
+                                      std::optional<CellIndex> cell,
+                                      Time now) {
+  const RoleWeights weights = inputs_.slowStart.weights(Role::kDecode, now);
+  const double offeredWeight = kMaxSlowStartOffers * weights.inSlowStart;
+  Instance* best = nullptr;
+  for (auto& [id, instance] : inputs_.registry.instances()) {
+    const bool outsideCell =
+        cell && (instance.role == Role::kMixed || instance.endpoint.cell != *cell);
+    if (instance.role == Role::kPrefill || outsideCell)
+      continue;
+    if (!inputs_.availability.isEligible(request, instance, now))
+      continue;
+    const SlowStartCandidates candidates{
+        offeredWeight, instance.endpoint.weight / std::max(weights.inSlowStart, kMinDivisor)};
+    if (!inputs_.slowStart.admits(request, instance, weights, candidates, now))
+      continue;
+    if (best == nullptr || isLessLoaded(instance, *best, now))
+      best = &instance;
+  }
+  return best;
+}
+
+// Those with capacity first, then by load, then by the node's own order.
+bool DecodeSelector::isLessLoaded(const Instance& instance, const Instance& other, Time now) const {
+  const bool isFull = inputs_.capacity.isFull(instance, now);
+  const bool otherIsFull = inputs_.capacity.isFull(other, now);
+  if (isFull != otherIsFull)
+    return otherIsFull;
+  const double load = inputs_.capacity.load(instance, now);
+  const double otherLoad = inputs_.capacity.load(other, now);
+  if (load < otherLoad || otherLoad < load)
+    return load < otherLoad;
+  return stableHash(seed_, instance.endpoint.instance.value) <
+         stableHash(seed_, other.endpoint.instance.value);
+}
+
+bool DecodeSelector::reservationUsable(const RequestRecord& request, Time now) const {
+  const Instance* instance = request.reservation;
+  if (instance == nullptr || request.excludedInstances.count(instance->endpoint.instance) != 0)
+    return false;
+  if (instance->isListed())
+    return inputs_.availability.isUsable(*instance, now);
+  const Duration drainGrace = inputs_.settings.contract.drainGrace;
+  return now - *instance->drainingSince < drainGrace / kDrainGraceDivisor &&
+         instance->endpoint.state == EndpointState::kDraining;
+}
+
+}  // namespace inference_router::routing
--- /dev/null
+++ b/src/routing/graceful_shutdown.cpp
@@ -0,0 +1,59 @@
+#include "routing/graceful_shutdown.h"
+
+#include <algorithm>
+#include <compare>
+
+#include "routing/duration_math.h"
+
+namespace inference_router::routing {
+namespace {
+
+// Share of the grace period after which streams are migrated: by then a node that shut down before
+// this one is back.
+constexpr double kMigrationStart = 0.6;
+// Share of the grace period by which all streams are migrated.
+constexpr double kMigrationEnd = 0.9;
+// Share of the grace period after which requests without a stream get their final answer.
+constexpr double kFinalAnswers = 0.93;
+
+// Compared by the length of the answer, then by the age of the stream.
+struct Stream {
+  double maxTokens;
+  Time firstTokenAt;
+  RequestId request;
+  auto operator<=>(const Stream&) const = default;
+};
+
+}  // namespace
+
+void GracefulShutdown::begin(Time now, Duration gracePeriod) {
+  if (!begunAt_)
+    begunAt_ = now;
+  gracePeriod_ = gracePeriod;
+}
+
+GracefulShutdown::Step GracefulShutdown::next(const RequestMap& requests,
+                                              bool mayMigrate,
+                                              Time now) {
+  const double elapsed = ratio(now - *begunAt_, gracePeriod_);
+  Step step;
+  std::vector<Stream> streams;
+  for (const auto& [id, request] : requests) {
+    if (request.phase < Phase::kStreaming && elapsed >= kFinalAnswers)
+      step.toFinish.push_back(id);
+    if (request.phase == Phase::kStreaming && !request.attempts.back().cancelled)
+      streams.push_back({request.arrival.maxTokens, *request.firstTokenAt, id});
+  }
+  if (!mayMigrate || elapsed < kMigrationStart)
+    return step;
+  maxStreams_ = std::max(maxStreams_, streams.size());
+  const double shareLeft =
+      std::max(0.0, (kMigrationEnd - elapsed) / (kMigrationEnd - kMigrationStart));
+  const auto staying = static_cast<std::size_t>(shareLeft * static_cast<double>(maxStreams_));
+  std::sort(streams.rbegin(), streams.rend());
+  for (std::size_t i = 0; i + staying < streams.size(); ++i)
+    step.toMigrate.push_back(streams[i].request);
+  return step;
+}
+
+}  // namespace inference_router::routing
--- /dev/null
+++ b/src/routing/instance_registry.h
@@ -0,0 +1,42 @@
+// The instances that this node knows, by the endpoint list.
+#pragma once
+
+#include <string>
+
+#include "inference_router/router.h"
+#include "routing/instance.h"
+#include "routing/request_record.h"
+
+namespace inference_router::routing {
+
+/// Owns the instances. Pointers to them stay valid until forgetRemoved() erases them.
+class InstanceRegistry {
+ public:
+  /// `seed` tells the slow-start draws of this process from those of others. `settings` must
+  /// outlive the registry.
+  InstanceRegistry(const Settings& settings, std::string seed)
+      : settings_(settings), seed_(std::move(seed)) {}
+
+  InstanceMap& instances() { return instances_; }
+  const InstanceMap& instances() const { return instances_; }
+
+  /// The instance of that id; null if it is unknown.
+  Instance* find(const InstanceId& id);
+
+  /// Applies an update that is not EndpointListForm::kFailed. What a complete list does not name
+  /// counts as removed; entries of an unknown kind are skipped.
+  void apply(const EndpointListUpdate& update, Time now);
+
+  /// Erases instances that were removed for longer than a new one takes to warm up, unless a
+  /// request still refers to them.
+  void forgetRemoved(const RequestMap& requests, Time now);
+
+ private:
+  void applyEndpoint(const EndpointRecord& entry, Time now);
+
+  const Settings& settings_;
+  std::string seed_;
+  InstanceMap instances_;
+};
+
+}  // namespace inference_router::routing
--- /dev/null
+++ b/src/routing/load_shedder.cpp
@@ -0,0 +1,82 @@
+#include "routing/load_shedder.h"
+
+#include <algorithm>
+#include <chrono>
+
+#include "routing/constants.h"
+#include "routing/duration_math.h"
+#include "routing/latency_objective.h"
+#include "routing/stable_hash.h"
+
+namespace inference_router::routing {
+namespace {
+
+// Time constant, in seconds, over which prefill outcomes show congestion: longer than any prefill
+// queues.
+constexpr Duration kCongestionTimeConstant = std::chrono::seconds{6};
+// Prefills of each prefill instance in that time that let a node know them apart.
+constexpr double kMinPrefillsPerInstance = 3;
+// Prefills that are tried, as a multiple of those that were in time.
+constexpr double kTriedPerTimely = 1.3;
+// Lower bound of the prefills that are tried in that time.
+constexpr double kMinTried = 1;
+
+}  // namespace
+
+bool LoadShedder::missesLatencyObjective(const RequestRecord& request,
+                                         const Instance& instance,
+                                         Time now) const {
+  const Duration timeToDecode = instance.role == Role::kPrefill
+                                    ? estimates_.usualResponseTime(Role::kDecode, now)
+                                    : Duration::zero();
+  const double priorityWeight = classOf(settings_, request).priorityWeight;
+  const Duration othersObjective =
+      request.arrival.resumed ? Duration::max() : shortestObjective(settings_, priorityWeight);
+  const Duration timeLeft = std::min(request.objectiveAt - now, othersObjective);
+  const Duration timeToPrefill =
+      scaled(estimates_.timeToPrefill(request, instance, now), estimates_.lastPrefillWeight(now));
+  return timeToPrefill + timeToDecode > timeLeft;
+}
+
+bool LoadShedder::cannotMeetObjective(const RequestRecord& request, Time now) const {
+  return now + estimates_.usualResponseTime(Role::kPrefill, now) > request.objectiveAt;
+}
+
+bool LoadShedder::cannotMeetDeadline(const RequestRecord& request, Time now) const {
+  Duration timeNeeded = estimates_.usualResponseTime(Role::kDecode, now);
+  if (request.phase != Phase::kPrefilled)
+    timeNeeded += estimates_.usualResponseTime(Role::kPrefill, now);
+  const Duration untilNextLook = kQueueInterval + 2 * settings_.tick;
+  return request.deadline - now < std::max(timeNeeded, untilNextLook);
+}
+
+bool LoadShedder::exceedsMemory(const RequestRecord& request) const {
+  bool canPrefill = false;
+  bool canDecode = false;
+  for (const KindSettings& kind : settings_.kinds) {
+    if (request.arrival.promptTokens > kind.memoryTokens)
+      continue;
+    if (kind.role != Role::kDecode || settings_.decodeCanPrefill)
+      canPrefill = true;
+    if (kind.role != Role::kPrefill)
+      canDecode = true;
+  }
+  return !canPrefill || !canDecode;
+}
+
+bool LoadShedder::isThrottled(const RequestRecord& request, Time now) const {
+  const double tried = prefillOutcomes_.at(now, kCongestionTimeConstant);
+  const double needed = kMinPrefillsPerInstance * cells_.listedCount(Role::kPrefill);
+  if (tried >= needed)
+    return false;
+  const double allowed = kTriedPerTimely * timelyPrefills_.at(now, kCongestionTimeConstant) +
+                         std::max(kMinTried, needed / settings_.nodes);
+  return stableDraw(request.arrival.request.value, "throttle") * tried > allowed;
+}
+
+void LoadShedder::recordPrefillOutcome(bool isTelling, bool inTime, Time now) {
+  prefillOutcomes_.add(isTelling ? 1 : 0, now, kCongestionTimeConstant);
+  timelyPrefills_.add(isTelling && inTime ? 1 : 0, now, kCongestionTimeConstant);
+}
+
+}  // namespace inference_router::routing
--- /dev/null
+++ b/src/routing/outcome_recorder.cpp
@@ -0,0 +1,111 @@
+#include "routing/outcome_recorder.h"
+
+#include <optional>
+#include <string>
+#include <utility>
+
+#include "routing/instance_availability.h"
+#include "routing/straggler_detector.h"
+
+namespace inference_router::routing {
+namespace {
+
+// Why an attempt that ended so counts against its instance; nothing if it does not.
+std::optional<FailureReason> failureOf(const AttemptRecord& attempt, AttemptOutcome outcome) {
+  switch (outcome) {
+    case AttemptOutcome::kError:
+      return FailureReason::kErrors;
+    case AttemptOutcome::kTimeout:
+      return FailureReason::kNoAnswers;
+    case AttemptOutcome::kConnectFailed:
+      return FailureReason::kNoConnection;
+    case AttemptOutcome::kConnectionLost:
+      // A lost stream does not predict the next: an instance that is gone refuses the next
+      // connection.
+      if (attempt.cancelled)
+        return std::nullopt;
+      return FailureReason::kLostConnections;
+    default:
+      return std::nullopt;
+  }
+}
+
+}  // namespace
+
+void OutcomeRecorder::recordFirstToken(AttemptRecord& attempt,
+                                       Duration took,
+                                       RequestMap& requests,
+                                       EventContext& context) {
+  // A time that includes a prefill at the same instance is no sample of the time to decode.
+  recordSign(attempt, took, attempt.out && attempt.prefillTokens <= 0, context.now());
+  recordSuccess(attempt, context);
+  countOvertakenAttempts(requests, attempt, took, context.now());
+  attempt.instance->prefillTokens -= std::exchange(attempt.prefillTokens, 0);
+}
+
+void OutcomeRecorder::recordEnd(const RequestRecord& request,
+                                AttemptRecord& attempt,
+                                const AttemptEnded& ended,
+                                RequestMap& requests,
+                                EventContext& context) {
+  const Time now = context.now();
+  const bool prefilled = ended.outcome == AttemptOutcome::kPrefilled;
+  if (!request.firstTokenAt)
+    recordSign(attempt, ended.took, prefilled, now);
+  attempt.out = false;
+  if (prefilled)
+    countOvertakenAttempts(requests, attempt, ended.took, now);
+  attempt.instance->prefillTokens -= attempt.prefillTokens;
+  if (prefilled)
+    estimates_.recordPrefill(request, attempt, ended, now);
+  recordPrefillOutcome(request, attempt, ended, now);
+  if (prefilled)
+    recordSuccess(attempt, context);
+  if (const auto reason = failureOf(attempt, ended.outcome))
+    recordFailure(attempt, *reason, context);
+  attempt.provedNotExecuted = provesNotExecuted(ended.outcome, ended.doubtful);
+}
+
+// A prefill that has not ended in time queued for at least so long: congestion shows in what is not
+// answered.
+void OutcomeRecorder::recordPrefillOutcome(const RequestRecord& request,
+                                           const AttemptRecord& attempt,
+                                           const AttemptEnded& ended,
+                                           Time now) {
+  const bool hadPrefill = attempt.prefillTokens > 0;
+  const bool prefilled = ended.outcome == AttemptOutcome::kPrefilled;
+  const bool tooLate =
+      ended.outcome == AttemptOutcome::kTimeout || ended.outcome == AttemptOutcome::kCancelled;
+  if (hadPrefill && tooLate && !isOvertaken(attempt))
+    ServiceEstimates::recordQueueingDelay(*attempt.instance, ended.took, now);
+  const bool isTelling =
+      hadPrefill && (tooLate || prefilled || ended.outcome == AttemptOutcome::kRejected);
+  shedder_.recordPrefillOutcome(isTelling, prefilled && now < request.objectiveAt, now);
+}
+
+void OutcomeRecorder::recordSign(const AttemptRecord& attempt,
+                                 Duration took,
+                                 bool countsAsResponse,
+                                 Time now) {
+  if (countsAsResponse)
+    estimates_.recordResponse(attempt.instance->role, took, now);
+  InstanceAvailability::recordSign(*attempt.instance, now);
+}
+
+void OutcomeRecorder::recordSuccess(const AttemptRecord& attempt, EventContext& context) const {
+  const auto logLine =
+      outlierDetector_.recordSuccess(*attempt.instance, attempt.sentAt, context.now());
+  if (logLine)
+    context.log(*logLine);
+}
+
+void OutcomeRecorder::recordFailure(const AttemptRecord& attempt,
+                                    FailureReason reason,
+                                    EventContext& context) const {
+  const auto logLine =
+      outlierDetector_.recordFailure(*attempt.instance, attempt.sentAt, reason, context.now());
+  if (logLine)
+    context.log(*logLine);
+}
+
+}  // namespace inference_router::routing
--- /dev/null
+++ b/src/routing/prefill_selector.cpp
@@ -0,0 +1,106 @@
+#include "routing/prefill_selector.h"
+
+#include <algorithm>
+#include <cmath>
+#include <map>
+
+#include "routing/duration_math.h"
+#include "routing/stable_hash.h"
+
+namespace inference_router::routing {
+namespace {
+
+// Upper bound of the queueing delay at the preferred instance, in times that the whole prompt takes
+// to prefill.
+constexpr double kMaxQueueingPrefills = 1.5;
+// Upper bound of the part of an instance's traffic that one affinity key may be.
+constexpr double kMaxKeyShare = 0.5;
+
+}  // namespace
+
+// The first in the order whose queueing delay is within the bound. Where all exceed it, the one
+// that would be done first, the earlier in the order at a tie: under congestion, moving a key means
+// to prefill what is cached elsewhere, which adds to the congestion.
+Instance* PrefillSelector::choose(RequestRecord& request, Time now) {
+  const ServiceEstimates& estimates = inputs_.estimates;
+  const Duration maxDelay =
+      scaled(estimates.prefillTime(request.arrival.promptTokens), kMaxQueueingPrefills);
+  const std::vector<Instance*> order = preferenceOrder(request, now);
+  if (!order.empty())
+    request.affinityInstance = order.front();
+  const RoleWeights weights = inputs_.slowStart.weights(Role::kPrefill, now);
+  Instance* best = nullptr;
+  int slowStartOffers = 0;
+  for (Instance* instance : order) {
+    if (!mayPrefill(request, *instance, now))
+      continue;
+    if (warmFraction(inputs_.settings, *instance, now) < 1)
+      ++slowStartOffers;
+    const SlowStartCandidates candidates{
+        instance == request.affinityInstance ? weights.listed : weights.inSlowStart,
+        slowStartOffers > kMaxSlowStartOffers ? 0.0 : 1.0};
+    if (!inputs_.slowStart.admits(request, *instance, weights, candidates, now))
+      continue;
+    if (best != nullptr && estimates.timeToPrefill(request, *instance, now) >=
+                               estimates.timeToPrefill(request, *best, now))
+      continue;
+    best = instance;
+    if (estimates.queueingDelay(*instance, now) <= maxDelay)
+      return instance;
+  }
+  return best;
+}
+
+bool PrefillSelector::mayPrefill(const RequestRecord& request,
+                                 const Instance& instance,
+                                 Time now) const {
+  if (!inputs_.availability.isEligible(request, instance, now) || now < instance.fullUntil)
+    return false;
+  return instance.role != Role::kMixed || !inputs_.capacity.isFull(instance, now);
+}
+
+// The order of the key. A popular key, by the sample of this node, is spread over as many instances
+// as carry it together; a session picks its order among them, the same at every node, and so finds
+// its cached prefix.
+std::vector<Instance*> PrefillSelector::preferenceOrder(const RequestRecord& request,
+                                                        Time now) const {
+  const CellPlan& cells = inputs_.cells;
+  std::vector<Instance*> order;
+  double totalWeight = 0;
+  for (auto& [id, instance] : inputs_.registry.instances()) {
+    if (instance.role == Role::kDecode || !instance.isListed())
+      continue;
+    order.push_back(&instance);
+    totalWeight += cells.hashWeight(instance);
+  }
+  const std::string& key = affinityKey(request);
+  rankByRendezvousHash(order, order.size(), key);
+  if (request.arrival.session.empty())
+    return order;
+  const double keyShare = inputs_.popularity.shareOfOthers(key, now);
+  double carriedWeight = 0;
+  std::size_t spread = 0;
+  while (spread < order.size() && carriedWeight * kMaxKeyShare < keyShare * totalWeight) {
+    carriedWeight += cells.hashWeight(*order[spread]);
+    ++spread;
+  }
+  rankByRendezvousHash(order, spread, request.arrival.session);
+  return order;
+}
+
+// Sorts the first `count` instances by their weighted rendezvous score for the key; every node gets
+// the same order.
+void PrefillSelector::rankByRendezvousHash(std::vector<Instance*>& instances,
+                                           std::size_t count,
+                                           const std::string& key) const {
+  std::multimap<double, Instance*> scored;
+  for (std::size_t i = 0; i < count; ++i) {
+    Instance* instance = instances[i];
+    const double draw = stableDraw(key, instance->endpoint.instance.value);
+    scored.emplace(-std::log(draw) / inputs_.cells.hashWeight(*instance), instance);
+  }
+  std::transform(scored.begin(), scored.end(), instances.begin(),
+                 [](const auto& entry) { return entry.second; });
+}
+
+}  // namespace inference_router::routing
--- /dev/null
+++ b/src/routing/request_lifecycle.cpp
@@ -0,0 +1,198 @@
+#include "routing/request_lifecycle.h"
+
+#include <optional>
+
+#include "routing/duration_math.h"
+#include "routing/idempotency.h"
+
+namespace inference_router::routing {
+namespace {
+
+// Upper bound of the time that a KV cache waits for a decode instance, as a share of the time after
+// which its instance releases it.
+constexpr double kMaxKvCacheWaitShare = 0.6;
+// Time after which a client is advised to retry, as a share of the longest that clients heed.
+constexpr double kRetryAfterShare = 0.1;
+
+// Whether anything of the attempt reached its instance.
+bool wasSent(AttemptOutcome outcome) {
+  return outcome != AttemptOutcome::kConnectFailed && outcome != AttemptOutcome::kNotSent;
+}
+
+}  // namespace
+
+void RequestLifecycle::screen(RequestRecord& request, EventContext& context) {
+  if (units_.shedder.exceedsMemory(request) ||
+      units_.shedder.cannotMeetDeadline(request, context.now()))
+    finish(request, context);
+}
+
+void RequestLifecycle::advance(RequestRecord& request, EventContext& context) {
+  const Time now = context.now();
+  if (units_.shedder.cannotMeetDeadline(request, now)) {
+    finish(request, context);
+    return;
+  }
+  if (request.phase == Phase::kPrefilled) {
+    startDecode(request, context);
+    const Duration maxWait = scaled(units_.settings.contract.releaseLimit, kMaxKvCacheWaitShare);
+    if (request.phase != Phase::kPrefilled || now - request.prefilledAt < maxWait)
+      return;
+    units_.dispatcher.releaseState(request, context);
+    request.phase = Phase::kWaiting;
+    if (!hasAttemptsLeft(units_.settings, request, kAttemptsFromStart)) {
+      finish(request, context);
+      return;
+    }
+  }
+  if (units_.shedder.cannotMeetObjective(request, now)) {
+    finish(request, context);
+    return;
+  }
+  if (!units_.capacity.allFull(now))
+    startPrefill(request, context);
+}
+
+void RequestLifecycle::startPrefill(RequestRecord& request, EventContext& context) {
+  const Time now = context.now();
+  Instance* instance = units_.prefillSelector.choose(request, now);
+  const bool tooLate =
+      instance != nullptr && units_.shedder.missesLatencyObjective(request, *instance, now);
+  const bool tryDecodeInstance =
+      tooLate || units_.decodePrefillSelector.isWorthTrying(request, instance, now);
+  if (tryDecodeInstance && prefillAtDecodeInstance(request, context))
+    return;
+  if (instance == nullptr)
+    return;
+  if (tooLate || units_.shedder.isThrottled(request, now)) {
+    finish(request, context);
+    return;
+  }
+  units_.dispatcher.releaseState(request, context);
+  request.prefillInstance = instance;
+  const Phase next = instance->role == Role::kMixed ? Phase::kDecoding : Phase::kPrefilling;
+  if (!units_.dispatcher.dispatch(request, *instance, next, context))
+    return;
+  if (instance->role == Role::kPrefill)
+    units_.dispatcher.reserveDecode(request, context);
+}
+
+bool RequestLifecycle::prefillAtDecodeInstance(RequestRecord& request, EventContext& context) {
+  Instance* instance = units_.decodePrefillSelector.choose(request, context.now());
+  if (instance == nullptr)
+    return false;
+  units_.dispatcher.releaseState(request, context);
+  units_.dispatcher.dispatch(request, *instance, Phase::kDecoding, context);
+  units_.decodePrefillSelector.countDispatch(request, context.now());
+  return true;
+}
+
+// Without an instance that can take it, the request stays in phase kPrefilled, and advance() tries
+// again.
+void RequestLifecycle::startDecode(RequestRecord& request, EventContext& context) {
+  const Time now = context.now();
+  request.phase = Phase::kPrefilled;
+  Instance* instance = units_.decodeSelector.reservationUsable(request, now)
+                           ? request.reservation
+                           : units_.decodeSelector.choose(request, now);
+  if (instance != nullptr)
+    units_.dispatcher.dispatch(request, *instance, Phase::kDecoding, context);
+}
+
+void RequestLifecycle::applyOutcome(RequestRecord& request,
+                                    Instance& instance,
+                                    const AttemptEnded& ended,
+                                    EventContext& context) {
+  const Time now = context.now();
+  if (request.phase == Phase::kFinished || ended.concluded) {
+    // A release does not reach what an attempt is still waiting for, so each late outcome brings
+    // another.
+    request.holdsRemoteState = !request.firstTokenAt;
+    close(request, context);
+    return;
+  }
+  // An attempt that was not sent does not renew the time for which the KV cache is kept.
+  if (wasSent(ended.outcome))
+    request.prefilledAt = now;
+  if (ended.outcome == AttemptOutcome::kPrefilled) {
+    request.prefillInstance = &instance;
+    startDecode(request, context);
+    return;
+  }
+  if (now >= request.deadline) {
+    finish(request, context);
+    return;
+  }
+  retry(request, instance, kvCacheUsable(request, instance, ended, now), context);
+}
+
+// Whether the KV cache is still there after a decode attempt has failed, and stays for as long as
+// the next one may take to connect.
+bool RequestLifecycle::kvCacheUsable(const RequestRecord& request,
+                                     const Instance& instance,
+                                     const AttemptEnded& ended,
+                                     Time now) const {
+  const bool decodedElsewhere = request.phase == Phase::kDecoding &&
+                                instance.role == Role::kDecode &&
+                                request.prefillInstance != nullptr;
+  if (!decodedElsewhere || ended.kvCacheLost)
+    return false;
+  const Time connectedBy = now + units_.settings.limits.connectTimeout;
+  return wasSent(ended.outcome) ||
+         connectedBy - request.prefilledAt < units_.settings.contract.releaseLimit;
+}
+
+// Another instance, within the limit of attempts, the time left and the retry budget.
+void RequestLifecycle::retry(RequestRecord& request,
+                             const Instance& failed,
+                             bool kvCacheUsable,
+                             EventContext& context) {
+  const Time now = context.now();
+  request.excludedInstances.insert(failed.endpoint.instance);
+  request.slowStartOfferedAt.clear();
+  const int attemptsNeeded = kvCacheUsable ? kAttemptsFromKvCache : kAttemptsFromStart;
+  const ClassSettings& cls = classOf(units_.settings, request);
+  const bool allowed = hasAttemptsLeft(units_.settings, request, attemptsNeeded) &&
+                       units_.retryBudget.isAvailable() &&
+                       !units_.shedder.cannotMeetDeadline(request, now) &&
+                       now < repeatsAllowedUntil(cls, request, now);
+  if (!allowed) {
+    finish(request, context);
+    return;
+  }
+  units_.retryBudget.spend();
+  if (kvCacheUsable) {
+    units_.dispatcher.freeCapacity(request);
+    startDecode(request, context);
+    return;
+  }
+  units_.dispatcher.releaseState(request, context);
+  request.phase = Phase::kWaiting;
+  startPrefill(request, context);
+}
+
+void RequestLifecycle::finish(RequestRecord& request, EventContext& context) {
+  if (request.phase == Phase::kFinished)
+    return;
+  units_.dispatcher.cancelAttempt(request, context);
+  // Before the answer: a rejection says that nothing is under way anywhere.
+  units_.dispatcher.releaseState(request, context);
+  const RequestId& id = request.arrival.request;
+  const Limits& limits = units_.settings.limits;
+  if (mayReject(classOf(units_.settings, request), request, context.now())) {
+    std::optional<Duration> retryAfter;
+    if (limits.retryAfter)
+      retryAfter = scaled(limits.maxRetryAfter, kRetryAfterShare);
+    context.emit(RejectRequest{id, retryAfter});
+  } else {
+    context.emit(FailRequest{id});
+  }
+  close(request, context);
+}
+
+void RequestLifecycle::close(RequestRecord& request, EventContext& context) {
+  request.phase = Phase::kFinished;
+  units_.dispatcher.releaseState(request, context);
+}
+
+}  // namespace inference_router::routing
--- a/src/routing/request_record.cpp
+++ b/src/routing/request_record.cpp
@@ -25,4 +25,11 @@
   });
 }
 
+const std::string& affinityKey(const RequestRecord& request) {
+  const Arrival& arrival = request.arrival;
+  if (!arrival.prefix.empty())
+    return arrival.prefix;
+  return arrival.session.empty() ? arrival.request.value : arrival.session;
+}
+
 }  // namespace inference_router::routing
--- a/src/routing/request_record.h
+++ b/src/routing/request_record.h
@@ -5,6 +5,7 @@
 #include <map>
 #include <optional>
 #include <set>
+#include <string>
 #include <vector>
 
 #include "inference_router/router.h"
@@ -66,8 +67,23 @@
   /// The attempt of that number, from 0; null if there is none.
   AttemptRecord* attempt(int number);
 
+  /// The number of the last attempt, from 0; -1 if there is none.
+  int lastAttemptNumber() const { return static_cast<int>(attempts.size()) - 1; }
+
   /// Whether it refers to the instance, which must then be kept.
   bool refersTo(const Instance& instance) const;
 };
 
+/// All requests that the module holds, by their ids.
+using RequestMap = std::map<RequestId, RequestRecord>;
+
+/// The settings of the request's class.
+inline const ClassSettings& classOf(const Settings& settings, const RequestRecord& request) {
+  return settings.classes[request.arrival.cls.value];
+}
+
+/// The key by which a request keeps to an instance: its shared prefix, else its session, else its
+/// own id.
+const std::string& affinityKey(const RequestRecord& request);
+
 }  // namespace inference_router::routing
--- /dev/null
+++ b/src/routing/selection_inputs.h
@@ -0,0 +1,29 @@
+// What the selection of an instance for a request reads.
+#pragma once
+
+#include "inference_router/router.h"
+#include "routing/cell_plan.h"
+#include "routing/decode_capacity.h"
+#include "routing/instance_availability.h"
+#include "routing/instance_registry.h"
+#include "routing/key_popularity.h"
+#include "routing/service_estimates.h"
+#include "routing/slow_start.h"
+
+namespace inference_router::routing {
+
+/// References to the units that the selectors read; all must outlive the selectors. Two are not
+/// const: a selector returns instances of the registry for its caller to change, and the draws of
+/// slow start take note of what was offered.
+struct SelectionInputs {
+  const Settings& settings;
+  InstanceRegistry& registry;
+  const CellPlan& cells;
+  const KeyPopularity& popularity;
+  const ServiceEstimates& estimates;
+  const InstanceAvailability& availability;
+  const DecodeCapacity& capacity;
+  SlowStart& slowStart;
+};
+
+}  // namespace inference_router::routing
--- /dev/null
+++ b/src/routing/slow_start.cpp
@@ -0,0 +1,71 @@
+#include "routing/slow_start.h"
+
+#include <algorithm>
+#include <cmath>
+
+#include "routing/constants.h"
+#include "routing/duration_math.h"
+
+namespace inference_router::routing {
+namespace {
+
+// Weight that a node which has just started adds to a role for instances that it never saw listed,
+// if all that are listed are in slow start: the rest of the fleet may be down with them.
+constexpr double kUnlistedWeight = 8;
+
+}  // namespace
+
+RoleWeights SlowStart::weights(Role role, Time now) const {
+  RoleWeights weights;
+  weights.complete =
+      std::max(cells_.maxWarmWeight(role), kMinDivisor) + cells_.maxWarmWeight(Role::kMixed);
+  for (const auto& [id, instance] : registry_.instances()) {
+    if (!instance.isListed() || (instance.role != role && instance.role != Role::kMixed))
+      continue;
+    weights.listed += instance.endpoint.weight;
+    if (warmFraction(settings_, instance, now) < 1)
+      weights.inSlowStart += instance.endpoint.weight;
+  }
+  weights.complete = std::max(weights.complete, weights.inSlowStart);
+  if (!recentlyStarted(now))
+    return weights;
+  // A node that has just started has seen the present list alone, so it assumes that much is
+  // missing.
+  const double unlisted = weights.inSlowStart < weights.listed ? 0 : kUnlistedWeight;
+  weights.complete = std::max(weights.complete, cells_.maxListedWeight()) + unlisted;
+  return weights;
+}
+
+bool SlowStart::admits(RequestRecord& request,
+                       Instance& instance,
+                       const RoleWeights& weights,
+                       const SlowStartCandidates& candidates,
+                       Time now) {
+  if (warmFraction(settings_, instance, now) >= 1)
+    return true;
+  const double usualPerWindow = ownDemand(instance.role, now) *
+                                ratio(settings_.contract.overloadWindow, kTrafficTimeConstant) *
+                                instance.endpoint.weight / weights.complete;
+  const Time offeredSince =
+      request.slowStartOfferedAt.try_emplace(request.phase, now).first->second;
+  const SlowStartOffer offer{usualPerWindow, candidates.offeredWeight / weights.complete,
+                             candidates.part, offeredSince};
+  return instance.slowStart.admits(settings_, instance.endpoint.started, offer, now);
+}
+
+// Requests of this node for the role in one time constant; extrapolated while the node has run for
+// less.
+double SlowStart::ownDemand(Role role, Time now) const {
+  const Duration observed = std::max(now - startedAt_, settings_.contract.overloadWindow);
+  const double seen = recentlyStarted(now)
+                          ? popularity_.arrivals(now)
+                          : dispatches_[roleIndex(role)].at(now, kTrafficTimeConstant);
+  return seen / -std::expm1(-ratio(observed, kTrafficTimeConstant));
+}
+
+void SlowStart::countDispatch(Instance& instance, Time now) {
+  instance.slowStart.countSend(settings_.contract, now);
+  dispatches_[roleIndex(instance.role)].add(1, now, kTrafficTimeConstant);
+}
+
+}  // namespace inference_router::routing
