--- a/src/core/clock.h
+++ b/src/core/clock.h
@@ -14,9 +14,11 @@
 class Clock {
  public:
   virtual ~Clock() = default;
+  /// The present time in milliseconds.
   virtual double nowMs() const = 0;
 };
 
+/// The machine's steady clock.
 class SystemClock final : public Clock {
  public:
   double nowMs() const override {
@@ -31,14 +33,15 @@
   static constexpr double kOriginMs = 1e9;
 };
 
+/// A clock for tests, which stands still until it is set.
 class ManualClock final : public Clock {
  public:
-  double nowMs() const override { return now_; }
-  void set(double ms) { now_ = ms; }
-  void advance(double ms) { now_ += ms; }
+  double nowMs() const override { return nowMs_; }
+  void set(double ms) { nowMs_ = ms; }
+  void advance(double ms) { nowMs_ += ms; }
 
  private:
-  double now_ = 1'000'000;
+  double nowMs_ = 1'000'000;
 };
 
 /// The wall clock: milliseconds since the Unix epoch, as this machine sees it.
@@ -48,16 +51,21 @@
   return now.count();
 }
 
-// The only place where the program's milliseconds meet the module's microseconds.
+// Conversions between the program's milliseconds and the decision module's microseconds. No other
+// place converts.
+/// A span for the decision module, rounded to whole microseconds.
 inline routing::Duration toModule(double ms) {
   return routing::Duration(std::llround(ms * 1000));
 }
+/// A time of this process's Clock for the decision module.
 inline routing::Time toModuleTime(double ms) {
   return routing::Time(toModule(ms));
 }
+/// A span of the decision module in milliseconds.
 inline double toMs(routing::Duration span) {
   return static_cast<double>(span.count()) / 1000;
 }
+/// A time of the decision module as one of this process's Clock.
 inline double toMs(routing::Time time) {
   return toMs(time.time_since_epoch());
 }
--- a/src/core/config_reader.h
+++ b/src/core/config_reader.h
@@ -1,21 +1,42 @@
-// Reads a JSON configuration and names what is wrong by its path in the file, as in
-// "coordination.store.path is missing".
+/// Reads a JSON configuration and names what is wrong by its path in the file, as in
+/// "coordination.store.path is missing".
 #pragma once
 
+#include <algorithm>
 #include <cmath>
+#include <cstdint>
 #include <initializer_list>
 #include <limits>
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 #include <string>
 #include <type_traits>
+#include <utility>
 #include <vector>
 
 namespace inference_router::core {
 
+/// A configuration that cannot be used: where in the file, and why.
+class ConfigError : public std::invalid_argument {
+ public:
+  /// The message is the path, the separator and the reason; an empty path reads "the file".
+  ConfigError(std::string path, std::string reason, const std::string& separator = " ")
+      : std::invalid_argument((path.empty() ? "the file" : path) + separator + reason),
+        path_(std::move(path)),
+        reason_(std::move(reason)) {}
+
+  const std::string& path() const { return path_; }
+  const std::string& reason() const { return reason_; }
+
+ private:
+  std::string path_;
+  std::string reason_;
+};
+
+/// One value of a configuration and its path. Does not own the value, which has to outlive it. All
+/// functions that read throw ConfigError.
 class ConfigReader {
  public:
-  // The value has to live as long as this.
   explicit ConfigReader(const nlohmann::json& value, std::string path = "")
       : value_(&value), path_(std::move(path)) {}
 
@@ -23,96 +44,99 @@
   const nlohmann::json& json() const { return *value_; }
   bool has(const std::string& name) const { return value_->is_object() && value_->contains(name); }
 
-  // What has to be there. Throws std::invalid_argument, as all that follows.
+  /// A member that has to be there.
   ConfigReader at(const std::string& name) const {
-    if (!value_->is_object())
-      fail("is not an object");
+    object();
     if (!value_->contains(name))
-      throw std::invalid_argument(under(name) + " is missing");
-    return ConfigReader((*value_)[name], under(name));
+      throw ConfigError(pathOf(name), "is missing");
+    return ConfigReader((*value_)[name], pathOf(name));
   }
+  /// An element of an array. The index is not checked.
   ConfigReader at(std::size_t index) const {
     return ConfigReader((*value_)[index], path_ + "[" + std::to_string(index) + "]");
   }
-  // The entries of a list, each as ConfigReader.
+  /// The elements of a value that has to be an array.
   std::vector<ConfigReader> list() const {
     if (!value_->is_array())
       fail("is not a list");
-    std::vector<ConfigReader> entries;
-    for (std::size_t i = 0; i < value_->size(); ++i)
-      entries.push_back(at(i));
-    return entries;
+    std::vector<ConfigReader> elements;
+    for (std::size_t index = 0; index < value_->size(); ++index)
+      elements.push_back(at(index));
+    return elements;
   }
+  /// This value, which has to be an object.
   const ConfigReader& object() const {
     if (!value_->is_object())
       fail("is not an object");
     return *this;
   }
 
-  template <class What>
-  What as() const {
+  /// This value as a string, bool or number.
+  template <class Value>
+  Value as() const {
     try {
-      if constexpr (std::is_same_v<What, std::string>) {
-        if (!value_->is_string())
-          fail("is not a text");
-      } else if constexpr (std::is_same_v<What, bool>) {
-        if (!value_->is_boolean())
-          fail("is not true or false");
-      } else if constexpr (std::is_unsigned_v<What>) {
-        if (!value_->is_number_unsigned())
-          fail("is not a whole number of 0 or more");
-        if (value_->get<std::uint64_t>() > std::numeric_limits<What>::max())
-          fail("is too large");
-      } else {
-        if (!value_->is_number())
-          fail("is not a number");
-      }
-      return value_->get<What>();
+      checkType<Value>();
+      return value_->get<Value>();
     } catch (const nlohmann::json::exception& fault) {
       fail(fault.what());
     }
   }
-  template <class What>
-  What value(const std::string& name, What otherwise) const {
-    return has(name) ? at(name).as<What>() : otherwise;
+  /// A member, or the default if it is not there.
+  template <class Value>
+  Value value(const std::string& name, Value defaultValue) const {
+    return has(name) ? at(name).as<Value>() : defaultValue;
   }
-  // A time or share above 0, or from 0.
-  double above0(const std::string& name, double otherwise) const {
-    const double number = value(name, otherwise);
+  /// A member that has to be finite and above 0, or the default if it is not there.
+  double above0(const std::string& name, double defaultValue) const {
+    const double number = value(name, defaultValue);
     if (!(number > 0) || !std::isfinite(number))
       at(name).fail("is not above 0");
     return number;
   }
 
-  // Names that are not known are most often misspelt.
+  /// Rejects members of other names, which are most often misspelt.
   void only(std::initializer_list<const char*> names) const {
     object();
-    for (const auto& [name, inner] : value_->items()) {
-      bool known = false;
-      for (const char* one : names)
-        known = known || name == one;
-      if (!known)
-        throw std::invalid_argument(under(name) + " is not known here");
-    }
+    for (const auto& [name, member] : value_->items())
+      if (std::find(names.begin(), names.end(), name) == names.end())
+        throw ConfigError(pathOf(name), "is not known here");
   }
 
-  [[noreturn]] void fail(const std::string& what) const {
-    throw std::invalid_argument((path_.empty() ? "the file" : path_) + " " + what);
-  }
-  // Runs what reads this value by itself, and puts the path before its complaint.
-  template <class Read>
-  auto read(const Read& with) const -> decltype(with(std::string())) {
+  /// Throws a ConfigError for this value.
+  [[noreturn]] void fail(const std::string& reason) const { throw ConfigError(path_, reason); }
+  /// Parses this string with a function that throws std::invalid_argument, and adds the path to its
+  /// message.
+  template <class Parse>
+  auto read(const Parse& parse) const -> decltype(parse(std::string())) {
     const auto text = as<std::string>();
     try {
-      return with(text);
+      return parse(text);
     } catch (const std::invalid_argument& fault) {
-      throw std::invalid_argument(path_ + ": " + fault.what());
+      throw ConfigError(path_, fault.what(), ": ");
     }
   }
 
  private:
-  std::string under(const std::string& name) const {
-    return path_.empty() ? name : path_ + "." + name;
+  template <class Value>
+  void checkType() const {
+    if constexpr (std::is_same_v<Value, std::string>) {
+      if (!value_->is_string())
+        fail("is not a text");
+    } else if constexpr (std::is_same_v<Value, bool>) {
+      if (!value_->is_boolean())
+        fail("is not true or false");
+    } else if constexpr (std::is_unsigned_v<Value>) {
+      if (!value_->is_number_unsigned())
+        fail("is not a whole number of 0 or more");
+      if (value_->get<std::uint64_t>() > std::numeric_limits<Value>::max())
+        fail("is too large");
+    } else {
+      if (!value_->is_number())
+        fail("is not a number");
+    }
+  }
+  std::string pathOf(const std::string& member) const {
+    return path_.empty() ? member : path_ + "." + member;
   }
 
   const nlohmann::json* value_;
--- a/src/core/counters.h
+++ b/src/core/counters.h
@@ -1,4 +1,4 @@
-// The one registry of counters: what the program took in, sent and answered.
+/// The process's registry of event counters. Belongs to one thread.
 #pragma once
 
 #include <cstdint>
@@ -7,10 +7,12 @@
 
 namespace inference_router::core {
 
+/// Counters by name, each created with 0 at its first use.
 class Counters {
  public:
-  // The reference stays good as long as the registry.
+  /// The counter of this name. The reference is valid as long as the registry lives.
   std::uint64_t& operator[](const std::string& name) { return values_[name]; }
+  /// All counters, ordered by name.
   const std::map<std::string, std::uint64_t>& all() const { return values_; }
 
  private:
--- a/src/core/slot_table.h
+++ b/src/core/slot_table.h
@@ -1,5 +1,5 @@
-// A table of numbered slots. A key names slot and generation, so that a key kept too long finds
-// nothing instead of whoever uses the slot now.
+/// A table of numbered slots that are used again. A key names slot and generation, so that a stale
+/// key finds nothing instead of the slot's present value. Belongs to one thread.
 #pragma once
 
 #include <cstddef>
@@ -10,15 +10,18 @@
 
 namespace inference_router::core {
 
+/// Names one value of a SlotTable. A default-constructed key names none.
 struct SlotKey {
   std::uint32_t slot = UINT32_MAX;
   std::uint32_t generation = 0;
   bool operator==(const SlotKey&) const = default;
 };
 
+/// Values by SlotKey. Pointers into the table are valid until the next add().
 template <class Value>
 class SlotTable {
  public:
+  /// Stores a value in a free slot.
   SlotKey add(Value value) {
     if (free_.empty()) {
       free_.push_back(static_cast<std::uint32_t>(entries_.size()));
@@ -30,6 +33,7 @@
     return {slot, entries_[slot].generation};
   }
 
+  /// The value, or null if it has been removed.
   Value* find(SlotKey key) {
     if (key.slot >= entries_.size())
       return nullptr;
@@ -39,6 +43,7 @@
 
   const Value* find(SlotKey key) const { return const_cast<SlotTable*>(this)->find(key); }
 
+  /// Destroys the value and frees its slot. False if the key names none.
   bool remove(SlotKey key) {
     if (find(key) == nullptr)
       return false;
@@ -48,6 +53,7 @@
     return true;
   }
 
+  /// How many values are stored.
   std::size_t size() const { return entries_.size() - free_.size(); }
 
  private:
--- a/src/core/timer_queue.h
+++ b/src/core/timer_queue.h
@@ -73,6 +73,7 @@
   /// The same without a handle: the task runs in any case, as long as the queue lives.
   void runAt(double atMs, Task task) { add(atMs, std::move(task)); }
 
+  /// Schedules a task whose key the caller keeps for cancel(). Prefer schedule().
   Key add(double atMs, Task task) {
     const Key key{atMs, ++added_};
     tasks_->emplace(key, std::move(task));
@@ -81,6 +82,7 @@
     return key;
   }
 
+  /// Cancels the task of a key, if there is one, and resets the key.
   void cancel(std::optional<Key>& key) {
     if (key)
       tasks_->erase(*key);
@@ -95,19 +97,20 @@
   /// Runs all tasks that are due. One that is added meanwhile waits for the next call, even if it
   /// is due: no loop of timers can starve the sockets.
   void runDue(double nowMs) {
-    const std::uint64_t last = added_;
-    for (auto it = tasks_->begin(); it != tasks_->end() && it->first.first <= nowMs;) {
-      if (it->first.second > last) {
-        ++it;
+    const std::uint64_t lastAdded = added_;
+    auto next = tasks_->begin();
+    while (next != tasks_->end() && next->first.first <= nowMs) {
+      if (next->first.second > lastAdded) {
+        ++next;
         continue;
       }
-      const Key key = it->first;
-      Task task = std::move(it->second);
-      tasks_->erase(it);
+      const Key key = next->first;
+      Task task = std::move(next->second);
+      tasks_->erase(next);
       task();
-      it = tasks_->lower_bound({key.first, 0});
-      if (it != tasks_->begin())
-        it = tasks_->begin();
+      next = tasks_->lower_bound({key.first, 0});
+      if (next != tasks_->begin())
+        next = tasks_->begin();
     }
   }
 
