--- a/src/app/handover.cpp
+++ b/src/app/handover.cpp
@@ -168,7 +168,7 @@
   stream.instanceTransfer.call.descriptor = passed.descriptors[1].take();
   if (!server_.instanceClient.adopt(taken->attempt, stream.arrival.request, stream.instance,
                                     stream.address, stream.instanceTransfer))
-    server_.dispatcher.ended(taken->attempt, {routing::AttemptOutcome::kConnectionLost});
+    server_.dispatcher.attemptEnded(taken->attempt, {routing::AttemptOutcome::kConnectionLost});
 }
 
 }  // namespace inference_router::app
--- /dev/null
+++ b/src/core/dispatch_context.h
@@ -0,0 +1,33 @@
+/// What the units of the request dispatcher work on together: the tables, the rules and the ports.
+#pragma once
+
+#include <functional>
+#include <string>
+
+#include "core/clock.h"
+#include "core/counters.h"
+#include "core/endpoint_registry.h"
+#include "core/ports.h"
+#include "core/request_metrics.h"
+#include "core/request_permits.h"
+#include "core/request_table.h"
+#include "core/timer_queue.h"
+
+namespace inference_router::core {
+
+/// Owned by the RequestDispatcher, which outlives the units that refer to it.
+struct DispatchContext {
+  const Clock& clock;
+  TimerQueue& timers;
+  Counters& counters;
+  InstanceClient* instanceClient = nullptr;  ///< set before the first event
+  std::function<void(const std::string&)> log = [](const std::string&) {};
+  RequestTable requests{};
+  EndpointRegistry endpoints{};
+  RequestPermits permits{};
+  RequestMetrics metrics{};
+
+  double nowMs() const { return clock.nowMs(); }
+};
+
+}  // namespace inference_router::core
--- a/src/core/ports.h
+++ b/src/core/ports.h
@@ -1,4 +1,5 @@
-// What the core asks of the fronts. Nothing here knows a wire.
+/// The interfaces between the core and the rest of the process: clients, discovery and instances.
+/// Nothing here knows a wire protocol. All belong to one thread.
 #pragma once
 
 #include <memory>
@@ -14,74 +15,86 @@
 using RequestKey = SlotKey;
 using AttemptKey = SlotKey;
 
-// What a front wants passed on with every attempt; the core only carries it.
+/// What the front that took a request wants forwarded with every attempt. The core only carries it.
 struct Payload {
   virtual ~Payload() = default;
 };
 
+/// The answer to a request that was rejected.
 struct Refusal {
   std::optional<double> retryAfterMs;
-  bool pastDeadline = false;  // its time had passed
+  bool pastDeadline = false;  ///< its deadline had passed
 };
+
+/// The answer to a request that failed.
 struct Failure {
-  bool pastDeadline = false;
+  bool pastDeadline = false;  ///< its deadline had passed
 };
 
-// The way back to one client.
+/// Writes the response to one client. Gets one final call, which is any but pass() and present().
 class ResponseWriter {
  public:
   virtual ~ResponseWriter() = default;
-  virtual void refuse(const Refusal& refusal) = 0;  // it has not run: a repeat is harmless
-  virtual void fail(const Failure& failure) = 0;    // promises nothing
-  virtual bool pass(
-      std::string_view part) = 0;  // part of the stream; false: wait for clientReady()
-  virtual void end() = 0;          // the stream is whole
-  virtual void broken() = 0;       // the stream ends unfinished
-  // Whether the client is still there at this very moment, whatever has been told of it so far.
+  /// The request was rejected and has not run: a repeat is harmless.
+  virtual void refuse(const Refusal& refusal) = 0;
+  /// The request failed, and may have run.
+  virtual void fail(const Failure& failure) = 0;
+  /// Sends a part of the stream. False asks to wait for RequestDispatcher::clientReady().
+  virtual bool pass(std::string_view part) = 0;
+  /// The stream is complete.
+  virtual void end() = 0;
+  /// The stream breaks off.
+  virtual void broken() = 0;
+  /// Whether the client is connected at this very moment, whatever was reported of it so far.
   virtual bool present() const { return true; }
 };
 
-// Whoever wants to hear of the fleet list.
+/// Receives updates of the endpoint list.
 class EndpointListSink {
  public:
   virtual ~EndpointListSink() = default;
-  virtual void list(routing::EndpointListUpdate news) = 0;
+  virtual void list(routing::EndpointListUpdate update) = 0;
 };
 
+/// One attempt for an instance. Times are of core::Clock, in milliseconds.
 struct Dispatch {
   AttemptKey attempt;
   routing::RequestId request;
   routing::InstanceId instance;
   std::shared_ptr<const Payload> payload;
-  double untilMs;
-  bool reads;              // at a prefill instance: what it leaves is a state, and it takes none
-  double afterMs = 0;      // nothing of it goes out before
-  double heldSinceMs = 0;  // the last attempt of its request ended; 0: there was none
+  double deadlineMs;              ///< its answer is waited for until then
+  bool isPrefill;                 ///< it leaves a KV cache at its instance and takes none
+  double notBeforeMs = 0;         ///< nothing of it goes out before
+  double lastAttemptEndedMs = 0;  ///< when an attempt of its request last ended; 0: none did
 };
 
-// The way to the instances. Whatever it reports comes through Router, also at once from within a
-// call.
+/// Carries messages to the instances, and reports what comes of them to the RequestDispatcher, also
+/// from within a call.
 class InstanceClient {
  public:
   virtual ~InstanceClient() = default;
   virtual void start(const Dispatch& dispatch) = 0;
+  /// Closes the attempt's connection. Nothing of it is reported any more.
   virtual void abandon(AttemptKey attempt) = 0;
-  virtual void resume(AttemptKey attempt) = 0;  // after Router::passed() said to wait
-  // Whether more of its answer has come than was passed on, its end included.
-  virtual bool unread(AttemptKey attempt) const = 0;
-  virtual void holdPlace(const routing::RequestId& request,
-                         AttemptKey reading,
-                         const routing::InstanceId& instance) = 0;
+  /// Goes on with a response, after RequestDispatcher::responseReceived() asked to wait.
+  virtual void resume(AttemptKey attempt) = 0;
+  /// Whether more of the attempt's response has come than was reported, its end included.
+  virtual bool hasUnreadResponse(AttemptKey attempt) const = 0;
+  /// Asks a decode instance for a reservation while the prefill is in flight.
+  virtual void reserve(const routing::RequestId& request,
+                       AttemptKey prefill,
+                       const routing::InstanceId& instance) = 0;
+  /// Releases all that instances hold for a request.
   virtual void release(const routing::RequestId& request) = 0;
-  virtual void probe(const routing::InstanceId& instance) = 0;
+  virtual void checkHealth(const routing::InstanceId& instance) = 0;
 };
 
+/// How an attempt ended.
 struct Result {
   routing::AttemptOutcome outcome;
-  double cachedTokens = 0;
-  bool kvCacheLost = false;
-  bool doubtful =
-      false;  // the answer may have been one to an earlier request on the same connection
+  double cachedTokens = 0;   ///< of the prompt, found in the instance's cache
+  bool kvCacheLost = false;  ///< no KV cache waits for the request any more
+  bool doubtful = false;     ///< may have been meant for an earlier request on the connection
 };
 
 }  // namespace inference_router::core
--- a/src/core/request_dispatcher.h
+++ b/src/core/request_dispatcher.h
@@ -1,24 +1,23 @@
-// Owns every request and attempt, feeds the decision module with events and carries out its
-// actions. Holds two invariants whatever module, clients and instances do: a request gets one final
-// answer, and each Send gets one AttemptEnded.
+/// The core of the process, between clients, instances and the decision module: takes in requests,
+/// reports what happens to them as events, and carries out the decision module's actions. Belongs
+/// to one thread; knows no wire protocol.
 #pragma once
 
-#include <deque>
+#include <cstdint>
 #include <functional>
-#include <map>
 #include <memory>
 #include <optional>
 #include <string>
 #include <string_view>
 #include <vector>
 
-#include "core/clock.h"
-#include "core/counters.h"
+#include "core/action_executor.h"
+#include "core/decision_loop.h"
+#include "core/dispatch_context.h"
 #include "core/ports.h"
-#include "core/request_metrics.h"
-#include "core/request_permits.h"
-#include "core/slot_table.h"
-#include "core/timer_queue.h"
+#include "core/request_guard.h"
+#include "core/request_lifecycle.h"
+#include "core/stream_migration.h"
 #include "inference_router/router.h"
 
 namespace inference_router::core {
@@ -31,158 +30,106 @@
                     TimerQueue& timers,
                     Counters& counters);
 
-  void connect(InstanceClient& client) { instanceClient_ = &client; }
-  // A line for the log, from whoever works for the core.
-  void note(const std::string& text) { log_(text); }
-  void onLog(std::function<void(const std::string&)> log) { log_ = std::move(log); }
-  // Sees every action of the module before it is carried out.
-  void onAction(std::function<void(const routing::Action&)> watch) { watch_ = std::move(watch); }
-  // Sees every event before the module does. Several may.
-  void onEvent(std::function<void(const routing::Event&)> watch) {
-    watchEvents_.push_back(std::move(watch));
+  // ---- Setup
+
+  /// The client that carries attempts to instances; to be called before the first event. It has to
+  /// live as long as events come.
+  void connect(InstanceClient& client) { context_.instanceClient = &client; }
+  /// Receives log lines of the decision module and of the core.
+  void onLog(std::function<void(const std::string&)> log) { context_.log = std::move(log); }
+  /// Writes a line to that log.
+  void note(const std::string& text) { context_.log(text); }
+  /// Sees every action before it is carried out. One observer at most.
+  void onAction(std::function<void(const routing::Action&)> observer) {
+    loop_.onAction(std::move(observer));
   }
-
-  // Settings that came later. Classes, tenants and kinds keep their numbers; more may have been
-  // added.
+  /// Sees every event before the decision module does. Any number of observers.
+  void onEvent(std::function<void(const routing::Event&)> observer) {
+    loop_.onEvent(std::move(observer));
+  }
+  /// Later settings. Classes, tenants and kinds keep their indices; more may follow them.
   void reconfigure(const routing::Settings& settings);
 
-  // From clients. Nothing if a request of this id is still known: the front answers that itself.
-  std::optional<RequestKey> take(routing::Arrival arrival,
-                                 std::shared_ptr<const Payload> payload,
-                                 std::shared_ptr<ResponseWriter> responseWriter);
-  void clientGone(RequestKey key);
+  // ---- From clients
+
+  /// Takes in a request, which gets one final answer through the writer. Nothing if a request of
+  /// its id is still known: then the caller answers.
+  std::optional<RequestKey> submit(routing::Arrival arrival,
+                                   std::shared_ptr<const Payload> payload,
+                                   std::shared_ptr<ResponseWriter> responseWriter);
+  void clientDisconnected(RequestKey key) { lifecycle_.clientDisconnected(key); }
+  /// The client reads again, after ResponseWriter::pass() asked to wait.
   void clientReady(RequestKey key);
 
-  // From discovery.
-  void list(routing::EndpointListUpdate news) override;
-
-  // From the instances' side.
-  bool maySend(AttemptKey key);  // asked again just before a send that had to wait is written
-  // Whether the client of this attempt is there and waits, by what its machine has said up to this
-  // moment.
-  bool attemptIsWanted(AttemptKey key);
-  bool mayHold(const routing::InstanceId& instance) const;
-  // Whether nothing that is held for a request can be of use to it any more: it streams, or is
-  // over.
-  bool needsNothingHeld(const routing::RequestId& request) const;
-  bool passed(AttemptKey key, std::string_view part);
-  void written(AttemptKey key);  // the attempt's last byte is out
-  void ended(AttemptKey key, const Result& result);
-  void placeAnswered(AttemptKey reading, const routing::InstanceId& instance, bool held);
-  void probed(const routing::InstanceId& instance, double tookMs, bool answered);
-
-  // From the operators: this process ends, and is killed no sooner than so long from now.
-  void stopping(double graceMs) { post(routing::ShutdownStarted{toModule(graceMs)}); }
-
-  // ---- Streams that pass from one process of this router to the next ----
-  struct Stream {
-    RequestKey request;
-    AttemptKey attempt;
-    routing::Arrival arrival;
-    routing::InstanceId instance;
-  };
-  std::vector<RequestKey> streams() const;
-  std::optional<Stream> streamOf(RequestKey key) const;
-  void handedOver(
-      RequestKey key);  // another process has it: no answer and no attempt of it is here any more
-  // Nothing if a request of this id is known here.
-  std::optional<Stream> adopt(routing::Arrival arrival,
-                              const routing::InstanceId& instance,
-                              std::shared_ptr<ResponseWriter> responseWriter);
-
-  std::size_t instancesKnown() const { return fleet_.size(); }
-  std::size_t open() const { return unanswered_; }  // requests that are owed an answer or its rest
-  std::size_t openAt(const routing::InstanceId& instance) const;  // attempts that are out there
-  const RequestMetrics& metrics() const { return metrics_; }
-  // Whether the module passes a listed instance over by its own judgement.
-  bool avoids(const routing::InstanceId& instance) const {
-    return router_.avoids(toModuleTime(clock_.nowMs()), instance);
+  // ---- From discovery and operators
+
+  void list(routing::EndpointListUpdate update) override;
+  /// This process ends, and is killed no sooner than this from now.
+  void stopping(double graceMs);
+
+  // ---- From the instances' side
+
+  /// Whether an attempt may go out now; to be asked again just before the first byte of one that
+  /// had to wait.
+  bool maySend(AttemptKey key) { return guard_.maySend(key); }
+  /// Whether the attempt's client is connected and its deadline has not passed.
+  bool attemptIsWanted(AttemptKey key) { return guard_.attemptIsWanted(key); }
+  /// Whether an instance may be asked for a reservation now.
+  bool mayReserve(const routing::InstanceId& instance) const { return guard_.mayReserve(instance); }
+  /// Whether nothing that instances hold for a request can be of use to it any more: it streams, or
+  /// is over.
+  bool needsNoHeldState(const routing::RequestId& request) const;
+  /// A part of an attempt's response has come. False if its client reads too slowly: then the
+  /// caller waits for InstanceClient::resume().
+  bool responseReceived(AttemptKey key, std::string_view part);
+  /// The attempt's last byte is out.
+  void attemptWritten(AttemptKey key);
+  /// The attempt is over, be it answered or failed. Does nothing for one that ended before.
+  void attemptEnded(AttemptKey key, const Result& result) { lifecycle_.endAttempt(key, result); }
+  /// An instance answered a reservation that was made beside a prefill. Does nothing once the
+  /// prefill has ended, as the answer comes too late to mean anything.
+  void reservationAnswered(AttemptKey prefill, const routing::InstanceId& instance, bool granted);
+  void healthCheckEnded(const routing::InstanceId& instance, double tookMs, bool healthy);
+
+  // ---- Streams that pass from one process of this router to the next
+
+  std::vector<RequestKey> streams() const { return migration_.streams(); }
+  std::optional<OpenStream> streamOf(RequestKey key) const { return migration_.streamOf(key); }
+  /// Another process has the request: no answer and no attempt of it is here any more.
+  void handedOver(RequestKey key) { migration_.handedOver(key); }
+  /// Goes on with a stream that another process began. Nothing if a request of its id is known
+  /// here.
+  std::optional<OpenStream> adopt(const routing::Arrival& arrival,
+                                  const routing::InstanceId& instance,
+                                  std::shared_ptr<ResponseWriter> responseWriter) {
+    return migration_.adopt(arrival, instance, std::move(responseWriter));
+  }
+
+  // ---- For operators
+
+  std::size_t instancesKnown() const { return context_.endpoints.size(); }
+  /// How many requests are owed an answer or the rest of it.
+  std::size_t open() const { return lifecycle_.openRequests(); }
+  /// How many attempts are in flight at an instance.
+  std::size_t openAt(const routing::InstanceId& instance) const {
+    return context_.requests.attemptsInFlightAt(instance);
   }
+  const RequestMetrics& metrics() const { return context_.metrics; }
+  /// Whether the decision module ejected a listed instance by its own judgement.
+  bool avoids(const routing::InstanceId& instance) const { return loop_.avoids(instance); }
 
  private:
-  struct Listing {  // what the list last said of an instance
-    InstanceFacts facts;
-    bool gone = false;
-  };
-  struct Attempt {
-    RequestKey request;
-    int number = 0;
-    routing::InstanceId instance;
-    double sentMs = 0;
-    routing::Time before = routing::Time::max();  // to go out
-    bool opened = false;
-    std::optional<TimerQueue::Key> until;
-  };
-  struct Request {
-    routing::RequestId id;
-    routing::Arrival told;
-    std::size_t cls = 0;
-    std::shared_ptr<const Payload> payload;
-    std::shared_ptr<ResponseWriter>
-        responseWriter;  // none once the final answer is given or the client is gone
-    std::vector<AttemptKey> attempts;
-    std::size_t out = 0;
-    RequestFacts facts;
-    double closedMs = 0;  // when a connection of an attempt was last closed from this side
-    double endedMs = 0;   // when an attempt last ended
-    AttemptKey stream;
-    // Of its last attempt that ended: the names of its outcome, and of what kind of instance that
-    // was at.
-    const char *lastOutcome = "nothing_sent", *lastAt = "";
-    std::optional<TimerQueue::Key> overdue;
-  };
-
-  bool clientWaits(RequestKey key);
-  bool clientPresent(RequestKey key);
-  Permit permitOf(AttemptKey key);
-  const InstanceFacts* instanceFacts(const routing::InstanceId& instance) const;
-  void report(const std::vector<Violation>& violations, const Request& request);
-  void refuse(const routing::RejectRequest& refuse);
-  void fail(const routing::FailRequest& fail);
-  void learn(const routing::Settings& settings);
-  RequestFacts factsOf(routing::ClassIndex cls) const;
-  bool repeatsFreely(const Request& request) const;
-  double closesArriveMs(const Request& request, bool safeToo) const;
-  void post(routing::Event event);
-  void run();
-  void act(const routing::Action& action);
-  void carryOut(const routing::DispatchAttempt& send);
-  void carryOut(const routing::ReserveDecode& hold);
-  void carryOut(const routing::CancelAttempt& cancel);
-  void carryOut(const routing::MigrateStream& move);
-  void moveOnceRead(AttemptKey key, int looks);
-
-  Request* byId(const routing::RequestId& id);
-  void timeOut(AttemptKey key);
-  void close(AttemptKey key, const Result& result);
-  void callOffAll(RequestKey key);
-  std::shared_ptr<ResponseWriter> conclude(Request& request, RequestOutcome how);
-  void forgetIfDone(RequestKey key);
-  void forgetGone();
-
-  const Clock& clock_;
-  TimerQueue& timers_;
-  Counters& counters_;
-  routing::Router router_;
-  double drainGraceMs_, answerGraceMs_;
-  RequestPermits permits_;
-  std::vector<bool> kindReads_;  // by kind of instance
-  std::vector<routing::ClassSettings> classes_;
-  bool secondCopies_ = false;
-  InstanceClient* instanceClient_ = nullptr;
-  std::function<void(const std::string&)> log_ = [](const std::string&) {};
-  std::function<void(const routing::Action&)> watch_;
-  std::vector<std::function<void(const routing::Event&)>> watchEvents_;
-  SlotTable<Request> requests_;
-  SlotTable<Attempt> attempts_;
-  std::map<routing::RequestId, RequestKey> byId_;
-  std::map<routing::InstanceId, Listing> fleet_;
-  std::map<routing::InstanceId, std::size_t> outAt_;  // of instances with any
-  std::deque<routing::Event> events_;
-  std::vector<RequestKey> lapsed_;
-  RequestMetrics metrics_;
-  std::size_t unanswered_ = 0;
-  bool running_ = false;
+  void configure(const routing::Settings& settings);
+  void answerOverdue(RequestKey key);
+  bool beginStream(AttemptKey key, std::string_view part);
+
+  DispatchContext context_;
+  DecisionLoop loop_;
+  RequestLifecycle lifecycle_;
+  RequestGuard guard_;
+  StreamMigration migration_;
+  ActionExecutor executor_;
+  double answerGraceMs_ = 0;
 };
 
 }  // namespace inference_router::core
--- a/src/core/request_metrics.h
+++ b/src/core/request_metrics.h
@@ -1,5 +1,6 @@
-// What operators are told of the requests, by class. Counted at the core's two gates and nowhere
-// else, so that at every moment taken = ok + shed + errors + abandoned + handed over + open.
+/// Request metrics by class, as /metrics and OTLP report them. Counted where requests begin and end
+/// and nowhere else, so that at every moment
+/// taken = ok + shed + errors + abandoned + handedOver + open. Belongs to one thread.
 #pragma once
 
 #include <cstddef>
@@ -8,41 +9,50 @@
 
 namespace inference_router::core {
 
-enum class RequestOutcome { kOk, kShed, kError, kAbandoned, kHandedOver };
+/// How a request ended for its client.
+enum class RequestOutcome {
+  kOk,          ///< answered in full
+  kShed,        ///< rejected; it has not run
+  kError,       ///< failed, or its stream broke off
+  kAbandoned,   ///< its client disconnected
+  kHandedOver,  ///< another process of this router goes on with it
+};
 
+/// The totals of one class since the start of the process.
 struct ClassMetrics {
   std::uint64_t taken = 0, ok = 0, shed = 0, errors = 0, abandoned = 0;
-  std::uint64_t handedOver = 0;  // to the process that replaces this one
-  std::uint64_t tries = 0;       // attempts whose last byte was written to an instance
-  std::uint64_t open = 0;        // taken, and not ended
+  std::uint64_t handedOver = 0;  ///< to the process that replaces this one
+  std::uint64_t tries = 0;       ///< attempts whose last byte was written to an instance
+  std::uint64_t open = 0;        ///< begun and not ended
 };
 
+/// Counts requests by class index. An index beyond ensureClasses() is counted nowhere.
 class RequestMetrics {
  public:
-  // Classes only ever get more: their numbers stay.
-  void classes(std::size_t count) {
+  /// Makes room for so many classes. Classes are only ever added: their indices stay.
+  void ensureClasses(std::size_t count) {
     if (count > byClass_.size())
       byClass_.resize(count);
   }
+  /// The metrics of each class, by its index in the settings.
   const std::vector<ClassMetrics>& byClass() const { return byClass_; }
 
-  // A class that the settings do not name is counted nowhere.
-  void taken(std::size_t cls) {
+  void requestBegan(std::size_t cls) {
     if (cls >= byClass_.size())
       return;
     ++byClass_[cls].taken;
     ++byClass_[cls].open;
   }
-  void tried(std::size_t cls) {
+  void attemptWritten(std::size_t cls) {
     if (cls < byClass_.size())
       ++byClass_[cls].tries;
   }
-  void ended(std::size_t cls, RequestOutcome how) {
+  void requestEnded(std::size_t cls, RequestOutcome outcome) {
     if (cls >= byClass_.size())
       return;
     ClassMetrics& metrics = byClass_[cls];
     --metrics.open;
-    switch (how) {
+    switch (outcome) {
       case RequestOutcome::kOk:
         ++metrics.ok;
         break;
--- a/src/core/request_permits.cpp
+++ b/src/core/request_permits.cpp
@@ -8,8 +8,9 @@
 
 namespace {
 
-// A drain is kept with this share of its grace to spare: connecting and a busy core take time.
-constexpr double kDrainShare = 0.8;
+// The share of the drain grace in which attempts begin. The rest is for what happens between permit
+// and last byte: connecting, and a busy core.
+constexpr double kUsableDrainGraceShare = 0.8;
 
 }  // namespace
 
@@ -21,7 +22,7 @@
       return "unknown_instance";
     case Permit::kDrained:
       return "drained";
-    case Permit::kRepeatOver:
+    case Permit::kRetryWindowOver:
       return "repeat_over";
     case Permit::kClientGone:
       return "client_gone";
@@ -39,11 +40,11 @@
   switch (violation) {
     case Violation::kRepeatedEffect:
       return "repeated_effect";
-    case Violation::kSecondCopy:
+    case Violation::kUnexpectedHedge:
       return "second_copy";
-    case Violation::kRefusedAfterEffect:
+    case Violation::kRejectedAfterEffect:
       return "refused_after_effect";
-    case Violation::kRefusedWithAttempt:
+    case Violation::kRejectedDuringAttempt:
       return "refused_with_attempt";
     case Violation::kSentAfterDeadline:
       return "sent_after_deadline";
@@ -56,36 +57,39 @@
 }
 
 const AttemptHistory* RequestFacts::mayHaveRun() const {
-  const auto it = std::find_if(attempts.begin(), attempts.end(), [](const AttemptHistory& attempt) {
-    return !attempt.reads && attempt.mayHaveRun;
-  });
-  return it == attempts.end() ? nullptr : &*it;
+  const auto hasEffect = [](const AttemptHistory& attempt) {
+    return !attempt.isPrefill && attempt.mayHaveRun;
+  };
+  const auto first = std::find_if(attempts.begin(), attempts.end(), hasEffect);
+  return first == attempts.end() ? nullptr : &*first;
 }
 
-bool RequestFacts::anyOut() const {
+bool RequestFacts::anyInFlight() const {
   return std::any_of(attempts.begin(), attempts.end(),
-                     [](const AttemptHistory& attempt) { return attempt.out; });
+                     [](const AttemptHistory& attempt) { return attempt.inFlight; });
 }
 
 void RequestPermits::configure(double drainGraceMs, bool hedgedRequests) {
   drainGraceMs_ = drainGraceMs;
-  secondCopies_ = hedgedRequests;
+  hedgedRequests_ = hedgedRequests;
 }
 
 Permit RequestPermits::toInstance(const InstanceFacts* instance, double nowMs) const {
   if (instance == nullptr || !instance->listed)
     return Permit::kUnknownInstance;
-  const bool kept =
-      !instance->toldOffMs || nowMs - *instance->toldOffMs < drainGraceMs_ * kDrainShare;
-  return kept ? Permit::kAllowed : Permit::kDrained;
+  if (!instance->drainingSinceMs)
+    return Permit::kAllowed;
+  const double drainingForMs = nowMs - *instance->drainingSinceMs;
+  return drainingForMs < drainGraceMs_ * kUsableDrainGraceShare ? Permit::kAllowed
+                                                                : Permit::kDrained;
 }
 
 std::vector<Violation> RequestPermits::checkAttempt(const RequestFacts& request) const {
   std::vector<Violation> found;
   if (request.effect == Effect::kAtMostOnce && request.mayHaveRun() != nullptr)
     found.push_back(Violation::kRepeatedEffect);
-  if (!secondCopies_ && request.anyOut())
-    found.push_back(Violation::kSecondCopy);
+  if (!hedgedRequests_ && request.anyInFlight())
+    found.push_back(Violation::kUnexpectedHedge);
   return found;
 }
 
@@ -95,33 +99,33 @@
   std::vector<Violation> found;
   if (nowMs >= request.deadlineMs)
     found.push_back(Violation::kSentAfterDeadline);
-  const bool drained =
-      instance == nullptr || (instance->toldOffMs && nowMs - *instance->toldOffMs > drainGraceMs_);
+  const bool drained = instance == nullptr || (instance->drainingSinceMs &&
+                                               nowMs - *instance->drainingSinceMs > drainGraceMs_);
   if (drained)
     found.push_back(Violation::kSentToDrained);
   const AttemptHistory* first = request.mayHaveRun();
   if (request.effect == Effect::kDeduplicated && first != nullptr &&
-      nowMs > first->sentMs + request.repeatWindowMs)
+      nowMs > first->sentMs + request.dedupWindowMs)
     found.push_back(Violation::kRepeatedEffect);
   return found;
 }
 
-std::vector<Violation> RequestPermits::checkRefusal(const RequestFacts& request) const {
+std::vector<Violation> RequestPermits::checkRejection(const RequestFacts& request) const {
   std::vector<Violation> found;
-  const bool repeatsFreely = request.effect == Effect::kIdempotent || request.repeatsFindFirst;
-  if (!repeatsFreely && request.mayHaveRun() != nullptr)
-    found.push_back(Violation::kRefusedAfterEffect);
-  if (!repeatsFreely && request.anyOut())
-    found.push_back(Violation::kRefusedWithAttempt);
+  const bool repeatable = request.effect == Effect::kIdempotent || request.deduplicatedEverywhere;
+  if (!repeatable && request.mayHaveRun() != nullptr)
+    found.push_back(Violation::kRejectedAfterEffect);
+  if (!repeatable && request.anyInFlight())
+    found.push_back(Violation::kRejectedDuringAttempt);
   return found;
 }
 
 std::string historyOf(const RequestFacts& request, double nowMs) {
   std::string text;
   for (const AttemptHistory& attempt : request.attempts)
-    text += (text.empty() ? "" : ", ") + attempt.instance + (attempt.reads ? " (prefill) " : " ") +
-            attempt.outcome + " " + std::to_string(static_cast<long>(nowMs - attempt.sentMs)) +
-            " ms ago";
+    text += (text.empty() ? "" : ", ") + attempt.instance +
+            (attempt.isPrefill ? " (prefill) " : " ") + attempt.outcome + " " +
+            std::to_string(static_cast<long>(nowMs - attempt.sentMs)) + " ms ago";
   return text.empty() ? "no attempt" : text;
 }
 
--- a/src/core/request_permits.h
+++ b/src/core/request_permits.h
@@ -1,6 +1,7 @@
 /// Decides what may happen now for a request, by the facts that the core has, each answer with its
-/// reason; and checks what does happen against the rules of the protocol. All sends, reservations
-/// and final answers of the core pass here. No I/O.
+/// reason; and checks what does happen against the rules of the protocol. All attempts,
+/// reservations and rejections of the core are checked here. No I/O; all times are of core::Clock,
+/// in milliseconds.
 #pragma once
 
 #include <array>
@@ -16,44 +17,46 @@
 /// Whether something may happen now, or why not.
 enum class Permit {
   kAllowed,
-  kUnknownInstance,  ///< the list does not name it
-  kDrained,          ///< the list told so long ago that it drains or is gone
-  kRepeatOver,       ///< the window in which this request may be repeated has passed
+  kUnknownInstance,  ///< the endpoint list does not name it
+  kDrained,          ///< its drain grace has almost passed
+  kRetryWindowOver,  ///< the window in which this request may be repeated has passed
   kClientGone,
   kDeadlineOver,
   kAnswered,  ///< its final answer is given
   kStreaming,
 };
+/// The name that counters carry.
 const char* nameOf(Permit permit);
 
-/// A rule of the protocol that something broke although it was let through: a fault of this
-/// program.
+/// A rule of the protocol that was broken although the permits allowed it: a fault of this program.
 enum class Violation {
-  kRepeatedEffect,      ///< an attempt, though an earlier one may have run and its class forbids a
-                        ///< repeat
-  kSecondCopy,          ///< an attempt, though another one is out and no second copies are allowed
-  kRefusedAfterEffect,  ///< a refusal, though an attempt may have run and its class forbids a
-                        ///< repeat
-  kRefusedWithAttempt,  ///< a refusal, though an attempt is out
+  kRepeatedEffect,         ///< an attempt, though an earlier one may have run and its class
+                           ///< forbids a repeat
+  kUnexpectedHedge,        ///< an attempt, though another one is in flight and hedged requests are
+                           ///< not allowed
+  kRejectedAfterEffect,    ///< a rejection, though an attempt may have run and its class forbids a
+                           ///< repeat
+  kRejectedDuringAttempt,  ///< a rejection, though an attempt is in flight
   kSentAfterDeadline,
   kSentToDrained,
   kCount,
 };
+/// The name that counters and log lines carry.
 const char* nameOf(Violation violation);
 
-/// What the core knows of an instance.
+/// What the endpoint list last said of an instance.
 struct InstanceFacts {
   bool listed = false;
-  bool reads = false;               ///< a prefill instance: what is tried there has no effect
-  std::optional<double> toldOffMs;  ///< when the list said that it drains or is gone
+  bool isPrefill = false;                 ///< attempts there have no effect
+  std::optional<double> drainingSinceMs;  ///< when the list first said that it drains or is removed
 };
 
 /// One attempt of a request, for its rules and for the log.
 struct AttemptHistory {
   std::string instance;
-  bool reads = false;
+  bool isPrefill = false;
   double sentMs = 0;
-  bool out = true;
+  bool inFlight = true;
   const char* outcome = "out";
   bool mayHaveRun = true;  ///< no outcome has proved that it never ran
 };
@@ -61,37 +64,42 @@
 /// What the core knows of a request.
 struct RequestFacts {
   routing::Effect effect = routing::Effect::kIdempotent;
-  bool repeatsFindFirst =
-      false;  ///< wherever a repeat of a keyed class goes, the first one is known there
-  double repeatWindowMs = 0;  ///< of a keyed class
-  bool answered = false;      ///< its final answer is given, or its client is known to have gone
+  bool deduplicatedEverywhere = false;  ///< every instance recognises a repeat of this request
+  double dedupWindowMs = 0;             ///< of a deduplicated class
+  bool answered =
+      false;  ///< its final answer is given, or its client is known to have disconnected
   bool streaming = false;
   double deadlineMs = 0;
   std::vector<AttemptHistory> attempts;
 
   /// The first attempt with an effect that may have run.
   const AttemptHistory* mayHaveRun() const;
-  bool anyOut() const;
+  /// Whether an attempt is in flight.
+  bool anyInFlight() const;
 };
 
+/// The rules, under the site's settings.
 class RequestPermits {
  public:
+  /// To be called before all else, and again with later settings.
   void configure(double drainGraceMs, bool hedgedRequests);
 
   /// Whether an attempt or a reservation may go to an instance.
   Permit toInstance(const InstanceFacts* instance, double nowMs) const;
-  /// Whether an attempt may go out for the request: beforeMs ends the time for repeats. Whether its
+  /// Whether an attempt may go out for the request: retryWindowEndMs ends the time for
+  /// repeats. Whether its
   /// client is there is asked of its connection, and only if nothing else forbids the attempt.
   template <typename ClientPresent>
   Permit attempt(const RequestFacts& request,
                  const InstanceFacts* instance,
-                 double beforeMs,
+                 double retryWindowEndMs,
                  double nowMs,
                  const ClientPresent& clientPresent) const {
-    if (const Permit there = toInstance(instance, nowMs); there != Permit::kAllowed)
-      return there;
-    if (nowMs >= beforeMs)
-      return Permit::kRepeatOver;
+    const Permit instancePermit = toInstance(instance, nowMs);
+    if (instancePermit != Permit::kAllowed)
+      return instancePermit;
+    if (nowMs >= retryWindowEndMs)
+      return Permit::kRetryWindowOver;
     if (request.answered)
       return Permit::kAnswered;
     if (request.streaming)
@@ -107,12 +115,12 @@
   std::vector<Violation> checkWritten(const RequestFacts& request,
                                       const InstanceFacts* instance,
                                       double nowMs) const;
-  /// The rules that a refusal breaks, which says that the request has not run.
-  std::vector<Violation> checkRefusal(const RequestFacts& request) const;
+  /// The rules that a rejection breaks, which says that the request has not run.
+  std::vector<Violation> checkRejection(const RequestFacts& request) const;
 
  private:
   double drainGraceMs_ = 0;
-  bool secondCopies_ = false;
+  bool hedgedRequests_ = false;
 };
 
 /// A request's attempts in one line, for the log.
--- /dev/null
+++ b/src/core/request_table.h
@@ -0,0 +1,79 @@
+/// The state of all requests and attempts that the process knows, by key and by request id. Belongs
+/// to one thread.
+#pragma once
+
+#include <cstddef>
+#include <map>
+#include <memory>
+#include <optional>
+#include <vector>
+
+#include "core/ports.h"
+#include "core/request_permits.h"
+#include "core/slot_table.h"
+#include "core/timer_queue.h"
+#include "inference_router/router.h"
+
+namespace inference_router::core {
+
+/// One attempt in flight. Times are of core::Clock.
+struct AttemptState {
+  RequestKey request;
+  int number = 0;  ///< among the attempts of its request, from 0
+  routing::InstanceId instance;
+  double startedMs = 0;
+  routing::Time retryWindowEnd = routing::Time::max();  ///< nothing of it goes out from then on
+  bool streaming = false;                               ///< the first part of its response has come
+  Timer timeout;
+};
+
+/// One request, until it is answered and none of its attempts is in flight.
+struct RequestState {
+  routing::RequestId id;
+  routing::Arrival arrival;
+  std::size_t cls = 0;  ///< index of its class in the settings
+  std::shared_ptr<const Payload> payload;
+  /// Null once the final answer is given or the client has disconnected.
+  std::shared_ptr<ResponseWriter> responseWriter;
+  std::vector<AttemptKey> attempts;  ///< by number; those that have ended too
+  std::size_t attemptsInFlight = 0;
+  RequestFacts facts;
+  double lastClosedMs = 0;  ///< when this side last closed the connection of an attempt
+  double lastEndedMs = 0;   ///< when an attempt last ended
+  AttemptKey stream;        ///< the attempt whose response the client gets
+  /// Of the attempt that ended last, as parts of a counter's name.
+  const char* lastOutcome = "nothing_sent";
+  const char* lastInstanceRole = "";
+  Timer overdue;  ///< fires when the decision module left the request without an answer
+};
+
+/// Owns the states. Pointers are valid until the next add of the same kind.
+class RequestTable {
+ public:
+  bool contains(const routing::RequestId& id) const { return keys_.count(id) != 0; }
+  RequestKey add(RequestState request);
+  RequestState* find(RequestKey key) { return requests_.find(key); }
+  const RequestState* find(RequestKey key) const { return requests_.find(key); }
+  std::optional<RequestKey> keyOf(const routing::RequestId& id) const;
+  RequestState* find(const routing::RequestId& id);
+  const RequestState* find(const routing::RequestId& id) const;
+  void remove(RequestKey key);
+  /// The keys of all requests, in the order of their ids.
+  std::vector<RequestKey> keys() const;
+
+  /// Adds an attempt to its request, which has to be in the table.
+  AttemptKey addAttempt(AttemptState attempt);
+  AttemptState* findAttempt(AttemptKey key) { return attempts_.find(key); }
+  const AttemptState* findAttempt(AttemptKey key) const { return attempts_.find(key); }
+  /// Removes an attempt that has ended. Its key stays in its request's list.
+  void removeAttempt(AttemptKey key);
+  std::size_t attemptsInFlightAt(const routing::InstanceId& instance) const;
+
+ private:
+  SlotTable<RequestState> requests_;
+  SlotTable<AttemptState> attempts_;
+  std::map<routing::RequestId, RequestKey> keys_;
+  std::map<routing::InstanceId, std::size_t> inFlightAt_;  // only instances with attempts
+};
+
+}  // namespace inference_router::core
--- a/src/frontend/front.cpp
+++ b/src/frontend/front.cpp
@@ -12,7 +12,7 @@
   arrival.timeLeft -= core::toModule(clock_.nowMs() - arrivedMs);
   open_[&connection] = {};  // before it is taken: the module may answer at once
   const auto key =
-      dispatcher_.take(std::move(arrival), std::move(payload), std::move(responseWriter));
+      dispatcher_.submit(std::move(arrival), std::move(payload), std::move(responseWriter));
   const auto it = open_.find(&connection);
   if (!key)
     open_.erase(it);
@@ -45,7 +45,7 @@
     return;
   const core::RequestKey key = it->second;
   open_.erase(it);
-  dispatcher_.clientGone(key);
+  dispatcher_.clientDisconnected(key);
 }
 
 void Front::drained(net::ClientConnection& connection) {
--- a/src/upstream/http_instance_client.cpp
+++ b/src/upstream/http_instance_client.cpp
@@ -36,9 +36,9 @@
         key_(dispatch.attempt),
         request_(dispatch.request),
         instance_(dispatch.instance),
-        untilMs_(dispatch.untilMs),
-        heldSinceMs_(dispatch.heldSinceMs),
-        reads_(dispatch.reads) {}
+        untilMs_(dispatch.deadlineMs),
+        heldSinceMs_(dispatch.lastAttemptEndedMs),
+        reads_(dispatch.isPrefill) {}
 
   ~AttemptCall() override {
     endpoints_.timers_.cancel(last_);
@@ -92,7 +92,7 @@
     writtenMs_ = endpoints_.clock_.nowMs();
     if (!reads_)
       watchForTaking();
-    endpoints_.dispatcher_.written(key_);
+    endpoints_.dispatcher_.attemptWritten(key_);
     if (place_)
       endpoints_.reservations_.ask(request_, key_, *std::exchange(place_, std::nullopt));
   }
@@ -123,7 +123,7 @@
     begun_ = true;
     ++parts_;
     watchForStall();
-    if (endpoints_.dispatcher_.passed(key_, *events))
+    if (endpoints_.dispatcher_.responseReceived(key_, *events))
       return true;
     endpoints_.timers_.cancel(stall_);  // a slow client holds the stream back, not its instance
     return false;
@@ -215,7 +215,7 @@
     instances.attempts_.erase(key.slot);
     if (prefills)
       instances.reservations_.prefillEnded(key);
-    instances.dispatcher_.ended(key, result);
+    instances.dispatcher_.attemptEnded(key, result);
   }
 
   HttpInstanceClient& endpoints_;
@@ -250,7 +250,7 @@
   void done() override { end(well_); }
   void failed(net::CallFailure) override { end(false); }
   void end(bool well) {
-    endpoints_.dispatcher_.probed(instance_, endpoints_.clock_.nowMs() - sentMs_, well);
+    endpoints_.dispatcher_.healthCheckEnded(instance_, endpoints_.clock_.nowMs() - sentMs_, well);
   }
 
  private:
@@ -372,7 +372,7 @@
 void HttpInstanceClient::start(const core::Dispatch& dispatch) {
   const InstanceEndpoint* endpoint = directory_.find(dispatch.instance);
   if (endpoint == nullptr)
-    return dispatcher_.ended(dispatch.attempt, {AttemptOutcome::kNotSent});
+    return dispatcher_.attemptEnded(dispatch.attempt, {AttemptOutcome::kNotSent});
   const auto& payload = static_cast<const ForwardedRequest&>(*dispatch.payload);
   net::Fields fields{{dialect_.idHeader, dispatch.request.value},
                      {"Content-Length", std::to_string(payload.body->size())}};
@@ -384,7 +384,7 @@
   attempts_[dispatch.attempt.slot] = sink;
   sink->hold(pool_.call(
       endpoint->address, head(payload.method, payload.target, *endpoint, std::move(fields)),
-      payload.body, sink, net::ConnectionPool::Urgency::kInTurn, dispatch.afterMs));
+      payload.body, sink, net::ConnectionPool::Urgency::kInTurn, dispatch.notBeforeMs));
 }
 
 void HttpInstanceClient::abandon(core::AttemptKey key) {
@@ -449,13 +449,13 @@
 }
 
 // One whose last event has come is all but over, too.
-bool HttpInstanceClient::unread(core::AttemptKey key) const {
+bool HttpInstanceClient::hasUnreadResponse(core::AttemptKey key) const {
   const auto sink = attempt(key);
   return sink && (sink->finished() || sink->call().unread());
 }
 
 // A release that is still under way would let go of the new place as well.
-void HttpInstanceClient::holdPlace(const RequestId& request,
+void HttpInstanceClient::reserve(const RequestId& request,
                                    core::AttemptKey reading,
                                    const InstanceId& instance) {
   releases_.afterwards(request, [this, reading, instance] {
@@ -468,7 +468,7 @@
   releases_.release(request);
 }
 
-void HttpInstanceClient::probe(const InstanceId& instance) {
+void HttpInstanceClient::checkHealth(const InstanceId& instance) {
   const InstanceEndpoint* endpoint = directory_.find(instance);
   const auto sink = std::make_shared<ProbeCall>(*this, instance);
   if (endpoint == nullptr)
--- a/src/upstream/http_instance_client.h
+++ b/src/upstream/http_instance_client.h
@@ -48,12 +48,12 @@
   void start(const core::Dispatch& dispatch) override;
   void abandon(core::AttemptKey attempt) override;
   void resume(core::AttemptKey attempt) override;
-  bool unread(core::AttemptKey attempt) const override;
-  void holdPlace(const routing::RequestId& request,
+  bool hasUnreadResponse(core::AttemptKey attempt) const override;
+  void reserve(const routing::RequestId& request,
                  core::AttemptKey reading,
                  const routing::InstanceId& instance) override;
   void release(const routing::RequestId& request) override;
-  void probe(const routing::InstanceId& instance) override;
+  void checkHealth(const routing::InstanceId& instance) override;
 
   // A stream under way, as it passes from one process to another.
   struct TransferState {
--- a/src/upstream/reservations.cpp
+++ b/src/upstream/reservations.cpp
@@ -120,7 +120,7 @@
   if (it == reservations_.end())
     return false;
   const Reservation& reservation = it->second;
-  return prefillIsOut_(reservation.prefill) && dispatcher_.mayHold(reservation.instance) &&
+  return prefillIsOut_(reservation.prefill) && dispatcher_.mayReserve(reservation.instance) &&
          dispatcher_.attemptIsWanted(reservation.prefill);
 }
 
@@ -145,13 +145,13 @@
   reservation.lease.answered(answerOf(status));
   settle(number);
   // A grant that comes once the request streams, or is over, is taken by nobody.
-  if (status == kGranted && dispatcher_.needsNothingHeld(request))
+  if (status == kGranted && dispatcher_.needsNoHeldState(request))
     releases_.release(request);
   // 204: not known. A place may be held, and a note that none is would be a guess.
   if (status == kGranted && first)
-    dispatcher_.placeAnswered(prefill, instance, true);
+    dispatcher_.reservationAnswered(prefill, instance, true);
   if (answerOf(status) == ReservationLease::Answer::kRefused)
-    dispatcher_.placeAnswered(prefill, instance, false);
+    dispatcher_.reservationAnswered(prefill, instance, false);
 }
 
 void Reservations::unanswered(Number number, bool written) {
@@ -229,7 +229,7 @@
                      reservation.instance.value + ", asked " +
                      std::to_string(std::lround(clock_.nowMs() - reservation.askedMs)) + " ms ago" +
                      (reservation.renewed ? ", granted before" : ""));
-  if (dispatcher_.needsNothingHeld(reservation.request))
+  if (dispatcher_.needsNoHeldState(reservation.request))
     releases_.release(reservation.request);
   else
     releases_.releaseBeside(reservation.request);
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -6,6 +6,7 @@
 #include <map>
 #include <random>
 
+#include "core/config_reader.h"
 #include "core/request_dispatcher.h"
 #include "fleet.h"
 
@@ -25,45 +26,132 @@
   EXPECT_FALSE(slots.remove(first));
 }
 
-TEST(DeadlinesTable, RunsInOrderWhatIsDueAgainstAModel) {
+TEST(TimerQueue, RunsInOrderWhatIsDueAgainstAModel) {
   std::mt19937 random(11);
   TimerQueue timers;
-  std::map<TimerQueue::Key, int> model;
+  std::map<std::pair<double, int>, Timer> model;  // by time, then order of addition
   std::vector<int> ran, expected;
   double now = 0;
   for (int step = 0; step < 3000; ++step) {
     if (random() % 3 != 0) {
-      model[timers.add(now + static_cast<double>(random() % 50),
-                       [&ran, step] { ran.push_back(step); })] = step;
+      const double dueMs = now + static_cast<double>(random() % 50);
+      model[{dueMs, step}] = timers.schedule(dueMs, [&ran, step] { ran.push_back(step); });
     } else if (random() % 2 == 0 && !model.empty()) {
-      std::optional<TimerQueue::Key> key = std::next(model.begin(), random() % model.size())->first;
-      model.erase(*key);
-      timers.cancel(key);
+      const auto cancelled = std::next(model.begin(), random() % model.size());
+      cancelled->second.cancel();
+      model.erase(cancelled);
     } else {
       now += random() % 20;
+      timers.runDue(now);
       while (!model.empty() && model.begin()->first.first <= now) {
-        expected.push_back(model.begin()->second);
+        EXPECT_FALSE(model.begin()->second.armed());
+        expected.push_back(model.begin()->first.second);
         model.erase(model.begin());
       }
-      timers.runDue(now);
     }
     ASSERT_EQ(ran, expected);
     ASSERT_EQ(timers.next().has_value(), !model.empty());
   }
 }
 
-TEST(DeadlinesTable, WhatIsAddedWhileItRunsWaitsForTheNextRun) {
+TEST(TimerQueue, WhatIsAddedWhileItRunsWaitsForTheNextRun) {
   TimerQueue timers;
   int ran = 0;
-  std::function<void()> again = [&] {
+  std::function<void()> reschedule = [&] {
     ++ran;
-    timers.add(0, again);
+    timers.runAt(0, reschedule);
   };
-  timers.add(0, again);
+  timers.runAt(0, reschedule);
   timers.runDue(1);
   EXPECT_EQ(ran, 1);
 }
 
+TEST(Timer, RunsItsTaskOnceAndIsDisarmedFromTheMomentItBegins) {
+  TimerQueue timers;
+  int ran = 0;
+  bool armedWithin = true;
+  Timer timer;
+  EXPECT_FALSE(timer.armed());
+  timer = timers.schedule(10, [&] {
+    ++ran;
+    armedWithin = timer.armed();
+  });
+  EXPECT_TRUE(timer.armed());
+  timers.runDue(9);
+  EXPECT_EQ(ran, 0);
+  timers.runDue(10);
+  timers.runDue(11);
+  EXPECT_EQ(ran, 1);
+  EXPECT_FALSE(armedWithin);
+  EXPECT_FALSE(timer.armed());
+}
+
+TEST(Timer, CancelsAsItIsDestroyedAssignedToOrCancelled) {
+  TimerQueue timers;
+  std::string ran;
+  {
+    const Timer destroyed = timers.schedule(1, [&] { ran += "destroyed "; });
+  }
+  Timer assigned = timers.schedule(1, [&] { ran += "replaced "; });
+  assigned = timers.schedule(1, [&] { ran += "last"; });
+  Timer cancelled = timers.schedule(1, [&] { ran += "cancelled "; });
+  cancelled.cancel();
+  cancelled.cancel();
+  EXPECT_FALSE(cancelled.armed());
+  timers.runDue(1);
+  EXPECT_EQ(ran, "last");
+  EXPECT_FALSE(timers.next().has_value());
+}
+
+TEST(Timer, PassesItsTaskOnAsItIsMoved) {
+  TimerQueue timers;
+  int ran = 0;
+  Timer second;
+  {
+    Timer first = timers.schedule(1, [&] { ++ran; });
+    second = std::move(first);
+  }
+  Timer third(std::move(second));
+  EXPECT_TRUE(third.armed());
+  timers.runDue(1);
+  EXPECT_EQ(ran, 1);
+  EXPECT_FALSE(third.armed());
+}
+
+TEST(Timer, MayOutliveItsQueue) {
+  int ran = 0;
+  Timer timer;
+  {
+    TimerQueue timers;
+    timer = timers.schedule(1, [&] { ++ran; });
+  }
+  EXPECT_FALSE(timer.armed());
+  timer.cancel();
+  EXPECT_EQ(ran, 0);
+}
+
+TEST(ConfigReader, ErrorsNameThePathAndTheReason) {
+  const nlohmann::json file = {{"store", {{"path", 5}, {"ports", {1, -2}}}}};
+  const ConfigReader store = ConfigReader(file).at("store");
+  const auto errorOf = [](const auto& read) {
+    try {
+      read();
+    } catch (const ConfigError& error) {
+      return error.path() + "|" + error.reason() + "|" + error.what();
+    }
+    return std::string("no error");
+  };
+  EXPECT_EQ(errorOf([&] { store.at("kind"); }), "store.kind|is missing|store.kind is missing");
+  EXPECT_EQ(errorOf([&] { store.at("path").as<std::string>(); }),
+            "store.path|is not a text|store.path is not a text");
+  EXPECT_EQ(errorOf([&] { store.at("ports").list().at(1).as<unsigned>(); }),
+            "store.ports[1]|is not a whole number of 0 or more|"
+            "store.ports[1] is not a whole number of 0 or more");
+  EXPECT_EQ(errorOf([&] { store.only({"path"}); }),
+            "store.ports|is not known here|store.ports is not known here");
+  EXPECT_EQ(errorOf([&] { ConfigReader(file).list(); }), "|is not a list|the file is not a list");
+}
+
 struct Client final : ResponseWriter {
   int refused = 0, failed = 0, ended = 0, broke = 0;
   bool late = false;
@@ -96,10 +184,10 @@
   void abandon(AttemptKey key) override { abandoned += drop(key); }
   void resume(AttemptKey) override {}
   bool more = false;  // of an answer has come than was passed on
-  bool unread(AttemptKey) const override { return more; }
-  void holdPlace(const RequestId&, AttemptKey, const InstanceId&) override { ++places; }
+  bool hasUnreadResponse(AttemptKey) const override { return more; }
+  void reserve(const RequestId&, AttemptKey, const InstanceId&) override { ++places; }
   void release(const RequestId& request) override { released.push_back(request); }
-  void probe(const InstanceId&) override {}
+  void checkHealth(const InstanceId&) override {}
   int drop(AttemptKey key) {
     return static_cast<int>(
         std::erase_if(out, [&](const Dispatch& d) { return d.attempt == key; }));
@@ -120,7 +208,7 @@
   }
   std::shared_ptr<Client> take(const std::string& id) {
     const auto client = std::make_shared<Client>();
-    const auto key = dispatcher.take(Fleet::arrival(id), std::make_shared<Payload>(), client);
+    const auto key = dispatcher.submit(Fleet::arrival(id), std::make_shared<Payload>(), client);
     if (!key)
       return nullptr;
     keys[id] = *key;
@@ -129,7 +217,7 @@
   void end(AttemptOutcome outcome) {
     const Dispatch dispatch = instances.out.back();
     instances.drop(dispatch.attempt);
-    dispatcher.ended(dispatch.attempt, {outcome});
+    dispatcher.attemptEnded(dispatch.attempt, {outcome});
   }
   void pass(double ms) {
     clock.advance(ms);
@@ -154,8 +242,8 @@
   EXPECT_EQ(play.instances.places, 1);
   play.end(AttemptOutcome::kPrefilled);
   ASSERT_EQ(play.instances.out.back().instance.value, "writer");
-  play.dispatcher.passed(play.instances.out.back().attempt, "one");
-  play.dispatcher.passed(play.instances.out.back().attempt, "two");
+  play.dispatcher.responseReceived(play.instances.out.back().attempt, "one");
+  play.dispatcher.responseReceived(play.instances.out.back().attempt, "two");
   EXPECT_EQ(client->text, "onetwo");
   play.end(AttemptOutcome::kServed);
   EXPECT_EQ(client->ended, 1);
@@ -168,7 +256,7 @@
   play.list();
   const auto client = play.take("a");
   play.end(AttemptOutcome::kPrefilled);
-  play.dispatcher.passed(play.instances.out.back().attempt, "one");
+  play.dispatcher.responseReceived(play.instances.out.back().attempt, "one");
   play.end(AttemptOutcome::kConnectionLost);
   EXPECT_EQ(client->broke, 1);
   play.pass(10'000);
@@ -187,7 +275,7 @@
   play.end(AttemptOutcome::kPrefilled);
   play.dispatcher.stopping(1000);
   play.clock.advance(910);  // late in the grace, and no alarm has rung yet
-  play.dispatcher.passed(play.instances.out.back().attempt, "one");
+  play.dispatcher.responseReceived(play.instances.out.back().attempt, "one");
   EXPECT_EQ(client->text, "one");
   EXPECT_EQ(client->broke, 1);
   EXPECT_EQ(client->finals(), 1);
@@ -206,11 +294,11 @@
     play.instances.more = true;
     play.dispatcher.stopping(1000);
     play.clock.advance(910);
-    play.dispatcher.passed(play.instances.out.back().attempt, "one");
+    play.dispatcher.responseReceived(play.instances.out.back().attempt, "one");
     play.pass(6);
     EXPECT_EQ(client->finals(), 0);
     if (finishes) {
-      play.dispatcher.passed(play.instances.out.back().attempt, "two");
+      play.dispatcher.responseReceived(play.instances.out.back().attempt, "two");
       play.end(AttemptOutcome::kServed);
     }
     for (int i = 0; i < 20; ++i)
@@ -224,7 +312,7 @@
   Play play;
   play.list();
   const auto client = play.take("a");
-  play.dispatcher.clientGone(play.keys["a"]);
+  play.dispatcher.clientDisconnected(play.keys["a"]);
   EXPECT_TRUE(play.instances.out.empty());
   EXPECT_FALSE(play.instances.released.empty());
   EXPECT_EQ(client->finals(), 0);
@@ -251,10 +339,10 @@
   play.list(EndpointState::kDraining);
   play.clock.advance(790);
   EXPECT_TRUE(play.dispatcher.maySend(key));
-  EXPECT_TRUE(play.dispatcher.mayHold({"writer"}));
+  EXPECT_TRUE(play.dispatcher.mayReserve({"writer"}));
   play.clock.advance(20);
   EXPECT_FALSE(play.dispatcher.maySend(key));
-  EXPECT_FALSE(play.dispatcher.mayHold({"writer"}));
+  EXPECT_FALSE(play.dispatcher.mayReserve({"writer"}));
   play.list();
   EXPECT_TRUE(play.dispatcher.maySend(key));
   play.clock.advance(6000);
@@ -310,13 +398,13 @@
                        outcome == AttemptOutcome::kNotSent || outcome == AttemptOutcome::kPrefilled;
     mayHaveRun = mayHaveRun || (writes(dispatch) && !proof);
     out.erase(out.begin());
-    dispatcher.ended(dispatch.attempt, {outcome});
+    dispatcher.attemptEnded(dispatch.attempt, {outcome});
   }
   void resume(AttemptKey) override {}
-  bool unread(AttemptKey) const override { return false; }
-  void holdPlace(const RequestId&, AttemptKey, const InstanceId&) override {}
+  bool hasUnreadResponse(AttemptKey) const override { return false; }
+  void reserve(const RequestId&, AttemptKey, const InstanceId&) override {}
   void release(const RequestId&) override {}
-  void probe(const InstanceId&) override {}
+  void checkHealth(const InstanceId&) override {}
 };
 
 TEST(ARequestThatMustNotRunTwice, IsNeitherRefusedNorSentAgainOnceItMayHaveRun) {
@@ -348,7 +436,7 @@
     const auto client = std::make_shared<Client>();
     Arrival told = Fleet::arrival("a");
     told.resumed = word % 3 == 0;
-    const auto key = dispatcher.take(told, std::make_shared<Payload>(), client);
+    const auto key = dispatcher.submit(told, std::make_shared<Payload>(), client);
     std::string course;
     bool refusedInOrder = true;
     std::size_t rest = word;
@@ -370,10 +458,10 @@
       else if (letter == kOutcomes.size() + 2)
         dispatcher.stopping(100);
       else if (letter == kOutcomes.size() + 3)
-        dispatcher.clientGone(*key);
+        dispatcher.clientDisconnected(*key);
       else if (letter == kOutcomes.size() + 4) {
         if (!instances.out.empty())
-          dispatcher.passed(instances.out.begin()->second.attempt, "event");
+          dispatcher.responseReceived(instances.out.begin()->second.attempt, "event");
       } else {
         EndpointRecord gone = endpoint(letter == kOutcomes.size() + 5 ? "w1" : "r1",
                                        letter == kOutcomes.size() + 5 ? kDecode : kPrefill);
@@ -438,7 +526,7 @@
         const auto& [id, client] = *std::next(clients.begin(), random() % clients.size());
         if (goneWith.count(id) == 0) {
           goneWith[id] = client->finals();
-          play.dispatcher.clientGone(play.keys[id]);
+          play.dispatcher.clientDisconnected(play.keys[id]);
         }
       } else if (what == 3) {
         play.list(random() % 4 == 0 ? EndpointState::kDraining : EndpointState::kActive);
@@ -448,14 +536,15 @@
         const Dispatch dispatch = play.instances.out[random() % play.instances.out.size()];
         const bool writes = dispatch.instance.value == "writer";
         if (writes && random() % 2 == 0) {
-          play.dispatcher.passed(dispatch.attempt, "x");
+          play.dispatcher.responseReceived(dispatch.attempt, "x");
         } else {
           AttemptOutcome outcome = kOutcomes[random() % std::size(kOutcomes)];
           if (writes == (outcome == AttemptOutcome::kPrefilled))
             outcome = writes ? AttemptOutcome::kServed : AttemptOutcome::kPrefilled;
           play.instances.drop(dispatch.attempt);
-          play.dispatcher.ended(dispatch.attempt, {outcome});
-          play.dispatcher.ended(dispatch.attempt, {outcome});  // a second end must change nothing
+          play.dispatcher.attemptEnded(dispatch.attempt, {outcome});
+          play.dispatcher.attemptEnded(dispatch.attempt,
+                                       {outcome});  // a second end must change nothing
         }
       }
       for (const auto& [id, client] : clients)
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -464,7 +464,7 @@
       client.close();
     // The loop hears of neither; the read's end comes straight from the core.
     const auto attempt = core::AttemptKey{0, 1};
-    site.server->dispatcher.ended(attempt, {routing::AttemptOutcome::kPrefilled});
+    site.server->dispatcher.attemptEnded(attempt, {routing::AttemptOutcome::kPrefilled});
     EXPECT_EQ(site.server->counters["requests.client_gone"], 1U);
     EXPECT_EQ(site.server->counters["attempts.not_sent"], 1U);
     ASSERT_TRUE(site.until([&] { return site.server->dispatcher.open() == 0; }));
--- a/tests/fronts_test.cpp
+++ b/tests/fronts_test.cpp
@@ -755,7 +755,7 @@
   agent.write(net::chunkOf(listOf(40, false, "active")));
   ASSERT_TRUE(lists(3));
   EXPECT_EQ(watching.directory.find({"a"})->state, routing::EndpointState::kActive);
-  EXPECT_TRUE(watching.dispatcher.mayHold({"a"}));
+  EXPECT_TRUE(watching.dispatcher.mayReserve({"a"}));
   agent.reset();
   ASSERT_TRUE(watching.until([&] { return watching.counters["discovery.broken"] == 1; }));
   watching.pass(151);
@@ -794,8 +794,8 @@
         net::chunkOf(lineOf(42, true, json::array({memberOf(2, "active", 1002, 0)})) + "\n"));
     ASSERT_TRUE(lists(known ? 3 : 2));
     EXPECT_EQ(watching.directory.all().size(), 1U);
-    EXPECT_FALSE(watching.dispatcher.mayHold({"b9"}));
-    EXPECT_TRUE(watching.dispatcher.mayHold({"b2"}));
+    EXPECT_FALSE(watching.dispatcher.mayReserve({"b9"}));
+    EXPECT_TRUE(watching.dispatcher.mayReserve({"b2"}));
   }
 }
 
--- a/tests/request_permits_test.cpp
+++ b/tests/request_permits_test.cpp
@@ -12,17 +12,18 @@
 
 struct Case {
   Case() {
-    permits.configure(kGraceMs, /*secondCopies=*/false);
+    permits.configure(kGraceMs, /*hedgedRequests=*/false);
     request.deadlineMs = kNow + 1'000;
     instance.listed = true;
   }
   Permit attempt() const {
-    return permits.attempt(request, &instance, beforeMs, kNow, [this] { return clientPresent; });
+    return permits.attempt(request, &instance, retryWindowEndMs, kNow,
+                           [this] { return clientPresent; });
   }
-  AttemptHistory& earlier(bool mayHaveRun, bool out = false) {
+  AttemptHistory& earlier(bool mayHaveRun, bool inFlight = false) {
     request.attempts.push_back({.instance = "i",
                                 .sentMs = kNow - 100,
-                                .out = out,
+                                .inFlight = inFlight,
                                 .outcome = "reset",
                                 .mayHaveRun = mayHaveRun});
     return request.attempts.back();
@@ -30,7 +31,7 @@
   RequestPermits permits;
   RequestFacts request;
   InstanceFacts instance;
-  double beforeMs = kNow + 1;
+  double retryWindowEndMs = kNow + 1;
   bool clientPresent = true;
 };
 
@@ -40,13 +41,13 @@
   one.instance.listed = false;
   EXPECT_EQ(one.attempt(), Permit::kUnknownInstance);
   Case drained;
-  drained.instance.toldOffMs = kNow - kGraceMs;
+  drained.instance.drainingSinceMs = kNow - kGraceMs;
   EXPECT_EQ(drained.attempt(), Permit::kDrained);
-  drained.instance.toldOffMs = kNow - kGraceMs / 2;
+  drained.instance.drainingSinceMs = kNow - kGraceMs / 2;
   EXPECT_EQ(drained.attempt(), Permit::kAllowed);
   Case late;
-  late.beforeMs = kNow;
-  EXPECT_EQ(late.attempt(), Permit::kRepeatOver);
+  late.retryWindowEndMs = kNow;
+  EXPECT_EQ(late.attempt(), Permit::kRetryWindowOver);
   Case answered;
   answered.request.answered = true;
   EXPECT_EQ(answered.attempt(), Permit::kAnswered);
@@ -61,17 +62,17 @@
   EXPECT_EQ(gone.attempt(), Permit::kClientGone);
 }
 
-TEST(Invariants, AnEffectIsNotRepeatedOrRefusedWhereItMayHaveRun) {
+TEST(Invariants, AnEffectIsNotRepeatedOrRejectedWhereItMayHaveRun) {
   for (const Effect effect : {Effect::kIdempotent, Effect::kDeduplicated, Effect::kAtMostOnce}) {
     SCOPED_TRACE(static_cast<int>(effect));
     for (const bool mayHaveRun : {false, true}) {
       Case one;
       one.request.effect = effect;
-      one.request.repeatWindowMs = 50;
+      one.request.dedupWindowMs = 50;
       one.earlier(mayHaveRun);
       EXPECT_EQ(one.permits.checkAttempt(one.request).empty(),
                 !(mayHaveRun && effect == Effect::kAtMostOnce));
-      EXPECT_EQ(one.permits.checkRefusal(one.request).empty(),
+      EXPECT_EQ(one.permits.checkRejection(one.request).empty(),
                 !(mayHaveRun && effect != Effect::kIdempotent));
       EXPECT_EQ(one.permits.checkWritten(one.request, &one.instance, kNow).empty(),
                 !(mayHaveRun && effect == Effect::kDeduplicated));
@@ -79,22 +80,23 @@
   }
   Case prefill;
   prefill.request.effect = Effect::kAtMostOnce;
-  prefill.earlier(true).reads = true;
+  prefill.earlier(true).isPrefill = true;
   EXPECT_TRUE(prefill.permits.checkAttempt(prefill.request).empty());
 }
 
-TEST(Invariants, ASecondCopyADrainAndADeadlineAreSeen) {
+TEST(Invariants, AHedgeADrainAndADeadlineAreDetected) {
   Case one;
-  one.earlier(false, /*out=*/true);
-  EXPECT_EQ(one.permits.checkAttempt(one.request), std::vector{Violation::kSecondCopy});
+  one.earlier(false, /*inFlight=*/true);
+  EXPECT_EQ(one.permits.checkAttempt(one.request), std::vector{Violation::kUnexpectedHedge});
   one.request.effect = Effect::kAtMostOnce;
-  EXPECT_EQ(one.permits.checkRefusal(one.request), std::vector{Violation::kRefusedWithAttempt});
+  EXPECT_EQ(one.permits.checkRejection(one.request),
+            std::vector{Violation::kRejectedDuringAttempt});
   Case late;
   late.request.deadlineMs = kNow - 1;
   EXPECT_EQ(late.permits.checkWritten(late.request, &late.instance, kNow),
             std::vector{Violation::kSentAfterDeadline});
   Case drained;
-  drained.instance.toldOffMs = kNow - kGraceMs - 1;
+  drained.instance.drainingSinceMs = kNow - kGraceMs - 1;
   EXPECT_EQ(drained.permits.checkWritten(drained.request, &drained.instance, kNow),
             std::vector{Violation::kSentToDrained});
   EXPECT_EQ(drained.permits.checkWritten(drained.request, nullptr, kNow),
