--- a/src/app/files.cpp
+++ b/src/app/files.cpp
@@ -11,23 +11,16 @@
 
 constexpr mode_t kOwnerOnly = 0600;
 
-int openFile(const std::string& path, int flags) {
+}  // namespace
+
+net::FileDescriptor openFile(const std::string& path, int flags) {
   while (true) {
     const int descriptor = ::open(path.c_str(), flags | O_CLOEXEC | O_NOFOLLOW, kOwnerOnly);
     if (descriptor >= 0 || errno != EINTR)
-      return descriptor;
+      return net::FileDescriptor(descriptor);
   }
 }
 
-}  // namespace
-
-File::File(const std::string& path, int flags) : descriptor_(openFile(path, flags)) {}
-
-File::~File() {
-  if (descriptor_ >= 0)
-    ::close(descriptor_);
-}
-
 bool writeAll(int descriptor, std::string_view text) {
   while (!text.empty()) {
     const auto count = ::write(descriptor, text.data(), text.size());
@@ -42,18 +35,18 @@
 
 std::optional<std::string> readUpTo(int descriptor, std::size_t size) {
   std::string text(size, '\0');
-  std::size_t have = 0;
-  while (have < size) {
-    const auto count = ::read(descriptor, text.data() + have, size - have);
+  std::size_t received = 0;
+  while (received < size) {
+    const auto count = ::read(descriptor, text.data() + received, size - received);
     if (count < 0 && errno == EINTR)
       continue;
     if (count < 0)
       return std::nullopt;
     if (count == 0)
       break;
-    have += static_cast<std::size_t>(count);
+    received += static_cast<std::size_t>(count);
   }
-  text.resize(have);
+  text.resize(received);
   return text;
 }
 
--- a/src/app/operations.cpp
+++ b/src/app/operations.cpp
@@ -38,8 +38,8 @@
 
 void Operations::openReceiver() {
   receiver_ = std::make_unique<net::DescriptorReceiver>(
-      parts_.server.io, folder_->folder(), folder_->receiver(),
-      [this](net::ReceivedMessage passed) { handover_.take(std::move(passed)); });
+      parts_.server.io, folder_->folder(), folder_->receiverName(),
+      [this](net::ReceivedMessage message) { handover_.receive(std::move(message)); });
 }
 
 Operations::~Operations() {
@@ -58,14 +58,14 @@
 bool Operations::hasSuccessor() {
   if (!folder_)
     return false;
-  if (const auto others = folder_->others())
+  if (const auto others = folder_->otherProcesses())
     share(*others);
   return others_.serving > 0;
 }
 
 void Operations::handOver() {
   if (hasSuccessor())
-    handover_.begin(folder_->folder(), others_.receiver);
+    handover_.begin(folder_->folder(), others_.receiverName);
 }
 
 void Operations::tick() {
@@ -80,7 +80,7 @@
 
 // All that may have failed before is tried again here. Who cannot be seen now counts as before.
 void Operations::lookIntoFolder() {
-  const auto others = folder_->others();
+  const auto others = folder_->otherProcesses();
   if (std::exchange(folderFails_, !others.has_value()) != folderFails_) {
     if (others)
       spdlog::info("the shared folder can be used again");
@@ -118,23 +118,23 @@
 }
 
 void Operations::sayServing() {
-  saidServing_ = folder_->sayServing();
+  saidServing_ = folder_->announceServing();
   if (!saidServing_)
     ++parts_.server.counters["folder.serving_unsaid"];
 }
 
 // Two processes of one router keep within one's limits: each takes its part of the connections,
 // and what a cold instance may be sent is shared among one node more.
-void Operations::share(SharedFolder::Others others) {
+void Operations::share(SharedFolder::OtherProcesses others) {
   if (others == others_)
     return;
-  if (others.alive != others_.alive) {
-    spdlog::info("processes of this conductor beside this one: {}", others.alive);
-    const std::size_t parts = others.alive + 1;
+  if (others.running != others_.running) {
+    spdlog::info("processes of this conductor beside this one: {}", others.running);
+    const std::size_t parts = others.running + 1;
     parts_.listener.capAt(parts_.limits.clients() / parts);
     parts_.server.pool.capAt(parts_.limits.instances() / parts);
     routing::Settings settings = parts_.setup.settings;
-    settings.nodes += static_cast<int>(others.alive);
+    settings.nodes += static_cast<int>(others.running);
     parts_.server.dispatcher.reconfigure(settings);
   }
   others_ = others;
@@ -155,7 +155,7 @@
 }
 
 void Operations::readExclusions() {
-  const SharedFolder::Read read = folder_->readExclusions();
+  const SharedFolder::ReadResult read = folder_->readExclusions();
   switch (read.status) {
     case SharedFolder::ReadStatus::kUnreadable:
       exclusionsRead_ = false;
--- a/src/app/operations.h
+++ b/src/app/operations.h
@@ -47,7 +47,9 @@
   bool hasSuccessor();
   // Streams that are open go to that process from now on.
   void handOver();
-  bool handsOver() const { return handover_.unheard() > 0; }  // and might have to go on with it
+  bool handsOver() const {
+    return handover_.unacknowledged() > 0;
+  }  // and might have to go on with it
 
   Done ready() override;
   Done exclude(const std::string& id) override;
@@ -67,7 +69,7 @@
 
  private:
   void tick();
-  void share(SharedFolder::Others others);
+  void share(SharedFolder::OtherProcesses others);
   void openReceiver();
   void lookIntoFolder();
   void readExclusions();
@@ -85,7 +87,7 @@
   std::unique_ptr<SharedFolder> folder_;
   Handover handover_;
   std::unique_ptr<net::DescriptorReceiver> receiver_;
-  SharedFolder::Others others_;
+  SharedFolder::OtherProcesses others_;
   bool exclusionsRead_ = false;  // what the folder stores is known here
   bool unstored_ = false;        // what holds here is not stored there
   bool saidServing_ = false;
--- a/src/app/shared_folder.cpp
+++ b/src/app/shared_folder.cpp
@@ -20,7 +20,7 @@
 
 namespace {
 
-constexpr std::size_t kLargestFile = fleet::Exclusions::kMaxTextBytes;
+constexpr std::size_t kMaxFileBytes = fleet::Exclusions::kMaxTextBytes;
 
 std::string plainName(std::string name) {
   std::replace_if(
@@ -32,127 +32,131 @@
 }  // namespace
 
 SharedFolder::SharedFolder(std::string folder, const std::string& name)
-    : folder_(std::move(folder)),
-      prefix_("dahliastall-" + plainName(name) + ".process."),
-      receiverPrefix_("dahliastall-" + plainName(name) + ".receiver."),
-      unnamed_(folder_ + "/dahliastall-" + plainName(name) + ".new." + std::to_string(::getpid())),
-      ownName_(prefix_ + std::to_string(::getpid())),
-      receiver_(receiverPrefix_ + std::to_string(::getpid())),
-      exclusionsPath_(folder_ + "/dahliastall-" + plainName(name) + ".marks") {
+    : folder_(std::move(folder)) {
+  const std::string base = "dahliastall-" + plainName(name);
+  const std::string processId = std::to_string(::getpid());
+  processPrefix_ = base + ".process.";
+  receiverPrefix_ = base + ".receiver.";
+  processName_ = processPrefix_ + processId;
+  receiverName_ = receiverPrefix_ + processId;
+  temporaryPath_ = pathOf(base + ".new." + processId);
+  exclusionsPath_ = pathOf(base + ".marks");
   join();
 }
 
 SharedFolder::~SharedFolder() {
-  if (own_ < 0)
-    return;
-  ::unlink((folder_ + "/" + ownName_).c_str());
-  ::close(own_);
+  if (lock_)
+    ::unlink(pathOf(processName_).c_str());
 }
 
-// The lock is there before the name is: a file that can be seen and locked has lost its process.
+// The file is locked before it gets its name: one that can be seen and locked has lost its process.
 bool SharedFolder::join() {
-  if (own_ >= 0)
+  if (lock_)
     return true;
-  File file(unnamed_, O_RDWR | O_CREAT | O_TRUNC);
+  net::FileDescriptor file = openFile(temporaryPath_, O_RDWR | O_CREAT | O_TRUNC);
   if (!file)
     return false;
   if (::flock(file.get(), LOCK_EX | LOCK_NB) != 0 ||
-      std::rename(unnamed_.c_str(), (folder_ + "/" + ownName_).c_str()) != 0) {
-    ::unlink(unnamed_.c_str());
+      std::rename(temporaryPath_.c_str(), pathOf(processName_).c_str()) != 0) {
+    ::unlink(temporaryPath_.c_str());
     return false;
   }
-  own_ = file.release();
+  lock_ = std::move(file);
   return true;
 }
 
-std::optional<SharedFolder::Others> SharedFolder::others() {
+std::optional<SharedFolder::OtherProcesses> SharedFolder::otherProcesses() {
   if (!join())
     return std::nullopt;
   const std::unique_ptr<DIR, int (*)(DIR*)> folder(::opendir(folder_.c_str()), ::closedir);
   if (!folder)
     return std::nullopt;
-  Others found;
+  OtherProcesses found;
   errno = 0;
   while (const dirent* entry = ::readdir(folder.get())) {
     const std::string name = entry->d_name;
-    const bool other = name.rfind(prefix_, 0) == 0 && name != ownName_;
-    if (other && !countProcess(name, found))
+    const bool isOther = name.rfind(processPrefix_, 0) == 0 && name != processName_;
+    if (isOther && !addProcess(name, found))
       return std::nullopt;
     errno = 0;
   }
   return errno == 0 ? std::optional(found) : std::nullopt;
 }
 
-// False if it cannot be told what the file stands for: who is not seen must not pass for gone.
-bool SharedFolder::countProcess(const std::string& name, Others& found) const {
-  const std::string path = folder_ + "/" + name;
-  const File file(path, O_RDONLY);
+std::string SharedFolder::receiverNameOf(const std::string& processName) const {
+  return receiverPrefix_ + processName.substr(processPrefix_.size());
+}
+
+// False if the state of the process is not known: one that cannot be seen must not count as gone.
+bool SharedFolder::addProcess(const std::string& name, OtherProcesses& found) const {
+  const std::string path = pathOf(name);
+  const net::FileDescriptor file = openFile(path, O_RDONLY);
   if (!file)
     return errno == ENOENT;
   if (::flock(file.get(), LOCK_EX | LOCK_NB) == 0) {  // its process has ended
     ::unlink(path.c_str());
-    ::unlink((folder_ + "/" + receiverPrefix_ + name.substr(prefix_.size())).c_str());
+    ::unlink(pathOf(receiverNameOf(name)).c_str());
     return true;
   }
-  ++found.alive;
+  ++found.running;
   struct stat status {};
   if (::fstat(file.get(), &status) != 0)
     return false;
   if (status.st_size == 0)
     return true;
   ++found.serving;
-  found.receiver = receiverPrefix_ + name.substr(prefix_.size());
+  found.receiverName = receiverNameOf(name);
   return true;
 }
 
-bool SharedFolder::sayServing() {
-  return join() && writeAll(own_, "serving\n");
+bool SharedFolder::announceServing() {
+  return join() && writeAll(lock_.get(), "serving\n");
 }
 
-std::optional<SharedFolder::Stamp> SharedFolder::stampOf(int descriptor) {
+std::optional<SharedFolder::FileVersion> SharedFolder::versionOf(int descriptor) {
   struct stat status {};
   if (::fstat(descriptor, &status) != 0)
     return std::nullopt;
-  return Stamp{status.st_ino, status.st_mtim.tv_sec, status.st_mtim.tv_nsec, status.st_size};
+  return FileVersion{status.st_ino, status.st_mtim.tv_sec, status.st_mtim.tv_nsec, status.st_size};
 }
 
-SharedFolder::Read SharedFolder::readExclusions() {
-  const File file(exclusionsPath_, O_RDONLY);
+SharedFolder::ReadResult SharedFolder::readExclusions() {
+  const net::FileDescriptor file = openFile(exclusionsPath_, O_RDONLY);
   if (!file)
     return {errno == ENOENT ? ReadStatus::kAbsent : ReadStatus::kUnreadable};
-  const auto stamp = stampOf(file.get());
-  if (!stamp)
+  const auto version = versionOf(file.get());
+  if (!version)
     return {ReadStatus::kUnreadable};
-  if (stamp == seen_)
+  if (version == knownVersion_)
     return {ReadStatus::kUnchanged};
   const std::size_t size =
-      std::min<std::size_t>(static_cast<std::size_t>(stamp->size), kLargestFile);
+      std::min<std::size_t>(static_cast<std::size_t>(version->size), kMaxFileBytes);
   auto text = readUpTo(file.get(), size);
   if (!text || text->size() < size)
     return {ReadStatus::kUnreadable};
-  seen_ = stamp;
+  knownVersion_ = version;
   return {ReadStatus::kFresh, std::move(*text)};
 }
 
 bool SharedFolder::writeExclusions(const std::string& text) {
   if (!join())
     return false;
-  const std::string beside = exclusionsPath_ + ".new." + std::to_string(::getpid());
-  const File file(beside, O_WRONLY | O_CREAT | O_TRUNC);
+  const std::string temporary = exclusionsPath_ + ".new." + std::to_string(::getpid());
+  const net::FileDescriptor file = openFile(temporary, O_WRONLY | O_CREAT | O_TRUNC);
   if (!file)
     return false;
   if (!writeAll(file.get(), text) || !sync(file.get()) ||
-      std::rename(beside.c_str(), exclusionsPath_.c_str()) != 0) {
-    ::unlink(beside.c_str());
+      std::rename(temporary.c_str(), exclusionsPath_.c_str()) != 0) {
+    ::unlink(temporary.c_str());
     return false;
   }
-  seen_ = stampOf(file.get());
+  knownVersion_ = versionOf(file.get());
   return syncFolder();
 }
 
-// Until then a crash of the machine may bring the old file back.
+// Until the folder is synced, a crash of the machine may bring the old file back.
 bool SharedFolder::syncFolder() const {
-  const File folder(folder_, O_RDONLY | O_DIRECTORY);
+  const net::FileDescriptor folder = openFile(folder_, O_RDONLY | O_DIRECTORY);
   if (!folder)
     return false;
   return sync(folder.get()) || errno == EINVAL;  // where a file system has nothing to sync
--- a/src/app/shared_folder.h
+++ b/src/app/shared_folder.h
@@ -10,6 +10,8 @@
 #include <optional>
 #include <string>
 
+#include "net/file_descriptor.h"
+
 namespace inference_router::app {
 
 class SharedFolder {
@@ -24,19 +26,21 @@
   /// else here works.
   bool join();
 
-  struct Others {
-    std::size_t alive = 0, serving = 0;
-    std::string receiver;  ///< the name under which a serving one receives
-    bool operator==(const Others&) const = default;
+  struct OtherProcesses {
+    std::size_t running = 0;   ///< all of them
+    std::size_t serving = 0;   ///< those that said that they serve
+    std::string receiverName;  ///< of a serving one; empty if none serves
+    bool operator==(const OtherProcesses&) const = default;
   };
   /// The other processes; nothing if the folder cannot be looked through now.
-  std::optional<Others> others();
+  std::optional<OtherProcesses> otherProcesses();
 
   /// Tells the others that this process serves. False if they may not learn of it.
-  [[nodiscard]] bool sayServing();
+  [[nodiscard]] bool announceServing();
 
   const std::string& folder() const { return folder_; }
-  const std::string& receiver() const { return receiver_; }  ///< this process's
+  /// The name of the socket on which this process receives open streams.
+  const std::string& receiverName() const { return receiverName_; }
 
   enum class ReadStatus {
     kUnchanged,   ///< since it was read or written last
@@ -44,29 +48,33 @@
     kFresh,       ///< the text is new
     kUnreadable,  ///< the file cannot be read now; what it says is not known
   };
-  struct Read {
+  struct ReadResult {
     ReadStatus status = ReadStatus::kUnreadable;
     std::string text{};
   };
-  Read readExclusions();
+  ReadResult readExclusions();
 
   /// Replaces the file. False if the text may not outlast this process; the old text is then still
   /// there, or the new one is and the system could not say that it lasts.
   [[nodiscard]] bool writeExclusions(const std::string& text);
 
  private:
-  struct Stamp {
-    unsigned long long file = 0;
+  /// Tells one version of a file from another without reading it.
+  struct FileVersion {
+    unsigned long long inode = 0;
     long long seconds = 0, nanoseconds = 0, size = -1;
-    bool operator==(const Stamp&) const = default;
+    bool operator==(const FileVersion&) const = default;
   };
-  static std::optional<Stamp> stampOf(int descriptor);
-  bool countProcess(const std::string& name, Others& found) const;
+  static std::optional<FileVersion> versionOf(int descriptor);
+  bool addProcess(const std::string& name, OtherProcesses& found) const;
+  std::string receiverNameOf(const std::string& processName) const;
+  std::string pathOf(const std::string& name) const { return folder_ + "/" + name; }
   bool syncFolder() const;
 
-  std::string folder_, prefix_, receiverPrefix_, unnamed_, ownName_, receiver_, exclusionsPath_;
-  int own_ = -1;
-  std::optional<Stamp> seen_;
+  std::string folder_, processPrefix_, receiverPrefix_;
+  std::string processName_, receiverName_, temporaryPath_, exclusionsPath_;
+  net::FileDescriptor lock_;  // on this process's own file; empty until join() succeeds
+  std::optional<FileVersion> knownVersion_;  // of the exclusions that were read or written last
 };
 
 }  // namespace inference_router::app
--- a/src/net/descriptor_transfer.cpp
+++ b/src/net/descriptor_transfer.cpp
@@ -16,86 +16,134 @@
 
 namespace {
 
-constexpr std::size_t kMostDescriptors = 4;
-constexpr std::size_t kMostPeers = 4;
-constexpr std::chrono::milliseconds kRetry{20};  // after this machine lacked resources
+constexpr std::size_t kMaxDescriptorsPerMessage = 4;
+constexpr std::size_t kMaxPeers = 4;
+constexpr mode_t kOwnerOnly = 0600;
+constexpr std::chrono::milliseconds kRetryPause{20};  // after the system lacked resources
 
-// The path of a Unix socket is short, that of a folder need not be: it is named by a descriptor of
-// the folder.
-class Address {
+using ControlBuffer = std::array<char, CMSG_SPACE(sizeof(int) * kMaxDescriptorsPerMessage)>;
+
+/// The address of a socket in a folder. A socket's path is short while a folder's need not be, so
+/// the folder is named by a descriptor that stays open as long as the address.
+class SocketAddress {
  public:
-  Address(const std::string& folder, const std::string& name)
+  SocketAddress(const std::string& folder, const std::string& name)
       : folder_(::open(folder.c_str(), O_PATH | O_DIRECTORY | O_CLOEXEC)) {
     const std::string path = "/proc/self/fd/" + std::to_string(folder_.get()) + "/" + name;
     if (!folder_ || path.size() >= sizeof(address_.sun_path))
       return;
     address_.sun_family = AF_UNIX;
     std::memcpy(address_.sun_path, path.c_str(), path.size() + 1);
-    good_ = true;
+    valid_ = true;
   }
-  bool good() const { return good_; }
+  bool valid() const { return valid_; }
   const sockaddr* get() const { return reinterpret_cast<const sockaddr*>(&address_); }
   static socklen_t size() { return sizeof(sockaddr_un); }
 
  private:
-  Descriptor folder_;
+  FileDescriptor folder_;
   sockaddr_un address_{};
-  bool good_ = false;
+  bool valid_ = false;
 };
 
-Descriptor newSocket() {
-  return Descriptor(::socket(AF_UNIX, SOCK_SEQPACKET | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+FileDescriptor newSocket() {
+  return FileDescriptor(::socket(AF_UNIX, SOCK_SEQPACKET | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
 }
 
-// Interrupted, a connection within one machine is there or is asked for anew.
-bool connectTo(int socket, const Address& address) {
-  while (::connect(socket, address.get(), Address::size()) != 0)
+bool connectTo(int socket, const SocketAddress& address) {
+  while (::connect(socket, address.get(), SocketAddress::size()) != 0)
     if (errno != EINTR)
-      return errno == EISCONN;
+      return errno == EISCONN;  // an interrupted call may have connected
   return true;
 }
 
-bool sameUser(int socket) {
+bool isSameUser(int socket) {
   ucred peer{};
   socklen_t size = sizeof peer;
   return ::getsockopt(socket, SOL_SOCKET, SO_PEERCRED, &peer, &size) == 0 &&
          peer.uid == ::geteuid();
 }
 
-}  // namespace
+std::vector<FileDescriptor> descriptorsIn(msghdr& message) {
+  std::vector<FileDescriptor> descriptors;
+  for (cmsghdr* header = CMSG_FIRSTHDR(&message); header != nullptr;
+       header = CMSG_NXTHDR(&message, header)) {
+    if (header->cmsg_level != SOL_SOCKET || header->cmsg_type != SCM_RIGHTS)
+      continue;
+    const std::size_t count = (header->cmsg_len - CMSG_LEN(0)) / sizeof(int);
+    for (std::size_t i = 0; i < count; ++i) {
+      int descriptor = -1;
+      std::memcpy(&descriptor, CMSG_DATA(header) + i * sizeof(int), sizeof(int));
+      descriptors.emplace_back(descriptor);
+    }
+  }
+  return descriptors;
+}
 
-Descriptor::~Descriptor() {
-  if (value_ >= 0)
-    ::close(value_);
+void attach(const std::vector<int>& descriptors, ControlBuffer& control, msghdr& message) {
+  if (descriptors.empty())
+    return;
+  const std::size_t size = sizeof(int) * descriptors.size();
+  message.msg_control = control.data();
+  message.msg_controllen = CMSG_SPACE(size);
+  cmsghdr* header = CMSG_FIRSTHDR(&message);
+  header->cmsg_level = SOL_SOCKET;
+  header->cmsg_type = SCM_RIGHTS;
+  header->cmsg_len = CMSG_LEN(size);
+  std::memcpy(CMSG_DATA(header), descriptors.data(), size);
 }
 
-Descriptor& Descriptor::operator=(Descriptor&& other) noexcept {
-  if (this != &other) {
-    if (value_ >= 0)
-      ::close(value_);
-    value_ = other.take();
-  }
-  return *this;
+enum class ReceiveStatus { kReceived, kTruncated, kNothingYet, kNoResources, kClosed };
+
+ReceiveStatus statusOf(ssize_t count, int error, int flags) {
+  if (count > 0)
+    return (flags & (MSG_TRUNC | MSG_CTRUNC)) != 0 ? ReceiveStatus::kTruncated
+                                                   : ReceiveStatus::kReceived;
+  if (count == 0)
+    return ReceiveStatus::kClosed;
+  if (error == EAGAIN || error == EWOULDBLOCK)
+    return ReceiveStatus::kNothingYet;
+  if (error == ENOBUFS || error == ENOMEM)
+    return ReceiveStatus::kNoResources;
+  return ReceiveStatus::kClosed;
 }
 
-int Descriptor::take() {
-  return std::exchange(value_, -1);
+ReceiveStatus receive(int socket, ReceivedMessage& received) {
+  std::string bytes(DescriptorReceiver::kMaxMessageBytes, '\0');
+  iovec part{bytes.data(), bytes.size()};
+  alignas(cmsghdr) ControlBuffer control{};
+  msghdr message{};
+  message.msg_iov = &part;
+  message.msg_iovlen = 1;
+  message.msg_control = control.data();
+  ssize_t count = 0;
+  do {
+    message.msg_controllen = control.size();
+    count = ::recvmsg(socket, &message, MSG_CMSG_CLOEXEC | MSG_DONTWAIT);
+  } while (count < 0 && errno == EINTR);
+  const ReceiveStatus status = statusOf(count, errno, message.msg_flags);
+  if (count < 0)
+    return status;
+  received.descriptors = descriptorsIn(message);
+  bytes.resize(static_cast<std::size_t>(count));
+  received.bytes = std::move(bytes);
+  return status;
 }
 
-// ---- Receiving
-// ---------------------------------------------------------------------------------------
+}  // namespace
+
+// ---- Receiving ----
 
 class DescriptorReceiver::Peer final : public std::enable_shared_from_this<Peer> {
  public:
-  Peer(DescriptorReceiver& owner, int socket)
-      : owner_(&owner), socket_(owner.io_, socket), retry_(owner.io_) {}
+  Peer(DescriptorReceiver& owner, FileDescriptor socket)
+      : owner_(&owner), socket_(owner.io_, socket.release()), readPause_(owner.io_) {}
 
-  void wait() {
+  void waitForMessage() {
     socket_.async_wait(boost::asio::posix::stream_descriptor::wait_read,
                        [self = shared_from_this()](const boost::system::error_code& error) {
-                         if (error || self->owner_ == nullptr)
-                           return;
-                         self->read();
+                         if (!error && self->owner_ != nullptr)
+                           self->read();
                        });
   }
   void close() {
@@ -107,50 +155,27 @@
  private:
   void read() {
     while (owner_ != nullptr) {
-      std::string bytes(kLargest, '\0');
-      iovec part{bytes.data(), bytes.size()};
-      alignas(cmsghdr) std::array<char, CMSG_SPACE(sizeof(int) * kMostDescriptors)> control{};
-      msghdr message{};
-      message.msg_iov = &part;
-      message.msg_iovlen = 1;
-      message.msg_control = control.data();
-      message.msg_controllen = control.size();
-      const auto count =
-          ::recvmsg(socket_.native_handle(), &message, MSG_CMSG_CLOEXEC | MSG_DONTWAIT);
-      if (count < 0 && errno == EINTR)
-        continue;
-      if (count < 0 && (errno == EAGAIN || errno == EWOULDBLOCK))
-        return wait();
-      ReceivedMessage passed;
-      for (cmsghdr* head = CMSG_FIRSTHDR(&message); count >= 0 && head != nullptr;
-           head = CMSG_NXTHDR(&message, head)) {
-        if (head->cmsg_level != SOL_SOCKET || head->cmsg_type != SCM_RIGHTS)
-          continue;
-        const std::size_t size = (head->cmsg_len - CMSG_LEN(0)) / sizeof(int);
-        for (std::size_t i = 0; i < size; ++i) {
-          int descriptor = -1;
-          std::memcpy(&descriptor, CMSG_DATA(head) + i * sizeof(int), sizeof(int));
-          passed.descriptors.emplace_back(descriptor);
-        }
+      ReceivedMessage message;
+      switch (receive(socket_.native_handle(), message)) {
+        case ReceiveStatus::kNothingYet:
+          return waitForMessage();
+        case ReceiveStatus::kNoResources:
+          return readAfterPause();
+        case ReceiveStatus::kClosed:
+          return leave();
+        case ReceiveStatus::kTruncated:
+          continue;  // of no use; its descriptors close here
+        case ReceiveStatus::kReceived:
+          // First of all: the sender keeps the message until it is acknowledged, and for good if
+          // the acknowledgement does not reach it.
+          if (!acknowledge())
+            return leave();
+          owner_->onMessage_(std::move(message));
       }
-      if (count < 0 && (errno == ENOBUFS || errno == ENOMEM))
-        return readLater();
-      if (count <= 0)
-        return leave();
-      // Cut off, it means nothing; its descriptors close here.
-      if ((message.msg_flags & (MSG_TRUNC | MSG_CTRUNC)) != 0)
-        continue;
-      // Before anything is done with it: whoever sent it keeps it until then, and for good if it
-      // does not hear.
-      if (!acknowledge())
-        return leave();
-      bytes.resize(static_cast<std::size_t>(count));
-      passed.bytes = std::move(bytes);
-      owner_->take_(std::move(passed));
     }
   }
 
-  // Who has ended needs no word and keeps nothing.
+  // True also if the sender has ended: it keeps nothing then.
   bool acknowledge() {
     while (::send(socket_.native_handle(), "", 1, MSG_DONTWAIT | MSG_NOSIGNAL) < 0)
       if (errno != EINTR)
@@ -162,132 +187,126 @@
     owner_->peers_.remove(self);
     close();
   }
-  void readLater() {
-    retry_.expires_after(kRetry);
-    retry_.async_wait([self = shared_from_this()](const boost::system::error_code& error) {
+  void readAfterPause() {
+    readPause_.expires_after(kRetryPause);
+    readPause_.async_wait([self = shared_from_this()](const boost::system::error_code& error) {
       if (!error && self->owner_ != nullptr)
         self->read();
     });
   }
 
-  DescriptorReceiver* owner_;
+  DescriptorReceiver* owner_;  // null once closed
   boost::asio::posix::stream_descriptor socket_;
-  boost::asio::steady_timer retry_;
+  boost::asio::steady_timer readPause_;
 };
 
 DescriptorReceiver::DescriptorReceiver(boost::asio::io_context& io,
                                        std::string folder,
                                        const std::string& name,
-                                       Take take)
+                                       MessageHandler onMessage)
     : io_(io),
       folder_(std::move(folder)),
       name_(name),
-      take_(std::move(take)),
+      onMessage_(std::move(onMessage)),
       listener_(io),
-      retry_(io) {
-  const Address address(folder_, name_);
-  Descriptor socket = newSocket();
-  if (!address.good() || !socket)
-    return;
-  ::unlink((folder_ + "/" + name_).c_str());  // of a process that had this number before
-  if (::bind(socket.get(), address.get(), Address::size()) != 0)
-    return;
-  ::chmod((folder_ + "/" + name_).c_str(), 0600);
-  if (::listen(socket.get(), static_cast<int>(kMostPeers)) != 0)
-    return;
-  listener_.assign(socket.take());
-  accept();
+      acceptPause_(io) {
+  listen();
 }
 
 DescriptorReceiver::~DescriptorReceiver() {
   for (const auto& peer : peers_)
     peer->close();
   if (isOpen())
-    ::unlink((folder_ + "/" + name_).c_str());
+    ::unlink(socketPath().c_str());
+}
+
+void DescriptorReceiver::listen() {
+  const SocketAddress address(folder_, name_);
+  FileDescriptor socket = newSocket();
+  if (!address.valid() || !socket)
+    return;
+  ::unlink(socketPath().c_str());  // left behind by an earlier process with the same number
+  if (::bind(socket.get(), address.get(), SocketAddress::size()) != 0)
+    return;
+  ::chmod(socketPath().c_str(), kOwnerOnly);
+  if (::listen(socket.get(), static_cast<int>(kMaxPeers)) != 0)
+    return;
+  listener_.assign(socket.release());
+  accept();
 }
 
 void DescriptorReceiver::accept() {
   listener_.async_wait(boost::asio::posix::stream_descriptor::wait_read,
                        [this](const boost::system::error_code& error) {
-                         if (error)
-                           return;
-                         acceptOne();
+                         if (!error)
+                           acceptOne();
                        });
 }
 
-// A listener that cannot accept stays ready: without a pause it would keep the loop busy.
 void DescriptorReceiver::acceptOne() {
-  Descriptor socket(
+  FileDescriptor socket(
       ::accept4(listener_.native_handle(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
-  if (!socket && errno != EINTR && errno != EAGAIN && errno != ECONNABORTED) {
-    retry_.expires_after(kRetry);
-    retry_.async_wait([this](const boost::system::error_code& error) {
-      if (!error)
-        accept();
-    });
-    return;
-  }
-  if (socket && peers_.size() < kMostPeers && sameUser(socket.get())) {
-    peers_.push_back(std::make_shared<Peer>(*this, socket.take()));
-    peers_.back()->wait();
+  if (!socket && errno != EINTR && errno != EAGAIN && errno != ECONNABORTED)
+    return acceptAfterPause();
+  if (socket && peers_.size() < kMaxPeers && isSameUser(socket.get())) {
+    peers_.push_back(std::make_shared<Peer>(*this, std::move(socket)));
+    peers_.back()->waitForMessage();
   }
   accept();
 }
 
-// ---- Sending
-// -----------------------------------------------------------------------------------------
+// A listener that cannot accept stays readable: without a pause it would keep the loop busy.
+void DescriptorReceiver::acceptAfterPause() {
+  acceptPause_.expires_after(kRetryPause);
+  acceptPause_.async_wait([this](const boost::system::error_code& error) {
+    if (!error)
+      accept();
+  });
+}
+
+// ---- Sending ----
 
 DescriptorSender::DescriptorSender(const std::string& folder, const std::string& name)
     : socket_(newSocket()) {
-  const Address address(folder, name);
-  if (!socket_ || !address.good() || !connectTo(socket_.get(), address))
-    socket_ = Descriptor();
+  const SocketAddress address(folder, name);
+  if (!socket_ || !address.valid() || !connectTo(socket_.get(), address))
+    socket_ = FileDescriptor();
 }
 
 DescriptorSender::Result DescriptorSender::send(const std::string& bytes,
                                                 const std::vector<int>& descriptors) {
-  if (!isOpen() || bytes.size() > DescriptorReceiver::kLargest ||
-      descriptors.size() > kMostDescriptors)
+  if (!isOpen() || bytes.size() > DescriptorReceiver::kMaxMessageBytes ||
+      descriptors.size() > kMaxDescriptorsPerMessage)
     return Result::kBroken;
   iovec part{const_cast<char*>(bytes.data()), bytes.size()};
-  alignas(cmsghdr) std::array<char, CMSG_SPACE(sizeof(int) * kMostDescriptors)> control{};
+  alignas(cmsghdr) ControlBuffer control{};
   msghdr message{};
   message.msg_iov = &part;
   message.msg_iovlen = 1;
-  if (!descriptors.empty()) {
-    message.msg_control = control.data();
-    message.msg_controllen = CMSG_SPACE(sizeof(int) * descriptors.size());
-    cmsghdr* head = CMSG_FIRSTHDR(&message);
-    head->cmsg_level = SOL_SOCKET;
-    head->cmsg_type = SCM_RIGHTS;
-    head->cmsg_len = CMSG_LEN(sizeof(int) * descriptors.size());
-    std::memcpy(CMSG_DATA(head), descriptors.data(), sizeof(int) * descriptors.size());
-  }
-  while (true) {
-    const auto count = ::sendmsg(socket_.get(), &message, MSG_DONTWAIT | MSG_NOSIGNAL);
-    if (count >= 0)
-      return Result::kSent;
+  attach(descriptors, control, message);
+  while (::sendmsg(socket_.get(), &message, MSG_DONTWAIT | MSG_NOSIGNAL) < 0) {
     if (errno == EINTR)
       continue;
-    // Also too many descriptors on their way: the other process takes them as it gets to run.
+    // ETOOMANYREFS: too many descriptors are under way; the receiver takes them as it gets to run.
     const bool full =
         errno == EAGAIN || errno == EWOULDBLOCK || errno == ENOBUFS || errno == ETOOMANYREFS;
-    return full ? Result::kFull : Result::kBroken;  // what it had taken before can still be read
+    return full ? Result::kFull : Result::kBroken;  // earlier acknowledgements can still be read
   }
+  return Result::kSent;
 }
 
-std::size_t DescriptorSender::taken() {
+std::size_t DescriptorSender::takeAcknowledged() {
   std::size_t count = 0;
-  char word = 0;
+  char acknowledgement = 0;
   while (isOpen()) {
-    const auto got = ::recv(socket_.get(), &word, 1, MSG_DONTWAIT);
-    if (got > 0)
+    const auto received = ::recv(socket_.get(), &acknowledgement, 1, MSG_DONTWAIT);
+    if (received > 0)
       ++count;
-    else if (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK))
+    else if (received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK))
       break;
-    // A reset is told once, and ahead of the words that came before it.
-    else if (got == 0 || (errno != EINTR && errno != ECONNRESET))
-      socket_ = Descriptor();
+    // A reset is reported once, and ahead of the acknowledgements that came before it.
+    else if (received == 0 || (errno != EINTR && errno != ECONNRESET))
+      socket_ = FileDescriptor();
   }
   return count;
 }
--- a/tests/client_departure_test.cpp
+++ b/tests/client_departure_test.cpp
@@ -390,7 +390,7 @@
       app::Handover takes(*next.server, *next.front, *next.listener);
       net::DescriptorReceiver receiver(
           next.io, folder.path, "in",
-          [&](net::ReceivedMessage passed) { takes.take(std::move(passed)); });
+          [&](net::ReceivedMessage passed) { takes.receive(std::move(passed)); });
       app::Handover handover(*site.server, *site.front, *site.listener);
       handover.begin(folder.path, "in");
       for (int i = 0; i < 20 && site.server->counters["streams.handed_over"] == 0; ++i) {
--- a/tests/handover_faults_test.cpp
+++ b/tests/handover_faults_test.cpp
@@ -34,7 +34,7 @@
     }
     std::size_t heard = 0;
     const bool settled = passage.until([&] {
-      heard += passage.sender.taken();
+      heard += passage.sender.takeAcknowledged();
       return heard > 0 || !passage.sender.isOpen();
     });
     EXPECT_TRUE(settled);
--- a/tests/instance_deadline_test.cpp
+++ b/tests/instance_deadline_test.cpp
@@ -166,7 +166,7 @@
   next.pass(2'000);
   app::Handover takes(*next.server, *next.front, *next.listener);
   net::DescriptorReceiver receiver(next.io, folder.path, "in", [&](net::ReceivedMessage passed) {
-    takes.take(std::move(passed));
+    takes.receive(std::move(passed));
   });
   app::Handover handover(*site.server, *site.front, *site.listener);
   handover.begin(folder.path, "in");
--- a/tests/ops_test.cpp
+++ b/tests/ops_test.cpp
@@ -518,7 +518,7 @@
   const pid_t child = ::fork();
   if (child == 0) {
     app::SharedFolder other(folder.path, "n0");
-    const char byte = other.sayServing() ? 'y' : 'n';
+    const char byte = other.announceServing() ? 'y' : 'n';
     if (::write(started[1], &byte, 1) == 1)
       ::pause();
     ::_exit(0);
@@ -526,16 +526,16 @@
   char byte = 0;
   ASSERT_EQ(::read(started[0], &byte, 1), 1);
   EXPECT_EQ(byte, 'y');
-  const auto beside = own.others();
+  const auto beside = own.otherProcesses();
   ASSERT_TRUE(beside);
-  EXPECT_EQ(beside->alive, 1U);
+  EXPECT_EQ(beside->running, 1U);
   EXPECT_EQ(beside->serving, 1U);
-  EXPECT_EQ(beside->receiver, "dahliastall-n0.receiver." + std::to_string(child));
+  EXPECT_EQ(beside->receiverName, "dahliastall-n0.receiver." + std::to_string(child));
   ::kill(child, SIGKILL);
   ::waitpid(child, nullptr, 0);
-  const auto alone = own.others();
+  const auto alone = own.otherProcesses();
   ASSERT_TRUE(alone);
-  EXPECT_EQ(alone->alive, 0U);
+  EXPECT_EQ(alone->running, 0U);
   std::size_t files = 0;
   for ([[maybe_unused]] const auto& entry : std::filesystem::directory_iterator(folder.path))
     ++files;
@@ -560,7 +560,7 @@
   EXPECT_EQ(one.readExclusions().status, Status::kUnchanged);
   app::SharedFolder nowhere(folder.path + "/missing", "n0");
   EXPECT_FALSE(nowhere.join());
-  EXPECT_FALSE(nowhere.others());
+  EXPECT_FALSE(nowhere.otherProcesses());
   EXPECT_FALSE(nowhere.writeExclusions("x"));
 }
 
--- a/tests/unanswered_requests_test.cpp
+++ b/tests/unanswered_requests_test.cpp
@@ -597,7 +597,7 @@
   Folder folder;
   app::Handover takes(*after.server, *after.front, *after.listener);
   net::DescriptorReceiver receiver(after.io, folder.path, "in", [&](net::ReceivedMessage passed) {
-    takes.take(std::move(passed));
+    takes.receive(std::move(passed));
   });
   app::Handover handover(*before.server, *before.front, *before.listener);
   handover.begin(folder.path, "in");
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -98,8 +98,8 @@
   stream.instanceTransfer.event = "data: \xe2\x82";  // half a character
   stream.client.ahead = "POST";
   stream.client.keepAlive = true;
-  const std::string text = app::textOf(stream);
-  const app::HandedStream back = app::handedStreamOf(text);
+  const std::string text = app::encode(stream);
+  const app::HandedStream back = app::decodeHandedStream(text);
   EXPECT_EQ(back.arrival.session, stream.arrival.session);
   EXPECT_EQ(back.arrival.tenant, stream.arrival.tenant);
   EXPECT_EQ(back.instanceTransfer.call.unread, stream.instanceTransfer.call.unread);
@@ -108,7 +108,7 @@
   EXPECT_EQ(back.client.ahead, "POST");
   EXPECT_EQ(back.address, stream.address);
   for (std::size_t cut = 0; cut < text.size(); ++cut)
-    EXPECT_THROW(app::handedStreamOf(text.substr(0, cut)), std::exception);
+    EXPECT_THROW(app::decodeHandedStream(text.substr(0, cut)), std::exception);
 }
 
 TEST(Passing, DescriptorsArriveWithTheirMessageAndFullIsSaidAtOnce) {
@@ -129,7 +129,7 @@
   ASSERT_EQ(::write(taken[0].descriptors[0].get(), "x", 1), 1);
   char byte = 0;
   EXPECT_EQ(::read(pipe[0], &byte, 1), 1);
-  EXPECT_EQ(sender.send(std::string(net::DescriptorReceiver::kLargest + 1, 'x'), {}),
+  EXPECT_EQ(sender.send(std::string(net::DescriptorReceiver::kMaxMessageBytes + 1, 'x'), {}),
             net::DescriptorSender::Result::kBroken);
   int sent = 0;  // nobody reads meanwhile
   while (sent < 10'000 &&
@@ -197,7 +197,7 @@
   handover.begin(site.folder.path, "in");
   while (site.handed() < 3)
     site.pass();
-  EXPECT_EQ(handover.unheard(), 3U);
+  EXPECT_EQ(handover.unacknowledged(), 3U);
   site.endAll();  // while nobody reads it
   site.pass();
   EXPECT_EQ(site.whole(), 0U);
@@ -206,7 +206,7 @@
     site.pass();
     return site.whole() == 3;
   }));
-  EXPECT_EQ(handover.unheard(), 0U);
+  EXPECT_EQ(handover.unacknowledged(), 0U);
   EXPECT_EQ(site.chats(), 3);
 }
 
@@ -217,7 +217,7 @@
   app::Handover takes(*next.server, *next.front, *next.listener);
   net::DescriptorReceiver receiver(
       next.io, site.folder.path, "in",
-      [&](net::ReceivedMessage passed) { takes.take(std::move(passed)); });
+      [&](net::ReceivedMessage passed) { takes.receive(std::move(passed)); });
   app::Handover handover(*site.server, *site.front, *site.listener);
   handover.begin(site.folder.path, "in");
   for (int i = 0; i < 20; ++i)
@@ -228,12 +228,12 @@
     site.pass();
     return site.whole() == 4;
   }));
-  EXPECT_EQ(handover.unheard(), 16U);
+  EXPECT_EQ(handover.unacknowledged(), 16U);
   ASSERT_TRUE(next.until([&] {  // it comes to run, and then the other
     site.pass();
     return site.whole() == 20;
   }));
-  EXPECT_EQ(handover.unheard(), 0U);
+  EXPECT_EQ(handover.unacknowledged(), 0U);
   EXPECT_EQ(next.server->counters["streams.taken_over"], 16U);
 }
 
