--- a/src/app/handover.cpp
+++ b/src/app/handover.cpp
@@ -123,7 +123,7 @@
     return;
   const auto client = front_.connectionOf(key);
   const auto clientState = client ? client->rest() : std::nullopt;
-  const auto instanceState = server_.instanceClient.rest(stream->attempt);
+  const auto instanceState = server_.instanceClient.transferState(stream->attempt);
   const upstream::InstanceEndpoint* known = server_.directory.find(stream->instance);
   if (!clientState || !instanceState || known == nullptr)
     return server_.instanceClient.unpause(stream->attempt);
@@ -138,7 +138,7 @@
     return server_.instanceClient.unpause(stream->attempt);
   sent_.push_back(std::move(kept));
   ++server_.counters["streams.handed_over"];
-  server_.instanceClient.leave(stream->attempt);
+  server_.instanceClient.abandon(stream->attempt);
   front_.leave(*client);
   server_.dispatcher.handedOver(key);
 }
--- a/src/app/server.cpp
+++ b/src/app/server.cpp
@@ -79,11 +79,7 @@
             idleCloseMs * kIdleShare, kAnswerBytes}),
       instanceClient(std::move(dialect),
                      dispatcher,
-                     pool,
-                     directory,
-                     clock,
-                     timers,
-                     counters,
+                     {pool, directory, clock, timers, counters},
                      core::toMs(setup.settings.contract.releaseLimit)),
       signals_(io, SIGTERM, SIGINT, SIGUSR1) {
   for (std::size_t i = 0; i < kOwnDescriptors; ++i)
--- a/src/upstream/http_instance_client.h
+++ b/src/upstream/http_instance_client.h
@@ -1,11 +1,14 @@
-// Speaks to the instances: a request to a prefill instance or decode instance, places, releases and
-// probes. Both fronts use it; a dialect holds what they name differently.
+/// Carries attempts, reservations, releases and health checks to the instances over HTTP. Both
+/// fronts use it; an InstanceProtocol holds what they name differently. Belongs to one thread.
 #pragma once
 
+#include <cstdint>
 #include <functional>
 #include <map>
 #include <memory>
+#include <optional>
 #include <string>
+#include <utility>
 
 #include "core/request_dispatcher.h"
 #include "net/message.h"
@@ -14,100 +17,92 @@
 #include "upstream/owed_release_calls.h"
 #include "upstream/releases.h"
 #include "upstream/reservations.h"
+#include "upstream/timed_call_sink.h"
 
 namespace inference_router::upstream {
 
+/// The names that instances give to what they are sent and send.
 struct InstanceProtocol {
   std::string idHeader;
-  std::string budgetHeader;
-  std::string rejectedHeader;  // marks an answer that proves that the request never ran
-  std::string roomsPath;       // of places and releases, with the slash before the id
+  std::string budgetHeader;    ///< how long the client waits, in milliseconds
+  std::string rejectedHeader;  ///< marks an answer that proves that the request never ran
+  std::string roomsPath;       ///< of reservations and releases, with the slash before the id
   std::string healthPath;
-  net::Fields extra;  // on every message
+  net::Fields extra;  ///< on every message
 };
 
-// What passes on unchanged to whichever instance gets the request.
+/// What is forwarded unchanged to whichever instance gets the request.
 struct ForwardedRequest final : core::Payload {
-  std::string method, target, contentType;
-  net::Fields passed;  // further headers of the client's that go along as they came
+  std::string method;
+  std::string target;
+  std::string contentType;
+  net::Fields passed;  ///< further headers of the client's, as they came
   std::shared_ptr<const std::string> body;
 };
 
 class HttpInstanceClient final : public core::InstanceClient {
  public:
-  HttpInstanceClient(InstanceProtocol dialect,
+  /// Connects itself to the dispatcher. All that it refers to has to outlive it. releaseLimitMs:
+  /// within which everything that instances hold has to be released.
+  HttpInstanceClient(InstanceProtocol protocol,
                      core::RequestDispatcher& dispatcher,
-                     net::ConnectionPool& pool,
-                     InstanceDirectory& directory,
-                     const core::Clock& clock,
-                     core::TimerQueue& timers,
-                     core::Counters& counters,
-                     double releaseWithinMs);
+                     const CallServices& services,
+                     double releaseLimitMs);
   ~HttpInstanceClient() override;
 
+  /// Later settings, which hold for what begins from now on.
+  void reconfigure(InstanceProtocol protocol, double releaseLimitMs);
+
   void start(const core::Dispatch& dispatch) override;
   void abandon(core::AttemptKey attempt) override;
   void resume(core::AttemptKey attempt) override;
   bool hasUnreadResponse(core::AttemptKey attempt) const override;
   void reserve(const routing::RequestId& request,
-                 core::AttemptKey reading,
-                 const routing::InstanceId& instance) override;
+               core::AttemptKey prefill,
+               const routing::InstanceId& instance) override;
   void release(const routing::RequestId& request) override;
   void checkHealth(const routing::InstanceId& instance) override;
 
-  // A stream under way, as it passes from one process to another.
+  /// A stream under way, as it is handed over from one process to another.
   struct TransferState {
     net::Call::TransferState call;
-    std::string event;  // the part of one that has come
+    std::string event;  ///< the part of one that has come
   };
-  // Quiet is called once rest() can be asked for; if it is not handed over then, unpause() has to
-  // follow.
-  void pause(core::AttemptKey attempt, std::function<void()> quiet);
-  std::optional<TransferState> rest(core::AttemptKey attempt);
+  /// Stops reading. onPaused is called once transferState() can be asked for; if the stream is not
+  /// handed over then, unpause() has to follow.
+  void pause(core::AttemptKey attempt, std::function<void()> onPaused);
   void unpause(core::AttemptKey attempt);
-  void leave(core::AttemptKey attempt);  // lets go of a stream that another process has now
+  /// Nothing if the stream cannot be handed over, or is over within a moment.
+  std::optional<TransferState> transferState(core::AttemptKey attempt);
+  /// Goes on with a stream that another process began. False if that is not possible.
   bool adopt(core::AttemptKey attempt,
              const routing::RequestId& request,
              const routing::InstanceId& instance,
              const net::Endpoint& address,
-             const TransferState& rest);
-
-  void reconfigure(InstanceProtocol dialect, double releaseWithinMs) {
-    dialect_ = std::move(dialect);
-    releaseWithinMs_ = releaseWithinMs;
-    releases_.within(releaseWithinMs);
-    owed_.within(releaseWithinMs);
-    reservations_.within(releaseWithinMs);
-  }
+             const TransferState& state);
 
-  std::size_t releasing() const { return releases_.underWay(); }
+  /// How many releases, and reservations that may yet be granted, are in flight.
+  std::size_t releasing() const { return releases_.inFlight(); }
 
  private:
   class AttemptCall;
-  class ProbeCall;
+  class HealthCheckCall;
 
-  std::shared_ptr<AttemptCall> attempt(core::AttemptKey key) const;
-  std::optional<double> heldBackMs(const routing::RequestId& request) const;
-  std::string roomHead(const std::string& method,
-                       const routing::RequestId& request,
-                       const InstanceEndpoint& endpoint) const;
+  std::shared_ptr<AttemptCall> findAttempt(core::AttemptKey key) const;
+  std::optional<double> releaseAllowedFromMs(const routing::RequestId& request) const;
+  std::string reservationHead(const std::string& method,
+                              const routing::RequestId& request,
+                              const InstanceEndpoint& endpoint) const;
   std::string head(const std::string& method,
                    const std::string& target,
                    const InstanceEndpoint& endpoint,
                    net::Fields fields) const;
-  void heard(const routing::InstanceId& instance);
-  void unheard(const routing::InstanceId& instance);
 
-  InstanceProtocol dialect_;
+  InstanceProtocol protocol_;
   core::RequestDispatcher& dispatcher_;
-  net::ConnectionPool& pool_;
-  InstanceDirectory& directory_;
-  const core::Clock& clock_;
-  core::TimerQueue& timers_;
-  core::Counters& counters_;
-  double releaseWithinMs_;
-  std::map<std::uint32_t, std::shared_ptr<AttemptCall>>
-      attempts_;  // by the number of the core's slot
+  CallServices services_;
+  double releaseLimitMs_;
+  std::map<std::uint32_t, std::shared_ptr<AttemptCall>> attempts_;  // by the slot of the key
   Releases releases_;
   OwedReleaseCalls owed_;
   Reservations reservations_;
--- a/src/upstream/instance_directory.cpp
+++ b/src/upstream/instance_directory.cpp
@@ -2,26 +2,27 @@
 
 namespace inference_router::upstream {
 
-void InstanceDirectory::update(const std::map<routing::InstanceId, InstanceEndpoint>& told,
-                               bool whole,
+void InstanceDirectory::update(const std::map<routing::InstanceId, InstanceEndpoint>& listed,
+                               bool complete,
                                net::ConnectionPool& pool) {
-  for (const auto& [id, news] : told) {
+  for (const auto& [id, record] : listed) {
     InstanceEndpoint& endpoint = endpoints_[id];
-    const bool fresh = endpoint.startedMs != news.startedMs || endpoint.address != news.address;
-    if (fresh) {
+    const bool replaced =
+        endpoint.startedMs != record.startedMs || endpoint.address != record.address;
+    if (replaced) {
       pool.dropIdle(endpoint.address);
       endpoint.failedMs = 0;
     }
-    endpoint.address = news.address;
-    endpoint.state = news.state;
-    endpoint.startedMs = news.startedMs;
+    endpoint.address = record.address;
+    endpoint.state = record.state;
+    endpoint.startedMs = record.startedMs;
   }
   std::erase_if(endpoints_, [&](const auto& entry) {
-    const bool gone = entry.second.state == routing::EndpointState::kRemoved ||
-                      (whole && told.count(entry.first) == 0);
-    if (gone)
+    const bool removed = entry.second.state == routing::EndpointState::kRemoved ||
+                         (complete && listed.count(entry.first) == 0);
+    if (removed)
       pool.dropIdle(entry.second.address);
-    return gone;
+    return removed;
   });
 }
 
--- a/src/upstream/instance_directory.h
+++ b/src/upstream/instance_directory.h
@@ -1,37 +1,48 @@
-// Where the instances are and whether they are listed: what the module's names mean on the network.
+/// Where the instances are, whether they are listed, and when they last answered. Belongs to one
+/// thread.
 #pragma once
 
 #include <map>
-#include <string>
-#include <vector>
 
 #include "inference_router/router.h"
 #include "net/pool.h"
 
 namespace inference_router::upstream {
 
+/// What is known of one instance. Times are of core::Clock, in milliseconds; 0: never.
 struct InstanceEndpoint {
   net::Endpoint address;
   routing::EndpointState state = routing::EndpointState::kActive;
   double startedMs = 0;
-  double heardMs = 0;   // when it last answered anything
-  double failedMs = 0;  // when it last could not be reached or did not answer
+  double heardMs = 0;   ///< when it last answered anything
+  double failedMs = 0;  ///< when it last could not be reached or did not answer
 };
 
 class InstanceDirectory {
  public:
+  /// Null if the instance is unknown. Valid until the next update() that removes the instance.
   InstanceEndpoint* find(const routing::InstanceId& instance) {
-    const auto it = endpoints_.find(instance);
-    return it == endpoints_.end() ? nullptr : &it->second;
+    const auto found = endpoints_.find(instance);
+    return found == endpoints_.end() ? nullptr : &found->second;
   }
   std::map<routing::InstanceId, InstanceEndpoint>& all() { return endpoints_; }
 
-  // Takes over what a list names; a whole list names every instance that there is. Connections go
-  // with what they led to: those from before a restart or to an old address would only end as
-  // resets, which may have run for all that is known. Instances that are gone are let go of, or
-  // every replaced instance would stay for good.
-  void update(const std::map<routing::InstanceId, InstanceEndpoint>& told,
-              bool whole,
+  /// The instance has answered something.
+  void recordAnswer(const routing::InstanceId& instance, double nowMs) {
+    if (InstanceEndpoint* endpoint = find(instance))
+      endpoint->heardMs = nowMs;
+  }
+  /// The instance could not be reached or did not answer.
+  void recordFailure(const routing::InstanceId& instance, double nowMs) {
+    if (InstanceEndpoint* endpoint = find(instance))
+      endpoint->failedMs = nowMs;
+  }
+
+  /// Takes in an endpoint list; a complete one names every instance that there is. Idle connections
+  /// to an instance that restarted, moved or was removed are closed: they would only end as resets,
+  /// after which a request may have run for all that is known. Removed instances are forgotten.
+  void update(const std::map<routing::InstanceId, InstanceEndpoint>& listed,
+              bool complete,
               net::ConnectionPool& pool);
 
  private:
--- a/src/upstream/owed_release_calls.cpp
+++ b/src/upstream/owed_release_calls.cpp
@@ -1,6 +1,7 @@
 #include "upstream/owed_release_calls.h"
 
 #include <algorithm>
+#include <optional>
 #include <utility>
 
 namespace inference_router::upstream {
@@ -10,126 +11,106 @@
 
 namespace {
 
-// A call waits so long for an instance that is silent, and then tries another connection: this one
-// may be the only thing that is.
-constexpr double kWaitMs = 500;
-constexpr double kLeastPauseMs = 10;
+// For one call to an instance that is silent. Then another connection is tried: this one may be the
+// only thing that is.
+constexpr double kAnswerLimitMs = 500;
+constexpr double kMinPauseMs = 10;
+constexpr unsigned kAcceptedStatus = 204;
+
+bool isRemoved(const InstanceEndpoint* endpoint) {
+  return endpoint == nullptr || endpoint->state == routing::EndpointState::kRemoved;
+}
 
 }  // namespace
 
-class OwedReleaseCalls::Sink final : public net::CallSink {
+class OwedReleaseCalls::Sink final : public TimedCallSink {
  public:
-  Sink(OwedReleaseCalls& owner, std::uint64_t number, OwedReleases::Release release)
+  Sink(OwedReleaseCalls& owner, CallNumber number, OwedReleases::Release release)
       : owner_(owner), number_(number), release_(std::move(release)) {}
-  void head(const net::ResponseHead& head) override { accepted_ = head.result_int() == 204; }
+
+  void head(const net::ResponseHead& head) override {
+    accepted_ = head.result_int() == kAcceptedStatus;
+  }
   void done() override { owner_.ended(number_, release_, accepted_); }
   void failed(net::CallFailure) override { owner_.ended(number_, release_, false); }
 
  private:
+  void timedOut() override { owner_.ended(number_, release_, false); }
+
   OwedReleaseCalls& owner_;
-  std::uint64_t number_;
+  CallNumber number_;
   OwedReleases::Release release_;
   bool accepted_ = false;
 };
 
-OwedReleaseCalls::OwedReleaseCalls(net::ConnectionPool& pool,
-                                   InstanceDirectory& directory,
-                                   const core::Clock& clock,
-                                   core::TimerQueue& timers,
-                                   core::Counters& counters,
-                                   double withinMs,
-                                   Head head)
-    : pool_(pool),
-      directory_(directory),
-      clock_(clock),
-      timers_(timers),
-      counters_(counters),
-      head_(std::move(head)),
-      owed_(withinMs / 2) {}
+OwedReleaseCalls::OwedReleaseCalls(const CallServices& services, double releaseLimitMs, Head head)
+    : services_(services), head_(std::move(head)), owed_(releaseLimitMs / 2) {}
 
 // A call and its sink hold each other while it runs.
 OwedReleaseCalls::~OwedReleaseCalls() {
-  timers_.cancel(next_);
-  for (auto& [number, sent] : sent_) {
-    timers_.cancel(sent.limit);
-    if (sent.call)
-      sent.call->abandon();
-  }
+  for (const auto& [number, call] : calls_)
+    call->abandon();
 }
 
 void OwedReleaseCalls::owe(const InstanceId& instance, const RequestId& request) {
-  const InstanceEndpoint* endpoint = directory_.find(instance);
-  if (endpoint == nullptr || endpoint->state == routing::EndpointState::kRemoved)
+  const InstanceEndpoint* endpoint = services_.directory.find(instance);
+  if (isRemoved(endpoint))
     return;
-  ++counters_["releases.owed"];
+  ++services_.counters["releases.owed"];
   startedMs_.try_emplace(instance, endpoint->startedMs);
-  owed_.owe(instance, request, clock_.nowMs());
-  step();
+  owed_.owe(instance, request, services_.clock.nowMs());
+  sendDue();
 }
 
-// What is gone or has started anew holds nothing of before.
+// An instance that was removed or has restarted holds nothing of before.
 void OwedReleaseCalls::forgetReplaced() {
   std::erase_if(startedMs_, [this](const auto& entry) {
-    const InstanceEndpoint* endpoint = directory_.find(entry.first);
-    const bool gone = endpoint == nullptr || endpoint->state == routing::EndpointState::kRemoved;
-    const bool replaced = gone || endpoint->startedMs != entry.second;
+    const auto& [instance, startedMs] = entry;
+    const InstanceEndpoint* endpoint = services_.directory.find(instance);
+    const bool replaced = isRemoved(endpoint) || endpoint->startedMs != startedMs;
     if (replaced)
-      owed_.forget(entry.first);
+      owed_.forget(instance);
     return replaced;
   });
 }
 
-void OwedReleaseCalls::step() {
-  timers_.cancel(next_);
+void OwedReleaseCalls::sendDue() {
+  next_.cancel();
   forgetReplaced();
-  const double now = clock_.nowMs();
-  for (const auto& release : owed_.due(now))
+  for (const auto& release : owed_.due(services_.clock.nowMs()))
     send(release);
-  stepAt(owed_.nextMs());
+  scheduleNext();
 }
 
-void OwedReleaseCalls::stepAt(std::optional<double> atMs) {
-  timers_.cancel(next_);
-  if (!atMs)
+void OwedReleaseCalls::scheduleNext() {
+  next_.cancel();
+  const std::optional<double> dueMs = owed_.nextMs();
+  if (!dueMs)
     return;
-  next_ = timers_.add(std::max(*atMs, clock_.nowMs() + kLeastPauseMs), [this] {
-    next_.reset();
-    step();
-  });
+  const double atMs = std::max(*dueMs, services_.clock.nowMs() + kMinPauseMs);
+  next_ = services_.timers.schedule(atMs, [this] { sendDue(); });
 }
 
 void OwedReleaseCalls::send(const OwedReleases::Release& release) {
-  const InstanceEndpoint& endpoint = *directory_.find(release.instance);
-  const std::uint64_t number = ++calls_;
+  const InstanceEndpoint& endpoint = *services_.directory.find(release.instance);
+  const CallNumber number = ++lastNumber_;
   const auto sink = std::make_shared<Sink>(*this, number, release);
-  sent_[number].limit = timers_.add(clock_.nowMs() + kWaitMs, [this, number, release] {
-    const auto it = sent_.find(number);
-    if (it == sent_.end())
-      return;
-    it->second.limit.reset();
-    if (it->second.call)
-      it->second.call->abandon();
-    ended(number, release, false);
-  });
-  const auto call = pool_.call(endpoint.address, head_(release.request, endpoint), nullptr, sink,
-                               net::ConnectionPool::Urgency::kFirst);
-  if (const auto it = sent_.find(number); it != sent_.end())
-    it->second.call = call;
+  const auto call =
+      TimedCallSink::start(services_, endpoint.address, head_(release.request, endpoint), sink,
+                           net::ConnectionPool::Urgency::kFirst, kAnswerLimitMs);
+  if (call->state() != net::Call::State::kOver)
+    calls_[number] = call;
 }
 
-void OwedReleaseCalls::ended(std::uint64_t number,
+void OwedReleaseCalls::ended(CallNumber number,
                              const OwedReleases::Release& release,
                              bool accepted) {
-  const auto it = sent_.find(number);
-  if (it != sent_.end()) {
-    timers_.cancel(it->second.limit);
-    sent_.erase(it);
-  }
+  calls_.erase(number);
   if (accepted)
-    owed_.accepted(release, clock_.nowMs());
+    owed_.accepted(release, services_.clock.nowMs());
   else
-    owed_.failed(release, clock_.nowMs());
-  stepAt(owed_.nextMs());
+    owed_.failed(release, services_.clock.nowMs());
+  scheduleNext();
 }
 
 }  // namespace inference_router::upstream
--- a/src/upstream/owed_release_calls.h
+++ b/src/upstream/owed_release_calls.h
@@ -1,19 +1,18 @@
-/// Carries the releases that are owed to single instances; when they are due is
-/// OwedReleases'.
+/// Carries the releases that are owed to single instances. When they are due is decided by
+/// OwedReleases. Belongs to one thread.
 #pragma once
 
+#include <cstdint>
 #include <functional>
 #include <map>
 #include <memory>
-#include <optional>
 #include <string>
 
-#include "core/clock.h"
-#include "core/counters.h"
 #include "core/timer_queue.h"
 #include "net/pool.h"
 #include "upstream/instance_directory.h"
 #include "upstream/owed_releases.h"
+#include "upstream/timed_call_sink.h"
 
 namespace inference_router::upstream {
 
@@ -22,46 +21,34 @@
   /// The head of the message that releases a request.
   using Head = std::function<std::string(const routing::RequestId&, const InstanceEndpoint&)>;
 
-  OwedReleaseCalls(net::ConnectionPool& pool,
-                   InstanceDirectory& directory,
-                   const core::Clock& clock,
-                   core::TimerQueue& timers,
-                   core::Counters& counters,
-                   double withinMs,
-                   Head head);
+  /// releaseLimitMs: within which everything has to be released.
+  OwedReleaseCalls(const CallServices& services, double releaseLimitMs, Head head);
   ~OwedReleaseCalls();
   OwedReleaseCalls(const OwedReleaseCalls&) = delete;
   OwedReleaseCalls& operator=(const OwedReleaseCalls&) = delete;
 
   /// A call for the request was written to the instance and given up without an answer.
   void owe(const routing::InstanceId& instance, const routing::RequestId& request);
-  void within(double ms) { owed_.apart(ms / 2); }
-  std::size_t size() const { return owed_.size(); }
+  void setReleaseLimit(double ms) { owed_.setInterval(ms / 2); }
 
  private:
   class Sink;
-  struct Sent {
-    std::shared_ptr<net::Call> call;
-    std::optional<core::TimerQueue::Key> limit;
-  };
+  using CallNumber = std::uint64_t;
 
-  void step();
-  void stepAt(std::optional<double> atMs);
+  void sendDue();
+  void scheduleNext();
   void send(const OwedReleases::Release& release);
-  void ended(std::uint64_t number, const OwedReleases::Release& release, bool accepted);
+  void ended(CallNumber number, const OwedReleases::Release& release, bool accepted);
   void forgetReplaced();
 
-  net::ConnectionPool& pool_;
-  InstanceDirectory& directory_;
-  const core::Clock& clock_;
-  core::TimerQueue& timers_;
-  core::Counters& counters_;
+  CallServices services_;
   Head head_;
   OwedReleases owed_;
-  std::map<routing::InstanceId, double> startedMs_;  // of instances that are owed any, as told then
-  std::map<std::uint64_t, Sent> sent_;
-  std::optional<core::TimerQueue::Key> next_;
-  std::uint64_t calls_ = 0;
+  /// When the instances that are owed any had started, as listed at the time.
+  std::map<routing::InstanceId, double> startedMs_;
+  std::map<CallNumber, std::shared_ptr<net::Call>> calls_;  // in flight
+  core::Timer next_;
+  CallNumber lastNumber_ = 0;
 };
 
 }  // namespace inference_router::upstream
--- a/src/upstream/owed_releases.cpp
+++ b/src/upstream/owed_releases.cpp
@@ -8,75 +8,76 @@
 using routing::RequestId;
 
 void OwedReleases::owe(const InstanceId& instance, const RequestId& request, double nowMs) {
-  instances_[instance].entries[request] = Entry{.sinceMs = nowMs, .dueMs = nowMs};
-  if (size() > kMost)
+  instances_[instance].entries[request] = Entry{.owedSinceMs = nowMs, .dueMs = nowMs};
+  if (size() > kMaxOwed)
     dropOldest();
 }
 
-// How many more may be sent to it now.
-std::size_t OwedReleases::room(const Instance& instance) {
-  const std::size_t most = instance.answers ? kMostSent : 1;
-  const auto sent =
-      static_cast<std::size_t>(std::count_if(instance.entries.begin(), instance.entries.end(),
-                                             [](const auto& entry) { return entry.second.sent; }));
-  return most - std::min(most, sent);
+// How many more may be sent to the instance now.
+std::size_t OwedReleases::capacity(const Instance& instance) {
+  const std::size_t maxInFlight = instance.answers ? kMaxInFlight : 1;
+  const auto isInFlight = [](const auto& entry) { return entry.second.inFlight; };
+  const auto inFlight = static_cast<std::size_t>(
+      std::count_if(instance.entries.begin(), instance.entries.end(), isInFlight));
+  return maxInFlight - std::min(maxInFlight, inFlight);
 }
 
 std::vector<OwedReleases::Release> OwedReleases::due(double nowMs) {
   expire(nowMs);
-  std::vector<Release> found;
+  std::vector<Release> releases;
   for (auto& [id, instance] : instances_) {
-    std::size_t left = nowMs < instance.resumesMs ? 0 : room(instance);
+    std::size_t left = nowMs < instance.resumesMs ? 0 : capacity(instance);
     for (auto& [request, entry] : instance.entries) {
-      if (left == 0 || entry.sent || nowMs < entry.dueMs)
+      if (left == 0 || entry.inFlight || nowMs < entry.dueMs)
         continue;
-      entry.sent = true;
+      entry.inFlight = true;
       --left;
-      found.push_back({id, request});
+      releases.push_back({.instance = id, .request = request});
     }
   }
-  return found;
+  return releases;
 }
 
 void OwedReleases::accepted(const Release& release, double nowMs) {
-  const auto at = instances_.find(release.instance);
-  if (at == instances_.end())
+  const auto found = instances_.find(release.instance);
+  if (found == instances_.end())
     return;
-  Instance& instance = at->second;
+  Instance& instance = found->second;
   instance.answers = true;
   const auto entry = instance.entries.find(release.request);
-  if (entry == instance.entries.end() || !entry->second.sent)
+  if (entry == instance.entries.end() || !entry->second.inFlight)
     return;
-  entry->second.sent = false;
-  entry->second.dueMs = nowMs + apartMs_;
-  if (++entry->second.acceptances < kAcceptances)
+  entry->second.inFlight = false;
+  entry->second.dueMs = nowMs + intervalMs_;
+  if (++entry->second.acceptances < kMinAcceptances)
     return;
   instance.entries.erase(entry);
   if (instance.entries.empty())
-    instances_.erase(at);
+    instances_.erase(found);
 }
 
 void OwedReleases::failed(const Release& release, double nowMs) {
-  const auto at = instances_.find(release.instance);
-  if (at == instances_.end())
+  const auto found = instances_.find(release.instance);
+  if (found == instances_.end())
     return;
-  at->second.answers = false;
-  at->second.resumesMs = nowMs + kAgainMs;
-  const auto entry = at->second.entries.find(release.request);
-  if (entry == at->second.entries.end())
+  Instance& instance = found->second;
+  instance.answers = false;
+  instance.resumesMs = nowMs + kRetryDelayMs;
+  const auto entry = instance.entries.find(release.request);
+  if (entry == instance.entries.end())
     return;
-  entry->second.sent = false;
+  entry->second.inFlight = false;
   entry->second.dueMs = nowMs;
 }
 
 std::optional<double> OwedReleases::nextMs() const {
   std::optional<double> next;
   for (const auto& [id, instance] : instances_) {
-    if (room(instance) == 0)
+    if (capacity(instance) == 0)
       continue;
     for (const auto& [request, entry] : instance.entries) {
       const double dueMs = std::max(entry.dueMs, instance.resumesMs);
-      if (!entry.sent)
+      if (!entry.inFlight)
         next = std::min(next.value_or(dueMs), dueMs);
     }
   }
@@ -90,32 +91,29 @@
   return count;
 }
 
-std::vector<InstanceId> OwedReleases::instances() const {
-  std::vector<InstanceId> found;
-  for (const auto& [id, instance] : instances_)
-    found.push_back(id);
-  return found;
-}
-
 void OwedReleases::dropOldest() {
-  auto oldest = instances_.end();
-  std::map<RequestId, Entry>::iterator entry;
-  for (auto at = instances_.begin(); at != instances_.end(); ++at)
-    for (auto it = at->second.entries.begin(); it != at->second.entries.end(); ++it)
-      if (oldest == instances_.end() || it->second.sinceMs < entry->second.sinceMs) {
-        oldest = at;
-        entry = it;
-      }
-  oldest->second.entries.erase(entry);
-  if (oldest->second.entries.empty())
-    instances_.erase(oldest);
-  ++dropped_;
+  auto owner = instances_.end();
+  std::map<RequestId, Entry>::iterator oldest;
+  for (auto instance = instances_.begin(); instance != instances_.end(); ++instance) {
+    auto& entries = instance->second.entries;
+    for (auto entry = entries.begin(); entry != entries.end(); ++entry) {
+      if (owner != instances_.end() && entry->second.owedSinceMs >= oldest->second.owedSinceMs)
+        continue;
+      owner = instance;
+      oldest = entry;
+    }
+  }
+  owner->second.entries.erase(oldest);
+  if (owner->second.entries.empty())
+    instances_.erase(owner);
 }
 
 void OwedReleases::expire(double nowMs) {
+  const auto isExpired = [nowMs](const auto& entry) {
+    return nowMs - entry.second.owedSinceMs > kMaxAgeMs;
+  };
   for (auto& [id, instance] : instances_)
-    std::erase_if(instance.entries,
-                  [nowMs](const auto& entry) { return nowMs - entry.second.sinceMs > kForgetMs; });
+    std::erase_if(instance.entries, isExpired);
   std::erase_if(instances_, [](const auto& entry) { return entry.second.entries.empty(); });
 }
 
--- a/src/upstream/release_retry.h
+++ b/src/upstream/release_retry.h
@@ -1,6 +1,6 @@
-// When to retry the release of what instances hold for a request, and how many instances to ask. An
-// instance forwards a release to all others, so one that can be reached is enough. No I/O; times in
-// milliseconds.
+/// When to retry the release of what instances hold for a request, and how many instances to ask.
+/// An instance forwards a release to all others, so one that can be reached is enough. No I/O;
+/// times in milliseconds.
 #pragma once
 
 #include <algorithm>
@@ -8,77 +8,88 @@
 
 namespace inference_router::upstream {
 
-// The release of one request, in rounds. A round asks one instance, then doubles the number with
-// each wave until one answers. The close of an attempt, a reservation and the release travel on
-// different connections, so a prefill may still end, or a reservation be granted, after a round.
-// Hence there are at least two rounds, and more while a reservation is neither granted nor refused.
+/// The release of one request, in rounds. A round asks one instance, then doubles the number with
+/// each wave until one answers. The close of an attempt, a reservation and the release travel on
+/// different connections, so a prefill may still end, or a reservation be granted, after a round.
+/// Hence there are at least two rounds, and more while a reservation is neither granted nor
+/// refused.
 class ReleaseRetry {
  public:
-  static constexpr double kWaveMs = 40;        // without an answer until the next wave
-  static constexpr std::size_t kMostOut = 16;  // calls in flight
-  static constexpr double kGiveUpMs = 5'000;   // per round
-  static constexpr int kRounds = 2;
+  static constexpr double kWaveMs = 40;            ///< without an answer until the next wave
+  static constexpr std::size_t kMaxInFlight = 16;  ///< calls of one release
+  static constexpr double kGiveUpMs = 5'000;       ///< per round
+  static constexpr int kMinRounds = 2;
 
-  // withinMs: the time within which everything has to be released; half of it passes between two
-  // rounds.
-  ReleaseRetry(double nowMs, double withinMs)
-      : beganMs_(nowMs), waveMs_(nowMs), settleMs_(withinMs / 2) {}
+  /// releaseLimitMs: within which everything has to be released; half of it passes between two
+  /// rounds.
+  ReleaseRetry(double nowMs, double releaseLimitMs)
+      : roundBeganMs_(nowMs), nextWaveMs_(nowMs), roundIntervalMs_(releaseLimitMs / 2) {}
 
-  // How many more instances to ask now; out: calls of this release in flight.
-  std::size_t due(double nowMs, std::size_t out) {
-    if (over(nowMs) || settling() || nowMs < waveMs_)
+  /// How many more instances to ask now. Begins a wave if that is above 0.
+  std::size_t due(double nowMs, std::size_t inFlight) {
+    if (over(nowMs) || betweenRounds() || nowMs < nextWaveMs_)
       return 0;
-    const std::size_t wanted = std::min(wave_, kMostOut - std::min(out, kMostOut));
-    wave_ = std::min(wave_ * 2, kMostOut);
-    waveMs_ = nowMs + kWaveMs;
+    const std::size_t wanted = std::min(waveSize_, kMaxInFlight - std::min(inFlight, kMaxInFlight));
+    waveSize_ = std::min(waveSize_ * 2, kMaxInFlight);
+    nextWaveMs_ = nowMs + kWaveMs;
     return wanted;
   }
 
-  // An instance accepted the release; open: a reservation is still undecided.
-  void taken(double nowMs, bool open) {
-    if (settling() || done())
+  /// An instance accepted the release, which ends the round. reservationOpen: a reservation is
+  /// neither granted nor refused.
+  void accepted(double nowMs, bool reservationOpen) {
+    if (betweenRounds() || complete())
       return;
-    ++taken_;
-    rounds_ = std::max(rounds_ - 1, open ? 1 : 0);
-    if (rounds_ > 0)
-      wait(nowMs + settleMs_);
+    ++roundsAccepted_;
+    roundsLeft_ = std::max(roundsLeft_ - 1, reservationOpen ? 1 : 0);
+    if (roundsLeft_ > 0)
+      delayRoundUntil(nowMs + roundIntervalMs_);
   }
-  // Begins the next round if it is due.
-  void go(double nowMs) {
-    if (!settling() || nowMs < nextMs())
+  /// Begins the next round if it is due.
+  void beginRound(double nowMs) {
+    if (!betweenRounds() || nowMs < nextMs())
       return;
-    settling_ = false;
-    wave_ = 1;
-    beganMs_ = waveMs_ = nowMs;
+    betweenRounds_ = false;
+    waveSize_ = 1;
+    roundBeganMs_ = nextWaveMs_ = nowMs;
   }
-  // The undecided reservation was decided: the current round may have been too early, so another
-  // one follows; a round that was delayed only for the reservation begins now.
-  void closed(double nowMs) {
-    if (!settling())
-      rounds_ = std::max(rounds_, 2);
-    else if (taken_ >= kRounds)
-      wait(nowMs);
+  /// The open reservation was granted or refused: the current round may have been too early, so
+  /// another one follows; a round that was delayed only for the reservation begins now.
+  void reservationSettled(double nowMs) {
+    if (!betweenRounds())
+      roundsLeft_ = std::max(roundsLeft_, 2);
+    else if (roundsAccepted_ >= kMinRounds)
+      delayRoundUntil(nowMs);
   }
-  // Delays the next round until this time.
-  void wait(double untilMs) {
-    settling_ = true;
-    settledMs_ = untilMs;
+  /// Ends the current round and delays the next one until this time.
+  void delayRoundUntil(double untilMs) {
+    betweenRounds_ = true;
+    nextRoundMs_ = untilMs;
   }
-  // The instance that was asked last cannot be reached: the next wave begins at once.
-  void failed(double nowMs) { waveMs_ = nowMs; }
-  // Begins again, as an instance may hold something new.
-  void restart(double nowMs) { *this = ReleaseRetry(nowMs, settleMs_ * 2); }
+  /// The instance that was asked last cannot be reached: the next wave begins at once.
+  void callFailed(double nowMs) { nextWaveMs_ = nowMs; }
+  /// Begins from the first round, as an instance may hold something new.
+  void restart(double nowMs) { *this = ReleaseRetry(nowMs, roundIntervalMs_ * 2); }
 
-  bool settling() const { return settling_; }
-  bool over(double nowMs) const { return done() || (!settling() && nowMs - beganMs_ >= kGiveUpMs); }
-  bool done() const { return rounds_ == 0; }
-  double nextMs() const { return settling_ ? settledMs_ : waveMs_; }
+  bool betweenRounds() const { return betweenRounds_; }
+  /// Whether the release is complete or given up.
+  bool over(double nowMs) const {
+    return complete() || (!betweenRounds() && nowMs - roundBeganMs_ >= kGiveUpMs);
+  }
+  /// Whether all rounds are accepted.
+  bool complete() const { return roundsLeft_ == 0; }
+  /// When the next wave or round is due.
+  double nextMs() const { return betweenRounds_ ? nextRoundMs_ : nextWaveMs_; }
 
  private:
-  double beganMs_, waveMs_, settleMs_, settledMs_ = 0;
-  bool settling_ = false;
-  std::size_t wave_ = 1;
-  int rounds_ = kRounds, taken_ = 0;  // rounds that remain, and rounds accepted
+  double roundBeganMs_;
+  double nextWaveMs_;
+  double roundIntervalMs_;
+  double nextRoundMs_ = 0;
+  bool betweenRounds_ = false;
+  std::size_t waveSize_ = 1;
+  int roundsLeft_ = kMinRounds;
+  int roundsAccepted_ = 0;
 };
 
 }  // namespace inference_router::upstream
--- a/src/upstream/reservations.cpp
+++ b/src/upstream/reservations.cpp
@@ -12,13 +12,15 @@
 
 namespace {
 
-constexpr double kAnswerMs = 1000;  // an instance answers within 0.3 s, or is silent
-constexpr unsigned kGranted = 200, kUnknown = 204, kNothingDone = 404, kRefused = 409;
+constexpr double kAnswerLimitMs = 1000;  // an instance answers within 0.3 s, or is silent
+constexpr unsigned kGrantedStatus = 200;
+constexpr unsigned kUnavailableStatus = 404;
+constexpr unsigned kRefusedStatus = 409;
 
 ReservationLease::Answer answerOf(unsigned status) {
-  if (status == kGranted)
+  if (status == kGrantedStatus)
     return ReservationLease::Answer::kGranted;
-  if (status == kRefused || status == kNothingDone)
+  if (status == kRefusedStatus || status == kUnavailableStatus)
     return ReservationLease::Answer::kRefused;
   return ReservationLease::Answer::kUnknown;
 }
@@ -26,10 +28,11 @@
 }  // namespace
 
 // One call, the first or a renewal.
-class Reservations::Sink final : public net::CallSink {
+class Reservations::Sink final : public TimedCallSink {
  public:
   Sink(Reservations& owner, Number number, InstanceId instance)
       : owner_(owner), number_(number), instance_(std::move(instance)) {}
+
   bool ready() override { return owner_.wanted(number_); }
   void written() override {
     written_ = true;
@@ -37,14 +40,15 @@
   }
   void head(const net::ResponseHead& head) override {
     status_ = head.result_int();
-    if (InstanceEndpoint* endpoint = owner_.directory_.find(instance_))
-      endpoint->heardMs = owner_.clock_.nowMs();
+    const CallServices& services = owner_.services_;
+    services.directory.recordAnswer(instance_, services.clock.nowMs());
   }
   void done() override { owner_.answered(number_, status_); }
   void failed(net::CallFailure) override { owner_.unanswered(number_, written_); }
-  bool isWritten() const { return written_; }
 
  private:
+  void timedOut() override { owner_.timedOut(number_, written_); }
+
   Reservations& owner_;
   Number number_;
   InstanceId instance_;
@@ -52,105 +56,96 @@
   bool written_ = false;
 };
 
-Reservations::Reservations(core::RequestDispatcher& dispatcher,
-                           net::ConnectionPool& pool,
-                           InstanceDirectory& directory,
-                           const core::Clock& clock,
-                           core::TimerQueue& timers,
-                           core::Counters& counters,
+Reservations::Reservations(const CallServices& services,
+                           core::RequestDispatcher& dispatcher,
                            Releases& releases,
                            OwedReleaseCalls& owed,
-                           double withinMs,
+                           double releaseLimitMs,
                            Head head,
-                           PrefillIsOut prefillIsOut)
-    : dispatcher_(dispatcher),
-      pool_(pool),
-      directory_(directory),
-      clock_(clock),
-      timers_(timers),
-      counters_(counters),
+                           PrefillInFlight prefillInFlight)
+    : services_(services),
+      dispatcher_(dispatcher),
       releases_(releases),
       owed_(owed),
-      withinMs_(withinMs),
+      releaseLimitMs_(releaseLimitMs),
       head_(std::move(head)),
-      prefillIsOut_(std::move(prefillIsOut)) {}
+      prefillInFlight_(std::move(prefillInFlight)) {}
 
 // A call and its sink hold each other while it runs.
 Reservations::~Reservations() {
-  for (auto& [number, reservation] : reservations_) {
-    timers_.cancel(reservation.next);
-    timers_.cancel(reservation.limit);
+  for (auto& [number, reservation] : reservations_)
     if (reservation.call)
       reservation.call->abandon();
-  }
 }
 
-void Reservations::ask(const RequestId& request,
-                       core::AttemptKey prefill,
-                       const InstanceId& instance) {
-  if (directory_.find(instance) == nullptr)
+void Reservations::reserve(const RequestId& request,
+                           core::AttemptKey prefill,
+                           const InstanceId& instance) {
+  if (services_.directory.find(instance) == nullptr)
     return;
-  const Number number = ++numbers_;
-  reservations_.try_emplace(number, request, prefill, instance, withinMs_);
+  const Number number = ++lastNumber_;
+  reservations_.try_emplace(number, request, prefill, instance, releaseLimitMs_);
   send(number);
 }
 
 void Reservations::send(Number number) {
   Reservation& reservation = reservations_.at(number);
-  const InstanceEndpoint* endpoint = directory_.find(reservation.instance);
+  const InstanceEndpoint* endpoint = services_.directory.find(reservation.instance);
   if (endpoint == nullptr)
     return unanswered(number, /*written=*/false);
   const auto urgency = reservation.renewed ? net::ConnectionPool::Urgency::kFirst
                                            : net::ConnectionPool::Urgency::kInTurn;
   const std::string head = head_(reservation.request, *endpoint);
   const auto sink = std::make_shared<Sink>(*this, number, reservation.instance);
-  releases_.placeAsked(reservation.request);
+  releases_.reservationSent(reservation.request);
   reservation.sink = sink;
-  reservation.limit = timers_.add(clock_.nowMs() + kAnswerMs, [this, number] { giveUp(number); });
-  const auto call = pool_.call(endpoint->address, head, nullptr, sink, urgency);
-  const auto it = reservations_.find(number);
-  if (it != reservations_.end() && it->second.sink == sink)
-    it->second.call = call;
+  const auto call =
+      TimedCallSink::start(services_, endpoint->address, head, sink, urgency, kAnswerLimitMs);
+  const auto found = reservations_.find(number);
+  if (found != reservations_.end() && found->second.sink == sink)
+    found->second.call = call;
 }
 
-// After its prefill has ended, or its client has left, a reservation would only be held for
+// After its prefill has ended, or its client has disconnected, a reservation would only be held for
 // nothing.
 bool Reservations::wanted(Number number) const {
-  const auto it = reservations_.find(number);
-  if (it == reservations_.end())
+  const auto found = reservations_.find(number);
+  if (found == reservations_.end())
     return false;
-  const Reservation& reservation = it->second;
-  return prefillIsOut_(reservation.prefill) && dispatcher_.mayReserve(reservation.instance) &&
+  const Reservation& reservation = found->second;
+  return prefillInFlight_(reservation.prefill) && dispatcher_.mayReserve(reservation.instance) &&
          dispatcher_.attemptIsWanted(reservation.prefill);
 }
 
 void Reservations::written(Number number) {
-  const auto it = reservations_.find(number);
-  if (it == reservations_.end())
+  const auto found = reservations_.find(number);
+  if (found == reservations_.end())
     return;
-  it->second.askedMs = clock_.nowMs();
-  it->second.lease.asked(clock_.nowMs());
-  step(number);
+  const double nowMs = services_.clock.nowMs();
+  found->second.requestedMs = nowMs;
+  found->second.lease.requested(nowMs);
+  advance(number);
 }
 
 void Reservations::answered(Number number, unsigned status) {
-  ++counters_["places.answered"];
+  ++services_.counters["places.answered"];
   Reservation& reservation = reservations_.at(number);
-  const bool first = !reservation.renewed;
-  if (!first)
-    ++counters_["places.renewed." + std::to_string(status)];
+  const bool renewed = reservation.renewed;
+  if (renewed)
+    ++services_.counters["places.renewed." + std::to_string(status)];
   const core::AttemptKey prefill = reservation.prefill;
   const InstanceId instance = reservation.instance;
   const RequestId request = reservation.request;
-  reservation.lease.answered(answerOf(status));
-  settle(number);
+  const ReservationLease::Answer answer = answerOf(status);
+  reservation.lease.answered(answer);
+  callEnded(number);
   // A grant that comes once the request streams, or is over, is taken by nobody.
-  if (status == kGranted && dispatcher_.needsNoHeldState(request))
+  if (answer == ReservationLease::Answer::kGranted && dispatcher_.needsNoHeldState(request))
     releases_.release(request);
-  // 204: not known. A place may be held, and a note that none is would be a guess.
-  if (status == kGranted && first)
+  // Nothing is reported on an unknown answer: there may be a reservation.
+  if (answer == ReservationLease::Answer::kGranted && !renewed)
     dispatcher_.reservationAnswered(prefill, instance, true);
-  if (answerOf(status) == ReservationLease::Answer::kRefused)
+  if (answer == ReservationLease::Answer::kRefused)
     dispatcher_.reservationAnswered(prefill, instance, false);
 }
 
@@ -159,106 +154,94 @@
   if (written)
     reservation.lease.answered(ReservationLease::Answer::kNone);
   else
-    reservation.lease.notAsked();
-  settle(number);
+    reservation.lease.requestFailed();
+  callEnded(number);
 }
 
 // The instance may still read the call once it goes on: the release of what it grants then is owed
 // to it.
-void Reservations::giveUp(Number number) {
-  Reservation& reservation = reservations_.at(number);
-  reservation.limit.reset();
-  const bool written = reservation.sink->isWritten();
-  if (reservation.call)
-    reservation.call->abandon();
+void Reservations::timedOut(Number number, bool written) {
+  const Reservation& reservation = reservations_.at(number);
   if (written)
     owed_.owe(reservation.instance, reservation.request);
   unanswered(number, written);
 }
 
-// A call is over.
-void Reservations::settle(Number number) {
+void Reservations::callEnded(Number number) {
   Reservation& reservation = reservations_.at(number);
-  timers_.cancel(reservation.limit);
-  if (!std::exchange(reservation.sink, nullptr))
-    return step(number);
-  reservation.call = nullptr;
-  releases_.placeSettled(reservation.request);
-  step(number);
+  const bool wasInFlight = std::exchange(reservation.sink, nullptr) != nullptr;
+  if (wasInFlight) {
+    reservation.call = nullptr;
+    releases_.reservationSettled(reservation.request);
+  }
+  advance(number);
 }
 
-// The one place in which a reservation moves on: asks again, is released, or ends.
-void Reservations::step(Number number) {
-  const auto it = reservations_.find(number);
-  if (it == reservations_.end())
+// The one place in which a reservation moves on: is renewed, is released, or ends.
+void Reservations::advance(Number number) {
+  const auto found = reservations_.find(number);
+  if (found == reservations_.end())
     return;
-  Reservation& reservation = it->second;
-  timers_.cancel(reservation.next);
-  const double now = clock_.nowMs();
-  switch (reservation.lease.due(now)) {
+  Reservation& reservation = found->second;
+  reservation.next.cancel();
+  const double nowMs = services_.clock.nowMs();
+  switch (reservation.lease.due(nowMs)) {
     case ReservationLease::Step::kRelease:
-      reservation.lease.releasing(now);
+      reservation.lease.releasing(nowMs);
       release(reservation);
       break;
     case ReservationLease::Step::kRenew:
       reservation.lease.renewing();
       reservation.renewed = true;
       send(number);
-      return step(number);
+      return advance(number);
     case ReservationLease::Step::kNone:
       break;
   }
-  if (reservation.lease.over() && !reservation.sink)
-    return close(number);
-  if (const auto at = reservation.lease.nextMs())
-    reservation.next = timers_.add(*at, [this, number] {
-      const auto due = reservations_.find(number);
-      if (due == reservations_.end())
-        return;
-      due->second.next.reset();
-      step(number);
-    });
+  if (reservation.lease.over() && !reservation.sink) {
+    reservations_.erase(number);
+    return;
+  }
+  if (const auto dueMs = reservation.lease.nextMs())
+    reservation.next = services_.timers.schedule(*dueMs, [this, number] { advance(number); });
 }
 
-// It may be held, and its prefill may never have reached its instance: nothing tells of either, and
-// while no attempt is out at an instance the time of what is held goes on.
+// The reservation may be held, and its prefill may never have reached its instance: nothing tells
+// of either, and while no attempt is in flight at an instance the time of what is held goes on.
 void Reservations::release(Reservation& reservation) {
-  ++counters_["places.doubtful"];
-  if (!std::exchange(reservation.doubted, true))
-    dispatcher_.note("reservation in doubt: request " + reservation.request.value + " at " +
-                     reservation.instance.value + ", asked " +
-                     std::to_string(std::lround(clock_.nowMs() - reservation.askedMs)) + " ms ago" +
-                     (reservation.renewed ? ", granted before" : ""));
+  ++services_.counters["places.doubtful"];
+  if (!std::exchange(reservation.logged, true))
+    logDoubt(reservation);
   if (dispatcher_.needsNoHeldState(reservation.request))
     releases_.release(reservation.request);
   else
     releases_.releaseBeside(reservation.request);
 }
 
-void Reservations::close(Number number) {
-  Reservation& reservation = reservations_.at(number);
-  timers_.cancel(reservation.next);
-  timers_.cancel(reservation.limit);
-  reservations_.erase(number);
+void Reservations::logDoubt(const Reservation& reservation) const {
+  const long askedMsAgo = std::lround(services_.clock.nowMs() - reservation.requestedMs);
+  dispatcher_.note("reservation in doubt: request " + reservation.request.value + " at " +
+                   reservation.instance.value + ", asked " + std::to_string(askedMsAgo) +
+                   " ms ago" + (reservation.renewed ? ", granted before" : ""));
 }
 
 void Reservations::prefillEnded(core::AttemptKey prefill) {
   std::vector<Number> ended;
-  for (auto& [number, reservation] : reservations_)
+  for (const auto& [number, reservation] : reservations_)
     if (reservation.prefill == prefill)
       ended.push_back(number);
   for (const Number number : ended) {
     reservations_.at(number).lease.prefillEnded();
-    step(number);
+    advance(number);
   }
 }
 
 double Reservations::coversUntilMs(const RequestId& request) const {
-  double until = 0;
+  double untilMs = 0;
   for (const auto& [number, reservation] : reservations_)
     if (reservation.request == request)
-      until = std::max(until, reservation.lease.coversUntilMs());
-  return until;
+      untilMs = std::max(untilMs, reservation.lease.coversUntilMs());
+  return untilMs;
 }
 
 }  // namespace inference_router::upstream
--- a/src/upstream/reservations.h
+++ b/src/upstream/reservations.h
@@ -1,16 +1,15 @@
 /// Carries the calls for reservations at decode instances, and renews what was granted while the
-/// prefill is out. When to renew and when to release is ReservationLease's.
+/// prefill is in flight. When to renew and when to release is decided by ReservationLease. Belongs
+/// to one thread.
 #pragma once
 
 #include <cstdint>
 #include <functional>
 #include <map>
 #include <memory>
-#include <optional>
 #include <string>
+#include <utility>
 
-#include "core/clock.h"
-#include "core/counters.h"
 #include "core/request_dispatcher.h"
 #include "core/timer_queue.h"
 #include "net/pool.h"
@@ -18,6 +17,7 @@
 #include "upstream/owed_release_calls.h"
 #include "upstream/releases.h"
 #include "upstream/reservation_lease.h"
+#include "upstream/timed_call_sink.h"
 
 namespace inference_router::upstream {
 
@@ -25,31 +25,29 @@
  public:
   /// The head of the message that asks for a reservation.
   using Head = std::function<std::string(const routing::RequestId&, const InstanceEndpoint&)>;
-  using PrefillIsOut = std::function<bool(core::AttemptKey)>;
+  using PrefillInFlight = std::function<bool(core::AttemptKey)>;
 
-  Reservations(core::RequestDispatcher& dispatcher,
-               net::ConnectionPool& pool,
-               InstanceDirectory& directory,
-               const core::Clock& clock,
-               core::TimerQueue& timers,
-               core::Counters& counters,
+  /// releaseLimitMs: within which everything has to be released.
+  Reservations(const CallServices& services,
+               core::RequestDispatcher& dispatcher,
                Releases& releases,
                OwedReleaseCalls& owed,
-               double withinMs,
+               double releaseLimitMs,
                Head head,
-               PrefillIsOut prefillIsOut);
+               PrefillInFlight prefillInFlight);
   ~Reservations();
   Reservations(const Reservations&) = delete;
   Reservations& operator=(const Reservations&) = delete;
 
-  /// Asks an instance to hold a place for the request whose prefill has just been written.
-  void ask(const routing::RequestId& request,
-           core::AttemptKey prefill,
-           const routing::InstanceId& instance);
+  /// Asks an instance for a reservation for the request whose prefill has just been written.
+  void reserve(const routing::RequestId& request,
+               core::AttemptKey prefill,
+               const routing::InstanceId& instance);
   void prefillEnded(core::AttemptKey prefill);
-  /// Until when a release beside the request's prefill could take a reservation that it waits for.
+  /// Until when a release beside the request's prefill could take a reservation that it waits for;
+  /// 0 if there is none.
   double coversUntilMs(const routing::RequestId& request) const;
-  void within(double ms) { withinMs_ = ms; }
+  void setReleaseLimit(double ms) { releaseLimitMs_ = ms; }
 
  private:
   class Sink;
@@ -58,20 +56,21 @@
     Reservation(routing::RequestId request,
                 core::AttemptKey prefill,
                 routing::InstanceId instance,
-                double withinMs)
+                double releaseLimitMs)
         : request(std::move(request)),
           prefill(prefill),
           instance(std::move(instance)),
-          lease(withinMs) {}
+          lease(releaseLimitMs) {}
     routing::RequestId request;
     core::AttemptKey prefill;
     routing::InstanceId instance;
     ReservationLease lease;
-    double askedMs = 0;  // the last call was written
-    bool renewed = false, doubted = false;
-    std::shared_ptr<Sink> sink;  // of the call that is out
+    double requestedMs = 0;  // when the last call was written
+    bool renewed = false;
+    bool logged = false;         // as one in doubt
+    std::shared_ptr<Sink> sink;  // of the call in flight
     std::shared_ptr<net::Call> call;
-    std::optional<core::TimerQueue::Key> next, limit;
+    core::Timer next;
   };
 
   void send(Number number);
@@ -79,25 +78,21 @@
   void written(Number number);
   void answered(Number number, unsigned status);
   void unanswered(Number number, bool written);
-  void giveUp(Number number);
-  void settle(Number number);
-  void step(Number number);
+  void timedOut(Number number, bool written);
+  void callEnded(Number number);
+  void advance(Number number);
   void release(Reservation& reservation);
-  void close(Number number);
+  void logDoubt(const Reservation& reservation) const;
 
+  CallServices services_;
   core::RequestDispatcher& dispatcher_;
-  net::ConnectionPool& pool_;
-  InstanceDirectory& directory_;
-  const core::Clock& clock_;
-  core::TimerQueue& timers_;
-  core::Counters& counters_;
   Releases& releases_;
   OwedReleaseCalls& owed_;
-  double withinMs_;
+  double releaseLimitMs_;
   Head head_;
-  PrefillIsOut prefillIsOut_;
+  PrefillInFlight prefillInFlight_;
   std::map<Number, Reservation> reservations_;
-  Number numbers_ = 0;
+  Number lastNumber_ = 0;
 };
 
 }  // namespace inference_router::upstream
--- a/src/upstream/usage_reader.h
+++ b/src/upstream/usage_reader.h
@@ -1,8 +1,9 @@
-// Finds how much of a prompt was found kept in what an instance answers, without holding or parsing
-// the stream.
+/// Finds in an instance's response how many tokens of the prompt it had cached, without keeping or
+/// parsing the stream.
 #pragma once
 
 #include <cctype>
+#include <cstddef>
 #include <string>
 #include <string_view>
 
@@ -10,20 +11,22 @@
 
 class UsageReader {
  public:
-  void see(std::string_view part) {
-    tail_.append(part.size() > kTail ? part.substr(part.size() - kTail) : part);
-    if (tail_.size() > 2 * kTail)
-      tail_.erase(0, tail_.size() - kTail);
+  /// Adds a part of the response.
+  void push(std::string_view part) {
+    tail_.append(part.size() > kTailBytes ? part.substr(part.size() - kTailBytes) : part);
+    if (tail_.size() > 2 * kTailBytes)
+      tail_.erase(0, tail_.size() - kTailBytes);
   }
 
-  // The last "cached_tokens" seen; the field stands in the final events.
+  /// The value of the last "cached_tokens" field; 0 if there is none. The field stands in the final
+  /// events.
   double cachedTokens() const {
     constexpr std::string_view kField = "\"cached_tokens\":";
-    const std::size_t at = tail_.rfind(kField);
-    if (at == std::string::npos)
+    const std::size_t field = tail_.rfind(kField);
+    if (field == std::string::npos)
       return 0;
     double value = 0;
-    for (std::size_t i = at + kField.size(); i < tail_.size(); ++i) {
+    for (std::size_t i = field + kField.size(); i < tail_.size(); ++i) {
       if (tail_[i] == ' ')
         continue;
       if (std::isdigit(static_cast<unsigned char>(tail_[i])) == 0)
@@ -34,8 +37,9 @@
   }
 
  private:
-  static constexpr std::size_t kTail = 1024;
-  std::string tail_;
+  static constexpr std::size_t kTailBytes = 1024;
+
+  std::string tail_;  // of the response; at most twice kTailBytes
 };
 
 }  // namespace inference_router::upstream
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -12,45 +12,45 @@
 // --------------------------------------------------------------------
 
 TEST(ReleaseRetry, AsksTwiceAsManyEachTimeAndASecondTimeOnceAnswered) {
-  upstream::ReleaseRetry course(1'000, 300);
+  upstream::ReleaseRetry retry(1'000, 300);
   std::size_t out = 0;
   std::vector<std::size_t> asked;
   for (double now = 1'000; now < 1'200; now += upstream::ReleaseRetry::kWaveMs)
-    asked.push_back(course.due(now, out)), out += asked.back();
+    asked.push_back(retry.due(now, out)), out += asked.back();
   EXPECT_EQ(asked,
             (std::vector<std::size_t>{1, 2, 4, 8, 1}));  // sixteen without an answer at the most
-  course.taken(1'200, false);
-  EXPECT_TRUE(course.settling());
-  course.go(1'300);
-  EXPECT_EQ(course.due(1'300, 0), 0U);
-  EXPECT_EQ(course.nextMs(), 1'350);
-  course.go(course.nextMs());
-  EXPECT_EQ(course.due(1'350, 0), 1U);
-  course.taken(1'351, false);
-  EXPECT_TRUE(course.done());
-  upstream::ReleaseRetry unheard(0, 300);
-  EXPECT_FALSE(unheard.over(upstream::ReleaseRetry::kGiveUpMs - 1));
-  EXPECT_TRUE(unheard.over(upstream::ReleaseRetry::kGiveUpMs));
+  retry.accepted(1'200, false);
+  EXPECT_TRUE(retry.betweenRounds());
+  retry.beginRound(1'300);
+  EXPECT_EQ(retry.due(1'300, 0), 0U);
+  EXPECT_EQ(retry.nextMs(), 1'350);
+  retry.beginRound(retry.nextMs());
+  EXPECT_EQ(retry.due(1'350, 0), 1U);
+  retry.accepted(1'351, false);
+  EXPECT_TRUE(retry.complete());
+  upstream::ReleaseRetry unanswered(0, 300);
+  EXPECT_FALSE(unanswered.over(upstream::ReleaseRetry::kGiveUpMs - 1));
+  EXPECT_TRUE(unanswered.over(upstream::ReleaseRetry::kGiveUpMs));
 }
 
 // While something may yet come to be held there is another round; what is decided during one makes
 // it too early.
 TEST(ReleaseRetry, GoesOnWhileSomethingIsOpen) {
-  upstream::ReleaseRetry course(0, 300);
+  upstream::ReleaseRetry retry(0, 300);
   for (int i = 0; i < 5; ++i) {
-    course.go(i * 150);
-    EXPECT_EQ(course.due(i * 150, 0), 1U) << i;
-    course.taken(i * 150, true);
+    retry.beginRound(i * 150);
+    EXPECT_EQ(retry.due(i * 150, 0), 1U) << i;
+    retry.accepted(i * 150, true);
   }
-  course.go(750);
-  course.closed(751);
-  course.taken(752, false);
-  EXPECT_FALSE(course.done());
-  course.closed(760);  // put off for this alone
-  EXPECT_EQ(course.nextMs(), 760);
-  course.go(760);
-  course.taken(761, false);
-  EXPECT_TRUE(course.done());
+  retry.beginRound(750);
+  retry.reservationSettled(751);
+  retry.accepted(752, false);
+  EXPECT_FALSE(retry.complete());
+  retry.reservationSettled(760);  // put off for this alone
+  EXPECT_EQ(retry.nextMs(), 760);
+  retry.beginRound(760);
+  retry.accepted(761, false);
+  EXPECT_TRUE(retry.complete());
 }
 
 constexpr double kSettleMs = 150;  // half of the site's releaseMs
--- a/tests/fronts_test.cpp
+++ b/tests/fronts_test.cpp
@@ -555,8 +555,10 @@
   core::RequestDispatcher dispatcher{setup.settings, 7, clock, timers, counters};
   net::ConnectionPool pool{io, clock, timers, counters, {10, 250, 18'000}};
   upstream::InstanceDirectory directory;
-  upstream::HttpInstanceClient instances{
-      frontend::platformDialect(), dispatcher, pool, directory, clock, timers, counters, 300};
+  upstream::HttpInstanceClient instances{frontend::platformDialect(),
+                                         dispatcher,
+                                         {pool, directory, clock, timers, counters},
+                                         300};
   frontend::Discovery discovery{io,       clock,       timers,
                                 counters, dispatcher,  directory,
                                 pool,     setup.names, fleet::DiscoveryBackoff(2, 7)};
--- a/tests/held_state_test.cpp
+++ b/tests/held_state_test.cpp
@@ -87,7 +87,7 @@
   Message message;
   double releaseMs = HUGE_VAL;
   const auto ask = [&](double nowMs) {
-    lease.asked(nowMs);
+    lease.requested(nowMs);
     message = {.underWay = course.lostCalls.count(calls++) == 0, .atMs = nowMs + course.wayMs};
   };
   ask(0);
@@ -166,7 +166,7 @@
 
 TEST(ReservationLease, OfAShortPrefillIsAskedForOnce) {
   ReservationLease lease(kWithinMs);
-  lease.asked(0);
+  lease.requested(0);
   lease.answered(Answer::kGranted);
   EXPECT_EQ(lease.due(400), Step::kNone);
   lease.prefillEnded();
@@ -176,7 +176,7 @@
 
 TEST(ReservationLease, ThatIsRefusedAtOnceNeedsNoRelease) {
   ReservationLease lease(kWithinMs);
-  lease.asked(0);
+  lease.requested(0);
   lease.answered(Answer::kRefused);
   EXPECT_TRUE(lease.over());
   EXPECT_EQ(lease.due(10'000), Step::kNone);
@@ -185,18 +185,18 @@
 // The instance may have given the old reservation up for the new one, or not.
 TEST(ReservationLease, WhoseRenewalIsRefusedIsReleased) {
   ReservationLease lease(kWithinMs);
-  lease.asked(0);
+  lease.requested(0);
   lease.answered(Answer::kGranted);
   ASSERT_EQ(lease.due(*lease.nextMs()), Step::kRenew);
   lease.renewing();
-  lease.asked(*lease.nextMs());
+  lease.requested(*lease.nextMs());
   lease.answered(Answer::kRefused);
   EXPECT_EQ(lease.due(0), Step::kRelease);
 }
 
 TEST(ReservationLease, ThatIsGrantedLateCoversThePrefillAgain) {
   ReservationLease lease(kWithinMs);
-  lease.asked(0);
+  lease.requested(0);
   ASSERT_EQ(lease.due(kWithinMs), Step::kRelease);
   lease.releasing(kWithinMs);
   EXPECT_EQ(lease.coversUntilMs(), 0);
@@ -222,7 +222,7 @@
   EXPECT_TRUE(owed.due(1'000).empty());
   owed.failed(first.front(), 1'000);
   EXPECT_TRUE(owed.due(1'000).empty());
-  EXPECT_EQ(owed.due(1'000 + OwedReleases::kAgainMs).size(), 1U);
+  EXPECT_EQ(owed.due(1'000 + OwedReleases::kRetryDelayMs).size(), 1U);
 }
 
 // An instance that goes on may read the release before the call that it is owed for.
@@ -251,7 +251,7 @@
   owed.forget(kInstance);
   EXPECT_EQ(owed.size(), 0U);
   owed.owe(kInstance, requestOf(2), 0);
-  EXPECT_TRUE(owed.due(OwedReleases::kForgetMs + 1).empty());
+  EXPECT_TRUE(owed.due(OwedReleases::kMaxAgeMs + 1).empty());
   EXPECT_EQ(owed.size(), 0U);
 }
 
@@ -275,7 +275,7 @@
       owed.failed(out.back(), now);
     if (!out.empty() && (step == 1 || step == 2))
       out.pop_back();
-    RC_ASSERT(owed.size() <= OwedReleases::kMost);
+    RC_ASSERT(owed.size() <= OwedReleases::kMaxOwed);
   }
   for (int rounds = 0; owed.size() > 0 && rounds < 20'000; ++rounds) {
     now += 60;
