--- a/src/app/handover.cpp
+++ b/src/app/handover.cpp
@@ -62,7 +62,7 @@
     return;
   const auto client = front_.connectionOf(key);
   const auto clientState = client ? client->rest() : std::nullopt;
-  const auto instanceState = server_.instanceClient.rest(stream->attempt);
+  const auto instanceState = server_.instanceClient.transferState(stream->attempt);
   const upstream::InstanceEndpoint* endpoint = server_.directory.find(stream->instance);
   if (!clientState || !instanceState || endpoint == nullptr)
     return server_.instanceClient.unpause(stream->attempt);
@@ -77,7 +77,7 @@
   if (!sendToSuccessor(std::move(message)))
     return server_.instanceClient.unpause(stream->attempt);
   ++server_.counters["streams.handed_over"];
-  server_.instanceClient.leave(stream->attempt);
+  server_.instanceClient.abandon(stream->attempt);
   front_.leave(*client);
   server_.dispatcher.handedOver(key);
 }
