--- a/src/app/coordinator.cpp
+++ b/src/app/coordinator.cpp
@@ -5,6 +5,7 @@
 #include <charconv>
 
 #include "app/fleet_instances.h"
+#include "coordination/etcd_store.h"
 #include "coordination/sqlite_store.h"
 
 namespace inference_router::app {
@@ -14,7 +15,7 @@
 
 namespace {
 
-static_assert(control::kLongestPlanLine >= Plan::kMaxInstances * (Plan::kLongestWord + 1));
+static_assert(control::kLongestPlanLine >= Plan::kMaxInstances * (Plan::kMaxWordBytes + 1));
 constexpr int kTries = 3;       // to write an operator's word, if others write at the same moment
 constexpr double kTurnMs = 20;  // between looks whether all is let go of
 constexpr std::size_t kBeats =
@@ -77,7 +78,7 @@
       const auto [end, fault] = std::from_chars(word.data() + 4, word.data() + word.size(), number);
       if (fault != std::errc() || end != word.data() + word.size())
         throw std::invalid_argument("rev is a whole number");
-      command.seen = number;
+      command.expectedRevision = number;
     } else if (word == "confirm") {
       command.confirm = true;
     } else {
@@ -107,15 +108,15 @@
              owner.who_,
              owner.seed_,
              setup.lease,
-             setup.watchMs) {
+             setup.pollIntervalMs) {
   runner.add(
       std::make_unique<Maintenance>(setup.maintenance, [&owner] { return owner.instances(); }));
   runner.add(std::make_unique<Cleanup>(setup.cleanup));
   if (owner.sharedState_ == nullptr)
     return;
-  runner.add(owner.sharedState_->task(setup.lease.longestStepMs));
+  runner.add(owner.sharedState_->task(setup.lease.maxStepMs));
   // With a digest to go by, nobody but holders needs to read what all others say.
-  runner.needs([&owner] {
+  runner.readOnly([&owner] {
     std::vector<std::string> keys = owner.sharedState_->keys();
     keys.insert(keys.end(), {kPlanKey, kNodePrefix + owner.who_.name});
     return keys;
@@ -146,14 +147,14 @@
   if (sharedState_ != nullptr)
     sharedState_->carriedBy(nullptr);
   run_ = nullptr;
-  presence_ = OwnPresence(who_, setup.maintenance.silentNodeMs / kBeats);
+  presence_ = PresencePublisher(who_, setup.maintenance.silentNodeMs / kBeats);
   run_ = std::make_unique<Run>(*this, std::move(setup));
   spdlog::info("coordination: {} is {} in {}", who_.name, who_.incarnation,
                run_->store->describe());
   run_->runner.onView([this](const View& view, bool whole) { saw(view, whole); });
   if (sharedState_ != nullptr)
-    sharedState_->carriedBy([this](Write write, std::function<void(CommitAnswer)> answer) {
-      run_->store->put(std::move(write), std::move(answer));
+    sharedState_->carriedBy([this](Write write, std::function<void(CommitResponse)> answer) {
+      run_->store->write(std::move(write), std::move(answer));
     });
   if (resigned_)
     run_->runner.resign();
@@ -173,7 +174,7 @@
     return;
   const auto turn = [this](const auto& again) -> void {
     turn_.reset();
-    if (run_->runner.out())
+    if (run_->runner.fullyReleased())
       return begin(*std::exchange(coming_, std::nullopt));
     turn_ = server_.timers.add(server_.clock.nowMs() + kTurnMs, [again] { again(again); });
   };
@@ -191,17 +192,17 @@
   resigned_ = false;
   if (sharedState_ != nullptr)
     sharedState_->leave(false);
-  if (!presence_.rivalled())
-    run_->runner.again();
+  if (!presence_.nameConflict())
+    run_->runner.rejoin();
 }
 
 bool Coordinator::out() const {
-  return run_->runner.out();
+  return run_->runner.fullyReleased();
 }
 
 void Coordinator::saw(const View& view, bool whole) {
-  presence_.read(view.docs, server_.clock.nowMs());
-  if (presence_.rivalled() && !std::exchange(saidRival_, true)) {
+  presence_.onRead(view.documents, server_.clock.nowMs());
+  if (presence_.nameConflict() && !std::exchange(saidRival_, true)) {
     spdlog::error(
         "coordination: another conductor has the name {}; this one holds no leases any more",
         who_.name);
@@ -209,11 +210,11 @@
     run_->runner.resign();
   }
   std::size_t nodes = 0;
-  for (const auto& [key, doc] : view.docs)
+  for (const auto& [key, document] : view.documents)
     nodes += key.rfind(kNodePrefix, 0) == 0;
   if (!whole)
     nodes = sharedState_->nodes();
-  run_->runner.candidates(std::max<std::size_t>(1, nodes));
+  run_->runner.setCandidateCount(std::max<std::size_t>(1, nodes));
   if (sharedState_ != nullptr)
     sharedState_->saw(view);
   apply(view);
@@ -224,9 +225,9 @@
 // steps are behind those that were carried out comes from a store that went back, or from nobody
 // who may write it.
 void Coordinator::apply(const View& view) {
-  const auto stored = view.docs.find(kPlanKey);
-  auto plan = stored == view.docs.end() ? std::nullopt : Plan::parse(stored->second.value);
-  if (stored != view.docs.end() && !plan) {
+  const auto stored = view.documents.find(kPlanKey);
+  auto plan = stored == view.documents.end() ? std::nullopt : Plan::parse(stored->second.value);
+  if (stored != view.documents.end() && !plan) {
     ++server_.counters["coordination.unreadable"];
     return;
   }
@@ -266,12 +267,12 @@
       if (const std::size_t open = server_.dispatcher.openAt({instance}); open > 0)
         now.open[instance] = open;
   }
-  const auto write = presence_.next(now, server_.clock.nowMs());
+  const auto write = presence_.nextWrite(now, server_.clock.nowMs());
   if (!write)
     return;
-  run_->store->put(*write, [this, alive = alive_](CommitAnswer answer) {
+  run_->store->write(*write, [this, alive = alive_](CommitResponse answer) {
     if (*alive)
-      presence_.written(answer, server_.clock.nowMs());
+      presence_.onWritten(answer, server_.clock.nowMs());
   });
 }
 
@@ -280,16 +281,16 @@
 }
 
 std::string Coordinator::plan() const {
-  if (!run_->runner.hears() && !plan_)
+  if (!run_->runner.storeReadable() && !plan_)
     return "plan unknown: the store is not read\n";
   if (!plan_)
     return "plan none\n";
-  const auto stored = run_->runner.view().docs.find(kPlanKey);
+  const auto stored = run_->runner.view().documents.find(kPlanKey);
   std::string text =
       fmt::format("plan {} state={} by={} revision={} steps={} fence={}{}\n", plan_->id,
                   coordination::nameOf(plan_->state), plan_->by,
-                  stored == run_->runner.view().docs.end() ? 0 : stored->second.revision,
-                  plan_->steps, plan_->fence, run_->runner.hears() ? "" : " as last heard");
+                  stored == run_->runner.view().documents.end() ? 0 : stored->second.revision,
+                  plan_->steps, plan_->fence, run_->runner.storeReadable() ? "" : " as last heard");
   for (const PlanItem& item : plan_->items)
     text += fmt::format("item {} {} at_step={} why=\"{}\"\n", item.instance,
                         coordination::nameOf(item.state), item.changed, item.why);
@@ -307,35 +308,35 @@
 
 // Decided on what the store has now, not on what was read some time ago.
 void Coordinator::command(PlanCommand asked, int tries, std::function<void(Service::Done)> reply) {
-  run_->store->list([this, alive = alive_, asked, tries, reply](const Listing& all) {
+  run_->store->readAll([this, alive = alive_, asked, tries, reply](const ReadResponse& all) {
     if (!*alive)
       return;
     if (!all.ok)
-      return reply({false, "the store cannot be read: " + all.why});
-    const PlanAnswer answer = decide(asked, {all.docs, all.revision, server_.clock.nowMs()},
-                                     instances(), core::unixNowMs());
-    if (!answer.problem.empty())
-      return reply({false, answer.problem});
+      return reply({false, "the store cannot be read: " + all.error});
+    const PlanDecision answer = decide(asked, {all.documents, all.revision, server_.clock.nowMs()},
+                                       instances(), core::unixNowMs());
+    if (!answer.error.empty())
+      return reply({false, answer.error});
     if (!answer.write)
-      return reply({true, answer.said});
-    run_->store->put(
-        *answer.write, [this, alive = alive_, asked, tries, reply, answer](CommitAnswer done) {
-          if (!*alive)
-            return;
-          if (done.how == Committed::kDone) {
-            spdlog::info("maintenance: {} says: {}", asked.by, answer.said);
-            run_->runner.refresh();
-            return reply({true, answer.said + ", revision " + std::to_string(done.revision)});
-          }
-          if (done.how == Committed::kConflict && tries > 1)
-            return command(asked, tries - 1, reply);
-          reply({false, done.how == Committed::kConflict
-                            ? "others write at the same time: look and say it again"
-                        : done.how == Committed::kRefused
-                            ? "the store takes no such plan"
-                            : "the store did not answer: it may be written or not, look with "
-                              "`maintenance show`"});
-        });
+      return reply({true, answer.confirmation});
+    run_->store->write(*answer.write, [this, alive = alive_, asked, tries, reply,
+                                       answer](CommitResponse done) {
+      if (!*alive)
+        return;
+      if (done.status == CommitStatus::kDone) {
+        spdlog::info("maintenance: {} says: {}", asked.by, answer.confirmation);
+        run_->runner.refresh();
+        return reply({true, answer.confirmation + ", revision " + std::to_string(done.revision)});
+      }
+      if (done.status == CommitStatus::kConflict && tries > 1)
+        return command(asked, tries - 1, reply);
+      reply({false, done.status == CommitStatus::kConflict
+                        ? "others write at the same time: look and say it again"
+                    : done.status == CommitStatus::kRefused
+                        ? "the store takes no such plan"
+                        : "the store did not answer: it may be written or not, look with "
+                          "`maintenance show`"});
+    });
   });
 }
 
--- a/src/app/coordinator.h
+++ b/src/app/coordinator.h
@@ -11,6 +11,8 @@
 #include "app/server.h"
 #include "app/shared_state_service.h"
 #include "control/commands.h"
+#include "coordination/plan_commands.h"
+#include "coordination/presence.h"
 #include "coordination/runner.h"
 #include "coordination/setup.h"
 
@@ -61,7 +63,7 @@
   SharedStateService* sharedState_;
   coordination::Holder who_;
   std::uint64_t seed_;
-  coordination::OwnPresence presence_;
+  coordination::PresencePublisher presence_;
   std::optional<coordination::Plan> plan_;  // as it was last heard and believed
   std::optional<coordination::Setup> coming_;
   bool resigned_ = false, saidRival_ = false, saidBack_ = false;
--- a/src/app/fleet_instances.h
+++ b/src/app/fleet_instances.h
@@ -7,7 +7,7 @@
 #include <random>
 
 #include "app/server.h"
-#include "coordination/maintenance.h"
+#include "coordination/fleet_instance.h"
 
 namespace inference_router::app {
 
--- a/src/app/shared_state_service.cpp
+++ b/src/app/shared_state_service.cpp
@@ -42,9 +42,9 @@
   node_.reconfigure(setup_.config);
 }
 
-std::unique_ptr<coordination::FleetTask> SharedStateService::task(double longestStepMs) {
+std::unique_ptr<coordination::FleetTask> SharedStateService::task(double maxStepMs) {
   auto task = std::make_unique<DigestTask>(
-      coordination::TaskConfig{"digest", setup_.config.digestMs, longestStepMs, /*quiet=*/true},
+      coordination::TaskConfig{"digest", setup_.config.digestMs, maxStepMs, /*quiet=*/true},
       [this] { return setup_.config; }, [] { return core::unixNowMs(); });
   task_ = task.get();
   return task;
@@ -54,7 +54,7 @@
 // ------------------------------------------------------------------------------------------
 
 void SharedStateService::saw(const coordination::View& view) {
-  node_.read(view.docs, view.readMs, server_.clock.nowMs());
+  node_.read(view.documents, view.readMs, server_.clock.nowMs());
 }
 
 void SharedStateService::tick() {
@@ -72,7 +72,7 @@
   const auto write = node_.next(core::unixNowMs(), now);
   if (!write)
     return;
-  put_(*write, [this, alive = alive_](coordination::CommitAnswer answer) {
+  put_(*write, [this, alive = alive_](coordination::CommitResponse answer) {
     if (*alive)
       node_.written(answer, server_.clock.nowMs());
   });
--- a/src/app/shared_state_service.h
+++ b/src/app/shared_state_service.h
@@ -20,7 +20,7 @@
 class SharedStateService final : public frontend::TokenMeter {
  public:
   using Put =
-      std::function<void(coordination::Write, std::function<void(coordination::CommitAnswer)>)>;
+      std::function<void(coordination::Write, std::function<void(coordination::CommitResponse)>)>;
 
   SharedStateService(Server& server,
                      const routing::wire::Setup& site,
@@ -35,7 +35,7 @@
   void leave(bool leaving) { node_.leave(leaving); }
 
   // The task that makes the digest, for the router that holds its lease.
-  std::unique_ptr<coordination::FleetTask> task(double longestStepMs);
+  std::unique_ptr<coordination::FleetTask> task(double maxStepMs);
   std::vector<std::string> keys() const { return node_.keys(); }
   std::size_t nodes() const { return node_.nodes(); }
   void saw(const coordination::View& view);
--- a/src/coordination/cleanup.cpp
+++ b/src/coordination/cleanup.cpp
@@ -6,26 +6,28 @@
 namespace inference_router::coordination {
 
 std::optional<Step> Cleanup::next(const View& view, std::uint64_t, double nowMs) {
-  // Who did not look for a while, as a holder that was stopped, knows nothing of what has happened
-  // since.
-  if (nowMs - lookedMs_ > config_.goneMs / 2)
-    seen_.forget([](const std::string&) { return true; });
-  lookedMs_ = nowMs;
-  seen_.forget([&](const std::string& key) { return view.docs.count(key) == 0; });
-  for (const auto& [key, doc] : view.docs) {
-    const bool node = key.rfind(kNodePrefix, 0) == 0;
-    bool ended = false;
-    if (key == kPlanKey) {
-      const auto plan = Plan::parse(doc.value);
-      ended = plan && plan->over();
-    }
-    if (!node && !ended)
+  // A holder that was suspended knows nothing of what has happened meanwhile.
+  if (nowMs - lastCallMs_ > config_.goneMs / 2)
+    ages_.forgetIf([](const std::string&) { return true; });
+  lastCallMs_ = nowMs;
+  ages_.forgetIf([&](const std::string& key) { return view.documents.count(key) == 0; });
+  for (const auto& [key, document] : view.documents) {
+    const auto retention = retentionMs(key, document);
+    if (!retention || ages_.unchangedMs(key, document.revision, nowMs) < *retention)
       continue;
-    if (seen_.forMs(key, doc.revision, nowMs) < (node ? config_.goneMs : config_.planMs))
-      continue;
-    return Step{"removing " + key, {{key, doc.revision, std::nullopt}}};
+    return Step{"removing " + key, {{key, document.revision, std::nullopt}}};
   }
   return std::nullopt;
 }
 
+/// How long the document may stay unchanged; nothing if it is never removed.
+std::optional<double> Cleanup::retentionMs(const std::string& key, const Document& document) const {
+  if (isPresenceKey(key))
+    return config_.goneMs;
+  if (key != kPlanKey)
+    return std::nullopt;
+  const auto plan = Plan::parse(document.value);
+  return plan && plan->over() ? std::optional(config_.planRetentionMs) : std::nullopt;
+}
+
 }  // namespace inference_router::coordination
--- a/src/coordination/lease.cpp
+++ b/src/coordination/lease.cpp
@@ -1,6 +1,5 @@
 #include "coordination/lease.h"
 
-#include <algorithm>
 #include <cmath>
 #include <utility>
 
@@ -8,326 +7,342 @@
 
 namespace {
 
-constexpr double kRenewShare =
-    1.0 / 3;  // of the validity, after which it is renewed: two tries more are left
-constexpr double kRetryShare = 0.1;  // of the validity, between tries to renew that fail at once
-constexpr double kGiveWayTimes = 3;  // times the lease that a holder without progress stays away
-constexpr double kMostDrift = 0.2;
-constexpr std::size_t kLongestName = 128;
+// Of the validity, between attempts to renew that are answered without success.
+constexpr double kRetryShare = 0.1;
+// Times the lease's duration for which a holder that stepped down does not compete.
+constexpr double kStepDownPauseFactor = 3;
 
 using S = LeaseState;
 
 }  // namespace
 
-std::optional<std::string> problemWith(const LeaseConfig& config) {
-  if (config.task.empty() || config.task.size() > kLongestName)
-    return "a task has a name of 1 to 128 bytes";
-  if (!(config.drift >= 0 && config.drift <= kMostDrift))
-    return "drift is a share from 0 to 0.2";
-  if (!(config.ttlMs > 0 && std::isfinite(config.ttlMs)))
-    return "the lease is no time above 0";
-  if (!(config.askMs > 0 && config.longestStepMs > 0 && config.workMs > 0 && config.spreadMs >= 0))
-    return "times are above 0";
-  // A holder that has just renewed in time must be able to do its longest step before the next
-  // renewal is lost.
-  const double left =
-      validitySpan(config) * (1 - kRenewShare * (1 + config.renewJitter)) - config.askMs;
-  if (left < config.longestStepMs)
-    return "the lease is too short: what is left of it at its renewal, less the drift and " +
-           std::to_string(std::lround(config.askMs)) +
-           " ms for an answer, is under the longest step of " +
-           std::to_string(std::lround(config.longestStepMs)) + " ms";
-  return std::nullopt;
-}
-
-double validitySpan(const LeaseConfig& config) {
-  return config.ttlMs * (1 - config.drift) / (1 + config.drift);
-}
-
-const char* nameOf(LeaseState state) {
-  constexpr std::array<const char*, 7> kNames{"candidate", "asking",    "holding",    "doubtful",
-                                              "lapsed",    "releasing", "backing_off"};
-  return kNames[static_cast<std::size_t>(state)];
-}
-
-bool mayFollow(LeaseState from, LeaseState to) {
-  switch (from) {
-    case S::kCandidate:
-      return to == S::kAsking || to == S::kBackingOff;
-    case S::kAsking:
-      return to == S::kHolding || to == S::kLapsed || to == S::kCandidate || to == S::kBackingOff;
-    case S::kHolding:
-      return to == S::kDoubtful || to == S::kLapsed || to == S::kReleasing;
-    case S::kDoubtful:
-      return to == S::kHolding || to == S::kLapsed || to == S::kReleasing;
-    case S::kLapsed:
-    case S::kReleasing:
-      return to == S::kBackingOff;
-    case S::kBackingOff:
-      return to == S::kCandidate;
-  }
-  return false;
-}
-
-Lease::Lease(LeaseConfig config, Holder who, std::uint64_t seed, double nowMs, LeaseGuards guards)
+Lease::Lease(LeaseConfig config,
+             Holder holder,
+             std::uint64_t seed,
+             double nowMs,
+             LeaseGuards guards)
     : config_(std::move(config)),
-      who_(std::move(who)),
+      holder_(std::move(holder)),
       guards_(guards),
       random_(static_cast<std::minstd_rand::result_type>(seed ^ (seed >> 32))),
-      sinceMs_(nowMs) {
-  // A wave of restarts must not ask all at once.
-  nextAskMs_ = nowMs + draw(0, spread());
+      stateSinceMs_(nowMs) {
+  // Routers that restart together must not all send requests at once.
+  nextRequestMs_ = nowMs + randomBetween(0, maxSpreadMs());
 }
 
-double Lease::draw(double least, double most) {
-  return most > least ? std::uniform_real_distribution<>(least, most)(random_) : least;
+double Lease::randomBetween(double low, double high) {
+  return high > low ? std::uniform_real_distribution<>(low, high)(random_) : low;
 }
 
-double Lease::spread() const {
+double Lease::maxSpreadMs() const {
   return config_.spreadMs * static_cast<double>(config_.candidates - 1);
 }
 
-void Lease::enter(LeaseState state, double nowMs, std::string why) {
+void Lease::enter(LeaseState state, double nowMs, std::string reason) {
   if (state_ == S::kDoubtful)
-    counts_.doubtfulMs += nowMs - sinceMs_;
+    counts_.doubtfulMs += nowMs - stateSinceMs_;
   state_ = state;
-  sinceMs_ = nowMs;
-  why_ = std::move(why);
+  stateSinceMs_ = nowMs;
+  reason_ = std::move(reason);
 }
 
-void Lease::backOff(double nowMs, double pauseMs, std::string why) {
-  waiting_ = stepping_ = false;
+void Lease::backOff(double nowMs, double pauseMs, std::string reason) {
+  awaitingResponse_ = false;
+  stepping_ = false;
   fence_ = 0;
-  enter(S::kBackingOff, nowMs, std::move(why));
-  nextAskMs_ = nowMs + pauseMs + draw(0, spread());
+  enter(S::kBackingOff, nowMs, std::move(reason));
+  nextRequestMs_ = nowMs + pauseMs + randomBetween(0, maxSpreadMs());
+}
+
+// ---- Requests
+
+LeaseRequest Lease::makeRequest(LeaseOperation operation, double nowMs) {
+  pending_[1] = pending_[0];
+  pending_[0] = {++number_, operation, nowMs};
+  awaitingResponse_ = true;
+  LeaseRequest request;
+  request.operation = operation;
+  request.task = config_.task;
+  request.holder = holder_;
+  request.number = number_;
+  request.fence = operation == LeaseOperation::kAcquire ? highestFenceSeen_ : fence_;
+  request.ttlMs = config_.ttlMs;
+  request.progress = progress_;
+  return request;
 }
 
-LeaseAsk Lease::ask(Verb verb, double nowMs) {
-  asked_[1] = asked_[0];
-  asked_[0] = {++number_, verb, nowMs};
-  waiting_ = true;
-  return {verb,          config_.task, who_, number_, verb == Verb::kAcquire ? seenFence_ : fence_,
-          config_.ttlMs, progress_};
+bool Lease::requestTimedOut(double nowMs) const {
+  return awaitingResponse_ && nowMs - pending_[0].sentMs >= config_.requestTimeoutMs;
 }
 
-std::optional<LeaseAsk> Lease::tick(double nowMs) {
+std::optional<LeaseRequest> Lease::tick(double nowMs) {
   switch (state_) {
     case S::kBackingOff:
-      if (nowMs < nextAskMs_)
+      if (nowMs < nextRequestMs_)
         return std::nullopt;
       enter(S::kCandidate, nowMs, "waited");
       [[fallthrough]];
     case S::kCandidate:
-      if (resigned_ || nowMs < nextAskMs_)
+      if (resigned_ || nowMs < nextRequestMs_)
         return std::nullopt;
-      enter(S::kAsking, nowMs, "its turn to ask");
-      return ask(Verb::kAcquire, nowMs);
-    case S::kAsking:
-      // It may have been granted all the same; the next ask of this process gets it then, with a
-      // fence above.
-      if (unanswered(nowMs))
-        backOff(nowMs, config_.askMs, "the store did not answer");
+      enter(S::kAcquiring, nowMs, "its turn to ask");
+      return makeRequest(LeaseOperation::kAcquire, nowMs);
+    case S::kAcquiring:
+      // The lease may have been granted all the same; the next request of this process gets it
+      // then, with a higher fence.
+      if (requestTimedOut(nowMs))
+        backOff(nowMs, config_.requestTimeoutMs, "the store did not answer");
       return std::nullopt;
     case S::kHolding:
     case S::kDoubtful:
-      return whileHolding(nowMs);
-    case S::kLapsed:
-      backOff(nowMs, config_.askMs, why_);
+      return tickWhileHolding(nowMs);
+    case S::kExpired:
+      backOff(nowMs, config_.requestTimeoutMs, reason_);
       return std::nullopt;
     case S::kReleasing:
-      // Unanswered, it is let lapse by the store: whoever is next waits a little longer, no more.
-      if (unanswered(nowMs))
+      // Without a response the lease expires at the store: the next holder waits a little longer.
+      if (requestTimedOut(nowMs))
         backOff(nowMs, config_.ttlMs, "released, not confirmed");
       return std::nullopt;
   }
   return std::nullopt;
 }
 
-std::optional<LeaseAsk> Lease::whileHolding(double nowMs) {
+std::optional<LeaseRequest> Lease::tickWhileHolding(double nowMs) {
   if (nowMs >= validUntilMs_) {
     ++counts_.lost;
-    enter(S::kLapsed, nowMs, "could not be renewed in time");
+    enter(S::kExpired, nowMs, "could not be renewed in time");
     return std::nullopt;
   }
-  if (!stepping_ && !resigned_ && nowMs - workedMs_ >= config_.workMs) {
-    ++counts_.gaveWay;
-    giveWay_ = true;
-  }
-  if ((resigned_ || giveWay_) && !stepping_) {
+  detectLackOfProgress(nowMs);
+  if (mustRelease()) {
     enter(S::kReleasing, nowMs, resigned_ ? "resigned" : "gave way: no progress");
-    return ask(Verb::kRelease, nowMs);
+    return makeRequest(LeaseOperation::kRelease, nowMs);
   }
-  if (unanswered(nowMs)) {
-    waiting_ = false;
+  if (requestTimedOut(nowMs)) {
+    awaitingResponse_ = false;
     if (state_ == S::kHolding)
       enter(S::kDoubtful, nowMs, "a renewal is not answered");
   }
-  if (waiting_ || nowMs < nextAskMs_)
+  if (awaitingResponse_ || nowMs < nextRequestMs_)
     return std::nullopt;
-  nextAskMs_ = nowMs + validitySpan(config_) * kRetryShare;
-  return ask(Verb::kRenew, nowMs);
+  nextRequestMs_ = nowMs + validityMs(config_) * kRetryShare;
+  return makeRequest(LeaseOperation::kRenew, nowMs);
+}
+
+void Lease::detectLackOfProgress(double nowMs) {
+  if (stepping_ || resigned_ || nowMs - progressAtMs_ < config_.progressTimeoutMs)
+    return;
+  ++counts_.steppedDown;
+  steppingDown_ = true;
 }
 
 double Lease::nextMs() const {
-  const double lost = waiting_ ? asked_[0].sentMs + config_.askMs : HUGE_VAL;
+  const double timeoutMs =
+      awaitingResponse_ ? pending_[0].sentMs + config_.requestTimeoutMs : HUGE_VAL;
   switch (state_) {
     case S::kCandidate:
-      return resigned_ ? HUGE_VAL : nextAskMs_;
+      return resigned_ ? HUGE_VAL : nextRequestMs_;
     case S::kBackingOff:
-      return nextAskMs_;
-    case S::kAsking:
+      return nextRequestMs_;
+    case S::kAcquiring:
     case S::kReleasing:
-      return lost;
-    case S::kLapsed:
-      return sinceMs_;
+      return timeoutMs;
+    case S::kExpired:
+      return stateSinceMs_;
     case S::kHolding:
     case S::kDoubtful:
-      if ((resigned_ || giveWay_) && !stepping_)
-        return sinceMs_;
-      return std::min({validUntilMs_, waiting_ ? lost : nextAskMs_,
-                       stepping_ || resigned_ ? HUGE_VAL : workedMs_ + config_.workMs});
+      if (mustRelease())
+        return stateSinceMs_;
+      return std::min(
+          {validUntilMs_, awaitingResponse_ ? timeoutMs : nextRequestMs_,
+           stepping_ || resigned_ ? HUGE_VAL : progressAtMs_ + config_.progressTimeoutMs});
   }
   return HUGE_VAL;
 }
 
-void Lease::answered(const LeaseAnswer& answer, double nowMs) {
-  const auto asked = std::find_if(asked_.begin(), asked_.end(), [&](const Asked& one) {
-    return one.number != 0 && one.number == answer.number;
-  });
-  if (asked == asked_.end())
-    return;  // answered before, or too old to mean anything
-  const Asked what = *asked;
-  *asked = {};
-  const bool latest = what.number == number_;
-  if (latest)
-    waiting_ = false;
-  if (answer.record)
-    seen_ = answer.record;
-  else if (answer.found == Found::kReleased || answer.found == Found::kLost)
-    seen_.reset();
-  if (answer.fence != 0 && answer.fence < seenFence_)
-    ++counts_.wentBack;
-  if (what.verb == Verb::kAcquire)
-    return latest ? onAcquire(what, answer, nowMs) : void();
-  if (what.verb == Verb::kRenew)
-    return onRenewal(what, answer, nowMs);
-  if (state_ != S::kReleasing)
+// ---- Responses
+
+void Lease::onResponse(const LeaseResponse& response, double nowMs) {
+  const auto request = takePending(response.number);
+  if (!request)
     return;
-  ++counts_.released;
-  // Fair: whoever had it stays behind those who wait.
-  backOff(nowMs, giveWay_ ? config_.ttlMs * kGiveWayTimes : config_.ttlMs, why_);
-  giveWay_ = false;
+  const bool latest = request->number == number_;
+  if (latest)
+    awaitingResponse_ = false;
+  noteRecord(response);
+  switch (request->operation) {
+    case LeaseOperation::kAcquire:
+      if (latest)
+        onAcquireResponse(*request, response, nowMs);
+      break;
+    case LeaseOperation::kRenew:
+      onRenewResponse(*request, response, nowMs);
+      break;
+    case LeaseOperation::kRelease:
+      onReleaseResponse(nowMs);
+      break;
+  }
+}
+
+/// Nothing if the request was answered before, or is too old for its answer to mean anything.
+std::optional<Lease::PendingRequest> Lease::takePending(std::uint64_t number) {
+  const auto found =
+      std::find_if(pending_.begin(), pending_.end(), [number](const PendingRequest& request) {
+        return request.number != 0 && request.number == number;
+      });
+  if (found == pending_.end())
+    return std::nullopt;
+  return std::exchange(*found, PendingRequest{});
+}
+
+void Lease::noteRecord(const LeaseResponse& response) {
+  if (response.record)
+    lastRecord_ = response.record;
+  else if (response.result == LeaseResult::kReleased || response.result == LeaseResult::kLost)
+    lastRecord_.reset();
+  if (response.fence != 0 && response.fence < highestFenceSeen_)
+    ++counts_.rolledBack;
 }
 
-void Lease::onAcquire(const Asked& asked, const LeaseAnswer& answer, double nowMs) {
-  if (state_ != S::kAsking)
+void Lease::onAcquireResponse(const PendingRequest& request,
+                              const LeaseResponse& response,
+                              double nowMs) {
+  if (state_ != S::kAcquiring)
     return;
-  if (answer.found == Found::kHeld) {
-    seenFence_ = std::max(seenFence_, answer.fence);
+  if (response.result == LeaseResult::kHeld) {
+    highestFenceSeen_ = std::max(highestFenceSeen_, response.fence);
     enter(S::kCandidate, nowMs, "held by another");
-    nextAskMs_ = nowMs + std::clamp(answer.leftMs, 0.0, config_.ttlMs) + draw(0, spread());
+    nextRequestMs_ = nowMs + std::clamp(response.remainingMs, 0.0, config_.ttlMs) +
+                     randomBetween(0, maxSpreadMs());
     return;
   }
-  if (answer.found != Found::kGranted)
-    return backOff(nowMs, config_.askMs, "the store cannot be used");
-  // A store that has forgotten fences would let two act under one number.
-  if (answer.fence <= seenFence_)
+  if (response.result != LeaseResult::kGranted)
+    return backOff(nowMs, config_.requestTimeoutMs, "the store cannot be used");
+  // A store that has forgotten fences would let two routers act under one number.
+  if (response.fence <= highestFenceSeen_)
     return backOff(nowMs, config_.ttlMs, "the fence would go down");
-  seenFence_ = fence_ = answer.fence;
+  onGranted(request, response, nowMs);
+}
+
+void Lease::onGranted(const PendingRequest& request, const LeaseResponse& response, double nowMs) {
+  fence_ = response.fence;
+  highestFenceSeen_ = response.fence;
   ++counts_.acquired;
-  workedMs_ = nowMs;
-  const double from = guards_.fromBeforeAsking ? asked.sentMs : nowMs;
-  validUntilMs_ = from + (guards_.driftMargin ? validitySpan(config_) : config_.ttlMs);
+  progressAtMs_ = nowMs;
+  validUntilMs_ = validUntilAfter(request, nowMs);
   if (nowMs >= validUntilMs_)
-    return enter(S::kLapsed, nowMs, "granted too late");
+    return enter(S::kExpired, nowMs, "granted too late");
   enter(S::kHolding, nowMs, "acquired");
-  nextAskMs_ = asked.sentMs + validitySpan(config_) * kRenewShare *
-                                  draw(1 - config_.renewJitter, 1 + config_.renewJitter);
+  nextRequestMs_ = renewalTimeAfter(request);
 }
 
-void Lease::onRenewal(const Asked& asked, const LeaseAnswer& answer, double nowMs) {
+void Lease::onRenewResponse(const PendingRequest& request,
+                            const LeaseResponse& response,
+                            double nowMs) {
   if (!holds())
     return;
-  if (answer.found == Found::kLost || answer.found == Found::kHeld) {
-    seenFence_ = std::max(seenFence_, answer.fence);
+  if (response.result == LeaseResult::kLost || response.result == LeaseResult::kHeld) {
+    highestFenceSeen_ = std::max(highestFenceSeen_, response.fence);
     ++counts_.lost;
-    return enter(S::kLapsed, nowMs, "the store says that it is lost");
+    return enter(S::kExpired, nowMs, "the store says that it is lost");
   }
-  if (answer.found != Found::kGranted || answer.fence != fence_) {
+  if (response.result != LeaseResult::kGranted || response.fence != fence_) {
     if (state_ == S::kHolding)
       enter(S::kDoubtful, nowMs, "the store cannot be reached");
     return;
   }
   ++counts_.renewed;
-  const double from = guards_.fromBeforeAsking ? asked.sentMs : nowMs;
-  validUntilMs_ =
-      std::max(validUntilMs_, from + (guards_.driftMargin ? validitySpan(config_) : config_.ttlMs));
+  validUntilMs_ = std::max(validUntilMs_, validUntilAfter(request, nowMs));
   if (nowMs >= validUntilMs_)
-    return;  // tick() says so
-  // One that was answered late has little left: the next one goes out at once.
-  nextAskMs_ = asked.sentMs + validitySpan(config_) * kRenewShare *
-                                  draw(1 - config_.renewJitter, 1 + config_.renewJitter);
-  if (state_ == S::kDoubtful && nowMs < nextAskMs_)
+    return;  // tick() expires it
+  // After a late response little validity is left: the next renewal goes out at once.
+  nextRequestMs_ = renewalTimeAfter(request);
+  if (state_ == S::kDoubtful && nowMs < nextRequestMs_)
     enter(S::kHolding, nowMs, "renewed");
 }
 
+void Lease::onReleaseResponse(double nowMs) {
+  if (state_ != S::kReleasing)
+    return;
+  ++counts_.released;
+  // Fairness: the previous holder stays behind those who wait.
+  const double pauseMs = steppingDown_ ? config_.ttlMs * kStepDownPauseFactor : config_.ttlMs;
+  backOff(nowMs, pauseMs, reason_);
+  steppingDown_ = false;
+}
+
+double Lease::validUntilAfter(const PendingRequest& request, double nowMs) const {
+  const double fromMs = guards_.validFromRequest ? request.sentMs : nowMs;
+  return fromMs + (guards_.driftMargin ? validityMs(config_) : config_.ttlMs);
+}
+
+double Lease::renewalTimeAfter(const PendingRequest& request) {
+  const double jitter = randomBetween(1 - config_.renewJitter, 1 + config_.renewJitter);
+  return request.sentMs + validityMs(config_) * kRenewalShare * jitter;
+}
+
+// ---- Steps and resignation
+
 std::optional<Fence> Lease::beginStep(double nowMs) {
-  if (!withinValidity(nowMs) || stepping_ || resigned_ || giveWay_)
+  if (!withinValidity(nowMs) || stepping_ || resigned_ || steppingDown_)
     return std::nullopt;
-  if (nowMs + config_.longestStepMs > validUntilMs_)
+  if (nowMs + config_.maxStepMs > validUntilMs_)
     return std::nullopt;
   stepping_ = true;
-  return Fence(config_.task, who_, fence_);
+  return Fence(config_.task, holder_, fence_);
 }
 
-void Lease::stepEnded(bool progress, double nowMs) {
+void Lease::endStep(bool progress, double nowMs) {
   stepping_ = false;
   if (!progress)
     return;
   ++progress_;
-  workedMs_ = nowMs;
+  progressAtMs_ = nowMs;
 }
 
-void Lease::refused(double nowMs) {
+void Lease::onFenceRefused(double nowMs) {
   stepping_ = false;
   if (!holds())
     return;
   ++counts_.lost;
-  enter(S::kLapsed, nowMs, "an effect was refused for its fence");
+  enter(S::kExpired, nowMs, "an effect was refused for its fence");
 }
 
 void Lease::resign(double nowMs) {
   resigned_ = true;
-  // Not asked for yet: what is under way is answered, and then let lapse.
-  if (state_ == S::kAsking)
+  // What an acquire under way still obtains is left to expire.
+  if (state_ == S::kAcquiring)
     backOff(nowMs, 0, "resigned");
 }
 
-void Lease::again(double nowMs) {
+void Lease::rejoin(double nowMs) {
   resigned_ = false;
   if (state_ == S::kCandidate)
-    nextAskMs_ = std::max(nextAskMs_, nowMs + draw(0, spread()));
+    nextRequestMs_ = std::max(nextRequestMs_, nowMs + randomBetween(0, maxSpreadMs()));
 }
 
-Lease::Key Lease::key(double nowMs) const {
-  const auto left = [nowMs](double at) { return at == HUGE_VAL ? at : std::max(-1.0, at - nowMs); };
-  std::array<std::tuple<std::uint64_t, int, double>, 2> asked;
-  for (std::size_t i = 0; i < asked.size(); ++i)
-    asked[i] = {asked_[i].number, static_cast<int>(asked_[i].verb),
-                asked_[i].number == 0 ? 0.0 : nowMs - asked_[i].sentMs};
-  const bool holding = holds();
-  return {static_cast<int>(state_),
-          number_,
-          fence_,
-          seenFence_,
-          left(nextAskMs_),
-          holding ? left(validUntilMs_) : 0,
-          holding ? nowMs - workedMs_ : 0,
-          0.0,
-          waiting_,
-          resigned_,
-          stepping_ || giveWay_,
-          asked};
+LeaseFingerprint Lease::fingerprint(double nowMs) const {
+  const auto remaining = [nowMs](double atMs) {
+    return atMs == HUGE_VAL ? atMs : std::max(-1.0, atMs - nowMs);
+  };
+  LeaseFingerprint result;
+  result.state = state_;
+  result.number = number_;
+  result.fence = fence_;
+  result.highestFenceSeen = highestFenceSeen_;
+  result.nextRequestInMs = remaining(nextRequestMs_);
+  result.validForMs = holds() ? remaining(validUntilMs_) : 0;
+  result.withoutProgressMs = holds() ? nowMs - progressAtMs_ : 0;
+  result.awaitingResponse = awaitingResponse_;
+  result.resigned = resigned_;
+  result.cannotBeginStep = stepping_ || steppingDown_;
+  for (std::size_t i = 0; i < pending_.size(); ++i) {
+    const PendingRequest& request = pending_[i];
+    const double ageMs = request.number == 0 ? 0.0 : nowMs - request.sentMs;
+    result.pending[i] = {request.number, request.operation, ageMs};
+  }
+  return result;
 }
 
 }  // namespace inference_router::coordination
--- /dev/null
+++ b/src/coordination/lease_encoding.cpp
@@ -0,0 +1,99 @@
+#include "coordination/lease_encoding.h"
+
+#include <cmath>
+#include <nlohmann/json.hpp>
+#include <stdexcept>
+
+namespace inference_router::coordination {
+
+using nlohmann::json;
+
+namespace {
+
+constexpr const char* kRecordForm = "dahliastall-lease-1";
+constexpr const char* kCellForm = "dahliastall-lease-cell-1";
+
+std::string dump(const json& value) {
+  return value.dump(-1, ' ', true, json::error_handler_t::replace);
+}
+
+json toJson(const Holder& holder) {
+  return {{"name", holder.name}, {"incarnation", holder.incarnation}};
+}
+
+Holder holderFrom(const json& value) {
+  return {value.at("name").get<std::string>(), value.at("incarnation").get<std::uint64_t>()};
+}
+
+json toJson(const LeaseRecord& record) {
+  return {{"form", kRecordForm},         {"holder", toJson(record.holder)},
+          {"fence", record.fence},       {"number", record.number},
+          {"progress", record.progress}, {"since_ms", record.acquiredUnixMs}};
+}
+
+LeaseRecord recordFrom(const json& value) {
+  if (value.at("form") != kRecordForm)
+    throw std::invalid_argument("another form");
+  LeaseRecord record;
+  record.holder = holderFrom(value.at("holder"));
+  record.fence = value.at("fence").get<std::uint64_t>();
+  record.number = value.at("number").get<std::uint64_t>();
+  record.progress = value.at("progress").get<std::uint64_t>();
+  record.acquiredUnixMs = value.at("since_ms").get<double>();
+  if (record.fence == 0 || !std::isfinite(record.acquiredUnixMs))
+    throw std::invalid_argument("no lease");
+  return record;
+}
+
+LeaseCell cellFrom(const json& value) {
+  if (value.at("form") != kCellForm)
+    throw std::invalid_argument("another form");
+  LeaseCell cell;
+  cell.fence = value.at("fence").get<std::uint64_t>();
+  cell.last = holderFrom(value.at("last"));
+  cell.lastNumber = value.at("last_number").get<std::uint64_t>();
+  cell.untilMs = value.at("until_ms").get<double>();
+  if (value.contains("record"))
+    cell.record = recordFrom(value.at("record"));
+  if (cell.record && cell.record->fence > cell.fence)
+    throw std::invalid_argument("a fence above the newest");
+  return cell;
+}
+
+template <class Decode>
+auto parse(std::string_view text, const Decode& decode) -> std::optional<decltype(decode(json()))> {
+  try {
+    return decode(json::parse(text));
+  } catch (const json::exception&) {
+    return std::nullopt;
+  } catch (const std::invalid_argument&) {
+    return std::nullopt;
+  }
+}
+
+}  // namespace
+
+std::string serialize(const LeaseRecord& record) {
+  return dump(toJson(record));
+}
+
+std::optional<LeaseRecord> parseLeaseRecord(std::string_view text) {
+  return parse(text, recordFrom);
+}
+
+std::string serialize(const LeaseCell& cell) {
+  json value{{"form", kCellForm},
+             {"fence", cell.fence},
+             {"last", toJson(cell.last)},
+             {"last_number", cell.lastNumber},
+             {"until_ms", cell.untilMs}};
+  if (cell.record)
+    value["record"] = toJson(*cell.record);
+  return dump(value);
+}
+
+std::optional<LeaseCell> parseLeaseCell(std::string_view text) {
+  return parse(text, cellFrom);
+}
+
+}  // namespace inference_router::coordination
--- a/src/coordination/lease_rules.cpp
+++ b/src/coordination/lease_rules.cpp
@@ -6,54 +6,69 @@
 
 namespace {
 
-LeaseAnswer answerOf(const LeaseCell& cell, const LeaseAsk& ask, Found found, double storeNowMs) {
+LeaseResponse respond(const LeaseCell& cell,
+                      const LeaseRequest& request,
+                      LeaseResult result,
+                      double storeNowMs) {
   const bool held = cell.record.has_value();
-  return {ask.number, found, held || found == Found::kGranted ? cell.fence : 0,
-          held ? std::max(0.0, cell.untilMs - storeNowMs) : 0, cell.record};
+  LeaseResponse response;
+  response.number = request.number;
+  response.result = result;
+  response.fence = held || result == LeaseResult::kGranted ? cell.fence : 0;
+  response.remainingMs = held ? std::max(0.0, cell.untilMs - storeNowMs) : 0;
+  response.record = cell.record;
+  return response;
 }
 
-LeaseAnswer acquire(LeaseCell& cell, const LeaseAsk& ask, double storeNowMs, double unixMs) {
+LeaseResponse acquire(LeaseCell& cell,
+                      const LeaseRequest& request,
+                      double storeNowMs,
+                      double unixMs) {
   const bool live = cell.record && storeNowMs < cell.untilMs;
-  if (live && cell.record->holder != ask.who)
-    return answerOf(cell, ask, Found::kHeld, storeNowMs);
-  // A repeat of an ask that was carried out, or one that a later overtook, must not take a lease
-  // that its process asks for no more, nor move the fence under a holder that acts.
-  if (cell.last == ask.who && ask.number <= cell.lastNumber) {
-    const bool same = ask.number == cell.lastNumber && live;
-    return answerOf(cell, ask, same ? Found::kGranted : Found::kLost, storeNowMs);
+  if (live && cell.record->holder != request.holder)
+    return respond(cell, request, LeaseResult::kHeld, storeNowMs);
+  // A repeat of a request that was carried out, or one that a later request overtook, must neither
+  // take a lease that its process no longer wants nor raise the fence under a holder that acts.
+  if (cell.last == request.holder && request.number <= cell.lastNumber) {
+    const bool repeat = request.number == cell.lastNumber && live;
+    return respond(cell, request, repeat ? LeaseResult::kGranted : LeaseResult::kLost, storeNowMs);
   }
-  cell.fence = std::max(cell.fence, ask.fence) + 1;
-  cell.last = ask.who;
-  cell.lastNumber = ask.number;
-  cell.record = LeaseRecord{ask.who, cell.fence, ask.number, ask.progress, unixMs};
-  cell.untilMs = storeNowMs + ask.ttlMs;
-  return answerOf(cell, ask, Found::kGranted, storeNowMs);
+  cell.fence = std::max(cell.fence, request.fence) + 1;
+  cell.last = request.holder;
+  cell.lastNumber = request.number;
+  cell.record = LeaseRecord{request.holder, cell.fence, request.number, request.progress, unixMs};
+  cell.untilMs = storeNowMs + request.ttlMs;
+  return respond(cell, request, LeaseResult::kGranted, storeNowMs);
 }
 
 }  // namespace
 
-LeaseAnswer decide(LeaseCell& cell, const LeaseAsk& ask, double storeNowMs, double unixMs) {
-  if (ask.verb == Verb::kAcquire)
-    return acquire(cell, ask, storeNowMs, unixMs);
-  const bool own = cell.record && cell.record->holder == ask.who && cell.record->fence == ask.fence;
+LeaseResponse decide(LeaseCell& cell,
+                     const LeaseRequest& request,
+                     double storeNowMs,
+                     double unixMs) {
+  if (request.operation == LeaseOperation::kAcquire)
+    return acquire(cell, request, storeNowMs, unixMs);
+  const bool own =
+      cell.record && cell.record->holder == request.holder && cell.record->fence == request.fence;
   if (!own)
-    return answerOf(cell, ask, Found::kLost, storeNowMs);
-  if (ask.verb == Verb::kRelease) {
+    return respond(cell, request, LeaseResult::kLost, storeNowMs);
+  if (request.operation == LeaseOperation::kRelease) {
     cell.record.reset();
-    return answerOf(cell, ask, Found::kReleased, storeNowMs);
+    return respond(cell, request, LeaseResult::kReleased, storeNowMs);
   }
-  // Lapsed is lost, also where nobody has taken it since: its holder has stopped by its own clock
-  // long ago.
+  // Expired is lost, also while nobody else has acquired it: its holder has stopped by its own
+  // clock long ago.
   if (storeNowMs >= cell.untilMs)
-    return answerOf(cell, ask, Found::kLost, storeNowMs);
-  cell.untilMs = storeNowMs + ask.ttlMs;
-  cell.record->progress = ask.progress;
-  return answerOf(cell, ask, Found::kGranted, storeNowMs);
+    return respond(cell, request, LeaseResult::kLost, storeNowMs);
+  cell.untilMs = storeNowMs + request.ttlMs;
+  cell.record->progress = request.progress;
+  return respond(cell, request, LeaseResult::kGranted, storeNowMs);
 }
 
-bool accepts(const LeaseCell& cell, const Holder& who, std::uint64_t fence) {
+bool accepts(const LeaseCell& cell, const Holder& holder, std::uint64_t fence) {
   return cell.record && cell.fence == fence && cell.record->fence == fence &&
-         cell.record->holder == who;
+         cell.record->holder == holder;
 }
 
 }  // namespace inference_router::coordination
--- a/src/coordination/lease_rules.h
+++ b/src/coordination/lease_rules.h
@@ -1,28 +1,32 @@
-// What a store does with the asks of candidates, as one step from one state to the next: for stores
-// that decide by themselves, within one transaction each. An instance that has leases of its own
-// keeps to the same rules by its own means. No I/O; the time is that of the store's clock.
+/// How a store decides on the requests of candidates, as one transition of a lease's state. For
+/// stores that decide by themselves, within one transaction each; the etcd store follows the same
+/// rules by means of etcd's own leases. No I/O; times are those of the store's clock, in
+/// milliseconds.
 #pragma once
 
 #include <optional>
 
-#include "coordination/lease.h"
+#include "coordination/lease_messages.h"
 
 namespace inference_router::coordination {
 
-// All that is kept of one task. The fence outlives the lease: it may only go up.
+/// All that is kept of one task. The fence outlives the lease: it only ever goes up.
 struct LeaseCell {
-  std::uint64_t fence = 0;            // the newest that was ever granted
-  Holder last;                        // to whom,
-  std::uint64_t lastNumber = 0;       // and by which of its asks
-  std::optional<LeaseRecord> record;  // none: it is free
-  double untilMs = 0;                 // of the record
+  std::uint64_t fence = 0;            ///< The newest that was ever granted,
+  Holder last;                        ///< to whom,
+  std::uint64_t lastNumber = 0;       ///< and for which of its requests.
+  std::optional<LeaseRecord> record;  ///< None: the lease is free.
+  double untilMs = 0;                 ///< When the record expires.
   bool operator==(const LeaseCell&) const = default;
 };
 
-// Changes the cell as the ask wants, if it may.
-LeaseAnswer decide(LeaseCell& cell, const LeaseAsk& ask, double storeNowMs, double unixMs);
+/// Carries out the request on the cell, as far as the rules allow it.
+LeaseResponse decide(LeaseCell& cell,
+                     const LeaseRequest& request,
+                     double storeNowMs,
+                     double unixMs);
 
-// Whether an effect under this fence is in order: it is the newest, and was not given back.
-bool accepts(const LeaseCell& cell, const Holder& who, std::uint64_t fence);
+/// Whether an effect under this fence may be carried out: it is the newest and not released.
+bool accepts(const LeaseCell& cell, const Holder& holder, std::uint64_t fence);
 
 }  // namespace inference_router::coordination
--- a/src/coordination/plan.cpp
+++ b/src/coordination/plan.cpp
@@ -4,6 +4,7 @@
 #include <array>
 #include <cmath>
 #include <nlohmann/json.hpp>
+#include <stdexcept>
 
 namespace inference_router::coordination {
 
@@ -17,78 +18,103 @@
                                                 "warming", "done",     "skipped"};
 
 template <class State, std::size_t size>
-State stateOf(const std::array<const char*, size>& names, const std::string& name) {
+State stateFrom(const std::array<const char*, size>& names, const std::string& name) {
   const auto it = std::find(names.begin(), names.end(), name);
   if (it == names.end())
     throw std::invalid_argument("no state " + name);
   return static_cast<State>(it - names.begin());
 }
 
+json toJson(const PlanItem& item) {
+  return {{"box", item.instance},
+          {"state", nameOf(item.state)},
+          {"changed", item.changed},
+          {"back", item.back},
+          {"why", item.why}};
+}
+
+PlanItem itemFrom(const json& value) {
+  PlanItem item;
+  item.instance = value.at("box").get<std::string>();
+  item.state = stateFrom<ItemState>(kItemNames, value.at("state").get<std::string>());
+  item.changed = value.at("changed").get<std::uint64_t>();
+  item.back = value.at("back").get<bool>();
+  item.why = value.at("why").get<std::string>();
+  return item;
+}
+
+Plan planFrom(const json& value) {
+  if (value.at("form") != kForm)
+    throw std::invalid_argument("another form");
+  Plan plan;
+  plan.id = value.at("id").get<std::string>();
+  plan.by = value.at("by").get<std::string>();
+  plan.state = stateFrom<PlanState>(kPlanNames, value.at("state").get<std::string>());
+  plan.holdMs = value.at("hold_ms").get<double>();
+  plan.confirm = value.at("confirm").get<bool>();
+  plan.steps = value.at("steps").get<std::uint64_t>();
+  plan.fence = value.at("fence").get<std::uint64_t>();
+  plan.startedMs = value.at("started_ms").get<double>();
+  for (const json& item : value.at("items"))
+    plan.items.push_back(itemFrom(item));
+  return plan;
+}
+
+bool wellFormed(const Plan& plan) {
+  if (!std::isfinite(plan.holdMs) || plan.holdMs < 0 || plan.id.empty())
+    return false;
+  if (plan.items.empty() || plan.items.size() > Plan::kMaxInstances)
+    return false;
+  std::set<std::string> instances;
+  return std::all_of(plan.items.begin(), plan.items.end(), [&](const PlanItem& item) {
+    return !item.instance.empty() && instances.insert(item.instance).second;
+  });
+}
+
 }  // namespace
 
 const char* nameOf(PlanState state) {
   return kPlanNames[static_cast<std::size_t>(state)];
 }
+
 const char* nameOf(ItemState state) {
   return kItemNames[static_cast<std::size_t>(state)];
 }
 
+bool Plan::over() const {
+  return state == PlanState::kDone || (state == PlanState::kCancelled && drained().empty());
+}
+
 std::set<std::string> Plan::drained() const {
   std::set<std::string> instances;
-  for (const PlanItem& one : items)
-    if (one.state == ItemState::kDraining || one.state == ItemState::kOut)
-      instances.insert(one.instance);
+  for (const PlanItem& item : items) {
+    if (item.state == ItemState::kDraining || item.state == ItemState::kOut)
+      instances.insert(item.instance);
+  }
   return instances;
 }
 
 PlanItem* Plan::item(const std::string& instance) {
   const auto it = std::find_if(items.begin(), items.end(),
-                               [&](const PlanItem& one) { return one.instance == instance; });
+                               [&](const PlanItem& item) { return item.instance == instance; });
   return it == items.end() ? nullptr : &*it;
 }
 
-std::string Plan::text() const {
-  json list = json::array();
-  for (const PlanItem& one : items)
-    list.push_back({{"box", one.instance},
-                    {"state", nameOf(one.state)},
-                    {"changed", one.changed},
-                    {"back", one.back},
-                    {"why", one.why}});
+std::string Plan::serialize() const {
+  json itemList = json::array();
+  for (const PlanItem& item : items)
+    itemList.push_back(toJson(item));
   return json{{"form", kForm},          {"id", id},          {"by", by},
               {"state", nameOf(state)}, {"hold_ms", holdMs}, {"confirm", confirm},
               {"steps", steps},         {"fence", fence},    {"started_ms", startedMs},
-              {"items", list}}
+              {"items", itemList}}
       .dump(-1, ' ', true, json::error_handler_t::replace);
 }
 
 std::optional<Plan> Plan::parse(std::string_view text) {
   try {
-    const json whole = json::parse(text);
-    if (whole.at("form") != kForm)
-      return std::nullopt;
-    Plan plan;
-    plan.id = whole.at("id").get<std::string>();
-    plan.by = whole.at("by").get<std::string>();
-    plan.state = stateOf<PlanState>(kPlanNames, whole.at("state").get<std::string>());
-    plan.holdMs = whole.at("hold_ms").get<double>();
-    plan.confirm = whole.at("confirm").get<bool>();
-    plan.steps = whole.at("steps").get<std::uint64_t>();
-    plan.fence = whole.at("fence").get<std::uint64_t>();
-    plan.startedMs = whole.at("started_ms").get<double>();
-    if (!std::isfinite(plan.holdMs) || plan.holdMs < 0 || plan.id.empty())
-      return std::nullopt;
-    std::set<std::string> instances;
-    for (const json& entry : whole.at("items")) {
-      plan.items.push_back({entry.at("box").get<std::string>(),
-                            stateOf<ItemState>(kItemNames, entry.at("state").get<std::string>()),
-                            entry.at("changed").get<std::uint64_t>(), entry.at("back").get<bool>(),
-                            entry.at("why").get<std::string>()});
-      if (plan.items.back().instance.empty() ||
-          !instances.insert(plan.items.back().instance).second)
-        return std::nullopt;
-    }
-    if (plan.items.empty() || plan.items.size() > kMaxInstances)
+    Plan plan = planFrom(json::parse(text));
+    if (!wellFormed(plan))
       return std::nullopt;
     return plan;
   } catch (const json::exception&) {
@@ -98,4 +124,14 @@
   }
 }
 
+std::optional<StoredPlan> findPlan(const std::map<std::string, Document>& documents) {
+  const auto it = documents.find(kPlanKey);
+  if (it == documents.end())
+    return std::nullopt;
+  auto plan = Plan::parse(it->second.value);
+  if (!plan)
+    return std::nullopt;
+  return StoredPlan{std::move(*plan), it->second.revision};
+}
+
 }  // namespace inference_router::coordination
--- a/src/coordination/plan.h
+++ b/src/coordination/plan.h
@@ -1,8 +1,9 @@
-// A maintenance as it lies in the store: which instances are to be taken out in turn, and how far
-// each is. It is all that the next holder needs to go on at the right box.
+/// A maintenance plan as it is stored: which instances are taken out of service in turn, and how
+/// far each one is. It holds all that a new holder of the maintenance lease needs to continue.
 #pragma once
 
 #include <cstdint>
+#include <map>
 #include <optional>
 #include <set>
 #include <string>
@@ -16,46 +17,65 @@
 inline constexpr const char* kPlanKey = "plan";
 
 enum class PlanState { kRunning, kPaused, kCancelled, kDone };
-// An instance goes this way and no other: waiting, draining (nothing new goes there), out (nobody
-// has anything open there: it may be worked on), warming (in use again, as an instance that has
-// just started), done.
-enum class ItemState { kWaiting, kDraining, kOut, kWarming, kDone, kSkipped };
+
+/// Of one instance. The states follow each other in this order; a skipped one was waiting.
+enum class ItemState {
+  kWaiting,
+  kDraining,  ///< Gets no new requests.
+  kOut,       ///< No router has requests open there: it may be worked on.
+  kWarming,   ///< In use again, as an instance that has just started.
+  kDone,
+  kSkipped,
+};
+/// The states' names in the stored form and in reports.
 const char* nameOf(PlanState state);
 const char* nameOf(ItemState state);
 
 struct PlanItem {
   std::string instance;
   ItemState state = ItemState::kWaiting;
-  std::uint64_t changed = 0;  // how many steps the plan had taken when this was reached
-  bool back = false;          // an operator said that its work is done
-  std::string why;            // skipped: for what reason
+  /// The number of the plan's step in which the state was reached.
+  std::uint64_t changed = 0;
+  /// An operator has confirmed that the work on it is done.
+  bool back = false;
+  /// Why it is in this state, where that needs saying.
+  std::string why;
   bool operator==(const PlanItem&) const = default;
 };
 
 struct Plan {
-  static constexpr std::size_t kMaxInstances = kMostInstances;
-  static constexpr std::size_t kLongestWord = 128;
+  static constexpr std::size_t kMaxInstances = kMaxFleetInstances;
+  /// Of the plan's id and of the operator's name.
+  static constexpr std::size_t kMaxWordBytes = 128;
 
-  std::string id, by;
+  std::string id;
+  std::string by;  ///< The operator who started it.
   PlanState state = PlanState::kRunning;
-  double holdMs = 0;        // that each instance is out at least
-  bool confirm = false;     // each stays out until an operator says that it is back
-  std::uint64_t steps = 0;  // taken so far
-  std::uint64_t fence = 0;  // of the last one that took a step
-  double startedMs = 0;     // Unix time, for people
+  double holdMs = 0;        ///< For which each instance stays out at least.
+  bool confirm = false;     ///< Each instance stays out until an operator confirms its return.
+  std::uint64_t steps = 0;  ///< Taken so far.
+  std::uint64_t fence = 0;  ///< Of the holder that took the last step.
+  double startedMs = 0;     ///< Unix time; informational only.
   std::vector<PlanItem> items;
   bool operator==(const Plan&) const = default;
 
-  bool over() const {
-    return state == PlanState::kDone || (state == PlanState::kCancelled && drained().empty());
-  }
-  // The instances that get nothing new, by this plan.
+  /// Done, or cancelled with all instances back.
+  bool over() const;
+  /// The instances that get no new requests by this plan.
   std::set<std::string> drained() const;
+  /// The instance's item; nullptr if the plan has none.
   PlanItem* item(const std::string& instance);
 
-  std::string text() const;
-  // Nothing if the text is no whole plan of a form that is known.
+  std::string serialize() const;
+  /// Nothing if the text is not a complete plan of a known form.
   static std::optional<Plan> parse(std::string_view text);
 };
 
+struct StoredPlan {
+  Plan plan;
+  std::uint64_t revision = 0;
+};
+/// The plan among the documents; nothing if there is none or it cannot be parsed.
+std::optional<StoredPlan> findPlan(const std::map<std::string, Document>& documents);
+
 }  // namespace inference_router::coordination
--- a/src/coordination/presence.cpp
+++ b/src/coordination/presence.cpp
@@ -10,72 +10,77 @@
 constexpr const char* kForm = "dahliastall-node-1";
 }  // namespace
 
-std::string Presence::text() const {
-  return json{{"form", kForm}, {"name", who.name}, {"incarnation", who.incarnation},
-              {"beat", beat},  {"plan", plan},     {"steps", steps},
+bool isPresenceKey(const std::string& key) {
+  return key.rfind(kNodePrefix, 0) == 0;
+}
+
+std::string Presence::serialize() const {
+  return json{{"form", kForm},    {"name", holder.name}, {"incarnation", holder.incarnation},
+              {"beat", sequence}, {"plan", plan},        {"steps", steps},
               {"open", open}}
       .dump(-1, ' ', true, json::error_handler_t::replace);
 }
 
 std::optional<Presence> Presence::parse(std::string_view text) {
   try {
-    const json whole = json::parse(text);
-    if (whole.at("form") != kForm)
+    const json value = json::parse(text);
+    if (value.at("form") != kForm)
       return std::nullopt;
-    Presence said;
-    said.who = {whole.at("name").get<std::string>(), whole.at("incarnation").get<std::uint64_t>()};
-    said.beat = whole.at("beat").get<std::uint64_t>();
-    said.plan = whole.at("plan").get<std::string>();
-    said.steps = whole.at("steps").get<std::uint64_t>();
-    said.open = whole.at("open").get<std::map<std::string, std::uint64_t>>();
-    if (said.open.size() > kMostInstances)
+    Presence presence;
+    presence.holder.name = value.at("name").get<std::string>();
+    presence.holder.incarnation = value.at("incarnation").get<std::uint64_t>();
+    presence.sequence = value.at("beat").get<std::uint64_t>();
+    presence.plan = value.at("plan").get<std::string>();
+    presence.steps = value.at("steps").get<std::uint64_t>();
+    presence.open = value.at("open").get<std::map<std::string, std::uint64_t>>();
+    if (presence.open.size() > kMaxFleetInstances)
       return std::nullopt;
-    return said;
+    return presence;
   } catch (const json::exception&) {
     return std::nullopt;
   }
 }
 
-std::optional<Write> OwnPresence::next(const Presence& now, double nowMs) {
-  if (writing_ || rivalled_ || !known_)
+std::optional<Write> PresencePublisher::nextWrite(const Presence& current, double nowMs) {
+  if (writing_ || nameConflict_ || !revisionKnown_)
     return std::nullopt;
-  if (nowMs < nextMs_ && said_ == now)
+  if (nowMs < nextMs_ && lastPublished_ == current)
     return std::nullopt;
-  said_ = now;
-  Presence told = now;
-  told.who = who_;
-  told.beat = ++beat_;
+  lastPublished_ = current;
+  Presence published = current;
+  published.holder = holder_;
+  published.sequence = ++sequence_;
   writing_ = true;
-  return Write{key(), seen_, told.text()};
+  return Write{key(), storedRevision_, published.serialize()};
 }
 
-void OwnPresence::written(const CommitAnswer& answer, double nowMs) {
+void PresencePublisher::onWritten(const CommitResponse& response, double nowMs) {
   writing_ = false;
   nextMs_ = nowMs + periodMs_;
-  if (answer.how == Committed::kDone) {
-    seen_ = answer.revision;
-    owned_ = true;
+  if (response.status == CommitStatus::kDone) {
+    storedRevision_ = response.revision;
+    hasWritten_ = true;
   } else {
-    known_ = false;  // whether it was written, or over what, the next reading tells
+    revisionKnown_ = false;  // the next read tells whether it was written, or by whom
   }
 }
 
-void OwnPresence::read(const std::map<std::string, Doc>& docs, double nowMs) {
+void PresencePublisher::onRead(const std::map<std::string, Document>& documents, double nowMs) {
   if (writing_)
     return;
-  const auto it = docs.find(key());
-  const std::uint64_t is = it == docs.end() ? 0 : it->second.revision;
-  if (known_ && is == seen_)
+  const auto it = documents.find(key());
+  const std::uint64_t revision = it == documents.end() ? 0 : it->second.revision;
+  if (revisionKnown_ && revision == storedRevision_)
     return;
-  // Whatever an earlier process of this name left is written over; one that writes over this one
-  // lives. Gone is what a cleaner took for dead: it is written anew.
-  if (it != docs.end() && owned_) {
+  // What an earlier process of this name left is overwritten; a process that overwrites this one's
+  // presence is alive. A presence that the cleanup removed is written again.
+  if (it != documents.end() && hasWritten_) {
     const auto other = Presence::parse(it->second.value);
-    if (other && other->who != who_)
-      rivalled_ = true;
+    if (other && other->holder != holder_)
+      nameConflict_ = true;
   }
-  known_ = true;
-  seen_ = is;
+  revisionKnown_ = true;
+  storedRevision_ = revision;
   nextMs_ = nowMs;
 }
 
--- a/src/coordination/presence.h
+++ b/src/coordination/presence.h
@@ -1,6 +1,6 @@
-// What a router says of itself in the store: that it lives, which plan it acts by, and what it
-// still has open at instances that are drained. Read by whoever holds the maintenance; cleaned up
-// when its router is gone.
+/// What a router publishes of itself in the store: that it is alive, which plan it follows, and
+/// what it still has open at drained instances. Read by the holder of the maintenance lease, and
+/// removed by the cleanup when its router is gone.
 #pragma once
 
 #include <cstdint>
@@ -9,49 +9,60 @@
 #include <string>
 #include <string_view>
 
-#include "coordination/lease.h"
 #include "coordination/store.h"
 
 namespace inference_router::coordination {
 
 inline constexpr const char* kNodePrefix = "node/";
 
+/// Whether this is the key of a router's presence.
+bool isPresenceKey(const std::string& key);
+
 struct Presence {
-  Holder who;
-  std::uint64_t beat = 0;   // counts up: a text that stays the same is a router that does not speak
-  std::string plan;         // whose steps it has carried out,
-  std::uint64_t steps = 0;  // and how many of them
-  std::map<std::string, std::uint64_t> open;  // attempts at instances that the plan drains
+  Holder holder;
+  /// Counts up: a document that does not change is that of a router that is not alive.
+  std::uint64_t sequence = 0;
+  /// The plan whose steps the router has carried out, and how many of them.
+  std::string plan;
+  std::uint64_t steps = 0;
+  /// Open attempts by instance, at those that the plan drains.
+  std::map<std::string, std::uint64_t> open;
   bool operator==(const Presence&) const = default;
 
-  std::string text() const;
+  std::string serialize() const;
+  /// Nothing if the text is not a complete presence of a known form.
   static std::optional<Presence> parse(std::string_view text);
 };
 
-// Writes this router's own document: what to write next, and what the answers mean. No I/O.
-class OwnPresence {
+/// Decides when this router's presence is written, and detects another process with its name. No
+/// I/O.
+class PresencePublisher {
  public:
-  OwnPresence(Holder who, double periodMs) : who_(std::move(who)), periodMs_(periodMs) {}
+  PresencePublisher(Holder holder, double periodMs)
+      : holder_(std::move(holder)), periodMs_(periodMs) {}
 
-  // Something to write if it is time, or if what it says has changed; nothing while a write is
-  // under way.
-  std::optional<Write> next(const Presence& now, double nowMs);
-  void written(const CommitAnswer& answer, double nowMs);
-  // What the store has under this router's name.
-  void read(const std::map<std::string, Doc>& docs, double nowMs);
+  /// The write to send if the period has passed or the presence has changed; nothing while a write
+  /// is under way. The presence's holder and sequence are filled in here.
+  std::optional<Write> nextWrite(const Presence& current, double nowMs);
+  void onWritten(const CommitResponse& response, double nowMs);
+  void onRead(const std::map<std::string, Document>& documents, double nowMs);
 
-  // Another process with this router's name that goes on after this one had written: this one
-  // steps back.
-  bool rivalled() const { return rivalled_; }
+  /// Another process with this router's name has written after this one: this one must not act.
+  bool nameConflict() const { return nameConflict_; }
 
  private:
-  std::string key() const { return kNodePrefix + who_.name; }
+  std::string key() const { return kNodePrefix + holder_.name; }
 
-  Holder who_;
-  double periodMs_, nextMs_ = 0;
-  std::uint64_t seen_ = 0, beat_ = 0;
-  std::optional<Presence> said_;  // last, without its beat
-  bool known_ = false, writing_ = false, rivalled_ = false, owned_ = false;
+  Holder holder_;
+  double periodMs_;
+  double nextMs_ = 0;
+  std::uint64_t storedRevision_ = 0;
+  std::uint64_t sequence_ = 0;
+  std::optional<Presence> lastPublished_;  // without holder and sequence
+  bool revisionKnown_ = false;
+  bool writing_ = false;
+  bool nameConflict_ = false;
+  bool hasWritten_ = false;
 };
 
 }  // namespace inference_router::coordination
--- a/src/coordination/runner.cpp
+++ b/src/coordination/runner.cpp
@@ -4,289 +4,293 @@
 
 #include <algorithm>
 #include <cmath>
-#include <nlohmann/json.hpp>
 #include <stdexcept>
 
 namespace inference_router::coordination {
 
 namespace {
 
-constexpr double kStaleReads =
-    4;                         // readings that fail or lag before this router counts as not hearing
-constexpr double kRestMs = 1;  // between two looks, whatever a machine asks for
+// Reads that may fail or be late before the view counts as outdated.
+constexpr double kMaxMissedReads = 4;
+constexpr double kMinTickIntervalMs = 1;
+
+/// Candidates send requests all the time; only these states are worth a line in the log.
+bool worthLogging(LeaseState state) {
+  return state != LeaseState::kCandidate && state != LeaseState::kAcquiring &&
+         state != LeaseState::kBackingOff;
+}
 
 }  // namespace
 
-Runner::Runner(Parts parts, Holder who, std::uint64_t seed, LeaseConfig config, double watchMs)
+Runner::Runner(Parts parts,
+               Holder holder,
+               std::uint64_t seed,
+               LeaseConfig config,
+               double pollIntervalMs)
     : parts_(parts),
-      who_(std::move(who)),
+      holder_(std::move(holder)),
       seed_(seed),
       config_(std::move(config)),
-      watchMs_(watchMs) {}
-
-Runner::~Runner() {
-  *alive_ = false;
-  parts_.timers.cancel(next_);
-}
+      pollIntervalMs_(pollIntervalMs) {}
 
 void Runner::add(std::unique_ptr<FleetTask> task) {
   LeaseConfig config = config_;
   config.task = task->config().name;
-  config.longestStepMs = task->config().longestStepMs;
-  if (const auto problem = problemWith(config))
-    throw std::invalid_argument("task " + config.task + ": " + *problem);
+  config.maxStepMs = task->config().maxStepMs;
+  if (const auto error = validate(config))
+    throw std::invalid_argument("task " + config.task + ": " + error->message);
   const std::uint64_t seed = seed_ + std::hash<std::string>()(config.task);
-  slots_.push_back(
-      std::make_unique<Slot>(Slot{std::move(task), Lease(config, who_, seed, parts_.clock.nowMs()),
-                                  0, 0, 0, LeaseState::kCandidate}));
+  Lease lease(config, holder_, seed, parts_.clock.nowMs());
+  tasks_.push_back(std::make_unique<ManagedTask>(std::move(task), std::move(lease)));
 }
 
 void Runner::start() {
   tick();
 }
 
-void Runner::candidates(std::size_t count) {
-  for (const auto& slot : slots_)
-    slot->lease.candidates(count);
+void Runner::setCandidateCount(std::size_t count) {
+  for (const auto& managed : tasks_)
+    managed->lease.setCandidateCount(count);
 }
 
 void Runner::resign() {
-  for (const auto& slot : slots_)
-    slot->lease.resign(parts_.clock.nowMs());
-  schedule();
+  for (const auto& managed : tasks_)
+    managed->lease.resign(parts_.clock.nowMs());
+  scheduleNextTick();
+}
+
+void Runner::rejoin() {
+  for (const auto& managed : tasks_)
+    managed->lease.rejoin(parts_.clock.nowMs());
+  scheduleNextTick();
 }
 
-void Runner::again() {
-  for (const auto& slot : slots_)
-    slot->lease.again(parts_.clock.nowMs());
-  schedule();
+bool Runner::fullyReleased() const {
+  return std::all_of(tasks_.begin(), tasks_.end(),
+                     [](const auto& managed) { return managed->lease.fullyReleased(); });
 }
 
-bool Runner::out() const {
-  return std::all_of(slots_.begin(), slots_.end(),
-                     [](const auto& slot) { return slot->lease.out(); });
+bool Runner::storeReadable() const {
+  const double maxAgeMs = pollIntervalMs_ * kMaxMissedReads + config_.requestTimeoutMs;
+  return storeError_.empty() && parts_.clock.nowMs() - view_.readMs <= maxAgeMs;
 }
 
-bool Runner::hears() const {
-  return trouble_.empty() &&
-         parts_.clock.nowMs() - view_.readMs <= watchMs_ * kStaleReads + config_.askMs;
+bool Runner::holdsAny(double nowMs) const {
+  return std::any_of(tasks_.begin(), tasks_.end(),
+                     [nowMs](const auto& managed) { return managed->lease.withinValidity(nowMs); });
 }
 
+// ---- Ticks
+
 void Runner::tick() {
+  if (parts_.clock.nowMs() >= nextReadMs_)
+    readStore();
+  for (const auto& managed : tasks_) {
+    requestLease(*managed);
+    beginStep(*managed);
+    onLeaseChange(*managed);
+  }
+  scheduleNextTick();
+}
+
+void Runner::scheduleNextTick() {
   const double now = parts_.clock.nowMs();
-  if (now >= nextReadMs_)
-    read();
-  for (const auto& entry : slots_) {
-    Slot& slot = *entry;
-    if (const auto ask = slot.lease.tick(now)) {
-      ++parts_.counters["leases.asked"];
-      parts_.store.ask(*ask, [this, alive = alive_, &slot](const LeaseAnswer& answer) {
-        if (!*alive)
-          return;
-        slot.lease.answered(answer, parts_.clock.nowMs());
-        follow(slot);
-        schedule();
-      });
-    }
-    work(slot);
-    follow(slot);
+  double next = reading_ ? HUGE_VAL : nextReadMs_;
+  for (const auto& managed : tasks_) {
+    next = std::min(next, managed->lease.nextMs());
+    if (managed->lease.withinValidity(now))
+      next = std::min(next, managed->nextStepMs);
   }
-  schedule();
+  if (next == HUGE_VAL)
+    next = now + pollIntervalMs_;
+  nextTick_.cancel();
+  nextTick_ = parts_.timers.schedule(std::max(next, now + kMinTickIntervalMs), [this] { tick(); });
+}
+
+void Runner::requestLease(ManagedTask& managed) {
+  const auto request = managed.lease.tick(parts_.clock.nowMs());
+  if (!request)
+    return;
+  ++parts_.counters["leases.asked"];
+  parts_.store.requestLease(*request, guard_.wrap([this, &managed](const LeaseResponse& response) {
+    managed.lease.onResponse(response, parts_.clock.nowMs());
+    onLeaseChange(managed);
+    scheduleNextTick();
+  }));
 }
 
-// The next step rests on what was read; one that rests on something old is refused by the store,
-// and costs a call.
-void Runner::work(Slot& slot) {
+// ---- Steps
+
+void Runner::beginStep(ManagedTask& managed) {
   const double now = parts_.clock.nowMs();
-  if (!slot.lease.withinValidity(now) || now < slot.nextLookMs || !hears())
+  // A step by an outdated view would be refused by the store, and cost a call.
+  if (!managed.lease.withinValidity(now) || now < managed.nextStepMs || !storeReadable())
     return;
-  if (!whole_)
-    return read();  // it held nothing when it last read
-  slot.nextLookMs = now + slot.task->config().periodMs;
-  const auto step = slot.task->next(view_, slot.lease.fenceNumber(), now);
+  if (!viewComplete_)
+    return readStore();  // no lease was held at the last read
+  managed.nextStepMs = now + managed.task->config().periodMs;
+  const auto step = managed.task->next(view_, managed.lease.fence(), now);
   if (!step)
-    return slot.lease.idle(now);
-  const auto fence = slot.lease.beginStep(now);
+    return managed.lease.markIdle(now);
+  const auto fence = managed.lease.beginStep(now);
   if (!fence)
     return;
   parts_.store.commit(*fence, step->writes,
-                      [this, alive = alive_, &slot, step = *step](CommitAnswer answer) {
-                        if (*alive)
-                          committed(slot, step, answer);
-                      });
+                      guard_.wrap([this, &managed, step = *step](const CommitResponse& response) {
+                        onCommitted(managed, step, response);
+                      }));
 }
 
-void Runner::committed(Slot& slot, const Step& step, const CommitAnswer& answer) {
+void Runner::onCommitted(ManagedTask& managed, const Step& step, const CommitResponse& response) {
   const double now = parts_.clock.nowMs();
-  const bool plain = slot.task->config().quiet && answer.how == Committed::kDone;
-  spdlog::log(plain ? spdlog::level::debug : spdlog::level::info,
-              "step task={} fence={} answer={} revision={} what=\"{}\"", slot.task->config().name,
-              slot.lease.fenceNumber(), nameOf(answer.how), answer.revision, step.what);
-  if (answer.how == Committed::kStaleFence) {
-    ++slot.refusedByFence;
+  const bool done = response.status == CommitStatus::kDone;
+  const bool routine = managed.task->config().quiet && done;
+  spdlog::log(routine ? spdlog::level::debug : spdlog::level::info,
+              "step task={} fence={} answer={} revision={} what=\"{}\"", managed.name(),
+              managed.lease.fence(), nameOf(response.status), response.revision, step.description);
+  if (response.status == CommitStatus::kStaleFence) {
+    ++managed.refusedByFence;
     ++parts_.counters["leases.refused_by_fence"];
-    slot.lease.refused(now);
+    managed.lease.onFenceRefused(now);
   } else {
-    slot.lease.stepEnded(answer.how == Committed::kDone, now);
-    if (answer.how == Committed::kDone)
-      ++slot.steps, ++parts_.counters["tasks.steps"];
+    managed.lease.endStep(done, now);
+  }
+  if (done) {
+    ++managed.steps;
+    ++parts_.counters["tasks.steps"];
   }
-  // Before what was written is read again, the next step would rest on what was there before.
-  slot.nextLookMs = now + slot.task->config().periodMs;
-  follow(slot);
+  // Until what was written is read, the next step would rest on what was there before.
+  managed.nextStepMs = now + managed.task->config().periodMs;
+  onLeaseChange(managed);
   refresh();
 }
 
-void Runner::read() {
+// ---- Reads
+
+void Runner::refresh() {
+  readStore();
+}
+
+void Runner::readStore() {
   if (reading_) {
     readAgain_ = true;
     return;
   }
   reading_ = true;
-  nextReadMs_ = parts_.clock.nowMs() + watchMs_;
-  const double asked = parts_.clock.nowMs();
-  const bool whole = !needs_ || holdsAny(asked);
-  const auto heard = [this, alive = alive_, asked, whole](const Listing& all) {
-    if (!*alive)
-      return;
-    reading_ = false;
-    if (all.ok != trouble_.empty() || all.why != trouble_) {
-      if (all.ok)
-        spdlog::info("coordination: the store is read again");
-      else
-        spdlog::warn("coordination: the store cannot be read: {}", all.why);
-    }
-    trouble_ = all.why;
-    ++parts_.counters[all.ok ? "coordination.read" : "coordination.unread"];
-    if (all.ok) {
-      // A store that was put back to an older state; what was seen stays seen until it has gone on.
-      if (all.revision < view_.revision) {
-        ++parts_.counters["coordination.went_back"];
-        spdlog::error("coordination: the store went back from revision {} to {}", view_.revision,
-                      all.revision);
-      }
-      view_ = {all.docs, all.revision, asked};
-      whole_ = whole;
-      if (told_)
-        told_(view_, whole);
-    }
-    if (std::exchange(readAgain_, false))
-      read();
-    schedule();
-  };
-  if (whole)
-    parts_.store.list(heard);
+  const double now = parts_.clock.nowMs();
+  nextReadMs_ = now + pollIntervalMs_;
+  const bool complete = !keys_ || holdsAny(now);
+  auto callback = guard_.wrap(
+      [this, now, complete](const ReadResponse& response) { onRead(response, now, complete); });
+  if (complete)
+    parts_.store.readAll(std::move(callback));
   else
-    parts_.store.look(needs_(), heard);
+    parts_.store.read(keys_(), std::move(callback));
 }
 
-bool Runner::holdsAny(double nowMs) const {
-  return std::any_of(slots_.begin(), slots_.end(),
-                     [nowMs](const auto& slot) { return slot->lease.withinValidity(nowMs); });
+void Runner::onRead(const ReadResponse& response, double requestedMs, bool complete) {
+  reading_ = false;
+  logReadability(response);
+  storeError_ = response.error;
+  ++parts_.counters[response.ok ? "coordination.read" : "coordination.unread"];
+  if (response.ok)
+    updateView(response, requestedMs, complete);
+  if (std::exchange(readAgain_, false))
+    readStore();
+  scheduleNextTick();
 }
 
-void Runner::refresh() {
-  read();
+void Runner::logReadability(const ReadResponse& response) const {
+  if (response.ok == storeError_.empty() && response.error == storeError_)
+    return;
+  if (response.ok)
+    spdlog::info("coordination: the store is read again");
+  else
+    spdlog::warn("coordination: the store cannot be read: {}", response.error);
 }
 
-void Runner::schedule() {
-  const double now = parts_.clock.nowMs();
-  double next = reading_ ? HUGE_VAL : nextReadMs_;
-  for (const auto& slot : slots_) {
-    next = std::min(next, slot->lease.nextMs());
-    if (slot->lease.withinValidity(now))
-      next = std::min(next, slot->nextLookMs);
+void Runner::updateView(const ReadResponse& response, double requestedMs, bool complete) {
+  // The store was restored from an older state.
+  if (response.revision < view_.revision) {
+    ++parts_.counters["coordination.went_back"];
+    spdlog::error("coordination: the store went back from revision {} to {}", view_.revision,
+                  response.revision);
   }
-  parts_.timers.cancel(next_);
-  if (next == HUGE_VAL)
-    next = now + watchMs_;
-  next_ = parts_.timers.add(std::max(next, now + kRestMs), [this] {
-    next_.reset();
-    tick();
-  });
+  view_ = {response.documents, response.revision, requestedMs};
+  viewComplete_ = complete;
+  if (viewCallback_)
+    viewCallback_(view_, complete);
 }
 
-// One line for each change of a lease, and the counters over all tasks.
-void Runner::follow(Slot& slot) {
-  if (slot.lease.state() != slot.logged) {
-    // Candidates ask all the time; what is said is where the lease changes hands, or might.
-    const auto told = [](LeaseState state) {
-      return state != LeaseState::kCandidate && state != LeaseState::kAsking &&
-             state != LeaseState::kBackingOff;
-    };
-    if (told(slot.lease.state()) || told(slot.logged))
-      spdlog::info("lease task={} state={} fence={} why=\"{}\"", slot.task->config().name,
-                   nameOf(slot.lease.state()), slot.lease.fenceNumber(), slot.lease.why());
-    slot.logged = slot.lease.state();
+// ---- Logs and reports
+
+void Runner::onLeaseChange(ManagedTask& managed) {
+  const Lease& lease = managed.lease;
+  if (lease.state() != managed.loggedState) {
+    if (worthLogging(lease.state()) || worthLogging(managed.loggedState))
+      spdlog::info("lease task={} state={} fence={} why=\"{}\"", managed.name(),
+                   nameOf(lease.state()), lease.fence(), lease.reason());
+    managed.loggedState = lease.state();
   }
+  publishCounts();
+}
+
+void Runner::publishCounts() {
   Lease::Counts sum;
-  for (const auto& one : slots_) {
-    const Lease::Counts& counts = one->lease.counts();
+  for (const auto& managed : tasks_) {
+    const Lease::Counts& counts = managed->lease.counts();
     sum.acquired += counts.acquired;
     sum.renewed += counts.renewed;
     sum.lost += counts.lost;
-    sum.gaveWay += counts.gaveWay;
+    sum.steppedDown += counts.steppedDown;
     sum.released += counts.released;
-    sum.wentBack += counts.wentBack;
+    sum.rolledBack += counts.rolledBack;
     sum.doubtfulMs += counts.doubtfulMs;
   }
   auto& counters = parts_.counters;
   counters["leases.acquired"] = sum.acquired;
   counters["leases.renewed"] = sum.renewed;
   counters["leases.lost"] = sum.lost;
-  counters["leases.gave_way"] = sum.gaveWay;
+  counters["leases.gave_way"] = sum.steppedDown;
   counters["leases.released"] = sum.released;
-  counters["leases.went_back"] = sum.wentBack;
+  counters["leases.went_back"] = sum.rolledBack;
   counters["leases.doubtful_ms"] = static_cast<std::uint64_t>(sum.doubtfulMs);
 }
 
-std::string Runner::report(bool asJson) const {
-  const double now = parts_.clock.nowMs();
-  nlohmann::json list = nlohmann::json::array();
-  std::string text;
-  for (const auto& slot : slots_) {
-    const Lease& lease = slot->lease;
-    const bool own = lease.withinValidity(now);
-    const std::string holder = own ? who_.name : lease.seen() ? lease.seen()->holder.name : "-";
-    const std::uint64_t fence = own ? lease.fenceNumber() : lease.seen() ? lease.seen()->fence : 0;
-    const double heldMs =
-        lease.seen() ? lease.seen()->sinceMs : 0;  // Unix time at which its holder got it
-    const double held = heldMs > 0 ? std::max(0.0, now - heldMs) / 1000 : 0;
-    const double since = (now - lease.sinceMs()) / 1000,
-                 renewal = own ? lease.nextRenewalMs() - now : 0;
-    list.push_back({{"task", slot->task->config().name},
-                    {"state", nameOf(lease.state())},
-                    {"holder", holder},
-                    {"fence", fence},
-                    {"held_s", held},
-                    {"since_s", since},
-                    {"renewal_in_ms", std::max(0.0, renewal)},
-                    {"why", lease.why()},
-                    {"steps", slot->steps},
-                    {"acquired", lease.counts().acquired},
-                    {"renewed", lease.counts().renewed},
-                    {"lost", lease.counts().lost},
-                    {"refused_by_fence", slot->refusedByFence},
-                    {"doubtful_ms", lease.counts().doubtfulMs}});
-    text += fmt::format(
-        "lease {} state={} holder={} fence={} held_s={:.0f} state_s={:.0f} renewal_in_ms={:.0f} "
-        "steps={} "
-        "lost={} refused={} "
-        "why=\"{}\"\n",
-        slot->task->config().name, nameOf(lease.state()), holder, fence, held, since,
-        std::max(0.0, renewal), slot->steps, lease.counts().lost, slot->refusedByFence,
-        lease.why());
+LeaseStatus Runner::statusOf(const ManagedTask& managed, double nowMs) const {
+  const Lease& lease = managed.lease;
+  const auto& record = lease.lastRecord();
+  LeaseStatus status;
+  status.task = managed.name();
+  status.state = lease.state();
+  status.reason = lease.reason();
+  if (record) {
+    status.holder = record->holder.name;
+    status.fence = record->fence;
+    if (record->acquiredUnixMs > 0)
+      status.heldSeconds = std::max(0.0, nowMs - record->acquiredUnixMs) / 1000;
   }
-  if (asJson)
-    return nlohmann::json{{"conductor", who_.name},
-                          {"store", parts_.store.describe()},
-                          {"hears", hears()},
-                          {"trouble", trouble_},
-                          {"leases", list}}
-               .dump(-1, ' ', true, nlohmann::json::error_handler_t::replace) +
-           "\n";
-  return "store " + parts_.store.describe() + (hears() ? " read" : " not read: " + trouble_) +
-         "\n" + text;
+  if (lease.withinValidity(nowMs)) {
+    status.holder = holder_.name;
+    status.fence = lease.fence();
+    status.renewalInMs = std::max(0.0, lease.nextRenewalMs() - nowMs);
+  }
+  status.stateSeconds = (nowMs - lease.stateSinceMs()) / 1000;
+  status.steps = managed.steps;
+  status.refusedByFence = managed.refusedByFence;
+  status.counts = lease.counts();
+  return status;
+}
+
+std::string Runner::report(bool asJson) const {
+  LeaseReport report;
+  report.router = holder_.name;
+  report.store = parts_.store.describe();
+  report.storeReadable = storeReadable();
+  report.storeError = storeError_;
+  for (const auto& managed : tasks_)
+    report.leases.push_back(statusOf(*managed, parts_.clock.nowMs()));
+  return asJson ? toJsonText(report) : toText(report);
 }
 
 }  // namespace inference_router::coordination
--- a/src/coordination/runner.h
+++ b/src/coordination/runner.h
@@ -1,13 +1,16 @@
-// Carries the leases and tasks of one router: asks the store what the machines want asked, reads
-// what all share, and commits steps under the fence that goes with them. What it decides by itself
-// is only when to look.
+/// Runs the fleet tasks of one router: sends the requests of their leases to the store, reads the
+/// shared documents, and commits the steps of held tasks under their fences.
 #pragma once
 
+#include <cstddef>
+#include <cstdint>
 #include <functional>
 #include <memory>
 #include <string>
 #include <vector>
 
+#include "coordination/callback_guard.h"
+#include "coordination/lease_report.h"
 #include "coordination/task.h"
 #include "core/clock.h"
 #include "core/counters.h"
@@ -15,74 +18,94 @@
 
 namespace inference_router::coordination {
 
+/// Belongs to the event loop's thread.
 class Runner {
  public:
+  /// All of them have to outlive the runner.
   struct Parts {
     Store& store;
     const core::Clock& clock;
     core::TimerQueue& timers;
     core::Counters& counters;
   };
+  /// complete: all documents were read, not only those of readOnly().
+  using ViewCallback = std::function<void(const View&, bool complete)>;
+  using KeyList = std::function<std::vector<std::string>()>;
 
-  // terms: of every task's lease, but for its name and longest step. Throws std::invalid_argument
-  // if a task's lease would be too short for its step.
-  Runner(Parts parts, Holder who, std::uint64_t seed, LeaseConfig config, double watchMs);
-  ~Runner();
+  /// config: of every task's lease except for its name and its longest step. pollIntervalMs:
+  /// between two reads of the store.
+  Runner(Parts parts, Holder holder, std::uint64_t seed, LeaseConfig config, double pollIntervalMs);
   Runner(const Runner&) = delete;
   Runner& operator=(const Runner&) = delete;
 
+  /// Throws std::invalid_argument if the lease would be too short for the task's steps.
   void add(std::unique_ptr<FleetTask> task);
-  // whole: all documents were read, not only those that this router needs.
-  void onView(std::function<void(const View&, bool whole)> told) { told_ = std::move(told); }
-  // Who holds no lease reads only these documents: what all routers read is paid for by all.
-  // Without it everybody reads everything.
-  void needs(std::function<std::vector<std::string>()> keys) { needs_ = std::move(keys); }
+  void onView(ViewCallback callback) { viewCallback_ = std::move(callback); }
+  /// While no lease is held only these documents are read, which keeps the load of many routers on
+  /// the store low. Without it all documents are read.
+  void readOnly(KeyList keys) { keys_ = std::move(keys); }
   void start();
-  void refresh();  // reads the store now, as what was just written is to be seen
-  void candidates(std::size_t count);
+  /// Reads the store now, to see what was just written.
+  void refresh();
+  /// How many routers compete for the leases.
+  void setCandidateCount(std::size_t count);
 
-  // Lets go of all leases in order, once steps under way have ended.
+  /// Releases all leases in order, after the steps under way, and competes for none until rejoin().
   void resign();
-  void again();
-  bool out() const;
+  void rejoin();
+  /// No lease is held, and no release is under way.
+  bool fullyReleased() const;
 
   const View& view() const { return view_; }
-  bool hears() const;  // the store was read of late
-  const std::string& storeTrouble() const { return trouble_; }
-  // Who holds what, since when and why, a line for each task; or the same as JSON.
-  std::string report(bool json) const;
+  /// Whether the last read succeeded and is recent enough to act on.
+  bool storeReadable() const;
+  /// The state of all leases for operators: a line for each task, or JSON.
+  std::string report(bool asJson) const;
 
  private:
-  struct Slot {
+  struct ManagedTask {
+    ManagedTask(std::unique_ptr<FleetTask> fleetTask, Lease taskLease)
+        : task(std::move(fleetTask)), lease(std::move(taskLease)) {}
+    const std::string& name() const { return task->config().name; }
+
     std::unique_ptr<FleetTask> task;
     Lease lease;
-    double nextLookMs = 0;
-    std::uint64_t refusedByFence = 0, steps = 0;
-    LeaseState logged = LeaseState::kCandidate;
+    double nextStepMs = 0;
+    std::uint64_t refusedByFence = 0;
+    std::uint64_t steps = 0;
+    LeaseState loggedState = LeaseState::kCandidate;
   };
 
   void tick();
-  void schedule();
-  void work(Slot& slot);
-  void committed(Slot& slot, const Step& step, const CommitAnswer& answer);
-  void follow(Slot& slot);
-  void read();
+  void scheduleNextTick();
+  void requestLease(ManagedTask& managed);
+  void beginStep(ManagedTask& managed);
+  void onCommitted(ManagedTask& managed, const Step& step, const CommitResponse& response);
+  void onLeaseChange(ManagedTask& managed);
+  void publishCounts();
+  void readStore();
+  void onRead(const ReadResponse& response, double requestedMs, bool complete);
+  void logReadability(const ReadResponse& response) const;
+  void updateView(const ReadResponse& response, double requestedMs, bool complete);
+  bool holdsAny(double nowMs) const;
+  LeaseStatus statusOf(const ManagedTask& managed, double nowMs) const;
 
   Parts parts_;
-  Holder who_;
+  Holder holder_;
   std::uint64_t seed_;
   LeaseConfig config_;
-  double watchMs_, nextReadMs_ = 0;
-  std::vector<std::unique_ptr<Slot>> slots_;
-  std::function<void(const View&, bool)> told_;
-  std::function<std::vector<std::string>()> needs_;
-  bool holdsAny(double nowMs) const;
+  double pollIntervalMs_;
+  double nextReadMs_ = 0;
+  std::vector<std::unique_ptr<ManagedTask>> tasks_;
+  ViewCallback viewCallback_;
+  KeyList keys_;
   View view_;
-  bool whole_ = false;  // the view has all documents
-  std::string trouble_ = "not read yet";
-  bool reading_ = false, readAgain_ = false;
-  std::optional<core::TimerQueue::Key> next_;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  bool viewComplete_ = false;
+  std::string storeError_ = "not read yet";  // empty: the last read succeeded
+  bool reading_ = false;
+  bool readAgain_ = false;  // once the read under way has ended
+  core::Timer nextTick_;
+  CallbackGuard guard_;
 };
 
 }  // namespace inference_router::coordination
--- a/src/coordination/setup.cpp
+++ b/src/coordination/setup.cpp
@@ -2,63 +2,64 @@
 
 #include <algorithm>
 #include <cctype>
+#include <cmath>
 
 namespace inference_router::coordination {
 
 namespace {
 
-constexpr std::size_t kLongestName = 64;
-constexpr std::size_t kMostEndpoints = 9;
+constexpr std::size_t kMaxNameBytes = 64;
+constexpr std::size_t kMaxEndpoints = 9;
 
-// It becomes part of keys.
-std::string nameIn(const core::ConfigReader& given) {
+bool isNameCharacter(char c) {
+  return std::isalnum(static_cast<unsigned char>(c)) != 0 || c == '-' || c == '_' || c == '.';
+}
+
+/// The name becomes part of the store's keys.
+std::string readName(const core::ConfigReader& given) {
   auto name = given.as<std::string>();
-  const bool plain =
-      !name.empty() && name.size() <= kLongestName &&
-      std::all_of(name.begin(), name.end(), [](char c) {
-        return std::isalnum(static_cast<unsigned char>(c)) != 0 || c == '-' || c == '_' || c == '.';
-      });
-  if (!plain)
+  if (name.empty() || name.size() > kMaxNameBytes ||
+      !std::all_of(name.begin(), name.end(), isNameCharacter))
     given.fail("is not a plain word of 1 to 64 letters, digits, '-', '_' or '.'");
   return name;
 }
 
-EtcdConfig etcdOf(const core::ConfigReader& store, double askMs) {
+LeaseConfig readLease(const core::ConfigReader& given) {
+  LeaseConfig lease;
+  lease.ttlMs = given.above0("lease_s", lease.ttlMs / 1000) * 1000;
+  lease.drift = given.value("drift", lease.drift);
+  lease.requestTimeoutMs = given.above0("answer_ms", lease.requestTimeoutMs);
+  lease.progressTimeoutMs = given.above0("idle_holder_s", lease.progressTimeoutMs / 1000) * 1000;
+  lease.spreadMs = given.value("spread_ms", lease.spreadMs);
+  lease.maxStepMs = given.above0("step_ms", lease.maxStepMs);
+  return lease;
+}
+
+void checkLease(const core::ConfigReader& given, LeaseConfig& lease) {
+  lease.task = "any";
+  if (const auto error = validate(lease))
+    given.fail("cannot be used: " + error->message);
+}
+
+EtcdConfig readEtcd(const core::ConfigReader& store, double callTimeoutMs) {
   store.only({"kind", "endpoints", "prefix"});
-  EtcdConfig place;
-  for (const core::ConfigReader& one : store.at("endpoints").list())
-    place.endpoints.push_back(
-        one.read([](const std::string& text) { return net::endpointOf(text); }));
-  if (place.endpoints.empty())
+  EtcdConfig config;
+  for (const core::ConfigReader& endpoint : store.at("endpoints").list()) {
+    config.endpoints.push_back(
+        endpoint.read([](const std::string& text) { return net::endpointOf(text); }));
+  }
+  if (config.endpoints.empty())
     store.at("endpoints").fail("names no address");
-  if (place.endpoints.size() > kMostEndpoints)
+  if (config.endpoints.size() > kMaxEndpoints)
     store.at("endpoints").fail("names more than 9 addresses");
-  place.prefix = store.value<std::string>("prefix", place.prefix);
-  if (place.prefix.empty() || place.prefix.size() > kLongestName || place.prefix.back() != '/')
+  config.prefix = store.value<std::string>("prefix", config.prefix);
+  if (config.prefix.empty() || config.prefix.size() > kMaxNameBytes || config.prefix.back() != '/')
     store.at("prefix").fail("does not end with '/' or is longer than 64 bytes");
-  place.callMs = askMs;
-  return place;
+  config.callTimeoutMs = callTimeoutMs;
+  return config;
 }
 
-}  // namespace
-
-Setup setupOf(const core::ConfigReader& given, double coldMs) {
-  given.only({"name", "store", "lease_s", "drift", "answer_ms", "idle_holder_s", "spread_ms",
-              "watch_ms", "step_ms", "maintenance", "cleanup"});
-  Setup setup;
-  setup.text = given.json().dump();
-  setup.name = nameIn(given.at("name"));
-  LeaseConfig& lease = setup.lease;
-  lease.ttlMs = given.above0("lease_s", lease.ttlMs / 1000) * 1000;
-  lease.drift = given.value("drift", lease.drift);
-  lease.askMs = given.above0("answer_ms", lease.askMs);
-  lease.workMs = given.above0("idle_holder_s", lease.workMs / 1000) * 1000;
-  lease.spreadMs = given.value("spread_ms", lease.spreadMs);
-  lease.longestStepMs = given.above0("step_ms", lease.longestStepMs);
-  setup.watchMs = given.above0("watch_ms", setup.watchMs);
-  lease.task = "any";
-  if (const auto problem = problemWith(lease))
-    given.fail("cannot be used: " + *problem);
+void readStore(const core::ConfigReader& given, Setup& setup) {
   const core::ConfigReader store = given.at("store");
   const auto kind = store.at("kind").as<std::string>();
   if (kind == "sqlite") {
@@ -67,31 +68,47 @@
     if (setup.sqlitePath.empty())
       store.at("path").fail("is empty");
   } else if (kind == "etcd") {
-    setup.etcd = etcdOf(store, lease.askMs);
-    // Its leases are in whole seconds.
-    if (lease.ttlMs < 1000 || std::fmod(lease.ttlMs, 1000) != 0)
+    setup.etcd = readEtcd(store, setup.lease.requestTimeoutMs);
+    // etcd's leases are in whole seconds.
+    if (setup.lease.ttlMs < 1000 || std::fmod(setup.lease.ttlMs, 1000) != 0)
       given.fail("cannot be used: with etcd lease_s is a whole number of seconds");
   } else {
     store.at("kind").fail("is sqlite or etcd, not " + kind);
   }
-  setup.maintenance.coldMs = coldMs;
+}
+
+void readMaintenance(const core::ConfigReader& given, MaintenanceConfig& config) {
+  given.only({"silent_node_s", "period_ms"});
+  config.silentNodeMs = given.above0("silent_node_s", config.silentNodeMs / 1000) * 1000;
+  config.task.periodMs = given.above0("period_ms", config.task.periodMs);
+}
+
+void readCleanup(const core::ConfigReader& given, Cleanup::Config& config) {
+  given.only({"gone_s", "plan_s", "period_ms"});
+  config.goneMs = given.above0("gone_s", config.goneMs / 1000) * 1000;
+  config.planRetentionMs = given.above0("plan_s", config.planRetentionMs / 1000) * 1000;
+  config.task.periodMs = given.above0("period_ms", config.task.periodMs);
+}
+
+}  // namespace
+
+Setup setupOf(const core::ConfigReader& given, double warmupMs) {
+  given.only({"name", "store", "lease_s", "drift", "answer_ms", "idle_holder_s", "spread_ms",
+              "watch_ms", "step_ms", "maintenance", "cleanup"});
+  Setup setup;
+  setup.text = given.json().dump();
+  setup.name = readName(given.at("name"));
+  setup.lease = readLease(given);
+  setup.pollIntervalMs = given.above0("watch_ms", setup.pollIntervalMs);
+  checkLease(given, setup.lease);
+  readStore(given, setup);
+  setup.maintenance.warmupMs = warmupMs;
   for (TaskConfig* task : {&setup.maintenance.task, &setup.cleanup.task})
-    task->longestStepMs = lease.longestStepMs;
-  if (given.has("maintenance")) {
-    const core::ConfigReader maintenance = given.at("maintenance");
-    maintenance.only({"silent_node_s", "period_ms"});
-    setup.maintenance.silentNodeMs =
-        maintenance.above0("silent_node_s", setup.maintenance.silentNodeMs / 1000) * 1000;
-    setup.maintenance.task.periodMs =
-        maintenance.above0("period_ms", setup.maintenance.task.periodMs);
-  }
-  if (given.has("cleanup")) {
-    const core::ConfigReader cleanup = given.at("cleanup");
-    cleanup.only({"gone_s", "plan_s", "period_ms"});
-    setup.cleanup.goneMs = cleanup.above0("gone_s", setup.cleanup.goneMs / 1000) * 1000;
-    setup.cleanup.planMs = cleanup.above0("plan_s", setup.cleanup.planMs / 1000) * 1000;
-    setup.cleanup.task.periodMs = cleanup.above0("period_ms", setup.cleanup.task.periodMs);
-  }
+    task->maxStepMs = setup.lease.maxStepMs;
+  if (given.has("maintenance"))
+    readMaintenance(given.at("maintenance"), setup.maintenance);
+  if (given.has("cleanup"))
+    readCleanup(given.at("cleanup"), setup.cleanup);
   return setup;
 }
 
--- a/src/coordination/setup.h
+++ b/src/coordination/setup.h
@@ -1,13 +1,12 @@
-// What an operator's file says under `coordination`: this router's name, the store it shares
-// with the others, and how leases and tasks are to go. Without it a router shares nothing, and
-// none of this is there.
+/// The `coordination` section of the operator's file: this router's name, the store that the fleet
+/// shares, and the terms of leases and tasks. Without the section a router shares nothing.
 #pragma once
 
 #include <optional>
 #include <string>
 
 #include "coordination/cleanup.h"
-#include "coordination/etcd_store.h"
+#include "coordination/etcd_client.h"
 #include "coordination/maintenance.h"
 #include "core/config_reader.h"
 
@@ -15,17 +14,19 @@
 
 struct Setup {
   std::string name;
-  std::string sqlitePath;  // empty: etcd
+  std::string sqlitePath;  ///< Empty: the store is etcd.
   std::optional<EtcdConfig> etcd;
-  LeaseConfig lease;     // of every task; its name and longest step are the task's
-  double watchMs = 500;  // between two readings of the store
+  /// Of every task's lease except for its name and its longest step.
+  LeaseConfig lease;
+  double pollIntervalMs = 500;  ///< Between two reads of the store.
   MaintenanceConfig maintenance;
   Cleanup::Config cleanup;
-  std::string text;  // as it stood in the file: a change is known by it
+  /// The section's JSON, to recognize a change.
+  std::string text;
 };
 
-// Throws std::invalid_argument with the path of what is wrong. coldMs: that an instance takes to be
-// warm.
-Setup setupOf(const core::ConfigReader& given, double coldMs);
+/// Throws std::invalid_argument with the path of what is wrong. warmupMs: that an instance takes to
+/// warm up.
+Setup setupOf(const core::ConfigReader& given, double warmupMs);
 
 }  // namespace inference_router::coordination
--- a/src/coordination/storage_thread.cpp
+++ b/src/coordination/storage_thread.cpp
@@ -5,9 +5,10 @@
 
 namespace inference_router::coordination {
 
-// Signals are for the loop's thread alone.
+// Signals are delivered to the event loop's thread only.
 StorageThread::StorageThread() {
-  sigset_t all, before;
+  sigset_t all;
+  sigset_t before;
   sigfillset(&all);
   pthread_sigmask(SIG_SETMASK, &all, &before);
   thread_ = std::thread([this] { run(); });
@@ -27,7 +28,7 @@
 bool StorageThread::post(std::function<void()> job) {
   {
     const std::lock_guard lock(mutex_);
-    if (stopping_ || jobs_.size() >= kMostJobs)
+    if (stopping_ || jobs_.size() >= kMaxJobs)
       return false;
     jobs_.push_back(std::move(job));
   }
@@ -35,7 +36,7 @@
   return true;
 }
 
-std::size_t StorageThread::waiting() const {
+std::size_t StorageThread::queued() const {
   const std::lock_guard lock(mutex_);
   return jobs_.size();
 }
--- a/src/coordination/storage_thread.h
+++ b/src/coordination/storage_thread.h
@@ -1,5 +1,5 @@
-// A thread for what may block on a disk, behind a queue with a bound: the loop's thread never waits
-// for it. What finds the queue full is told so at once.
+/// A thread for work that may block on a disk, behind a bounded queue: the event loop's thread
+/// never waits for it.
 #pragma once
 
 #include <condition_variable>
@@ -13,15 +13,18 @@
 
 class StorageThread {
  public:
-  static constexpr std::size_t kMostJobs = 64;
+  static constexpr std::size_t kMaxJobs = 64;
 
   StorageThread();
-  ~StorageThread();  // waits for the job under way; those that wait are dropped
+  /// Waits for the job under way; those in the queue are dropped.
+  ~StorageThread();
   StorageThread(const StorageThread&) = delete;
   StorageThread& operator=(const StorageThread&) = delete;
 
-  bool post(std::function<void()> job);  // false: no room
-  std::size_t waiting() const;
+  /// Does not block. Returns false if the queue is full. May be called on any thread.
+  bool post(std::function<void()> job);
+  /// The number of jobs in the queue.
+  std::size_t queued() const;
 
  private:
   void run();
--- a/src/shared/codec.h
+++ b/src/shared/codec.h
@@ -24,12 +24,12 @@
 inline constexpr const char* kDigestKey = "digest";
 
 // Bounds of documents; what exceeds them is rejected with kBeyondBounds.
-constexpr std::size_t kMaxNodes = coordination::kMostConductors;
+constexpr std::size_t kMaxNodes = coordination::kMaxFleetRouters;
 constexpr std::size_t kMaxOrigins = 2 * kMaxNodes;  // live ones, and as many that just ended
 constexpr std::size_t kMaxFolded = kMaxNodes;
 constexpr std::size_t kMaxIdentifierBytes = 128;  // of a tenant, a class or an instance
 constexpr std::size_t kMaxNodeNameBytes = 64;     // of a router
-constexpr std::size_t kMaxDocumentBytes = coordination::kMostValueBytes;
+constexpr std::size_t kMaxDocumentBytes = coordination::kMaxValueBytes;
 // Of all parts together. Whoever makes the digest holds them encoded and decoded, about five times
 // their encoded size (tests/bounds_test.cpp), which has to stay within half of its 192 MiB.
 constexpr std::size_t kMaxPartsBytes = 16 << 20;
--- a/src/shared/digest_task.cpp
+++ b/src/shared/digest_task.cpp
@@ -5,7 +5,7 @@
 
 namespace inference_router::shared {
 
-using coordination::Doc;
+using coordination::Document;
 using coordination::Step;
 using coordination::View;
 using coordination::Write;
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr std::size_t kMaxFoldsPerStep = 64;
-static_assert(kMaxFoldsPerStep < coordination::kMostWrites);
+static_assert(kMaxFoldsPerStep < coordination::kMaxWritesPerCommit);
 constexpr double kIntervalsBeforeLending = 2;  // report intervals that a new holder waits
 constexpr double kLoanExpiryMargin = 1.1;      // times loanMs: clock drift, and a step in flight
 
@@ -40,8 +40,8 @@
 std::map<Origin, DigestTask::Read> DigestTask::readParts(const View& view, double nowMs) {
   std::map<Origin, Read> parts;
   const std::string prefix = kPartPrefix;
-  for (auto it = view.docs.lower_bound(prefix);
-       it != view.docs.end() && it->first.rfind(prefix, 0) == 0; ++it) {
+  for (auto it = view.documents.lower_bound(prefix);
+       it != view.documents.end() && it->first.rfind(prefix, 0) == 0; ++it) {
     const DecodedPart read = decodePart(it->second.value);
     // A part under the key of another origin is invalid.
     const bool own = read.part && read.part->key() == it->first;
@@ -52,13 +52,13 @@
       continue;
     }
     parts[read.part->origin] = {*read.part, it->second.revision,
-                                ages_.forMs(it->first, it->second.revision, nowMs)};
+                                ages_.unchangedMs(it->first, it->second.revision, nowMs)};
   }
-  ages_.forget([&](const std::string& key) {
-    return key.rfind(prefix, 0) == 0 && view.docs.count(key) == 0;
+  ages_.forgetIf([&](const std::string& key) {
+    return key.rfind(prefix, 0) == 0 && view.documents.count(key) == 0;
   });
   std::erase_if(countedRevisions_,
-                [&](const auto& entry) { return view.docs.count(entry.first) == 0; });
+                [&](const auto& entry) { return view.documents.count(entry.first) == 0; });
   std::erase_if(known_, [&](const auto& entry) { return parts.count(entry.first) == 0; });
   return parts;
 }
@@ -169,13 +169,13 @@
       part.origin = origin;
       const std::string mark = "lent " + part.key();
       missing.insert(mark);
-      if (ages_.forMs(mark, 0, nowMs) >= config_.goneMs)
+      if (ages_.unchangedMs(mark, 0, nowMs) >= config_.goneMs)
         lost.push_back(origin);
     }
     for (const Origin& origin : lost)
       charge(line, origin, std::nullopt);
   }
-  ages_.forget([&](const std::string& key) {
+  ages_.forgetIf([&](const std::string& key) {
     return key.rfind("lent ", 0) == 0 && missing.count(key) == 0;
   });
   return writes;
@@ -269,15 +269,15 @@
   config_ = read_();
   Digest digest;
   std::uint64_t revision = 0;
-  if (const auto doc = view.docs.find(kDigestKey); doc != view.docs.end()) {
-    const DecodedDigest read = decodeDigest(doc->second.value);
+  if (const auto document = view.documents.find(kDigestKey); document != view.documents.end()) {
+    const DecodedDigest read = decodeDigest(document->second.value);
     // Of a later version, or damaged: its loans cannot be reconstructed, so it is not overwritten.
     if (!read.digest) {
-      countUndecodable(kDigestKey, doc->second.revision, read.error);
+      countUndecodable(kDigestKey, document->second.revision, read.error);
       return std::nullopt;
     }
     digest = *read.digest;
-    revision = doc->second.revision;
+    revision = document->second.revision;
   }
   std::map<Origin, Read> parts = readParts(view, nowMs);
   detectRollback(digest, parts);
--- a/src/shared/digest_task.h
+++ b/src/shared/digest_task.h
@@ -10,8 +10,8 @@
 #include <set>
 #include <string>
 
-#include "coordination/seen.h"
 #include "coordination/task.h"
+#include "coordination/unchanged_tracker.h"
 #include "shared/codec.h"
 #include "shared/config.h"
 
@@ -68,7 +68,7 @@
   std::function<SharedConfig()> read_;
   std::function<double()> unixMs_;
   SharedConfig config_;
-  coordination::Seen ages_;
+  coordination::UnchangedTracker ages_;
   std::map<std::string, std::uint64_t> countedRevisions_;  // of undecodable documents
   std::map<Origin, UsageTable> known_;                     // highest usage of each part
   std::uint64_t lastSequence_ = 0, fence_ = 0;
--- a/src/shared/health_observation.h
+++ b/src/shared/health_observation.h
@@ -36,7 +36,7 @@
   double maxUnhealthyShare = 0.5;
 };
 
-constexpr std::size_t kMaxInstances = coordination::kMostInstances;
+constexpr std::size_t kMaxInstances = coordination::kMaxFleetInstances;
 
 // Keeps at most `most` observations: those with the most failures, then the most successes.
 void keepStrongest(std::map<std::string, HealthObservation>& observations, std::size_t most);
--- a/src/shared/node.cpp
+++ b/src/shared/node.cpp
@@ -4,9 +4,9 @@
 
 namespace inference_router::shared {
 
-using coordination::CommitAnswer;
-using coordination::Committed;
-using coordination::Doc;
+using coordination::CommitResponse;
+using coordination::CommitStatus;
+using coordination::Document;
 using coordination::Write;
 
 namespace {
@@ -82,17 +82,19 @@
   return {kDigestKey, own.key()};
 }
 
-void SharedNode::read(const std::map<std::string, Doc>& docs, double readBegunMs, double nowMs) {
-  const auto digest = docs.find(kDigestKey);
-  if (digest != docs.end())
+void SharedNode::read(const std::map<std::string, Document>& documents,
+                      double readBegunMs,
+                      double nowMs) {
+  const auto digest = documents.find(kDigestKey);
+  if (digest != documents.end())
     readDigest(digest->second, nowMs);
   // A read that was issued before the last write was answered may show the state before it.
   if (writing_ || readBegunMs < lastWriteMs_)
     return;
   Part own;
   own.origin = self_;
-  const auto doc = docs.find(own.key());
-  readOwn(doc == docs.end() ? nullptr : &doc->second, nowMs);
+  const auto document = documents.find(own.key());
+  readOwn(document == documents.end() ? nullptr : &document->second, nowMs);
 }
 
 void SharedNode::recordDecodeError(DecodeError error,
@@ -106,13 +108,13 @@
       what + " of revision " + std::to_string(revision) + " is not believed: " + nameOf(error);
 }
 
-void SharedNode::readDigest(const Doc& doc, double nowMs) {
-  if (doc.revision == digestRevision_)
+void SharedNode::readDigest(const Document& document, double nowMs) {
+  if (document.revision == digestRevision_)
     return;
-  const DecodedDigest read = decodeDigest(doc.value);
+  const DecodedDigest read = decodeDigest(document.value);
   if (!read.digest)
-    return recordDecodeError(read.error, "the digest", doc.revision);
-  digestRevision_ = doc.revision;
+    return recordDecodeError(read.error, "the digest", document.revision);
+  digestRevision_ = document.revision;
   // Older than what is known: the store was rolled back, or a holder works on a stale view. The
   // known digest stays until a newer one arrives.
   if (read.digest->sequence <= digestSequenceSeen_) {
@@ -143,9 +145,9 @@
   connectivity_.onDigest(heard == digest_->heard.end() ? 0 : heard->second, nowMs);
 }
 
-void SharedNode::readOwn(const Doc* doc, double nowMs) {
+void SharedNode::readOwn(const Document* document, double nowMs) {
   ownRecordKnown_ = true;
-  if (doc == nullptr) {
+  if (document == nullptr) {
     const Folded* folded = digest_ ? digest_->foldedOf(self_) : nullptr;
     if (folded != nullptr)
       return restartAfterEviction(folded->sequence, folded->period, nowMs);
@@ -158,15 +160,15 @@
     revision_ = 0;
     return;
   }
-  if (doc->revision == revision_)
+  if (document->revision == revision_)
     return;
-  revision_ = doc->revision;
+  revision_ = document->revision;
   nextMs_ = nowMs;
-  const DecodedPart read = decodePart(doc->value);
+  const DecodedPart read = decodePart(document->value);
   if (read.part)
     onReportAccepted(read.part->sequence, nowMs);
   else
-    recordDecodeError(read.error, "this conductor's own part", doc->revision);
+    recordDecodeError(read.error, "this conductor's own part", document->revision);
 }
 
 // The usage up to the last report is in the digest's base, and all that it might have spent is
@@ -247,18 +249,18 @@
   pendingReports_.erase(pendingReports_.begin(), it);
 }
 
-void SharedNode::written(const CommitAnswer& answer, double nowMs) {
+void SharedNode::written(const CommitResponse& answer, double nowMs) {
   writing_ = false;
   lastWriteMs_ = nowMs;
   nextMs_ = nowMs + reportIntervalMs();
-  if (answer.how == Committed::kDone) {
+  if (answer.status == CommitStatus::kDone) {
     ++stats_.reports;
     revision_ = answer.revision;
     onReportAccepted(sequence_, nowMs);
     return;
   }
   // The next read tells whether it was written.
-  if (answer.how == Committed::kConflict)
+  if (answer.status == CommitStatus::kConflict)
     ++stats_.conflicts;
   ownRecordKnown_ = false;
 }
--- a/src/shared/node.h
+++ b/src/shared/node.h
@@ -60,7 +60,9 @@
   std::vector<std::string> keys() const;
   // Documents that were read; readBegunMs is when the read was issued. A missing key is a missing
   // document.
-  void read(const std::map<std::string, coordination::Doc>& docs, double readBegunMs, double nowMs);
+  void read(const std::map<std::string, coordination::Document>& documents,
+            double readBegunMs,
+            double nowMs);
 
   // The report to write, if one is due; nothing while a write is in flight.
   std::optional<coordination::Write> next(double unixMs, double nowMs);
@@ -71,7 +73,7 @@
     nextMs_ = 0;
   }
   // The result of the write that next() asked for.
-  void written(const coordination::CommitAnswer& answer, double nowMs);
+  void written(const coordination::CommitResponse& answer, double nowMs);
 
   // ---- Decisions and state ----
   std::map<std::string, Availability> availabilities(
@@ -93,8 +95,8 @@
   const std::string& trouble() const { return trouble_; }
 
  private:
-  void readDigest(const coordination::Doc& doc, double nowMs);
-  void readOwn(const coordination::Doc* doc, double nowMs);
+  void readDigest(const coordination::Document& document, double nowMs);
+  void readOwn(const coordination::Document* document, double nowMs);
   void restartAfterEviction(std::uint64_t lastSequence, std::uint64_t period, double nowMs);
   void onReportAccepted(std::uint64_t sequence, double nowMs);
   void recordDecodeError(DecodeError error, const std::string& what, std::uint64_t revision);
--- a/src/shared/remote_health.h
+++ b/src/shared/remote_health.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "coordination/maintenance.h"
+#include "coordination/fleet_instance.h"
 #include "shared/health_observation.h"
 
 namespace inference_router::shared {
--- a/tests/bounds_test.cpp
+++ b/tests/bounds_test.cpp
@@ -6,7 +6,10 @@
 
 #include "control/commands.h"
 #include "coordination/maintenance.h"
+#include "coordination/plan_commands.h"
+#include "coordination/presence.h"
 #include "coordination/sqlite_store.h"
+#include "fleet/drains.h"
 #include "fleet/membership.h"
 #include "inference_router/router.h"
 #include "shared/digest_task.h"
@@ -58,7 +61,8 @@
 };
 INSTANTIATE_TEST_SUITE_P(OfManySizes,
                          Fleet,
-                         ::testing::Values(Size{350, 600}, Size{kMostConductors, kMostInstances}));
+                         ::testing::Values(Size{350, 600},
+                                           Size{kMaxFleetRouters, kMaxFleetInstances}));
 
 // All routers speak; one makes the digest of all, and every one of them can read it and finds
 // itself, its loans and the bad instances in it, within the bytes that the store and a router's
@@ -83,22 +87,22 @@
   const auto speak = [&] {
     for (std::size_t i = 0; i < conductors; ++i) {
       const auto& node = nodes[i];
-      std::map<std::string, Doc> mine;
+      std::map<std::string, Document> mine;
       for (const std::string& key : node->keys())
-        if (const auto it = view.docs.find(key);
-            it != view.docs.end() && (key != kDigestKey || i % every == 0))
+        if (const auto it = view.documents.find(key);
+            it != view.documents.end() && (key != kDigestKey || i % every == 0))
           mine[key] = it->second;
       node->read(mine, now, now);
       const auto write = node->next(1.7e12 + now, now);
-      ASSERT_TRUE(write && acceptable({*write}));
-      view.docs[write->key] = {*write->value, ++revision};
-      node->written({Committed::kDone, revision}, now);
+      ASSERT_TRUE(write && withinLimits({*write}));
+      view.documents[write->key] = {*write->value, ++revision};
+      node->written({CommitStatus::kDone, revision}, now);
     }
   };
   const auto digest = [&] {
     const auto step = task.next(view, 1, now);
-    ASSERT_TRUE(step && acceptable(step->writes));
-    view.docs[kDigestKey] = {*step->writes.front().value, ++revision};
+    ASSERT_TRUE(step && withinLimits(step->writes));
+    view.documents[kDigestKey] = {*step->writes.front().value, ++revision};
   };
   speak();
   digest();
@@ -118,18 +122,18 @@
   }
   speak();
   std::size_t texts = 0;
-  for (const auto& [key, doc] : view.docs)
-    texts += doc.value.size();
+  for (const auto& [key, document] : view.documents)
+    texts += document.value.size();
   EXPECT_LE(texts, kMaxPartsBytes + kMaxDocumentBytes);
   const auto began = std::chrono::steady_clock::now();
   const Held holder = heldBy(digest);
   const std::chrono::duration<double, std::milli> took = std::chrono::steady_clock::now() - began;
   std::cout << conductors << " conductors, " << instances << " instances: " << texts / conductors
-            << " bytes of text a conductor, digest " << view.docs.at(kDigestKey).value.size()
+            << " bytes of text a conductor, digest " << view.documents.at(kDigestKey).value.size()
             << ", the holder at most " << holder.most / conductors << " a conductor more, a node "
             << each.after / conductors << "; a digest took " << took.count() << " ms\n";
   EXPECT_LE(texts + holder.most, kMemory / 2);
-  const auto read = decodeDigest(view.docs.at(kDigestKey).value).digest;
+  const auto read = decodeDigest(view.documents.at(kDigestKey).value).digest;
   ASSERT_TRUE(read);
   EXPECT_EQ(read->heard.size(), conductors);
   EXPECT_EQ(read->budgets.at("attiki").lent.size() + read->budgets.at("patras").lent.size(),
@@ -142,7 +146,7 @@
   EXPECT_EQ(task.stats().unread.size(), 0u);
   now += 10;
   SharedNode& last = *nodes.back();
-  last.read({{kDigestKey, view.docs.at(kDigestKey)}}, now, now);
+  last.read({{kDigestKey, view.documents.at(kDigestKey)}}, now, now);
   EXPECT_EQ(last.nodes(), conductors);
   // Left out are all that are bad, but for those which the bounds keep in and the one that it is to
   // try.
@@ -190,37 +194,37 @@
 TEST_P(Fleet, TakesEveryInstanceOutByOnePlan) {
   const FleetInstances fleet = instancesOf(instances);
   PlanCommand command;
-  command.id = std::string(Plan::kLongestWord, 'p');
+  command.id = std::string(Plan::kMaxWordBytes, 'p');
   for (const auto& [id, instance] : fleet)
     command.instances.push_back(id);
   View view;
-  const PlanAnswer answer = decide(command, view, fleet, 0);
-  ASSERT_EQ(answer.problem, "");
-  ASSERT_TRUE(acceptable({*answer.write}));
-  view.docs[kPlanKey] = {*answer.write->value, 1};
+  const PlanDecision answer = decide(command, view, fleet, 0);
+  ASSERT_EQ(answer.error, "");
+  ASSERT_TRUE(withinLimits({*answer.write}));
+  view.documents[kPlanKey] = {*answer.write->value, 1};
   MaintenanceConfig config;
   Maintenance holder(config, [&] { return fleet; });
   std::uint64_t revision = 1;
   std::size_t steps = 0;
   for (auto step = holder.next(view, 1, 0); step; step = holder.next(view, 1, 0), ++steps) {
-    ASSERT_TRUE(acceptable(step->writes));
-    view.docs[kPlanKey] = {*step->writes.front().value, ++revision};
+    ASSERT_TRUE(withinLimits(step->writes));
+    view.documents[kPlanKey] = {*step->writes.front().value, ++revision};
   }
   const std::size_t groups = 2 * ((instances + 15) / 16);
   EXPECT_EQ(steps, groups) << "one of each role and cell drains";
-  const Plan plan = *Plan::parse(view.docs.at(kPlanKey).value);
+  const Plan plan = *Plan::parse(view.documents.at(kPlanKey).value);
   Presence said;
   said.plan = plan.id;
   said.steps = plan.steps;
   for (const std::string& instance : plan.drained())
     said.open[instance] = 0;
   for (std::size_t i = 0; i < conductors; ++i) {
-    said.who = {conductorName(i), 1};
+    said.holder = {conductorName(i), 1};
     said.open.begin()->second = i + 1 == conductors;
-    ASSERT_EQ(Presence::parse(said.text()), said);
-    view.docs[kNodePrefix + said.who.name] = {said.text(), ++revision};
+    ASSERT_EQ(Presence::parse(said.serialize()), said);
+    view.documents[kNodePrefix + said.holder.name] = {said.serialize(), ++revision};
   }
-  ASSERT_LE(view.docs.size(), kMostDocs);
+  ASSERT_LE(view.documents.size(), kMaxDocuments);
   auto step = holder.next(view, 1, 1);
   ASSERT_TRUE(step);
   EXPECT_EQ(Plan::parse(*step->writes.front().value)->drained().size(), groups);
@@ -292,31 +296,32 @@
 // Both documents of each router, and the largest texts, in a store on a disk.
 TEST_P(Fleet, FitsIntoOneFile) {
   const Folder folder;
-  SqliteFile file(folder.path + "/shared.db", machineTime(), 1000);
-  std::vector<Write> writes{{"digest", 0, std::string(kMostValueBytes, 'd')}};
+  SqliteFile file(folder.path + "/shared.db", machineClock(), 1000);
+  std::vector<Write> writes{{"digest", 0, std::string(kMaxValueBytes, 'd')}};
   const auto put = [&] {
-    ASSERT_EQ(file.commit(nullptr, writes).how, Committed::kDone);
+    ASSERT_EQ(file.commit(nullptr, writes).status, CommitStatus::kDone);
     writes.clear();
   };
   put();
   for (std::size_t i = 0; i < conductors; ++i) {
     writes.push_back({"part/" + conductorName(i) + "/1", 0, "p"});
     writes.push_back({kNodePrefix + conductorName(i), 0, "n"});
-    if (writes.size() == kMostWrites)
+    if (writes.size() == kMaxWritesPerCommit)
       put();
   }
-  writes.push_back({kPlanKey, 0, std::string(kMostValueBytes, 'p')});
+  writes.push_back({kPlanKey, 0, std::string(kMaxValueBytes, 'p')});
   if (writes.size() > 1)
     std::swap(writes.front(), writes.back());
   put();
-  const Listing all = file.list();
-  EXPECT_EQ(all.docs.size(), 2 * conductors + 2);
-  EXPECT_EQ(all.docs.count(kPlanKey), 1u);
-  EXPECT_EQ(file.commit(nullptr, {{"a", 0, std::string(kMostValueBytes, 'x')},
-                                  {"b", 0, "x"},
-                                  {"c", 0, std::string(kMostWrites * 2 * kLongestKey, 'x')}})
-                .how,
-            Committed::kRefused);
+  const ReadResponse all = file.readAll();
+  EXPECT_EQ(all.documents.size(), 2 * conductors + 2);
+  EXPECT_EQ(all.documents.count(kPlanKey), 1u);
+  EXPECT_EQ(
+      file.commit(nullptr, {{"a", 0, std::string(kMaxValueBytes, 'x')},
+                            {"b", 0, "x"},
+                            {"c", 0, std::string(kMaxWritesPerCommit * 2 * kMaxKeyBytes, 'x')}})
+          .status,
+      CommitStatus::kRefused);
 }
 
 }  // namespace
--- a/tests/coordination_store_test.cpp
+++ b/tests/coordination_store_test.cpp
@@ -5,7 +5,8 @@
 #include <fstream>
 #include <thread>
 
-#include "coordination/records.h"
+#include "coordination/etcd_store.h"
+#include "coordination/lease_encoding.h"
 #include "coordination/runner.h"
 #include "coordination/setup.h"
 #include "coordination/sqlite_store.h"
@@ -23,8 +24,8 @@
   LeaseConfig config;
   config.task = task;
   config.ttlMs = 2000;
-  config.askMs = 300;
-  config.longestStepMs = 300;
+  config.requestTimeoutMs = 300;
+  config.maxStepMs = 300;
   config.renewJitter = 0;
   return config;
 }
@@ -55,32 +56,32 @@
   Stage stage;
   Place place{stage};
 
-  LeaseAnswer ask(Store& store, const LeaseAsk& what) {
-    std::optional<LeaseAnswer> answer;
-    store.ask(what, [&](const LeaseAnswer& told) { answer = told; });
+  LeaseResponse ask(Store& store, const LeaseRequest& what) {
+    std::optional<LeaseResponse> answer;
+    store.requestLease(what, [&](const LeaseResponse& told) { answer = told; });
     EXPECT_TRUE(stage.until([&] { return answer.has_value(); }));
-    return answer.value_or(LeaseAnswer{});
+    return answer.value_or(LeaseResponse{});
   }
-  CommitAnswer commit(Store& store, const Fence* fence, std::vector<Write> writes) {
-    std::optional<CommitAnswer> answer;
-    const auto told = [&](CommitAnswer how) { answer = how; };
+  CommitResponse commit(Store& store, const Fence* fence, std::vector<Write> writes) {
+    std::optional<CommitResponse> answer;
+    const auto told = [&](CommitResponse how) { answer = how; };
     if (fence != nullptr)
       store.commit(*fence, std::move(writes), told);
     else
-      store.put(writes.front(), told);
+      store.write(writes.front(), told);
     EXPECT_TRUE(stage.until([&] { return answer.has_value(); }));
-    return answer.value_or(CommitAnswer{});
+    return answer.value_or(CommitResponse{});
   }
-  Listing list(Store& store) {
-    std::optional<Listing> all;
-    store.list([&](const Listing& told) { all = told; });
+  ReadResponse list(Store& store) {
+    std::optional<ReadResponse> all;
+    store.readAll([&](const ReadResponse& told) { all = told; });
     EXPECT_TRUE(stage.until([&] { return all.has_value(); }));
-    return all.value_or(Listing{});
+    return all.value_or(ReadResponse{});
   }
   // A machine that holds the lease, by the store's own word.
   Lease holder(Store& store, const Holder& who, double nowMs) {
     Lease lease(shortConfig(), who, 1, nowMs);
-    lease.answered(ask(store, *lease.tick(nowMs)), nowMs);
+    lease.onResponse(ask(store, *lease.tick(nowMs)), nowMs);
     EXPECT_EQ(lease.state(), LeaseState::kHolding);
     return lease;
   }
@@ -93,23 +94,23 @@
   const auto one = this->place.open(this->stage), two = this->place.open(this->stage);
   Lease first = this->holder(*one, {"c1", 1}, 0);
   Lease second(shortConfig(), {"c2", 2}, 1, 0);
-  const LeaseAnswer answer = this->ask(*two, *second.tick(0));
-  EXPECT_EQ(answer.found, Found::kHeld);
+  const LeaseResponse answer = this->ask(*two, *second.tick(0));
+  EXPECT_EQ(answer.result, LeaseResult::kHeld);
   ASSERT_TRUE(answer.record);
   EXPECT_EQ(answer.record->holder.name, "c1");
-  EXPECT_GT(answer.leftMs, 0);
-  second.answered(answer, 1);
+  EXPECT_GT(answer.remainingMs, 0);
+  second.onResponse(answer, 1);
   EXPECT_EQ(second.state(), LeaseState::kCandidate);
   // Renewed, it is the same lease; given back, the next fence is above.
-  first.answered(this->ask(*one, *first.tick(first.nextMs())), 700);
+  first.onResponse(this->ask(*one, *first.tick(first.nextMs())), 700);
   EXPECT_EQ(first.counts().renewed, 1u);
   first.resign(710);
-  first.answered(this->ask(*one, *first.tick(710)), 720);
+  first.onResponse(this->ask(*one, *first.tick(710)), 720);
   EXPECT_EQ(first.counts().released, 1u);
   Lease third(shortConfig(), {"c3", 3}, 1, 0);
-  third.answered(this->ask(*two, *third.tick(0)), 1);
+  third.onResponse(this->ask(*two, *third.tick(0)), 1);
   EXPECT_EQ(third.state(), LeaseState::kHolding);
-  EXPECT_GT(third.fenceNumber(), 1u);
+  EXPECT_GT(third.fence(), 1u);
 }
 
 // Guards a fleet whose holder has died against waiting a whole lease more than it has left.
@@ -120,55 +121,55 @@
   EtcdStore one(stage.io, stage.clock, stage.timers, stage.counters, place),
       two(stage.io, stage.clock, stage.timers, stage.counters, place);
   const auto ask = [&](EtcdStore& store, const Holder& who) {
-    std::optional<LeaseAnswer> answer;
-    store.ask({Verb::kAcquire, "t", who, 1, 0, 5000, 0},
-              [&](const LeaseAnswer& told) { answer = told; });
+    std::optional<LeaseResponse> answer;
+    store.requestLease({LeaseOperation::kAcquire, "t", who, 1, 0, 5000, 0},
+                       [&](const LeaseResponse& told) { answer = told; });
     EXPECT_TRUE(stage.until([&] { return answer.has_value(); }));
-    return answer.value_or(LeaseAnswer{});
+    return answer.value_or(LeaseResponse{});
   };
-  EXPECT_EQ(ask(one, {"c1", 1}).found, Found::kGranted);
+  EXPECT_EQ(ask(one, {"c1", 1}).result, LeaseResult::kGranted);
   stage.clock.advance(3200);
-  const LeaseAnswer held = ask(two, {"c2", 2});
-  EXPECT_EQ(held.found, Found::kHeld);
-  EXPECT_DOUBLE_EQ(held.leftMs, 1500) << "1.8 s, told as 1, and a half on top";
+  const LeaseResponse held = ask(two, {"c2", 2});
+  EXPECT_EQ(held.result, LeaseResult::kHeld);
+  EXPECT_DOUBLE_EQ(held.remainingMs, 1500) << "1.8 s, told as 1, and a half on top";
 }
 
 // Only what was asked for, and with the same revisions as all of it.
 TYPED_TEST(StoreOfAnyKind, ReadsSomeDocumentsWithoutTheOthers) {
   const auto store = this->place.open(this->stage);
   for (const char* key : {"a", "b", "c"})
-    ASSERT_EQ(this->commit(*store, nullptr, {{key, 0, std::string("of ") + key}}).how,
-              Committed::kDone);
-  std::optional<Listing> some;
-  store->look({"a", "c", "none"}, [&](const Listing& told) { some = told; });
+    ASSERT_EQ(this->commit(*store, nullptr, {{key, 0, std::string("of ") + key}}).status,
+              CommitStatus::kDone);
+  std::optional<ReadResponse> some;
+  store->read({"a", "c", "none"}, [&](const ReadResponse& told) { some = told; });
   ASSERT_TRUE(this->stage.until([&] { return some.has_value(); }));
-  ASSERT_TRUE(some->ok) << some->why;
-  const Listing all = this->list(*store);
-  EXPECT_EQ(some->docs.size(), 2u);
-  for (const auto& [key, doc] : some->docs)
-    EXPECT_EQ(doc, all.docs.at(key));
+  ASSERT_TRUE(some->ok) << some->error;
+  const ReadResponse all = this->list(*store);
+  EXPECT_EQ(some->documents.size(), 2u);
+  for (const auto& [key, document] : some->documents)
+    EXPECT_EQ(document, all.documents.at(key));
   EXPECT_EQ(some->revision, all.revision);
 }
 
 TYPED_TEST(StoreOfAnyKind, ChangesDocumentsOnlyFromWhatTheWriterSaw) {
   const auto store = this->place.open(this->stage);
   const auto made = this->commit(*store, nullptr, {{"plan", 0, "one"}});
-  ASSERT_EQ(made.how, Committed::kDone);
-  EXPECT_EQ(this->commit(*store, nullptr, {{"plan", 0, "two"}}).how, Committed::kConflict);
-  EXPECT_EQ(this->commit(*store, nullptr, {{"plan", made.revision + 7, "two"}}).how,
-            Committed::kConflict);
-  const Listing all = this->list(*store);
-  ASSERT_TRUE(all.ok) << all.why;
-  EXPECT_EQ(all.docs.at("plan"), (Doc{"one", made.revision}));
+  ASSERT_EQ(made.status, CommitStatus::kDone);
+  EXPECT_EQ(this->commit(*store, nullptr, {{"plan", 0, "two"}}).status, CommitStatus::kConflict);
+  EXPECT_EQ(this->commit(*store, nullptr, {{"plan", made.revision + 7, "two"}}).status,
+            CommitStatus::kConflict);
+  const ReadResponse all = this->list(*store);
+  ASSERT_TRUE(all.ok) << all.error;
+  EXPECT_EQ(all.documents.at("plan"), (Document{"one", made.revision}));
   const auto changed = this->commit(*store, nullptr, {{"plan", made.revision, "two"}});
-  ASSERT_EQ(changed.how, Committed::kDone);
+  ASSERT_EQ(changed.status, CommitStatus::kDone);
   EXPECT_GT(changed.revision, made.revision);
-  EXPECT_EQ(this->commit(*store, nullptr, {{"plan", changed.revision, std::nullopt}}).how,
-            Committed::kDone);
-  EXPECT_TRUE(this->list(*store).docs.empty());
-  EXPECT_EQ(this->commit(*store, nullptr, {{"", 0, "x"}}).how, Committed::kRefused);
-  EXPECT_EQ(this->commit(*store, nullptr, {{"k", 0, std::string(kMostValueBytes + 1, 'x')}}).how,
-            Committed::kRefused);
+  EXPECT_EQ(this->commit(*store, nullptr, {{"plan", changed.revision, std::nullopt}}).status,
+            CommitStatus::kDone);
+  EXPECT_TRUE(this->list(*store).documents.empty());
+  EXPECT_EQ(this->commit(*store, nullptr, {{"", 0, "x"}}).status, CommitStatus::kRefused);
+  EXPECT_EQ(this->commit(*store, nullptr, {{"k", 0, std::string(kMaxValueBytes + 1, 'x')}}).status,
+            CommitStatus::kRefused);
 }
 
 TYPED_TEST(StoreOfAnyKind, RefusesAnEffectOnceAnotherHoldsTheLease) {
@@ -176,29 +177,30 @@
   Lease first = this->holder(*one, {"c1", 1}, 0);
   const auto fence = first.beginStep(1);
   ASSERT_TRUE(fence);
-  EXPECT_EQ(this->commit(*one, &*fence, {{"a", 0, "by c1"}}).how, Committed::kDone);
+  EXPECT_EQ(this->commit(*one, &*fence, {{"a", 0, "by c1"}}).status, CommitStatus::kDone);
   // It is stopped here, and its lease goes to another.
-  first.stepEnded(true, 2);
+  first.endStep(true, 2);
   const auto late = first.beginStep(2);
-  first.stepEnded(false, 3);
+  first.endStep(false, 3);
   first.resign(3);
-  first.answered(this->ask(*one, *first.tick(3)), 4);
-  EXPECT_EQ(this->commit(*one, &*late, {{"b", 0, "by c1"}}).how, Committed::kStaleFence)
+  first.onResponse(this->ask(*one, *first.tick(3)), 4);
+  EXPECT_EQ(this->commit(*one, &*late, {{"b", 0, "by c1"}}).status, CommitStatus::kStaleFence)
       << "given back";
   Lease second = this->holder(*two, {"c2", 2}, 0);
-  EXPECT_EQ(this->commit(*one, &*late, {{"b", 0, "by c1"}}).how, Committed::kStaleFence)
+  EXPECT_EQ(this->commit(*one, &*late, {{"b", 0, "by c1"}}).status, CommitStatus::kStaleFence)
       << "held by another";
   const auto now = second.beginStep(5);
-  EXPECT_EQ(this->commit(*two, &*now, {{"b", 0, "by c2"}, {"a", 0, "x"}}).how, Committed::kConflict)
+  EXPECT_EQ(this->commit(*two, &*now, {{"b", 0, "by c2"}, {"a", 0, "x"}}).status,
+            CommitStatus::kConflict)
       << "all or nothing";
-  EXPECT_EQ(this->list(*two).docs.count("b"), 0u);
-  EXPECT_EQ(this->commit(*two, &*now, {{"b", 0, "by c2"}}).how, Committed::kDone);
+  EXPECT_EQ(this->list(*two).documents.count("b"), 0u);
+  EXPECT_EQ(this->commit(*two, &*now, {{"b", 0, "by c2"}}).status, CommitStatus::kDone);
 }
 
 // ---- SQLite
 // ----------------------------------------------------------------------------------------
 
-MachineTime timeOf(double& now, std::string boot = "boot-1") {
+MachineClock clockOf(double& now, std::string boot = "boot-1") {
   return {[&now] { return now; }, [] { return 0.0; }, std::move(boot)};
 }
 
@@ -207,23 +209,24 @@
   double now = 1000;
   std::uint64_t fence = 0;
   {
-    SqliteFile file(folder.path + "/a.db", timeOf(now), 100);
-    const LeaseAsk mine{Verb::kAcquire, "t", {"c1", 1}, 1, 0, 500, 0},
-        other{Verb::kAcquire, "t", {"c2", 2}, 1, 0, 500, 0};
-    EXPECT_EQ(file.ask(mine).found, Found::kGranted);
-    EXPECT_EQ(file.ask(other).found, Found::kHeld);
+    SqliteFile file(folder.path + "/a.db", clockOf(now), 100);
+    const LeaseRequest mine{LeaseOperation::kAcquire, "t", {"c1", 1}, 1, 0, 500, 0},
+        other{LeaseOperation::kAcquire, "t", {"c2", 2}, 1, 0, 500, 0};
+    EXPECT_EQ(file.requestLease(mine).result, LeaseResult::kGranted);
+    EXPECT_EQ(file.requestLease(other).result, LeaseResult::kHeld);
     now += 499;
-    EXPECT_EQ(file.ask(other).found, Found::kHeld);
+    EXPECT_EQ(file.requestLease(other).result, LeaseResult::kHeld);
     now += 1;
-    const LeaseAnswer taken = file.ask(other);
-    EXPECT_EQ(taken.found, Found::kGranted);
+    const LeaseResponse taken = file.requestLease(other);
+    EXPECT_EQ(taken.result, LeaseResult::kGranted);
     fence = taken.fence;
   }
   // The machine starts anew: its clock too, and nobody of before lives.
   now = 3;
-  SqliteFile file(folder.path + "/a.db", timeOf(now, "boot-2"), 100);
-  const LeaseAnswer after = file.ask({Verb::kAcquire, "t", {"c3", 3}, 1, 0, 500, 0});
-  EXPECT_EQ(after.found, Found::kGranted);
+  SqliteFile file(folder.path + "/a.db", clockOf(now, "boot-2"), 100);
+  const LeaseResponse after =
+      file.requestLease({LeaseOperation::kAcquire, "t", {"c3", 3}, 1, 0, 500, 0});
+  EXPECT_EQ(after.result, LeaseResult::kGranted);
   EXPECT_GT(after.fence, fence);
 }
 
@@ -233,7 +236,7 @@
   const std::string text = folder.path + "/text.db", foreign = folder.path + "/foreign.db",
                     later = folder.path + "/later.db";
   std::ofstream(text) << std::string(5000, 'x');
-  EXPECT_THROW(SqliteFile(text, timeOf(now), 100), SqliteFault);
+  EXPECT_THROW(SqliteFile(text, clockOf(now), 100), SqliteError);
   const auto run = [](const std::string& path, const char* sql) {
     sqlite3* db = nullptr;
     ASSERT_EQ(sqlite3_open(path.c_str(), &db), SQLITE_OK);
@@ -241,14 +244,15 @@
     sqlite3_close(db);
   };
   run(foreign, "CREATE TABLE members(name TEXT)");
-  EXPECT_THROW(SqliteFile(foreign, timeOf(now), 100), SqliteFault);
-  { SqliteFile made(later, timeOf(now), 100); }
+  EXPECT_THROW(SqliteFile(foreign, clockOf(now), 100), SqliteError);
+  { SqliteFile made(later, clockOf(now), 100); }
   run(later, "PRAGMA user_version=2");
-  EXPECT_THROW(SqliteFile(later, timeOf(now), 100), SqliteFault);
+  EXPECT_THROW(SqliteFile(later, clockOf(now), 100), SqliteError);
   run(later,
       "PRAGMA user_version=1; INSERT INTO lease VALUES('t','{\"form\":\"other\"}','boot-1')");
-  SqliteFile damaged(later, timeOf(now), 100);
-  EXPECT_THROW(damaged.ask({Verb::kAcquire, "t", {"c1", 1}, 1, 0, 500, 0}), SqliteFault)
+  SqliteFile damaged(later, clockOf(now), 100);
+  EXPECT_THROW(damaged.requestLease({LeaseOperation::kAcquire, "t", {"c1", 1}, 1, 0, 500, 0}),
+               SqliteError)
       << "a fence is not guessed";
 }
 
@@ -259,10 +263,10 @@
   gate.lock();
   ASSERT_TRUE(thread.post([&] { const std::lock_guard wait(gate); }));
   std::size_t taken = 0;
-  while (thread.post([] {}) && taken < 10 * StorageThread::kMostJobs)
+  while (thread.post([] {}) && taken < 10 * StorageThread::kMaxJobs)
     ++taken;
-  EXPECT_GE(taken, StorageThread::kMostJobs - 1);
-  EXPECT_LE(taken, StorageThread::kMostJobs + 1);
+  EXPECT_GE(taken, StorageThread::kMaxJobs - 1);
+  EXPECT_LE(taken, StorageThread::kMaxJobs + 1);
   gate.unlock();
 }
 
@@ -278,24 +282,24 @@
                   stage.counters,
                   {{server.address()}, "test/", 1000}};
 
-  LeaseAnswer ask(Lease& lease) {
-    std::optional<LeaseAnswer> answer;
+  LeaseResponse ask(Lease& lease) {
+    std::optional<LeaseResponse> answer;
     const auto what = lease.tick(stage.clock.nowMs());
     EXPECT_TRUE(what);
-    store.ask(*what, [&](const LeaseAnswer& told) { answer = told; });
+    store.requestLease(*what, [&](const LeaseResponse& told) { answer = told; });
     EXPECT_TRUE(stage.until([&] { return answer.has_value(); }));
-    lease.answered(*answer, stage.clock.nowMs());
+    lease.onResponse(*answer, stage.clock.nowMs());
     return *answer;
   }
 };
 
 TEST_F(OnEtcd, ALeaseLapsesAndTheNextFenceLiesAbove) {
   Lease first(shortConfig(), {"c1", 1}, 1, stage.clock.nowMs());
-  EXPECT_EQ(ask(first).found, Found::kGranted);
+  EXPECT_EQ(ask(first).result, LeaseResult::kGranted);
   stage.pass(2001);
   Lease second(shortConfig(), {"c2", 2}, 1, stage.clock.nowMs());
-  const LeaseAnswer taken = ask(second);
-  EXPECT_EQ(taken.found, Found::kGranted);
+  const LeaseResponse taken = ask(second);
+  EXPECT_EQ(taken.result, LeaseResult::kGranted);
   EXPECT_EQ(taken.fence, 2u);
   EXPECT_EQ(server.value("test/fence/maintenance"), "2");
 }
@@ -303,12 +307,12 @@
 TEST_F(OnEtcd, AnAnswerThatIsLostAfterItTookEffectCostsNoMoreThanAnotherAsk) {
   Lease lease(shortConfig(), {"c1", 1}, 1, stage.clock.nowMs());
   server.loseAnswer = [](const json& body) { return body.contains("compare"); };
-  EXPECT_EQ(ask(lease).found, Found::kUnavailable);
+  EXPECT_EQ(ask(lease).result, LeaseResult::kUnavailable);
   EXPECT_TRUE(server.value("test/lease/maintenance"));
   server.loseAnswer = nullptr;
   stage.pass(lease.nextMs() - stage.clock.nowMs());
-  EXPECT_EQ(ask(lease).found, Found::kGranted);
-  EXPECT_EQ(lease.fenceNumber(), 2u);
+  EXPECT_EQ(ask(lease).result, LeaseResult::kGranted);
+  EXPECT_EQ(lease.fence(), 2u);
 }
 
 TEST_F(OnEtcd, WithoutALeaderNothingIsKnownAndAfterItNothingIsLost) {
@@ -316,11 +320,11 @@
   ask(lease);
   server.noLeader = true;
   stage.pass(lease.nextMs() - stage.clock.nowMs());
-  EXPECT_EQ(ask(lease).found, Found::kUnavailable);
+  EXPECT_EQ(ask(lease).result, LeaseResult::kUnavailable);
   EXPECT_EQ(lease.state(), LeaseState::kDoubtful);
   server.newLeader();
   stage.pass(lease.nextMs() - stage.clock.nowMs());
-  EXPECT_EQ(ask(lease).found, Found::kGranted);
+  EXPECT_EQ(ask(lease).result, LeaseResult::kGranted);
   EXPECT_EQ(lease.state(), LeaseState::kHolding);
 }
 
@@ -330,14 +334,14 @@
   Lease first(shortConfig(), {"c1", 1}, 1, stage.clock.nowMs());
   ask(first);
   Lease second(shortConfig(), {"c2", 2}, 1, stage.clock.nowMs());
-  EXPECT_EQ(ask(second).found, Found::kHeld);
+  EXPECT_EQ(ask(second).result, LeaseResult::kHeld);
   server.putBack(*older);
   stage.pass(first.nextMs() - stage.clock.nowMs());
-  EXPECT_EQ(ask(first).found, Found::kLost);
-  EXPECT_EQ(first.state(), LeaseState::kLapsed);
+  EXPECT_EQ(ask(first).result, LeaseResult::kLost);
+  EXPECT_EQ(first.state(), LeaseState::kExpired);
   stage.pass(second.nextMs() - stage.clock.nowMs());
-  EXPECT_EQ(ask(second).found, Found::kGranted);
-  EXPECT_EQ(second.fenceNumber(), 2u);
+  EXPECT_EQ(ask(second).result, LeaseResult::kGranted);
+  EXPECT_EQ(second.fence(), 2u);
 }
 
 TEST_F(OnEtcd, AForeignValueUnderItsKeyIsNotTakenForAFreeLease) {
@@ -359,7 +363,7 @@
       body, reply);
   ASSERT_TRUE(stage.until([&] { return reply->over; }));
   Lease lease(shortConfig(), {"c1", 1}, 1, stage.clock.nowMs());
-  EXPECT_EQ(ask(lease).found, Found::kHeld);
+  EXPECT_EQ(ask(lease).result, LeaseResult::kHeld);
   EXPECT_EQ(stage.counters["coordination.foreign"], 1u);
 }
 
--- a/tests/coordination_test.cpp
+++ b/tests/coordination_test.cpp
@@ -7,7 +7,9 @@
 
 #include "control/commands.h"
 #include "coordination/cleanup.h"
-#include "coordination/records.h"
+#include "coordination/lease_encoding.h"
+#include "coordination/plan_commands.h"
+#include "coordination/presence.h"
 #include "coordination/runner.h"
 #include "coordination/setup.h"
 #include "coordination/sqlite_store.h"
@@ -31,9 +33,9 @@
                             std::uint64_t steps,
                             const std::map<std::string, std::uint64_t>& open = {}) {
   coordination::Presence told;
-  told.who.name = name;
-  told.who.incarnation = 1;
-  told.beat = beat;
+  told.holder.name = name;
+  told.holder.incarnation = 1;
+  told.sequence = beat;
   told.plan = plan;
   told.steps = steps;
   told.open = open;
@@ -53,43 +55,43 @@
   std::unique_ptr<Maintenance> holder = fresh();
 
   std::unique_ptr<Maintenance> fresh() {
-    config.coldMs = 1000;
+    config.warmupMs = 1000;
     config.silentNodeMs = 5000;
     return std::make_unique<Maintenance>(config, [this] { return instances; });
   }
   void put(const std::string& key, const std::string& value) {
-    view.docs[key] = {value, ++revision};
+    view.documents[key] = {value, ++revision};
   }
-  PlanAnswer say(PlanCommand command) {
-    const PlanAnswer answer = decide(command, view, instances, 0);
+  PlanDecision say(PlanCommand command) {
+    const PlanDecision answer = decide(command, view, instances, 0);
     if (answer.write)
       put(answer.write->key, *answer.write->value);
     return answer;
   }
-  PlanAnswer start(std::vector<std::string> names, const std::string& id = "june") {
+  PlanDecision start(std::vector<std::string> names, const std::string& id = "june") {
     PlanCommand command;
     command.id = id;
     command.instances = std::move(names);
     command.by = "anna";
     return say(command);
   }
-  PlanAnswer say(PlanCommand::Kind kind, std::vector<std::string> names = {}) {
+  PlanDecision say(PlanCommand::Kind kind, std::vector<std::string> names = {}) {
     PlanCommand command;
     command.kind = kind;
     command.instances = std::move(names);
     return say(command);
   }
-  Plan plan() { return *Plan::parse(view.docs.at(kPlanKey).value); }
+  Plan plan() { return *Plan::parse(view.documents.at(kPlanKey).value); }
   void node(const std::string& name, std::map<std::string, std::uint64_t> open = {}) {
     static std::uint64_t beats = 0;
-    put("node/" + name, said(name, ++beats, plan().id, plan().steps, open).text());
+    put("node/" + name, said(name, ++beats, plan().id, plan().steps, open).serialize());
   }
   bool step() {
     const auto step = holder->next(view, 5, now);
     if (!step)
       return false;
     EXPECT_EQ(step->writes.size(), 1u);
-    EXPECT_EQ(step->writes[0].seen, view.docs.at(kPlanKey).revision);
+    EXPECT_EQ(step->writes[0].expectedRevision, view.documents.at(kPlanKey).revision);
     put(kPlanKey, *step->writes[0].value);
     return true;
   }
@@ -103,7 +105,7 @@
 
 TEST(MaintenanceOfAFleet, TakesInstancesOutInTurnOneOfARoleAndCellAtATime) {
   Site site;
-  ASSERT_EQ(site.start({"r1", "r2", "w1"}).problem, "");
+  ASSERT_EQ(site.start({"r1", "r2", "w1"}).error, "");
   ASSERT_TRUE(site.step());
   ASSERT_TRUE(site.step());
   EXPECT_EQ(site.states(), "r1:draining r2:waiting w1:draining ");
@@ -158,7 +160,7 @@
   site.start({"r1"});
   site.step();
   site.node("c1");
-  site.put("node/gone", said("gone", 1, "", 0).text());
+  site.put("node/gone", said("gone", 1, "", 0).serialize());
   EXPECT_FALSE(site.step());
   for (site.now = 1000; site.now < 5000; site.now += 1000) {
     site.node("c1");
@@ -176,26 +178,26 @@
   command.id = "july";
   command.instances = {"r1", "r2"};
   command.confirm = true;
-  ASSERT_EQ(site.say(command).problem, "");
+  ASSERT_EQ(site.say(command).error, "");
   site.step();
-  EXPECT_NE(site.say(PlanCommand::Kind::kBack, {"r1"}).problem, "") << "it is not out yet";
+  EXPECT_NE(site.say(PlanCommand::Kind::kBack, {"r1"}).error, "") << "it is not out yet";
   site.node("c1");
   site.step();
   site.now += 60'000;
   EXPECT_FALSE(site.step());
-  ASSERT_EQ(site.say(PlanCommand::Kind::kPause).problem, "");
-  ASSERT_EQ(site.say(PlanCommand::Kind::kBack, {"r1"}).problem, "");
+  ASSERT_EQ(site.say(PlanCommand::Kind::kPause).error, "");
+  ASSERT_EQ(site.say(PlanCommand::Kind::kBack, {"r1"}).error, "");
   EXPECT_TRUE(site.step());
   EXPECT_EQ(site.states(), "r1:warming r2:waiting ");
   EXPECT_FALSE(site.step());  // seen now, and warm after its time
   site.now += 5000;
   EXPECT_TRUE(site.step());
   EXPECT_FALSE(site.step()) << "paused, it begins no other";
-  ASSERT_EQ(site.say(PlanCommand::Kind::kResume).problem, "");
+  ASSERT_EQ(site.say(PlanCommand::Kind::kResume).error, "");
   EXPECT_TRUE(site.step());
   EXPECT_EQ(site.states(), "r1:done r2:draining ");
-  ASSERT_EQ(site.say(PlanCommand::Kind::kCancel).problem, "");
-  EXPECT_NE(site.say(PlanCommand::Kind::kResume).problem, "");
+  ASSERT_EQ(site.say(PlanCommand::Kind::kCancel).error, "");
+  EXPECT_NE(site.say(PlanCommand::Kind::kResume).error, "");
   EXPECT_TRUE(site.step());
   EXPECT_EQ(site.states(), "r1:done r2:warming ");
   EXPECT_TRUE(site.plan().over());
@@ -204,20 +206,20 @@
 
 TEST(MaintenanceOfAFleet, OfTwoPlansOneWinsAndWhatCannotBeIsToldApart) {
   Site site;
-  EXPECT_NE(site.start({"nobody"}).problem.find("nobody"), std::string::npos);
-  EXPECT_NE(site.start({"r1", "r1"}).problem.find("twice"), std::string::npos);
-  EXPECT_NE(site.start({}).problem, "");
-  EXPECT_NE(site.say(PlanCommand::Kind::kPause).problem, "") << "none is under way";
-  ASSERT_EQ(site.start({"r1"}).problem, "");
-  const std::string told = site.start({"r2"}, "other").problem;
+  EXPECT_NE(site.start({"nobody"}).error.find("nobody"), std::string::npos);
+  EXPECT_NE(site.start({"r1", "r1"}).error.find("twice"), std::string::npos);
+  EXPECT_NE(site.start({}).error, "");
+  EXPECT_NE(site.say(PlanCommand::Kind::kPause).error, "") << "none is under way";
+  ASSERT_EQ(site.start({"r1"}).error, "");
+  const std::string told = site.start({"r2"}, "other").error;
   EXPECT_NE(told.find("plan june of anna is running"), std::string::npos) << told;
   PlanCommand stale;
   stale.kind = PlanCommand::Kind::kCancel;
-  stale.seen = 999;
-  EXPECT_NE(site.say(stale).problem.find("revision"), std::string::npos);
+  stale.expectedRevision = 999;
+  EXPECT_NE(site.say(stale).error.find("revision"), std::string::npos);
   // What this program cannot read it does not write over.
   site.put(kPlanKey, R"({"form":"dahliastall-plan-9"})");
-  EXPECT_NE(site.start({"r1"}, "x").problem.find("cannot be read"), std::string::npos);
+  EXPECT_NE(site.start({"r1"}, "x").error.find("cannot be read"), std::string::npos);
   EXPECT_FALSE(site.step());
 }
 
@@ -225,20 +227,21 @@
   Cleanup cleanup({});
   const double gone = Cleanup::Config{}.goneMs;
   View view;
-  view.docs["node/lives"] = {"{}", 1};
-  view.docs["node/dead"] = {"{}", 2};
-  view.docs["other"] = {"{}", 3};
+  view.documents["node/lives"] = {"{}", 1};
+  view.documents["node/dead"] = {"{}", 2};
+  view.documents["other"] = {"{}", 3};
   double now = 1e9;
   std::uint64_t revision = 10;
   std::optional<Step> step;
   for (const double begun = now; now < begun + gone; now += 1000) {
-    view.docs["node/lives"].revision = ++revision;
-    ASSERT_FALSE(step = cleanup.next(view, 1, now)) << step->what;
+    view.documents["node/lives"].revision = ++revision;
+    ASSERT_FALSE(step = cleanup.next(view, 1, now)) << step->description;
   }
   step = cleanup.next(view, 1, now);
   ASSERT_TRUE(step);
   EXPECT_EQ(step->writes.front().key, "node/dead");
-  EXPECT_EQ(step->writes.front().seen, 2u) << "only as it was seen: it may speak at this moment";
+  EXPECT_EQ(step->writes.front().expectedRevision, 2u)
+      << "only as it was seen: it may speak at this moment";
   EXPECT_FALSE(step->writes.front().value);
   // A holder that was stopped for as long knows nothing of what has happened meanwhile.
   now += gone;
@@ -249,30 +252,30 @@
 // ------------------------------------------------------------------------
 
 TEST(OwnWordOfAConductor, StepsBackBeforeANamesakeThatWritesOverIt) {
-  OwnPresence older({"c1", 1}, 1000), newer({"c1", 2}, 1000);
-  std::map<std::string, Doc> docs;
+  PresencePublisher older({"c1", 1}, 1000), newer({"c1", 2}, 1000);
+  std::map<std::string, Document> documents;
   std::uint64_t revision = 0;
-  const auto speak = [&](OwnPresence& who, double now) {
-    who.read(docs, now);
-    const auto write = who.next({}, now);
+  const auto speak = [&](PresencePublisher& who, double now) {
+    who.onRead(documents, now);
+    const auto write = who.nextWrite({}, now);
     if (!write)
       return;
-    const auto it = docs.find(write->key);
-    const bool fits = write->seen == (it == docs.end() ? 0 : it->second.revision);
+    const auto it = documents.find(write->key);
+    const bool fits = write->expectedRevision == (it == documents.end() ? 0 : it->second.revision);
     if (fits)
-      docs[write->key] = {*write->value, ++revision};
-    who.written({fits ? Committed::kDone : Committed::kConflict, revision}, now);
+      documents[write->key] = {*write->value, ++revision};
+    who.onWritten({fits ? CommitStatus::kDone : CommitStatus::kConflict, revision}, now);
   };
   speak(older, 0);
   speak(newer, 10);  // as after a restart: what was left is written over
   speak(older, 2000);
-  EXPECT_TRUE(older.rivalled());
+  EXPECT_TRUE(older.nameConflict());
   speak(newer, 3000);
-  EXPECT_FALSE(newer.rivalled());
-  EXPECT_EQ(Presence::parse(docs.at("node/c1").value)->who.incarnation, 2u);
-  docs.clear();  // taken for dead, it says again that it lives
+  EXPECT_FALSE(newer.nameConflict());
+  EXPECT_EQ(Presence::parse(documents.at("node/c1").value)->holder.incarnation, 2u);
+  documents.clear();  // taken for dead, it says again that it lives
   speak(newer, 5000);
-  EXPECT_EQ(docs.size(), 1u);
+  EXPECT_EQ(documents.size(), 1u);
 }
 
 TEST(DocumentsOfTheFleet, ThatAreDamagedOrForeignAreNone) {
@@ -280,15 +283,15 @@
     Plan one;
     one.id = "june";
     one.items = {{"r1", ItemState::kOut, 2, false, ""}};
-    return one.text();
+    return one.serialize();
   }();
   ASSERT_TRUE(Plan::parse(plan));
-  const std::string node = said("c1", 1, "june", 2, {{"r1", 1}}).text();
+  const std::string node = said("c1", 1, "june", 2, {{"r1", 1}}).serialize();
   ASSERT_TRUE(Presence::parse(node));
   LeaseCell cell;
   cell.fence = 3;
   cell.record = LeaseRecord{{"c1", 1}, 3, 1, 0, 0};
-  ASSERT_EQ(cellOf(textOf(cell)), cell);
+  ASSERT_EQ(parseLeaseCell(serialize(cell)), cell);
   for (std::size_t cut = 0; cut + 1 < plan.size(); ++cut)
     EXPECT_FALSE(Plan::parse(plan.substr(0, cut)));
   for (std::size_t cut = 0; cut + 1 < node.size(); ++cut)
@@ -296,8 +299,8 @@
   for (const char* other : {"{}", "[]", "null", "7", R"({"form":"dahliastall-plan-2"})"}) {
     EXPECT_FALSE(Plan::parse(other));
     EXPECT_FALSE(Presence::parse(other));
-    EXPECT_FALSE(cellOf(other));
-    EXPECT_FALSE(recordOf(std::string_view(other)));
+    EXPECT_FALSE(parseLeaseCell(other));
+    EXPECT_FALSE(parseLeaseRecord(std::string_view(other)));
   }
 }
 
--- a/tests/fronts_test.cpp
+++ b/tests/fronts_test.cpp
@@ -916,7 +916,7 @@
 // A whole list of as many instances as there may be, and then changes to all of them, through a
 // socket: on one line, and indented for people, cut anywhere.
 TEST(DiscoveryWatch, ListsOfAsManyInstancesAsThereMayBeComeOverTheWire) {
-  constexpr int kInstances = coordination::kMostInstances;
+  constexpr int kInstances = coordination::kMaxFleetInstances;
   for (const bool indented : {false, true}) {
     Watching watching;
     RawPeer agent(watching.io);
--- a/tests/lease_test.cpp
+++ b/tests/lease_test.cpp
@@ -26,19 +26,19 @@
 struct Held {
   explicit Held(LeaseConfig config = plainConfig()) : lease(config, {"c1", 7}, 1, 0) {
     ask = *lease.tick(0);
-    lease.answered(decide(cell, ask, 0, 0), 10);
+    lease.onResponse(decide(cell, ask, 0, 0), 10);
   }
   LeaseCell cell;
-  LeaseAsk ask;
+  LeaseRequest ask;
   Lease lease;
 };
 
 TEST(LeaseOfOneCandidate, IsAskedForAndHeldFromBeforeItAsked) {
   Held held;
   EXPECT_EQ(held.lease.state(), LeaseState::kHolding);
-  EXPECT_EQ(held.lease.fenceNumber(), 1u);
-  EXPECT_DOUBLE_EQ(held.lease.validUntilMs(), validitySpan(plainConfig()));
-  EXPECT_LT(validitySpan(plainConfig()), plainConfig().ttlMs);
+  EXPECT_EQ(held.lease.fence(), 1u);
+  EXPECT_DOUBLE_EQ(held.lease.validUntilMs(), validityMs(plainConfig()));
+  EXPECT_LT(validityMs(plainConfig()), plainConfig().ttlMs);
   const auto fence = held.lease.beginStep(10);
   ASSERT_TRUE(fence);
   EXPECT_EQ(fence->number(), 1u);
@@ -48,20 +48,21 @@
 TEST(LeaseOfOneCandidate, BeginsNoStepThatCouldOutlastIt) {
   Held held;
   const double until = held.lease.validUntilMs();
-  EXPECT_FALSE(held.lease.beginStep(until - plainConfig().longestStepMs + 1));
-  EXPECT_TRUE(held.lease.beginStep(until - plainConfig().longestStepMs));
+  EXPECT_FALSE(held.lease.beginStep(until - plainConfig().maxStepMs + 1));
+  EXPECT_TRUE(held.lease.beginStep(until - plainConfig().maxStepMs));
 }
 
 TEST(LeaseOfOneCandidate, IsDoubtfulWithoutAnAnswerAndLapsedAtItsEnd) {
   Held held;
   const double renewAt = held.lease.nextMs();
   ASSERT_TRUE(held.lease.tick(renewAt));
-  held.lease.tick(renewAt + plainConfig().askMs);
+  held.lease.tick(renewAt + plainConfig().requestTimeoutMs);
   EXPECT_EQ(held.lease.state(), LeaseState::kDoubtful);
-  EXPECT_TRUE(held.lease.beginStep(renewAt + plainConfig().askMs)) << "time enough is left";
-  held.lease.stepEnded(true, renewAt + plainConfig().askMs + 1);
+  EXPECT_TRUE(held.lease.beginStep(renewAt + plainConfig().requestTimeoutMs))
+      << "time enough is left";
+  held.lease.endStep(true, renewAt + plainConfig().requestTimeoutMs + 1);
   EXPECT_FALSE(held.lease.tick(held.lease.validUntilMs()));
-  EXPECT_EQ(held.lease.state(), LeaseState::kLapsed);
+  EXPECT_EQ(held.lease.state(), LeaseState::kExpired);
   EXPECT_FALSE(held.lease.beginStep(held.lease.validUntilMs()));
   EXPECT_GT(held.lease.counts().doubtfulMs, 0);
   held.lease.tick(held.lease.nextMs());
@@ -71,31 +72,31 @@
 TEST(LeaseOfOneCandidate, ARenewalThatIsAnsweredLateCountsFromWhenItWasAsked) {
   Held held;
   const double renewAt = held.lease.nextMs();
-  const LeaseAsk first = *held.lease.tick(renewAt);
-  const auto second = held.lease.tick(renewAt + plainConfig().askMs);
+  const LeaseRequest first = *held.lease.tick(renewAt);
+  const auto second = held.lease.tick(renewAt + plainConfig().requestTimeoutMs);
   ASSERT_TRUE(second);
-  held.lease.answered(decide(held.cell, first, renewAt, 0), renewAt + 1500);
-  EXPECT_DOUBLE_EQ(held.lease.validUntilMs(), renewAt + validitySpan(plainConfig()));
+  held.lease.onResponse(decide(held.cell, first, renewAt, 0), renewAt + 1500);
+  EXPECT_DOUBLE_EQ(held.lease.validUntilMs(), renewAt + validityMs(plainConfig()));
   // Heard twice, it says nothing new; nor does one that nobody asked for.
-  held.lease.answered({first.number, Found::kLost, 9, 0, {}}, renewAt + 1600);
-  held.lease.answered({77, Found::kLost, 9, 0, {}}, renewAt + 1600);
+  held.lease.onResponse({first.number, LeaseResult::kLost, 9, 0, {}}, renewAt + 1600);
+  held.lease.onResponse({77, LeaseResult::kLost, 9, 0, {}}, renewAt + 1600);
   EXPECT_TRUE(held.lease.withinValidity(renewAt + 1600));
 }
 
 TEST(LeaseOfOneCandidate, ALostAnswerToAnAcquireIsFollowedByOneWithAFenceAbove) {
   LeaseCell cell;
   Lease lease(plainConfig(), {"c1", 7}, 1, 0);
-  const LeaseAsk lost = *lease.tick(0);
+  const LeaseRequest lost = *lease.tick(0);
   decide(cell, lost, 0, 0);
-  lease.tick(plainConfig().askMs);
+  lease.tick(plainConfig().requestTimeoutMs);
   EXPECT_EQ(lease.state(), LeaseState::kBackingOff);
   const double again = lease.nextMs();
-  const LeaseAsk ask = *lease.tick(again);
-  lease.answered(decide(cell, ask, again, 0), again + 1);
+  const LeaseRequest ask = *lease.tick(again);
+  lease.onResponse(decide(cell, ask, again, 0), again + 1);
   EXPECT_EQ(lease.state(), LeaseState::kHolding) << "it need not wait for itself";
-  EXPECT_EQ(lease.fenceNumber(), 2u);
+  EXPECT_EQ(lease.fence(), 2u);
   // The first, repeated by the network now, changes nothing.
-  EXPECT_EQ(decide(cell, lost, again + 2, 0).found, Found::kLost);
+  EXPECT_EQ(decide(cell, lost, again + 2, 0).result, LeaseResult::kLost);
   EXPECT_EQ(cell.fence, 2u);
 }
 
@@ -104,17 +105,17 @@
   LeaseCell older;
   held.cell.fence = 9;
   Lease lease(plainConfig(), {"c2", 8}, 1, 0);
-  LeaseAsk ask = *lease.tick(0);
-  lease.answered(decide(held.cell, ask, 100, 0), 100);  // held by another under a higher fence
+  LeaseRequest ask = *lease.tick(0);
+  lease.onResponse(decide(held.cell, ask, 100, 0), 100);  // held by another under a higher fence
   const double again = lease.nextMs();
   ask = *lease.tick(again);
   EXPECT_EQ(ask.fence, 9u);
   // A store that obeys grants above it, also one that was put back to an older state...
   EXPECT_EQ(decide(older, ask, again, 0).fence, 10u);
   // ...and one that does not is not believed.
-  lease.answered({ask.number, Found::kGranted, 5, 0, {}}, again);
+  lease.onResponse({ask.number, LeaseResult::kGranted, 5, 0, {}}, again);
   EXPECT_EQ(lease.state(), LeaseState::kBackingOff);
-  EXPECT_EQ(lease.counts().wentBack, 1u);
+  EXPECT_EQ(lease.counts().rolledBack, 1u);
   EXPECT_FALSE(lease.beginStep(again));
 }
 
@@ -123,16 +124,16 @@
   ASSERT_TRUE(held.lease.beginStep(20));
   held.lease.resign(30);
   EXPECT_FALSE(held.lease.tick(40)) << "a step is under way";
-  held.lease.stepEnded(true, 50);
+  held.lease.endStep(true, 50);
   const auto release = held.lease.tick(50);
   ASSERT_TRUE(release);
-  EXPECT_EQ(release->verb, Verb::kRelease);
+  EXPECT_EQ(release->operation, LeaseOperation::kRelease);
   EXPECT_FALSE(held.lease.beginStep(50));
-  held.lease.answered(decide(held.cell, *release, 50, 0), 60);
+  held.lease.onResponse(decide(held.cell, *release, 50, 0), 60);
   EXPECT_FALSE(held.cell.record);
-  EXPECT_TRUE(held.lease.out());
+  EXPECT_TRUE(held.lease.fullyReleased());
   EXPECT_FALSE(held.lease.tick(60 + 10 * plainConfig().ttlMs)) << "it has resigned";
-  held.lease.again(1e6);
+  held.lease.rejoin(1e6);
   EXPECT_TRUE(held.lease.tick(1e6));
 }
 
@@ -140,26 +141,26 @@
   LeaseConfig config = plainConfig();
   Held held(config);
   double now = 10;
-  std::optional<LeaseAsk> ask;
-  while (now < config.workMs * 2) {
+  std::optional<LeaseRequest> ask;
+  while (now < config.progressTimeoutMs * 2) {
     now = std::max(now + 1, held.lease.nextMs());
     ask = held.lease.tick(now);
     if (!ask)
       continue;
-    if (ask->verb == Verb::kRelease)
+    if (ask->operation == LeaseOperation::kRelease)
       break;
-    held.lease.answered(decide(held.cell, *ask, now, 0), now + 1);
+    held.lease.onResponse(decide(held.cell, *ask, now, 0), now + 1);
   }
-  ASSERT_TRUE(ask && ask->verb == Verb::kRelease);
-  EXPECT_NEAR(now, config.workMs, 20);
-  EXPECT_EQ(held.lease.counts().gaveWay, 1u);
+  ASSERT_TRUE(ask && ask->operation == LeaseOperation::kRelease);
+  EXPECT_NEAR(now, config.progressTimeoutMs, 20);
+  EXPECT_EQ(held.lease.counts().steppedDown, 1u);
   // One that has nothing to do, and says so, keeps it.
   Held idle(config);
-  for (now = 10; now < config.workMs * 3;) {
+  for (now = 10; now < config.progressTimeoutMs * 3;) {
     now = std::max(now + 1, idle.lease.nextMs());
-    idle.lease.idle(now);
+    idle.lease.markIdle(now);
     if (const auto renew = idle.lease.tick(now))
-      idle.lease.answered(decide(idle.cell, *renew, now, 0), now + 1);
+      idle.lease.onResponse(decide(idle.cell, *renew, now, 0), now + 1);
   }
   EXPECT_EQ(idle.lease.state(), LeaseState::kHolding);
 }
@@ -167,24 +168,24 @@
 TEST(LeaseOfOneCandidate, AnEffectThatIsRefusedForItsFenceEndsIt) {
   Held held;
   ASSERT_TRUE(held.lease.beginStep(20));
-  held.lease.refused(30);
-  EXPECT_EQ(held.lease.state(), LeaseState::kLapsed);
+  held.lease.onFenceRefused(30);
+  EXPECT_EQ(held.lease.state(), LeaseState::kExpired);
 }
 
 TEST(LeaseTermsOfATask, ThatCannotKeepThePromiseAreToldApart) {
-  EXPECT_FALSE(problemWith(plainConfig()));
+  EXPECT_FALSE(validate(plainConfig()));
   LeaseConfig config = plainConfig();
-  config.longestStepMs = 4000;
-  EXPECT_TRUE(problemWith(config)) << "shorter than its longest step";
+  config.maxStepMs = 4000;
+  EXPECT_TRUE(validate(config)) << "shorter than its longest step";
   config = plainConfig();
   config.drift = 0.5;
-  EXPECT_TRUE(problemWith(config));
+  EXPECT_TRUE(validate(config));
   config = plainConfig();
   config.ttlMs = std::nan("");
-  EXPECT_TRUE(problemWith(config));
+  EXPECT_TRUE(validate(config));
   config = plainConfig();
   config.task.clear();
-  EXPECT_TRUE(problemWith(config));
+  EXPECT_TRUE(validate(config));
 }
 
 // ---- Every order
@@ -276,14 +277,14 @@
     return i < nodes.size() ? at * nodes[i].rate : at;
   }
 
-  void deliver(std::size_t i, const LeaseAsk& ask) {
+  void deliver(std::size_t i, const LeaseRequest& ask) {
     ++calls;
     if (chance(lossShare))
       return;
-    const LeaseAnswer answer = decide(cell, ask, now * storeRate, 0);
+    const LeaseResponse answer = decide(cell, ask, now * storeRate, 0);
     if (chance(lossShare))
       return;
-    answers.emplace(now + draw(0, slowMs), std::tuple(i, ask.who, answer));
+    answers.emplace(now + draw(0, slowMs), std::tuple(i, ask.holder, answer));
   }
 
   void step(double ms) {
@@ -291,8 +292,8 @@
     while (!answers.empty() && answers.begin()->first <= now) {
       const auto [i, who, answer] = answers.begin()->second;
       answers.erase(answers.begin());
-      if (nodes[i].lease.who() == who && now >= nodes[i].pausedUntil)
-        nodes[i].lease.answered(answer, local(i, now));
+      if (nodes[i].lease.holder() == who && now >= nodes[i].pausedUntil)
+        nodes[i].lease.onResponse(answer, local(i, now));
     }
     std::size_t within = 0;
     for (std::size_t i = 0; i < nodes.size(); ++i) {
@@ -309,14 +310,14 @@
         deliver(i, *ask);
       if (mine >= node.stepEnds) {
         node.stepEnds = HUGE_VAL;
-        if (witness.take(node.lease.who(), node.stepFence))
-          node.lease.stepEnded(true, mine), ++effects;
+        if (witness.take(node.lease.holder(), node.stepFence))
+          node.lease.endStep(true, mine), ++effects;
         else
-          node.lease.refused(mine), ++refused;
+          node.lease.onFenceRefused(mine), ++refused;
       }
       if (const auto fence = node.lease.beginStep(mine)) {
         node.stepFence = fence->number();
-        node.stepEnds = mine + draw(0, config.longestStepMs);
+        node.stepEnds = mine + draw(0, config.maxStepMs);
       }
     }
     mostWithin = std::max(mostWithin, within);
@@ -327,7 +328,7 @@
   std::vector<Node> nodes;
   LeaseCell cell;
   Witness witness;
-  std::multimap<double, std::tuple<std::size_t, Holder, LeaseAnswer>> answers;
+  std::multimap<double, std::tuple<std::size_t, Holder, LeaseResponse>> answers;
   double now = 0, storeRate = 1, lossShare = 0.05, slowMs = 400, killShare = 0.0005,
          pauseShare = 0.0005;
   std::uint64_t incarnations = 0, calls = 0, effects = 0, refused = 0;
@@ -380,7 +381,7 @@
       gaps.push_back(fleet.now - lost);
       // The bound of the design note.
       EXPECT_LE(gaps.back(), fleet.config.ttlMs + period / (1 - fleet.config.drift) +
-                                 fleet.config.longestStepMs + 100);
+                                 fleet.config.maxStepMs + 100);
       // All restart.
       for (std::size_t i = 0; i < count; ++i)
         fleet.nodes[i] = {fleet.fresh(i), fleet.nodes[i].rate};
--- a/tests/ops_test.cpp
+++ b/tests/ops_test.cpp
@@ -287,7 +287,7 @@
   struct Planned final : Played {
     std::string instances() override {
       std::string text;
-      for (std::size_t i = 0; i < coordination::kMostInstances; ++i)
+      for (std::size_t i = 0; i < coordination::kMaxFleetInstances; ++i)
         text += "box " + std::string(fleet::Exclusions::kMaxIdBytes, 'i') +
                 " draining why=\"maintenance\"\n";
       return text;
@@ -315,8 +315,8 @@
     return peer.seen;
   };
   std::string names;
-  for (std::size_t i = 0; i < coordination::kMostInstances; ++i)
-    names += (i == 0 ? "" : ",") + std::string(coordination::Plan::kLongestWord, 'n');
+  for (std::size_t i = 0; i < coordination::kMaxFleetInstances; ++i)
+    names += (i == 0 ? "" : ",") + std::string(coordination::Plan::kMaxWordBytes, 'n');
   EXPECT_EQ(answerTo("maintenance start june " + names + "\n"), "ok " + names + "\n");
   EXPECT_EQ(answerTo("boxes\n"), planned.instances() + "eof\n");
   EXPECT_EQ(answerTo("maintenance start june " + names + names + "\n")
--- a/tests/shared_fleet_test.cpp
+++ b/tests/shared_fleet_test.cpp
@@ -74,9 +74,10 @@
 }
 
 Digest digestIn(const SharedWorld& world) {
-  const auto doc = world.store.docs.find(kDigestKey);
-  return doc == world.store.docs.end() ? Digest{}
-                                       : decodeDigest(doc->second.value).digest.value_or(Digest{});
+  const auto document = world.store.documents.find(kDigestKey);
+  return document == world.store.documents.end()
+             ? Digest{}
+             : decodeDigest(document->second.value).digest.value_or(Digest{});
 }
 
 // What the lender has out, by its own digest and by the parts as they lie in the store.
@@ -87,9 +88,9 @@
     for (const auto& [origin, tokens] : line.lent) {
       Part part;
       part.origin = origin;
-      const auto own = world.store.docs.find(part.key());
+      const auto own = world.store.documents.find(part.key());
       const auto said =
-          own == world.store.docs.end() ? std::nullopt : decodePart(own->second.value).part;
+          own == world.store.documents.end() ? std::nullopt : decodePart(own->second.value).part;
       lent += tokens;
       if (said && said->period == digest.period && said->spends.count(tenant) != 0)
         returned += std::min(tokens, said->spends.at(tenant).returned);
@@ -155,7 +156,7 @@
   std::cout << count << " nodes, seed " << seed << ": nearest to the budget " << -course.overshoot
             << " tokens below, billed " << known << " of " << truly << ", " << world.kills
             << " kills, " << world.asked << " asked, " << refused << " refused, " << world.digests
-            << " digests, largest digest " << world.store.docs.at(kDigestKey).value.size()
+            << " digests, largest digest " << world.store.documents.at(kDigestKey).value.size()
             << " bytes\n";
   EXPECT_GT(world.granted, 100u);
 }
--- a/tests/shared_test.cpp
+++ b/tests/shared_test.cpp
@@ -294,7 +294,7 @@
       {"digest", 500, 300}, [&] { return config; }, [] { return 1.7e12; });
   coordination::View view;
   const auto put = [&](const std::string& key, const std::string& value) {
-    view.docs[key] = {value, ++view.revision};
+    view.documents[key] = {value, ++view.revision};
   };
   Part good = somePart();
   good.finalUsage.reset();
@@ -323,7 +323,7 @@
   EXPECT_EQ(digest.total.at({"attiki", "chat"}).promptTokens, 4u) << "the higher count stays";
   EXPECT_EQ(task.stats().backwards, 1u);
   // A digest of a later program is not written over.
-  std::string text = view.docs.at(kDigestKey).value;
+  std::string text = view.documents.at(kDigestKey).value;
   text.replace(text.find("/1 "), 3, "/2 ");
   put(kDigestKey, text);
   EXPECT_FALSE(task.next(view, 2, 1500));
@@ -337,11 +337,11 @@
       {"digest", 500, 300}, [&] { return config; }, [&] { return unix; });
   coordination::View view;
   const auto put = [&](const std::string& key, const std::string& value) {
-    view.docs[key] = {value, ++view.revision};
+    view.documents[key] = {value, ++view.revision};
   };
   const auto next = [&](double now) {
     put(kDigestKey, *task.next(view, 1, now)->writes.front().value);
-    return decodeDigest(view.docs.at(kDigestKey).value).digest->period;
+    return decodeDigest(view.documents.at(kDigestKey).value).digest->period;
   };
   for (std::uint64_t i = 1; i <= 2; ++i) {
     Part part;
@@ -353,8 +353,8 @@
   EXPECT_EQ(next(0), 960'000u);
   unix = 9'000'000;  // the holder's own clock is set wrong
   EXPECT_EQ(next(1000), 960'000u);
-  view.docs.erase("part/c1/1");
-  view.docs.erase("part/c2/2");
+  view.documents.erase("part/c1/1");
+  view.documents.erase("part/c2/2");
   EXPECT_EQ(next(2000), 9'000'000u) << "alone, it has no other";
   unix = 1'000'000;
   EXPECT_EQ(next(3000), 9'000'000u) << "a period never goes back";
--- a/tests/support/lease_world.h
+++ b/tests/support/lease_world.h
@@ -11,6 +11,7 @@
 #include <unordered_set>
 #include <vector>
 
+#include "coordination/lease.h"
 #include "coordination/lease_rules.h"
 
 namespace inference_router {
@@ -62,9 +63,9 @@
     config.task = "t";
     config.ttlMs = 400;
     config.drift = kDrift;
-    config.longestStepMs = 50;
-    config.askMs = 100;
-    config.workMs = 1e9;
+    config.maxStepMs = 50;
+    config.requestTimeoutMs = 100;
+    config.progressTimeoutMs = 1e9;
     config.spreadMs = 0;
     config.renewJitter = 0;
     return config;
@@ -176,7 +177,7 @@
       }
       case Kind::kAsk:
       case Kind::kAskKept:
-        answers.push_back({asks[i].who, decide(cell, asks[i], storeNow, 0)});
+        answers.push_back({asks[i].holder, decide(cell, asks[i], storeNow, 0)});
         if (step.kind == Kind::kAsk)
           asks.erase(asks.begin() + static_cast<long>(i));
         else
@@ -190,8 +191,8 @@
         const auto [to, answer] = answers[i];
         answers.erase(answers.begin() + static_cast<long>(i));
         for (std::size_t p = 0; p < leases.size(); ++p)
-          if (leases[p].who() == to)
-            leases[p].answered(answer, now[p]);
+          if (leases[p].holder() == to)
+            leases[p].onResponse(answer, now[p]);
         break;
       }
       case Kind::kAnswerLost:
@@ -202,12 +203,12 @@
         const Effect effect = effects[i];
         effects.erase(effects.begin() + static_cast<long>(i));
         const bool taken = witness.take(effect.who, effect.fence);
-        if (leases[effect.from].who() != effect.who)
+        if (leases[effect.from].holder() != effect.who)
           break;
         if (taken)
-          leases[effect.from].stepEnded(true, now[effect.from]);
+          leases[effect.from].endStep(true, now[effect.from]);
         else
-          leases[effect.from].refused(now[effect.from]);
+          leases[effect.from].onFenceRefused(now[effect.from]);
         break;
       }
       case Kind::kKill:
@@ -253,29 +254,23 @@
       text += holder.name + ' ';
     };
     for (std::size_t i = 0; i < leases.size(); ++i) {
-      who(leases[i].who());
-      std::apply(
-          [&](const auto&... part) {
-            const auto one = [&](const auto& value) {
-              if constexpr (std::is_arithmetic_v<std::decay_t<decltype(value)>>)
-                put(value);
-              else
-                for (const auto& [number, verb, age] : value)
-                  put(number), put(verb), put(age);
-            };
-            (one(part), ...);
-          },
-          leases[i].key(now[i]));
+      who(leases[i].holder());
+      const LeaseFingerprint lease = leases[i].fingerprint(now[i]);
+      put(lease.state), put(lease.number), put(lease.fence), put(lease.highestFenceSeen);
+      put(lease.nextRequestInMs), put(lease.validForMs), put(lease.withoutProgressMs);
+      put(lease.awaitingResponse), put(lease.resigned), put(lease.cannotBeginStep);
+      for (const LeaseFingerprint::PendingRequest& request : lease.pending)
+        put(request.number), put(request.operation), put(request.ageMs);
     }
     put(cell.fence), who(cell.last), put(cell.lastNumber);
     put(cell.record.has_value());
     if (cell.record)
       who(cell.record->holder), put(std::max(-1.0, cell.untilMs - storeNow));
-    for (const LeaseAsk& ask : asks)
-      who(ask.who), put(ask.number), put(ask.verb), put(ask.fence);
+    for (const LeaseRequest& ask : asks)
+      who(ask.holder), put(ask.number), put(ask.operation), put(ask.fence);
     text += '|';
     for (const auto& [to, answer] : answers)
-      who(to), put(answer.number), put(answer.found), put(answer.fence), put(answer.leftMs);
+      who(to), put(answer.number), put(answer.result), put(answer.fence), put(answer.remainingMs);
     text += '|';
     for (const Effect& effect : effects)
       who(effect.who), put(effect.fence);
@@ -294,17 +289,16 @@
       case Kind::kTickFast:
         return "200 ms pass, a's clock is fast";
       case Kind::kRun:
-        return name(leases[i].who()) + " runs (" + nameOf(leases[i].state()) + ")";
+        return name(leases[i].holder()) + " runs (" + nameOf(leases[i].state()) + ")";
       case Kind::kAct:
-        return name(leases[i].who()) + " acts under fence " +
-               std::to_string(leases[i].fenceNumber());
+        return name(leases[i].holder()) + " acts under fence " + std::to_string(leases[i].fence());
       case Kind::kAsk:
       case Kind::kAskKept:
-        return "the store carries out " + name(asks[i].who) + "'s " +
-               kVerbs[static_cast<int>(asks[i].verb)] +
+        return "the store carries out " + name(asks[i].holder) + "'s " +
+               kVerbs[static_cast<int>(asks[i].operation)] +
                (step.kind == Kind::kAsk ? "" : ", which will come again");
       case Kind::kAskLost:
-        return "an ask of " + name(asks[i].who) + " is lost";
+        return "an ask of " + name(asks[i].holder) + " is lost";
       case Kind::kAnswer:
         return "the answer reaches " + name(answers[i].first);
       case Kind::kAnswerLost:
@@ -313,7 +307,7 @@
         return "the effect of " + name(effects[i].who) + " under fence " +
                std::to_string(effects[i].fence) + " arrives";
       case Kind::kKill:
-        return name(leases[i].who()) + " is killed and starts anew";
+        return name(leases[i].holder()) + " is killed and starts anew";
       case Kind::kRestart:
         return "the store restarts";
     }
@@ -325,8 +319,8 @@
   std::vector<double> now;
   LeaseCell cell;
   double storeNow = 0;
-  std::vector<LeaseAsk> asks;
-  std::vector<std::pair<Holder, LeaseAnswer>> answers;
+  std::vector<LeaseRequest> asks;
+  std::vector<std::pair<Holder, LeaseResponse>> answers;
   std::vector<Effect> effects;
   Witness witness;
   Budget budget;
--- a/tests/support/shared_world.h
+++ b/tests/support/shared_world.h
@@ -53,30 +53,30 @@
   // ---- The store
   // -----------------------------------------------------------------------------------
   struct State {
-    std::map<std::string, coordination::Doc> docs;
+    std::map<std::string, coordination::Document> documents;
     std::uint64_t revision = 0;
   };
-  coordination::CommitAnswer commit(const std::vector<coordination::Write>& writes,
-                                    std::optional<std::uint64_t> fence) {
-    using coordination::Committed;
+  coordination::CommitResponse commit(const std::vector<coordination::Write>& writes,
+                                      std::optional<std::uint64_t> fence) {
+    using coordination::CommitStatus;
     if (fence && *fence != this->fence)
-      return {Committed::kStaleFence, 0};
-    if (!coordination::acceptable(writes))
-      return {Committed::kRefused, 0};
+      return {CommitStatus::kStaleFence, 0};
+    if (!coordination::withinLimits(writes))
+      return {CommitStatus::kRefused, 0};
     for (const auto& write : writes) {
-      const auto it = store.docs.find(write.key);
-      if ((it == store.docs.end() ? 0 : it->second.revision) != write.seen)
-        return {Committed::kConflict, 0};
+      const auto it = store.documents.find(write.key);
+      if ((it == store.documents.end() ? 0 : it->second.revision) != write.expectedRevision)
+        return {CommitStatus::kConflict, 0};
     }
     ++store.revision;
     for (const auto& write : writes) {
       bytes += write.value ? write.value->size() : 0;
       if (write.value)
-        store.docs[write.key] = {*write.value, store.revision};
+        store.documents[write.key] = {*write.value, store.revision};
       else
-        store.docs.erase(write.key);
+        store.documents.erase(write.key);
     }
-    return {Committed::kDone, store.revision};
+    return {CommitStatus::kDone, store.revision};
   }
 
   // ---- Routers
@@ -111,7 +111,7 @@
     std::size_t node;
     std::uint64_t life;
     double atMs;
-    coordination::CommitAnswer how;
+    coordination::CommitResponse how;
   };
 
   explicit SharedWorld(Options given) : options(std::move(given)), random(options.seed) {
@@ -372,25 +372,25 @@
     Node& node = nodes[i];
     if (storeUp && node.reads && now >= node.readMs) {
       node.readMs = now + 300;
-      std::map<std::string, coordination::Doc> mine;
+      std::map<std::string, coordination::Document> mine;
       for (const std::string& key : node.shared->keys())
-        if (const auto it = store.docs.find(key); it != store.docs.end())
+        if (const auto it = store.documents.find(key); it != store.documents.end())
           mine[key] = it->second;
       node.shared->read(mine, now, now);
       if (options.way == Way::kOneCounter && node.writes)
         addToCounter(i);
       if (node.fence != 0)
-        node.view = coordination::View{store.docs, store.revision, now};
+        node.view = coordination::View{store.documents, store.revision, now};
     }
     if (const auto write = node.shared->next(unix() + node.offsetMs, now)) {
       ++writesAsked;
-      coordination::CommitAnswer how;
+      coordination::CommitResponse how;
       const bool arrives = storeUp && node.writes && !chance(lossShare);
       if (arrives)
         how = commit({*write}, std::nullopt);
       const bool heard = arrives && node.reads && !chance(lossShare);
       answers.push_back({i, lives[i], now + (heard ? draw(0, 200) : 1000),
-                         heard ? how : coordination::CommitAnswer{}});
+                         heard ? how : coordination::CommitResponse{}});
     }
     // Whoever believes to hold the lease goes on by what it last read; the store looks at its
     // fence.
@@ -401,8 +401,8 @@
     if (!step || !storeUp || !node.writes)
       return;
     const auto how = commit(step->writes, node.fence);
-    digests += how.how == coordination::Committed::kDone;
-    if (how.how == coordination::Committed::kStaleFence)
+    digests += how.status == coordination::CommitStatus::kDone;
+    if (how.status == coordination::CommitStatus::kStaleFence)
       node.fence = 0;
   }
 
