--- a/src/app/coordinator.cpp
+++ b/src/app/coordinator.cpp
@@ -2,25 +2,30 @@
 
 #include <spdlog/spdlog.h>
 
-#include <charconv>
+#include <algorithm>
+#include <stdexcept>
+#include <utility>
 
 #include "app/fleet_instances.h"
+#include "app/maintenance_command.h"
+#include "control/commands.h"
 #include "coordination/sqlite_store.h"
 
 namespace inference_router::app {
 
 using namespace coordination;
-using control::Service;
 
 namespace {
 
-static_assert(control::kLongestPlanLine >= Plan::kMaxInstances * (Plan::kLongestWord + 1));
-constexpr int kTries = 3;       // to write an operator's word, if others write at the same moment
-constexpr double kTurnMs = 20;  // between looks whether all is let go of
-constexpr std::size_t kBeats =
-    6;  // that a router speaks within the time after which it counts as silent
+static_assert(control::kMaxMaintenanceLineBytes >= Plan::kMaxInstances * (Plan::kLongestWord + 1));
+// To write a plan, if others write at the same time.
+constexpr int kMaxWriteAttempts = 3;
+// Between two looks whether all leases are released.
+constexpr double kPendingIntervalMs = 20;
+// That a router writes its presence within the time after which it counts as silent.
+constexpr std::size_t kPresenceWritesPerTimeout = 6;
 
-std::unique_ptr<Store> storeOf(Server& server, const Setup& setup) {
+std::unique_ptr<Store> openStore(Server& server, const Setup& setup) {
   if (!setup.etcd)
     return std::make_unique<SqliteStore>(server.io, setup.sqlitePath);
   auto store = std::make_unique<EtcdStore>(server.io, server.clock, server.timers, server.counters,
@@ -29,82 +34,28 @@
   return store;
 }
 
-std::optional<double> secondsIn(const std::string& text) {
-  double value = 0;
-  const auto [end, fault] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (fault != std::errc() || end != text.data() + text.size() || !(value >= 0 && value <= 86'400))
-    return {};
-  return value;
+double presencePeriodMs(const Setup& setup) {
+  return setup.maintenance.silentNodeMs / kPresenceWritesPerTimeout;
 }
 
-std::vector<std::string> listIn(const std::string& text) {
-  std::vector<std::string> words;
-  for (std::size_t from = 0; from <= text.size();) {
-    const std::size_t to = std::min(text.find(',', from), text.size());
-    words.push_back(text.substr(from, to - from));
-    from = to + 1;
+const char* failureOf(Committed outcome) {
+  switch (outcome) {
+    case Committed::kConflict:
+      return "others write at the same time: look and say it again";
+    case Committed::kRefused:
+      return "the store takes no such plan";
+    default:
+      return "the store did not answer: it may be written or not, look with `maintenance show`";
   }
-  return words;
-}
-
-// start ID BOX[,BOX...] [hold=S] [confirm] [by=WHO] [rev=N], and so on. Throws
-// std::invalid_argument.
-PlanCommand commandOf(const std::vector<std::string>& words) {
-  const std::map<std::string, PlanCommand::Kind> kinds{{"start", PlanCommand::Kind::kStart},
-                                                       {"pause", PlanCommand::Kind::kPause},
-                                                       {"resume", PlanCommand::Kind::kResume},
-                                                       {"cancel", PlanCommand::Kind::kCancel},
-                                                       {"back", PlanCommand::Kind::kBack}};
-  const auto kind = kinds.find(words.front());
-  if (kind == kinds.end())
-    throw std::invalid_argument(
-        "maintenance takes show, start, pause, resume, cancel or back, not " + words.front());
-  PlanCommand command;
-  command.kind = kind->second;
-  command.by = "operator";
-  std::vector<std::string> plain;
-  for (std::size_t i = 1; i < words.size(); ++i) {
-    const std::string& word = words[i];
-    if (word.rfind("hold=", 0) == 0) {
-      const auto seconds = secondsIn(word.substr(5));
-      if (!seconds)
-        throw std::invalid_argument("hold is a number of seconds from 0 to 86400");
-      command.holdMs = *seconds * 1000;
-    } else if (word.rfind("by=", 0) == 0) {
-      command.by = word.substr(3);
-    } else if (word.rfind("rev=", 0) == 0) {
-      std::uint64_t number = 0;
-      const auto [end, fault] = std::from_chars(word.data() + 4, word.data() + word.size(), number);
-      if (fault != std::errc() || end != word.data() + word.size())
-        throw std::invalid_argument("rev is a whole number");
-      command.seen = number;
-    } else if (word == "confirm") {
-      command.confirm = true;
-    } else {
-      plain.push_back(word);
-    }
-  }
-  const std::size_t wanted =
-      command.kind == PlanCommand::Kind::kStart ? 2 : command.kind == PlanCommand::Kind::kBack;
-  if (plain.size() != wanted)
-    throw std::invalid_argument(wanted == 2
-                                    ? "start takes an id and boxes, as in: start june box-1,box-2"
-                                : wanted == 1 ? "back takes one box"
-                                              : words.front() + " takes nothing more");
-  if (wanted == 2)
-    command.id = plain[0];
-  if (wanted > 0)
-    command.instances = listIn(plain[wanted - 1]);
-  return command;
 }
 
 }  // namespace
 
-Coordinator::Run::Run(Coordinator& owner, Setup given)
+Coordinator::Session::Session(Coordinator& owner, Setup given)
     : setup(std::move(given)),
-      store(storeOf(owner.server_, setup)),
+      store(openStore(owner.server_, setup)),
       runner({*store, owner.server_.clock, owner.server_.timers, owner.server_.counters},
-             owner.who_,
+             owner.self_,
              owner.seed_,
              setup.lease,
              setup.watchMs) {
@@ -113,11 +64,11 @@
   runner.add(std::make_unique<Cleanup>(setup.cleanup));
   if (owner.sharedState_ == nullptr)
     return;
-  runner.add(owner.sharedState_->task(setup.lease.longestStepMs));
-  // With a digest to go by, nobody but holders needs to read what all others say.
+  runner.add(owner.sharedState_->makeDigestTask(setup.lease.longestStepMs));
+  // The digest says all that others need to know, so only holders of leases read every document.
   runner.needs([&owner] {
     std::vector<std::string> keys = owner.sharedState_->keys();
-    keys.insert(keys.end(), {kPlanKey, kNodePrefix + owner.who_.name});
+    keys.insert(keys.end(), {kPlanKey, kNodePrefix + owner.self_.name});
     return keys;
   });
 }
@@ -129,214 +80,179 @@
     : server_(server),
       site_(site),
       sharedState_(sharedState),
-      who_{setup.name, freshNumber()},
-      seed_(who_.incarnation),
-      presence_(who_, setup.maintenance.silentNodeMs / kBeats) {
-  begin(std::move(setup));
+      self_{setup.name, freshNumber()},
+      seed_(self_.incarnation),
+      presence_(self_, presencePeriodMs(setup)),
+      planFollower_(server) {
+  beginSession(std::move(setup));
 }
 
 Coordinator::~Coordinator() {
-  *alive_ = false;
-  if (sharedState_ != nullptr)
-    sharedState_->carriedBy(nullptr);
-  server_.timers.cancel(turn_);
+  detachSharedState();
 }
 
-void Coordinator::begin(Setup setup) {
+void Coordinator::detachSharedState() {
   if (sharedState_ != nullptr)
-    sharedState_->carriedBy(nullptr);
-  run_ = nullptr;
-  presence_ = OwnPresence(who_, setup.maintenance.silentNodeMs / kBeats);
-  run_ = std::make_unique<Run>(*this, std::move(setup));
-  spdlog::info("coordination: {} is {} in {}", who_.name, who_.incarnation,
-               run_->store->describe());
-  run_->runner.onView([this](const View& view, bool whole) { saw(view, whole); });
+    sharedState_->setWriter(nullptr);
+}
+
+void Coordinator::beginSession(Setup setup) {
+  detachSharedState();
+  session_ = nullptr;
+  presence_ = OwnPresence(self_, presencePeriodMs(setup));
+  session_ = std::make_unique<Session>(*this, std::move(setup));
+  spdlog::info("coordination: {} is {} in {}", self_.name, self_.incarnation,
+               session_->store->describe());
+  session_->runner.onView([this](const View& view, bool complete) { onView(view, complete); });
   if (sharedState_ != nullptr)
-    sharedState_->carriedBy([this](Write write, std::function<void(CommitAnswer)> answer) {
-      run_->store->put(std::move(write), std::move(answer));
+    sharedState_->setWriter([this](Write write, std::function<void(CommitAnswer)> onAnswer) {
+      session_->store->put(std::move(write), std::move(onAnswer));
     });
   if (resigned_)
-    run_->runner.resign();
-  run_->runner.start();
+    session_->runner.resign();
+  session_->runner.start();
 }
 
-void Coordinator::reconfigure(Setup fresh) {
-  if (fresh.name != who_.name) {
+void Coordinator::reconfigure(Setup setup) {
+  if (setup.name != self_.name) {
     spdlog::warn("SIGHUP: coordination.name changes with the next start only");
-    fresh.name = who_.name;
+    setup.name = self_.name;
   }
-  if (fresh.text == run_->setup.text && !coming_)
-    return;
-  coming_ = std::move(fresh);
-  run_->runner.resign();
-  if (turn_)
+  if (setup.text == session_->setup.text && !pendingSetup_)
     return;
-  const auto turn = [this](const auto& again) -> void {
-    turn_.reset();
-    if (run_->runner.out())
-      return begin(*std::exchange(coming_, std::nullopt));
-    turn_ = server_.timers.add(server_.clock.nowMs() + kTurnMs, [again] { again(again); });
-  };
-  turn_ = server_.timers.add(server_.clock.nowMs(), [turn] { turn(turn); });
+  pendingSetup_ = std::move(setup);
+  session_->runner.resign();
+  if (!pendingTimer_.armed())
+    pendingTimer_ =
+        server_.timers.schedule(server_.clock.nowMs(), [this] { beginPendingSession(); });
+}
+
+void Coordinator::beginPendingSession() {
+  if (hasResigned())
+    return beginSession(*std::exchange(pendingSetup_, std::nullopt));
+  pendingTimer_ = server_.timers.schedule(server_.clock.nowMs() + kPendingIntervalMs,
+                                          [this] { beginPendingSession(); });
 }
 
 void Coordinator::resign() {
   resigned_ = true;
   if (sharedState_ != nullptr)
-    sharedState_->leave(true);
-  run_->runner.resign();
+    sharedState_->setLeaving(true);
+  session_->runner.resign();
 }
 
-void Coordinator::again() {
+void Coordinator::rejoin() {
   resigned_ = false;
   if (sharedState_ != nullptr)
-    sharedState_->leave(false);
+    sharedState_->setLeaving(false);
   if (!presence_.rivalled())
-    run_->runner.again();
-}
-
-bool Coordinator::out() const {
-  return run_->runner.out();
+    session_->runner.again();
 }
 
-void Coordinator::saw(const View& view, bool whole) {
+void Coordinator::onView(const View& view, bool complete) {
   presence_.read(view.docs, server_.clock.nowMs());
-  if (presence_.rivalled() && !std::exchange(saidRival_, true)) {
-    spdlog::error(
-        "coordination: another conductor has the name {}; this one holds no leases any more",
-        who_.name);
-    ++server_.counters["coordination.rivalled"];
-    run_->runner.resign();
-  }
-  std::size_t nodes = 0;
-  for (const auto& [key, doc] : view.docs)
-    nodes += key.rfind(kNodePrefix, 0) == 0;
-  if (!whole)
-    nodes = sharedState_->nodes();
-  run_->runner.candidates(std::max<std::size_t>(1, nodes));
+  resignIfRivalled();
+  const auto isNode = [](const auto& entry) { return entry.first.rfind(kNodePrefix, 0) == 0; };
+  const auto nodes =
+      complete ? static_cast<std::size_t>(std::count_if(view.docs.begin(), view.docs.end(), isNode))
+               : sharedState_->nodes();
+  session_->runner.candidates(std::max<std::size_t>(1, nodes));
   if (sharedState_ != nullptr)
-    sharedState_->saw(view);
-  apply(view);
-  speak();
+    sharedState_->readView(view);
+  planFollower_.apply(view);
+  writePresence();
 }
 
-// The drains that the plan says. Without a word from the store the last ones stay; and a plan whose
-// steps are behind those that were carried out comes from a store that went back, or from nobody
-// who may write it.
-void Coordinator::apply(const View& view) {
-  const auto stored = view.docs.find(kPlanKey);
-  auto plan = stored == view.docs.end() ? std::nullopt : Plan::parse(stored->second.value);
-  if (stored != view.docs.end() && !plan) {
-    ++server_.counters["coordination.unreadable"];
-    return;
-  }
-  const bool behind = plan && plan_ && plan->id == plan_->id &&
-                      (plan->steps < plan_->steps || plan->fence < plan_->fence);
-  if (behind) {
-    ++server_.counters["coordination.behind"];
-    if (!std::exchange(saidBack_, true))
-      spdlog::error(
-          "coordination: plan {} is at step {}, and step {} was carried out; it is not followed",
-          plan->id, plan->steps, plan_->steps);
+void Coordinator::resignIfRivalled() {
+  if (!presence_.rivalled() || std::exchange(rivalLogged_, true))
     return;
-  }
-  saidBack_ = false;
-  plan_ = std::move(plan);
-  const std::set<std::string> drained =
-      plan_ && !plan_->over() ? plan_->drained() : std::set<std::string>();
-  const auto news = server_.membership.setPlannedDrains(drained, server_.clock.nowMs());
-  if (!news)
-    return;
-  for (const routing::EndpointRecord& entry : news->entries) {
-    const bool out = drained.count(entry.instance.value) != 0;
-    spdlog::info("maintenance: box {} is {}", entry.instance.value, out ? "drained" : "back");
-    const upstream::InstanceEndpoint* instance = server_.directory.find(entry.instance);
-    if (!out && instance != nullptr)
-      server_.pool.dropIdle(instance->address);
-  }
-  server_.dispatcher.list(*news);
+  spdlog::error(
+      "coordination: another conductor has the name {}; this one holds no leases any more",
+      self_.name);
+  ++server_.counters["coordination.rivalled"];
+  session_->runner.resign();
 }
 
-void Coordinator::speak() {
-  Presence now;
-  if (plan_) {
-    now.plan = plan_->id;
-    now.steps = plan_->steps;
-    for (const std::string& instance : plan_->drained())
+void Coordinator::writePresence() {
+  Presence presence;
+  if (const auto& plan = planFollower_.plan()) {
+    presence.plan = plan->id;
+    presence.steps = plan->steps;
+    for (const std::string& instance : plan->drained())
       if (const std::size_t open = server_.dispatcher.openAt({instance}); open > 0)
-        now.open[instance] = open;
+        presence.open[instance] = open;
   }
-  const auto write = presence_.next(now, server_.clock.nowMs());
+  const auto write = presence_.next(presence, server_.clock.nowMs());
   if (!write)
     return;
-  run_->store->put(*write, [this, alive = alive_](CommitAnswer answer) {
-    if (*alive)
-      presence_.written(answer, server_.clock.nowMs());
-  });
+  session_->store->put(*write, lifetime_.guard([this](const CommitAnswer& answer) {
+    presence_.written(answer, server_.clock.nowMs());
+  }));
 }
 
 FleetInstances Coordinator::instances() const {
   return fleetInstances(server_.membership, site_.settings);
 }
 
-std::string Coordinator::plan() const {
-  if (!run_->runner.hears() && !plan_)
-    return "plan unknown: the store is not read\n";
-  if (!plan_)
-    return "plan none\n";
-  const auto stored = run_->runner.view().docs.find(kPlanKey);
-  std::string text =
-      fmt::format("plan {} state={} by={} revision={} steps={} fence={}{}\n", plan_->id,
-                  coordination::nameOf(plan_->state), plan_->by,
-                  stored == run_->runner.view().docs.end() ? 0 : stored->second.revision,
-                  plan_->steps, plan_->fence, run_->runner.hears() ? "" : " as last heard");
-  for (const PlanItem& item : plan_->items)
-    text += fmt::format("item {} {} at_step={} why=\"{}\"\n", item.instance,
-                        coordination::nameOf(item.state), item.changed, item.why);
-  return text;
+std::string Coordinator::leasesReport(control::ReportFormat format) const {
+  return session_->runner.report(format == control::ReportFormat::kJson);
 }
 
-void Coordinator::maintenance(const std::vector<std::string>& words,
-                              std::function<void(Service::Done)> reply) {
+std::string Coordinator::maintenanceReport() const {
+  return planFollower_.report(session_->runner.view(), session_->runner.hears());
+}
+
+void Coordinator::changeMaintenance(const control::Arguments& arguments, ResultHandler onResult) {
+  PlanCommand command;
   try {
-    command(commandOf(words), kTries, std::move(reply));
+    command = parseMaintenanceCommand(arguments);
   } catch (const std::invalid_argument& fault) {
-    reply({false, fault.what()});
+    return onResult({.ok = false, .message = fault.what()});
   }
+  decide({.command = std::move(command),
+          .attemptsLeft = kMaxWriteAttempts,
+          .onResult = std::move(onResult)});
 }
 
-// Decided on what the store has now, not on what was read some time ago.
-void Coordinator::command(PlanCommand asked, int tries, std::function<void(Service::Done)> reply) {
-  run_->store->list([this, alive = alive_, asked, tries, reply](const Listing& all) {
-    if (!*alive)
-      return;
-    if (!all.ok)
-      return reply({false, "the store cannot be read: " + all.why});
-    const PlanAnswer answer = decide(asked, {all.docs, all.revision, server_.clock.nowMs()},
-                                     instances(), core::unixNowMs());
-    if (!answer.problem.empty())
-      return reply({false, answer.problem});
-    if (!answer.write)
-      return reply({true, answer.said});
-    run_->store->put(
-        *answer.write, [this, alive = alive_, asked, tries, reply, answer](CommitAnswer done) {
-          if (!*alive)
-            return;
-          if (done.how == Committed::kDone) {
-            spdlog::info("maintenance: {} says: {}", asked.by, answer.said);
-            run_->runner.refresh();
-            return reply({true, answer.said + ", revision " + std::to_string(done.revision)});
-          }
-          if (done.how == Committed::kConflict && tries > 1)
-            return command(asked, tries - 1, reply);
-          reply({false, done.how == Committed::kConflict
-                            ? "others write at the same time: look and say it again"
-                        : done.how == Committed::kRefused
-                            ? "the store takes no such plan"
-                            : "the store did not answer: it may be written or not, look with "
-                              "`maintenance show`"});
-        });
-  });
+// On what the store holds now, not on what was read some time ago.
+void Coordinator::decide(const PlanChange& change) {
+  session_->store->list(lifetime_.guard([this, change](const Listing& listing) {
+    if (!listing.ok)
+      return change.onResult({.ok = false, .message = "the store cannot be read: " + listing.why});
+    const PlanAnswer decision = coordination::decide(
+        change.command, {listing.docs, listing.revision, server_.clock.nowMs()}, instances(),
+        core::unixNowMs());
+    if (!decision.problem.empty())
+      return change.onResult({.ok = false, .message = decision.problem});
+    if (!decision.write)
+      return change.onResult({.ok = true, .message = decision.said});
+    write(change, decision);
+  }));
+}
+
+void Coordinator::write(const PlanChange& change, const PlanAnswer& decision) {
+  session_->store->put(
+      *decision.write,
+      lifetime_.guard([this, change, outcome = decision.said](const CommitAnswer& answer) {
+        onWritten(change, outcome, answer);
+      }));
+}
+
+void Coordinator::onWritten(const PlanChange& change,
+                            const std::string& outcome,
+                            const CommitAnswer& answer) {
+  if (answer.how == Committed::kDone) {
+    spdlog::info("maintenance: {} says: {}", change.command.by, outcome);
+    session_->runner.refresh();
+    return change.onResult(
+        {.ok = true, .message = outcome + ", revision " + std::to_string(answer.revision)});
+  }
+  if (answer.how == Committed::kConflict && change.attemptsLeft > 1) {
+    PlanChange retry = change;
+    --retry.attemptsLeft;
+    return decide(retry);
+  }
+  change.onResult({.ok = false, .message = failureOf(answer.how)});
 }
 
 }  // namespace inference_router::app
--- a/src/app/coordinator.h
+++ b/src/app/coordinator.h
@@ -1,73 +1,94 @@
-// What routers of one installation do together, put together for one of them: the store that the
-// operator's file names, the leases and tasks, this router's own word, and the plan's drains in
-// its membership.
+/// What the routers of one installation do together, assembled for one of them: the store that the
+/// operator's file names, the leases and fleet tasks, this router's presence, and the maintenance
+/// plan.
 #pragma once
 
 #include <functional>
 #include <memory>
+#include <optional>
 #include <string>
-#include <vector>
 
+#include "app/lifetime.h"
+#include "app/plan_follower.h"
 #include "app/server.h"
 #include "app/shared_state_service.h"
-#include "control/commands.h"
+#include "control/admin_api.h"
+#include "coordination/maintenance.h"
 #include "coordination/runner.h"
 #include "coordination/setup.h"
 
 namespace inference_router::app {
 
+/// Belongs to the thread of the server's loop.
 class Coordinator {
  public:
-  // sharer: what else the store carries; none where nothing is shared beside leases.
+  using ResultHandler = control::AdminApi::ResultHandler;
+
+  /// sharedState: what else is carried through the store; null where nothing is shared beside
+  /// leases. It must outlive this object.
   Coordinator(Server& server,
               const routing::wire::Setup& site,
               coordination::Setup setup,
               SharedStateService* sharedState = nullptr);
   ~Coordinator();
+  Coordinator(const Coordinator&) = delete;
+  Coordinator& operator=(const Coordinator&) = delete;
 
-  // Another store or other times: what is held is let go first. A name that changes needs a new
-  // start.
-  void reconfigure(coordination::Setup fresh);
+  /// Changes to another store or to other times, once all leases are released. The name stays.
+  void reconfigure(coordination::Setup setup);
 
-  // Leases are let go of in order; asked for no more until again().
+  /// Releases all leases in order, and asks for none until rejoin().
   void resign();
-  void again();
-  bool out() const;
+  void rejoin();
+  /// Whether all leases are released after resign().
+  bool hasResigned() const { return session_->runner.out(); }
 
-  std::string leases(bool json) const { return run_->runner.report(json); }
-  std::string plan() const;
-  void maintenance(const std::vector<std::string>& words,
-                   std::function<void(control::Service::Done)> reply);
+  std::string leasesReport(control::ReportFormat format) const;
+  std::string maintenanceReport() const;
+  /// Carries out a maintenance command on the stored plan; onResult is called once it is written or
+  /// has failed.
+  void changeMaintenance(const control::Arguments& arguments, ResultHandler onResult);
 
  private:
-  struct Run {  // of one setup
-    Run(Coordinator& owner, coordination::Setup setup);
+  /// The store and the tasks of one setup.
+  struct Session {
+    Session(Coordinator& owner, coordination::Setup setup);
     coordination::Setup setup;
     std::unique_ptr<coordination::Store> store;
     coordination::Runner runner;
   };
+  /// A maintenance command that is being carried out.
+  struct PlanChange {
+    coordination::PlanCommand command;
+    int attemptsLeft;
+    ResultHandler onResult;
+  };
 
-  void begin(coordination::Setup setup);
-  void saw(const coordination::View& view, bool whole);
-  void speak();
-  void apply(const coordination::View& view);
+  void beginSession(coordination::Setup setup);
+  void beginPendingSession();
+  void detachSharedState();
+  void onView(const coordination::View& view, bool complete);
+  void resignIfRivalled();
+  void writePresence();
+  void decide(const PlanChange& change);
+  void write(const PlanChange& change, const coordination::PlanAnswer& decision);
+  void onWritten(const PlanChange& change,
+                 const std::string& outcome,
+                 const coordination::CommitAnswer& answer);
   coordination::FleetInstances instances() const;
-  void command(coordination::PlanCommand command,
-               int tries,
-               std::function<void(control::Service::Done)> reply);
 
   Server& server_;
   const routing::wire::Setup& site_;
   SharedStateService* sharedState_;
-  coordination::Holder who_;
+  coordination::Holder self_;
   std::uint64_t seed_;
   coordination::OwnPresence presence_;
-  std::optional<coordination::Plan> plan_;  // as it was last heard and believed
-  std::optional<coordination::Setup> coming_;
-  bool resigned_ = false, saidRival_ = false, saidBack_ = false;
-  std::optional<core::TimerQueue::Key> turn_;
-  std::unique_ptr<Run> run_;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  PlanFollower planFollower_;
+  std::optional<coordination::Setup> pendingSetup_;  // begins once all leases are released
+  bool resigned_ = false, rivalLogged_ = false;
+  core::Timer pendingTimer_;
+  std::unique_ptr<Session> session_;
+  Lifetime lifetime_;  // the last member
 };
 
 }  // namespace inference_router::app
--- /dev/null
+++ b/src/app/hot_restart.cpp
@@ -0,0 +1,138 @@
+#include "app/hot_restart.h"
+
+#include <spdlog/spdlog.h>
+
+#include <utility>
+
+namespace inference_router::app {
+
+namespace {
+
+// Between two looks at the shared folder: what an operator told the other process has to hold here
+// well within the grace of a drain, which runs from that process's answer.
+constexpr double kIntervalMs = 100;
+// After this time without a word from discovery, the list of the configuration has to do.
+constexpr double kListWaitMs = 2'000;
+// The same for stored exclusions that cannot be read; 10 s are allowed.
+constexpr double kExclusionsWaitMs = 5'000;
+
+}  // namespace
+
+HotRestart::HotRestart(Context context, SharedFolder* folder, ExclusionStore& exclusions)
+    : context_(std::move(context)),
+      folder_(folder),
+      exclusions_(exclusions),
+      handover_(context_.server, context_.front, context_.listener),
+      startedMs_(context_.server.clock.nowMs()) {
+  if (folder_ == nullptr)
+    return;
+  openReceiver();
+  if (!receiver_->isOpen())
+    spdlog::warn("streams of another process cannot be taken over yet");
+}
+
+void HotRestart::openReceiver() {
+  receiver_ = std::make_unique<net::DescriptorReceiver>(
+      context_.server.io, folder_->folder(), folder_->receiverName(),
+      [this](net::ReceivedMessage message) { handover_.receive(std::move(message)); });
+}
+
+void HotRestart::start() {
+  if (folder_ != nullptr)
+    synchronizeWithFolder();
+  if (others_.serving == 0 && exclusionsKnownOrOverdue())
+    openListener();
+  if (folder_ != nullptr)
+    tick();
+}
+
+void HotRestart::tick() {
+  synchronizeWithFolder();
+  if (!context_.listener.isOpen() && mayServe())
+    openListener();
+  timer_ = context_.server.timers.schedule(context_.server.clock.nowMs() + kIntervalMs,
+                                           [this] { tick(); });
+}
+
+// Whatever failed before is tried again here. While the folder cannot be read, the processes that
+// were seen last count as still there.
+void HotRestart::synchronizeWithFolder() {
+  const auto others = folder_->otherProcesses();
+  logFolderState(others.has_value());
+  if (others)
+    shareLimits(*others);
+  if (!receiver_->isOpen())
+    openReceiver();
+  exclusions_.synchronize();
+  if (context_.listener.isOpen() && !announced_)
+    announceServing();
+}
+
+void HotRestart::logFolderState(bool usable) {
+  const bool failed = !usable;
+  if (std::exchange(folderFailed_, failed) == failed)
+    return;
+  if (usable)
+    spdlog::info("the shared folder can be used again");
+  else
+    spdlog::warn("the shared folder cannot be used now: exclusions hold in this process only");
+}
+
+double HotRestart::sinceStartMs() const {
+  return context_.server.clock.nowMs() - startedMs_;
+}
+
+// A new process must not send to instances that operators excluded before, for as long as storage
+// may take to come back.
+bool HotRestart::exclusionsKnownOrOverdue() const {
+  return exclusions_.known() || sinceStartMs() >= kExclusionsWaitMs;
+}
+
+bool HotRestart::mayServe() const {
+  if (!exclusionsKnownOrOverdue())
+    return false;
+  return context_.listConfirmed() || sinceStartMs() >= kListWaitMs;
+}
+
+void HotRestart::openListener() {
+  context_.listener.open();
+  if (folder_ != nullptr)
+    announceServing();
+}
+
+void HotRestart::announceServing() {
+  announced_ = folder_->announceServing();
+  if (!announced_)
+    ++context_.server.counters["folder.serving_unsaid"];
+}
+
+// All processes of a router together keep within one's limits: each takes its part of the
+// connections, and what an instance in slow start may be sent is shared among more nodes.
+void HotRestart::shareLimits(const SharedFolder::OtherProcesses& others) {
+  const bool countChanged = others.running != others_.running;
+  others_ = others;
+  if (!countChanged)
+    return;
+  spdlog::info("processes of this conductor beside this one: {}", others.running);
+  const std::size_t processes = others.running + 1;
+  context_.listener.capAt(context_.limits.clients() / processes);
+  context_.server.pool.capAt(context_.limits.instances() / processes);
+  routing::Settings settings = context_.setup.settings;
+  settings.nodes += static_cast<int>(others.running);
+  context_.server.dispatcher.reconfigure(settings);
+}
+
+bool HotRestart::hasSuccessor() {
+  if (folder_ == nullptr)
+    return false;
+  if (const auto others = folder_->otherProcesses())
+    shareLimits(*others);
+  return others_.serving > 0;
+}
+
+void HotRestart::handOver() {
+  if (hasSuccessor())
+    handover_.begin(folder_->folder(), others_.receiverName);
+}
+
+}  // namespace inference_router::app
--- /dev/null
+++ b/src/app/serve_platform.cpp
@@ -0,0 +1,165 @@
+#include "app/serve_platform.h"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <memory>
+#include <optional>
+#include <utility>
+
+#include "app/admin_service.h"
+
+namespace inference_router::app {
+
+namespace {
+
+// A planned restart: SIGKILL follows SIGTERM no sooner than the longest deadline, taken as 3 s
+// where it is longer, and 0.7 s.
+constexpr double kMaxDeadlineMs = 3'000;
+constexpr double kGraceBeyondDeadlineMs = 700;
+// Where clients ask for the rest of a stream, new requests are served for this share of the grace:
+// a peer that was stopped just before may be down, and open streams then move to the others.
+constexpr double kAcceptShareOfGrace = 0.58;
+
+std::unique_ptr<SharedFolder> makeSharedFolder(const Config& config) {
+  if (!config.admin || config.sharedFolder.empty())
+    return nullptr;
+  return std::make_unique<SharedFolder>(config.sharedFolder, config.name);
+}
+
+std::unique_ptr<Server> makeServer(boost::asio::io_context& io,
+                                   const core::Clock& clock,
+                                   const Config& config,
+                                   const Limits& limits,
+                                   const Telemetry& telemetry) {
+  auto server = std::make_unique<Server>(io, clock, config.setup,
+                                         ServerOptions{.seed = config.seed,
+                                                       .instanceConnections = limits.instances(),
+                                                       .idleCloseMs = config.idleCloseMs,
+                                                       .protocol = frontend::platformDialect(),
+                                                       .descriptors = limits.sockets});
+  attachTrace(*server, telemetry);
+  return server;
+}
+
+std::unique_ptr<frontend::Discovery> startDiscovery(Server& server, const Config& config) {
+  auto discovery = std::make_unique<frontend::Discovery>(
+      server.io, server.clock, server.timers, server.counters, server, server.directory,
+      server.pool, config.setup.names,
+      fleet::DiscoveryBackoff(config.setup.settings.nodes, config.seed));
+  discovery->accountTo(server.descriptorBudget);
+  if (!config.known.is_null())
+    discovery->known(config.known);
+  discovery->watch(config.discovery);
+  return discovery;
+}
+
+/// The parts of one router, in the order in which they depend on each other.
+class PlatformRouter {
+ public:
+  PlatformRouter(const Config& config, const Telemetry& telemetry);
+  /// Returns when the process is to end.
+  void run(const Reread<Config>& reread);
+
+ private:
+  void applyReload(const Config& reread);
+
+  const Config& config_;
+  std::optional<net::Endpoint> discoveryInFile_;  // as the file said it last
+  boost::asio::io_context io_;
+  const core::SystemClock clock_;
+  const Limits limits_;
+  const std::unique_ptr<Server> server_;
+  frontend::PlatformFront front_;
+  const std::unique_ptr<frontend::Discovery> discovery_;
+  const std::unique_ptr<OtlpExporter> exporter_;
+  net::Listener listener_;
+  const std::unique_ptr<SharedFolder> folder_;
+  ExclusionStore exclusions_;
+  HotRestart hotRestart_;
+  LifecycleTracker lifecycles_;
+  AdminService adminService_;
+  const std::unique_ptr<net::LineServer> adminEndpoint_;
+};
+
+PlatformRouter::PlatformRouter(const Config& config, const Telemetry& telemetry)
+    : config_(config),
+      discoveryInFile_(config.discoveryInFile),
+      limits_{availableDescriptors(config.limits.sockets)},
+      server_(makeServer(io_, clock_, config, limits_, telemetry)),
+      front_(server_->dispatcher, config.setup.names, clock_, server_->counters),
+      discovery_(startDiscovery(*server_, config)),
+      exporter_(makeExporter(*server_, telemetry)),
+      listener_(io_,
+                config.listen,
+                limits_.clients(),
+                front_,
+                clock_,
+                server_->timers,
+                server_->counters,
+                {.sharedPort = config.admin.has_value(),
+                 .open = false,
+                 .gate = nullptr,
+                 .descriptorBudget = &server_->descriptorBudget}),
+      folder_(makeSharedFolder(config)),
+      exclusions_(*server_, folder_.get()),
+      hotRestart_({.server = *server_,
+                   .listener = listener_,
+                   .front = front_,
+                   .setup = config.setup,
+                   .limits = limits_,
+                   .listConfirmed = [this] { return discovery_->spoken(); }},
+                  folder_.get(),
+                  exclusions_),
+      lifecycles_(*server_, config.setup),
+      adminService_({.server = *server_,
+                     .listener = listener_,
+                     .setup = config.setup,
+                     .hotRestart = hotRestart_,
+                     .exclusions = exclusions_,
+                     .lifecycles = lifecycles_}),
+      adminEndpoint_(makeAdminEndpoint(config.admin, adminService_, *server_)) {
+  front_.readyWhen([this] { return !listener_.evacuated(); });
+}
+
+void PlatformRouter::run(const Reread<Config>& reread) {
+  logListening(config_.name, listener_);
+  hotRestart_.start();
+  if (adminEndpoint_)
+    lifecycles_.start();
+  ShutdownOptions shutdown = platformShutdown(config_.setup.settings);
+  shutdown.hasSuccessor = [this] { return hotRestart_.hasSuccessor(); };
+  shutdown.handOver = [this] { hotRestart_.handOver(); };
+  shutdown.hasResigned = [this] { return !hotRestart_.handoverUnderWay(); };
+  server_->run(listener_, std::move(shutdown), [&] { applyReload(reread()); });
+}
+
+// $GW_DISCOVERY holds what counted at the start: only a change within the file says that discovery
+// has moved.
+void PlatformRouter::applyReload(const Config& reread) {
+  if (!reread.discoveryInFile || reread.discoveryInFile == discoveryInFile_)
+    return;
+  discoveryInFile_ = reread.discoveryInFile;
+  spdlog::info("SIGHUP: discovery is at {}:{} now", discoveryInFile_->address().to_string(),
+               discoveryInFile_->port());
+  discovery_->watch(*discoveryInFile_);
+}
+
+}  // namespace
+
+ShutdownOptions platformShutdown(const routing::Settings& settings) {
+  if (!settings.streamResumption)
+    return {.acceptForMs = kAcceptAfterStopMs};
+  double longestMs = 0;
+  for (const auto& cls : settings.classes)
+    longestMs = std::max(longestMs, core::toMs(cls.deadline));
+  const double graceMs = std::min(longestMs, kMaxDeadlineMs) + kGraceBeyondDeadlineMs;
+  return {.acceptForMs = std::max(kAcceptAfterStopMs, graceMs * kAcceptShareOfGrace),
+          .graceMs = graceMs};
+}
+
+void servePlatform(const Config& config, const Telemetry& telemetry, const Reread<Config>& reread) {
+  PlatformRouter(config, telemetry).run(reread);
+}
+
+}  // namespace inference_router::app
--- a/src/app/server.h
+++ b/src/app/server.h
@@ -1,8 +1,10 @@
-// One real router on the platform, put together from its parts.
+/// The part of a router that every front needs: loop, dispatcher, connections to instances, and an
+/// orderly end after a signal.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/signal_set.hpp>
+#include <cstdint>
 #include <functional>
 #include <optional>
 
@@ -18,41 +20,50 @@
 
 namespace inference_router::app {
 
-/// How the process ends after SIGTERM or SIGINT.
+/// How the process ends after SIGTERM or SIGINT. Every function may be empty.
 struct ShutdownOptions {
-  double doorOpenMs;              // new requests are served so long after the signal
-  std::optional<double> graceMs;  // the process is killed no sooner than this after it; none: never
-  std::function<bool()> successor;     // whether another process serves at the same address; then
-                                       // the door closes at once
-  std::function<void()> handOver;      // and what is open goes to it
-  std::function<void()> leave = {};    // what this process does for others is to be let go of,
-  std::function<bool()> hasLeft = {};  // and whether it is: waited for, but not for long
+  /// New requests are served so long after the signal.
+  double acceptForMs = 0;
+  /// The process is killed no sooner than this after the signal; none: never.
+  std::optional<double> graceMs = std::nullopt;
+  /// Whether another process serves at the same address; then the listener closes at once,
+  std::function<bool()> hasSuccessor = {};
+  /// and this is called to hand over what is open.
+  std::function<void()> handOver = {};
+  /// Begins to release what this process does for others,
+  std::function<void()> resign = {};
+  /// and whether that is done: waited for, but not for long.
+  std::function<bool()> hasResigned = {};
 };
 
-// The part that every front needs: loop, core, pool and instances.
+struct ServerOptions {
+  std::uint64_t seed = 0;
+  std::size_t instanceConnections = 0;  ///< at most, to all instances together
+  double idleCloseMs = 30'000;          ///< after which instances close an idle connection
+  upstream::InstanceProtocol protocol;
+  std::size_t descriptors = 1024;  ///< that the process may hold
+};
+
+/// Belongs to the thread that calls run(). The context and the clock must outlive it.
 class Server final : public core::EndpointListSink {
  public:
   Server(boost::asio::io_context& context,
          const core::Clock& time,
          const routing::wire::Setup& setup,
-         std::uint64_t seed,
-         std::size_t instanceConnections,
-         double idleCloseMs,
-         upstream::InstanceProtocol dialect,
-         std::size_t descriptors = 1024);
+         ServerOptions options);
 
-  // Runs until SIGTERM or SIGINT has been followed by the end of all that was taken. Counters go to
-  // the log on SIGUSR1 and at the end. SIGHUP calls reload, whose exceptions are logged and change
-  // nothing else.
-  void run(net::Listener& listener, const ShutdownOptions& shutdown, std::function<void()> reload);
+  /// Runs until SIGTERM or SIGINT has been followed by the end of all requests that were accepted.
+  /// Counters go to the log on SIGUSR1 and at the end. SIGHUP calls reload, whose exceptions are
+  /// logged and change nothing else.
+  void run(net::Listener& listener, ShutdownOptions shutdown, std::function<void()> reload);
 
-  // What a list says goes through the membership to the module.
-  void list(routing::EndpointListUpdate news) override {
-    dispatcher.list(membership.told(news, clock.nowMs()));
+  /// Passes a list through the membership to the decision module.
+  void list(routing::EndpointListUpdate update) override {
+    dispatcher.list(membership.told(update, clock.nowMs()));
   }
 
-  // What a reload brings, as far as it can change under way.
-  void reconfigure(const routing::Settings& settings, upstream::InstanceProtocol dialect);
+  /// Applies settings that may change while the server runs.
+  void reconfigure(const routing::Settings& settings, upstream::InstanceProtocol protocol);
 
   boost::asio::io_context& io;
   const core::Clock& clock;
@@ -67,46 +78,23 @@
   upstream::HttpInstanceClient instanceClient;
 
  private:
-  void onSignal();
+  void waitForSignal();
+  void onSignal(int signal);
   void stop();
-  bool succeeded() const { return shutdown_.successor && shutdown_.successor(); }
   void reload();
   void finish();
+  bool mayEnd() const;
 
   boost::asio::signal_set signals_;
   net::Listener* listener_ = nullptr;
-  ShutdownOptions shutdown_{};
-  std::optional<double> stoppedMs_, finishedMs_;
+  ShutdownOptions shutdown_;
+  std::optional<double> stoppedMs_;   // when a signal asked for the end
+  std::optional<double> finishedMs_;  // when the last client was gone
   std::function<void()> reload_;
 };
 
-struct Telemetry {
-  std::optional<net::Endpoint> collector;  // none: nothing is exported
-  double intervalMs = 10'000;
-  bool trace = false;  // log events and actions of the module
-};
-
-// Keeps SIGHUP waiting until run() handles it: its default action would end the program. Called
-// first of all.
-void holdReloads();
-
-// Reads the configuration again, whole, or throws. Nothing is changed before it has returned.
-template <class What>
-using Reread = std::function<What()>;
-
-// How a planned restart goes on the platform, by the settings.
-ShutdownOptions platformShutdown(const routing::Settings& settings);
-
-// On the platform: its protocol, its discovery. SIGHUP takes over the file's `discovery`.
-void serve(const Config& config, const Telemetry& telemetry, const Reread<Config>& reread);
-
-// At a small site: the chat API, the instances of the operator's file, which SIGHUP takes over
-// whole but for what needs a new start.
-void takeOver(frontend::OperatorFile fresh,
-              frontend::OperatorFile& site,
-              Server& server);  // throws ConfigError
-void serve(const frontend::OperatorFile& first,
-           const Telemetry& telemetry,
-           const Reread<frontend::OperatorFile>& reread);
+/// Keeps SIGHUP pending until run() handles it: its default action would end the program. To be
+/// called first of all.
+void blockReloadSignal();
 
 }  // namespace inference_router::app
--- /dev/null
+++ b/src/app/serving.h
@@ -0,0 +1,45 @@
+/// What all ways of serving have in common: telemetry, the admin endpoint and the limit of
+/// descriptors.
+#pragma once
+
+#include <functional>
+#include <memory>
+#include <optional>
+#include <string>
+
+#include "app/otlp.h"
+#include "app/server.h"
+#include "control/admin_api.h"
+#include "net/endpoint.h"
+#include "net/line_server.h"
+
+namespace inference_router::app {
+
+struct Telemetry {
+  std::optional<net::Endpoint> collector = std::nullopt;  ///< none: nothing is exported
+  double intervalMs = 10'000;
+  bool trace = false;  ///< log events and actions of the decision module
+};
+
+/// Reads the configuration again, whole, or throws. Nothing is changed before it has returned.
+template <class Configuration>
+using Reread = std::function<Configuration()>;
+
+/// The time after SIGTERM in which new connections may still arrive: clients learn of the end up to
+/// 0.4 s later.
+constexpr double kAcceptAfterStopMs = 500;
+
+/// As many descriptors as configured, and no more than the system gives; raises the soft limit.
+std::size_t availableDescriptors(std::size_t configured);
+
+/// Logs events, actions and lines of the wire if telemetry asks for it.
+void attachTrace(Server& server, const Telemetry& telemetry);
+/// Null if telemetry names no collector.
+std::unique_ptr<OtlpExporter> makeExporter(Server& server, const Telemetry& telemetry);
+/// Null without an address. api must outlive the result.
+std::unique_ptr<net::LineServer> makeAdminEndpoint(const std::optional<net::Endpoint>& address,
+                                                   control::AdminApi& api,
+                                                   Server& server);
+void logListening(const std::string& name, const net::Listener& listener);
+
+}  // namespace inference_router::app
--- a/src/app/shared_state_service.cpp
+++ b/src/app/shared_state_service.cpp
@@ -2,21 +2,24 @@
 
 #include <spdlog/spdlog.h>
 
-#include <nlohmann/json.hpp>
+#include <algorithm>
+#include <set>
+#include <utility>
 
 #include "app/fleet_instances.h"
 
 namespace inference_router::app {
 
 using namespace shared;
-using nlohmann::json;
 using routing::AttemptOutcome;
 
 namespace {
 
-constexpr double kTickMs = 50;          // between checks of what is due
-constexpr double kComeAgainMs = 2'000;  // retry after a denial for want of a loan
-constexpr double kLeastWaitMs = 1'000;
+constexpr double kTickIntervalMs = 50;
+// What a client is told to wait before it retries: until the router may have got another loan, and
+// at least until a new period.
+constexpr double kLoanRetryMs = 2'000;
+constexpr double kMinPeriodRetryMs = 1'000;
 
 }  // namespace
 
@@ -28,62 +31,53 @@
       site_(site),
       setup_(std::move(setup)),
       node_(setup_.config, name, freshNumber, server.clock.nowMs()) {
-  server_.dispatcher.onEvent([this](const routing::Event& event) { witness(event); });
+  server_.dispatcher.onEvent([this](const routing::Event& event) { recordOutcome(event); });
   tick();
 }
 
-SharedStateService::~SharedStateService() {
-  *alive_ = false;
-  server_.timers.cancel(next_);
-}
-
 void SharedStateService::reconfigure(SharedSetup setup) {
   setup_ = std::move(setup);
   node_.reconfigure(setup_.config);
 }
 
-std::unique_ptr<coordination::FleetTask> SharedStateService::task(double longestStepMs) {
+std::unique_ptr<coordination::FleetTask> SharedStateService::makeDigestTask(double longestStepMs) {
   auto task = std::make_unique<DigestTask>(
       coordination::TaskConfig{"digest", setup_.config.digestMs, longestStepMs, /*quiet=*/true},
       [this] { return setup_.config; }, [] { return core::unixNowMs(); });
-  task_ = task.get();
+  digestTask_ = task.get();
   return task;
 }
 
-// ---- Carriage
-// ------------------------------------------------------------------------------------------
+// ---- Exchange with the store ----
 
-void SharedStateService::saw(const coordination::View& view) {
+void SharedStateService::readView(const coordination::View& view) {
   node_.read(view.docs, view.readMs, server_.clock.nowMs());
 }
 
 void SharedStateService::tick() {
-  speak();
-  judge();
-  split();
-  say();
-  next_ = server_.timers.add(server_.clock.nowMs() + kTickMs, [this] { tick(); });
+  writeReport();
+  updateExclusions();
+  shareLimits();
+  observe();
+  timer_ = server_.timers.schedule(server_.clock.nowMs() + kTickIntervalMs, [this] { tick(); });
 }
 
-void SharedStateService::speak() {
-  if (!put_)
+void SharedStateService::writeReport() {
+  if (!writer_)
     return;
-  const double now = server_.clock.nowMs();
-  const auto write = node_.next(core::unixNowMs(), now);
+  const auto write = node_.next(core::unixNowMs(), server_.clock.nowMs());
   if (!write)
     return;
-  put_(*write, [this, alive = alive_](coordination::CommitAnswer answer) {
-    if (*alive)
-      node_.written(answer, server_.clock.nowMs());
-  });
+  writer_(*write, lifetime_.guard([this](const coordination::CommitAnswer& answer) {
+    node_.written(answer, server_.clock.nowMs());
+  }));
 }
 
-// ---- Instances
-// ---------------------------------------------------------------------------------------------
+// ---- Instances ----
 
 // Records the result of an attempt. Rejections and cancellations say nothing of the instance's
 // health.
-void SharedStateService::witness(const routing::Event& event) {
+void SharedStateService::recordOutcome(const routing::Event& event) {
   const double now = server_.clock.nowMs();
   if (const auto* opened = std::get_if<routing::StreamOpened>(&event))
     return node_.observations().recordSuccess(opened->instance.value, now);
@@ -120,57 +114,67 @@
   return found;
 }
 
-void SharedStateService::judge() {
+// Takes out of use what the other routers saw fail, and back what they saw recover.
+void SharedStateService::updateExclusions() {
   const double now = server_.clock.nowMs();
   const auto instances =
       setup_.hearsay ? this->instances() : std::map<std::string, KnownInstance>();
-  std::set<std::string> listed, out;
+  std::set<std::string> listed;
   for (const auto& [id, instance] : instances)
     listed.insert(id);
   node_.observations().prune(listed, now);
-  auto availabilities = node_.availabilities(instances, now);
-  for (const auto& [id, availability] : availabilities) {
+  Availabilities availabilities = node_.availabilities(instances, now);
+  logChanges(availabilities);
+  availabilities_ = std::move(availabilities);
+  std::set<std::string> excluded;
+  for (const auto& [id, availability] : availabilities_)
     if (availability == Availability::kExcluded)
-      out.insert(id);
+      excluded.insert(id);
+  applyExclusions(excluded);
+}
+
+void SharedStateService::logChanges(const Availabilities& availabilities) const {
+  for (const auto& [id, availability] : availabilities) {
     const auto before = availabilities_.find(id);
     const Availability was =
         before == availabilities_.end() ? Availability::kInUse : before->second;
     if (was == availability)
       continue;
-    const bool turn = was == Availability::kProbing || availability == Availability::kProbing;
-    spdlog::log(turn ? spdlog::level::debug : spdlog::level::info,
+    const bool isProbe = was == Availability::kProbing || availability == Availability::kProbing;
+    spdlog::log(isProbe ? spdlog::level::debug : spdlog::level::info,
                 "shared box={} standing={} was={}", id, nameOf(availability), nameOf(was));
   }
-  availabilities_ = std::move(availabilities);
-  const auto news = server_.membership.setPeerExclusions(out, now);
-  if (!news)
+}
+
+void SharedStateService::applyExclusions(const std::set<std::string>& excluded) {
+  const auto update = server_.membership.setPeerExclusions(excluded, server_.clock.nowMs());
+  if (!update)
     return;
-  for (const routing::EndpointRecord& entry : news->entries) {
-    const upstream::InstanceEndpoint* instance = server_.directory.find(entry.instance);
-    if (out.count(entry.instance.value) == 0 && instance != nullptr)
-      server_.pool.dropIdle(instance->address);
+  for (const routing::EndpointRecord& entry : update->entries) {
+    const upstream::InstanceEndpoint* endpoint = server_.directory.find(entry.instance);
+    if (excluded.count(entry.instance.value) == 0 && endpoint != nullptr)
+      server_.pool.dropIdle(endpoint->address);
   }
-  server_.dispatcher.list(*news);
+  server_.dispatcher.list(*update);
 }
 
 // Fleet-wide limits of the decision module, such as the budget of a cold instance, are split among
 // the live routers. An isolated router keeps the last number that it knew.
-void SharedStateService::split() {
+void SharedStateService::shareLimits() {
   const double now = server_.clock.nowMs();
   const auto configured = static_cast<std::size_t>(site_.settings.nodes);
-  std::size_t among = std::max(configured, node_.nodes());
+  std::size_t nodes = std::max(configured, node_.nodes());
   if (node_.connectivityState(now) != ConnectivityState::kConnected)
-    among = std::max(among, splitAmong_);
-  if (among == splitAmong_)
+    nodes = std::max(nodes, limitsSharedBy_);
+  if (nodes == limitsSharedBy_)
     return;
-  splitAmong_ = among;
+  limitsSharedBy_ = nodes;
   routing::Settings settings = site_.settings;
-  settings.nodes = static_cast<int>(among);
+  settings.nodes = static_cast<int>(nodes);
   server_.dispatcher.reconfigure(settings);
 }
 
-// ---- Accounts
-// ------------------------------------------------------------------------------------------
+// ---- Token budgets ----
 
 std::optional<frontend::BudgetDenied> SharedStateService::reserve(const std::string& tenant,
                                                                   const std::string& cls,
@@ -186,19 +190,21 @@
   refused.how = SharedNode::Ended::How::kRefused;
   refused.askedTokens = tokens;
   node_.ended(tenant, cls, answer.reservation, refused, now);
-  switch (answer.denial) {
+  return explain(answer.denial, tenant);
+}
+
+frontend::BudgetDenied SharedStateService::explain(Denial denial, const std::string& tenant) const {
+  const double untilPeriodEndsMs = node_.periodEndsMs() - server_.clock.nowMs();
+  switch (denial) {
     case Denial::kUsedUp:
-      return frontend::BudgetDenied{"the token budget of " + tenant + " is used up for this period",
-                                    std::max(kLeastWaitMs, node_.periodEndsMs() - now)};
+      return {"the token budget of " + tenant + " is used up for this period",
+              std::max(kMinPeriodRetryMs, untilPeriodEndsMs)};
     case Denial::kTooLarge:
-      return frontend::BudgetDenied{
-          "the request may need more tokens than the whole budget of " + tenant, 0};
+      return {"the request may need more tokens than the whole budget of " + tenant, 0};
     case Denial::kLoanExpired:
-      return frontend::BudgetDenied{"this conductor does not hear of the token budget of " + tenant,
-                                    kComeAgainMs};
+      return {"this conductor does not hear of the token budget of " + tenant, kLoanRetryMs};
     default:
-      return frontend::BudgetDenied{
-          "no tokens of the budget of " + tenant + " are at hand here just now", kComeAgainMs};
+      return {"no tokens of the budget of " + tenant + " are at hand here just now", kLoanRetryMs};
   }
 }
 
@@ -209,19 +215,30 @@
   node_.ended(tenant, cls, reservation, how, server_.clock.nowMs());
 }
 
-// ---- Seen from outside
-// ---------------------------------------------------------------------------------
+// ---- Observability ----
+
+void SharedStateService::observe() {
+  logConnectivity();
+  logFault();
+  publishCounters();
+}
 
-void SharedStateService::say() {
+void SharedStateService::logConnectivity() {
   const double now = server_.clock.nowMs();
   const ConnectivityState state = node_.connectivityState(now);
   if (state != loggedState_)
     spdlog::info("shared degree={} was={} silence_ms={:.0f}", nameOf(state), nameOf(loggedState_),
                  node_.silenceMs(now));
   loggedState_ = state;
-  if (node_.trouble() != saidTrouble_ && !node_.trouble().empty())
+}
+
+void SharedStateService::logFault() {
+  if (node_.trouble() != loggedFault_ && !node_.trouble().empty())
     spdlog::warn("shared: {}", node_.trouble());
-  saidTrouble_ = node_.trouble();
+  loggedFault_ = node_.trouble();
+}
+
+void SharedStateService::publishCounters() {
   auto& counters = server_.counters;
   const SharedNode::Stats& node = node_.stats();
   counters["shared.words"] = node.reports;
@@ -230,107 +247,19 @@
   counters["shared.digests"] = node.digests;
   counters["shared.went_back"] = node.rolledBack;
   counters["shared.unreadable"] = node.unreadable;
-  if (task_ == nullptr)
+  if (digestTask_ == nullptr)
     return;
-  const DigestTask::Stats& made = task_->stats();
-  counters["shared.folded"] = made.folded;
-  counters["shared.restored"] = made.rolledBack;
-  counters["shared.backwards"] = made.backwards;
-  counters["shared.incredible"] = made.incredible;
-  for (const auto& [flaw, count] : made.unread)
+  const DigestTask::Stats& digest = digestTask_->stats();
+  counters["shared.folded"] = digest.folded;
+  counters["shared.restored"] = digest.rolledBack;
+  counters["shared.backwards"] = digest.backwards;
+  counters["shared.incredible"] = digest.incredible;
+  for (const auto& [flaw, count] : digest.unread)
     counters["shared.unread." + flaw] = count;
 }
 
-namespace {
-
-json jsonOf(const UsageTable& usage) {
-  json list = json::array();
-  for (const auto& [key, t] : usage)
-    list.push_back({{"tenant", key.tenant},
-                    {"class", key.requestClass},
-                    {"served", t.served},
-                    {"refused", t.refused},
-                    {"failed", t.failed},
-                    {"prompt_tokens", t.promptTokens},
-                    {"answer_tokens", t.answerTokens},
-                    {"refused_tokens", t.refusedTokens},
-                    {"failed_tokens", t.failedTokens}});
-  return list;
-}
-
-}  // namespace
-
-std::string SharedStateService::report(bool asJson) {
-  const double now = server_.clock.nowMs();
-  const auto& digest = node_.digest();
-  const ConnectivityState state = node_.connectivityState(now);
-  json budgets = json::array(), instances = json::array();
-  for (const auto& [tenant, here] : node_.budgets().snapshot()) {
-    const auto line =
-        digest ? digest->budgets.find(tenant) : std::map<std::string, BudgetLine>::const_iterator();
-    const bool known = digest && line != digest->budgets.end();
-    budgets.push_back({{"tenant", tenant},
-                       {"limit", known ? line->second.limit : setup_.config.budgets.at(tenant)},
-                       {"charged", known ? line->second.charged : 0},
-                       {"left", known ? line->second.left : 0},
-                       {"lent_to", known ? line->second.lent.size() : 0},
-                       {"here",
-                        {{"lent", here.lent},
-                         {"returned", here.returned},
-                         {"ceiling", here.ceiling},
-                         {"spent", here.spent},
-                         {"reserved", here.reserved}}}});
-  }
-  for (const auto& [id, availability] : availabilities_) {
-    const auto verdict = digest ? digest->instances.find(id)
-                                : std::map<std::string, HealthVerdict>::const_iterator();
-    const bool known = digest && verdict != digest->instances.end();
-    instances.push_back({{"box", id},
-                         {"standing", nameOf(availability)},
-                         {"bad", known ? verdict->second.bad : 0},
-                         {"good", known ? verdict->second.good : 0},
-                         {"trouble", known ? nameOf(verdict->second.failure) : "none"}});
-  }
-  const json whole{
-      {"conductor", node_.self().name},
-      {"incarnation", node_.self().incarnation},
-      {"degree", nameOf(state)},
-      {"silence_ms", node_.silenceMs(now)},
-      {"digest", digest ? digest->sequence : 0},
-      {"period_ends_in_s", digest ? std::max(0.0, digest->periodEndsMs - now) / 1000 : 0},
-      {"conductors", node_.nodes()},
-      {"restored", digest ? digest->restored : 0},
-      {"trouble", node_.trouble()},
-      {"budgets", budgets},
-      {"boxes", instances},
-      {"fleet", jsonOf(digest ? digest->total : UsageTable{})},
-      {"here", jsonOf(node_.usage())}};
-  if (asJson)
-    return whole.dump(-1, ' ', true, json::error_handler_t::replace) + "\n";
-  std::string text = fmt::format(
-      "conductor {} {} silence_ms={:.0f} digest={} conductors={} period_ends_in_s={:.0f}{}\n",
-      node_.self().name, nameOf(state), node_.silenceMs(now), digest ? digest->sequence : 0,
-      node_.nodes(), whole["period_ends_in_s"].get<double>(),
-      node_.trouble().empty() ? "" : " trouble=\"" + node_.trouble() + "\"");
-  for (const json& b : budgets)
-    text += fmt::format(
-        "budget {} limit={} charged={} left={} lent_to={} here: lent={} returned={} ceiling={} "
-        "spent={} "
-        "reserved={}\n",
-        b["tenant"].get<std::string>(), b["limit"].dump(), b["charged"].dump(), b["left"].dump(),
-        b["lent_to"].dump(), b["here"]["lent"].dump(), b["here"]["returned"].dump(),
-        b["here"]["ceiling"].dump(), b["here"]["spent"].dump(), b["here"]["reserved"].dump());
-  for (const json& t : whole["fleet"])
-    text +=
-        fmt::format("bill {} {} served={} refused={} failed={} prompt_tokens={} answer_tokens={}\n",
-                    t["tenant"].get<std::string>(), t["class"].get<std::string>(),
-                    t["served"].dump(), t["refused"].dump(), t["failed"].dump(),
-                    t["prompt_tokens"].dump(), t["answer_tokens"].dump());
-  for (const json& b : instances)
-    text += fmt::format("box {} {} bad={} good={} trouble={}\n", b["box"].get<std::string>(),
-                        b["standing"].get<std::string>(), b["bad"].dump(), b["good"].dump(),
-                        b["trouble"].get<std::string>());
-  return text;
+std::string SharedStateService::report(control::ReportFormat format) {
+  return sharedStateReport(node_, setup_.config, availabilities_, server_.clock.nowMs(), format);
 }
 
 }  // namespace inference_router::app
--- a/src/app/shared_state_service.h
+++ b/src/app/shared_state_service.h
@@ -1,14 +1,18 @@
-// Connects shared state to the program: it carries the node's reports through the coordinator's
-// store, records the results of attempts, meters the tokens of the front's requests, and applies
-// verdicts to the membership.
+/// Connects shared state to the program: carries the node's reports through the coordinator's
+/// store, records the results of attempts, meters the tokens of the front's requests, and excludes
+/// instances that the other routers saw fail.
 #pragma once
 
 #include <functional>
 #include <memory>
+#include <set>
 #include <string>
 #include <vector>
 
+#include "app/lifetime.h"
 #include "app/server.h"
+#include "app/shared_state_report.h"
+#include "control/admin_api.h"
 #include "coordination/task.h"
 #include "frontend/openai/meter.h"
 #include "shared/digest_task.h"
@@ -17,30 +21,34 @@
 
 namespace inference_router::app {
 
+/// Belongs to the thread of the server's loop.
 class SharedStateService final : public frontend::TokenMeter {
  public:
-  using Put =
+  /// Writes a document to the store and calls back with the result.
+  using Writer =
       std::function<void(coordination::Write, std::function<void(coordination::CommitAnswer)>)>;
 
   SharedStateService(Server& server,
                      const routing::wire::Setup& site,
                      shared::SharedSetup setup,
                      const std::string& name);
-  ~SharedStateService() override;
 
-  // Sets how documents are written from now on.
-  void carriedBy(Put put) { put_ = std::move(put); }
+  /// How documents are written from now on; null: not at all.
+  void setWriter(Writer writer) { writer_ = std::move(writer); }
   void reconfigure(shared::SharedSetup setup);
-  // leaving: no more requests are taken; false undoes it.
-  void leave(bool leaving) { node_.leave(leaving); }
+  /// leaving: no more requests are taken, so unused loans are returned; false undoes it.
+  void setLeaving(bool leaving) { node_.leave(leaving); }
 
-  // The task that makes the digest, for the router that holds its lease.
-  std::unique_ptr<coordination::FleetTask> task(double longestStepMs);
+  /// The task that makes the digest, for the router that holds its lease. The one made last is
+  /// observed, and has to live as long as this object or until the next one is made.
+  std::unique_ptr<coordination::FleetTask> makeDigestTask(double longestStepMs);
+  /// The keys of the documents that this router has to read.
   std::vector<std::string> keys() const { return node_.keys(); }
+  /// The number of live routers.
   std::size_t nodes() const { return node_.nodes(); }
-  void saw(const coordination::View& view);
+  void readView(const coordination::View& view);
 
-  std::string report(bool json);
+  std::string report(control::ReportFormat format);
 
   std::optional<frontend::BudgetDenied> reserve(const std::string& tenant,
                                                 const std::string& cls,
@@ -53,25 +61,31 @@
 
  private:
   void tick();
-  void speak();
-  void judge();
-  void split();
-  void say();
-  void witness(const routing::Event& event);
+  void writeReport();
+  void recordOutcome(const routing::Event& event);
   std::map<std::string, shared::KnownInstance> instances() const;
+  void updateExclusions();
+  void logChanges(const Availabilities& availabilities) const;
+  void applyExclusions(const std::set<std::string>& excluded);
+  void shareLimits();
+  frontend::BudgetDenied explain(shared::Denial denial, const std::string& tenant) const;
+  void observe();
+  void logConnectivity();
+  void logFault();
+  void publishCounters();
 
   Server& server_;
   const routing::wire::Setup& site_;
   shared::SharedSetup setup_;
   shared::SharedNode node_;
-  shared::DigestTask* task_ = nullptr;  // owned by the runner; replaced by the next call of task()
-  Put put_;
-  std::map<std::string, shared::Availability> availabilities_;
-  std::size_t splitAmong_ = 0;
+  shared::DigestTask* digestTask_ = nullptr;  // owned by the coordinator's runner
+  Writer writer_;
+  Availabilities availabilities_;
+  std::size_t limitsSharedBy_ = 0;  // nodes
   shared::ConnectivityState loggedState_ = shared::ConnectivityState::kRejoining;
-  std::string saidTrouble_;
-  std::optional<core::TimerQueue::Key> next_;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  std::string loggedFault_;
+  core::Timer timer_;
+  Lifetime lifetime_;  // the last member
 };
 
 }  // namespace inference_router::app
--- a/src/control/commands.cpp
+++ b/src/control/commands.cpp
@@ -1,132 +1,206 @@
 #include "control/commands.h"
 
 #include <algorithm>
-#include <vector>
+#include <array>
+#include <utility>
 
 namespace inference_router::control {
 
 namespace {
 
-std::string line(const Service::Done& done) {
-  return (done.ok ? "ok" : "fail") + (done.why.empty() ? "" : " " + done.why) + "\n";
+constexpr const char* kEndOfReport = "eof\n";
+constexpr std::string_view kMaintenance = "maintenance";
+
+std::string textOf(const CommandResult& result) {
+  return (result.ok ? "ok" : "fail") + (result.message.empty() ? "" : " " + result.message) + "\n";
+}
+
+std::string failure(const std::string& reason) {
+  return textOf({.ok = false, .message = reason});
+}
+
+std::string reportOr(const std::string& report, const std::string& reasonIfEmpty) {
+  return report.empty() ? failure(reasonIfEmpty) : report + kEndOfReport;
+}
+
+// ---- What each command does ----
+
+ReportFormat formatIn(const Arguments& arguments) {
+  return arguments.empty() ? ReportFormat::kText : ReportFormat::kJson;
+}
+
+std::string runReady(AdminApi& api, const Arguments&) {
+  return textOf(api.ready());
+}
+std::string runTelemetry(AdminApi& api, const Arguments&) {
+  return telemetry(api) + kEndOfReport;
+}
+std::string runExclude(AdminApi& api, const Arguments& arguments) {
+  return textOf(api.exclude(arguments.front()));
+}
+std::string runInclude(AdminApi& api, const Arguments& arguments) {
+  return textOf(api.include(arguments.front()));
+}
+std::string runEvacuate(AdminApi& api, const Arguments&) {
+  return textOf(api.evacuate());
+}
+std::string runActivate(AdminApi& api, const Arguments&) {
+  return textOf(api.activate());
+}
+std::string runInstances(AdminApi& api, const Arguments&) {
+  return api.instancesReport() + kEndOfReport;
+}
+std::string runAdmission(AdminApi& api, const Arguments&) {
+  return reportOr(api.admissionReport(), "no admission rules are set up here");
+}
+std::string runLeases(AdminApi& api, const Arguments& arguments) {
+  return reportOr(api.leasesReport(formatIn(arguments)), "no coordination is set up here");
+}
+std::string runShared(AdminApi& api, const Arguments& arguments) {
+  return reportOr(api.sharedStateReport(formatIn(arguments)), "nothing is shared here");
+}
+std::string runShowMaintenance(AdminApi& api, const Arguments&) {
+  return reportOr(api.maintenanceReport(), "no coordination is set up here");
 }
 
-std::vector<std::string> wordsOf(std::string_view text) {
-  std::vector<std::string> words;
+// ---- Which commands there are ----
+
+enum class ArgumentRule { kNone, kInstanceId, kOptionalJson, kAny };
+
+struct Command {
+  std::string_view name;
+  ArgumentRule rule;
+  std::string (*run)(AdminApi& api, const Arguments& arguments);
+};
+
+constexpr std::array kCommands{
+    Command{.name = "readyz", .rule = ArgumentRule::kNone, .run = runReady},
+    Command{.name = "telemetry", .rule = ArgumentRule::kNone, .run = runTelemetry},
+    Command{.name = "exclude", .rule = ArgumentRule::kInstanceId, .run = runExclude},
+    Command{.name = "include", .rule = ArgumentRule::kInstanceId, .run = runInclude},
+    Command{.name = "evacuate", .rule = ArgumentRule::kNone, .run = runEvacuate},
+    Command{.name = "activate", .rule = ArgumentRule::kNone, .run = runActivate},
+    Command{.name = "boxes", .rule = ArgumentRule::kNone, .run = runInstances},
+    Command{.name = "admission", .rule = ArgumentRule::kNone, .run = runAdmission},
+    Command{.name = "leases", .rule = ArgumentRule::kOptionalJson, .run = runLeases},
+    Command{.name = "shared", .rule = ArgumentRule::kOptionalJson, .run = runShared},
+    Command{.name = kMaintenance, .rule = ArgumentRule::kAny, .run = runShowMaintenance},
+};
+
+// Empty if the arguments are in order, else the answer that says what the command takes.
+std::string checkArguments(const Command& command, const Arguments& arguments) {
+  const std::string name(command.name);
+  switch (command.rule) {
+    case ArgumentRule::kNone:
+      return arguments.empty() ? "" : failure(name + " takes nothing");
+    case ArgumentRule::kInstanceId:
+      return arguments.size() == 1 ? "" : failure(name + " takes one instance's id");
+    case ArgumentRule::kOptionalJson: {
+      const bool json = arguments.size() == 1 && arguments.front() == "json";
+      return arguments.empty() || json ? "" : failure(name + " takes nothing, or json");
+    }
+    case ArgumentRule::kAny:
+      return "";
+  }
+  return "";
+}
+
+// ---- Lines ----
+
+std::vector<std::string> splitAtBlanks(std::string_view line) {
+  std::vector<std::string> tokens;
   while (true) {
-    const std::size_t from = text.find_first_not_of(" \t");
-    if (from == std::string_view::npos)
-      return words;
-    text.remove_prefix(from);
-    const std::size_t to = std::min(text.find_first_of(" \t"), text.size());
-    words.emplace_back(text.substr(0, to));
-    text.remove_prefix(to);
+    const std::size_t begin = line.find_first_not_of(" \t");
+    if (begin == std::string_view::npos)
+      return tokens;
+    line.remove_prefix(begin);
+    const std::size_t end = std::min(line.find_first_of(" \t"), line.size());
+    tokens.emplace_back(line.substr(0, end));
+    line.remove_prefix(end);
   }
 }
 
-std::size_t longestOf(std::string_view text) {
-  const std::size_t from = std::min(text.find_first_not_of(" \t"), text.size());
-  return text.substr(from).rfind("maintenance ", 0) == 0 ? kLongestPlanLine : kLongestLine;
+std::size_t maxBytesOf(std::string_view line) {
+  const std::size_t begin = std::min(line.find_first_not_of(" \t"), line.size());
+  const bool isMaintenance = line.substr(begin).rfind("maintenance ", 0) == 0;
+  return isMaintenance ? kMaxMaintenanceLineBytes : kMaxLineBytes;
+}
+
+bool isPlainText(std::string_view line) {
+  return std::all_of(line.begin(), line.end(), [](char c) {
+    const auto byte = static_cast<unsigned char>(c);
+    return byte == '\t' || (byte >= 0x20 && byte != 0x7f);
+  });
 }
 
-// A label's value in quotes, as the exposition format of such figures wants it.
-std::string quoted(const std::string& text) {
-  std::string out = "\"";
-  for (const char c : text) {
+std::string quotedLabel(const std::string& value) {
+  std::string quoted = "\"";
+  for (const char c : value) {
     if (c == '"' || c == '\\')
-      out += '\\';
+      quoted += '\\';
     if (c == '\n')
-      out += "\\n";
+      quoted += "\\n";
     else
-      out += c;
+      quoted += c;
   }
-  return out + "\"";
+  return quoted + "\"";
 }
 
 }  // namespace
 
-std::string telemetry(Service& service) {
-  const auto& metrics = service.metrics().byClass();
-  const auto& names = service.classes();
+std::string telemetry(AdminApi& api) {
+  const auto& metrics = api.metrics().byClass();
+  const auto& names = api.classNames();
   std::string text;
   const auto perClass = [&](const char* name, std::uint64_t core::ClassMetrics::*value) {
     for (std::size_t i = 0; i < metrics.size() && i < names.size(); ++i)
-      text += std::string(name) + "{kind=" + quoted(names[i]) + "} " +
+      text += std::string(name) + "{kind=" + quotedLabel(names[i]) + "} " +
               std::to_string(metrics[i].*value) + "\n";
   };
   perClass("app_ok_total", &core::ClassMetrics::ok);
   perClass("app_shed_total", &core::ClassMetrics::shed);
   perClass("app_errors_total", &core::ClassMetrics::errors);
   perClass("app_tries_total", &core::ClassMetrics::tries);
-  const Service::Pool pool = service.pool();
-  text += "app_active " + std::to_string(service.open()) + "\n";
-  text += "app_pool_size " + std::to_string(pool.listed) + "\n";
-  text += "app_pool_ejected " + std::to_string(pool.avoided) + "\n";
+  const InstanceCounts counts = api.instanceCounts();
+  text += "app_active " + std::to_string(api.openRequests()) + "\n";
+  text += "app_pool_size " + std::to_string(counts.listed) + "\n";
+  text += "app_pool_ejected " + std::to_string(counts.ejected) + "\n";
   return text;
 }
 
-std::string answer(Service& service, std::string_view text) {
-  if (text.size() > longestOf(text))
-    return line({false, "a line has at most " + std::to_string(longestOf(text)) + " bytes"});
-  const bool plain = std::all_of(text.begin(), text.end(), [](char c) {
-    const auto byte = static_cast<unsigned char>(c);
-    return byte == '\t' || (byte >= 0x20 && byte != 0x7f);
-  });
-  if (!plain)
-    return line({false, "a line is plain text"});
-  const std::vector<std::string> words = wordsOf(text);
-  if (words.empty())
-    return line({false, "an empty line"});
-  const std::string& call = words.front();
-  const bool named = call == "exclude" || call == "include";
-  if (words.size() != (named ? 2U : 1U) &&
-      (named || call == "readyz" || call == "telemetry" || call == "evacuate" ||
-       call == "activate" || call == "admission" || call == "boxes"))
-    return line({false, call + (named ? " takes one instance's id" : " takes nothing")});
-  if (call == "readyz")
-    return line(service.ready());
-  if (call == "telemetry")
-    return telemetry(service) + "eof\n";
-  if (call == "boxes")
-    return service.instances() + "eof\n";
-  if (call == "admission") {
-    const std::string report = service.admission();
-    return report.empty() ? line({false, "no admission rules are set up here"}) : report + "eof\n";
-  }
-  if (call == "leases" || call == "maintenance" || call == "shared") {
-    const bool json = words.size() == 2 && words[1] == "json";
-    if (call != "maintenance" && words.size() > 1 && !json)
-      return line({false, call + " takes nothing, or json"});
-    const std::string report = call == "leases"   ? service.leases(json)
-                               : call == "shared" ? service.shared(json)
-                                                  : service.plan();
-    if (!report.empty())
-      return report + "eof\n";
-    return line(
-        {false, call == "shared" ? "nothing is shared here" : "no coordination is set up here"});
-  }
-  if (call == "exclude")
-    return line(service.exclude(words[1]));
-  if (call == "include")
-    return line(service.include(words[1]));
-  if (call == "evacuate")
-    return line(service.evacuate());
-  if (call == "activate")
-    return line(service.activate());
-  return line(
-      {false,
-       "unknown call; known are readyz, telemetry, exclude ID, include ID, evacuate, activate, "
-       "boxes, admission, leases [json], shared [json], maintenance "
-       "[start|pause|resume|cancel|back ...]"});
-}
-
-void handle(Service& service, std::string_view text, std::function<void(std::string)> reply) {
-  const bool plain = text.size() <= longestOf(text);
-  const std::vector<std::string> words = plain ? wordsOf(text) : std::vector<std::string>();
-  if (words.size() < 2 || words.front() != "maintenance" || words[1] == "show")
-    return reply(answer(service, text));
-  service.maintenance({words.begin() + 1, words.end()},
-                      [reply = std::move(reply)](const Service::Done& done) { reply(line(done)); });
+std::string execute(AdminApi& api, std::string_view line) {
+  if (line.size() > maxBytesOf(line))
+    return failure("a line has at most " + std::to_string(maxBytesOf(line)) + " bytes");
+  if (!isPlainText(line))
+    return failure("a line is plain text");
+  const std::vector<std::string> tokens = splitAtBlanks(line);
+  if (tokens.empty())
+    return failure("an empty line");
+  const auto command =
+      std::find_if(kCommands.begin(), kCommands.end(),
+                   [&](const Command& candidate) { return candidate.name == tokens.front(); });
+  if (command == kCommands.end())
+    return failure(
+        "unknown call; known are readyz, telemetry, exclude ID, include ID, evacuate, activate, "
+        "boxes, admission, leases [json], shared [json], maintenance "
+        "[start|pause|resume|cancel|back ...]");
+  const Arguments arguments(tokens.begin() + 1, tokens.end());
+  const std::string problem = checkArguments(*command, arguments);
+  return problem.empty() ? command->run(api, arguments) : problem;
+}
+
+void executeAsync(AdminApi& api,
+                  std::string_view line,
+                  std::function<void(std::string answer)> onAnswer) {
+  const bool tooLong = line.size() > maxBytesOf(line);
+  const std::vector<std::string> tokens =
+      tooLong ? std::vector<std::string>() : splitAtBlanks(line);
+  const bool changesPlan = tokens.size() > 1 && tokens[0] == kMaintenance && tokens[1] != "show";
+  if (!changesPlan)
+    return onAnswer(execute(api, line));
+  api.changeMaintenance(
+      {tokens.begin() + 1, tokens.end()},
+      [onAnswer = std::move(onAnswer)](const CommandResult& result) { onAnswer(textOf(result)); });
 }
 
 }  // namespace inference_router::control
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,3 +1,4 @@
+// The program's command line.
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 #include <unistd.h>
@@ -5,18 +6,26 @@
 #include <algorithm>
 #include <boost/program_options.hpp>
 #include <iostream>
+#include <optional>
 #include <string>
+#include <string_view>
 #include <vector>
 
 #include "app/admin_client.h"
 #include "app/config.h"
-#include "app/server.h"
+#include "app/serve_operator_file.h"
+#include "app/serve_platform.h"
 
 namespace {
 
 namespace options = boost::program_options;
 using namespace inference_router;
 
+constexpr int kExitFailure = 1;  // the command failed
+constexpr int kExitUsage = 2;    // there is no such command
+constexpr double kMsPerSecond = 1000;
+constexpr double kMinOtlpIntervalMs = 100;
+
 constexpr const char* kUsage =
     "usage: dahliastall COMMAND [options]\n"
     "\n"
@@ -39,7 +48,7 @@
     "SIGTERM ends it once all that it has taken is answered.\n"
     "\n";
 
-options::options_description describe() {
+options::options_description describeServe() {
   options::options_description known("options of serve and check-config");
   auto add = known.add_options();
   add("config", options::value<std::string>(), "the platform's configuration; else $GW_CONFIG");
@@ -53,56 +62,81 @@
   return known;
 }
 
-options::variables_map parse(const std::vector<std::string>& words) {
-  options::variables_map given;
-  options::store(options::command_line_parser(words).options(describe()).positional({}).run(),
-                 given);
-  options::notify(given);
-  if (given.count("config") != 0 && given.count("operator") != 0)
+using Arguments = std::vector<std::string>;
+
+options::variables_map parse(const Arguments& arguments,
+                             const options::options_description& known,
+                             const options::positional_options_description& positional = {}) {
+  options::variables_map values;
+  options::store(
+      options::command_line_parser(arguments).options(known).positional(positional).run(), values);
+  options::notify(values);
+  return values;
+}
+
+// ---- serve and check-config ----
+
+options::variables_map parseServeOptions(const Arguments& arguments) {
+  options::variables_map values = parse(arguments, describeServe());
+  if (values.count("config") != 0 && values.count("operator") != 0)
     throw app::ConfigError("--config and --operator exclude each other");
-  return given;
+  return values;
 }
 
-app::Config readConfig(const options::variables_map& given) {
+app::Config readConfig(const options::variables_map& values) {
   const app::Environment environment = app::environmentOf(environ);
   const auto variable = environment.find("GW_CONFIG");
-  if (given.count("config") == 0 && variable == environment.end())
+  if (values.count("config") == 0 && variable == environment.end())
     throw app::ConfigError("no configuration: give --config or --operator FILE, or set GW_CONFIG");
   const std::string path =
-      given.count("config") != 0 ? given["config"].as<std::string>() : variable->second;
+      values.count("config") != 0 ? values["config"].as<std::string>() : variable->second;
   return app::configOf(app::readJson(path), environment);
 }
 
-app::Telemetry readTelemetry(const options::variables_map& given) {
+frontend::OperatorFile readOperatorFile(const options::variables_map& values) {
+  return frontend::operatorFileOf(app::readJson(values["operator"].as<std::string>()));
+}
+
+app::Telemetry readTelemetry(const options::variables_map& values) {
   app::Telemetry telemetry;
-  telemetry.intervalMs = given["otlp-interval"].as<double>() * 1000;
-  if (!(telemetry.intervalMs >= 100))
+  telemetry.intervalMs = values["otlp-interval"].as<double>() * kMsPerSecond;
+  if (!(telemetry.intervalMs >= kMinOtlpIntervalMs))
     throw app::ConfigError("--otlp-interval is 0.1 or more");
-  telemetry.trace = given["trace"].as<bool>();
-  if (given.count("otlp") != 0)
-    telemetry.collector = net::endpointOf(given["otlp"].as<std::string>());
+  telemetry.trace = values["trace"].as<bool>();
+  if (values.count("otlp") != 0)
+    telemetry.collector = net::endpointOf(values["otlp"].as<std::string>());
   return telemetry;
 }
 
-void serveOrCheck(const options::variables_map& given, bool check) {
-  const app::Telemetry telemetry = readTelemetry(given);
-  if (given.count("operator") != 0) {
-    const auto path = given["operator"].as<std::string>();
-    const auto site = frontend::operatorFileOf(app::readJson(path));
-    if (!check)
-      return app::serve(site, telemetry,
-                        [path] { return frontend::operatorFileOf(app::readJson(path)); });
-    std::cout << "usable: " << site.instances.entries.size() << " boxes, " << site.models.size()
-              << " models, " << site.keys.size() << " keys\n";
-    return;
+int serve(const Arguments& arguments) {
+  app::blockReloadSignal();
+  const options::variables_map values = parseServeOptions(arguments);
+  const app::Telemetry telemetry = readTelemetry(values);
+  if (values.count("operator") != 0)
+    app::serveOperatorFile(readOperatorFile(values), telemetry,
+                           [&values] { return readOperatorFile(values); });
+  else
+    app::servePlatform(readConfig(values), telemetry, [&values] { return readConfig(values); });
+  return 0;
+}
+
+int checkConfig(const Arguments& arguments) {
+  const options::variables_map values = parseServeOptions(arguments);
+  readTelemetry(values);
+  if (values.count("operator") != 0) {
+    const frontend::OperatorFile file = readOperatorFile(values);
+    std::cout << "usable: " << file.instances.entries.size() << " boxes, " << file.models.size()
+              << " models, " << file.keys.size() << " keys\n";
+    return 0;
   }
-  const app::Config config = readConfig(given);
-  if (!check)
-    return app::serve(config, telemetry, [&given] { return readConfig(given); });
+  const app::Config config = readConfig(values);
   std::cout << "usable: " << config.name << ", " << config.setup.settings.classes.size()
             << " classes, " << config.setup.settings.kinds.size() << " kinds of box\n";
+  return 0;
 }
 
+// ---- admission ----
+
 options::options_description describeExplain() {
   options::options_description known("options of admission explain");
   auto add = known.add_options();
@@ -112,35 +146,45 @@
   return known;
 }
 
-void explainAdmission(std::vector<std::string> words) {
-  if (words.empty() || words.front() != "explain")
-    throw app::ConfigError(
-        "the command is 'admission explain --operator FILE --address A [--key-name K]'");
-  words.erase(words.begin());
-  options::variables_map given;
-  options::store(
-      options::command_line_parser(words).options(describeExplain()).positional({}).run(), given);
-  options::notify(given);
-  const auto site = frontend::operatorFileOf(app::readJson(given["operator"].as<std::string>()));
-  const auto text = given["address"].as<std::string>();
+admission::Address addressIn(const options::variables_map& values) {
+  const auto text = values["address"].as<std::string>();
   const auto address = admission::Address::parse(text);
   if (!address)
     throw app::ConfigError("--address: '" + text + "' is no IPv4 or IPv6 address");
-  std::optional<std::string> key;
-  if (given.count("key-name") != 0) {
-    key = given["key-name"].as<std::string>();
-    const bool there = std::any_of(site.keys.begin(), site.keys.end(),
-                                   [&](const auto& entry) { return entry.second.name == *key; });
-    if (!there)
-      throw app::ConfigError("--key-name: no entry of `keys` has the name '" + *key + "'");
-  }
-  if (site.admission)
-    std::cout << admission::explain(*site.admission, *address, key);
+  return *address;
+}
+
+std::optional<std::string> keyNameIn(const options::variables_map& values,
+                                     const frontend::OperatorFile& file) {
+  if (values.count("key-name") == 0)
+    return std::nullopt;
+  const auto name = values["key-name"].as<std::string>();
+  const bool exists = std::any_of(file.keys.begin(), file.keys.end(),
+                                  [&](const auto& entry) { return entry.second.name == name; });
+  if (!exists)
+    throw app::ConfigError("--key-name: no entry of `keys` has the name '" + name + "'");
+  return name;
+}
+
+int explainAdmission(Arguments arguments) {
+  if (arguments.empty() || arguments.front() != "explain")
+    throw app::ConfigError(
+        "the command is 'admission explain --operator FILE --address A [--key-name K]'");
+  arguments.erase(arguments.begin());
+  const options::variables_map values = parse(arguments, describeExplain());
+  const frontend::OperatorFile file = readOperatorFile(values);
+  const admission::Address address = addressIn(values);
+  const std::optional<std::string> keyName = keyNameIn(values, file);
+  if (file.admission)
+    std::cout << admission::explain(*file.admission, address, keyName);
   else
     std::cout << "the file has no `admission`: whoever finds room may connect\n";
+  return 0;
 }
 
-options::options_description describeDoor() {
+// ---- leases, shared and maintenance ----
+
+options::options_description describeAdmin() {
   options::options_description known("options of leases, shared and maintenance");
   auto add = known.add_options();
   add("door", options::value<std::string>()->required(),
@@ -149,54 +193,73 @@
   return known;
 }
 
-// The words of a call go to the door as they are; what they mean is decided there. 0 if it says
-// yes.
-int callAtDoor(const std::string& command, const std::vector<std::string>& words) {
-  options::options_description all = describeDoor();
-  all.add_options()("words", options::value<std::vector<std::string>>());
-  options::positional_options_description plain;
-  plain.add("words", -1);
-  options::variables_map given;
-  options::store(options::command_line_parser(words).options(all).positional(plain).run(), given);
-  options::notify(given);
+std::string withoutEndMark(std::string answer) {
+  constexpr std::string_view kEndMark = "eof\n";
+  const bool marked =
+      answer.size() >= kEndMark.size() &&
+      answer.compare(answer.size() - kEndMark.size(), kEndMark.size(), kEndMark) == 0;
+  if (marked)
+    answer.resize(answer.size() - kEndMark.size());
+  return answer;
+}
+
+// Sends the command to the admin endpoint as it is: what it means is decided there.
+int callAdminEndpoint(const std::string& command, const Arguments& arguments) {
+  options::options_description known = describeAdmin();
+  known.add_options()("words", options::value<Arguments>());
+  options::positional_options_description positional;
+  positional.add("words", -1);
+  const options::variables_map values = parse(arguments, known, positional);
   std::string line = command;
-  if (given.count("words") != 0)
-    for (const std::string& word : given["words"].as<std::vector<std::string>>())
-      line += " " + word;
-  if (given["json"].as<bool>())
+  if (values.count("words") != 0)
+    for (const std::string& argument : values["words"].as<Arguments>())
+      line += " " + argument;
+  if (values["json"].as<bool>())
     line += " json";
-  std::string answer = app::callAdmin(net::endpointOf(given["door"].as<std::string>()), line);
-  const bool no = answer.rfind("fail", 0) == 0;
-  constexpr std::string_view kEnd = "eof\n";
-  if (answer.size() >= kEnd.size() &&
-      answer.compare(answer.size() - kEnd.size(), kEnd.size(), kEnd) == 0)
-    answer.resize(answer.size() - kEnd.size());
-  (no ? std::cerr : std::cout) << answer;
-  return no ? 1 : 0;
-}
-
-int run(const std::vector<std::string>& words) {
-  const std::string command = words.empty() ? "help" : words.front();
-  const std::vector<std::string> rest(words.begin() + (words.empty() ? 0 : 1), words.end());
-  if (command == "serve" || command == "check-config") {
-    if (command == "serve")
-      app::holdReloads();
-    serveOrCheck(parse(rest), command == "check-config");
-  } else if (command == "admission") {
-    explainAdmission(rest);
-  } else if (command == "leases" || command == "maintenance" || command == "shared") {
-    return callAtDoor(command, rest);
-  } else if (command == "version" || command == "--version") {
-    std::cout << "dahliastall " << INFERENCE_ROUTER_VERSION << '\n';
-  } else if (command == "help" || command == "--help") {
-    std::cout << kUsage << describe() << describeExplain() << describeDoor();
-  } else {
-    std::cerr << "dahliastall: no command '" << command << "'\n\n" << kUsage << describe();
-    return 2;
-  }
+  const std::string answer =
+      app::callAdmin(net::endpointOf(values["door"].as<std::string>()), line);
+  const bool failed = answer.rfind("fail", 0) == 0;
+  (failed ? std::cerr : std::cout) << withoutEndMark(answer);
+  return failed ? kExitFailure : 0;
+}
+
+// ---- help and version ----
+
+int printVersion() {
+  std::cout << "dahliastall " << INFERENCE_ROUTER_VERSION << '\n';
+  return 0;
+}
+
+int printHelp() {
+  std::cout << kUsage << describeServe() << describeExplain() << describeAdmin();
   return 0;
 }
 
+int rejectCommand(const std::string& command) {
+  std::cerr << "dahliastall: no command '" << command << "'\n\n" << kUsage << describeServe();
+  return kExitUsage;
+}
+
+int run(const Arguments& arguments) {
+  if (arguments.empty())
+    return printHelp();
+  const std::string& command = arguments.front();
+  const Arguments rest(arguments.begin() + 1, arguments.end());
+  if (command == "serve")
+    return serve(rest);
+  if (command == "check-config")
+    return checkConfig(rest);
+  if (command == "admission")
+    return explainAdmission(rest);
+  if (command == "leases" || command == "maintenance" || command == "shared")
+    return callAdminEndpoint(command, rest);
+  if (command == "version" || command == "--version")
+    return printVersion();
+  if (command == "help" || command == "--help")
+    return printHelp();
+  return rejectCommand(command);
+}
+
 }  // namespace
 
 int main(int argc, char** argv) {
@@ -206,6 +269,6 @@
     return run({argv + 1, argv + argc});
   } catch (const std::exception& fault) {
     std::cerr << "dahliastall: " << fault.what() << '\n';
-    return 1;
+    return kExitFailure;
   }
 }
--- a/tests/coordination_test.cpp
+++ b/tests/coordination_test.cpp
@@ -361,27 +361,28 @@
     EXPECT_NE(told(change).find(what), std::string::npos) << told(change);
 }
 
-struct Talker final : control::Service {
-  Done ready() override { return {true, ""}; }
-  Done exclude(const std::string&) override { return {true, ""}; }
-  Done include(const std::string&) override { return {true, ""}; }
-  Done evacuate() override { return {true, ""}; }
-  Done activate() override { return {true, ""}; }
+struct Talker final : control::AdminApi {
+  control::CommandResult ready() override { return {true, ""}; }
+  control::CommandResult exclude(const std::string&) override { return {true, ""}; }
+  control::CommandResult include(const std::string&) override { return {true, ""}; }
+  control::CommandResult evacuate() override { return {true, ""}; }
+  control::CommandResult activate() override { return {true, ""}; }
   const core::RequestMetrics& metrics() override { return metrics_; }
-  std::size_t open() override { return 0; }
-  Pool pool() override { return {0, 0}; }
-  const std::vector<std::string>& classes() override { return classes_; }
-  std::string instances() override { return ""; }
-  std::string leases(bool json) override { return json ? "{}\n" : "lease t\n"; }
-  std::string plan() override { return "plan none\n"; }
-  void maintenance(const std::vector<std::string>& words,
-                   std::function<void(Done)> reply) override {
-    heard = words;
-    later = std::move(reply);
+  std::size_t openRequests() override { return 0; }
+  control::InstanceCounts instanceCounts() override { return {0, 0}; }
+  const std::vector<std::string>& classNames() override { return classes_; }
+  std::string instancesReport() override { return ""; }
+  std::string leasesReport(control::ReportFormat format) override {
+    return format == control::ReportFormat::kJson ? "{}\n" : "lease t\n";
+  }
+  std::string maintenanceReport() override { return "plan none\n"; }
+  void changeMaintenance(const control::Arguments& arguments, ResultHandler onResult) override {
+    heard = arguments;
+    later = std::move(onResult);
   }
   core::RequestMetrics metrics_;
   std::vector<std::string> classes_, heard;
-  std::function<void(Done)> later;
+  ResultHandler later;
 };
 
 // An answer that comes later is given when it is there; one for a caller that has gone goes
@@ -392,7 +393,7 @@
   net::LineServer door(
       stage.io, anyPort(),
       net::LineServer::LaterAnswer([&](std::string_view line, net::LineServer::Reply reply) {
-        control::handle(service, line, std::move(reply));
+        control::executeAsync(service, line, std::move(reply));
       }),
       stage.clock, stage.timers, stage.counters, net::LineServer::Limits{});
   EXPECT_EQ(callAdmin(stage.io, door.address(), "leases"), "lease t\neof\n");
--- a/tests/folder_faults_test.cpp
+++ b/tests/folder_faults_test.cpp
@@ -4,7 +4,7 @@
 #include <filesystem>
 #include <fstream>
 
-#include "app/operations.h"
+#include "app/admin_service.h"
 #include "support/faults.h"
 #include "support/folder.h"
 #include "support/site.h"
@@ -17,21 +17,34 @@
 
 // One process of a router whose folder lasts longer than the process.
 struct Process : Site {
-  explicit Process(const Folder& folder) : Site(kMixed, /*openai=*/false) {
+  explicit Process(const Folder& folder)
+      : Site(kMixed, /*openai=*/false), sharedFolder(folder.path, "n0") {
     server->list(site.instances);
-    operations = std::make_unique<app::Operations>(
-        app::Operations::Parts{*server, *listener, site.setup, app::Limits{100},
-                               [] { return true; }, *front,
-                               /*doors=*/true},
-        std::make_unique<app::SharedFolder>(folder.path, "n0"));
-    operations->start();
+    hotRestart.start();
+    lifecycles.start();
   }
   bool excludes(const std::string& id) { return server->membership.excluded({id}); }
   void look() {
     for (int i = 0; i < 5; ++i)
       pass(50);
   }
-  std::unique_ptr<app::Operations> operations;
+  app::SharedFolder sharedFolder;
+  app::ExclusionStore exclusions{*server, &sharedFolder};
+  app::HotRestart hotRestart{{.server = *server,
+                              .listener = *listener,
+                              .front = *front,
+                              .setup = site.setup,
+                              .limits = app::Limits{100},
+                              .listConfirmed = [] { return true; }},
+                             &sharedFolder,
+                             exclusions};
+  app::LifecycleTracker lifecycles{*server, site.setup};
+  app::AdminService adminService{{.server = *server,
+                                  .listener = *listener,
+                                  .setup = site.setup,
+                                  .hotRestart = hotRestart,
+                                  .exclusions = exclusions,
+                                  .lifecycles = lifecycles}};
 };
 
 std::string storedIn(const Folder& folder) {
@@ -51,14 +64,14 @@
     Process process(folder);
     {
       const Faults faults({rule});
-      EXPECT_FALSE(process.operations->exclude("m1").ok);
-      EXPECT_FALSE(process.operations->exclude("m1").ok) << "a repeated call was acknowledged";
+      EXPECT_FALSE(process.adminService.exclude("m1").ok);
+      EXPECT_FALSE(process.adminService.exclude("m1").ok) << "a repeated call was acknowledged";
       EXPECT_TRUE(process.excludes("m1"));
       process.look();
     }
     process.look();
     EXPECT_NE(storedIn(folder).find("\"m1\""), std::string::npos);
-    EXPECT_TRUE(process.operations->exclude("m1").ok);
+    EXPECT_TRUE(process.adminService.exclude("m1").ok);
     Process next(folder);
     EXPECT_TRUE(next.excludes("m1"));
   }
@@ -72,14 +85,14 @@
   for (const Rule& rule : readFaults) {
     SCOPED_TRACE(rule.path);
     Folder folder;
-    { EXPECT_TRUE(Process(folder).operations->exclude("m1").ok); }
+    { EXPECT_TRUE(Process(folder).adminService.exclude("m1").ok); }
     std::unique_ptr<Process> next;
     {
       const Faults faults({rule});
       next = std::make_unique<Process>(folder);
       next->look();
       // Written now, it would replace what could not be read.
-      EXPECT_FALSE(next->operations->exclude("m2").ok);
+      EXPECT_FALSE(next->adminService.exclude("m2").ok);
     }
     next->look();
     EXPECT_TRUE(next->excludes("m1"));
--- a/tests/fronts_test.cpp
+++ b/tests/fronts_test.cpp
@@ -4,6 +4,8 @@
 #include <iostream>
 
 #include "app/otlp.h"
+#include "app/serve_operator_file.h"
+#include "app/serve_platform.h"
 #include "coordination/store.h"
 #include "frontend/openai/derive.h"
 #include "frontend/settings_json.h"
@@ -467,7 +469,7 @@
   settings.streamResumption = true;
   const app::ShutdownOptions fleet = app::platformShutdown(settings);
   EXPECT_EQ(fleet.graceMs, 3700);  // the classes' deadlines are longer than 3 s
-  EXPECT_LT(fleet.doorOpenMs, *fleet.graceMs);
+  EXPECT_LT(fleet.acceptForMs, *fleet.graceMs);
 }
 
 // At the last call of a node that ends, what has no stream is refused, and so is what arrives after
@@ -1073,11 +1075,11 @@
 }
 
 TEST(Reload, ASighupBeforeTheLoopRunsIsKeptAndABadFileChangesNothing) {
-  app::holdReloads();
+  app::blockReloadSignal();
   raise(SIGHUP);  // by default this would end the program
   Site site(kMixed, true);
   int calls = 0;
-  site.server->run(*site.listener, {500, std::nullopt, {}, {}}, [&] {
+  site.server->run(*site.listener, {.acceptForMs = 500}, [&] {
     if (++calls == 1) {
       raise(SIGHUP);
       throw app::ConfigError("half a file");
@@ -1103,10 +1105,10 @@
                   {"settings", settings}};
   json bad = file;
   bad["settings"]["kinds"][2] = "renamed";
-  EXPECT_THROW(app::takeOver(frontend::operatorFileOf(bad), site.site, *site.server),
+  EXPECT_THROW(app::applyReload(frontend::operatorFileOf(bad), site.site, *site.server),
                app::ConfigError);
   EXPECT_EQ(site.finished(site.chat({{"model", "ask"}}))->status, 200U);
-  app::takeOver(frontend::operatorFileOf(file), site.site, *site.server);
+  app::applyReload(frontend::operatorFileOf(file), site.site, *site.server);
   EXPECT_EQ(site.finished(site.chat({{"model", "ask"}}))->status, 401U);
   EXPECT_EQ(site.finished(site.chat({{"model", "ask"}}, "new"))->status, 404U);
   const int before = site.instances["m3"]->chats();
--- a/tests/ops_test.cpp
+++ b/tests/ops_test.cpp
@@ -7,7 +7,8 @@
 #include <random>
 #include <set>
 
-#include "app/operations.h"
+#include "app/shared_folder.h"
+#include "control/commands.h"
 #include "coordination/plan.h"
 #include "fleet.h"
 #include "fleet/membership.h"
@@ -174,30 +175,30 @@
 // ---- Calls
 // -----------------------------------------------------------------------------------------
 
-struct Played : control::Service {
+struct Played : control::AdminApi {
   std::vector<std::string> calls;
   core::RequestMetrics counted;
   std::vector<std::string> names{"ask", "odd \"one\"\\"};
-  Done note(const std::string& call) {
+  control::CommandResult note(const std::string& call) {
     calls.push_back(call);
     return {true, {}};
   }
-  Done ready() override { return note("ready"); }
-  Done exclude(const std::string& id) override { return note("exclude " + id); }
-  Done include(const std::string& id) override { return note("include " + id); }
-  Done evacuate() override { return note("evacuate"); }
-  Done activate() override { return note("activate"); }
+  control::CommandResult ready() override { return note("ready"); }
+  control::CommandResult exclude(const std::string& id) override { return note("exclude " + id); }
+  control::CommandResult include(const std::string& id) override { return note("include " + id); }
+  control::CommandResult evacuate() override { return note("evacuate"); }
+  control::CommandResult activate() override { return note("activate"); }
   const core::RequestMetrics& metrics() override { return counted; }
-  std::size_t open() override { return 3; }
-  Pool pool() override { return {5, 2}; }
-  const std::vector<std::string>& classes() override { return names; }
-  std::string instances() override { return "box a active\n"; }
+  std::size_t openRequests() override { return 3; }
+  control::InstanceCounts instanceCounts() override { return {5, 2}; }
+  const std::vector<std::string>& classNames() override { return names; }
+  std::string instancesReport() override { return "box a active\n"; }
 };
 
 TEST(OperatorsCalls, EachDoesWhatItSays) {
   Played played;
   for (const char* call : {"readyz", "exclude s-1", "  include\ts-1 ", "evacuate", "activate"})
-    EXPECT_EQ(control::answer(played, call), "ok\n") << call;
+    EXPECT_EQ(control::execute(played, call), "ok\n") << call;
   const std::vector<std::string> expected{"ready", "exclude s-1", "include s-1", "evacuate",
                                           "activate"};
   EXPECT_EQ(played.calls, expected);
@@ -210,7 +211,7 @@
         std::string("EXCLUDE a"), std::string("readyz now"), std::string("reboot"),
         std::string("exclude a\x01"), std::string("exclude \0", 9),
         "exclude " + std::string(2000, 'a')}) {
-    const std::string answer = control::answer(played, call);
+    const std::string answer = control::execute(played, call);
     EXPECT_EQ(answer.rfind("fail ", 0), 0U) << call;
     EXPECT_EQ(answer.find('\n'), answer.size() - 1);
     EXPECT_GT(answer.size(), 10U);
@@ -227,7 +228,7 @@
   played.counted.ended(0, core::RequestOutcome::kShed);
   played.counted.ended(0, core::RequestOutcome::kError);
   played.counted.tried(0);
-  const std::string text = control::answer(played, "telemetry");
+  const std::string text = control::execute(played, "telemetry");
   for (const char* line :
        {"app_ok_total{kind=\"ask\"} 1\n", "app_shed_total{kind=\"ask\"} 1\n",
         "app_errors_total{kind=\"ask\"} 1\n", "app_tries_total{kind=\"ask\"} 1\n",
@@ -285,25 +286,24 @@
 // No other call may be as long.
 TEST(LineServer, CarriesAPlanOverAsManyInstancesAsThereMayBe) {
   struct Planned final : Played {
-    std::string instances() override {
+    std::string instancesReport() override {
       std::string text;
       for (std::size_t i = 0; i < coordination::kMostInstances; ++i)
         text += "box " + std::string(fleet::Exclusions::kMaxIdBytes, 'i') +
                 " draining why=\"maintenance\"\n";
       return text;
     }
-    void maintenance(const std::vector<std::string>& words,
-                     std::function<void(Done)> reply) override {
-      reply({words.size() == 3, words.back()});
+    void changeMaintenance(const control::Arguments& arguments, ResultHandler onResult) override {
+      onResult({arguments.size() == 3, arguments.back()});
     }
   } planned;
   Stage stage;
   net::LineServer door(
       stage.io, anyPort(),
       net::LineServer::LaterAnswer([&](std::string_view line, net::LineServer::Reply reply) {
-        control::handle(planned, line, std::move(reply));
+        control::executeAsync(planned, line, std::move(reply));
       }),
-      stage.clock, stage.timers, stage.counters, {32, control::kLongestPlanLine, 10'000});
+      stage.clock, stage.timers, stage.counters, {32, control::kMaxMaintenanceLineBytes, 10'000});
   const auto answerTo = [&](const std::string& line) {
     RawPeer peer(stage.io);
     peer.connect(door.address());
@@ -318,7 +318,7 @@
   for (std::size_t i = 0; i < coordination::kMostInstances; ++i)
     names += (i == 0 ? "" : ",") + std::string(coordination::Plan::kLongestWord, 'n');
   EXPECT_EQ(answerTo("maintenance start june " + names + "\n"), "ok " + names + "\n");
-  EXPECT_EQ(answerTo("boxes\n"), planned.instances() + "eof\n");
+  EXPECT_EQ(answerTo("boxes\n"), planned.instancesReport() + "eof\n");
   EXPECT_EQ(answerTo("maintenance start june " + names + names + "\n")
                 .rfind("fail a line has at most", 0),
             0U);
--- a/tests/support/site.h
+++ b/tests/support/site.h
@@ -40,7 +40,10 @@
          {"boxes", instanceList},
          {"settings", siteSettings()}});
     const auto dialect = openai ? frontend::openaiDialect(site) : frontend::platformDialect();
-    server = std::make_unique<app::Server>(io, clock, site.setup, 7, 100, 30'000, dialect);
+    server = std::make_unique<app::Server>(
+        io, clock, site.setup,
+        app::ServerOptions{
+            .seed = 7, .instanceConnections = 100, .idleCloseMs = 30'000, .protocol = dialect});
     server->directory = site.directory;
     server->dispatcher.onAction([this](const routing::Action& action) {
       decisions.push_back(routing::wire::formatAction(action));
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -6,7 +6,6 @@
 #include <random>
 
 #include "app/handover.h"
-#include "app/operations.h"
 #include "support/platform.h"
 #include "support/site.h"
 
