--- a/src/frontend/settings_json.cpp
+++ b/src/frontend/settings_json.cpp
@@ -56,7 +56,7 @@
   const std::string text = pairsOf(settings, "0");
   wire::Setup setup = wire::parseSetup(wire::Line(text, 1));
   if (const auto problem = problemWith(setup.settings))
-    throw std::invalid_argument("unusable settings: " + *problem);
+    throw std::invalid_argument("unusable settings: " + describe(*problem));
   return setup;
 }
 
--- a/src/routing/attempt_dispatcher.h
+++ b/src/routing/attempt_dispatcher.h
@@ -1,7 +1,8 @@
 // The actions on the remote side of a request: attempts, reservations, releases, cancellations.
 #pragma once
 
-#include "inference_router/router.h"
+#include "inference_router/settings.h"
+#include "inference_router/types.h"
 #include "routing/decode_capacity.h"
 #include "routing/decode_selector.h"
 #include "routing/event_context.h"
--- a/src/routing/cell_plan.h
+++ b/src/routing/cell_plan.h
@@ -4,7 +4,8 @@
 #include <array>
 #include <map>
 
-#include "inference_router/router.h"
+#include "inference_router/settings.h"
+#include "inference_router/types.h"
 #include "routing/instance.h"
 
 namespace inference_router::routing {
--- a/src/routing/constants.h
+++ b/src/routing/constants.h
@@ -3,7 +3,7 @@
 
 #include <chrono>
 
-#include "inference_router/router.h"
+#include "inference_router/types.h"
 
 namespace inference_router::routing {
 
--- a/src/routing/decode_capacity.h
+++ b/src/routing/decode_capacity.h
@@ -1,7 +1,8 @@
 // The memory and streams of decode instances, as far as this node can know them.
 #pragma once
 
-#include "inference_router/router.h"
+#include "inference_router/settings.h"
+#include "inference_router/types.h"
 #include "routing/cell_plan.h"
 #include "routing/instance_availability.h"
 #include "routing/instance_registry.h"
--- a/src/routing/decode_prefill_selector.h
+++ b/src/routing/decode_prefill_selector.h
@@ -1,7 +1,7 @@
 // Lets decode instances with spare time prefill prompts themselves.
 #pragma once
 
-#include "inference_router/router.h"
+#include "inference_router/types.h"
 #include "routing/decaying_sum.h"
 #include "routing/request_record.h"
 #include "routing/selection_inputs.h"
--- a/src/routing/decode_selector.h
+++ b/src/routing/decode_selector.h
@@ -5,7 +5,7 @@
 #include <optional>
 #include <string>
 
-#include "inference_router/router.h"
+#include "inference_router/types.h"
 #include "routing/request_record.h"
 #include "routing/selection_inputs.h"
 
--- a/src/routing/duration_math.h
+++ b/src/routing/duration_math.h
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "inference_router/router.h"
+#include "inference_router/types.h"
 
 namespace inference_router::routing {
 
--- a/src/routing/ejection_state.h
+++ b/src/routing/ejection_state.h
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <chrono>
 
-#include "inference_router/router.h"
+#include "inference_router/types.h"
 #include "routing/fading_average.h"
 
 namespace inference_router::routing {
--- a/src/routing/event_context.h
+++ b/src/routing/event_context.h
@@ -5,7 +5,8 @@
 #include <utility>
 #include <vector>
 
-#include "inference_router/router.h"
+#include "inference_router/actions.h"
+#include "inference_router/types.h"
 
 namespace inference_router::routing {
 
--- a/src/routing/graceful_shutdown.h
+++ b/src/routing/graceful_shutdown.h
@@ -5,7 +5,7 @@
 #include <optional>
 #include <vector>
 
-#include "inference_router/router.h"
+#include "inference_router/types.h"
 #include "routing/request_record.h"
 
 namespace inference_router::routing {
--- a/src/routing/idempotency.h
+++ b/src/routing/idempotency.h
@@ -5,7 +5,8 @@
 // is executed at most once. Pure functions.
 #pragma once
 
-#include "inference_router/router.h"
+#include "inference_router/settings.h"
+#include "inference_router/types.h"
 #include "routing/instance.h"
 #include "routing/request_record.h"
 
--- a/src/routing/instance.h
+++ b/src/routing/instance.h
@@ -4,7 +4,9 @@
 #include <map>
 #include <optional>
 
-#include "inference_router/router.h"
+#include "inference_router/events.h"
+#include "inference_router/settings.h"
+#include "inference_router/types.h"
 #include "routing/ejection_state.h"
 #include "routing/slow_start_budget.h"
 
--- a/src/routing/instance_availability.h
+++ b/src/routing/instance_availability.h
@@ -1,7 +1,8 @@
 // Which instances may be sent a request now.
 #pragma once
 
-#include "inference_router/router.h"
+#include "inference_router/settings.h"
+#include "inference_router/types.h"
 #include "routing/instance_registry.h"
 #include "routing/request_record.h"
 #include "routing/service_estimates.h"
--- a/src/routing/instance_registry.h
+++ b/src/routing/instance_registry.h
@@ -3,7 +3,9 @@
 
 #include <string>
 
-#include "inference_router/router.h"
+#include "inference_router/events.h"
+#include "inference_router/settings.h"
+#include "inference_router/types.h"
 #include "routing/instance.h"
 #include "routing/request_record.h"
 
--- a/src/routing/key_popularity.cpp
+++ b/src/routing/key_popularity.cpp
@@ -5,20 +5,22 @@
 namespace inference_router::routing {
 namespace {
 
-constexpr double kPriorArrivals = 10;  // arrivals of other keys that are assumed beside those seen
-constexpr std::size_t kKeysKept =
-    500;  // beyond these, keys with less than the following are forgotten
-constexpr double kForgottenBelow = 0.5;  // decayed arrivals
+// Arrivals of other keys that are assumed beside those seen.
+constexpr double kPriorArrivals = 10;
+// Number of keys above which rare ones are forgotten.
+constexpr std::size_t kMaxKeys = 500;
+// Lower bound of the decayed arrivals of a key that is kept then.
+constexpr double kMinKeptArrivals = 0.5;
 
 }  // namespace
 
 void KeyPopularity::count(const std::string& key, Time now) {
   all_.add(1, now, timeConstant_);
   keys_[key].add(1, now, timeConstant_);
-  if (keys_.size() <= kKeysKept)
+  if (keys_.size() <= kMaxKeys)
     return;
   std::erase_if(keys_, [&](const auto& entry) {
-    return entry.second.at(now, timeConstant_) < kForgottenBelow;
+    return entry.second.at(now, timeConstant_) < kMinKeptArrivals;
   });
 }
 
--- a/src/routing/latency_objective.h
+++ b/src/routing/latency_objective.h
@@ -1,7 +1,9 @@
 // Latency objectives of request classes.
 #pragma once
 
-#include "inference_router/router.h"
+#include "inference_router/events.h"
+#include "inference_router/settings.h"
+#include "inference_router/types.h"
 
 namespace inference_router::routing {
 
--- a/src/routing/load_shedder.h
+++ b/src/routing/load_shedder.h
@@ -1,7 +1,8 @@
 // Which requests are rejected early, by their latency objective, deadline and the load.
 #pragma once
 
-#include "inference_router/router.h"
+#include "inference_router/settings.h"
+#include "inference_router/types.h"
 #include "routing/cell_plan.h"
 #include "routing/decaying_sum.h"
 #include "routing/instance.h"
--- a/src/routing/outcome_recorder.h
+++ b/src/routing/outcome_recorder.h
@@ -1,7 +1,8 @@
 // What is learnt from the answers of instances: estimates, failures, overtaken attempts.
 #pragma once
 
-#include "inference_router/router.h"
+#include "inference_router/events.h"
+#include "inference_router/types.h"
 #include "routing/event_context.h"
 #include "routing/load_shedder.h"
 #include "routing/outlier_detector.h"
--- a/src/routing/outlier_detector.h
+++ b/src/routing/outlier_detector.h
@@ -4,7 +4,7 @@
 #include <optional>
 #include <string>
 
-#include "inference_router/router.h"
+#include "inference_router/types.h"
 #include "routing/instance_registry.h"
 
 namespace inference_router::routing {
--- a/src/routing/request_lifecycle.h
+++ b/src/routing/request_lifecycle.h
@@ -1,7 +1,9 @@
 // The way of one request through its phases.
 #pragma once
 
-#include "inference_router/router.h"
+#include "inference_router/events.h"
+#include "inference_router/settings.h"
+#include "inference_router/types.h"
 #include "routing/attempt_dispatcher.h"
 #include "routing/decode_prefill_selector.h"
 #include "routing/decode_selector.h"
--- a/src/routing/request_queue.h
+++ b/src/routing/request_queue.h
@@ -4,7 +4,8 @@
 #include <algorithm>
 #include <compare>
 
-#include "inference_router/router.h"
+#include "inference_router/settings.h"
+#include "inference_router/types.h"
 #include "routing/request_record.h"
 
 namespace inference_router::routing {
--- a/src/routing/request_record.h
+++ b/src/routing/request_record.h
@@ -8,7 +8,9 @@
 #include <string>
 #include <vector>
 
-#include "inference_router/router.h"
+#include "inference_router/events.h"
+#include "inference_router/settings.h"
+#include "inference_router/types.h"
 
 namespace inference_router::routing {
 
--- a/src/routing/retry_policy.h
+++ b/src/routing/retry_policy.h
@@ -1,7 +1,8 @@
 // How often and how long a request is tried.
 #pragma once
 
-#include "inference_router/router.h"
+#include "inference_router/settings.h"
+#include "inference_router/types.h"
 #include "routing/instance.h"
 #include "routing/request_record.h"
 
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -43,13 +43,13 @@
  public:
   Impl(const Settings& settings, std::uint64_t seed)
       : settings_(settings),
-        settingsProblem_(problemWith(settings)),
+        settingsError_(problemWith(settings)),
         registry_(settings_, std::to_string(seed)),
         decodeSelector_(selectionInputs_, std::to_string(seed)) {}
 
   void reconfigure(const Settings& settings) {
     settings_ = settings;
-    settingsProblem_ = problemWith(settings);
+    settingsError_ = problemWith(settings);
   }
 
   void handle(Time now, const Event& event, std::vector<Action>& actions) {
@@ -75,8 +75,8 @@
   void start(EventContext& context) {
     started_ = true;
     slowStart_.start(context.now());
-    if (settingsProblem_)
-      context.log("unusable settings: " + *settingsProblem_);
+    if (settingsError_)
+      context.log("unusable settings: " + describe(*settingsError_));
     if (settings_.discovery == Discovery::kPoll)
       context.emit(SubscribeEndpoints{});
   }
@@ -92,7 +92,7 @@
   }
 
   void on(const Arrival& arrival, EventContext& context) {
-    if (settingsProblem_ || arrival.cls.value >= settings_.classes.size()) {
+    if (settingsError_ || arrival.cls.value >= settings_.classes.size()) {
       context.emit(FailRequest{arrival.request});
       return;
     }
@@ -245,7 +245,7 @@
   }
 
   Settings settings_;
-  std::optional<std::string> settingsProblem_;
+  std::optional<SettingsError> settingsError_;
 
   // What is known. Each unit refers to those above it.
   KeyPopularity popularity_{kTrafficTimeConstant};
--- a/src/routing/selection_inputs.h
+++ b/src/routing/selection_inputs.h
@@ -1,7 +1,7 @@
 // What the selection of an instance for a request reads.
 #pragma once
 
-#include "inference_router/router.h"
+#include "inference_router/settings.h"
 #include "routing/cell_plan.h"
 #include "routing/decode_capacity.h"
 #include "routing/instance_availability.h"
--- a/src/routing/service_estimates.h
+++ b/src/routing/service_estimates.h
@@ -4,7 +4,9 @@
 
 #include <array>
 
-#include "inference_router/router.h"
+#include "inference_router/events.h"
+#include "inference_router/settings.h"
+#include "inference_router/types.h"
 #include "routing/cell_plan.h"
 #include "routing/fading_average.h"
 #include "routing/instance.h"
--- a/src/routing/settings_check.cpp
+++ b/src/routing/settings_check.cpp
@@ -1,23 +1,43 @@
-// Which settings the decision module can work with. Chooses nothing: a check before the first
-// event.
-#include "inference_router/router.h"
+// Which settings the decision module can work with.
+#include <algorithm>
+
+#include "inference_router/settings.h"
 
 namespace inference_router::routing {
 
-std::optional<std::string> problemWith(const Settings& settings) {
+std::string describe(SettingsError error) {
+  switch (error) {
+    case SettingsError::kNoClasses:
+      return "no request classes";
+    case SettingsError::kNoKinds:
+      return "no engine kinds";
+    case SettingsError::kNoNodes:
+      return "fewer than one node";
+    case SettingsError::kNoAttempts:
+      return "no attempts allowed";
+    case SettingsError::kNoOverloadWindow:
+      return "no time over which a cold engine falls";
+    case SettingsError::kClassWithoutObjectiveOrDeadline:
+      return "a class without an aim or a deadline";
+  }
+  return "";
+}
+
+std::optional<SettingsError> problemWith(const Settings& settings) {
   if (settings.classes.empty())
-    return "no request classes";
+    return SettingsError::kNoClasses;
   if (settings.kinds.empty())
-    return "no engine kinds";
+    return SettingsError::kNoKinds;
   if (settings.nodes < 1)
-    return "fewer than one node";
+    return SettingsError::kNoNodes;
   if (settings.limits.maxAttempts < 1)
-    return "no attempts allowed";
+    return SettingsError::kNoAttempts;
   if (settings.contract.overloadWindow <= Duration::zero())
-    return "no time over which a cold engine falls";
-  for (const ClassSettings& cls : settings.classes)
+    return SettingsError::kNoOverloadWindow;
+  for (const ClassSettings& cls : settings.classes) {
     if (std::min(cls.latencyObjective, cls.deadline) <= Duration::zero())
-      return "a class without an aim or a deadline";
+      return SettingsError::kClassWithoutObjectiveOrDeadline;
+  }
   return std::nullopt;
 }
 
--- a/src/routing/slow_start.h
+++ b/src/routing/slow_start.h
@@ -3,7 +3,8 @@
 
 #include <array>
 
-#include "inference_router/router.h"
+#include "inference_router/settings.h"
+#include "inference_router/types.h"
 #include "routing/cell_plan.h"
 #include "routing/decaying_sum.h"
 #include "routing/instance_registry.h"
--- a/src/routing/slow_start_budget.cpp
+++ b/src/routing/slow_start_budget.cpp
@@ -9,18 +9,22 @@
 namespace inference_router::routing {
 namespace {
 
-constexpr double kCountedSafety = 0.7;  // share of the budget that is used where sends are counted,
-constexpr double kDrawnSafety =
-    0.34;  // and where they are drawn: the rest is for chance and for a surge
-constexpr double kBucketWindows = 0.25;  // of sends that may be saved up
+// Upper bound of the share of the budget that is used where dispatches are counted.
+constexpr double kMaxCountedShare = 0.7;
+// The same where dispatches are drawn: more is left for chance and for bursts.
+constexpr double kMaxDrawnShare = 0.34;
+// Upper bound of the dispatches that are saved up, in overload windows.
+constexpr double kMaxBucketWindows = 0.25;
+// Number of slots in an overload window; a process may win one draw in each.
 constexpr int kSlotsPerWindow = 8;
-constexpr double kLeastFraction = 1e-9;  // a load is divided by it
+// Lower bound of the warm fraction: loads are divided by it.
+constexpr double kMinWarmFraction = 1e-9;
 
 }  // namespace
 
 double warmFraction(const Contract& contract, std::optional<Time> started, Time now) {
   const double age = started ? ratio(now - *started, contract.warmupDuration) : 1;
-  return age >= 1 ? 1 : std::max({contract.warmupInitialShare, age, kLeastFraction});
+  return age >= 1 ? 1 : std::max({contract.warmupInitialShare, age, kMinWarmFraction});
 }
 
 // Slots of different processes begin at different times.
@@ -41,21 +45,21 @@
                              const SlowStartOffer& offer,
                              Time now) {
   const Contract& contract = settings.contract;
-  // A send counts in each window that holds it, and the first of these began when the instance bore
-  // less.
+  // A dispatch counts in each window that holds it, and the first of these began when the instance
+  // could bear less.
   const double factor =
       contract.overloadFactor * warmFraction(contract, started, now - contract.overloadWindow);
-  const double own = factor * kCountedSafety * offer.usualPerWindow;
+  const double own = factor * kMaxCountedShare * offer.usualPerWindow;
   const bool counts = own >= 1;
-  const double perWindow =
-      counts ? own : 1.0 / settings.nodes;  // those that draw have one among them all
-  tokens_ = std::min(std::max(1.0, perWindow * kBucketWindows),
+  // Processes that draw have one counted dispatch a window among them all.
+  const double perWindow = counts ? own : 1.0 / settings.nodes;
+  tokens_ = std::min(std::max(1.0, perWindow * kMaxBucketWindows),
                      tokens_ + perWindow * ratio(now - refilledAt_, contract.overloadWindow));
   refilledAt_ = now;
   if (counts || tokens_ >= 1)
     return tokens_ >= 1;
   const std::int64_t slot = slotOf(contract, now);
-  const double any = std::min(1.0, factor * kDrawnSafety * offer.share);
+  const double any = std::min(1.0, factor * kMaxDrawnShare * offer.share);
   const double probability = 1 - std::pow(1 - any, offer.part);
   const auto times = static_cast<double>(1 + slot - slotOf(contract, offer.since));
   return slot != usedSlot_ && stableDraw(seed_, slot) < std::pow(probability, times);
--- a/src/routing/slow_start_budget.h
+++ b/src/routing/slow_start_budget.h
@@ -1,14 +1,15 @@
-/// The slow-start budget of one instance: what this process may send to it until it is warm.
-///
-/// A started instance bears fallFactor x warmFraction() x its capacity in each window of length
-/// fallFor. Processes share nothing, so each uses a part. One that would send it several requests a
-/// window counts: a token bucket refills with its part. Others draw: in each slot, a fraction of a
-/// window, a process may send one request with a probability that follows what the whole fleet
-/// would offer the instance. The sum is then right for any number of processes and any spread of
-/// traffic over them, also where some restart and forget.
+// The slow-start budget of one instance: what this process may send to it until it is warm.
+//
+// A started instance bears overloadFactor x warmFraction() x its capacity in each window of length
+// overloadWindow. Processes share nothing, so each uses a part. One that would send it several
+// requests a window counts: a token bucket refills with its part. Others draw: in each slot, a
+// fraction of a window, a process may send one request with a probability that follows what the
+// whole fleet would offer the instance. The sum is then right for any number of processes and any
+// spread of traffic over them, also where some restart and forget.
 #pragma once
 
-#include "inference_router/router.h"
+#include "inference_router/settings.h"
+#include "inference_router/types.h"
 
 namespace inference_router::routing {
 
@@ -27,6 +28,7 @@
   Time since;   ///< first offered; a request that waits is drawn against powers of the probability
 };
 
+/// Admits requests to one instance while it is in slow start. Kept with the instance.
 class SlowStartBudget {
  public:
   /// The instance has started, or this process has just heard of it. The seed differs between
--- a/src/routing/straggler_detector.h
+++ b/src/routing/straggler_detector.h
@@ -1,7 +1,8 @@
 // Finds attempts that an instance holds up or has lost, so that they can be cancelled and retried.
 #pragma once
 
-#include "inference_router/router.h"
+#include "inference_router/settings.h"
+#include "inference_router/types.h"
 #include "routing/instance_availability.h"
 #include "routing/request_record.h"
 #include "routing/retry_policy.h"
--- a/tests/package/embed.cpp
+++ b/tests/package/embed.cpp
@@ -18,7 +18,7 @@
   settings.nodes = 1;
   settings.tick = 2ms;
   if (const auto problem = problemWith(settings)) {
-    std::cerr << *problem << '\n';
+    std::cerr << describe(*problem) << '\n';
     return 1;
   }
   Router router(settings, 42);
