--- a/tests/cold_sum_test.cpp
+++ b/tests/cold_sum_test.cpp
@@ -157,9 +157,9 @@
       steps_.push({now_ + 0.06, n, starts_[n], reads ? What::kRead : What::kServed,
                    send.request.value, send.instance.value});
     }
-    if (!looksAgain_[n] && nodes_[n]->hasAlarm())
+    if (!looksAgain_[n] && nodes_[n]->hasTimer())
       steps_.push({now_ + kLookEvery, n, starts_[n], What::kLookAgain, {}, {}});
-    looksAgain_[n] = looksAgain_[n] || nodes_[n]->hasAlarm();
+    looksAgain_[n] = looksAgain_[n] || nodes_[n]->hasTimer();
   }
   void take(const Step& step) {
     if (step.what == What::kLookAgain)
--- a/tests/fleet.h
+++ b/tests/fleet.h
@@ -1,4 +1,4 @@
-// A fleet of one's own for module tests: settings, a clock, and the router's actions by kind.
+// A router with a clock of its own for the tests of the decision module; its actions by kind.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -17,32 +17,37 @@
 }
 
 inline Settings plainSettings() {
-  Settings s{};
-  s.classes = {{Effect::kIdempotent, DedupScope::kAll, 5s, 1s, 40ms, 60ms, 6s, 0.3, 1.0, true}};
-  s.kinds = {{Role::kPrefill, 200'000}, {Role::kDecode, 100'000}, {Role::kMixed, 150'000}};
-  s.contract = {1s, 8ms, 10s, 0.3, 10s, 3.0, 3s, 500ms};
-  s.limits = {.cancel = true,
-              .gossip = false,
-              .healthChecks = false,
-              .hedgedRequests = false,
-              .retryAfter = true,
-              .maxAttempts = 6,
-              .maxRetryAfter = 2s,
-              .connectTimeout = 250ms};
-  s.discovery = Discovery::kPush;
-  s.reports = LoadReports::kNone;
-  s.reservationsAllowed = true;
-  s.nodes = 1;
-  s.tick = 2ms;
-  return s;
+  Settings settings{};
+  settings.classes = {
+      {Effect::kIdempotent, DedupScope::kAll, 5s, 1s, 40ms, 60ms, 6s, 0.3, 1.0, true}};
+  settings.kinds = {{Role::kPrefill, 200'000}, {Role::kDecode, 100'000}, {Role::kMixed, 150'000}};
+  settings.contract = {1s, 8ms, 10s, 0.3, 10s, 3.0, 3s, 500ms};
+  settings.limits = {.cancel = true,
+                     .gossip = false,
+                     .healthChecks = false,
+                     .hedgedRequests = false,
+                     .retryAfter = true,
+                     .maxAttempts = 6,
+                     .maxRetryAfter = 2s,
+                     .connectTimeout = 250ms};
+  settings.discovery = Discovery::kPush;
+  settings.reports = LoadReports::kNone;
+  settings.reservationsAllowed = true;
+  settings.nodes = 1;
+  settings.tick = 2ms;
+  return settings;
 }
 
-constexpr std::uint32_t kPrefill = 0, kDecode = 1, kMixed = 2;  // kinds of plainSettings()
+// Kinds of plainSettings().
+constexpr std::uint32_t kPrefill = 0;
+constexpr std::uint32_t kDecode = 1;
+constexpr std::uint32_t kMixed = 2;
 
 inline EndpointRecord endpoint(const std::string& id, std::uint32_t kind, std::uint32_t cell = 0) {
   return {{id}, {0}, {kind}, {cell}, EndpointState::kActive, 1.0, {}};
 }
 
+// One router, the instances it is told of and the requests of its clients.
 class Fleet {
  public:
   explicit Fleet(const Settings& settings = plainSettings(), std::uint64_t seed = 7)
@@ -59,7 +64,7 @@
       if (const auto* send = std::get_if<DispatchAttempt>(&action))
         ++attempts_[send->request.value];
       if (const auto* timer = std::get_if<SetTimer>(&action))
-        alarms_.emplace(now_ + timer->in, timer->timer);
+        timers_.emplace(now_ + timer->in, timer->timer);
     }
     return *this;
   }
@@ -87,13 +92,13 @@
   Fleet& open(const std::string& id, const std::string& at) {
     return give(StreamOpened{{id}, attempts_[id] - 1, {at}, 20ms});
   }
-  // Moves the clock, ringing what was asked for; the actions of all rings are kept together.
+  // Moves the clock and fires the timers that are due; keeps the actions of all of them together.
   Fleet& wait(Duration span) {
     const Time until = now_ + span;
     std::vector<Action> all;
-    while (!alarms_.empty() && alarms_.begin()->first <= until) {
-      const auto [at, timer] = *alarms_.begin();
-      alarms_.erase(alarms_.begin());
+    while (!timers_.empty() && timers_.begin()->first <= until) {
+      const auto [at, timer] = *timers_.begin();
+      timers_.erase(timers_.begin());
       now_ = std::max(now_, at);
       give(TimerFired{timer});
       all.insert(all.end(), actions_.begin(), actions_.end());
@@ -120,19 +125,23 @@
     const auto sends = all<DispatchAttempt>();
     return sends.empty() ? "" : sends.back().instance.value;
   }
-  std::string placeAt() const {
-    const auto places = all<ReserveDecode>();
-    return places.empty() ? "" : places.back().instance.value;
+  std::string reservedAt() const {
+    const auto reservations = all<ReserveDecode>();
+    return reservations.empty() ? "" : reservations.back().instance.value;
   }
-  // A whole request served in peace; returns where it was read.
+  // A request that is served without a fault; returns where it was prefilled.
   std::string serve(const std::string& id, const std::string& prefix = "") {
-    const std::string reader = arrive(id, prefix).sentTo();
-    const std::string writer = wait(50ms).end(id, reader, AttemptOutcome::kPrefilled).sentTo();
-    wait(20ms).open(id, writer).wait(200ms).end(id, writer, AttemptOutcome::kServed, 220ms, true);
-    return reader;
+    const std::string prefillInstance = arrive(id, prefix).sentTo();
+    const std::string decodeInstance =
+        wait(50ms).end(id, prefillInstance, AttemptOutcome::kPrefilled).sentTo();
+    wait(20ms)
+        .open(id, decodeInstance)
+        .wait(200ms)
+        .end(id, decodeInstance, AttemptOutcome::kServed, 220ms, true);
+    return prefillInstance;
   }
   Time now() const { return now_; }
-  bool hasAlarm() const { return !alarms_.empty(); }
+  bool hasTimer() const { return !timers_.empty(); }
   const std::vector<Action>& actions() const { return actions_; }
 
  private:
@@ -142,7 +151,7 @@
   std::uint64_t version_ = 0;
   std::vector<Action> actions_;
   std::map<std::string, int> attempts_;
-  std::multimap<Time, std::uint64_t> alarms_;
+  std::multimap<Time, std::uint64_t> timers_;
 };
 
 }  // namespace inference_router::routing
--- a/tests/request_record_test.cpp
+++ b/tests/request_record_test.cpp
@@ -3,9 +3,9 @@
 
 #include <gtest/gtest.h>
 
-namespace inference_router::routing {
-struct Instance {};  // records only refer to instances
+#include "routing/instance.h"
 
+namespace inference_router::routing {
 namespace {
 
 AttemptRecord attemptAt(Instance& instance, bool decodes) {
@@ -24,7 +24,7 @@
   EXPECT_TRUE(request.attemptOut());
 }
 
-TEST(RequestRecord, TakesForRunTheFirstWriteThatIsNotKnownToBeHarmless) {
+TEST(RequestRecord, TakesForExecutedTheFirstDecodeThatIsNotProvedNotToBe) {
   Instance instance;
   RequestRecord request;
   request.attempts = {attemptAt(instance, false), attemptAt(instance, true),
--- /dev/null
+++ b/tests/router_scenarios.h
@@ -0,0 +1,51 @@
+// Situations that several tests of the router begin with.
+#pragma once
+
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "fleet.h"
+
+namespace inference_router::routing {
+
+inline std::vector<EndpointRecord> twoCells() {
+  return {endpoint("r0", kPrefill, 0), endpoint("w0", kDecode, 0), endpoint("v0", kDecode, 0),
+          endpoint("r1", kPrefill, 1), endpoint("w1", kDecode, 1), endpoint("v1", kDecode, 1)};
+}
+
+inline char cellOf(const std::string& id) {
+  return id.empty() ? '?' : id[1];
+}
+
+inline EndpointRecord slowStarting(const std::string& id, std::uint32_t kind, Time started) {
+  EndpointRecord entry = endpoint(id, kind);
+  entry.started = started;
+  return entry;
+}
+
+inline EndpointRecord withState(EndpointRecord entry, EndpointState state) {
+  entry.state = state;
+  return entry;
+}
+
+inline std::string startDecode(Fleet& fleet) {
+  const std::string prefillInstance = fleet.list(twoCells()).arrive("a").sentTo();
+  return fleet.wait(20ms).end("a", prefillInstance, AttemptOutcome::kPrefilled).sentTo();
+}
+
+// A prefill instance with a queue of 0.75 s, beside a decode instance that holds the prompts of so
+// many open streams.
+inline Fleet& congestPrefillInstance(Fleet& fleet, EndpointRecord decodeInstance, int streams) {
+  fleet.list({endpoint("r0", kPrefill), std::move(decodeInstance)});
+  for (int i = 0; i < streams; ++i) {
+    const std::string id = numbered("stream", i);
+    fleet.arrive(id, "", 6s, 10'000).wait(500ms).end(id, "r0", AttemptOutcome::kPrefilled, 500ms);
+    fleet.wait(20ms).open(id, "w0");
+  }
+  for (int i = 0; i < 3; ++i)
+    fleet.arrive(numbered("long", i), "", 6s, 5000);
+  return fleet;
+}
+
+}  // namespace inference_router::routing
--- /dev/null
+++ b/tests/router_selection_test.cpp
@@ -0,0 +1,219 @@
+// Which instance prefills a request and which decodes it.
+#include <set>
+
+#include "router_scenarios.h"
+
+namespace inference_router::routing {
+namespace {
+
+TEST(DispatchPath, ReservesInTheCellOfThePrefillTogetherWithIt) {
+  Fleet fleet;
+  fleet.list(twoCells()).arrive("a");
+  ASSERT_EQ(fleet.sentTo()[0], 'r');
+  EXPECT_EQ(cellOf(fleet.reservedAt()), cellOf(fleet.sentTo()));
+}
+
+TEST(DispatchPath, DecodesAtTheReservationAsSoonAsThePrefillEnds) {
+  Fleet fleet;
+  const std::string prefillInstance = fleet.list(twoCells()).arrive("a").sentTo();
+  const std::string reserved = fleet.reservedAt();
+  fleet.give(ReservationResult{{"a"}, 0, {reserved}, true});
+  EXPECT_EQ(fleet.end("a", prefillInstance, AttemptOutcome::kPrefilled).sentTo(), reserved);
+}
+
+TEST(DispatchPath, DecodesInTheCellWhenTheReservationIsRejected) {
+  Fleet fleet;
+  const std::string prefillInstance = fleet.list(twoCells()).arrive("a").sentTo();
+  fleet.give(ReservationResult{{"a"}, 0, {fleet.reservedAt()}, false});
+  EXPECT_EQ(cellOf(fleet.end("a", prefillInstance, AttemptOutcome::kPrefilled).sentTo()),
+            cellOf(prefillInstance));
+}
+
+TEST(DispatchPath, LeavesTheCellOnlyWhenItHasNoUsableDecodeInstance) {
+  Fleet fleet;
+  const std::string prefillInstance = fleet.list(twoCells()).arrive("a").sentTo();
+  std::vector<EndpointRecord> gone;
+  for (EndpointRecord entry : twoCells()) {
+    if (cellOf(entry.instance.value) == cellOf(prefillInstance) && entry.kind.value == kDecode) {
+      gone.push_back(withState(entry, EndpointState::kRemoved));
+    }
+  }
+  fleet.list(gone, EndpointListForm::kChanges);
+  const std::string decodeInstance =
+      fleet.end("a", prefillInstance, AttemptOutcome::kPrefilled).sentTo();
+  ASSERT_NE(decodeInstance, "");
+  EXPECT_NE(cellOf(decodeInstance), cellOf(prefillInstance));
+}
+
+TEST(DispatchPath, AMixedInstancePrefillsAndDecodes) {
+  Fleet fleet;
+  fleet.list({endpoint("m0", kMixed)}).arrive("a");
+  EXPECT_EQ(fleet.sentTo(), "m0");
+  EXPECT_FALSE(fleet.any<ReserveDecode>());
+}
+
+TEST(PrefillSelection, OnePrefixIsPrefilledAtOneInstanceFromEveryNode) {
+  Fleet one(plainSettings(), 1), other(plainSettings(), 2);
+  one.list(twoCells());
+  other.list(twoCells());
+  std::set<std::string> prefillInstances;
+  for (int i = 0; i < 6; ++i) {
+    for (int j = 0; j < 6; ++j)
+      one.serve(numbered("x", 6 * i + j), numbered("p", j));
+    for (int j = 0; j < 6; ++j)
+      other.serve(numbered("x", 6 * i + j), numbered("p", j));
+    prefillInstances.insert(one.serve(numbered("a", i), "prefix"));
+    prefillInstances.insert(other.serve(numbered("a", i), "prefix"));
+  }
+  EXPECT_EQ(prefillInstances.size(), 1U);
+}
+
+// One prefill instance must not take all of a popular prefix, and nodes must agree where the text
+// of a session is cached.
+TEST(PrefillSelection, APopularPrefixIsSpreadBySessionAlikeAtEveryNode) {
+  Fleet one(plainSettings(), 1), other(plainSettings(), 2);
+  one.list(twoCells());
+  other.list(twoCells());
+  for (int i = 0; i < 12; ++i)
+    one.serve(numbered("warm", i), "prefix");
+  for (int i = 0; i < 12; ++i)
+    other.serve(numbered("warm", i), "prefix");
+  std::set<std::string> prefillInstances;
+  for (int i = 0; i < 12; ++i) {
+    const std::string prefillInstance = one.serve(numbered("a", i), "prefix");
+    EXPECT_EQ(prefillInstance, other.serve(numbered("a", i), "prefix"));
+    prefillInstances.insert(prefillInstance);
+  }
+  EXPECT_EQ(prefillInstances.size(), 2U);
+}
+
+// A rare prefix must not be prefilled at many instances, as it would be if nodes that see few
+// requests took the first one of a key for a large share of the traffic.
+TEST(PrefillSelection, APrefixSeenOnceHasOneInstanceAtNodesThatSeeFewRequests) {
+  constexpr int kPrefillInstances = 40, kNodes = 20;
+  std::vector<EndpointRecord> entries = {endpoint("w0", kDecode), endpoint("v0", kDecode)};
+  for (int i = 0; i < kPrefillInstances; ++i)
+    entries.push_back(endpoint(numbered("r", i), kPrefill));
+  std::set<std::string> prefillInstances;
+  for (int i = 0; i < kNodes; ++i) {
+    Fleet node(plainSettings(), static_cast<std::uint64_t>(i));
+    prefillInstances.insert(node.list(entries).arrive(numbered("a", i), "prefix").sentTo());
+  }
+  EXPECT_EQ(prefillInstances.size(), 1U);
+}
+
+// Cells without decode instances must not be left idle, and their neighbours not be overloaded.
+TEST(PrefillSelection, InstancesOfACellWithoutDecodeInstancesTakePart) {
+  Fleet fleet;
+  fleet.list({endpoint("r0", kPrefill, 0), endpoint("w0", kDecode, 0), endpoint("v0", kDecode, 0),
+              endpoint("r1", kPrefill, 1)});
+  int away = 0;
+  for (int i = 0; i < 40; ++i) {
+    if (fleet.arrive(numbered("a", i), numbered("p", i)).sentTo() == "r1") {
+      ++away;
+      EXPECT_EQ(fleet.reservedAt()[1], '0');
+    }
+  }
+  EXPECT_GT(away, 4);
+  EXPECT_LT(away, 25);
+}
+
+// Congestion must be noticed where no prefill ends in time.
+TEST(PrefillSelection, APrefillThatTimesOutShowsTheQueueingDelay) {
+  Fleet fleet;
+  fleet.list(twoCells());
+  for (int i = 0; i < 6; ++i)
+    fleet.serve(numbered("warm", i), numbered("q", i));
+  const std::string affinityInstance = fleet.arrive("a", "p").sentTo();
+  fleet.wait(900ms).end("a", affinityInstance, AttemptOutcome::kTimeout, 900ms);
+  EXPECT_NE(fleet.arrive("b", "p").sentTo(), affinityInstance);
+}
+
+TEST(PrefillSelection, ASuddenlyPopularPrefixSpreadsByTheBound) {
+  Fleet fleet;
+  fleet.list(twoCells());
+  for (int i = 0; i < 8; ++i)
+    fleet.serve(numbered("warm", i), numbered("p", i));
+  std::set<std::string> prefillInstances;
+  for (int i = 0; i < 12; ++i)
+    prefillInstances.insert(fleet.arrive(numbered("hot", i), "hot", 6s, 6000).sentTo());
+  EXPECT_EQ(prefillInstances.count("r0") + prefillInstances.count("r1"), 2U);
+}
+
+TEST(PrefillSelection, ALongPromptAloneDoesNotMoveItsKey) {
+  Fleet fleet;
+  fleet.list(twoCells());
+  const std::string affinityInstance = fleet.serve("first", "prefix");
+  for (int i = 0; i < 4; ++i)
+    fleet.serve(numbered("warm", i), numbered("p", i));
+  EXPECT_EQ(fleet.arrive("long", "prefix", 6s, 9000).sentTo(), affinityInstance);
+}
+
+TEST(DecodeSelection, TakesTheInstanceWithFewestOwnStreams) {
+  Fleet fleet;
+  fleet.list({endpoint("r0", kPrefill), endpoint("w0", kDecode), endpoint("v0", kDecode)});
+  const std::string first = fleet.arrive("a").reservedAt();
+  EXPECT_NE(fleet.arrive("b").reservedAt(), first);
+}
+
+// Another reservation is asked for while the prefill goes on.
+TEST(DecodeSelection, ARejectedReservationIsAskedOfTheNextInstance) {
+  Fleet fleet;
+  fleet.list(twoCells()).arrive("a");
+  const std::string first = fleet.reservedAt();
+  const std::string next = fleet.give(ReservationResult{{"a"}, 0, {first}, false}).reservedAt();
+  ASSERT_NE(next, "");
+  EXPECT_NE(next, first);
+  EXPECT_EQ(cellOf(next), cellOf(first));
+}
+
+// KV caches must not wait while a mixed instance has capacity.
+TEST(DecodeSelection, AMixedInstanceTakesWhatTheCellHasNoCapacityFor) {
+  Fleet fleet;
+  const EndpointRecord mixed = endpoint("m1", kMixed, 1);
+  fleet.list({endpoint("r0", kPrefill, 0), endpoint("w0", kDecode, 0), mixed});
+  std::string id;
+  for (int i = 0; id.empty() && i < 20; ++i)
+    if (fleet.arrive(numbered("a", i), numbered("p", i)).sentTo() == "r0")
+      id = numbered("a", i);
+  ASSERT_EQ(fleet.reservedAt(), "w0");
+  EXPECT_EQ(fleet.give(ReservationResult{{id}, 0, {"w0"}, false}).reservedAt(), "m1");
+}
+
+TEST(DecodeSelection, AsksForThreeReservationsAtMost) {
+  Fleet fleet;
+  fleet.list(twoCells()).arrive("a");
+  int reservations = 1;
+  for (std::string at = fleet.reservedAt(); !at.empty(); at = fleet.reservedAt()) {
+    fleet.give(ReservationResult{{"a"}, 0, {at}, false});
+    reservations += fleet.any<ReserveDecode>() ? 1 : 0;
+  }
+  EXPECT_EQ(reservations, 3);
+}
+
+// A decode instance that has just failed the request is not used again, reservation or not.
+TEST(DecodeSelection, AReservationThatFailedIsNotUsedAgain) {
+  Fleet fleet;
+  const std::string prefillInstance = fleet.list(twoCells()).arrive("a").sentTo();
+  const std::string reserved = fleet.reservedAt();
+  fleet.give(ReservationResult{{"a"}, 0, {reserved}, true})
+      .end("a", prefillInstance, AttemptOutcome::kPrefilled);
+  const std::string next = fleet.end("a", reserved, AttemptOutcome::kError).sentTo();
+  EXPECT_NE(next, reserved);
+  EXPECT_NE(next, "");
+}
+
+TEST(Determinism, TheSameEventsGiveTheSameActions) {
+  auto play = [] {
+    Fleet fleet;
+    fleet.list(twoCells());
+    std::string trace;
+    for (int i = 0; i < 20; ++i)
+      trace += fleet.arrive(numbered("a", i)).sentTo() + fleet.reservedAt() + ' ';
+    return trace;
+  };
+  EXPECT_EQ(play(), play());
+}
+
+}  // namespace
+}  // namespace inference_router::routing
--- a/tests/settings_edges_test.cpp
+++ b/tests/settings_edges_test.cpp
@@ -310,7 +310,7 @@
     Fleet fleet(settings, static_cast<std::uint64_t>(n));
     fleet.list({endpoint("r1", 0), endpoint("w1", 1), endpoint("r2", 2), endpoint("w2", 3)});
     EXPECT_EQ(fleet.arrive("a", numbered("p", n), 6s, 1'000).sentTo(), "r2");
-    EXPECT_EQ(fleet.placeAt(), "w2");
+    EXPECT_EQ(fleet.reservedAt(), "w2");
     EXPECT_EQ(fleet.wait(20ms).end("a", "r2", AttemptOutcome::kPrefilled).sentTo(), "w2");
   }
 }
