--- a/tests/settings_edges_test.cpp
+++ b/tests/settings_edges_test.cpp
@@ -3,17 +3,17 @@
 // nothing.
 #include <cfenv>
 
-#include "support/day_play.h"
+#include "support/simulated_day.h"
 
 namespace inference_router::routing {
 namespace {
 
 // Adds a failure where a decision makes a number that is none or infinite, or sends a prompt to
 // where it does not fit.
-class WatchedRouter {
+class CheckedRouter {
  public:
-  WatchedRouter(const DrawnDay& day, std::uint64_t seed)
-      : settings_(day.set), router_(std::make_shared<Router>(day.set, seed)) {}
+  CheckedRouter(const DrawnDay& day, std::uint64_t seed)
+      : settings_(day.settings), router_(std::make_shared<Router>(day.settings, seed)) {}
   void operator()(Time now, const Event& event, std::vector<Action>& actions) {
     note(event);
     std::feclearexcept(FE_ALL_EXCEPT);
@@ -30,12 +30,12 @@
 
  private:
   void note(const Event& event) {
-    if (const auto* told = std::get_if<Arrival>(&event))
-      prompts_[told->request] = told->promptTokens;
-    const auto* news = std::get_if<EndpointListUpdate>(&event);
-    if (news == nullptr)
+    if (const auto* arrival = std::get_if<Arrival>(&event))
+      prompts_[arrival->request] = arrival->promptTokens;
+    const auto* update = std::get_if<EndpointListUpdate>(&event);
+    if (update == nullptr)
       return;
-    for (const EndpointRecord& entry : news->entries)
+    for (const EndpointRecord& entry : update->entries)
       kinds_[entry.instance] = entry.kind;
   }
   double memoryOf(const InstanceId& id) const {
@@ -51,7 +51,7 @@
 struct Edge {
   const char* name;
   DayKind kind;
-  bool compared = true;  // with the plainest policy, which knows no limit of attempts
+  bool compared = true;  // with the random policy, which knows no limit of attempts
 };
 
 void PrintTo(const Edge& edge, std::ostream* out) {
@@ -70,16 +70,16 @@
                 .popularity = 1.2,
                 .memoryBounds = true};
   kind.settings = [](DrawnDay& day) {
-    for (ClassSettings& cls : day.set.classes) {
+    for (ClassSettings& cls : day.settings.classes) {
       cls.latencyObjective = span(in(day.draw, 0.4, 1));
       cls.latencyObjectivePer1000 = span(in(day.draw, 0.04, 0.15));
     }
   };
   kind.fleet = [](DrawnDay& day) {
     for (std::size_t i = 0; i < day.sizes.size(); ++i) {
-      const bool reads = day.set.kinds[i].role == Role::kPrefill;
+      const bool reads = day.settings.kinds[i].role == Role::kPrefill;
       day.sizes[i] = {64, 64, in(day.draw, 20'000, 38'000), reads};
-      day.set.kinds[i].memoryTokens = 64 * 5'500 * in(day.draw, 0.3, 0.7);
+      day.settings.kinds[i].memoryTokens = 64 * 5'500 * in(day.draw, 0.3, 0.7);
     }
   };
   return kind;
@@ -96,7 +96,7 @@
 
 DayKind changedSettings(std::function<void(Settings&)> change) {
   DayKind kind;
-  kind.settings = [change = std::move(change)](DrawnDay& day) { change(day.set); };
+  kind.settings = [change = std::move(change)](DrawnDay& day) { change(day.settings); };
   return kind;
 }
 
@@ -122,8 +122,8 @@
 
 DayKind noSharedTexts() {
   DayKind kind = changedTraffic([](DrawnDay&, Asked& asked) {
-    asked.told.prefix = asked.told.session = "";
-    asked.told.prefixTokens = 0;
+    asked.arrival.prefix = asked.arrival.session = "";
+    asked.arrival.prefixTokens = 0;
   });
   kind.shape.shared = {0, 0};
   return kind;
@@ -133,7 +133,7 @@
   return changedFleet([](DrawnDay& day) {
     for (EndpointRecord& instance : day.instances)
       instance.kind = {0};
-    day.set.kinds = {{Role::kMixed, 150'000}};
+    day.settings.kinds = {{Role::kMixed, 150'000}};
     day.sizes = {{20, 20, 12'000}};
   });
 }
@@ -145,8 +145,8 @@
       if (day.roleOf(i) != role)
         continue;
       day.sizes.push_back(day.sizes[day.instances[i].kind.value]);
-      day.set.kinds.push_back({role, 1'000});
-      day.instances[i].kind = {static_cast<std::uint32_t>(day.set.kinds.size()) - 1};
+      day.settings.kinds.push_back({role, 1'000});
+      day.instances[i].kind = {static_cast<std::uint32_t>(day.settings.kinds.size()) - 1};
       return;
     }
   });
@@ -154,7 +154,7 @@
 
 DayKind smallMemory(Role role) {
   return changedFleet([role](DrawnDay& day) {
-    for (KindSettings& kind : day.set.kinds)
+    for (KindSettings& kind : day.settings.kinds)
       if (kind.role == role)
         kind.memoryTokens = in(day.draw, 500, 4'000);
   });
@@ -164,24 +164,24 @@
 DayKind oneRole(Role role, bool decodeCanPrefill) {
   DayKind kind = changedFleet([role](DrawnDay& day) {
     std::erase_if(day.instances, [&](const EndpointRecord& instance) {
-      return day.set.kinds[instance.kind.value].role != role;
+      return day.settings.kinds[instance.kind.value].role != role;
     });
-    for (KindSettings& kind : day.set.kinds)
+    for (KindSettings& kind : day.settings.kinds)
       kind.role = role;
   });
   kind.settings = [decodeCanPrefill](DrawnDay& day) {
-    day.set.decodeCanPrefill = decodeCanPrefill;
+    day.settings.decodeCanPrefill = decodeCanPrefill;
   };
   return kind;
 }
 
 DayKind tenantsWithoutShare() {
   DayKind kind = changedTraffic([](DrawnDay& day, Asked& asked) {
-    asked.told.tenant = TenantIndex{static_cast<std::uint32_t>(oneOf(day.draw, 0, 1))};
+    asked.arrival.tenant = TenantIndex{static_cast<std::uint32_t>(oneOf(day.draw, 0, 1))};
   });
   kind.settings = [](DrawnDay& day) {
-    day.set.tenants = {{0, 0}, {0, 0}};
-    day.set.overQuotaWeight = 0;
+    day.settings.tenants = {{0, 0}, {0, 0}};
+    day.settings.overQuotaWeight = 0;
   };
   return kind;
 }
@@ -191,16 +191,17 @@
   all.push_back({"LongPrompts", longPrompts()});
   all.push_back({"NoSharedTexts", noSharedTexts()});
   all.push_back({"WholePromptsShared", changedTraffic([](DrawnDay&, Asked& asked) {
-                   asked.told.prefixTokens = asked.told.promptTokens;
+                   asked.arrival.prefixTokens = asked.arrival.promptTokens;
                  })});
-  all.push_back({"OneClass", changedSettings([](Settings& set) { set.classes.resize(1); })});
-  all.push_back({"OneSmallReader", oneSmallInstance(Role::kPrefill)});
-  all.push_back({"OneSmallWriter", oneSmallInstance(Role::kDecode)});
-  all.push_back({"SmallReaders", smallMemory(Role::kPrefill)});
-  all.push_back({"SmallWriters", smallMemory(Role::kDecode)});
-  all.push_back({"ReadersAlone", oneRole(Role::kPrefill, true)});
-  all.push_back({"WritersAlone", oneRole(Role::kDecode, false)});
-  all.push_back({"WritersThatReadAlone", oneRole(Role::kDecode, true)});
+  all.push_back(
+      {"OneClass", changedSettings([](Settings& settings) { settings.classes.resize(1); })});
+  all.push_back({"OneSmallPrefillInstance", oneSmallInstance(Role::kPrefill)});
+  all.push_back({"OneSmallDecodeInstance", oneSmallInstance(Role::kDecode)});
+  all.push_back({"SmallPrefillInstances", smallMemory(Role::kPrefill)});
+  all.push_back({"SmallDecodeInstances", smallMemory(Role::kDecode)});
+  all.push_back({"PrefillInstancesAlone", oneRole(Role::kPrefill, true)});
+  all.push_back({"DecodeInstancesAlone", oneRole(Role::kDecode, false)});
+  all.push_back({"DecodeInstancesThatPrefillAlone", oneRole(Role::kDecode, true)});
   all.push_back({"SlotsOfOne", slotsOf(1)});
   all.push_back({"SlotsOfAThousand", slotsOf(1'000)});
   all.push_back({"OneKindThatDoesBoth", oneKindThatDoesBoth()});
@@ -210,34 +211,38 @@
                      instance.weight = 0;
                  })});
   all.push_back({"SomeWeightsOfZero", weightsFrom(-1)});
-  all.push_back({"NothingIsWorthAnything", changedSettings([](Settings& set) {
-                   for (ClassSettings& cls : set.classes)
+  all.push_back({"PriorityWeightsOfZero", changedSettings([](Settings& settings) {
+                   for (ClassSettings& cls : settings.classes)
                      cls.priorityWeight = cls.lateWeightShare = 0;
                  })});
-  all.push_back({"ColdFromNothing",
-                 changedSettings([](Settings& set) { set.contract.warmupInitialShare = 0; })});
-  all.push_back(
-      {"WarmAtOnce", changedSettings([](Settings& set) { set.contract.warmupDuration = 0s; })});
-  all.push_back({"NoGraceAtAll", changedSettings([](Settings& set) {
-                   set.contract.answerGrace = set.contract.drainGrace = 0s;
-                   set.tick = 0s;
+  all.push_back({"ColdFromNothing", changedSettings([](Settings& settings) {
+                   settings.contract.warmupInitialShare = 0;
+                 })});
+  all.push_back({"WarmAtOnce", changedSettings([](Settings& settings) {
+                   settings.contract.warmupDuration = 0s;
+                 })});
+  all.push_back({"NoGraceAtAll", changedSettings([](Settings& settings) {
+                   settings.contract.answerGrace = settings.contract.drainGrace = 0s;
+                   settings.tick = 0s;
                  })});
-  all.push_back({"AimsBeyondDeadlines", changedSettings([](Settings& set) {
-                   set.contract.answerGrace = set.tick = 0s;
-                   for (ClassSettings& cls : set.classes)
+  all.push_back({"ObjectivesBeyondDeadlines", changedSettings([](Settings& settings) {
+                   settings.contract.answerGrace = settings.tick = 0s;
+                   for (ClassSettings& cls : settings.classes)
                      cls.latencyObjective = 2 * cls.deadline;
                  })});
-  all.push_back({"NoTimeForRepeats", changedSettings([](Settings& set) {
-                   for (ClassSettings& cls : set.classes)
+  all.push_back({"NoTimeForRepeats", changedSettings([](Settings& settings) {
+                   for (ClassSettings& cls : settings.classes)
                      cls.dedupWindow = 0s;
                  })});
   all.push_back({"EmptyPrompts", changedTraffic([](DrawnDay&, Asked& asked) {
-                   asked.told.promptTokens = asked.told.prefixTokens = asked.told.maxTokens = 0;
+                   asked.arrival.promptTokens = asked.arrival.prefixTokens =
+                       asked.arrival.maxTokens = 0;
                  })});
-  all.push_back(
-      {"OneAttempt", changedSettings([](Settings& set) { set.limits.maxAttempts = 1; }), false});
-  all.push_back(
-      {"TwoAttempts", changedSettings([](Settings& set) { set.limits.maxAttempts = 2; })});
+  all.push_back({"OneAttempt",
+                 changedSettings([](Settings& settings) { settings.limits.maxAttempts = 1; }),
+                 false});
+  all.push_back({"TwoAttempts",
+                 changedSettings([](Settings& settings) { settings.limits.maxAttempts = 2; })});
   return all;
 }
 
@@ -251,40 +256,41 @@
 
 // Whether some kind that can do it has the memory for the prompt.
 template <class Does>
-bool holds(const DrawnDay& day, const Asked& asked, const Does& does) {
-  return std::any_of(day.set.kinds.begin(), day.set.kinds.end(), [&](const KindSettings& kind) {
-    return does(kind.role) && asked.told.promptTokens <= kind.memoryTokens;
-  });
+bool fitsSomewhere(const DrawnDay& day, const Asked& asked, const Does& does) {
+  return std::any_of(day.settings.kinds.begin(), day.settings.kinds.end(),
+                     [&](const KindSettings& kind) {
+                       return does(kind.role) && asked.arrival.promptTokens <= kind.memoryTokens;
+                     });
 }
 
-TEST_P(SettingsAtTheEdge, KeepTheRulesAnswerInTimeAndServeNoLessThanThePlainestPolicy) {
-  double gained = 0;
+TEST_P(SettingsAtTheEdge, KeepTheInvariantsAnswerInTimeAndServeNoLessThanARandomPolicy) {
+  double gain = 0;
   for (std::uint64_t seed = 1; seed <= kDays && !HasFailure(); ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     const DrawnDay day(seed, GetParam().kind);
     const auto seedOf = [seed](int n) { return seed * 10 + static_cast<std::uint64_t>(n); };
-    const auto module = [&](int n) { return WatchedRouter(day, seedOf(n)); };
-    const auto plainest = [&](int n) { return Plainest(day.set, seedOf(n)); };
-    const Play ours(day, module, true);
-    EXPECT_LE(ours.mostOver(), 0) << "rule four";
-    EXPECT_EQ(ours.unanswered(), 0U) << "of " << day.asks.size();
+    const auto module = [&](int n) { return CheckedRouter(day, seedOf(n)); };
+    const auto randomPolicy = [&](int n) { return RandomPolicy(day.settings, seedOf(n)); };
+    const SimulatedDay routed(day, module, true);
+    EXPECT_LE(routed.maxSlowStartExcess(), 0) << "instances in slow start are overloaded";
+    EXPECT_EQ(routed.unanswered(), 0U) << "of " << day.asks.size();
     for (const Asked& asked : day.asks) {
-      const bool nowhere = !holds(day, asked, [&](Role role) {
-        return role != Role::kDecode || day.set.decodeCanPrefill;
-      }) || !holds(day, asked, [](Role role) { return role != Role::kPrefill; });
-      EXPECT_TRUE(!nowhere || ours.attemptsOf(asked.told.request) == 0);
+      const bool impossible = !fitsSomewhere(day, asked, [&](Role role) {
+        return role != Role::kDecode || day.settings.decodeCanPrefill;
+      }) || !fitsSomewhere(day, asked, [](Role role) { return role != Role::kPrefill; });
+      EXPECT_TRUE(!impossible || routed.attemptsOf(asked.arrival.request) == 0);
     }
-    const Play plain(day, plainest, false);
-    if (!GetParam().compared || plain.mostOver() > 0)
+    const SimulatedDay plain(day, randomPolicy, false);
+    if (!GetParam().compared || plain.maxSlowStartExcess() > 0)
       continue;  // it serves more, and breaks a rule for it
-    gained += ours.served() - plain.served();
+    gain += routed.served() - plain.served();
   }
-  EXPECT_GE(gained, 0) << "of " << kDays << " days";
+  EXPECT_GE(gain, 0) << "of " << kDays << " days";
 }
 
 // ---- One by one
 
-TEST(Sizes, APromptThatNothingCanReadIsRefusedAtOnce) {
+TEST(Sizes, APromptThatNothingCanPrefillIsRejectedAtOnce) {
   Settings settings = plainSettings();
   settings.kinds = {{Role::kPrefill, 500}, {Role::kDecode, 100'000}};
   Fleet fleet(settings);
@@ -293,7 +299,7 @@
   EXPECT_FALSE(fleet.any<DispatchAttempt>());
 }
 
-TEST(Sizes, APromptThatOnlyAWriterHoldsIsReadThereWhereWritersRead) {
+TEST(Sizes, APromptThatOnlyADecodeInstanceHoldsIsPrefilledThereWhereItCan) {
   Settings settings = plainSettings();
   settings.kinds = {{Role::kPrefill, 500}, {Role::kDecode, 100'000}};
   settings.decodeCanPrefill = true;
@@ -315,7 +321,7 @@
   }
 }
 
-TEST(TimerQueue, WithoutAnyGraceTheAnswerComesBeforeTheDeadline) {
+TEST(Deadlines, WithoutAnyGraceTheAnswerComesBeforeTheDeadline) {
   Settings settings = plainSettings();
   settings.contract.answerGrace = settings.tick = 0s;
   settings.classes[0].latencyObjective = 1min;
@@ -337,7 +343,7 @@
 }
 
 // Their clock may be ahead of this node's, too.
-TEST(ColdInstances, ThatBearNothingAtTheirStartAreNoDivisor) {
+TEST(SlowStart, OfInstancesWithoutCapacityAtTheirStartDividesByNothing) {
   Settings settings = plainSettings();
   settings.contract.warmupInitialShare = 0;
   Fleet fleet(settings);
@@ -351,7 +357,7 @@
   EXPECT_FALSE(std::fetestexcept(FE_DIVBYZERO | FE_INVALID));
 }
 
-TEST(Prompts, OfAnyLengthAreReckonedWithoutAnOverflow) {
+TEST(Prompts, OfAnyLengthAreEstimatedWithoutAnOverflow) {
   Settings settings = plainSettings();
   settings.kinds = {{Role::kPrefill, 1e300}, {Role::kDecode, 1e300}};
   for (const double tokens : {1e12, 2.3e17, 1e19, 1e200}) {
@@ -363,7 +369,7 @@
   }
 }
 
-TEST(Unusable, AreAnAimADeadlineOrAWindowOfNothing) {
+TEST(Unusable, AreAnObjectiveADeadlineOrAWindowOfZero) {
   const auto problem = [](auto change) {
     Settings settings = plainSettings();
     change(settings);
--- a/tests/support/day_policies.h
+++ b/tests/support/day_policies.h
@@ -1,36 +1,36 @@
-// What may decide on a drawn day, and one node that keeps its rules in sight.
+// What may decide on a drawn day, and one node whose invariants are checked.
 #pragma once
 
 #include <functional>
 #include <memory>
 
 #include "support/drawn_day.h"
-#include "support/rule_book.h"
+#include "support/invariant_checker.h"
 
 namespace inference_router::routing {
 
 using Policy = std::function<void(Time, const Event&, std::vector<Action>&)>;
 
-// Any instance that fits, and what does not end well there is over.
-class Plainest {
+// Sends to any active instance and retries nothing.
+class RandomPolicy {
  public:
-  Plainest(const Settings& settings, std::uint64_t seed) : set_(settings), draw_(seed) {}
+  RandomPolicy(const Settings& settings, std::uint64_t seed) : settings_(settings), draw_(seed) {}
   void operator()(Time now, const Event& event, std::vector<Action>& actions) {
-    if (const auto* news = std::get_if<EndpointListUpdate>(&event))
-      for (const EndpointRecord& entry : news->entries)
+    if (const auto* update = std::get_if<EndpointListUpdate>(&event))
+      for (const EndpointRecord& entry : update->entries)
         fleet_[entry.instance] = entry;
-    if (const auto* told = std::get_if<Arrival>(&event)) {
-      const Waiting& w = waiting_[told->request] = {told->cls, now + told->timeLeft};
-      send(told->request, w, Role::kPrefill, actions);
+    if (const auto* arrival = std::get_if<Arrival>(&event)) {
+      const Waiting& waiting = waiting_[arrival->request] = {arrival->cls, now + arrival->timeLeft};
+      send(arrival->request, waiting, Role::kPrefill, actions);
     }
-    if (const auto* lapsed = std::get_if<RequestAbandoned>(&event))
-      actions.push_back(ReleaseState{lapsed->request});
+    if (const auto* abandoned = std::get_if<RequestAbandoned>(&event))
+      actions.push_back(ReleaseState{abandoned->request});
     const auto* ended = std::get_if<AttemptEnded>(&event);
     if (ended == nullptr || ended->outcome == AttemptOutcome::kServed)
       return;
-    const Waiting& w = waiting_.at(ended->request);
+    const Waiting& waiting = waiting_.at(ended->request);
     if (ended->outcome == AttemptOutcome::kPrefilled && !ended->concluded)
-      return send(ended->request, w, Role::kDecode, actions);
+      return send(ended->request, waiting, Role::kDecode, actions);
     actions.push_back(ReleaseState{ended->request});
     if (!ended->concluded)
       actions.push_back(FailRequest{ended->request});
@@ -41,73 +41,77 @@
     ClassIndex cls;
     Time deadline;
   };
-  void send(const RequestId& id, const Waiting& w, Role role, std::vector<Action>& actions) {
-    std::vector<InstanceId> fit;
+  void send(const RequestId& id, const Waiting& waiting, Role role, std::vector<Action>& actions) {
+    std::vector<InstanceId> candidates;
     for (const auto& [instance, entry] : fleet_) {
-      const Role its = set_.kinds[entry.kind.value].role;
-      if (entry.state == EndpointState::kActive && (its == role || its == Role::kMixed))
-        fit.push_back(instance);
+      const Role entryRole = settings_.kinds[entry.kind.value].role;
+      if (entry.state == EndpointState::kActive && (entryRole == role || entryRole == Role::kMixed))
+        candidates.push_back(instance);
     }
-    if (fit.empty())
-      return void((actions.push_back(ReleaseState{id}), actions.push_back(FailRequest{id})));
-    const auto n = static_cast<std::size_t>(oneOf(draw_, 0, static_cast<int>(fit.size()) - 1));
-    actions.push_back(DispatchAttempt{id, fit[n], w.deadline});
+    if (candidates.empty()) {
+      actions.push_back(ReleaseState{id});
+      actions.push_back(FailRequest{id});
+      return;
+    }
+    const auto n =
+        static_cast<std::size_t>(oneOf(draw_, 0, static_cast<int>(candidates.size()) - 1));
+    actions.push_back(DispatchAttempt{id, candidates[n], waiting.deadline});
   }
 
-  Settings set_;
+  Settings settings_;
   Draw draw_;
   std::map<InstanceId, EndpointRecord> fleet_;
   std::map<RequestId, Waiting> waiting_;
 };
 
-// One router: what decides, and what may be seen of it.
-class Node : public RuleBook {
+// One node: what decides, and the checks on it.
+class Node : public InvariantChecker {
  public:
   Node(const Settings& settings, Policy policy, bool checked)
-      : RuleBook(settings), policy_(std::move(policy)), checked_(checked) {}
+      : InvariantChecker(settings), policy_(std::move(policy)), checked_(checked) {}
 
   std::vector<Action> give(Time now, const Event& event) {
     now_ = now;
     std::vector<Action> actions;
-    if (const auto* told = std::get_if<Arrival>(&event))
-      arrived(told->request, told->cls, told->timeLeft);
-    if (const auto* opens = std::get_if<StreamOpened>(&event))
-      opened(held_.at(opens->request));
-    if (const auto* lapsed = std::get_if<RequestAbandoned>(&event))
-      held_.at(lapsed->request).over = true;
-    if (const auto* news = std::get_if<EndpointListUpdate>(&event))
-      for (const EndpointRecord& entry : news->entries)
-        list(entry);
+    if (const auto* arrival = std::get_if<Arrival>(&event))
+      trackArrival(arrival->request, arrival->cls, arrival->timeLeft);
+    if (const auto* opened = std::get_if<StreamOpened>(&event))
+      trackFirstToken(requests_.at(opened->request));
+    if (const auto* abandoned = std::get_if<RequestAbandoned>(&event))
+      requests_.at(abandoned->request).finished = true;
+    if (const auto* update = std::get_if<EndpointListUpdate>(&event))
+      for (const EndpointRecord& entry : update->entries)
+        trackEndpoint(entry);
     if (const auto* end = std::get_if<AttemptEnded>(&event)) {
-      AttemptEnded whole = *end;
-      whole.concluded = ended(held_.at(end->request), end->attempt, end->outcome).second;
-      policy_(now, whole, actions);
+      AttemptEnded concluded = *end;
+      concluded.concluded = trackEnd(requests_.at(end->request), end->attempt, end->outcome).second;
+      policy_(now, concluded, actions);
     } else {
       policy_(now, event, actions);
     }
     for (const Action& action : actions)
-      std::visit([this](const auto& act) { see(act); }, action);
+      std::visit([this](const auto& act) { check(act); }, action);
     return actions;
   }
   void look(Time now) {
     now_ = now;
     if (checked_)
-      checkStanding();
+      checkOpenRequests();
   }
   bool waits(const RequestId& id) const {
-    const auto it = held_.find(id);
-    return it != held_.end() && !it->second.over;
+    const auto it = requests_.find(id);
+    return it != requests_.end() && !it->second.finished;
   }
 
  private:
   template <class Act>
-  void see(const Act& act) {
+  void check(const Act& act) {
     if (checked_)
-      return RuleBook::see(act);
+      return InvariantChecker::check(act);
     if constexpr (std::is_same_v<Act, DispatchAttempt>)
-      held_.at(act.request).out[held_.at(act.request).sent++] = {};
+      requests_.at(act.request).attemptsOut[requests_.at(act.request).attemptsSent++] = {};
     if constexpr (std::is_same_v<Act, FailRequest>)
-      held_.at(act.request).over = true;
+      requests_.at(act.request).finished = true;
   }
 
   Policy policy_;
--- a/tests/support/drawn_day.h
+++ b/tests/support/drawn_day.h
@@ -30,8 +30,8 @@
 
 struct Sizes {
   int slots, queue;
-  double readRate;          // tokens a second
-  bool sharesRate = false;  // among the prompts that it reads at once
+  double prefillRate;              // tokens a second
+  bool sharesPrefillRate = false;  // among the prompts that it prefills at once
 };
 
 struct Range {
@@ -56,7 +56,7 @@
 struct Asked {
   double at;
   int node;
-  Arrival told;
+  Arrival arrival;
   double answer;  // tokens
   bool leaves;    // its client, before the end of its time
 };
@@ -77,7 +77,7 @@
 
 // Everything that is so whoever decides: a deployment, what is asked of it, and what goes wrong.
 struct DrawnDay {
-  static constexpr double kLength = 9, kLeastRate = 10;
+  static constexpr double kLength = 9, kMinRate = 10;
 
   explicit DrawnDay(std::uint64_t seed, const DayKind& kind = {}) : draw(seed), shape(kind.shape) {
     drawSettings();
@@ -89,116 +89,122 @@
     drawTraffic();
     if (kind.traffic)
       kind.traffic(*this);
-    drawTroubles();
+    drawFaults();
   }
 
   void drawSettings() {
-    set.contract = {.drainGrace = span(0.05 * std::pow(30, in(draw, 0, 1))),
-                    .answerGrace = 8ms,
-                    .maxListAge = 10s,
-                    .warmupInitialShare = in(draw, 0.25, 0.5),
-                    .warmupDuration = span(in(draw, 3, 13)),
-                    .overloadFactor = in(draw, 2.2, 3.5),
-                    .overloadWindow = span(in(draw, 0.7, 3)),
-                    .releaseLimit = span(in(draw, 0.08, 0.5))};
-    set.limits = {
-        .cancel = chance(draw, 0.8),
-        .gossip = false,
-        .healthChecks = chance(draw, 0.5),
-        .hedgedRequests = false,
-        .retryAfter = chance(draw, 0.5),
-        .maxAttempts = oneOf(draw, 3, 6),
-        .maxRetryAfter = span(in(draw, 0.5, 2)),
-        .connectTimeout = std::min(span(in(draw, 0.1, 0.3)), set.contract.releaseLimit * 3 / 4)};
-    set.discovery = Discovery::kPush;
-    set.reservationsAllowed = chance(draw, 0.7);
-    set.decodeCanPrefill = chance(draw, 0.4);
-    set.nodes = oneOf(draw, 1, 4);
-    set.tick = 2ms;
+    settings.contract = {.drainGrace = span(0.05 * std::pow(30, in(draw, 0, 1))),
+                         .answerGrace = 8ms,
+                         .maxListAge = 10s,
+                         .warmupInitialShare = in(draw, 0.25, 0.5),
+                         .warmupDuration = span(in(draw, 3, 13)),
+                         .overloadFactor = in(draw, 2.2, 3.5),
+                         .overloadWindow = span(in(draw, 0.7, 3)),
+                         .releaseLimit = span(in(draw, 0.08, 0.5))};
+    settings.limits = {.cancel = chance(draw, 0.8),
+                       .gossip = false,
+                       .healthChecks = chance(draw, 0.5),
+                       .hedgedRequests = false,
+                       .retryAfter = chance(draw, 0.5),
+                       .maxAttempts = oneOf(draw, 3, 6),
+                       .maxRetryAfter = span(in(draw, 0.5, 2)),
+                       .connectTimeout = std::min(span(in(draw, 0.1, 0.3)),
+                                                  settings.contract.releaseLimit * 3 / 4)};
+    settings.discovery = Discovery::kPush;
+    settings.reservationsAllowed = chance(draw, 0.7);
+    settings.decodeCanPrefill = chance(draw, 0.4);
+    settings.nodes = oneOf(draw, 1, 4);
+    settings.tick = 2ms;
     for (int i = 0, n = oneOf(draw, 1, 3); i < n; ++i) {
       const double latencyObjective = in(draw, 0.8, 3);
-      set.classes.push_back({.effect = static_cast<Effect>(oneOf(draw, 0, 2)),
-                             .dedupScope = static_cast<DedupScope>(oneOf(draw, 0, 2)),
-                             .dedupWindow = span(in(draw, 0.3, 3)),
-                             .latencyObjective = span(latencyObjective),
-                             .latencyObjectivePer1000 = span(in(draw, 0.02, 0.08)),
-                             .tokenIntervalObjective = span(in(draw, 0.04, 0.1)),
-                             .deadline = span(latencyObjective * in(draw, 2.5, 6)),
-                             .lateWeightShare = in(draw, 0.1, 0.35),
-                             .priorityWeight = in(draw, 1, 4),
-                             .stream = true});
+      settings.classes.push_back({.effect = static_cast<Effect>(oneOf(draw, 0, 2)),
+                                  .dedupScope = static_cast<DedupScope>(oneOf(draw, 0, 2)),
+                                  .dedupWindow = span(in(draw, 0.3, 3)),
+                                  .latencyObjective = span(latencyObjective),
+                                  .latencyObjectivePer1000 = span(in(draw, 0.02, 0.08)),
+                                  .tokenIntervalObjective = span(in(draw, 0.04, 0.1)),
+                                  .deadline = span(latencyObjective * in(draw, 2.5, 6)),
+                                  .lateWeightShare = in(draw, 0.1, 0.35),
+                                  .priorityWeight = in(draw, 1, 4),
+                                  .stream = true});
     }
   }
 
   void drawFleet() {
     const bool mixed = chance(draw, 0.5);
-    const int zones = oneOf(draw, 1, 3), writerKinds = oneOf(draw, 1, 2);
+    const int zones = oneOf(draw, 1, 3), decodeKinds = oneOf(draw, 1, 2);
     const auto kind = [&](Role role, Sizes of, int count) {
-      set.kinds.push_back({role, in(draw, 60'000, 250'000)});
+      settings.kinds.push_back({role, in(draw, 60'000, 250'000)});
       sizes.push_back(of);
       for (int i = 0; i < count; ++i) {
         const auto cell = static_cast<std::uint32_t>(oneOf(draw, 0, 2 * zones - 1));
         instances.push_back(endpoint(numbered("e", static_cast<int>(instances.size())),
-                                     static_cast<std::uint32_t>(set.kinds.size()) - 1, cell));
+                                     static_cast<std::uint32_t>(settings.kinds.size()) - 1, cell));
         instances.back().zone = {cell / 2};
       }
     };
     kind(Role::kPrefill, {1, oneOf(draw, 12, 60), in(draw, 7'000, 22'000)}, oneOf(draw, 3, 6));
-    for (int i = 0; i < writerKinds; ++i)
+    for (int i = 0; i < decodeKinds; ++i)
       kind(Role::kDecode, {oneOf(draw, 10, 60), oneOf(draw, 8, 40), in(draw, 5'000, 9'000)},
-           oneOf(draw, 4 - writerKinds, 6 / writerKinds));
+           oneOf(draw, 4 - decodeKinds, 6 / decodeKinds));
     if (mixed)
       kind(Role::kMixed, {oneOf(draw, 10, 40), oneOf(draw, 10, 40), in(draw, 7'000, 15'000)},
            oneOf(draw, 1, 3));
     if (chance(draw, 0.3))
-      std::swap(set.kinds.front(), set.kinds.back()), swapKinds();
+      std::swap(settings.kinds.front(), settings.kinds.back()), swapKinds();
   }
   // The order of kinds says nothing.
   void swapKinds() {
     std::swap(sizes.front(), sizes.back());
-    const auto last = static_cast<std::uint32_t>(set.kinds.size()) - 1;
-    for (EndpointRecord& instance : instances)
-      instance.kind.value = instance.kind.value == 0      ? last
-                            : instance.kind.value == last ? 0
-                                                          : instance.kind.value;
+    const auto last = static_cast<std::uint32_t>(settings.kinds.size()) - 1;
+    for (EndpointRecord& instance : instances) {
+      std::uint32_t& kind = instance.kind.value;
+      if (kind == 0)
+        kind = last;
+      else if (kind == last)
+        kind = 0;
+    }
+  }
+  Role roleOf(std::size_t instance) const {
+    return settings.kinds[instances[instance].kind.value].role;
   }
-  Role roleOf(std::size_t instance) const { return set.kinds[instances[instance].kind.value].role; }
 
   void drawTraffic() {
     const double prompt = in(draw, shape.prompt), shared = in(draw, shape.shared);
     const double answer = in(draw, shape.answer);
     const int prefixes = oneOf(draw, 2, 12);
-    double gap = 0, reads = 0, writes = 0;
-    for (const ClassSettings& cls : set.classes)
+    double gap = 0, prefillsPerSecond = 0, decodesPerSecond = 0;
+    for (const ClassSettings& cls : settings.classes)
       gap += secondsOf(cls.tokenIntervalObjective) / 2;
-    gap /= static_cast<double>(set.classes.size());
+    gap /= static_cast<double>(settings.classes.size());
     for (std::size_t i = 0; i < instances.size(); ++i) {
       const Sizes& of = sizes[instances[i].kind.value];
       if (roleOf(i) != Role::kDecode)
-        reads += of.readRate / prompt / (1 - shared / 2);
-      const double inMemory = set.kinds[instances[i].kind.value].memoryTokens / (prompt + answer);
+        prefillsPerSecond += of.prefillRate / prompt / (1 - shared / 2);
+      const double inMemory =
+          settings.kinds[instances[i].kind.value].memoryTokens / (prompt + answer);
       const double atOnce = shape.memoryBounds ? std::min<double>(of.slots, inMemory) : of.slots;
       if (roleOf(i) != Role::kPrefill)
-        writes += atOnce / (answer * gap);
+        decodesPerSecond += atOnce / (answer * gap);
     }
-    const double able = in(draw, shape.load) * std::min(reads, writes);
-    const double rate =
-        able > 0 ? std::min(60.0, able) : kLeastRate;  // some ask where nothing can serve them
+    const double capacity = in(draw, shape.load) * std::min(prefillsPerSecond, decodesPerSecond);
+    const double rate = capacity > 0 ? std::min(60.0, capacity)
+                                     : kMinRate;  // some ask where nothing can serve them
     int asked = 0;
     for (double at = 0.1; at < kLength; at += std::exponential_distribution<>(rate)(draw)) {
       const auto cls =
-          static_cast<std::uint32_t>(oneOf(draw, 0, static_cast<int>(set.classes.size()) - 1));
+          static_cast<std::uint32_t>(oneOf(draw, 0, static_cast<int>(settings.classes.size()) - 1));
       const double tokens = prompt * in(draw, shape.promptSpread);
-      Arrival told{};
-      told.request = {numbered("q", ++asked)};
-      told.cls = {cls};
-      told.session = numbered("s", oneOf(draw, 0, asked));
-      told.prefix = numbered("p", drawPrefix(prefixes));
-      told.timeLeft = span(secondsOf(set.classes[cls].deadline) * in(draw, 0.5, 1));
-      told.promptTokens = tokens;
-      told.prefixTokens = tokens * shared;
-      told.maxTokens = answer * 4;
-      asks.push_back({at, oneOf(draw, 0, set.nodes - 1), told,
+      Arrival arrival{};
+      arrival.request = {numbered("q", ++asked)};
+      arrival.cls = {cls};
+      arrival.session = numbered("s", oneOf(draw, 0, asked));
+      arrival.prefix = numbered("p", drawPrefix(prefixes));
+      arrival.timeLeft = span(secondsOf(settings.classes[cls].deadline) * in(draw, 0.5, 1));
+      arrival.promptTokens = tokens;
+      arrival.prefixTokens = tokens * shared;
+      arrival.maxTokens = answer * 4;
+      asks.push_back({at, oneOf(draw, 0, settings.nodes - 1), arrival,
                       answer * in(draw, shape.answerSpread), chance(draw, 0.02)});
     }
   }
@@ -212,7 +218,7 @@
     return std::discrete_distribution<>(weights.begin(), weights.end())(draw);
   }
 
-  void drawTroubles() {
+  void drawFaults() {
     for (std::size_t i = 0; i < instances.size(); ++i)
       if (chance(draw, 0.6))
         changes.push_back({Change::kForgets, kLength / 2, i});
@@ -220,9 +226,9 @@
         instances[static_cast<std::size_t>(oneOf(draw, 0, static_cast<int>(instances.size()) - 1))]
             .cell;
     const double cut = in(draw, 1, kLength - 2), back = cut + in(draw, 0.5, 1.5);
-    const bool writers = chance(draw, 0.4);  // all of them, or a cell
+    const bool decodeInstances = chance(draw, 0.4);  // all of them, or a cell
     for (std::size_t i = 0; i < instances.size(); ++i) {
-      if (writers ? roleOf(i) != Role::kDecode : instances[i].cell != cell)
+      if (decodeInstances ? roleOf(i) != Role::kDecode : instances[i].cell != cell)
         continue;
       changes.push_back({Change::kCut, cut, i});
       changes.push_back({Change::kBack, back, i});
@@ -244,7 +250,7 @@
 
   Draw draw;
   TrafficShape shape;
-  Settings set{};
+  Settings settings{};
   std::vector<Sizes> sizes;  // by kind
   std::vector<EndpointRecord> instances;
   std::vector<Asked> asks;
--- a/tests/support/day_play.h
+++ b/tests/support/simulated_day.h
@@ -1,4 +1,4 @@
-// A drawn day as one policy plays it: a small queue model stands for the instances.
+// A drawn day as one policy serves it: a small queue model stands for the instances.
 #pragma once
 
 #include <deque>
@@ -9,13 +9,14 @@
 
 namespace inference_router::routing {
 
-// A day as one policy plays it. Ways take a millisecond; queues, reads, moves and streams take what
-// they take.
-class Play {
+// A day as one policy serves it. A message takes a millisecond; queues, prefills, transfers of KV
+// caches and streams take the time of the model.
+class SimulatedDay {
  public:
-  Play(const DrawnDay& day, const std::function<Policy(int)>& policy, bool checked) : day_(day) {
-    for (int n = 0; n < day.set.nodes; ++n) {
-      Settings own = day.set;
+  SimulatedDay(const DrawnDay& day, const std::function<Policy(int)>& policy, bool checked)
+      : day_(day) {
+    for (int n = 0; n < day.settings.nodes; ++n) {
+      Settings own = day.settings;
       own.me = n;
       own.zone = day.instances[static_cast<std::size_t>(n)].zone;  // any that has instances
       nodes_.push_back(std::make_unique<Node>(own, policy(n), checked));
@@ -50,14 +51,14 @@
       node->look(now_ + 1s);  // nothing is left open
   }
 
-  double served() const {  // share of the worth that was asked for
+  double served() const {  // share of the priority weight that was asked for
     double got = 0, all = 0;
     for (const Asked& asked : day_.asks) {
-      const ClassSettings& cls = day_.set.classes[asked.told.cls.value];
+      const ClassSettings& cls = day_.settings.classes[asked.arrival.cls.value];
       const Duration latencyObjective =
           cls.latencyObjective +
-          span(secondsOf(cls.latencyObjectivePer1000) * asked.told.promptTokens / 1000);
-      const Ask& ask = asks_.at(asked.told.request);
+          span(secondsOf(cls.latencyObjectivePer1000) * asked.arrival.promptTokens / 1000);
+      const Ask& ask = asks_.at(asked.arrival.request);
       all += cls.priorityWeight;
       if (ask.served)
         got += cls.priorityWeight *
@@ -77,9 +78,9 @@
     return it == sent_.end() ? 0 : static_cast<std::size_t>(it->second);
   }
 
-  // The most sends to a cold instance in any window beyond what it may get.
-  double mostOver() const {
-    const Contract& contract = day_.set.contract;
+  // The most attempts at an instance in slow start in any window, beyond what it may get.
+  double maxSlowStartExcess() const {
+    const Contract& contract = day_.settings.contract;
     const double window = secondsOf(contract.overloadWindow);
     double most = -HUGE_VAL;
     for (const Instance& instance : instances_)
@@ -102,15 +103,15 @@
     EndpointRecord entry;
     const Sizes* size = nullptr;
     bool reached = true, takes = true;
-    std::set<std::string> kept;
+    std::set<std::string> cachedPrefixes;
     std::deque<int> waiting;  // jobs
-    int busy = 0;             // slots, places held among them
-    double tokens = 0;        // held by them
-    std::vector<Time> cold;   // sends to it while it was cold
+    int busySlots = 0;        // slots, reservations among them
+    double tokens = 0;        // in memory by them
+    std::vector<Time> cold;   // attempts while it was in slow start
   };
   struct Ask {
     const Asked* asked;
-    Instance *state = nullptr, *place = nullptr;
+    Instance *state = nullptr, *reservation = nullptr;
     bool served = false;
     Time first{};
   };
@@ -137,35 +138,43 @@
   void after(Duration wait, std::function<void()> what) {
     steps_.push({now_ + wait, ++order_, std::move(what)});
   }
-  void later(double seconds, int job, void (Play::*what)(int)) {
+  void later(double seconds, int job, void (SimulatedDay::*what)(int)) {
     after(span(seconds), [this, job, what] {
       if (jobs_.count(job) != 0)
         (this->*what)(job);
     });
   }
   Role roleOf(const Instance& instance) const {
-    return day_.set.kinds[instance.entry.kind.value].role;
+    return day_.settings.kinds[instance.entry.kind.value].role;
   }
   Instance& instanceOf(const InstanceId& id) { return instances_[number_.at(id)]; }
-  const Arrival& told(const Job& job) const { return job.ask->asked->told; }
+  const Arrival& arrival(const Job& job) const { return job.ask->asked->arrival; }
   bool isCold(const Instance& instance) const {
     return instance.entry.started &&
-           now_ - *instance.entry.started < day_.set.contract.warmupDuration;
+           now_ - *instance.entry.started < day_.settings.contract.warmupDuration;
   }
-  double warmth(const Instance& instance) const {
+  double warmFraction(const Instance& instance) const {
     if (!isCold(instance))
       return 1;
-    return std::max(
-        day_.set.contract.warmupInitialShare,
-        secondsOf(now_ - *instance.entry.started) / secondsOf(day_.set.contract.warmupDuration));
+    return std::max(day_.settings.contract.warmupInitialShare,
+                    secondsOf(now_ - *instance.entry.started) /
+                        secondsOf(day_.settings.contract.warmupDuration));
   }
   double capacity(const Instance& instance) const {  // requests a second, when warm
-    const double reads =
-        instance.size->readRate * static_cast<double>(std::max(1, reads_)) / std::max(1.0, unread_);
-    const double writes = instance.size->slots / std::max(0.1, streamed_ / std::max(1, streams_));
-    return roleOf(instance) == Role::kPrefill  ? reads
-           : roleOf(instance) == Role::kDecode ? writes
-                                               : std::min(reads, writes);
+    const double prefillsPerSecond = instance.size->prefillRate *
+                                     static_cast<double>(std::max(1, prefills_)) /
+                                     std::max(1.0, prefilledTokens_);
+    const double decodesPerSecond =
+        instance.size->slots / std::max(0.1, streamSeconds_ / std::max(1, streams_));
+    switch (roleOf(instance)) {
+      case Role::kPrefill:
+        return prefillsPerSecond;
+      case Role::kDecode:
+        return decodesPerSecond;
+      case Role::kMixed:
+        break;
+    }
+    return std::min(prefillsPerSecond, decodesPerSecond);
   }
 
   void look() {
@@ -191,28 +200,31 @@
     jobs_[job] = {&ask, &instance, n, now_};
     if (isCold(instance))
       instance.cold.push_back(now_);
-    if (ask.place != nullptr && ask.place != &instance && roleOf(instance) != Role::kPrefill)
-      giveUpPlace(ask);
-    const Time until = std::min(send.until, start(ask.asked->at) + ask.asked->told.timeLeft);
-    later(secondsOf(until - now_), job, &Play::timeOut);
+    if (ask.reservation != nullptr && ask.reservation != &instance &&
+        roleOf(instance) != Role::kPrefill)
+      freeReservation(ask);
+    const Time until = std::min(send.until, start(ask.asked->at) + ask.asked->arrival.timeLeft);
+    later(secondsOf(until - now_), job, &SimulatedDay::timeOut);
     if (instance.reached)
-      later(0.001, job, &Play::reach);
+      later(0.001, job, &SimulatedDay::reach);
     else
-      later(secondsOf(day_.set.limits.connectTimeout), job, &Play::unreached);
-  }
-  void carryOut(std::size_t node, const ReserveDecode& hold) {
-    after(1ms, [this, node, hold] {
-      Ask& ask = asks_.at(hold.request);
-      Instance& instance = instanceOf(hold.instance);
-      giveUpPlace(ask);
-      const bool held =
+      later(secondsOf(day_.settings.limits.connectTimeout), job, &SimulatedDay::unreached);
+  }
+  void carryOut(std::size_t node, const ReserveDecode& reserve) {
+    after(1ms, [this, node, reserve] {
+      Ask& ask = asks_.at(reserve.request);
+      Instance& instance = instanceOf(reserve.instance);
+      freeReservation(ask);
+      const bool granted =
           instance.reached && instance.takes && instance.waiting.empty() && fits(instance, ask);
-      if (held)
-        take(instance, ask), ask.place = &instance;
+      if (granted) {
+        take(instance, ask);
+        ask.reservation = &instance;
+      }
       for (const auto& [number, job] : jobs_)
         if (job.ask == &ask && instance.reached)
-          return give(node, ReservationResult{hold.request, job.n, hold.instance, held});
-      giveUpPlace(ask);  // its read has ended
+          return give(node, ReservationResult{reserve.request, job.n, reserve.instance, granted});
+      freeReservation(ask);  // its prefill has ended
     });
   }
   void carryOut(std::size_t, const ReleaseState& release) {
@@ -221,66 +233,65 @@
       for (const auto& [number, job] : jobs_)
         if (job.ask == &ask)
           return;
-      giveUpPlace(ask);
+      freeReservation(ask);
       ask.state = nullptr;
     });
   }
   void carryOut(std::size_t, const CancelAttempt& cancel) {
     for (const auto& [number, job] : jobs_)
-      if (told(job).request == cancel.request && job.n == cancel.attempt && !job.streams)
-        return later(0, number, &Play::calledOff);
+      if (arrival(job).request == cancel.request && job.n == cancel.attempt && !job.streams)
+        return later(0, number, &SimulatedDay::cancelled);
   }
 
   void arrive(const Asked& asked) {
-    asks_[asked.told.request].asked = &asked;
+    asks_[asked.arrival.request].asked = &asked;
     const auto node = static_cast<std::size_t>(asked.node);
     if (asked.leaves)
-      after(asked.told.timeLeft / 3, [this, node, id = asked.told.request] {
+      after(asked.arrival.timeLeft / 3, [this, node, id = asked.arrival.request] {
         if (nodes_[node]->waits(id))
           give(node, RequestAbandoned{id});
       });
-    give(node, asked.told);
+    give(node, asked.arrival);
   }
 
   // ---- What an instance does
-  // -------------------------------------------------------------------------
 
   double memoryOf(const Instance& instance) const {
-    return day_.set.kinds[instance.entry.kind.value].memoryTokens;
+    return day_.settings.kinds[instance.entry.kind.value].memoryTokens;
   }
-  double need(const Ask& ask) const { return ask.asked->told.promptTokens + ask.asked->answer; }
+  double need(const Ask& ask) const { return ask.asked->arrival.promptTokens + ask.asked->answer; }
   bool fits(const Instance& instance, const Ask& ask) const {
-    if (instance.busy >= instance.size->slots)
+    if (instance.busySlots >= instance.size->slots)
       return false;
-    return roleOf(instance) == Role::kPrefill || instance.busy == 0 ||
+    return roleOf(instance) == Role::kPrefill || instance.busySlots == 0 ||
            instance.tokens + need(ask) <= memoryOf(instance);
   }
   void take(Instance& instance, const Ask& ask) {
-    ++instance.busy;
+    ++instance.busySlots;
     instance.tokens += need(ask);
   }
   void leave(Instance& instance, const Ask& ask) {
-    --instance.busy;
+    --instance.busySlots;
     instance.tokens -= need(ask);
     serve(instance);
   }
-  void giveUpPlace(Ask& ask) {
-    if (ask.place != nullptr)
-      leave(*std::exchange(ask.place, nullptr), ask);
+  void freeReservation(Ask& ask) {
+    if (ask.reservation != nullptr)
+      leave(*std::exchange(ask.reservation, nullptr), ask);
   }
   void reach(int number) {
     Job& job = jobs_.at(number);
     Instance& instance = *job.instance;
     if (!instance.reached)
       return;  // silence
-    if (job.ask->place == &instance) {
-      job.ask->place = nullptr;
+    if (job.ask->reservation == &instance) {
+      job.ask->reservation = nullptr;
       return begin(number);
     }
     const bool state = job.ask->state != nullptr && job.ask->state->reached;
-    if (roleOf(instance) == Role::kDecode && !state && !day_.set.decodeCanPrefill)
+    if (roleOf(instance) == Role::kDecode && !state && !day_.settings.decodeCanPrefill)
       return end(number, AttemptOutcome::kRejected, 0, true);
-    const bool tooLong = told(job).promptTokens > memoryOf(instance);
+    const bool tooLong = arrival(job).promptTokens > memoryOf(instance);
     if (tooLong || !instance.takes ||
         static_cast<int>(instance.waiting.size()) >= instance.size->queue)
       return end(number, AttemptOutcome::kRejected);
@@ -299,87 +310,93 @@
       begin(job->first);
     }
   }
-  // The prompts that it reads at once share its rate, where it reads several.
-  double readRateOf(const Instance& instance) const {
-    return instance.size->readRate * warmth(instance) /
-           (instance.size->sharesRate ? std::max(1, instance.busy) : 1);
+  // The prompts that it prefills at once share its rate, where it prefills several.
+  double prefillRateOf(const Instance& instance) const {
+    return instance.size->prefillRate * warmFraction(instance) /
+           (instance.size->sharesPrefillRate ? std::max(1, instance.busySlots) : 1);
   }
-  double unreadAt(const Job& job) const {
-    const bool kept = job.instance->kept.count(told(job).prefix) != 0;
-    return told(job).promptTokens - (kept ? told(job).prefixTokens : 0);
+  double uncachedTokens(const Job& job) const {
+    const bool cached = job.instance->cachedPrefixes.count(arrival(job).prefix) != 0;
+    return arrival(job).promptTokens - (cached ? arrival(job).prefixTokens : 0);
+  }
+  // Tokens of a KV cache a second between two instances.
+  static double transferRate(const Instance& from, const Instance& to) {
+    if (&from == &to)
+      return 1e9;
+    if (from.entry.cell == to.entry.cell)
+      return 300'000;
+    return from.entry.zone == to.entry.zone ? 120'000 : 50'000;
   }
   void begin(int number) {
     Job& job = jobs_.at(number);
     job.begun = true;
     const Instance* from = job.ask->state;
     if (roleOf(*job.instance) == Role::kPrefill || from == nullptr || !from->reached)
-      return later(unreadAt(job) / readRateOf(*job.instance), number, &Play::haveRead);
-    const double perSecond = from == job.instance                           ? 1e9
-                             : from->entry.cell == job.instance->entry.cell ? 300'000
-                             : from->entry.zone == job.instance->entry.zone ? 120'000
-                                                                            : 50'000;
-    later(told(job).promptTokens / perSecond, number, &Play::open);
-  }
-  void haveRead(int number) {
+      return later(uncachedTokens(job) / prefillRateOf(*job.instance), number,
+                   &SimulatedDay::finishPrefill);
+    const double perSecond = transferRate(*from, *job.instance);
+    later(arrival(job).promptTokens / perSecond, number, &SimulatedDay::open);
+  }
+  void finishPrefill(int number) {
     Job& job = jobs_.at(number);
-    const double unread = unreadAt(job);
-    ++reads_;
-    unread_ += unread;
-    job.instance->kept.insert(told(job).prefix);
+    const double uncached = uncachedTokens(job);
+    ++prefills_;
+    prefilledTokens_ += uncached;
+    job.instance->cachedPrefixes.insert(arrival(job).prefix);
     if (roleOf(*job.instance) != Role::kPrefill)
       return open(number);
-    job.ask->state = job.ask->place != nullptr ? job.ask->place : job.instance;
-    end(number, AttemptOutcome::kPrefilled, told(job).promptTokens - unread);
+    job.ask->state = job.ask->reservation != nullptr ? job.ask->reservation : job.instance;
+    end(number, AttemptOutcome::kPrefilled, arrival(job).promptTokens - uncached);
   }
   void open(int number) {
     Job& job = jobs_.at(number);
     job.ask->state = nullptr;
     job.streams = true;
     job.ask->first = now_;
-    const double gap = secondsOf(day_.set.classes[told(job).cls.value].tokenIntervalObjective) / 2;
+    const double gap =
+        secondsOf(day_.settings.classes[arrival(job).cls.value].tokenIntervalObjective) / 2;
     ++streams_;
-    streamed_ += job.ask->asked->answer * gap;
-    later(job.ask->asked->answer * gap, number, &Play::whole);
-    give(nodeOf(job),
-         StreamOpened{told(job).request, job.n, job.instance->entry.instance, now_ - job.sentAt});
+    streamSeconds_ += job.ask->asked->answer * gap;
+    later(job.ask->asked->answer * gap, number, &SimulatedDay::completeStream);
+    give(nodeOf(job), StreamOpened{arrival(job).request, job.n, job.instance->entry.instance,
+                                   now_ - job.sentAt});
   }
   std::size_t nodeOf(const Job& job) const {
     return static_cast<std::size_t>(job.ask->asked->node);
   }
 
-  void whole(int number) {
+  void completeStream(int number) {
     jobs_.at(number).ask->served = true;
     end(number, AttemptOutcome::kServed);
   }
   void unreached(int number) { end(number, AttemptOutcome::kConnectFailed); }
-  void calledOff(int number) { end(number, AttemptOutcome::kCancelled); }
+  void cancelled(int number) { end(number, AttemptOutcome::kCancelled); }
   void timeOut(int number) {
     if (!jobs_.at(number).streams)
       end(number, AttemptOutcome::kTimeout);
   }
-  void end(int number, AttemptOutcome outcome, double kept = 0, bool kvCacheLost = false) {
+  void end(int number, AttemptOutcome outcome, double cachedTokens = 0, bool kvCacheLost = false) {
     const Job job = jobs_.at(number);
     jobs_.erase(number);
     if (job.begun)
       leave(*job.instance, *job.ask);
-    give(nodeOf(job), AttemptEnded{told(job).request,
+    give(nodeOf(job), AttemptEnded{arrival(job).request,
                                    job.n,
                                    job.instance->entry.instance,
                                    outcome,
                                    now_ - job.sentAt,
                                    false,
-                                   kept,
+                                   cachedTokens,
                                    kvCacheLost,
                                    {}});
   }
 
   // ---- What goes wrong
-  // --------------------------------------------------------------------------------
 
   void happen(const Change& change) {
     Instance& instance = instances_[change.instance];
     if (change.what == Change::kForgets)
-      instance.kept.clear();
+      instance.cachedPrefixes.clear();
     if (change.what == Change::kCut || change.what == Change::kBack)
       instance.reached = change.what == Change::kBack;
     if (change.what == Change::kLeaves)
@@ -391,14 +408,14 @@
     if (change.what != Change::kEnds)
       return;
     instance.reached = false;
-    instance.kept.clear();
+    instance.cachedPrefixes.clear();
     std::vector<int> lost;
     for (const auto& [number, job] : jobs_)
       if (job.instance == &instance && !job.streams)
         lost.push_back(number);  // it ends the streams that it has
     for (auto& [id, ask] : asks_) {
-      if (ask.place == &instance)
-        giveUpPlace(ask);
+      if (ask.reservation == &instance)
+        freeReservation(ask);
       if (ask.state == &instance)
         ask.state = nullptr;
     }
@@ -422,8 +439,8 @@
   std::priority_queue<Step> steps_;
   Time now_{5s};
   std::uint64_t version_ = 1;
-  int order_ = 0, reads_ = 0, streams_ = 0;
-  double unread_ = 0, streamed_ = 0;
+  int order_ = 0, prefills_ = 0, streams_ = 0;
+  double prefilledTokens_ = 0, streamSeconds_ = 0;
 };
 
 }  // namespace inference_router::routing
