--- a/src/admission/address.cpp
+++ b/src/admission/address.cpp
@@ -10,7 +10,10 @@
 
 namespace {
 
-constexpr int kMappedBits = 96;
+constexpr int kV4Bits = 32;
+constexpr int kV6Bits = 128;
+constexpr int kMappedBits = kV6Bits - kV4Bits;
+constexpr int kBitsPerByte = 8;
 constexpr std::array<std::uint8_t, 12> kMapped{0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0xff, 0xff};
 
 }  // namespace
@@ -33,12 +36,14 @@
 }
 
 Address Address::masked(int bits) const {
-  Address out = *this;
-  for (int i = 0; i < 16; ++i) {
-    const int left = std::clamp(bits - i * 8, 0, 8);
-    out.bytes[static_cast<std::size_t>(i)] &= static_cast<std::uint8_t>(0xff00 >> left);
+  Address masked = *this;
+  int remaining = bits;
+  for (std::uint8_t& byte : masked.bytes) {
+    const int kept = std::clamp(remaining, 0, kBitsPerByte);
+    byte &= static_cast<std::uint8_t>(0xff00 >> kept);
+    remaining -= kBitsPerByte;
   }
-  return out;
+  return masked;
 }
 
 std::string Address::text() const {
@@ -59,9 +64,9 @@
   range.base_ = *base;
   if (slash != std::string::npos) {
     const char* const last = text.data() + text.size();
-    const auto [end, fault] = std::from_chars(text.data() + slash + 1, last, range.bits_);
-    const int most = base->isV4() ? 32 : 128;
-    if (fault != std::errc() || end != last || range.bits_ < 0 || range.bits_ > most)
+    const auto [end, error] = std::from_chars(text.data() + slash + 1, last, range.bits_);
+    const int maxBits = base->isV4() ? kV4Bits : kV6Bits;
+    if (error != std::errc() || end != last || range.bits_ < 0 || range.bits_ > maxBits)
       return std::nullopt;
     if (base->isV4())
       range.bits_ += kMappedBits;
--- a/src/admission/admission_controller.cpp
+++ b/src/admission/admission_controller.cpp
@@ -10,7 +10,9 @@
 constexpr double kMinIdleMs = 100;        // a connection is not evicted earlier
 constexpr std::size_t kMaxExamined = 8;   // entries examined per decision
 constexpr std::size_t kMaxReported = 16;  // addresses in mostRefused()
-constexpr double kRoomRetryMs = 1'000, kCapRetryMs = 2'000;
+constexpr double kFullRetryMs = 1'000;    // told to who finds no capacity
+constexpr double kCapRetryMs = 2'000;     // told to who is over a cap
+constexpr double kMsPerSecond = 1'000;
 
 }  // namespace
 
@@ -21,12 +23,12 @@
 }
 
 // ---- The table of addresses
-// ------------------------------------------------------------------------
 
 // A clock that jumps back adds no tokens; one that jumps ahead fills the bucket at most.
 double AdmissionController::refill(Client& client, double nowMs) const {
-  const double gone = std::max(0.0, nowMs - client.filledMs);
-  client.tokens = std::min(rules_.burst, client.tokens + gone / 1000 * rules_.perSecond);
+  const double elapsedMs = std::max(0.0, nowMs - client.filledMs);
+  client.tokens =
+      std::min(rules_.burst, client.tokens + elapsedMs / kMsPerSecond * rules_.perSecond);
   client.filledMs = nowMs;
   return client.tokens;
 }
@@ -35,15 +37,28 @@
   return client.open == 0 && refill(client, nowMs) >= rules_.burst;
 }
 
-AdmissionController::Client& AdmissionController::clientFor(const Address& address,
-                                                            double nowMs,
-                                                            bool& shared) {
-  shared = false;
+AdmissionController::CountedClient AdmissionController::clientFor(const Address& address,
+                                                                  double nowMs) {
   const auto it = clients_.find(address);
   if (it != clients_.end()) {
-    recency_.splice(recency_.end(), recency_, it->second.place);
-    return it->second;
+    recency_.splice(recency_.end(), recency_, it->second.recencyEntry);
+    return {it->second, /*shared=*/false};
   }
+  dropQuietClients(nowMs);
+  if (clients_.size() >= rules_.table) {
+    if (overflow_.tokens < 0)
+      overflow_.tokens = rules_.burst;
+    return {overflow_, /*shared=*/true};
+  }
+  Client& client = clients_[address];
+  client.tokens = rules_.burst;
+  client.filledMs = nowMs;
+  client.recencyEntry = recency_.insert(recency_.end(), address);
+  return {client, /*shared=*/false};
+}
+
+// Makes capacity in a full table. Who is not quiet is examined again later.
+void AdmissionController::dropQuietClients(double nowMs) {
   for (std::size_t i = 0; i < kMaxExamined && clients_.size() >= rules_.table && !recency_.empty();
        ++i) {
     const Address oldest = recency_.front();
@@ -51,20 +66,9 @@
       clients_.erase(oldest);
       recency_.pop_front();
     } else {
-      recency_.splice(recency_.end(), recency_, recency_.begin());  // examined again later
+      recency_.splice(recency_.end(), recency_, recency_.begin());
     }
   }
-  if (clients_.size() >= rules_.table) {
-    shared = true;
-    if (overflow_.tokens < 0)
-      overflow_.tokens = rules_.burst;
-    return overflow_;
-  }
-  Client& client = clients_[address];
-  client.tokens = rules_.burst;
-  client.filledMs = nowMs;
-  client.place = recency_.insert(recency_.end(), address);
-  return client;
 }
 
 std::size_t AdmissionController::openFrom(const Address& address) const {
@@ -78,7 +82,6 @@
 }
 
 // ---- Idle connections
-// ------------------------------------------------------------------------------
 
 void AdmissionController::addIdle(ConnectionId id, const Connection& connection) {
   IdlePool& pool = poolOf(connection);
@@ -103,9 +106,9 @@
 
 std::optional<ConnectionId> AdmissionController::oldestIdle(const IdlePool& pool,
                                                             double nowMs) const {
-  std::size_t looked = 0;
-  for (auto it = pool.ranking.rbegin(); it != pool.ranking.rend() && looked < kMaxExamined;
-       ++it, ++looked) {
+  std::size_t examined = 0;
+  for (auto it = pool.ranking.rbegin(); it != pool.ranking.rend() && examined < kMaxExamined;
+       ++it, ++examined) {
     const auto& [since, id] = *pool.idle.at(it->address).begin();
     if (nowMs - since >= kMinIdleMs)
       return id;
@@ -122,52 +125,83 @@
 }
 
 // ---- Decisions
-// -------------------------------------------------------------------------------------
 
 Decision AdmissionController::connect(const Address& address, Level level, double nowMs) {
   const Address client = rules_.clientOf(address);
   const bool known = rules_.knownRange(address) != nullptr;
-  bool shared = false;
-  Client& counted = clientFor(client, nowMs, shared);
+  const auto [counted, shared] = clientFor(client, nowMs);
   if (!known) {
-    if (refill(counted, nowMs) < 1)
-      return refuse(Reason::kRate, client,
-                    std::ceil((1 - counted.tokens) / rules_.perSecond * 1000));
-    counted.tokens -= 1;
-    if (counted.open >= rules_.perAddress)
-      return refuse(Reason::kAddress, client, kCapRetryMs);
+    if (const auto refusal = refuseByClient(counted, client, nowMs))
+      return *refusal;
   }
-  for (std::size_t i = 0; i < rules_.networks.size(); ++i)
-    if (rules_.networks[i].range.holds(address) &&
-        openPerNetwork_[i] >= rules_.networks[i].connections)
-      return refuse(Reason::kNetwork, client, kCapRetryMs);
-
+  if (isNetworkFull(address))
+    return refuse(Reason::kNetwork, client, kCapRetryMs);
   Decision decision;
-  const bool full = connections_.size() >= rules_.total;
-  const bool reserved = !known && openUnknown_ >= rules_.total - rules_.reserve;
-  const bool scarce = level == Level::kExhausted || (level == Level::kTight && !known);
-  if (full || reserved || scarce) {
+  if (const auto lack = lackFor(known, level)) {
     decision.evict = evictionCandidate(known, nowMs);
-    if (!decision.evict) {
-      const Reason why = scarce ? Reason::kDescriptors : full ? Reason::kFull : Reason::kReserved;
-      return refuse(why, client, kRoomRetryMs);
-    }
+    if (!decision.evict)
+      return refuse(*lack, client, kFullRetryMs);
     ++evicted_;
-    remove(*decision.evict, nowMs);
+    remove(*decision.evict);
   }
   decision.admit = true;
-  decision.id = ++lastId_;
+  decision.id = add({address, client, known, /*busy=*/false, shared, nowMs}, counted);
+  return decision;
+}
+
+std::optional<Decision> AdmissionController::refuseByClient(Client& client,
+                                                            const Address& address,
+                                                            double nowMs) {
+  if (refill(client, nowMs) < 1) {
+    const double untilTokenMs = (1 - client.tokens) / rules_.perSecond * kMsPerSecond;
+    return refuse(Reason::kRate, address, std::ceil(untilTokenMs));
+  }
+  client.tokens -= 1;
+  if (client.open >= rules_.perAddress)
+    return refuse(Reason::kAddress, address, kCapRetryMs);
+  return std::nullopt;
+}
+
+bool AdmissionController::isNetworkFull(const Address& address) {
+  for (std::size_t i = 0; i < rules_.networks.size(); ++i)
+    if (rules_.networks[i].range.contains(address) &&
+        openPerNetwork_[i] >= rules_.networks[i].connections)
+      return true;
+  return false;
+}
+
+// What there is too little of for one more connection, unless another is evicted.
+std::optional<Reason> AdmissionController::lackFor(bool known, Level level) const {
+  if (level == Level::kExhausted || (level == Level::kTight && !known))
+    return Reason::kDescriptors;
+  if (connections_.size() >= rules_.total)
+    return Reason::kFull;
+  if (!known && openUnknown_ >= rules_.total - rules_.reserve)
+    return Reason::kReserved;
+  return std::nullopt;
+}
+
+ConnectionId AdmissionController::add(const Connection& connection, Client& client) {
+  const ConnectionId id = ++lastId_;
   ++admitted_;
-  ++counted.open;
-  if (!known)
+  ++client.open;
+  if (!connection.known)
     ++openUnknown_;
-  for (std::size_t i = 0; i < rules_.networks.size(); ++i)
-    if (rules_.networks[i].range.holds(address))
+  countInNetworks(connection.address, /*opened=*/true);
+  connections_[id] = connection;
+  addIdle(id, connection);
+  return id;
+}
+
+void AdmissionController::countInNetworks(const Address& address, bool opened) {
+  for (std::size_t i = 0; i < rules_.networks.size(); ++i) {
+    if (!rules_.networks[i].range.contains(address))
+      continue;
+    if (opened)
       ++openPerNetwork_[i];
-  const Connection& connection =
-      connections_[decision.id] = {address, client, known, false, shared, nowMs};
-  addIdle(decision.id, connection);
-  return decision;
+    else
+      --openPerNetwork_[i];
+  }
 }
 
 void AdmissionController::identified(ConnectionId id, const std::string& keyName, double) {
@@ -200,11 +234,11 @@
   addIdle(id, it->second);
 }
 
-void AdmissionController::closed(ConnectionId id, double nowMs) {
-  remove(id, nowMs);
+void AdmissionController::closed(ConnectionId id, double) {
+  remove(id);
 }
 
-void AdmissionController::remove(ConnectionId id, double) {
+void AdmissionController::remove(ConnectionId id) {
   const auto it = connections_.find(id);
   if (it == connections_.end())
     return;
@@ -213,16 +247,13 @@
     removeIdle(id, connection);
   if (!connection.known)
     --openUnknown_;
-  for (std::size_t i = 0; i < rules_.networks.size(); ++i)
-    if (rules_.networks[i].range.holds(connection.address))
-      --openPerNetwork_[i];
+  countInNetworks(connection.address, /*opened=*/false);
   Client& counted = connection.shared ? overflow_ : clients_.at(connection.client);
   --counted.open;
   connections_.erase(it);
 }
 
 // ---- Refusals
-// --------------------------------------------------------------------------------------
 
 Decision AdmissionController::refuse(Reason reason, const Address& client, double retryAfterMs) {
   ++refused_[static_cast<std::size_t>(reason)];
@@ -245,15 +276,15 @@
     ++it->second;
     return;
   }
-  std::uint64_t from = 0;
+  std::uint64_t inherited = 0;
   if (mostRefused_.size() >= kMaxReported) {
-    const auto least =
+    const auto lowest =
         std::min_element(mostRefused_.begin(), mostRefused_.end(),
                          [](const auto& a, const auto& b) { return a.second < b.second; });
-    from = least->second;
-    mostRefused_.erase(least);
+    inherited = lowest->second;
+    mostRefused_.erase(lowest);
   }
-  mostRefused_[client] = from + 1;
+  mostRefused_[client] = inherited + 1;
 }
 
 std::vector<RefusalCount> AdmissionController::mostRefused() const {
@@ -268,13 +299,12 @@
 }
 
 // ---- Other rules
-// -----------------------------------------------------------------------------------
 
 // Rebuilds the table of addresses by the new rules. Token counts are kept: a reload must not
 // forgive a flood.
 void AdmissionController::rebuildClients() {
   const std::map<Address, Client> before = std::exchange(clients_, {});
-  const std::list<Address> order = std::exchange(recency_, {});
+  const Recency order = std::exchange(recency_, {});
   for (const Address& address : order) {
     if (clients_.size() >= rules_.table)
       break;
@@ -284,7 +314,7 @@
     Client& entry = clients_[client];
     entry.tokens = std::min(before.at(address).tokens, rules_.burst);
     entry.filledMs = before.at(address).filledMs;
-    entry.place = recency_.insert(recency_.end(), client);
+    entry.recencyEntry = recency_.insert(recency_.end(), client);
   }
 }
 
@@ -292,13 +322,12 @@
   connection.client = rules_.clientOf(connection.address);
   // A client that is known by a key stays known for as long as the connection lasts.
   connection.known = connection.known || rules_.knownRange(connection.address) != nullptr;
-  Client& counted = clientFor(connection.client, nowMs, connection.shared);
-  ++counted.open;
+  const CountedClient counted = clientFor(connection.client, nowMs);
+  connection.shared = counted.shared;
+  ++counted.client.open;
   if (!connection.known)
     ++openUnknown_;
-  for (std::size_t i = 0; i < rules_.networks.size(); ++i)
-    if (rules_.networks[i].range.holds(connection.address))
-      ++openPerNetwork_[i];
+  countInNetworks(connection.address, /*opened=*/true);
   connections_[id] = connection;
   if (!connection.busy)
     addIdle(id, connection);
@@ -309,7 +338,7 @@
   if (!connection.known && counted.open > rules_.perAddress)
     return true;
   for (std::size_t i = 0; i < rules_.networks.size(); ++i)
-    if (rules_.networks[i].range.holds(connection.address) &&
+    if (rules_.networks[i].range.contains(connection.address) &&
         openPerNetwork_.at(i) > rules_.networks[i].connections)
       return true;
   if (connections_.size() > rules_.total)
@@ -320,9 +349,11 @@
 std::vector<ConnectionId> AdmissionController::reconfigure(Rules rules, double nowMs) {
   const std::map<ConnectionId, Connection> connections = std::exchange(connections_, {});
   rules_ = std::move(rules);
-  knownIdle_ = unknownIdle_ = {};
+  knownIdle_ = {};
+  unknownIdle_ = {};
   openPerNetwork_.clear();
-  overflow_.open = openUnknown_ = 0;
+  overflow_.open = 0;
+  openUnknown_ = 0;
   rebuildClients();
   for (const auto& [id, connection] : connections)
     recount(id, connection, nowMs);
@@ -331,7 +362,7 @@
     const Connection& connection = connections_.at(id);
     if (connection.busy || !exceedsCaps(connection))
       continue;
-    remove(id, nowMs);
+    remove(id);
     evicted.push_back(id);
   }
   return evicted;
--- a/src/admission/admission_controller.h
+++ b/src/admission/admission_controller.h
@@ -1,6 +1,7 @@
-// Decides which client connections are admitted, and which idle connection is evicted when there is
-// no room: a token bucket and a cap per address, caps per network, a total, and a reserve for known
-// clients. Every admitted connection has an id until it is closed. No I/O; times in milliseconds.
+/// Decides which client connections are admitted, and which idle connection is evicted when there
+/// is no capacity: a token bucket and a cap per address, caps per network, a total, and a reserve
+/// for known clients. Every admitted connection has an id until it is closed. No I/O; times in
+/// milliseconds.
 #pragma once
 
 #include <array>
@@ -18,47 +19,50 @@
 
 namespace inference_router::admission {
 
-// Why a connection was refused.
+/// Why a connection was refused.
 enum class Reason { kNone, kRate, kAddress, kNetwork, kFull, kReserved, kDescriptors };
 constexpr std::size_t kReasons = 7;
-// The name in reports.
+/// The name in reports.
 const char* nameOf(Reason reason);
 
 using ConnectionId = std::uint64_t;
 
-// The decision on one connection.
+/// The decision on one connection.
 struct Decision {
   bool admit = false;
-  ConnectionId id = 0;                // if admitted
-  std::optional<ConnectionId> evict;  // connection to close in its favour
-  Reason reason = Reason::kNone;      // if refused
+  ConnectionId id = 0;                ///< if admitted
+  std::optional<ConnectionId> evict;  ///< connection to close in its favour
+  Reason reason = Reason::kNone;      ///< if refused
   double retryAfterMs = 0;
 };
 
-// A client address and how often it was refused, at the most.
+/// A client address and how often it was refused, at the most.
 struct RefusalCount {
   std::string address;
   std::uint64_t refusals = 0;
 };
 
-// Memory is bounded by the rules' `table` of addresses and by the connections that are open.
+/// Memory is bounded by the rules' `table` of addresses and by the connections that are open.
 class AdmissionController {
  public:
   explicit AdmissionController(Rules rules) : rules_(std::move(rules)) {}
 
-  // Decides on a new connection. level: of the descriptor budget. An evicted connection counts as
-  // closed.
+  /// Decides on a new connection. level: of the descriptor budget. An evicted connection counts as
+  /// closed.
   Decision connect(const Address& address, Level level, double nowMs);
-  // The connection authenticated with this API key, which may make its client a known one.
+  /// The connection authenticated with this API key, which may make its client a known one.
   void identified(ConnectionId id, const std::string& keyName, double nowMs);
-  void busy(ConnectionId id);                  // a request is open on it
-  void idle(ConnectionId id, double nowMs);    // no request is
-  void closed(ConnectionId id, double nowMs);  // an unknown id is ignored
-  // Counts a refusal that was decided elsewhere.
+  /// A request is open on it.
+  void busy(ConnectionId id);
+  /// No request is.
+  void idle(ConnectionId id, double nowMs);
+  /// Ignores an unknown id.
+  void closed(ConnectionId id, double nowMs);
+  /// Counts a refusal that was decided elsewhere.
   void refusedOtherwise(Reason reason, const Address& address);
 
-  // Changes the rules. Returns the idle connections that exceed the new caps and are to be closed;
-  // busy ones finish their request first.
+  /// Changes the rules. Returns the idle connections that exceed the new caps and are to be closed;
+  /// busy ones finish their request first.
   std::vector<ConnectionId> reconfigure(Rules rules, double nowMs);
 
   const Rules& rules() const { return rules_; }
@@ -69,38 +73,58 @@
   bool known(ConnectionId id) const;
   std::uint64_t refused(Reason reason) const { return refused_[static_cast<std::size_t>(reason)]; }
   std::uint64_t admitted() const { return admitted_; }
-  std::uint64_t gaveWay() const { return evicted_; }
-  std::vector<RefusalCount> mostRefused() const;  // most first; the counts are upper bounds
+  std::uint64_t evicted() const { return evicted_; }
+  /// Most first; the counts are upper bounds.
+  std::vector<RefusalCount> mostRefused() const;
 
  private:
+  using Recency = std::list<Address>;
   struct Client {
     std::size_t open = 0;
-    double tokens = 0, filledMs = 0;
-    std::list<Address>::iterator place;
+    double tokens = 0;
+    double filledMs = 0;
+    Recency::iterator recencyEntry;
   };
   struct Connection {
-    Address address, client;
-    bool known = false, busy = false, shared = false;  // shared: counted in overflow_
-    double sinceMs = 0;                                // start of its idle time
+    Address address;
+    Address client;
+    bool known = false;
+    bool busy = false;
+    bool shared = false;  // counted in overflow_
+    double sinceMs = 0;   // start of its idle time
   };
-  struct IdleConnection {  // the longest idle first
+  // The longest idle first.
+  struct IdleConnection {
     double sinceMs = 0;
     ConnectionId id = 0;
     auto operator<=>(const IdleConnection&) const = default;
   };
   using Idle = std::set<IdleConnection>;
-  struct IdleCount {  // of one address
+  // Of one address.
+  struct IdleCount {
     std::size_t connections = 0;
     Address address;
     auto operator<=>(const IdleCount&) const = default;
   };
-  struct IdlePool {  // idle connections by address, and addresses by their number
+  // Idle connections by address, and addresses by their number.
+  struct IdlePool {
     std::map<Address, Idle> idle;
     std::set<IdleCount> ranking;
   };
 
-  // shared: set if the address found no room and is counted with all others of that kind.
-  Client& clientFor(const Address& address, double nowMs, bool& shared);
+  // A client's counts. shared: the address found no capacity and is counted with all others of that
+  // kind.
+  struct CountedClient {
+    Client& client;
+    bool shared;
+  };
+  CountedClient clientFor(const Address& address, double nowMs);
+  void dropQuietClients(double nowMs);
+  std::optional<Decision> refuseByClient(Client& client, const Address& address, double nowMs);
+  bool isNetworkFull(const Address& address);
+  std::optional<Reason> lackFor(bool known, Level level) const;
+  ConnectionId add(const Connection& connection, Client& client);
+  void countInNetworks(const Address& address, bool opened);
   double refill(Client& client, double nowMs) const;
   bool isQuiet(Client& client, double nowMs) const;
   IdlePool& poolOf(const Connection& connection) {
@@ -110,7 +134,7 @@
   void removeIdle(ConnectionId id, const Connection& connection);
   std::optional<ConnectionId> oldestIdle(const IdlePool& pool, double nowMs) const;
   std::optional<ConnectionId> evictionCandidate(bool forKnown, double nowMs) const;
-  void remove(ConnectionId id, double nowMs);
+  void remove(ConnectionId id);
   Decision refuse(Reason reason, const Address& client, double retryAfterMs);
   void countRefusal(const Address& client);
   void rebuildClients();
@@ -120,14 +144,16 @@
   Rules rules_;
   std::map<ConnectionId, Connection> connections_;
   std::map<Address, Client> clients_;
-  std::list<Address> recency_;  // addresses, least recently seen first
-  // Shared by all addresses that found no room in clients_; tokens < 0: not used yet.
+  Recency recency_;  // least recently seen first
+  // Shared by all addresses that found no capacity in clients_; tokens < 0: not used yet.
   Client overflow_{0, -1, 0, {}};
   std::map<std::size_t, std::size_t> openPerNetwork_;  // by index in rules
-  IdlePool knownIdle_, unknownIdle_;
+  IdlePool knownIdle_;
+  IdlePool unknownIdle_;
   std::map<Address, std::uint64_t> mostRefused_;
   std::array<std::uint64_t, kReasons> refused_{};
-  std::uint64_t admitted_ = 0, evicted_ = 0;
+  std::uint64_t admitted_ = 0;
+  std::uint64_t evicted_ = 0;
   ConnectionId lastId_ = 0;
   std::size_t openUnknown_ = 0;
 };
--- a/src/admission/descriptor_budget.cpp
+++ b/src/admission/descriptor_budget.cpp
@@ -9,11 +9,20 @@
 constexpr std::size_t kFixed = 64;  // of all accounts but clients and instances
 // Apart from clients, or a flood of refusals would use up the clients' account.
 constexpr std::size_t kRefusals = 16;
-constexpr std::size_t kDiscovery = 4, kControl = 40, kTelemetry = 2;
-constexpr double kTightFrom = 0.9, kTightUntil = 0.8;
-constexpr double kExhaustedFrom = 0.98, kExhaustedUntil = 0.9;
+constexpr std::size_t kDiscovery = 4;
+constexpr std::size_t kControl = 40;
+constexpr std::size_t kTelemetry = 2;
+// Shares that are held as a level begins and ends.
+constexpr double kTightFrom = 0.9;
+constexpr double kTightUntil = 0.8;
+constexpr double kExhaustedFrom = 0.98;
+constexpr double kExhaustedUntil = 0.9;
 constexpr double kExhaustedHoldMs = 1'000;  // after ranOut(); descriptors are returned meanwhile
 
+double usedShare(std::size_t held, std::size_t max) {
+  return max == 0 ? 1.0 : static_cast<double>(held) / static_cast<double>(max);
+}
+
 }  // namespace
 
 const char* nameOf(Account account) {
@@ -23,7 +32,15 @@
 }
 
 const char* nameOf(Level level) {
-  return level == Level::kNormal ? "normal" : level == Level::kTight ? "tight" : "exhausted";
+  switch (level) {
+    case Level::kNormal:
+      return "normal";
+    case Level::kTight:
+      return "tight";
+    case Level::kExhausted:
+      break;
+  }
+  return "exhausted";
 }
 
 DescriptorBudget::Shares DescriptorBudget::sharesOf(std::size_t limit) {
@@ -31,13 +48,13 @@
   Shares shares;
   shares.limit = limit;
   const std::size_t refusals = std::min(kRefusals, rest / 4);
-  shares.most = {rest / 2 - refusals,
-                 rest - rest / 2,
-                 kDiscovery,
-                 kControl,
-                 kTelemetry,
-                 kFixed - kDiscovery - kControl - kTelemetry,
-                 refusals};
+  shares.max = {rest / 2 - refusals,
+                rest - rest / 2,
+                kDiscovery,
+                kControl,
+                kTelemetry,
+                kFixed - kDiscovery - kControl - kTelemetry,
+                refusals};
   return shares;
 }
 
@@ -67,15 +84,15 @@
 }
 
 Level DescriptorBudget::level(double nowMs) {
-  const auto part = [](std::size_t held, std::size_t most) {
-    return most == 0 ? 1.0 : static_cast<double>(held) / static_cast<double>(most);
-  };
-  const double full = std::max(part(total_, shares_.limit),
-                               part(held(Account::kClients), shares_.most[at(Account::kClients)]));
-  const bool exhausted = nowMs < exhaustedUntilMs_ ||
-                         full >= (level_ == Level::kExhausted ? kExhaustedUntil : kExhaustedFrom);
-  const bool tight = full >= (level_ == Level::kNormal ? kTightFrom : kTightUntil);
-  level_ = exhausted ? Level::kExhausted : tight ? Level::kTight : Level::kNormal;
+  const double used =
+      std::max(usedShare(total_, shares_.limit),
+               usedShare(held(Account::kClients), shares_.max[at(Account::kClients)]));
+  const double exhaustedAt = level_ == Level::kExhausted ? kExhaustedUntil : kExhaustedFrom;
+  const double tightAt = level_ == Level::kNormal ? kTightFrom : kTightUntil;
+  if (nowMs < exhaustedUntilMs_ || used >= exhaustedAt)
+    level_ = Level::kExhausted;
+  else
+    level_ = used >= tightAt ? Level::kTight : Level::kNormal;
   return level_;
 }
 
--- a/src/admission/descriptor_budget.h
+++ b/src/admission/descriptor_budget.h
@@ -1,5 +1,5 @@
-// The budget of file descriptors of the process, split into accounts by purpose. Whoever opens a
-// descriptor takes it from an account first. No I/O.
+/// The budget of file descriptors of the process, split into accounts by purpose. Whoever opens a
+/// descriptor takes it from an account first. No I/O.
 #pragma once
 
 #include <array>
@@ -8,51 +8,53 @@
 
 namespace inference_router::admission {
 
-// The purpose of a descriptor. kOwn: log, event loop, listeners, the spare one. kRefusals: clients
-// that are sent the reason of their refusal.
+/// The purpose of a descriptor. kOwn: log, event loop, listeners, the spare one. kRefusals: clients
+/// that are sent the reason of their refusal.
 enum class Account { kClients, kInstances, kDiscovery, kControl, kTelemetry, kOwn, kRefusals };
-// How scarce descriptors are.
+/// How scarce descriptors are.
 enum class Level { kNormal, kTight, kExhausted };
 
-// The names in reports.
+/// The names in reports.
 const char* nameOf(Account account);
 const char* nameOf(Level level);
 
-// Counts the descriptors that are held per account. Not thread-safe.
+/// Counts the descriptors that are held per account. Not thread-safe.
 class DescriptorBudget {
  public:
   static constexpr std::size_t kAccounts = 7;
 
-  // The cap of each account. Their sum is within the limit, so that none can starve another.
+  /// The cap of each account. Their sum is within the limit, so that none can starve another.
   struct Shares {
     std::size_t limit = 0;
-    std::array<std::size_t, kAccounts> most{};
+    std::array<std::size_t, kAccounts> max{};
   };
 
-  // The caps for a process with `limit` descriptors. Half of what the fixed accounts leave is for
-  // connections to instances, so that every accepted request can be dispatched.
+  /// The caps for a process with `limit` descriptors. Half of what the fixed accounts leave is for
+  /// connections to instances, so that every accepted request can be dispatched.
   static Shares sharesOf(std::size_t limit);
 
   explicit DescriptorBudget(const Shares& shares) : shares_(shares) {}
 
-  // Whether take() would succeed.
+  /// Whether take() would succeed.
   bool may(Account account) const {
-    return held(account) < shares_.most[at(account)] && total_ < shares_.limit;
+    return held(account) < shares_.max[at(account)] && total_ < shares_.limit;
   }
-  // Takes one descriptor; returns false, and counts a refusal, if the account or the process is
-  // full.
+  /// Takes one descriptor; returns false, and counts a refusal, if the account or the process is
+  /// full.
   bool take(Account account);
-  void force(Account account);  // of one that is open already, regardless of the caps
-  void give(Account account);   // returns one
+  /// Counts one that is open already, regardless of the caps.
+  void force(Account account);
+  /// Returns one; ignored if the account holds none.
+  void give(Account account);
   std::size_t held(Account account) const { return held_[at(account)]; }
   std::size_t total() const { return total_; }
   const Shares& shares() const { return shares_; }
   std::uint64_t refused(Account account) const { return refused_[at(account)]; }
 
-  // The system ran out although the budget was not used up, as when the process's limit was
-  // lowered.
+  /// The system ran out although the budget was not used up, as when the process's limit was
+  /// lowered.
   void ranOut(double nowMs);
-  // By the fuller of the process and the clients' account, with hysteresis.
+  /// By the fuller of the process and the clients' account, with hysteresis.
   Level level(double nowMs);
 
  private:
--- a/src/admission/rules.h
+++ b/src/admission/rules.h
@@ -1,9 +1,10 @@
-// The admission rules of the operator's file.
+/// The admission rules of the operator's file.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
 #include <optional>
 #include <set>
+#include <stdexcept>
 #include <string>
 #include <vector>
 
@@ -11,39 +12,47 @@
 
 namespace inference_router::admission {
 
-// Validated rules; see docs/operators/connection-admission.md for their meaning.
+/// Validated rules; see docs/operators/connection-admission.md for their meaning.
 struct Rules {
+  /// A cap for all addresses of a range.
   struct Network {
     Range range;
     std::size_t connections;
   };
 
-  std::size_t total = 0;  // connections of all clients
+  std::size_t total = 0;  ///< connections of all clients
   std::size_t perAddress = 0;
-  int ipv6Prefix = 64;  // bits of an IPv6 address that identify a client
+  int ipv6Prefix = 64;  ///< bits of an IPv6 address that identify a client
   std::vector<Network> networks;
-  double perSecond = 0, burst = 0;  // token bucket of one address, in connects
-  std::size_t reserve = 0;          // connections of the total for known clients only
+  double perSecond = 0;  ///< token bucket of one address, in connects
+  double burst = 0;
+  std::size_t reserve = 0;  ///< connections of the total for known clients only
   std::vector<Range> knownRanges;
-  std::set<std::string> knownKeys;  // by their names
-  std::size_t table = 4096;         // largest number of addresses remembered
+  std::set<std::string> knownKeys;  ///< by their names
+  std::size_t table = 4096;         ///< largest number of addresses remembered
 
-  // The address under which a client is counted.
+  /// The address under which a client is counted.
   Address clientOf(const Address& address) const {
     return address.isV4() ? address : address.masked(ipv6Prefix);
   }
-  // The range of known clients that holds the address; null if none does.
+  /// The range of known clients that holds the address; null if none does.
   const Range* knownRange(const Address& address) const;
 };
 
-// Parses the object `admission` of the operator's file. names: of the file's API keys; mostClients:
-// the largest total that descriptors allow. Throws std::invalid_argument; its text begins with the
-// path of the field.
+/// A field that cannot be used; the text begins with its path.
+class RulesError : public std::invalid_argument {
+ public:
+  RulesError(const std::string& path, const std::string& problem)
+      : std::invalid_argument(path + ": " + problem) {}
+};
+
+/// Parses the object `admission` of the operator's file. names: of the file's API keys; maxClients:
+/// the largest total that descriptors allow. Throws RulesError.
 Rules rulesOf(const nlohmann::json& admission,
               const std::set<std::string>& names,
-              std::size_t mostClients);
+              std::size_t maxClients);
 
-// Explains to an operator which rules apply to an address, line by line.
+/// Explains to an operator which rules apply to an address, line by line.
 std::string explain(const Rules& rules,
                     const Address& address,
                     const std::optional<std::string>& keyName);
--- a/src/app/admission_watch.cpp
+++ b/src/app/admission_watch.cpp
@@ -57,7 +57,7 @@
                      line("admission_open_unknown", gate_->unknown()) +
                      line("admission_addresses", gate_->addresses()) +
                      line("admission_admitted_total", gate_->admitted()) +
-                     line("admission_gave_way_total", gate_->gaveWay());
+                     line("admission_gave_way_total", gate_->evicted());
   for (std::size_t i = 1; i < admission::kReasons; ++i) {
     const auto reason = static_cast<admission::Reason>(i);
     text += labelled("admission_refused_total", "reason", admission::nameOf(reason),
@@ -70,7 +70,7 @@
     text += labelled("descriptors_held", "account", admission::nameOf(account),
                      server_.descriptorBudget.held(account));
     text += labelled("descriptors_most", "account", admission::nameOf(account),
-                     server_.descriptorBudget.shares().most[i]);
+                     server_.descriptorBudget.shares().max[i]);
   }
   const admission::Level level = server_.descriptorBudget.level(server_.clock.nowMs());
   return text + "descriptors_level{is=\"" + admission::nameOf(level) + "\"} 1\n";
--- a/src/frontend/openai/operator_file.cpp
+++ b/src/frontend/openai/operator_file.cpp
@@ -91,7 +91,7 @@
 
 std::size_t mostAdmitted(std::size_t sockets) {
   const admission::DescriptorBudget::Shares shares = admission::DescriptorBudget::sharesOf(sockets);
-  return shares.most[static_cast<std::size_t>(admission::Account::kClients)];
+  return shares.max[static_cast<std::size_t>(admission::Account::kClients)];
 }
 
 OperatorFile operatorFileOf(const json& given) {
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -22,8 +22,8 @@
   EXPECT_EQ(at("10.1.2.3").text(), "10.1.2.3");
   EXPECT_EQ(at("2001:db8:1:2:3::9").masked(64), at("2001:db8:1:2::"));
   const Range ten = *Range::parse("10.0.0.0/8");
-  EXPECT_TRUE(ten.holds(at("10.255.0.1")));
-  EXPECT_FALSE(ten.holds(at("11.0.0.0")));
+  EXPECT_TRUE(ten.contains(at("10.255.0.1")));
+  EXPECT_FALSE(ten.contains(at("11.0.0.0")));
   EXPECT_TRUE(ten.overlaps(*Range::parse("10.2.0.0/16")));
   EXPECT_FALSE(ten.overlaps(*Range::parse("2001:db8::/32")));
   EXPECT_EQ(ten.text(), "10.0.0.0/8");
@@ -324,13 +324,13 @@
         std::size_t sum = 0;
         for (std::size_t j = 0; j < model.size(); ++j) {
           RC_ASSERT(ledger.held(static_cast<Account>(j)) == model[j]);
-          RC_ASSERT(model[j] <= ledger.shares().most[j]);
+          RC_ASSERT(model[j] <= ledger.shares().max[j]);
           sum += model[j];
         }
         RC_ASSERT(ledger.total() == sum);
         RC_ASSERT(sum <= 160U);
         // A client is never let in at the cost of a link that accepted requests need.
-        RC_ASSERT(model[1] == ledger.shares().most[1] || ledger.may(Account::kInstances));
+        RC_ASSERT(model[1] == ledger.shares().max[1] || ledger.may(Account::kInstances));
       }
   });
 }
--- a/tests/flood_test.cpp
+++ b/tests/flood_test.cpp
@@ -219,7 +219,7 @@
     house.io.poll();
   }
   EXPECT_FALSE(desk.ended());
-  EXPECT_GT(house.gate.gaveWay(), 20U);
+  EXPECT_GT(house.gate.evicted(), 20U);
   desk.seen.clear();
   desk.write(kAsk);
   EXPECT_TRUE(house.until([&] { return desk.has("served"); }));
