--- a/src/app/handover.cpp
+++ b/src/app/handover.cpp
@@ -61,7 +61,7 @@
   if (!stream)
     return;
   const auto client = front_.connectionOf(key);
-  const auto clientState = client ? client->rest() : std::nullopt;
+  const auto clientState = client ? client->transferState() : std::nullopt;
   const auto instanceState = server_.instanceClient.transferState(stream->attempt);
   const upstream::InstanceEndpoint* endpoint = server_.directory.find(stream->instance);
   if (!clientState || !instanceState || endpoint == nullptr)
@@ -121,7 +121,7 @@
       responseWriter ? server_.dispatcher.adopt(stream.arrival, stream.instance, responseWriter)
                      : std::nullopt;
   if (!adopted)
-    return client->breakOff();
+    return client->abortResponse();
   ++server_.counters["streams.taken_over"];
   front_.adopt(*client, adopted->request);
   stream.instanceTransfer.call.descriptor = instanceSocket.release();
--- a/src/app/hot_restart.cpp
+++ b/src/app/hot_restart.cpp
@@ -115,8 +115,8 @@
     return;
   spdlog::info("processes of this conductor beside this one: {}", others.running);
   const std::size_t processes = others.running + 1;
-  context_.listener.capAt(context_.limits.clients() / processes);
-  context_.server.pool.capAt(context_.limits.instances() / processes);
+  context_.listener.setMaxConnections(context_.limits.clients() / processes);
+  context_.server.pool.setMaxConnections(context_.limits.instances() / processes);
   routing::Settings settings = context_.setup.settings;
   settings.nodes += static_cast<int>(others.running);
   context_.server.dispatcher.reconfigure(settings);
--- a/src/app/serve_operator_file.cpp
+++ b/src/app/serve_operator_file.cpp
@@ -122,7 +122,7 @@
                 server_->counters,
                 {.sharedPort = false,
                  .open = false,
-                 .gate = admissionController_.get(),
+                 .admissionController = admissionController_.get(),
                  .descriptorBudget = &server_->descriptorBudget}),
       exclusions_(*server_, nullptr),
       hotRestart_({.server = *server_,
--- a/src/app/serve_platform.cpp
+++ b/src/app/serve_platform.cpp
@@ -99,7 +99,7 @@
                 server_->counters,
                 {.sharedPort = config.admin.has_value(),
                  .open = false,
-                 .gate = nullptr,
+                 .admissionController = nullptr,
                  .descriptorBudget = &server_->descriptorBudget}),
       folder_(makeSharedFolder(config)),
       exclusions_(*server_, folder_.get()),
--- a/src/app/server.cpp
+++ b/src/app/server.cpp
@@ -71,7 +71,7 @@
 
 void Server::reconfigure(const routing::Settings& settings, upstream::InstanceProtocol protocol) {
   dispatcher.reconfigure(settings);
-  pool.dialWithin(core::toMs(settings.limits.connectTimeout));
+  pool.setConnectTimeout(core::toMs(settings.limits.connectTimeout));
   instanceClient.reconfigure(std::move(protocol), core::toMs(settings.contract.releaseLimit));
 }
 
--- a/src/app/serving.cpp
+++ b/src/app/serving.cpp
@@ -33,7 +33,7 @@
   };
   server.dispatcher.onEvent(log);
   server.dispatcher.onAction(log);
-  server.pool.onWire([](const std::string& line) { spdlog::info("wire: {}", line); });
+  server.pool.setTrace([](const std::string& line) { spdlog::info("wire: {}", line); });
 }
 
 std::unique_ptr<OtlpExporter> makeExporter(Server& server, const Telemetry& telemetry) {
--- a/src/upstream/attempt_call.cpp
+++ b/src/upstream/attempt_call.cpp
@@ -113,7 +113,7 @@
 
 void HttpInstanceClient::AttemptCall::head(const net::ResponseHead& head) {
   status_ = head.result_int();
-  freshConnection_ = call_->first();
+  freshConnection_ = call_->isFirstOnConnection();
   rejected_ = head.find(client_.protocol_.rejectedHeader) != head.end();
   client_.services_.directory.recordAnswer(instance_, nowMs());
 }
--- a/src/upstream/http_instance_client.cpp
+++ b/src/upstream/http_instance_client.cpp
@@ -170,7 +170,7 @@
 // One whose last event has come is over within a moment, too.
 bool HttpInstanceClient::hasUnreadResponse(core::AttemptKey key) const {
   const auto attempt = findAttempt(key);
-  return attempt && (attempt->finished() || attempt->call().unread());
+  return attempt && (attempt->finished() || attempt->call().hasUnread());
 }
 
 // ---- Hand-over to another process
@@ -190,7 +190,7 @@
   const auto attempt = findAttempt(key);
   if (!attempt || attempt->finished())
     return std::nullopt;
-  const auto callState = attempt->call().rest();
+  const auto callState = attempt->call().transferState();
   if (!callState)
     return std::nullopt;
   return TransferState{.call = *callState, .event = attempt->incompleteEvent()};
