--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -64,7 +64,7 @@
 }
 
 void SlowStart::countDispatch(Instance& instance, Time now) {
-  instance.slowStart.countSend(settings_.contract, now);
+  instance.slowStart.countDispatch(settings_.contract, now);
   dispatches_[roleIndex(instance.role)].add(1, now, kTrafficTimeConstant);
 }
 
--- a/src/routing/slow_start_budget.cpp
+++ b/src/routing/slow_start_budget.cpp
@@ -65,7 +65,7 @@
   return slot != usedSlot_ && stableDraw(seed_, slot) < std::pow(probability, times);
 }
 
-void SlowStartBudget::countSend(const Contract& contract, Time now) {
+void SlowStartBudget::countDispatch(const Contract& contract, Time now) {
   tokens_ = std::max(0.0, tokens_ - 1);
   usedSlot_ = slotOf(contract, now);
 }
--- a/src/routing/slow_start_budget.h
+++ b/src/routing/slow_start_budget.h
@@ -19,19 +19,20 @@
 
 /// A request that could go to an instance in slow start.
 struct SlowStartOffer {
-  double usualPerWindow;  ///< requests of this process that a warm instance of its size gets in a
-                          ///< window
-  double share;  ///< weight of the instances that the request is offered to, over that of the whole
-                 ///< role
-  double part;  ///< of this instance in that weight: 1 if it is offered the request alone, 0 for no
-                ///< draw
-  Time since;   ///< first offered; a request that waits is drawn against powers of the probability
+  /// Requests of this process that a warm instance of its weight gets in an overload window.
+  double usualPerWindow;
+  /// Weight of the instances that the request is offered to, over that of the whole role.
+  double share;
+  /// Part of this instance in that weight: 1 if it is offered the request alone, 0 for no draw.
+  double part;
+  /// When it was first offered; a request that waits is drawn against powers of the probability.
+  Time since;
 };
 
 /// Admits requests to one instance while it is in slow start. Kept with the instance.
 class SlowStartBudget {
  public:
-  /// The instance has started, or this process has just heard of it. The seed differs between
+  /// The instance has started, or this process has just learnt of it. The seed differs between
   /// processes.
   void reset(std::uint64_t seed, int processes, Time now);
   /// Whether the request may be sent now to the instance, which started then and is not warm.
@@ -41,7 +42,7 @@
               Time now);
   /// A request, or a reservation for it, has been sent; the later send to a reservation is not
   /// counted again.
-  void countSend(const Contract& contract, Time now);
+  void countDispatch(const Contract& contract, Time now);
 
  private:
   std::int64_t slotOf(const Contract& contract, Time time) const;
--- a/tests/slow_start_budget_test.cpp
+++ b/tests/slow_start_budget_test.cpp
@@ -87,7 +87,7 @@
   for (SlowStartBudget& budget : budgetsOf(kProcesses, kStart)) {
     if (!budget.admits(settings, kStart, {0, 10, 1, kStart}, kStart))
       continue;
-    budget.countSend(settings.contract, kStart);
+    budget.countDispatch(settings.contract, kStart);
     EXPECT_FALSE(budget.admits(settings, kStart, {0, 10, 1, kStart}, kStart));
     EXPECT_TRUE(budget.admits(settings, kStart, {0, 100, 1, kStart + 1s}, kStart + 1s));
   }
@@ -104,7 +104,7 @@
       for (SlowStartBudget& budget : budgets) {
         if (!budget.admits(settings, kStart, {0, 0, 0, now}, now))
           continue;
-        budget.countSend(settings.contract, now);
+        budget.countDispatch(settings.contract, now);
         ++sends;
       }
     EXPECT_GE(sends, 1) << processes;
@@ -122,7 +122,7 @@
     for (SlowStartBudget& budget : budgets) {
       if (!budget.admits(settings, kStart, {usual / 3, 1, 1, now}, now))
         continue;
-      budget.countSend(contract, now);
+      budget.countDispatch(contract, now);
       sends.push_back(now);
     }
   for (std::size_t i = 0; i < sends.size(); ++i) {
--- /dev/null
+++ b/tests/support/slow_start_fleet.h
@@ -0,0 +1,278 @@
+// A whole fleet of routers that sends to instances in slow start, and the bounds on what it may
+// send.
+#pragma once
+
+#include <algorithm>
+#include <cmath>
+#include <map>
+#include <memory>
+#include <ostream>
+#include <queue>
+#include <random>
+#include <vector>
+
+#include "fleet.h"
+
+namespace inference_router::routing {
+
+constexpr int kWarmPrefillInstances = 12, kWarmDecodeInstances = 8;
+constexpr double kInstanceRate = 7;  // requests a second that a warm prefill instance can do
+constexpr double kLoad =
+    0.6 * kInstanceRate * kWarmPrefillInstances;  // of the whole fleet, a second
+
+// Which instances are in slow start, and what else happens meanwhile. There is one new instance for
+// each of the weights.
+struct SlowStartScene {
+  std::uint32_t kind = kPrefill;
+  int warmInstances = 2;
+  std::vector<double> newWeights{1};
+  bool rolling = false;  // a tenth of the nodes restarts in each second, instead of a third once
+  int loadFactor = 1;    // times the usual load from the start of the new instances
+  bool skewed = false;   // prefixes as in Zipf's law; the first has a quarter of the traffic
+  bool allNodesStart =
+      false;  // every node starts with the new instances and knows nothing of before
+};
+
+constexpr double kTimerInterval = 0.02;  // seconds between the timers of a node whose requests wait
+constexpr int kPrefixes = 40;
+constexpr double kPopularShare = 0.25;
+
+inline std::vector<double> prefixShares(bool skewed) {
+  std::vector<double> shares(kPrefixes, 1.0);
+  if (!skewed)
+    return shares;
+  double rest = 0;
+  for (std::size_t i = 1; i < shares.size(); ++i)
+    rest += shares[i] = 1.0 / static_cast<double>(i);
+  shares[0] = rest * kPopularShare / (1 - kPopularShare);
+  return shares;
+}
+
+// Plays one scene: requests arrive at all nodes, instances answer at once after a fixed time, and
+// the attempts at new instances are recorded.
+class SlowStartFleet {
+ public:
+  // assumedNodes: how many nodes each takes the tier to have; if that is not their number, the
+  // budget is not split.
+  SlowStartFleet(int nodes, std::uint64_t seed, int assumedNodes, SlowStartScene scene = {})
+      : scene_(std::move(scene)), random_(seed), prefixes_(distribution(scene_.skewed, seed)) {
+    starts_.resize(static_cast<std::size_t>(nodes));
+    timerPending_.resize(static_cast<std::size_t>(nodes));
+    settings_ = plainSettings();
+    settings_.nodes = assumedNodes;
+    settings_.tenants = {{1.0, kInstanceRate * kWarmPrefillInstances * 0.8}};
+    for (int n = 0; n < nodes; ++n) {
+      nodes_.push_back(start(usualEndpoints()));
+      trafficShare_.push_back(
+          std::exp(std::normal_distribution<>(0, 1)(random_)));  // some see several times the mean
+    }
+  }
+
+  // The times of the attempts at each new instance.
+  std::map<std::string, std::vector<double>> run(double warmSeconds, double slowStartSeconds) {
+    runArrivals(warmSeconds);
+    slowStartAt_ = now_;
+    load_ *= scene_.loadFactor;
+    // Most of the role are removed as they come, so that most requests would go to them.
+    for (auto& node : nodes_)
+      node->list(changedEndpoints(), EndpointListForm::kFull);
+    if (scene_.allNodesStart)
+      restart(0, 1);
+    if (!scene_.rolling && !scene_.allNodesStart) {
+      runArrivals(now_ + 2);
+      restart(0, 3);
+    }
+    for (std::size_t wave = 0; scene_.rolling && wave < 10; ++wave) {
+      runArrivals(slowStartAt_ + slowStartSeconds * static_cast<double>(wave) / 10);
+      restart(wave, 10);
+    }
+    runArrivals(slowStartAt_ + slowStartSeconds);
+    return dispatches_;
+  }
+  double slowStartAt() const { return slowStartAt_; }
+  const Settings& settings() const { return settings_; }
+
+ private:
+  enum class StepKind { kPrefilled, kServed, kTimer };
+  struct Step {
+    double at;
+    std::size_t node;
+    int start;  // of the node: attempts from before a restart are gone
+    StepKind kind;
+    std::string id, instance;
+    bool operator<(const Step& other) const { return at > other.at; }
+  };
+
+  // A node that starts knows nothing but the present endpoint list.
+  std::unique_ptr<Fleet> start(const std::vector<EndpointRecord>& list) {
+    auto node =
+        std::make_unique<Fleet>(settings_, 1'000 + static_cast<std::uint64_t>(++totalStarts_) * 7);
+    advanceTo(*node, now_);
+    node->list(list);
+    return node;
+  }
+  void restart(std::size_t first, std::size_t step) {
+    for (std::size_t n = first; n < nodes_.size(); n += step) {
+      nodes_[n] = start(changedEndpoints());
+      ++starts_[n];
+      timerPending_[n] = false;
+    }
+  }
+  std::vector<EndpointRecord> usualEndpoints() const {
+    std::vector<EndpointRecord> all;
+    const bool mixed = scene_.kind == kMixed;
+    for (int i = 0; i < kWarmPrefillInstances; ++i)
+      all.push_back(endpoint(numbered(mixed ? "m" : "r", i), mixed ? kMixed : kPrefill));
+    for (int i = 0; !mixed && i < kWarmDecodeInstances; ++i)
+      all.push_back(endpoint(numbered("w", i), kDecode));
+    return all;
+  }
+  std::vector<EndpointRecord> changedEndpoints() const {
+    std::vector<EndpointRecord> all = usualEndpoints();
+    int left = scene_.warmInstances;
+    std::erase_if(
+        all, [&](const EndpointRecord& e) { return e.kind.value == scene_.kind && --left < 0; });
+    for (std::size_t i = 0; i < scene_.newWeights.size(); ++i) {
+      all.push_back(endpoint(numbered("c", static_cast<int>(i)), scene_.kind));
+      all.back().weight = scene_.newWeights[i];
+      all.back().started = Time(Duration(static_cast<Duration::rep>((10 + slowStartAt_) * 1e6)));
+    }
+    return all;
+  }
+  static bool advanceTo(Fleet& node, double at) {
+    const Time until{Duration(static_cast<Duration::rep>((10 + at) * 1e6))};
+    if (until <= node.now())
+      return false;
+    node.wait(until - node.now());
+    return true;
+  }
+  // Moves a node's clock to now and collects what it sent meanwhile, as requests may have waited.
+  Fleet& nodeNow(std::size_t n) {
+    if (advanceTo(*nodes_[n], now_))
+      collectDispatches(n);
+    return *nodes_[n];
+  }
+  void collectDispatches(std::size_t n) {
+    for (const DispatchAttempt& send : nodes_[n]->all<DispatchAttempt>()) {
+      const char kind = send.instance.value[0];
+      if (kind == 'c')
+        dispatches_[send.instance.value].push_back(now_);
+      const bool prefills = kind == 'r' || (kind == 'c' && scene_.kind == kPrefill);
+      steps_.push({now_ + 0.06, n, starts_[n], prefills ? StepKind::kPrefilled : StepKind::kServed,
+                   send.request.value, send.instance.value});
+    }
+    if (!timerPending_[n] && nodes_[n]->hasTimer())
+      steps_.push({now_ + kTimerInterval, n, starts_[n], StepKind::kTimer, {}, {}});
+    timerPending_[n] = timerPending_[n] || nodes_[n]->hasTimer();
+  }
+  void apply(const Step& step) {
+    if (step.kind == StepKind::kTimer)
+      timerPending_[step.node] = false;
+    Fleet& node = nodeNow(step.node);
+    if (step.kind == StepKind::kTimer)
+      return;
+    if (step.kind == StepKind::kPrefilled) {
+      node.end(step.id, step.instance, AttemptOutcome::kPrefilled, Duration(60'000));
+    } else {
+      node.open(step.id, step.instance);
+      collectDispatches(step.node);
+      node.end(step.id, step.instance, AttemptOutcome::kServed, 80ms, true);
+    }
+    collectDispatches(step.node);
+  }
+  // Which prefix is the popular one differs by seed, and so does its instance.
+  static std::discrete_distribution<std::size_t> distribution(bool skewed, std::uint64_t seed) {
+    std::vector<double> shares = prefixShares(skewed);
+    std::rotate(shares.begin(), shares.begin() + static_cast<std::ptrdiff_t>(seed % shares.size()),
+                shares.end());
+    return {shares.begin(), shares.end()};
+  }
+  int nextPrefix() {
+    if (!scene_.skewed)
+      return static_cast<int>(random_() % kPrefixes);
+    return static_cast<int>(prefixes_(random_));
+  }
+  void runArrivals(double until) {
+    std::discrete_distribution<std::size_t> pick(trafficShare_.begin(), trafficShare_.end());
+    double next = now_;
+    for (;;) {
+      if (steps_.empty() || next <= steps_.top().at) {
+        if (next > until)
+          break;
+        now_ = next;
+        next += std::exponential_distribution<>(load_)(random_);
+        const std::size_t n = pick(random_);
+        nodeNow(n).arrive(numbered("q", ++arrivals_), numbered("p", nextPrefix()));
+        collectDispatches(n);
+        continue;
+      }
+      const Step step = steps_.top();
+      if (step.at > until)
+        break;
+      steps_.pop();
+      now_ = step.at;
+      if (step.start == starts_[step.node])
+        apply(step);
+    }
+    now_ = until;
+  }
+
+  SlowStartScene scene_;
+  Settings settings_;
+  double load_ = kLoad;
+  std::mt19937_64 random_;
+  std::discrete_distribution<std::size_t> prefixes_;
+  std::vector<std::unique_ptr<Fleet>> nodes_;
+  std::vector<double> trafficShare_;
+  std::priority_queue<Step> steps_;
+  std::map<std::string, std::vector<double>> dispatches_;
+  double now_ = 0, slowStartAt_ = 0;
+  std::vector<int> starts_;
+  std::vector<bool> timerPending_;
+  int arrivals_ = 0, totalStarts_ = 0;
+};
+
+// What a window may hold where the instance bears n requests in it: the bound of these tests, and
+// the one that leaves few requests more room for chance.
+inline double strictBound(double n) {
+  return n + 2 * std::sqrt(n) + 2;
+}
+
+constexpr double kFewRequests = 30;
+inline double budgetBound(double n) {
+  return n < kFewRequests ? n + 3 * std::sqrt(n) + 3 : strictBound(n);
+}
+
+// The most that any window holds beyond its bound, where an instance does so many requests a
+// second.
+inline double maxExcess(const std::vector<double>& sent,
+                        const SlowStartFleet& fleet,
+                        double rate = kInstanceRate,
+                        double (*bound)(double) = strictBound) {
+  const auto& contract = fleet.settings().contract;
+  const double window = std::chrono::duration<double>(contract.overloadWindow).count();
+  const double warm = std::chrono::duration<double>(contract.warmupDuration).count();
+  double excess = -HUGE_VAL;
+  for (std::size_t i = 0; i < sent.size(); ++i) {
+    std::size_t count = 0;
+    while (i + count < sent.size() && sent[i + count] < sent[i] + window)
+      ++count;
+    const double share =
+        std::clamp((sent[i] - fleet.slowStartAt()) / warm, contract.warmupInitialShare, 1.0);
+    const double n = contract.overloadFactor * share * rate * window;
+    excess = std::max(excess, static_cast<double>(count) - bound(n));
+  }
+  return excess;
+}
+
+// Requests a second that a warm instance of the scene's kind and of this size does.
+inline double rateOf(const SlowStartScene& scene, double size) {
+  return kInstanceRate * kWarmPrefillInstances /
+         (scene.kind == kDecode ? kWarmDecodeInstances : kWarmPrefillInstances) * size;
+}
+
+inline double sizeOf(const SlowStartScene& scene, const std::string& id) {
+  return scene.newWeights[static_cast<std::size_t>(std::stoi(id.substr(1)))];
+}
+
+}  // namespace inference_router::routing
