--- a/tests/package/embed.cpp
+++ b/tests/package/embed.cpp
@@ -23,17 +23,20 @@
   }
   Router router(settings, 42);
   std::vector<Action> actions;
-  const EndpointRecord reader{{"10.0.0.1:80"}, {0}, {0}, {0}, EndpointState::kActive, 1.0, {}};
-  const EndpointRecord writer{{"10.0.0.2:80"}, {0}, {1}, {0}, EndpointState::kActive, 1.0, {}};
-  router.handle(Time(1ms), EndpointListUpdate{1, EndpointListForm::kFull, {reader, writer}},
+  const EndpointRecord prefillInstance{{"10.0.0.1:80"},        {0}, {0}, {0},
+                                       EndpointState::kActive, 1.0, {}};
+  const EndpointRecord decodeInstance{{"10.0.0.2:80"},        {0}, {1}, {0},
+                                      EndpointState::kActive, 1.0, {}};
+  router.handle(Time(1ms),
+                EndpointListUpdate{1, EndpointListForm::kFull, {prefillInstance, decodeInstance}},
                 actions);
   router.handle(Time(2ms), Arrival{{"r1"}, {0}, {}, "s1", "", 8s, {}, 900, 0, 256, false, false},
                 actions);
   for (const Action& action : actions) {
     if (const auto* send = std::get_if<DispatchAttempt>(&action))
       std::cout << "send to " << send->instance.value << '\n';
-    if (const auto* hold = std::get_if<ReserveDecode>(&action))
-      std::cout << "place at " << hold->instance.value << '\n';
+    if (const auto* reserve = std::get_if<ReserveDecode>(&action))
+      std::cout << "place at " << reserve->instance.value << '\n';
   }
   return actions.empty() ? 1 : 0;
 }
--- a/tests/settings_edges_test.cpp
+++ b/tests/settings_edges_test.cpp
@@ -85,11 +85,11 @@
   return kind;
 }
 
-DayKind changedTraffic(std::function<void(DrawnDay&, Asked&)> change) {
+DayKind changedTraffic(std::function<void(DrawnDay&, ClientRequest&)> change) {
   DayKind kind;
   kind.traffic = [change = std::move(change)](DrawnDay& day) {
-    for (Asked& asked : day.asks)
-      change(day, asked);
+    for (ClientRequest& clientRequest : day.clientRequests)
+      change(day, clientRequest);
   };
   return kind;
 }
@@ -108,7 +108,7 @@
 
 DayKind slotsOf(int count) {
   return changedFleet([count](DrawnDay& day) {
-    for (Sizes& sizes : day.sizes)
+    for (InstanceSize& sizes : day.sizes)
       sizes.slots = count;
   });
 }
@@ -121,9 +121,9 @@
 }
 
 DayKind noSharedTexts() {
-  DayKind kind = changedTraffic([](DrawnDay&, Asked& asked) {
-    asked.arrival.prefix = asked.arrival.session = "";
-    asked.arrival.prefixTokens = 0;
+  DayKind kind = changedTraffic([](DrawnDay&, ClientRequest& clientRequest) {
+    clientRequest.arrival.prefix = clientRequest.arrival.session = "";
+    clientRequest.arrival.prefixTokens = 0;
   });
   kind.shape.shared = {0, 0};
   return kind;
@@ -176,8 +176,8 @@
 }
 
 DayKind tenantsWithoutShare() {
-  DayKind kind = changedTraffic([](DrawnDay& day, Asked& asked) {
-    asked.arrival.tenant = TenantIndex{static_cast<std::uint32_t>(oneOf(day.draw, 0, 1))};
+  DayKind kind = changedTraffic([](DrawnDay& day, ClientRequest& clientRequest) {
+    clientRequest.arrival.tenant = TenantIndex{static_cast<std::uint32_t>(oneOf(day.draw, 0, 1))};
   });
   kind.settings = [](DrawnDay& day) {
     day.settings.tenants = {{0, 0}, {0, 0}};
@@ -190,8 +190,8 @@
   std::vector<Edge> all;
   all.push_back({"LongPrompts", longPrompts()});
   all.push_back({"NoSharedTexts", noSharedTexts()});
-  all.push_back({"WholePromptsShared", changedTraffic([](DrawnDay&, Asked& asked) {
-                   asked.arrival.prefixTokens = asked.arrival.promptTokens;
+  all.push_back({"WholePromptsShared", changedTraffic([](DrawnDay&, ClientRequest& clientRequest) {
+                   clientRequest.arrival.prefixTokens = clientRequest.arrival.promptTokens;
                  })});
   all.push_back(
       {"OneClass", changedSettings([](Settings& settings) { settings.classes.resize(1); })});
@@ -234,9 +234,9 @@
                    for (ClassSettings& cls : settings.classes)
                      cls.dedupWindow = 0s;
                  })});
-  all.push_back({"EmptyPrompts", changedTraffic([](DrawnDay&, Asked& asked) {
-                   asked.arrival.promptTokens = asked.arrival.prefixTokens =
-                       asked.arrival.maxTokens = 0;
+  all.push_back({"EmptyPrompts", changedTraffic([](DrawnDay&, ClientRequest& clientRequest) {
+                   clientRequest.arrival.promptTokens = clientRequest.arrival.prefixTokens =
+                       clientRequest.arrival.maxTokens = 0;
                  })});
   all.push_back({"OneAttempt",
                  changedSettings([](Settings& settings) { settings.limits.maxAttempts = 1; }),
@@ -256,11 +256,11 @@
 
 // Whether some kind that can do it has the memory for the prompt.
 template <class Does>
-bool fitsSomewhere(const DrawnDay& day, const Asked& asked, const Does& does) {
-  return std::any_of(day.settings.kinds.begin(), day.settings.kinds.end(),
-                     [&](const KindSettings& kind) {
-                       return does(kind.role) && asked.arrival.promptTokens <= kind.memoryTokens;
-                     });
+bool fitsSomewhere(const DrawnDay& day, const ClientRequest& clientRequest, const Does& does) {
+  return std::any_of(
+      day.settings.kinds.begin(), day.settings.kinds.end(), [&](const KindSettings& kind) {
+        return does(kind.role) && clientRequest.arrival.promptTokens <= kind.memoryTokens;
+      });
 }
 
 TEST_P(SettingsAtTheEdge, KeepTheInvariantsAnswerInTimeAndServeNoLessThanARandomPolicy) {
@@ -273,12 +273,12 @@
     const auto randomPolicy = [&](int n) { return RandomPolicy(day.settings, seedOf(n)); };
     const SimulatedDay routed(day, module, true);
     EXPECT_LE(routed.maxSlowStartExcess(), 0) << "instances in slow start are overloaded";
-    EXPECT_EQ(routed.unanswered(), 0U) << "of " << day.asks.size();
-    for (const Asked& asked : day.asks) {
-      const bool impossible = !fitsSomewhere(day, asked, [&](Role role) {
+    EXPECT_EQ(routed.unanswered(), 0U) << "of " << day.clientRequests.size();
+    for (const ClientRequest& clientRequest : day.clientRequests) {
+      const bool impossible = !fitsSomewhere(day, clientRequest, [&](Role role) {
         return role != Role::kDecode || day.settings.decodeCanPrefill;
-      }) || !fitsSomewhere(day, asked, [](Role role) { return role != Role::kPrefill; });
-      EXPECT_TRUE(!impossible || routed.attemptsOf(asked.arrival.request) == 0);
+      }) || !fitsSomewhere(day, clientRequest, [](Role role) { return role != Role::kPrefill; });
+      EXPECT_TRUE(!impossible || routed.attemptsOf(clientRequest.arrival.request) == 0);
     }
     const SimulatedDay plain(day, randomPolicy, false);
     if (!GetParam().compared || plain.maxSlowStartExcess() > 0)
@@ -290,7 +290,7 @@
 
 // ---- One by one
 
-TEST(Sizes, APromptThatNothingCanPrefillIsRejectedAtOnce) {
+TEST(InstanceSize, APromptThatNothingCanPrefillIsRejectedAtOnce) {
   Settings settings = plainSettings();
   settings.kinds = {{Role::kPrefill, 500}, {Role::kDecode, 100'000}};
   Fleet fleet(settings);
@@ -299,7 +299,7 @@
   EXPECT_FALSE(fleet.any<DispatchAttempt>());
 }
 
-TEST(Sizes, APromptThatOnlyADecodeInstanceHoldsIsPrefilledThereWhereItCan) {
+TEST(InstanceSize, APromptThatOnlyADecodeInstanceHoldsIsPrefilledThereWhereItCan) {
   Settings settings = plainSettings();
   settings.kinds = {{Role::kPrefill, 500}, {Role::kDecode, 100'000}};
   settings.decodeCanPrefill = true;
@@ -308,7 +308,7 @@
   EXPECT_EQ(fleet.sentTo(), "w");
 }
 
-TEST(Sizes, APromptGoesWhereItFits) {
+TEST(InstanceSize, APromptGoesWhereItFits) {
   Settings settings = plainSettings();
   settings.kinds = {
       {Role::kPrefill, 500}, {Role::kDecode, 500}, {Role::kPrefill, 9'000}, {Role::kDecode, 9'000}};
--- a/tests/settings_property_test.cpp
+++ b/tests/settings_property_test.cpp
@@ -12,8 +12,8 @@
 constexpr int kDays = 100;
 #endif
 
-double maxByChance(std::size_t asks) {  // two standard deviations of a share of so many
-  return 1 / std::sqrt(static_cast<double>(asks));
+double maxByChance(std::size_t clientRequests) {  // two standard deviations of a share of so many
+  return 1 / std::sqrt(static_cast<double>(clientRequests));
 }
 
 TEST(AnySettings, KeepTheInvariantsAndServeNoLessThanARandomPolicy) {
@@ -38,8 +38,8 @@
       continue;  // it serves more, and breaks a rule for it
     ++compared;
     gain += routed.served() - plain.served();
-    EXPECT_GE(routed.served(), plain.served() - maxByChance(day.asks.size()))
-        << day.asks.size() << " requests";
+    EXPECT_GE(routed.served(), plain.served() - maxByChance(day.clientRequests.size()))
+        << day.clientRequests.size() << " requests";
   }
   EXPECT_GT(compared, kDays * 0.8);
   EXPECT_GT(gain / compared, 0.05);
--- a/tests/support/day_policies.h
+++ b/tests/support/day_policies.h
@@ -93,7 +93,7 @@
       std::visit([this](const auto& act) { check(act); }, action);
     return actions;
   }
-  void look(Time now) {
+  void checkInvariants(Time now) {
     now_ = now;
     if (checked_)
       checkOpenRequests();
--- a/tests/support/drawn_day.h
+++ b/tests/support/drawn_day.h
@@ -28,7 +28,7 @@
   return std::chrono::duration<double>(d).count();
 }
 
-struct Sizes {
+struct InstanceSize {
   int slots, queue;
   double prefillRate;              // tokens a second
   bool sharesPrefillRate = false;  // among the prompts that it prefills at once
@@ -53,7 +53,7 @@
   bool memoryBounds = false;     // answers that run at once, before slots do
 };
 
-struct Asked {
+struct ClientRequest {
   double at;
   int node;
   Arrival arrival;
@@ -133,7 +133,7 @@
   void drawFleet() {
     const bool mixed = chance(draw, 0.5);
     const int zones = oneOf(draw, 1, 3), decodeKinds = oneOf(draw, 1, 2);
-    const auto kind = [&](Role role, Sizes of, int count) {
+    const auto kind = [&](Role role, InstanceSize of, int count) {
       settings.kinds.push_back({role, in(draw, 60'000, 250'000)});
       sizes.push_back(of);
       for (int i = 0; i < count; ++i) {
@@ -178,7 +178,7 @@
       gap += secondsOf(cls.tokenIntervalObjective) / 2;
     gap /= static_cast<double>(settings.classes.size());
     for (std::size_t i = 0; i < instances.size(); ++i) {
-      const Sizes& of = sizes[instances[i].kind.value];
+      const InstanceSize& of = sizes[instances[i].kind.value];
       if (roleOf(i) != Role::kDecode)
         prefillsPerSecond += of.prefillRate / prompt / (1 - shared / 2);
       const double inMemory =
@@ -190,22 +190,22 @@
     const double capacity = in(draw, shape.load) * std::min(prefillsPerSecond, decodesPerSecond);
     const double rate = capacity > 0 ? std::min(60.0, capacity)
                                      : kMinRate;  // some ask where nothing can serve them
-    int asked = 0;
+    int arrivals = 0;
     for (double at = 0.1; at < kLength; at += std::exponential_distribution<>(rate)(draw)) {
       const auto cls =
           static_cast<std::uint32_t>(oneOf(draw, 0, static_cast<int>(settings.classes.size()) - 1));
       const double tokens = prompt * in(draw, shape.promptSpread);
       Arrival arrival{};
-      arrival.request = {numbered("q", ++asked)};
+      arrival.request = {numbered("q", ++arrivals)};
       arrival.cls = {cls};
-      arrival.session = numbered("s", oneOf(draw, 0, asked));
+      arrival.session = numbered("s", oneOf(draw, 0, arrivals));
       arrival.prefix = numbered("p", drawPrefix(prefixes));
       arrival.timeLeft = span(secondsOf(settings.classes[cls].deadline) * in(draw, 0.5, 1));
       arrival.promptTokens = tokens;
       arrival.prefixTokens = tokens * shared;
       arrival.maxTokens = answer * 4;
-      asks.push_back({at, oneOf(draw, 0, settings.nodes - 1), arrival,
-                      answer * in(draw, shape.answerSpread), chance(draw, 0.02)});
+      clientRequests.push_back({at, oneOf(draw, 0, settings.nodes - 1), arrival,
+                                answer * in(draw, shape.answerSpread), chance(draw, 0.02)});
     }
   }
 
@@ -251,9 +251,9 @@
   Draw draw;
   TrafficShape shape;
   Settings settings{};
-  std::vector<Sizes> sizes;  // by kind
+  std::vector<InstanceSize> sizes;  // by kind
   std::vector<EndpointRecord> instances;
-  std::vector<Asked> asks;
+  std::vector<ClientRequest> clientRequests;
   std::vector<Change> changes;
 };
 
--- a/tests/support/simulated_day.h
+++ b/tests/support/simulated_day.h
@@ -22,25 +22,25 @@
       nodes_.push_back(std::make_unique<Node>(own, policy(n), checked));
     }
     for (const EndpointRecord& entry : day.instances) {
-      number_[entry.instance] = instances_.size();
+      instanceIndex_[entry.instance] = instances_.size();
       instances_.emplace_back();
       instances_.back().entry = entry;
       instances_.back().size = &day.sizes[entry.kind.value];
     }
     for (std::size_t n = 0; n < nodes_.size(); ++n)
       give(n, EndpointListUpdate{1, EndpointListForm::kFull, day.instances});
-    for (const Asked& asked : day.asks)
-      at(asked.at, [this, &asked] { arrive(asked); });
-    Draw late(day.asks.size());
+    for (const ClientRequest& clientRequest : day.clientRequests)
+      at(clientRequest.at, [this, &clientRequest] { arrive(clientRequest); });
+    Draw late(day.clientRequests.size());
     for (const Change& change : day.changes) {
-      at(change.at, [this, change] { happen(change); });
+      at(change.at, [this, change] { applyChange(change); });
       if (change.what != Change::kLeaves && change.what != Change::kStarts)
         continue;
       for (std::size_t n = 0; n < nodes_.size(); ++n)
-        at(change.at + in(late, 0.05, 1.5), [this, change, n] { tell(change, n); });
+        at(change.at + in(late, 0.05, 1.5), [this, change, n] { announce(change, n); });
     }
     if (checked)
-      look();
+      checkInvariants();
     while (!steps_.empty() && !::testing::Test::HasFailure()) {
       const Step step = steps_.top();
       steps_.pop();
@@ -48,75 +48,79 @@
       step.what();
     }
     for (const auto& node : nodes_)
-      node->look(now_ + 1s);  // nothing is left open
+      node->checkInvariants(now_ + 1s);  // nothing is left open
   }
 
   double served() const {  // share of the priority weight that was asked for
     double got = 0, all = 0;
-    for (const Asked& asked : day_.asks) {
-      const ClassSettings& cls = day_.settings.classes[asked.arrival.cls.value];
+    for (const ClientRequest& clientRequest : day_.clientRequests) {
+      const ClassSettings& cls = day_.settings.classes[clientRequest.arrival.cls.value];
       const Duration latencyObjective =
           cls.latencyObjective +
-          span(secondsOf(cls.latencyObjectivePer1000) * asked.arrival.promptTokens / 1000);
-      const Ask& ask = asks_.at(asked.arrival.request);
+          span(secondsOf(cls.latencyObjectivePer1000) * clientRequest.arrival.promptTokens / 1000);
+      const RequestProgress& progress = progress_.at(clientRequest.arrival.request);
       all += cls.priorityWeight;
-      if (ask.served)
-        got += cls.priorityWeight *
-               (ask.first - start(asked.at) <= latencyObjective ? 1 : cls.lateWeightShare);
+      if (progress.served)
+        got += cls.priorityWeight * (progress.first - start(clientRequest.at) <= latencyObjective
+                                         ? 1
+                                         : cls.lateWeightShare);
     }
     return all > 0 ? got / all : 0;
   }
 
   std::size_t unanswered() const {
     return static_cast<std::size_t>(
-        std::count_if(asks_.begin(), asks_.end(), [this](const auto& entry) {
-          return nodes_[static_cast<std::size_t>(entry.second.asked->node)]->waits(entry.first);
+        std::count_if(progress_.begin(), progress_.end(), [this](const auto& entry) {
+          return nodes_[static_cast<std::size_t>(entry.second.clientRequest->node)]->waits(
+              entry.first);
         }));
   }
   std::size_t attemptsOf(const RequestId& id) const {
-    const auto it = sent_.find(id);
-    return it == sent_.end() ? 0 : static_cast<std::size_t>(it->second);
+    const auto it = attemptsSent_.find(id);
+    return it == attemptsSent_.end() ? 0 : static_cast<std::size_t>(it->second);
   }
 
   // The most attempts at an instance in slow start in any window, beyond what it may get.
   double maxSlowStartExcess() const {
     const Contract& contract = day_.settings.contract;
     const double window = secondsOf(contract.overloadWindow);
-    double most = -HUGE_VAL;
+    double maxExcess = -HUGE_VAL;
     for (const Instance& instance : instances_)
-      for (std::size_t i = 0; i < instance.cold.size(); ++i) {
+      for (std::size_t i = 0; i < instance.slowStartAttempts.size(); ++i) {
         std::size_t count = 0;
-        while (i + count < instance.cold.size() &&
-               instance.cold[i + count] - instance.cold[i] < contract.overloadWindow)
+        while (i + count < instance.slowStartAttempts.size() &&
+               instance.slowStartAttempts[i + count] - instance.slowStartAttempts[i] <
+                   contract.overloadWindow)
           ++count;
-        const double share = std::clamp(secondsOf(instance.cold[i] - *instance.entry.started) /
-                                            secondsOf(contract.warmupDuration),
-                                        contract.warmupInitialShare, 1.0);
+        const double share =
+            std::clamp(secondsOf(instance.slowStartAttempts[i] - *instance.entry.started) /
+                           secondsOf(contract.warmupDuration),
+                       contract.warmupInitialShare, 1.0);
         const double n = contract.overloadFactor * share * capacity(instance) * window;
-        most = std::max(most, static_cast<double>(count) - (n + 2 * std::sqrt(n) + 2));
+        maxExcess = std::max(maxExcess, static_cast<double>(count) - (n + 2 * std::sqrt(n) + 2));
       }
-    return most;
+    return maxExcess;
   }
 
  private:
   struct Instance {
     EndpointRecord entry;
-    const Sizes* size = nullptr;
-    bool reached = true, takes = true;
+    const InstanceSize* size = nullptr;
+    bool reachable = true, acceptsRequests = true;
     std::set<std::string> cachedPrefixes;
-    std::deque<int> waiting;  // jobs
-    int busySlots = 0;        // slots, reservations among them
-    double tokens = 0;        // in memory by them
-    std::vector<Time> cold;   // attempts while it was in slow start
+    std::deque<int> waiting;              // jobs
+    int busySlots = 0;                    // slots, reservations among them
+    double tokens = 0;                    // in memory by them
+    std::vector<Time> slowStartAttempts;  // attempts while it was in slow start
   };
-  struct Ask {
-    const Asked* asked;
+  struct RequestProgress {
+    const ClientRequest* clientRequest;
     Instance *state = nullptr, *reservation = nullptr;
     bool served = false;
     Time first{};
   };
   struct Job {  // an attempt that is out
-    Ask* ask;
+    RequestProgress* progress;
     Instance* instance;
     int n;
     Time sentAt;
@@ -133,10 +137,10 @@
 
   static Time start(double seconds) { return Time(5s) + span(seconds); }
   void at(double seconds, std::function<void()> what) {
-    steps_.push({start(seconds), ++order_, std::move(what)});
+    steps_.push({start(seconds), ++lastOrder_, std::move(what)});
   }
   void after(Duration wait, std::function<void()> what) {
-    steps_.push({now_ + wait, ++order_, std::move(what)});
+    steps_.push({now_ + wait, ++lastOrder_, std::move(what)});
   }
   void later(double seconds, int job, void (SimulatedDay::*what)(int)) {
     after(span(seconds), [this, job, what] {
@@ -147,14 +151,14 @@
   Role roleOf(const Instance& instance) const {
     return day_.settings.kinds[instance.entry.kind.value].role;
   }
-  Instance& instanceOf(const InstanceId& id) { return instances_[number_.at(id)]; }
-  const Arrival& arrival(const Job& job) const { return job.ask->asked->arrival; }
-  bool isCold(const Instance& instance) const {
+  Instance& instanceOf(const InstanceId& id) { return instances_[instanceIndex_.at(id)]; }
+  const Arrival& arrival(const Job& job) const { return job.progress->clientRequest->arrival; }
+  bool isInSlowStart(const Instance& instance) const {
     return instance.entry.started &&
            now_ - *instance.entry.started < day_.settings.contract.warmupDuration;
   }
   double warmFraction(const Instance& instance) const {
-    if (!isCold(instance))
+    if (!isInSlowStart(instance))
       return 1;
     return std::max(day_.settings.contract.warmupInitialShare,
                     secondsOf(now_ - *instance.entry.started) /
@@ -177,11 +181,11 @@
     return std::min(prefillsPerSecond, decodesPerSecond);
   }
 
-  void look() {
+  void checkInvariants() {
     for (const auto& node : nodes_)
-      node->look(now_);
+      node->checkInvariants(now_);
     if (now_ < start(DrawnDay::kLength + 1))
-      after(10ms, [this] { look(); });
+      after(10ms, [this] { checkInvariants(); });
   }
   void give(std::size_t node, const Event& event) {
     for (const Action& action : nodes_[node]->give(now_, event))
@@ -193,48 +197,49 @@
     after(timer.in, [this, node, n = timer.timer] { give(node, TimerFired{n}); });
   }
   void carryOut(std::size_t, const DispatchAttempt& send) {
-    Ask& ask = asks_.at(send.request);
+    RequestProgress& progress = progress_.at(send.request);
     Instance& instance = instanceOf(send.instance);
-    const int job = ++order_;
-    const int n = sent_[send.request]++;
-    jobs_[job] = {&ask, &instance, n, now_};
-    if (isCold(instance))
-      instance.cold.push_back(now_);
-    if (ask.reservation != nullptr && ask.reservation != &instance &&
+    const int job = ++lastOrder_;
+    const int n = attemptsSent_[send.request]++;
+    jobs_[job] = {&progress, &instance, n, now_};
+    if (isInSlowStart(instance))
+      instance.slowStartAttempts.push_back(now_);
+    if (progress.reservation != nullptr && progress.reservation != &instance &&
         roleOf(instance) != Role::kPrefill)
-      freeReservation(ask);
-    const Time until = std::min(send.until, start(ask.asked->at) + ask.asked->arrival.timeLeft);
+      freeReservation(progress);
+    const Time until = std::min(
+        send.until, start(progress.clientRequest->at) + progress.clientRequest->arrival.timeLeft);
     later(secondsOf(until - now_), job, &SimulatedDay::timeOut);
-    if (instance.reached)
+    if (instance.reachable)
       later(0.001, job, &SimulatedDay::reach);
     else
-      later(secondsOf(day_.settings.limits.connectTimeout), job, &SimulatedDay::unreached);
+      later(secondsOf(day_.settings.limits.connectTimeout), job, &SimulatedDay::failConnect);
   }
   void carryOut(std::size_t node, const ReserveDecode& reserve) {
     after(1ms, [this, node, reserve] {
-      Ask& ask = asks_.at(reserve.request);
+      RequestProgress& progress = progress_.at(reserve.request);
       Instance& instance = instanceOf(reserve.instance);
-      freeReservation(ask);
-      const bool granted =
-          instance.reached && instance.takes && instance.waiting.empty() && fits(instance, ask);
+      freeReservation(progress);
+      const bool granted = instance.reachable && instance.acceptsRequests &&
+                           instance.waiting.empty() && fits(instance, progress);
       if (granted) {
-        take(instance, ask);
-        ask.reservation = &instance;
+        take(instance, progress);
+        progress.reservation = &instance;
       }
       for (const auto& [number, job] : jobs_)
-        if (job.ask == &ask && instance.reached)
+        if (job.progress == &progress && instance.reachable)
           return give(node, ReservationResult{reserve.request, job.n, reserve.instance, granted});
-      freeReservation(ask);  // its prefill has ended
+      freeReservation(progress);  // its prefill has ended
     });
   }
   void carryOut(std::size_t, const ReleaseState& release) {
     after(1ms, [this, id = release.request] {
-      Ask& ask = asks_.at(id);
+      RequestProgress& progress = progress_.at(id);
       for (const auto& [number, job] : jobs_)
-        if (job.ask == &ask)
+        if (job.progress == &progress)
           return;
-      freeReservation(ask);
-      ask.state = nullptr;
+      freeReservation(progress);
+      progress.state = nullptr;
     });
   }
   void carryOut(std::size_t, const CancelAttempt& cancel) {
@@ -243,15 +248,15 @@
         return later(0, number, &SimulatedDay::cancelled);
   }
 
-  void arrive(const Asked& asked) {
-    asks_[asked.arrival.request].asked = &asked;
-    const auto node = static_cast<std::size_t>(asked.node);
-    if (asked.leaves)
-      after(asked.arrival.timeLeft / 3, [this, node, id = asked.arrival.request] {
+  void arrive(const ClientRequest& clientRequest) {
+    progress_[clientRequest.arrival.request].clientRequest = &clientRequest;
+    const auto node = static_cast<std::size_t>(clientRequest.node);
+    if (clientRequest.leaves)
+      after(clientRequest.arrival.timeLeft / 3, [this, node, id = clientRequest.arrival.request] {
         if (nodes_[node]->waits(id))
           give(node, RequestAbandoned{id});
       });
-    give(node, asked.arrival);
+    give(node, clientRequest.arrival);
   }
 
   // ---- What an instance does
@@ -259,40 +264,42 @@
   double memoryOf(const Instance& instance) const {
     return day_.settings.kinds[instance.entry.kind.value].memoryTokens;
   }
-  double need(const Ask& ask) const { return ask.asked->arrival.promptTokens + ask.asked->answer; }
-  bool fits(const Instance& instance, const Ask& ask) const {
+  double need(const RequestProgress& progress) const {
+    return progress.clientRequest->arrival.promptTokens + progress.clientRequest->answer;
+  }
+  bool fits(const Instance& instance, const RequestProgress& progress) const {
     if (instance.busySlots >= instance.size->slots)
       return false;
     return roleOf(instance) == Role::kPrefill || instance.busySlots == 0 ||
-           instance.tokens + need(ask) <= memoryOf(instance);
+           instance.tokens + need(progress) <= memoryOf(instance);
   }
-  void take(Instance& instance, const Ask& ask) {
+  void take(Instance& instance, const RequestProgress& progress) {
     ++instance.busySlots;
-    instance.tokens += need(ask);
+    instance.tokens += need(progress);
   }
-  void leave(Instance& instance, const Ask& ask) {
+  void release(Instance& instance, const RequestProgress& progress) {
     --instance.busySlots;
-    instance.tokens -= need(ask);
+    instance.tokens -= need(progress);
     serve(instance);
   }
-  void freeReservation(Ask& ask) {
-    if (ask.reservation != nullptr)
-      leave(*std::exchange(ask.reservation, nullptr), ask);
+  void freeReservation(RequestProgress& progress) {
+    if (progress.reservation != nullptr)
+      release(*std::exchange(progress.reservation, nullptr), progress);
   }
   void reach(int number) {
     Job& job = jobs_.at(number);
     Instance& instance = *job.instance;
-    if (!instance.reached)
+    if (!instance.reachable)
       return;  // silence
-    if (job.ask->reservation == &instance) {
-      job.ask->reservation = nullptr;
+    if (job.progress->reservation == &instance) {
+      job.progress->reservation = nullptr;
       return begin(number);
     }
-    const bool state = job.ask->state != nullptr && job.ask->state->reached;
+    const bool state = job.progress->state != nullptr && job.progress->state->reachable;
     if (roleOf(instance) == Role::kDecode && !state && !day_.settings.decodeCanPrefill)
       return end(number, AttemptOutcome::kRejected, 0, true);
     const bool tooLong = arrival(job).promptTokens > memoryOf(instance);
-    if (tooLong || !instance.takes ||
+    if (tooLong || !instance.acceptsRequests ||
         static_cast<int>(instance.waiting.size()) >= instance.size->queue)
       return end(number, AttemptOutcome::kRejected);
     instance.waiting.push_back(number);
@@ -301,12 +308,12 @@
   void serve(Instance& instance) {
     while (!instance.waiting.empty()) {
       const auto job = jobs_.find(instance.waiting.front());
-      if (job != jobs_.end() && !fits(instance, *job->second.ask))
+      if (job != jobs_.end() && !fits(instance, *job->second.progress))
         return;
       instance.waiting.pop_front();
       if (job == jobs_.end())
         continue;
-      take(instance, *job->second.ask);
+      take(instance, *job->second.progress);
       begin(job->first);
     }
   }
@@ -330,8 +337,8 @@
   void begin(int number) {
     Job& job = jobs_.at(number);
     job.begun = true;
-    const Instance* from = job.ask->state;
-    if (roleOf(*job.instance) == Role::kPrefill || from == nullptr || !from->reached)
+    const Instance* from = job.progress->state;
+    if (roleOf(*job.instance) == Role::kPrefill || from == nullptr || !from->reachable)
       return later(uncachedTokens(job) / prefillRateOf(*job.instance), number,
                    &SimulatedDay::finishPrefill);
     const double perSecond = transferRate(*from, *job.instance);
@@ -345,31 +352,32 @@
     job.instance->cachedPrefixes.insert(arrival(job).prefix);
     if (roleOf(*job.instance) != Role::kPrefill)
       return open(number);
-    job.ask->state = job.ask->reservation != nullptr ? job.ask->reservation : job.instance;
+    job.progress->state =
+        job.progress->reservation != nullptr ? job.progress->reservation : job.instance;
     end(number, AttemptOutcome::kPrefilled, arrival(job).promptTokens - uncached);
   }
   void open(int number) {
     Job& job = jobs_.at(number);
-    job.ask->state = nullptr;
+    job.progress->state = nullptr;
     job.streams = true;
-    job.ask->first = now_;
+    job.progress->first = now_;
     const double gap =
         secondsOf(day_.settings.classes[arrival(job).cls.value].tokenIntervalObjective) / 2;
     ++streams_;
-    streamSeconds_ += job.ask->asked->answer * gap;
-    later(job.ask->asked->answer * gap, number, &SimulatedDay::completeStream);
+    streamSeconds_ += job.progress->clientRequest->answer * gap;
+    later(job.progress->clientRequest->answer * gap, number, &SimulatedDay::completeStream);
     give(nodeOf(job), StreamOpened{arrival(job).request, job.n, job.instance->entry.instance,
                                    now_ - job.sentAt});
   }
   std::size_t nodeOf(const Job& job) const {
-    return static_cast<std::size_t>(job.ask->asked->node);
+    return static_cast<std::size_t>(job.progress->clientRequest->node);
   }
 
   void completeStream(int number) {
-    jobs_.at(number).ask->served = true;
+    jobs_.at(number).progress->served = true;
     end(number, AttemptOutcome::kServed);
   }
-  void unreached(int number) { end(number, AttemptOutcome::kConnectFailed); }
+  void failConnect(int number) { end(number, AttemptOutcome::kConnectFailed); }
   void cancelled(int number) { end(number, AttemptOutcome::kCancelled); }
   void timeOut(int number) {
     if (!jobs_.at(number).streams)
@@ -379,7 +387,7 @@
     const Job job = jobs_.at(number);
     jobs_.erase(number);
     if (job.begun)
-      leave(*job.instance, *job.ask);
+      release(*job.instance, *job.progress);
     give(nodeOf(job), AttemptEnded{arrival(job).request,
                                    job.n,
                                    job.instance->entry.instance,
@@ -393,36 +401,36 @@
 
   // ---- What goes wrong
 
-  void happen(const Change& change) {
+  void applyChange(const Change& change) {
     Instance& instance = instances_[change.instance];
     if (change.what == Change::kForgets)
       instance.cachedPrefixes.clear();
     if (change.what == Change::kCut || change.what == Change::kBack)
-      instance.reached = change.what == Change::kBack;
+      instance.reachable = change.what == Change::kBack;
     if (change.what == Change::kLeaves)
-      instance.takes = false;
+      instance.acceptsRequests = false;
     if (change.what == Change::kStarts) {
-      instance.reached = instance.takes = true;
+      instance.reachable = instance.acceptsRequests = true;
       instance.entry.started = now_;
     }
     if (change.what != Change::kEnds)
       return;
-    instance.reached = false;
+    instance.reachable = false;
     instance.cachedPrefixes.clear();
     std::vector<int> lost;
     for (const auto& [number, job] : jobs_)
       if (job.instance == &instance && !job.streams)
         lost.push_back(number);  // it ends the streams that it has
-    for (auto& [id, ask] : asks_) {
-      if (ask.reservation == &instance)
-        freeReservation(ask);
-      if (ask.state == &instance)
-        ask.state = nullptr;
+    for (auto& [id, progress] : progress_) {
+      if (progress.reservation == &instance)
+        freeReservation(progress);
+      if (progress.state == &instance)
+        progress.state = nullptr;
     }
     for (const int number : lost)
       end(number, AttemptOutcome::kConnectionLost);
   }
-  void tell(const Change& change, std::size_t node) {
+  void announce(const Change& change, std::size_t node) {
     EndpointRecord entry = instances_[change.instance].entry;
     entry.state =
         change.what == Change::kLeaves ? EndpointState::kDraining : EndpointState::kActive;
@@ -432,14 +440,14 @@
   const DrawnDay& day_;
   std::vector<std::unique_ptr<Node>> nodes_;
   std::vector<Instance> instances_;
-  std::map<InstanceId, std::size_t> number_;
-  std::map<RequestId, Ask> asks_;
-  std::map<RequestId, int> sent_;
+  std::map<InstanceId, std::size_t> instanceIndex_;
+  std::map<RequestId, RequestProgress> progress_;
+  std::map<RequestId, int> attemptsSent_;
   std::map<int, Job> jobs_;
   std::priority_queue<Step> steps_;
   Time now_{5s};
   std::uint64_t version_ = 1;
-  int order_ = 0, prefills_ = 0, streams_ = 0;
+  int lastOrder_ = 0, prefills_ = 0, streams_ = 0;
   double prefilledTokens_ = 0, streamSeconds_ = 0;
 };
 
