--- a/src/core/request_dispatcher.h
+++ b/src/core/request_dispatcher.h
@@ -78,7 +78,7 @@
   bool mayReserve(const routing::InstanceId& instance) const { return guard_.mayReserve(instance); }
   /// Whether nothing that instances hold for a request can be of use to it any more: it streams, or
   /// is over.
-  bool needsNoHeldState(const routing::RequestId& request) const;
+  bool needsNoHeldState(const routing::RequestId& id) const;
   /// A part of an attempt's response has come. False if its client reads too slowly: then the
   /// caller waits for InstanceClient::resume().
   bool responseReceived(AttemptKey key, std::string_view part);
--- a/src/core/request_lifecycle.h
+++ b/src/core/request_lifecycle.h
@@ -50,7 +50,7 @@
   std::size_t openRequests() const { return openRequests_; }
 
  private:
-  RequestFacts factsOf(routing::ClassIndex cls) const;
+  RequestFacts factsOf(routing::ClassIndex index) const;
   void recordOutcome(RequestState& request,
                      const AttemptState& attempt,
                      const Result& result) const;
--- a/src/upstream/event_stream_filter.h
+++ b/src/upstream/event_stream_filter.h
@@ -14,7 +14,7 @@
 class EventStreamFilter {
  public:
   /// Of an event in bytes: as large as a body may be.
-  static constexpr std::size_t kMaxEventBytes = 256 * 1024;
+  static constexpr std::size_t kMaxEventBytes = std::size_t{256} * 1024;
 
   /// Adds a part of a response and returns the events that are complete by now and were not
   /// returned before. Nothing if this is no event stream, or an event is too large.
--- a/src/upstream/http_instance_client.h
+++ b/src/upstream/http_instance_client.h
@@ -54,9 +54,9 @@
   void reconfigure(InstanceProtocol protocol, double releaseLimitMs);
 
   void start(const core::Dispatch& dispatch) override;
-  void abandon(core::AttemptKey attempt) override;
-  void resume(core::AttemptKey attempt) override;
-  bool hasUnreadResponse(core::AttemptKey attempt) const override;
+  void abandon(core::AttemptKey key) override;
+  void resume(core::AttemptKey key) override;
+  bool hasUnreadResponse(core::AttemptKey key) const override;
   void reserve(const routing::RequestId& request,
                core::AttemptKey prefill,
                const routing::InstanceId& instance) override;
@@ -70,12 +70,12 @@
   };
   /// Stops reading. onPaused is called once transferState() can be asked for; if the stream is not
   /// handed over then, unpause() has to follow.
-  void pause(core::AttemptKey attempt, std::function<void()> onPaused);
-  void unpause(core::AttemptKey attempt);
+  void pause(core::AttemptKey key, std::function<void()> onPaused);
+  void unpause(core::AttemptKey key);
   /// Nothing if the stream cannot be handed over, or is over within a moment.
-  std::optional<TransferState> transferState(core::AttemptKey attempt);
+  std::optional<TransferState> transferState(core::AttemptKey key);
   /// Goes on with a stream that another process began. False if that is not possible.
-  bool adopt(core::AttemptKey attempt,
+  bool adopt(core::AttemptKey key,
              const routing::RequestId& request,
              const routing::InstanceId& instance,
              const net::Endpoint& address,
--- a/src/upstream/timed_call_sink.h
+++ b/src/upstream/timed_call_sink.h
@@ -34,7 +34,8 @@
                                           const std::shared_ptr<TimedCallSink>& sink,
                                           net::ConnectionPool::Urgency urgency,
                                           double limitMs) {
-    const auto call = services.pool.call(address, std::move(head), /*body=*/nullptr, sink, urgency);
+    std::shared_ptr<net::Call> call =
+        services.pool.call(address, std::move(head), /*body=*/nullptr, sink, urgency);
     if (call->state() == net::Call::State::kOver)
       return call;
     TimedCallSink* const timed = sink.get();  // owns the timer, so that it cannot fire later
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -152,7 +152,7 @@
   EXPECT_EQ(errorOf([&] { ConfigReader(file).list(); }), "|is not a list|the file is not a list");
 }
 
-struct Client final : ResponseWriter {
+struct FakeClient final : ResponseWriter {
   int refused = 0, failed = 0, ended = 0, broke = 0;
   bool late = false;
   std::string text;
@@ -173,29 +173,29 @@
   int finals() const { return refused + failed + ended + broke; }
 };
 
-struct PlayedInstances final : InstanceClient {
-  std::vector<Dispatch> out;
-  int started = 0, abandoned = 0, places = 0;
+struct FakeInstances final : InstanceClient {
+  std::vector<Dispatch> inFlight;
+  int started = 0, abandoned = 0, reservations = 0;
   std::vector<RequestId> released;
   void start(const Dispatch& dispatch) override {
     ++started;
-    out.push_back(dispatch);
+    inFlight.push_back(dispatch);
   }
   void abandon(AttemptKey key) override { abandoned += drop(key); }
   void resume(AttemptKey) override {}
-  bool more = false;  // of an answer has come than was passed on
-  bool hasUnreadResponse(AttemptKey) const override { return more; }
-  void reserve(const RequestId&, AttemptKey, const InstanceId&) override { ++places; }
+  bool hasUnread = false;  // more of a response has come than was passed on
+  bool hasUnreadResponse(AttemptKey) const override { return hasUnread; }
+  void reserve(const RequestId&, AttemptKey, const InstanceId&) override { ++reservations; }
   void release(const RequestId& request) override { released.push_back(request); }
   void checkHealth(const InstanceId&) override {}
   int drop(AttemptKey key) {
     return static_cast<int>(
-        std::erase_if(out, [&](const Dispatch& d) { return d.attempt == key; }));
+        std::erase_if(inFlight, [&](const Dispatch& d) { return d.attempt == key; }));
   }
 };
 
-struct Play {
-  explicit Play(Settings settings = plainSettings())
+struct DispatcherHarness {
+  explicit DispatcherHarness(Settings settings = plainSettings())
       : dispatcher(settings, 7, clock, timers, counters) {
     dispatcher.connect(instances);
     dispatcher.onAction(
@@ -206,8 +206,8 @@
     two.state = writer;
     dispatcher.list({++version, EndpointListForm::kFull, {endpoint("reader", kPrefill), two}});
   }
-  std::shared_ptr<Client> take(const std::string& id) {
-    const auto client = std::make_shared<Client>();
+  std::shared_ptr<FakeClient> submit(const std::string& id) {
+    const auto client = std::make_shared<FakeClient>();
     const auto key = dispatcher.submit(Fleet::arrival(id), std::make_shared<Payload>(), client);
     if (!key)
       return nullptr;
@@ -215,11 +215,11 @@
     return client;
   }
   void end(AttemptOutcome outcome) {
-    const Dispatch dispatch = instances.out.back();
+    const Dispatch dispatch = instances.inFlight.back();
     instances.drop(dispatch.attempt);
     dispatcher.attemptEnded(dispatch.attempt, {outcome});
   }
-  void pass(double ms) {
+  void advance(double ms) {
     clock.advance(ms);
     timers.runDue(clock.nowMs());
   }
@@ -227,7 +227,7 @@
   ManualClock clock;
   TimerQueue timers;
   Counters counters;
-  PlayedInstances instances;
+  FakeInstances instances;
   RequestDispatcher dispatcher;
   std::map<std::string, RequestKey> keys;
   std::uint64_t version = 0;
@@ -235,33 +235,33 @@
 };
 
 TEST(RequestDispatcher, ServesThroughReaderAndWriterWithOneFinalAnswer) {
-  Play play;
-  play.list();
-  const auto client = play.take("a");
-  ASSERT_EQ(play.instances.out.back().instance.value, "reader");
-  EXPECT_EQ(play.instances.places, 1);
-  play.end(AttemptOutcome::kPrefilled);
-  ASSERT_EQ(play.instances.out.back().instance.value, "writer");
-  play.dispatcher.responseReceived(play.instances.out.back().attempt, "one");
-  play.dispatcher.responseReceived(play.instances.out.back().attempt, "two");
+  DispatcherHarness harness;
+  harness.list();
+  const auto client = harness.submit("a");
+  ASSERT_EQ(harness.instances.inFlight.back().instance.value, "reader");
+  EXPECT_EQ(harness.instances.reservations, 1);
+  harness.end(AttemptOutcome::kPrefilled);
+  ASSERT_EQ(harness.instances.inFlight.back().instance.value, "writer");
+  harness.dispatcher.responseReceived(harness.instances.inFlight.back().attempt, "one");
+  harness.dispatcher.responseReceived(harness.instances.inFlight.back().attempt, "two");
   EXPECT_EQ(client->text, "onetwo");
-  play.end(AttemptOutcome::kServed);
+  harness.end(AttemptOutcome::kServed);
   EXPECT_EQ(client->ended, 1);
   EXPECT_EQ(client->finals(), 1);
-  EXPECT_EQ(play.dispatcher.open(), 0U);
+  EXPECT_EQ(harness.dispatcher.open(), 0U);
 }
 
 TEST(RequestDispatcher, AStreamThatBreaksEndsTheRequestAndIsNotSentAgain) {
-  Play play;
-  play.list();
-  const auto client = play.take("a");
-  play.end(AttemptOutcome::kPrefilled);
-  play.dispatcher.responseReceived(play.instances.out.back().attempt, "one");
-  play.end(AttemptOutcome::kConnectionLost);
+  DispatcherHarness harness;
+  harness.list();
+  const auto client = harness.submit("a");
+  harness.end(AttemptOutcome::kPrefilled);
+  harness.dispatcher.responseReceived(harness.instances.inFlight.back().attempt, "one");
+  harness.end(AttemptOutcome::kConnectionLost);
   EXPECT_EQ(client->broke, 1);
-  play.pass(10'000);
+  harness.advance(10'000);
   EXPECT_EQ(client->finals(), 1);
-  EXPECT_EQ(play.sends, 2);
+  EXPECT_EQ(harness.sends, 2);
 }
 
 // A stream that opens when all others have been handed over moves too, but not before its first
@@ -269,13 +269,13 @@
 TEST(RequestDispatcher, AStreamThatMovesAtOnceHasPassedItsFirstEvent) {
   Settings settings = plainSettings();
   settings.streamResumption = true;
-  Play play(settings);
-  play.list();
-  const auto client = play.take("a");
-  play.end(AttemptOutcome::kPrefilled);
-  play.dispatcher.stopping(1000);
-  play.clock.advance(910);  // late in the grace, and no alarm has rung yet
-  play.dispatcher.responseReceived(play.instances.out.back().attempt, "one");
+  DispatcherHarness harness(settings);
+  harness.list();
+  const auto client = harness.submit("a");
+  harness.end(AttemptOutcome::kPrefilled);
+  harness.dispatcher.stopping(1000);
+  harness.clock.advance(910);  // late in the grace, and no timer has fired yet
+  harness.dispatcher.responseReceived(harness.instances.inFlight.back().attempt, "one");
   EXPECT_EQ(client->text, "one");
   EXPECT_EQ(client->broke, 1);
   EXPECT_EQ(client->finals(), 1);
@@ -287,79 +287,79 @@
   for (const bool finishes : {true, false}) {
     Settings settings = plainSettings();
     settings.streamResumption = true;
-    Play play(settings);
-    play.list();
-    const auto client = play.take("a");
-    play.end(AttemptOutcome::kPrefilled);
-    play.instances.more = true;
-    play.dispatcher.stopping(1000);
-    play.clock.advance(910);
-    play.dispatcher.responseReceived(play.instances.out.back().attempt, "one");
-    play.pass(6);
+    DispatcherHarness harness(settings);
+    harness.list();
+    const auto client = harness.submit("a");
+    harness.end(AttemptOutcome::kPrefilled);
+    harness.instances.hasUnread = true;
+    harness.dispatcher.stopping(1000);
+    harness.clock.advance(910);
+    harness.dispatcher.responseReceived(harness.instances.inFlight.back().attempt, "one");
+    harness.advance(6);
     EXPECT_EQ(client->finals(), 0);
     if (finishes) {
-      play.dispatcher.responseReceived(play.instances.out.back().attempt, "two");
-      play.end(AttemptOutcome::kServed);
+      harness.dispatcher.responseReceived(harness.instances.inFlight.back().attempt, "two");
+      harness.end(AttemptOutcome::kServed);
     }
     for (int i = 0; i < 20; ++i)
-      play.pass(6);
+      harness.advance(6);
     EXPECT_EQ(client->ended, finishes ? 1 : 0);
     EXPECT_EQ(client->broke, finishes ? 0 : 1);
   }
 }
 
 TEST(RequestDispatcher, AClientThatGoesTakesItsAttemptsAndWhatIsHeldWithIt) {
-  Play play;
-  play.list();
-  const auto client = play.take("a");
-  play.dispatcher.clientDisconnected(play.keys["a"]);
-  EXPECT_TRUE(play.instances.out.empty());
-  EXPECT_FALSE(play.instances.released.empty());
+  DispatcherHarness harness;
+  harness.list();
+  const auto client = harness.submit("a");
+  harness.dispatcher.clientDisconnected(harness.keys["a"]);
+  EXPECT_TRUE(harness.instances.inFlight.empty());
+  EXPECT_FALSE(harness.instances.released.empty());
   EXPECT_EQ(client->finals(), 0);
-  EXPECT_EQ(play.dispatcher.open(), 0U);
+  EXPECT_EQ(harness.dispatcher.open(), 0U);
 }
 
 TEST(RequestDispatcher, AnIdThatIsUnderWayIsNotTakenTwice) {
-  Play play;
-  play.list();
-  ASSERT_NE(play.take("a"), nullptr);
-  EXPECT_EQ(play.take("a"), nullptr);
-  EXPECT_EQ(play.dispatcher.open(), 1U);
+  DispatcherHarness harness;
+  harness.list();
+  ASSERT_NE(harness.submit("a"), nullptr);
+  EXPECT_EQ(harness.submit("a"), nullptr);
+  EXPECT_EQ(harness.dispatcher.open(), 1U);
 }
 
 TEST(RequestDispatcher, ASendThatWaitedIsCheckedForDrainAndDeadline) {
   Settings settings = plainSettings();
   settings.limits.cancel = false;
-  Play play(settings);
-  play.list();
-  play.take("a");
-  play.end(AttemptOutcome::kPrefilled);
-  const AttemptKey key = play.instances.out.back().attempt;
-  EXPECT_TRUE(play.dispatcher.maySend(key));
-  play.list(EndpointState::kDraining);
-  play.clock.advance(790);
-  EXPECT_TRUE(play.dispatcher.maySend(key));
-  EXPECT_TRUE(play.dispatcher.mayReserve({"writer"}));
-  play.clock.advance(20);
-  EXPECT_FALSE(play.dispatcher.maySend(key));
-  EXPECT_FALSE(play.dispatcher.mayReserve({"writer"}));
-  play.list();
-  EXPECT_TRUE(play.dispatcher.maySend(key));
-  play.clock.advance(6000);
-  EXPECT_FALSE(play.dispatcher.maySend(key));
+  DispatcherHarness harness(settings);
+  harness.list();
+  harness.submit("a");
+  harness.end(AttemptOutcome::kPrefilled);
+  const AttemptKey key = harness.instances.inFlight.back().attempt;
+  EXPECT_TRUE(harness.dispatcher.maySend(key));
+  harness.list(EndpointState::kDraining);
+  harness.clock.advance(790);
+  EXPECT_TRUE(harness.dispatcher.maySend(key));
+  EXPECT_TRUE(harness.dispatcher.mayReserve({"writer"}));
+  harness.clock.advance(20);
+  EXPECT_FALSE(harness.dispatcher.maySend(key));
+  EXPECT_FALSE(harness.dispatcher.mayReserve({"writer"}));
+  harness.list();
+  EXPECT_TRUE(harness.dispatcher.maySend(key));
+  harness.clock.advance(6000);
+  EXPECT_FALSE(harness.dispatcher.maySend(key));
 }
 
 TEST(RequestDispatcher, AnAttemptPastItsTimeIsAbandonedAndTheClientToldThatItWasLate) {
   Settings settings = plainSettings();
   settings.classes[0].effect = Effect::kAtMostOnce;
-  Play play(settings);
-  play.list();
-  const auto client = play.take("a");
-  play.end(AttemptOutcome::kPrefilled);
-  play.pass(6000);
+  DispatcherHarness harness(settings);
+  harness.list();
+  const auto client = harness.submit("a");
+  harness.end(AttemptOutcome::kPrefilled);
+  harness.advance(6000);
   EXPECT_EQ(client->failed, 1);
   EXPECT_TRUE(client->late);
-  EXPECT_EQ(play.instances.abandoned, 1);
+  EXPECT_EQ(harness.instances.abandoned, 1);
 }
 
 // Whatever comes in whatever order: one final answer for each client that stays, none for one that
@@ -368,36 +368,36 @@
 // An attempt at a decode instance that ended without a proof may have run, and so may one that was
 // let go of while it was out.
 struct AtMostOnce final : InstanceClient {
-  std::map<std::uint32_t, Dispatch> out;
-  std::string broken;
+  std::map<std::uint32_t, Dispatch> inFlight;
+  std::string violations;
   bool mayHaveRun = false;
   int started = 0;
 
-  static bool writes(const Dispatch& dispatch) { return dispatch.instance.value[0] == 'w'; }
+  static bool isDecode(const Dispatch& dispatch) { return dispatch.instance.value[0] == 'w'; }
   void start(const Dispatch& dispatch) override {
     ++started;
     if (mayHaveRun)
-      broken += "sent after an attempt that may have run; ";
-    if (!out.empty())
-      broken += "a second copy; ";
-    out[dispatch.attempt.slot] = dispatch;
+      violations += "sent after an attempt that may have run; ";
+    if (!inFlight.empty())
+      violations += "a second copy; ";
+    inFlight[dispatch.attempt.slot] = dispatch;
   }
   void abandon(AttemptKey key) override {
-    const auto it = out.find(key.slot);
-    if (it == out.end() || it->second.attempt != key)
+    const auto found = inFlight.find(key.slot);
+    if (found == inFlight.end() || found->second.attempt != key)
       return;
-    mayHaveRun = mayHaveRun || writes(it->second);
-    out.erase(it);
+    mayHaveRun = mayHaveRun || isDecode(found->second);
+    inFlight.erase(found);
   }
   void ends(RequestDispatcher& dispatcher, AttemptOutcome outcome) {
-    if (out.empty())
+    if (inFlight.empty())
       return;
-    const Dispatch dispatch = out.begin()->second;
+    const Dispatch dispatch = inFlight.begin()->second;
     const bool proof = outcome == AttemptOutcome::kRejected ||
                        outcome == AttemptOutcome::kConnectFailed ||
                        outcome == AttemptOutcome::kNotSent || outcome == AttemptOutcome::kPrefilled;
-    mayHaveRun = mayHaveRun || (writes(dispatch) && !proof);
-    out.erase(out.begin());
+    mayHaveRun = mayHaveRun || (isDecode(dispatch) && !proof);
+    inFlight.erase(inFlight.begin());
     dispatcher.attemptEnded(dispatch.attempt, {outcome});
   }
   void resume(AttemptKey) override {}
@@ -412,14 +412,14 @@
                                  AttemptOutcome::kRejected,      AttemptOutcome::kTimeout,
                                  AttemptOutcome::kConnectFailed, AttemptOutcome::kConnectionLost,
                                  AttemptOutcome::kNotSent};
-  constexpr std::size_t kOthers = 7, kLetters = kOutcomes.size() + kOthers, kLength = 4;
-  std::size_t words = 1, refused = 0, failed = 0;
+  constexpr std::size_t kOthers = 7, kStepKinds = kOutcomes.size() + kOthers, kLength = 4;
+  std::size_t sequences = 1, refused = 0, failed = 0;
   for (std::size_t i = 0; i < kLength; ++i)
-    words *= kLetters;
-  for (std::size_t word = 0; word < words; ++word) {
+    sequences *= kStepKinds;
+  for (std::size_t sequence = 0; sequence < sequences; ++sequence) {
     Settings settings = plainSettings();
     settings.classes[0].effect = Effect::kAtMostOnce;
-    settings.decodeCanPrefill = word % 2 == 0;
+    settings.decodeCanPrefill = sequence % 2 == 0;
     settings.streamResumption = true;
     ManualClock clock;
     TimerQueue timers;
@@ -433,38 +433,38 @@
     };
     list(EndpointListForm::kFull, {endpoint("r1", kPrefill), endpoint("r2", kPrefill),
                                    endpoint("w1", kDecode), endpoint("w2", kDecode)});
-    const auto client = std::make_shared<Client>();
-    Arrival told = Fleet::arrival("a");
-    told.resumed = word % 3 == 0;
-    const auto key = dispatcher.submit(told, std::make_shared<Payload>(), client);
-    std::string course;
+    const auto client = std::make_shared<FakeClient>();
+    Arrival arrival = Fleet::arrival("a");
+    arrival.resumed = sequence % 3 == 0;
+    const auto key = dispatcher.submit(arrival, std::make_shared<Payload>(), client);
+    std::string stepsTaken;
     bool refusedInOrder = true;
-    std::size_t rest = word;
-    for (std::size_t i = 0; i < kLength; ++i, rest /= kLetters) {
-      const std::size_t letter = rest % kLetters;
-      course += std::to_string(letter) + " ";
+    std::size_t rest = sequence;
+    for (std::size_t i = 0; i < kLength; ++i, rest /= kStepKinds) {
+      const std::size_t step = rest % kStepKinds;
+      stepsTaken += std::to_string(step) + " ";
       const bool ranBefore = instances.mayHaveRun;
       const int refusedBefore = client->refused;
-      const auto pass = [&](double ms) {
+      const auto advance = [&](double ms) {
         clock.advance(ms);
         timers.runDue(clock.nowMs());
       };
-      if (letter < kOutcomes.size())
-        instances.ends(dispatcher, kOutcomes[letter]);
-      else if (letter == kOutcomes.size())
-        pass(20);
-      else if (letter == kOutcomes.size() + 1)
-        pass(2500);
-      else if (letter == kOutcomes.size() + 2)
+      if (step < kOutcomes.size())
+        instances.ends(dispatcher, kOutcomes[step]);
+      else if (step == kOutcomes.size())
+        advance(20);
+      else if (step == kOutcomes.size() + 1)
+        advance(2500);
+      else if (step == kOutcomes.size() + 2)
         dispatcher.stopping(100);
-      else if (letter == kOutcomes.size() + 3)
+      else if (step == kOutcomes.size() + 3)
         dispatcher.clientDisconnected(*key);
-      else if (letter == kOutcomes.size() + 4) {
-        if (!instances.out.empty())
-          dispatcher.responseReceived(instances.out.begin()->second.attempt, "event");
+      else if (step == kOutcomes.size() + 4) {
+        if (!instances.inFlight.empty())
+          dispatcher.responseReceived(instances.inFlight.begin()->second.attempt, "event");
       } else {
-        EndpointRecord gone = endpoint(letter == kOutcomes.size() + 5 ? "w1" : "r1",
-                                       letter == kOutcomes.size() + 5 ? kDecode : kPrefill);
+        EndpointRecord gone = endpoint(step == kOutcomes.size() + 5 ? "w1" : "r1",
+                                       step == kOutcomes.size() + 5 ? kDecode : kPrefill);
         gone.state = EndpointState::kDraining;
         list(EndpointListForm::kChanges, {gone});
       }
@@ -472,9 +472,9 @@
       if (client->refused > refusedBefore && (ranBefore || instances.mayHaveRun))
         refusedInOrder = false;
     }
-    ASSERT_EQ(instances.broken, "") << course;
-    ASSERT_TRUE(refusedInOrder) << course;
-    ASSERT_LE(client->finals(), 1) << course;
+    ASSERT_EQ(instances.violations, "") << stepsTaken;
+    ASSERT_TRUE(refusedInOrder) << stepsTaken;
+    ASSERT_LE(client->finals(), 1) << stepsTaken;
     refused += client->refused > 0;
     failed += client->failed > 0;
   }
@@ -485,21 +485,21 @@
 // Operators see of each refusal what was known of its last attempt, and whether that was at an
 // instance that only reads.
 TEST(RequestDispatcher, CountsRefusalsByWhatWasKnownOfTheLastAttempt) {
-  Play play;
-  const auto none = play.take("nothing sent");  // no instance at all
-  play.pass(10'000);
-  play.list();
-  const auto read = play.take("read");
-  while (read->finals() == 0 && !play.instances.out.empty())
-    play.end(AttemptOutcome::kError);
-  play.pass(10'000);
+  DispatcherHarness harness;
+  const auto none = harness.submit("nothing sent");  // no instance at all
+  harness.advance(10'000);
+  harness.list();
+  const auto read = harness.submit("read");
+  while (read->finals() == 0 && !harness.instances.inFlight.empty())
+    harness.end(AttemptOutcome::kError);
+  harness.advance(10'000);
   ASSERT_EQ(read->refused, 1);
   std::uint64_t sum = 0;
-  for (const auto& [name, value] : play.counters.all())
+  for (const auto& [name, value] : harness.counters.all())
     if (name.rfind("requests.refused_after.", 0) == 0)
       sum += value;
-  EXPECT_EQ(sum, play.counters["requests.refused"]);
-  EXPECT_EQ(play.counters["requests.refused_after.error_reading"], 1U);
+  EXPECT_EQ(sum, harness.counters["requests.refused"]);
+  EXPECT_EQ(harness.counters["requests.refused_after.error_reading"], 1U);
 }
 
 TEST(RequestDispatcher, KeepsItsInvariantsWhateverHappens) {
@@ -513,61 +513,62 @@
     Settings settings = plainSettings();
     if (seed % 2 == 0)
       settings.classes[0].effect = Effect::kAtMostOnce;
-    Play play(settings);
-    play.list();
-    std::map<std::string, std::shared_ptr<Client>> clients;
+    DispatcherHarness harness(settings);
+    harness.list();
+    std::map<std::string, std::shared_ptr<FakeClient>> clients;
     std::map<std::string, int> goneWith;
     for (int step = 0; step < 400; ++step) {
       const unsigned what = random() % 10;
       if (what < 2) {
         const std::string id = "r" + std::to_string(step);
-        clients[id] = play.take(id);
+        clients[id] = harness.submit(id);
       } else if (what == 2 && !clients.empty()) {
         const auto& [id, client] = *std::next(clients.begin(), random() % clients.size());
         if (goneWith.count(id) == 0) {
           goneWith[id] = client->finals();
-          play.dispatcher.clientDisconnected(play.keys[id]);
+          harness.dispatcher.clientDisconnected(harness.keys[id]);
         }
       } else if (what == 3) {
-        play.list(random() % 4 == 0 ? EndpointState::kDraining : EndpointState::kActive);
+        harness.list(random() % 4 == 0 ? EndpointState::kDraining : EndpointState::kActive);
       } else if (what < 6) {
-        play.pass(static_cast<double>(random() % 400));
-      } else if (!play.instances.out.empty()) {
-        const Dispatch dispatch = play.instances.out[random() % play.instances.out.size()];
-        const bool writes = dispatch.instance.value == "writer";
-        if (writes && random() % 2 == 0) {
-          play.dispatcher.responseReceived(dispatch.attempt, "x");
+        harness.advance(static_cast<double>(random() % 400));
+      } else if (!harness.instances.inFlight.empty()) {
+        const Dispatch dispatch =
+            harness.instances.inFlight[random() % harness.instances.inFlight.size()];
+        const bool isDecode = dispatch.instance.value == "writer";
+        if (isDecode && random() % 2 == 0) {
+          harness.dispatcher.responseReceived(dispatch.attempt, "x");
         } else {
           AttemptOutcome outcome = kOutcomes[random() % std::size(kOutcomes)];
-          if (writes == (outcome == AttemptOutcome::kPrefilled))
-            outcome = writes ? AttemptOutcome::kServed : AttemptOutcome::kPrefilled;
-          play.instances.drop(dispatch.attempt);
-          play.dispatcher.attemptEnded(dispatch.attempt, {outcome});
-          play.dispatcher.attemptEnded(dispatch.attempt,
-                                       {outcome});  // a second end must change nothing
+          if (isDecode == (outcome == AttemptOutcome::kPrefilled))
+            outcome = isDecode ? AttemptOutcome::kServed : AttemptOutcome::kPrefilled;
+          harness.instances.drop(dispatch.attempt);
+          harness.dispatcher.attemptEnded(dispatch.attempt, {outcome});
+          harness.dispatcher.attemptEnded(dispatch.attempt,
+                                          {outcome});  // a second end must change nothing
         }
       }
       for (const auto& [id, client] : clients)
         ASSERT_LE(client->finals(), 1) << id;
     }
-    while (!play.instances.out.empty())
-      play.end(AttemptOutcome::kConnectionLost);
+    while (!harness.instances.inFlight.empty())
+      harness.end(AttemptOutcome::kConnectionLost);
     for (int i = 0; i < 900; ++i)
-      play.pass(10);
-    while (!play.instances.out.empty())
-      play.end(AttemptOutcome::kConnectionLost);
+      harness.advance(10);
+    while (!harness.instances.inFlight.empty())
+      harness.end(AttemptOutcome::kConnectionLost);
     std::uint64_t ends = 0;
-    for (const auto& [name, value] : play.counters.all())
+    for (const auto& [name, value] : harness.counters.all())
       if (name.rfind("attempts.", 0) == 0 && name != "attempts.sent")
         ends += value;
-    EXPECT_EQ(ends, play.counters["attempts.sent"]);
-    EXPECT_EQ(play.dispatcher.open(), 0U);
-    const ClassMetrics& metrics = play.dispatcher.metrics().byClass()[0];
+    EXPECT_EQ(ends, harness.counters["attempts.sent"]);
+    EXPECT_EQ(harness.dispatcher.open(), 0U);
+    const ClassMetrics& metrics = harness.dispatcher.metrics().byClass()[0];
     EXPECT_EQ(metrics.taken, clients.size());
     EXPECT_EQ(metrics.taken, metrics.ok + metrics.shed + metrics.errors + metrics.abandoned);
-    EXPECT_EQ(metrics.ok, play.counters["requests.served"]);
-    EXPECT_EQ(metrics.shed, play.counters["requests.refused"]);
-    EXPECT_EQ(metrics.abandoned, play.counters["requests.client_gone"]);
+    EXPECT_EQ(metrics.ok, harness.counters["requests.served"]);
+    EXPECT_EQ(metrics.shed, harness.counters["requests.refused"]);
+    EXPECT_EQ(metrics.abandoned, harness.counters["requests.client_gone"]);
     for (const auto& [id, client] : clients) {
       const auto gone = goneWith.find(id);
       EXPECT_EQ(client->finals(), gone == goneWith.end() ? 1 : gone->second) << id;
