--- a/src/app/operations.cpp
+++ b/src/app/operations.cpp
@@ -194,8 +194,8 @@
   if (!folder_)
     return true;
   const bool failedBefore = unstored_;
-  unstored_ =
-      !exclusionsRead_ || !folder_->writeExclusions(parts_.server.membership.exclusions().text());
+  unstored_ = !exclusionsRead_ ||
+              !folder_->writeExclusions(parts_.server.membership.exclusions().serialize());
   if (!unstored_)
     return true;
   if (!failedBefore)
@@ -218,12 +218,12 @@
   const double now = parts_.server.clock.nowMs();
   fleet::Membership& members = parts_.server.membership;
   const auto change = out ? members.exclude(id, now) : members.include(id, now);
-  if (change.verdict == fleet::Membership::Verdict::kUnknown)
+  if (change.result == fleet::Membership::Result::kUnknownInstance)
     return {false, "no instance has this id"};
-  if (change.verdict == fleet::Membership::Verdict::kNoRoom)
+  if (change.result == fleet::Membership::Result::kFull)
     return {false, "too many instances are marked"};
   const bool stored = storeExclusions();
-  tell(change.news);
+  tell(change.update);
   const std::string done = id + (out ? " is excluded" : " is included");
   if (!stored)
     return {false, done + " in this process only, until the shared folder can be written"};
@@ -293,7 +293,7 @@
       facts.drainedBy = "maintenance";
     else if (entry.state != routing::EndpointState::kActive)
       facts.drainedBy = "list";
-    facts.avoided = parts_.server.dispatcher.avoids(id);
+    facts.ejected = parts_.server.dispatcher.avoids(id);
     if (const upstream::InstanceEndpoint* instance = parts_.server.directory.find(id))
       facts.reachable = instance->failedMs <= instance->heardMs;
     facts.open = parts_.server.dispatcher.openAt(id);
@@ -319,8 +319,8 @@
             " for_s=" + std::to_string(static_cast<long>((now - lifecycle.sinceMs()) / 1000)) +
             " open=" + std::to_string(parts_.server.dispatcher.openAt(id)) +
             " revision=" + std::to_string(lifecycle.revision()) +
-            " by=" + (lifecycle.by().empty() ? "-" : lifecycle.by()) + " why=\"" + lifecycle.why() +
-            "\"\n";
+            " by=" + (lifecycle.by().empty() ? "-" : lifecycle.by()) + " why=\"" +
+            lifecycle.reason() + "\"\n";
   return text;
 }
 
--- a/src/app/server.h
+++ b/src/app/server.h
@@ -48,7 +48,7 @@
 
   // What a list says goes through the membership to the module.
   void list(routing::EndpointListUpdate news) override {
-    dispatcher.list(membership.told(news, clock.nowMs()));
+    dispatcher.list(membership.applyUpdate(news, clock.nowMs()));
   }
 
   // What a reload brings, as far as it can change under way.
--- a/src/app/shared_state_service.cpp
+++ b/src/app/shared_state_service.cpp
@@ -54,7 +54,7 @@
 // ------------------------------------------------------------------------------------------
 
 void SharedStateService::saw(const coordination::View& view) {
-  node_.read(view.documents, view.readMs, server_.clock.nowMs());
+  node_.onRead(view.documents, view.readMs, server_.clock.nowMs());
 }
 
 void SharedStateService::tick() {
@@ -69,12 +69,12 @@
   if (!put_)
     return;
   const double now = server_.clock.nowMs();
-  const auto write = node_.next(core::unixNowMs(), now);
+  const auto write = node_.nextReport(core::unixNowMs(), now);
   if (!write)
     return;
   put_(*write, [this, alive = alive_](coordination::CommitResponse answer) {
     if (*alive)
-      node_.written(answer, server_.clock.nowMs());
+      node_.onWritten(answer, server_.clock.nowMs());
   });
 }
 
@@ -219,9 +219,9 @@
     spdlog::info("shared degree={} was={} silence_ms={:.0f}", nameOf(state), nameOf(loggedState_),
                  node_.silenceMs(now));
   loggedState_ = state;
-  if (node_.trouble() != saidTrouble_ && !node_.trouble().empty())
-    spdlog::warn("shared: {}", node_.trouble());
-  saidTrouble_ = node_.trouble();
+  if (node_.lastError() != saidTrouble_ && !node_.lastError().empty())
+    spdlog::warn("shared: {}", node_.lastError());
+  saidTrouble_ = node_.lastError();
   auto& counters = server_.counters;
   const SharedNode::Stats& node = node_.stats();
   counters["shared.words"] = node.reports;
@@ -300,7 +300,7 @@
       {"period_ends_in_s", digest ? std::max(0.0, digest->periodEndsMs - now) / 1000 : 0},
       {"conductors", node_.nodes()},
       {"restored", digest ? digest->restored : 0},
-      {"trouble", node_.trouble()},
+      {"trouble", node_.lastError()},
       {"budgets", budgets},
       {"boxes", instances},
       {"fleet", jsonOf(digest ? digest->total : UsageTable{})},
@@ -311,7 +311,7 @@
       "conductor {} {} silence_ms={:.0f} digest={} conductors={} period_ends_in_s={:.0f}{}\n",
       node_.self().name, nameOf(state), node_.silenceMs(now), digest ? digest->sequence : 0,
       node_.nodes(), whole["period_ends_in_s"].get<double>(),
-      node_.trouble().empty() ? "" : " trouble=\"" + node_.trouble() + "\"");
+      node_.lastError().empty() ? "" : " trouble=\"" + node_.lastError() + "\"");
   for (const json& b : budgets)
     text += fmt::format(
         "budget {} limit={} charged={} left={} lent_to={} here: lent={} returned={} ceiling={} "
--- a/src/app/shared_state_service.h
+++ b/src/app/shared_state_service.h
@@ -32,7 +32,7 @@
   void carriedBy(Put put) { put_ = std::move(put); }
   void reconfigure(shared::SharedSetup setup);
   // leaving: no more requests are taken; false undoes it.
-  void leave(bool leaving) { node_.leave(leaving); }
+  void leave(bool leaving) { node_.setLeaving(leaving); }
 
   // The task that makes the digest, for the router that holds its lease.
   std::unique_ptr<coordination::FleetTask> task(double maxStepMs);
--- a/src/fleet/discovery_backoff.h
+++ b/src/fleet/discovery_backoff.h
@@ -1,19 +1,19 @@
-// Timeouts of the watch on discovery, and the backoff between retries. No I/O; times in
-// milliseconds.
-//
-// A change counts as delivered kDeliveryLimitMs after discovery had it and was reachable, whatever
-// failed before. The timeouts therefore add up to less in the worst order of events:
-//
-//   the watch falls silent as something changes:  kWatchTimeoutMs + initial delay + kCallTimeoutMs
-//   a call hangs as discovery comes back:         kCallTimeoutMs + longest delay + kCallTimeoutMs
-//   half a line, then nothing:                    as a silent watch, from the last byte on
-//   discovery moves to another address (4 s):     kCallTimeoutMs + initial delay + kCallTimeoutMs
-//
-// These sums are kWorstSilentWatchMs, kWorstHungCallMs and kWorstMoveMs; tests play the orders.
-// Data on the watch resets the backoff.
-//
-// Many nodes that retry quickly can keep an overloaded discovery down. The delays therefore double
-// with each failure up to kMaxMs, are jittered, and start longer in a larger fleet.
+/// Timeouts of the watch on discovery, and the backoff between retries. No I/O; times in
+/// milliseconds.
+///
+/// A change counts as delivered kDeliveryLimitMs after discovery had it and was reachable, whatever
+/// failed before. The timeouts therefore add up to less in the worst order of events:
+///
+///   the watch falls silent as something changes:  kWatchTimeoutMs + initial delay + kCallTimeoutMs
+///   a call hangs as discovery comes back:         kCallTimeoutMs + longest delay + kCallTimeoutMs
+///   half a line, then nothing:                    as a silent watch, from the last byte on
+///   discovery moves to another address (4 s):     kCallTimeoutMs + initial delay + kCallTimeoutMs
+///
+/// These sums are kWorstSilentWatchMs, kWorstHungCallMs and kWorstMoveMs; tests play the orders.
+/// Data on the watch resets the backoff.
+///
+/// Many nodes that retry quickly can keep an overloaded discovery down. The delays therefore double
+/// with each failure up to kMaxMs, are jittered, and start longer in a larger fleet.
 #pragma once
 
 #include <algorithm>
@@ -22,18 +22,18 @@
 
 namespace inference_router::fleet {
 
-// The delay before the next retry. One object per watch.
+/// The delay before the next retry. One object per watch.
 class DiscoveryBackoff {
  public:
-  static constexpr double kDeliveryLimitMs = 6'000;  // kept free for scheduling delays
+  static constexpr double kDeliveryLimitMs = 6'000;  ///< kept free for scheduling delays
   static constexpr double kMarginMs = 300;
-  static constexpr double kWatchTimeoutMs = 2'600;  // discovery sends an empty line every 2 s
+  static constexpr double kWatchTimeoutMs = 2'600;  ///< discovery sends an empty line every 2 s
   static constexpr double kConnectTimeoutMs = 500;
   static constexpr double kFirstByteTimeoutMs =
-      1'000;                                    // discovery sends its state when a watch opens
-  static constexpr double kJitterShare = 0.5;   // of the mean delay, to either side
-  static constexpr double kMaxInitialMs = 460;  // bound of the initial mean delay
-  static constexpr double kMaxMs = 1'800;       // bound of any mean delay
+      1'000;                                    ///< discovery sends its state when a watch opens
+  static constexpr double kJitterShare = 0.5;   ///< of the mean delay, to either side
+  static constexpr double kMaxInitialMs = 460;  ///< bound of the initial mean delay
+  static constexpr double kMaxMs = 1'800;       ///< bound of any mean delay
 
   static constexpr double kCallTimeoutMs = kConnectTimeoutMs + kFirstByteTimeoutMs;
   static constexpr double kWorstSilentWatchMs =
@@ -46,20 +46,20 @@
                 kWorstHungCallMs <= kDeliveryLimitMs - kMarginMs);
   static_assert(kWorstMoveMs <= 4'000 - kMarginMs);
 
-  // nodes: size of the fleet; seed: of the jitter.
+  /// nodes: size of the fleet; seed: of the jitter.
   DiscoveryBackoff(int nodes, std::uint64_t seed)
       : initialMs_(std::clamp(nodes * kInitialPerNodeMs, kInitialMs, kMaxInitialMs)),
         meanMs_(initialMs_),
         random_(seed) {}
 
-  // The delay before the next retry after a failure; doubles the mean.
+  /// The delay before the next retry after a failure; doubles the mean.
   double nextDelayMs() {
     const double pause =
         meanMs_ * std::uniform_real_distribution<>(1 - kJitterShare, 1 + kJitterShare)(random_);
     meanMs_ = std::min(kMaxMs, meanMs_ * 2);
     return pause;
   }
-  // After a success.
+  /// After a success.
   void reset() { meanMs_ = initialMs_; }
 
  private:
--- a/src/fleet/drains.cpp
+++ b/src/fleet/drains.cpp
@@ -15,53 +15,56 @@
   return it == states_.end() ? DrainState{} : it->second;
 }
 
-DrainAnswer Drains::decide(const DrainCommand& command, const Instance& instance, double nowMs) {
-  const DrainState now = stateOf(command.instance);
-  if (command.doneByMs && (!command.drain || *command.doneByMs < nowMs))
-    return {DrainCode::kBadCommand, now, "a time to be done by belongs to a drain and lies ahead"};
-  if (!instance.known)
-    return {DrainCode::kUnknownInstance, now, "no box has the id " + command.instance};
-  if (command.seen != now.revision)
-    return {DrainCode::kConflict, now,
-            std::string("it is ") + (now.drained ? "drained" : "in use") + " by revision " +
-                std::to_string(now.revision) + (now.by.empty() ? "" : " of " + now.by) + ", not " +
-                std::to_string(command.seen)};
-  if (command.drain && !now.drained && instance.othersOfRole == 0 && !command.force)
-    return {DrainCode::kLastOfRole, now,
-            "it is the last box that can " + instance.role +
-                ": without it nothing is served, and " + std::to_string(instance.open) +
-                " requests are open on it; say so by force"};
+DrainResponse Drains::decide(const DrainCommand& command, const Target& target, double nowMs) {
+  const DrainState current = stateOf(command.instance);
+  if (command.deadlineMs && (!command.drain || *command.deadlineMs < nowMs))
+    return {DrainCode::kBadCommand, current,
+            "a time to be done by belongs to a drain and lies ahead"};
+  if (!target.known)
+    return {DrainCode::kUnknownInstance, current, "no box has the id " + command.instance};
+  if (command.expectedRevision != current.revision)
+    return {DrainCode::kConflict, current,
+            std::string("it is ") + (current.drained ? "drained" : "in use") + " by revision " +
+                std::to_string(current.revision) +
+                (current.setBy.empty() ? "" : " of " + current.setBy) + ", not " +
+                std::to_string(command.expectedRevision)};
+  if (command.drain && !current.drained && target.othersOfRole == 0 && !command.force)
+    return {DrainCode::kLastOfRole, current,
+            "it is the last box that can " + target.role + ": without it nothing is served, and " +
+                std::to_string(target.open) + " requests are open on it; say so by force"};
   // No change: the state and its revision stay.
-  if (command.drain == now.drained && command.doneByMs == now.doneByMs)
-    return {DrainCode::kDone, now, ""};
-  const DrainState next{command.drain, now.revision + 1, command.by,
-                        command.drain == now.drained ? now.sinceMs : nowMs, command.doneByMs};
+  if (command.drain == current.drained && command.deadlineMs == current.deadlineMs)
+    return {DrainCode::kDone, current, ""};
+  const DrainState next{command.drain, current.revision + 1, command.sender,
+                        command.drain == current.drained ? current.sinceMs : nowMs,
+                        command.deadlineMs};
   states_[command.instance] = next;
   return {DrainCode::kDone, next, ""};
 }
 
-DrainAnswer Drains::handle(const DrainCommand& command, const Instance& instance, double nowMs) {
-  if (command.id.empty() || command.id.size() > kLongestWord || command.by.size() > kLongestWord)
+DrainResponse Drains::handle(const DrainCommand& command, const Target& target, double nowMs) {
+  if (command.id.empty() || command.id.size() > kMaxWordBytes ||
+      command.sender.size() > kMaxWordBytes)
     return {DrainCode::kBadCommand, stateOf(command.instance),
             "a command has an id of 1 to 128 bytes"};
   // By sender and id, so that two senders may both count from 1.
-  const std::string key = command.by + "\n" + command.id;
-  const auto before = answered_.find(key);
-  if (before != answered_.end())
-    return before->second;
-  DrainAnswer answer = decide(command, instance, nowMs);
-  if (order_.size() >= kRemembered) {
-    answered_.erase(order_.front());
-    order_.pop_front();
+  const std::string key = command.sender + "\n" + command.id;
+  const auto repeated = responses_.find(key);
+  if (repeated != responses_.end())
+    return repeated->second;
+  DrainResponse response = decide(command, target, nowMs);
+  if (responseOrder_.size() >= kMaxRememberedCommands) {
+    responses_.erase(responseOrder_.front());
+    responseOrder_.pop_front();
   }
-  answered_[key] = answer;
-  order_.push_back(key);
-  return answer;
+  responses_[key] = response;
+  responseOrder_.push_back(key);
+  return response;
 }
 
 bool Drains::overdue(const std::string& instance, std::size_t open, double nowMs) const {
   const DrainState state = stateOf(instance);
-  return state.drained && state.doneByMs && open > 0 && nowMs > *state.doneByMs;
+  return state.drained && state.deadlineMs && open > 0 && nowMs > *state.deadlineMs;
 }
 
 }  // namespace inference_router::fleet
--- a/src/fleet/drains.h
+++ b/src/fleet/drains.h
@@ -1,7 +1,7 @@
-// Commands of operators to drain and undrain instances, with optimistic concurrency control: each
-// carries the revision of the drain state that the sender saw of the drain that its sender saw, so
-// that of two conflicting commands one wins and the other is told the present state and who set it.
-// Commands are idempotent by sender and id. No I/O.
+/// Commands of operators to drain and undrain instances, with optimistic concurrency control: each
+/// carries the revision of the drain state that its sender saw. Of two conflicting commands one
+/// wins, and the other is answered with the present state and who set it. Commands are idempotent
+/// by sender and id. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -12,67 +12,68 @@
 
 namespace inference_router::fleet {
 
-// A command of an operator. Times in milliseconds of the caller's clock.
+/// A command of an operator. Times in milliseconds of the caller's clock.
 struct DrainCommand {
-  std::string id;  // unique per sender
-  std::string by;
+  std::string id;  ///< unique per sender
+  std::string sender;
   std::string instance;
   bool drain = true;
-  std::uint64_t seen = 0;          // revision
-  std::optional<double> doneByMs;  // drain: deadline
-  bool force = false;              // even if it is the last instance of its role
+  std::uint64_t expectedRevision = 0;  ///< that the sender saw; 0: never drained
+  std::optional<double> deadlineMs;    ///< drain: deadline
+  bool force = false;                  ///< even if it is the last instance of its role
 };
 
-// Whether an instance is drained, and by whom.
+/// Whether an instance is drained, and by whom.
 struct DrainState {
   bool drained = false;
-  std::uint64_t revision = 0;  // 0: never drained
-  std::string by;
+  std::uint64_t revision = 0;  ///< 0: never drained
+  std::string setBy;
   double sinceMs = 0;
-  std::optional<double> doneByMs;
+  std::optional<double> deadlineMs;
   bool operator==(const DrainState&) const = default;
 };
 
 enum class DrainCode { kDone, kConflict, kUnknownInstance, kLastOfRole, kBadCommand };
 const char* nameOf(DrainCode code);
 
-// The answer to a command.
-struct DrainAnswer {
+/// The answer to a command.
+struct DrainResponse {
   DrainCode code;
-  DrainState state;  // after the command
-  std::string why;
-  bool operator==(const DrainAnswer&) const = default;
+  DrainState state;  ///< after the command
+  std::string error;
+  bool operator==(const DrainResponse&) const = default;
 };
 
-// The drain state of all instances.
+/// The drain state of all instances.
 class Drains {
  public:
-  static constexpr std::size_t kRemembered = 1024;  // latest commands, for repeated ones
-  static constexpr std::size_t kLongestWord = 128;
+  static constexpr std::size_t kMaxRememberedCommands =
+      1024;  ///< latest commands, for repeated ones
+  static constexpr std::size_t kMaxWordBytes = 128;
 
-  // The facts of an instance that a command is checked against.
-  struct Instance {
+  /// The facts of an instance that a command is checked against.
+  struct Target {
     bool known = false;
-    std::size_t othersOfRole = 0;  // other instances that serve its role
+    std::size_t othersOfRole = 0;  ///< other instances that serve its role
     std::string role;
-    std::size_t open = 0;  // requests in flight
+    std::size_t open = 0;  ///< requests in flight
   };
 
-  // Executes a command, or repeats the answer to one that was executed before.
-  DrainAnswer handle(const DrainCommand& command, const Instance& instance, double nowMs);
+  /// Executes a command, or repeats the answer to one that was executed before.
+  DrainResponse handle(const DrainCommand& command, const Target& target, double nowMs);
   DrainState stateOf(const std::string& instance) const;
-  // Restores a persisted state; revisions continue from there.
+  /// Restores a persisted state; revisions continue from there.
   void restore(const std::string& instance, const DrainState& state) { states_[instance] = state; }
   void forget(const std::string& instance) { states_.erase(instance); }
-  // Whether a drain is past its deadline with requests open. Reported only; no request is cut.
+  /// Whether a drain is past its deadline with requests open. Reported only; no request is cut.
   bool overdue(const std::string& instance, std::size_t open, double nowMs) const;
 
  private:
-  DrainAnswer decide(const DrainCommand& command, const Instance& instance, double nowMs);
+  DrainResponse decide(const DrainCommand& command, const Target& target, double nowMs);
 
   std::map<std::string, DrainState> states_;
-  std::map<std::string, DrainAnswer> answered_;
-  std::list<std::string> order_;
+  std::map<std::string, DrainResponse> responses_;
+  std::list<std::string> responseOrder_;
 };
 
 }  // namespace inference_router::fleet
--- a/src/fleet/exclusions.cpp
+++ b/src/fleet/exclusions.cpp
@@ -41,7 +41,7 @@
     exclusion.updatedMs = std::min(exclusion.updatedMs, nowMs);
 }
 
-std::string Exclusions::text() const {
+std::string Exclusions::serialize() const {
   json list = json::array();
   for (const auto& [id, exclusion] : exclusions_)
     list.push_back({{"id", id},
@@ -57,11 +57,11 @@
 
 std::optional<Exclusions> Exclusions::parse(std::string_view text) {
   try {
-    const json whole = json::parse(text);
-    if (whole.at("form") != kFormat || !whole.at("marks").is_array())
+    const json value = json::parse(text);
+    if (value.at("form") != kFormat || !value.at("marks").is_array())
       return std::nullopt;
     Exclusions exclusions;
-    for (const json& entry : whole.at("marks")) {
+    for (const json& entry : value.at("marks")) {
       const auto id = entry.at("id").get<std::string>();
       const Exclusion exclusion{
           entry.at("excluded").get<bool>(), entry.at("version").get<std::uint64_t>(),
--- a/src/fleet/exclusions.h
+++ b/src/fleet/exclusions.h
@@ -1,5 +1,5 @@
-// Exclusions of instances by operators: a last-writer-wins map, so that the maps of several
-// processes can be merged in any order and repeatedly. No I/O.
+/// Exclusions of instances by operators: a last-writer-wins map, so that the maps of several
+/// processes can be merged in any order and repeatedly. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -12,12 +12,12 @@
 
 namespace inference_router::fleet {
 
-// The last decision on one instance; excluded is false after an inclusion.
+/// The last decision on one instance; excluded is false after an inclusion.
 struct Exclusion {
   bool excluded = false;
-  std::uint64_t version = 0;  // one more than the highest version known to its writer
-  std::uint64_t writer = 0;   // breaks ties between equal versions
-  double updatedMs = 0;       // by the machine's monotonic clock
+  std::uint64_t version = 0;  ///< one more than the highest version known to its writer
+  std::uint64_t writer = 0;   ///< breaks ties between equal versions
+  double updatedMs = 0;       ///< by the machine's monotonic clock
 
   bool supersedes(const Exclusion& other) const {
     return std::tie(version, writer) > std::tie(other.version, other.writer);
@@ -25,14 +25,14 @@
   bool operator==(const Exclusion&) const = default;
 };
 
-// The exclusions of all instances.
+/// The exclusions of all instances.
 class Exclusions {
  public:
-  // As many as there may be instances, so that a runaway script cannot fill memory.
+  /// As many as there may be instances, so that a runaway script cannot fill memory.
   static constexpr std::size_t kMaxEntries = 1024;
   static constexpr std::size_t kMaxIdBytes = 256;
   static constexpr std::size_t kMaxTextBytes =
-      kMaxEntries * (6 * kMaxIdBytes + 160);  // with every byte of an id escaped
+      kMaxEntries * (6 * kMaxIdBytes + 160);  ///< with every byte of an id escaped
 
   const Exclusion* find(const std::string& id) const {
     const auto it = exclusions_.find(id);
@@ -45,17 +45,17 @@
   std::size_t size() const { return exclusions_.size(); }
   const std::map<std::string, Exclusion>& all() const { return exclusions_; }
 
-  // Returns false if the map is full.
+  /// Returns false if the map is full.
   bool set(const std::string& id, bool excluded, std::uint64_t writer, double nowMs);
-  // Returns the instances whose entry changed.
+  /// Returns the instances whose entry changed.
   std::vector<std::string> merge(const Exclusions& others);
   void forget(const std::string& id) { exclusions_.erase(id); }
-  // Times of a clock that counted from another moment, before the machine started anew, are bounded
-  // by now.
+  /// Times of a clock that counted from another moment, before the machine started anew, are
+  /// bounded by now.
   void boundTimes(double nowMs);
 
-  // The text form in the shared file, and back; nothing if the text is not a complete one.
-  std::string text() const;
+  /// The text form in the shared file, and back; nothing if the text is not a complete one.
+  std::string serialize() const;
   static std::optional<Exclusions> parse(std::string_view text);
 
   bool operator==(const Exclusions&) const = default;
--- a/src/fleet/instance_ages.cpp
+++ b/src/fleet/instance_ages.cpp
@@ -4,30 +4,30 @@
 
 namespace inference_router::fleet {
 
-void InstanceAges::sees(double upSinceMs) {
-  if (upSinceMs <= 0)
+void InstanceAges::observeStart(double reportedStartMs) {
+  if (reportedStartMs <= 0)
     return;
-  const double least = upSinceMs - clock_.nowMs();
-  offsetMs_ = std::max(offsetMs_.value_or(least), least);
+  const double minOffset = reportedStartMs - clock_.nowMs();
+  offsetMs_ = std::max(offsetMs_.value_or(minOffset), minOffset);
 }
 
-std::optional<double> InstanceAges::startOf(const std::string& id, double upSinceMs) {
-  if (upSinceMs <= 0) {
+std::optional<double> InstanceAges::startTime(const std::string& id, double reportedStartMs) {
+  if (reportedStartMs <= 0) {
     known_.erase(id);
     return std::nullopt;
   }
   const auto it = known_.find(id);
-  if (it != known_.end() && it->second.upSinceMs == upSinceMs)
+  if (it != known_.end() && it->second.reportedStartMs == reportedStartMs)
     return it->second.startedMs;
-  const double startedMs = estimate(upSinceMs);
-  known_[id] = {upSinceMs, startedMs};
+  const double startedMs = estimate(reportedStartMs);
+  known_[id] = {reportedStartMs, startedMs};
   return startedMs;
 }
 
-double InstanceAges::estimate(double upSinceMs) const {
+double InstanceAges::estimate(double reportedStartMs) const {
   const double now = clock_.nowMs();
-  const double byOffset = upSinceMs - offsetMs_.value_or(upSinceMs - now);
-  return std::min(now, heardMs_ ? std::max(byOffset, *heardMs_) : byOffset);
+  const double byOffset = reportedStartMs - offsetMs_.value_or(reportedStartMs - now);
+  return std::min(now, lastContactMs_ ? std::max(byOffset, *lastContactMs_) : byOffset);
 }
 
 void InstanceAges::keepOnly(const std::set<std::string>& listed) {
--- a/src/fleet/lifecycle.cpp
+++ b/src/fleet/lifecycle.cpp
@@ -19,29 +19,29 @@
 
 // A drain takes precedence over failures: a draining instance that cannot be reached is still
 // draining. Only discovery brings back an instance that is gone.
-std::optional<LifecycleState> InstanceLifecycle::next(LifecycleEvent event) const {
+std::optional<LifecycleState> InstanceLifecycle::nextState(LifecycleEvent event) const {
   using S = LifecycleState;
   const bool serving = state_ == S::kWarming || state_ == S::kActive;
-  const bool troubled = state_ == S::kAvoided || state_ == S::kUnreachable;
+  const bool faulty = state_ == S::kEjected || state_ == S::kUnreachable;
   const bool draining = state_ == S::kDraining || state_ == S::kDrained;
   switch (event) {
     case LifecycleEvent::kListed:
       return state_ == S::kGone ? std::optional(S::kWarming) : std::nullopt;
     case LifecycleEvent::kWarm:
       return state_ == S::kWarming ? std::optional(S::kActive) : std::nullopt;
-    case LifecycleEvent::kDrainAsked:
-      return serving || troubled ? std::optional(S::kDraining) : std::nullopt;
+    case LifecycleEvent::kDrainRequested:
+      return serving || faulty ? std::optional(S::kDraining) : std::nullopt;
     case LifecycleEvent::kIdle:
       return state_ == S::kDraining ? std::optional(S::kDrained) : std::nullopt;
-    case LifecycleEvent::kDrainOver:
+    case LifecycleEvent::kUndrained:
       return draining ? std::optional(S::kWarming) : std::nullopt;
-    case LifecycleEvent::kAvoided:
-      return serving ? std::optional(S::kAvoided) : std::nullopt;
-    case LifecycleEvent::kTrusted:
-      return state_ == S::kAvoided ? std::optional(resumeState_) : std::nullopt;
-    case LifecycleEvent::kLost:
-      return serving || state_ == S::kAvoided ? std::optional(S::kUnreachable) : std::nullopt;
-    case LifecycleEvent::kReached:
+    case LifecycleEvent::kEjected:
+      return serving ? std::optional(S::kEjected) : std::nullopt;
+    case LifecycleEvent::kReinstated:
+      return state_ == S::kEjected ? std::optional(resumeState_) : std::nullopt;
+    case LifecycleEvent::kConnectionLost:
+      return serving || state_ == S::kEjected ? std::optional(S::kUnreachable) : std::nullopt;
+    case LifecycleEvent::kReconnected:
       return state_ == S::kUnreachable ? std::optional(resumeState_) : std::nullopt;
     case LifecycleEvent::kDelisted:
       return state_ != S::kGone ? std::optional(S::kGone) : std::nullopt;
@@ -51,16 +51,16 @@
 
 InstanceLifecycle::Outcome InstanceLifecycle::apply(LifecycleEvent event,
                                                     double nowMs,
-                                                    const std::string& why,
+                                                    const std::string& reason,
                                                     const std::string& by) {
-  const auto to = next(event);
+  const auto to = nextState(event);
   if (!to)
     return {false, std::string(nameOf(event)) + " cannot follow while it is " + nameOf(state_)};
   if (state_ == LifecycleState::kWarming || state_ == LifecycleState::kActive)
     resumeState_ = state_;
   state_ = *to;
   sinceMs_ = nowMs;
-  why_ = why.empty() ? nameOf(event) : why;
+  reason_ = reason.empty() ? nameOf(event) : reason;
   by_ = by;
   ++revision_;
   return {true, nameOf(state_)};
@@ -79,24 +79,24 @@
   const bool draining = lifecycle.state() == S::kDraining || lifecycle.state() == S::kDrained;
   if (!facts.drainedBy.empty()) {
     if (!draining)
-      lifecycle.apply(E::kDrainAsked, nowMs, "", facts.drainedBy);
+      lifecycle.apply(E::kDrainRequested, nowMs, "", facts.drainedBy);
     if (lifecycle.state() == S::kDraining && facts.open == 0)
       lifecycle.apply(E::kIdle, nowMs, "", facts.drainedBy);
     return;
   }
   if (draining)
-    lifecycle.apply(E::kDrainOver, nowMs, "", "operator");
+    lifecycle.apply(E::kUndrained, nowMs, "", "operator");
   if (lifecycle.state() == S::kUnreachable && facts.reachable)
-    lifecycle.apply(E::kReached, nowMs, "", "links");
-  if (lifecycle.state() == S::kAvoided && !facts.avoided)
-    lifecycle.apply(E::kTrusted, nowMs, "", "module");
+    lifecycle.apply(E::kReconnected, nowMs, "", "links");
+  if (lifecycle.state() == S::kEjected && !facts.ejected)
+    lifecycle.apply(E::kReinstated, nowMs, "", "module");
   if (lifecycle.state() == S::kWarming && facts.warm)
     lifecycle.apply(E::kWarm, nowMs, "", "time");
   if (!facts.reachable && lifecycle.state() != S::kUnreachable)
-    lifecycle.apply(E::kLost, nowMs, "", "links");
-  else if (facts.avoided && lifecycle.state() != S::kAvoided &&
+    lifecycle.apply(E::kConnectionLost, nowMs, "", "links");
+  else if (facts.ejected && lifecycle.state() != S::kEjected &&
            lifecycle.state() != S::kUnreachable)
-    lifecycle.apply(E::kAvoided, nowMs, "", "module");
+    lifecycle.apply(E::kEjected, nowMs, "", "module");
 }
 
 }  // namespace inference_router::fleet
--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -11,10 +11,10 @@
 namespace {
 
 // An instance under repair may be unlisted for long; after this time its exclusion is dropped.
-constexpr double kMissingMs = 30 * 60'000;
+constexpr double kMissingExclusionRetentionMs = 30 * 60'000;
 // An inclusion is kept while the instance is cold and while another process may still have the
 // exclusion before it.
-constexpr double kIncludedMs = 10 * 60'000;
+constexpr double kInclusionRetentionMs = 10 * 60'000;
 
 }  // namespace
 
@@ -42,48 +42,48 @@
   return entry;
 }
 
-EndpointListUpdate Membership::told(const EndpointListUpdate& news, double nowMs) {
-  if (news.form == EndpointListForm::kFailed)
-    return news;
-  EndpointListUpdate out{++version_, news.form, {}};
-  if (news.form != EndpointListForm::kChanges)
+EndpointListUpdate Membership::applyUpdate(const EndpointListUpdate& update, double nowMs) {
+  if (update.form == EndpointListForm::kFailed)
+    return update;
+  EndpointListUpdate result{++version_, update.form, {}};
+  if (update.form != EndpointListForm::kChanges)
     listed_.clear();
-  for (const EndpointRecord& entry : news.entries) {
+  for (const EndpointRecord& entry : update.entries) {
     if (entry.state == EndpointState::kRemoved)
       listed_.erase(entry.instance);
     else
       listed_[entry.instance] = entry;
-    out.entries.push_back(effective(entry));
+    result.entries.push_back(effective(entry));
   }
-  tidy(nowMs);
-  return out;
+  prune(nowMs);
+  return result;
 }
 
 std::optional<EndpointListUpdate> Membership::changesOf(const std::vector<std::string>& ids) {
-  EndpointListUpdate news{version_ + 1, EndpointListForm::kChanges, {}};
+  EndpointListUpdate update{version_ + 1, EndpointListForm::kChanges, {}};
   for (const std::string& id : ids) {
     const auto it = listed_.find({id});
     if (it != listed_.end())
-      news.entries.push_back(effective(it->second));
+      update.entries.push_back(effective(it->second));
   }
-  if (news.entries.empty())
+  if (update.entries.empty())
     return std::nullopt;
   ++version_;
-  return news;
+  return update;
 }
 
 Membership::Change Membership::setExcluded(const std::string& id, bool excluded, double nowMs) {
   const bool known = listed_.count({id}) != 0 || exclusions_.excluded(id);
   if (!known || id.empty() || id.size() > Exclusions::kMaxIdBytes)
-    return {Verdict::kUnknown, std::nullopt};
+    return {Result::kUnknownInstance, std::nullopt};
   // A repeated command has no effect; a second include in particular must not make a warm instance
   // cold.
   if (exclusions_.excluded(id) == excluded)
-    return {Verdict::kDone, std::nullopt};
+    return {Result::kDone, std::nullopt};
   if (!exclusions_.set(id, excluded, writer_, nowMs))
-    return {Verdict::kNoRoom, std::nullopt};
-  tidy(nowMs);
-  return {Verdict::kDone, changesOf({id})};
+    return {Result::kFull, std::nullopt};
+  prune(nowMs);
+  return {Result::kDone, changesOf({id})};
 }
 
 std::optional<EndpointListUpdate> Membership::replaceLayer(std::set<std::string>& layer,
@@ -108,27 +108,30 @@
   return replaceLayer(drained_, drained, nowMs);
 }
 
-std::optional<EndpointListUpdate> Membership::setPeerExclusions(const std::set<std::string>& out,
-                                                                double nowMs) {
-  return replaceLayer(peerExclusions_, out, nowMs);
+std::optional<EndpointListUpdate> Membership::setPeerExclusions(
+    const std::set<std::string>& excluded,
+    double nowMs) {
+  return replaceLayer(peerExclusions_, excluded, nowMs);
 }
 
 std::optional<EndpointListUpdate> Membership::merge(const Exclusions& others) {
   return changesOf(exclusions_.merge(others));
 }
 
-void Membership::tidy(double nowMs) {
+void Membership::prune(double nowMs) {
   std::vector<std::string> spent;
   for (const auto& [id, exclusion] : exclusions_.all()) {
     if (listed_.count({id}) != 0)
       missingSince_.erase(id);
-    else if (nowMs - missingSince_.try_emplace(id, nowMs).first->second > kMissingMs)
+    else if (nowMs - missingSince_.try_emplace(id, nowMs).first->second >
+             kMissingExclusionRetentionMs)
       spent.push_back(id);
-    if (!exclusion.excluded && nowMs - exclusion.updatedMs > kIncludedMs)
+    if (!exclusion.excluded && nowMs - exclusion.updatedMs > kInclusionRetentionMs)
       spent.push_back(id);
   }
-  std::erase_if(returned_,
-                [nowMs](const auto& entry) { return nowMs - entry.second > kIncludedMs; });
+  std::erase_if(returned_, [nowMs](const auto& entry) {
+    return nowMs - entry.second > kInclusionRetentionMs;
+  });
   for (const std::string& id : spent) {
     exclusions_.forget(id);
     missingSince_.erase(id);
--- a/src/fleet/membership.h
+++ b/src/fleet/membership.h
@@ -1,7 +1,7 @@
-// The effective membership: what discovery or the operator's file lists, overlaid with the
-// exclusions of operators, the drains of a maintenance and the exclusions by peers. The decision
-// module sees nothing else: an excluded instance reads as leaving, and one that is included again
-// as just started, hence cold. No I/O.
+/// The effective membership: what discovery or the operator's file lists, overlaid with the
+/// exclusions of operators, the drains of a maintenance and the exclusions by peers. The decision
+/// module sees nothing else: an excluded instance is shown as draining, and one that is included
+/// again as just started. No I/O.
 #pragma once
 
 #include <map>
@@ -17,38 +17,41 @@
 
 class Membership {
  public:
-  // writer: identifies this process among those that write exclusions.
+  /// writer: identifies this process among those that write exclusions.
   explicit Membership(std::uint64_t writer) : writer_(writer) {}
 
-  // Applies a list of discovery; returns it as the module is to see it.
-  routing::EndpointListUpdate told(const routing::EndpointListUpdate& news, double nowMs);
+  /// Applies an update of the listed instances; returns it as the decision module is to see it.
+  routing::EndpointListUpdate applyUpdate(const routing::EndpointListUpdate& update, double nowMs);
 
-  enum class Verdict { kDone, kUnknown, kNoRoom };
+  enum class Result { kDone, kUnknownInstance, kFull };
+  /// Of one command of an operator.
   struct Change {
-    Verdict verdict;
-    std::optional<routing::EndpointListUpdate> news;  // nothing: no change for the module
+    Result result;
+    std::optional<routing::EndpointListUpdate>
+        update;  ///< Nothing: no change for the decision module.
   };
   Change exclude(const std::string& id, double nowMs) { return setExcluded(id, true, nowMs); }
   Change include(const std::string& id, double nowMs) { return setExcluded(id, false, nowMs); }
 
-  // Replaces the instances that a maintenance drains. Instances that are no longer drained return
-  // as just started.
+  /// Replaces the instances that a maintenance drains. Instances that are no longer drained return
+  /// as just started.
   std::optional<routing::EndpointListUpdate> setPlannedDrains(const std::set<std::string>& drained,
                                                               double nowMs);
 
-  // Replaces the instances that are excluded because other routers found them unhealthy.
-  // Instances that return count as cold, as they may have been restarted.
-  std::optional<routing::EndpointListUpdate> setPeerExclusions(const std::set<std::string>& out,
-                                                               double nowMs);
+  /// Replaces the instances that are excluded because other routers found them unhealthy.
+  /// Instances that return count as cold, as they may have been restarted.
+  std::optional<routing::EndpointListUpdate> setPeerExclusions(
+      const std::set<std::string>& excluded,
+      double nowMs);
 
-  // Merges the exclusions of other processes.
+  /// Merges the exclusions of other processes.
   std::optional<routing::EndpointListUpdate> merge(const Exclusions& others);
-  // Drops exclusions without effect, and those of instances that have been gone for long.
-  void tidy(double nowMs);
+  /// Drops exclusions without effect, and those of instances that have been gone for long.
+  void prune(double nowMs);
 
   const Exclusions& exclusions() const { return exclusions_; }
   const std::map<routing::InstanceId, routing::EndpointRecord>& listed() const { return listed_; }
-  // The entry as the module sees it; nothing if it is not listed.
+  /// The entry as the module sees it; nothing if it is not listed.
   std::optional<routing::EndpointRecord> effectiveOf(const routing::InstanceId& id) const {
     const auto it = listed_.find(id);
     return it == listed_.end() ? std::nullopt : std::optional(effective(it->second));
--- a/src/frontend/platform/discovery.cpp
+++ b/src/frontend/platform/discovery.cpp
@@ -209,7 +209,7 @@
   try {
     if (!signOfLife)
       apply(json::parse(text), std::nullopt);
-    ages_.heard();
+    ages_.onContact();
     return true;
   } catch (const json::exception&) {
   } catch (const std::invalid_argument&) {
@@ -222,11 +222,11 @@
 void Discovery::fixAges(EndpointListUpdate& news,
                         const std::map<InstanceId, upstream::InstanceEndpoint>& told) {
   for (const auto& [id, endpoint] : told)
-    ages_.sees(endpoint.startedMs);
+    ages_.observeStart(endpoint.startedMs);
   std::set<std::string> listed;
   for (EndpointRecord& entry : news.entries) {
     const std::string& id = entry.instance.value;
-    const auto started = ages_.startOf(id, told.at(entry.instance).startedMs);
+    const auto started = ages_.startTime(id, told.at(entry.instance).startedMs);
     if (started)
       entry.started = core::toModuleTime(*started);
     if (entry.state == EndpointState::kRemoved)
--- a/src/shared/budget.cpp
+++ b/src/shared/budget.cpp
@@ -20,9 +20,9 @@
 
 }  // namespace
 
-const char* nameOf(Denial why) {
+const char* nameOf(Denial denial) {
   constexpr std::array<const char*, 5> kNames{"none", "used_up", "no_loan", "lapsed", "too_large"};
-  return kNames[static_cast<std::size_t>(why)];
+  return kNames[static_cast<std::size_t>(denial)];
 }
 
 // ---- The router's side
@@ -58,16 +58,16 @@
     return {Denial::kTooLarge, {}};
   // Denied requests count as demand as well, as the size of a loan follows from the demand.
   recordDemand(account, tokens, nowMs);
-  Denial why = Denial::kNone;
+  Denial denial = Denial::kNone;
   if (loanExpired(nowMs))
-    why = Denial::kLoanExpired;
+    denial = Denial::kLoanExpired;
   else if (account.used() + tokens >
            (config_.ceilingFirst ? account.acceptedCeiling : account.outstanding()))
-    why = account.used() + tokens > account.outstanding() && account.left == 0 ? Denial::kUsedUp
-                                                                               : Denial::kNoLoan;
-  if (why != Denial::kNone) {
+    denial = account.used() + tokens > account.outstanding() && account.left == 0 ? Denial::kUsedUp
+                                                                                  : Denial::kNoLoan;
+  if (denial != Denial::kNone) {
     account.denied = true;
-    return {why, {}};
+    return {denial, {}};
   }
   account.spend.reserved += tokens;
   return {Denial::kNone, {tenant, tokens, epoch_}};
@@ -173,8 +173,8 @@
 
 namespace {
 
-const Spend* spendOf(const std::map<Origin, Spend>& spends, const Origin& who) {
-  const auto it = spends.find(who);
+const Spend* spendOf(const std::map<Origin, Spend>& spends, const Origin& borrower) {
+  const auto it = spends.find(borrower);
   return it == spends.end() ? nullptr : &it->second;
 }
 
@@ -190,10 +190,10 @@
 
 std::uint64_t outstandingOf(const BudgetLine& line, const std::map<Origin, Spend>& spends) {
   std::uint64_t sum = 0;
-  for (const auto& [who, lent] : line.lent)
-    sum += outstandingOf(lent, spendOf(spends, who));
-  for (const auto& [who, spend] : spends)
-    if (line.lent.count(who) == 0)
+  for (const auto& [borrower, lent] : line.lent)
+    sum += outstandingOf(lent, spendOf(spends, borrower));
+  for (const auto& [borrower, spend] : spends)
+    if (line.lent.count(borrower) == 0)
       sum += outstandingOf(0, &spend);
   return sum;
 }
@@ -208,7 +208,7 @@
 struct LoanRequest {
   std::uint64_t idle;
   std::uint64_t tokens;
-  Origin who;
+  Origin borrower;
   auto operator<=>(const LoanRequest&) const = default;
 };
 
@@ -216,34 +216,34 @@
 
 void lend(BudgetLine& line, const std::map<Origin, Spend>& spends) {
   // After a rollback of the store, borrowers report loans that the digest has forgotten.
-  for (const auto& [who, spend] : spends)
+  for (const auto& [borrower, spend] : spends)
     if (spend.lentSeen > 0)
-      line.lent[who] = std::max(line.lent[who], spend.lentSeen);
+      line.lent[borrower] = std::max(line.lent[borrower], spend.lentSeen);
   std::uint64_t left = leftOf(line, spends);
   // Whole requests, the smallest holders first: part of what one request may need would be of no
   // use.
   std::vector<LoanRequest> requests;
-  for (const auto& [who, spend] : spends) {
-    const auto lent = line.lent.find(who);
+  for (const auto& [borrower, spend] : spends) {
+    const auto lent = line.lent.find(borrower);
     const std::uint64_t held = outstandingOf(lent == line.lent.end() ? 0 : lent->second, &spend);
     if (spend.wants > held)
-      requests.push_back({saturatingSubtract(held, spend.spent), spend.wants - held, who});
+      requests.push_back({saturatingSubtract(held, spend.spent), spend.wants - held, borrower});
   }
   std::sort(requests.begin(), requests.end());
   for (const LoanRequest& request : requests) {
     const std::uint64_t part = std::min(request.tokens, left);
     if (part > 0)
-      line.lent[request.who] += part;
+      line.lent[request.borrower] += part;
     left -= part;
   }
 }
 
 void charge(BudgetLine& line, const Origin& gone, const std::optional<Spend>& lastSpend) {
   const auto lent = line.lent.find(gone);
-  const std::uint64_t most = lent == line.lent.end() ? 0 : lent->second;
+  const std::uint64_t lentTokens = lent == line.lent.end() ? 0 : lent->second;
   // Without a report, all that is known is the loan.
   line.charged +=
-      lastSpend ? std::max(lastSpend->ceiling, lastSpend->spent + lastSpend->reserved) : most;
+      lastSpend ? std::max(lastSpend->ceiling, lastSpend->spent + lastSpend->reserved) : lentTokens;
   if (lent != line.lent.end())
     line.lent.erase(lent);
 }
--- a/src/shared/connectivity.h
+++ b/src/shared/connectivity.h
@@ -1,8 +1,8 @@
-// How well this router is connected to the rest of the fleet, as a state machine over two
-// signals: the last digest that was read and the last report of its own that the store accepted.
-// States are left at half of the limit at which they are entered (hysteresis), and the limits are
-// jittered per router, so that a fleet that is partitioned does not change its behaviour in one
-// instant. No I/O.
+/// How well this router is connected to the rest of the fleet, as a state machine over two
+/// signals: the last digest that was read and the last report of its own that the store accepted.
+/// States are left at half of the limit at which they are entered (hysteresis), and the limits are
+/// jittered per router, so that a fleet that is partitioned does not change its behaviour in one
+/// instant. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -12,36 +12,36 @@
 
 enum class ConnectivityState : std::uint8_t {
   kConnected,
-  kDelayed,    // no digest, or no accepted report, for delayedMs
-  kIsolated,   // the same for isolatedMs: shared state is not relied upon
-  kRejoining,  // messages flow again, but no digest contains a report written since
+  kDelayed,    ///< no digest, or no accepted report, for delayedMs
+  kIsolated,   ///< the same for isolatedMs: shared state is not relied upon
+  kRejoining,  ///< messages flow again, but no digest contains a report written since
 };
-// The name in logs and reports.
+/// The name in logs and reports.
 const char* nameOf(ConnectivityState state);
 
-// Durations in milliseconds.
+/// Durations in milliseconds.
 struct ConnectivityConfig {
-  double delayedMs = 3'000;    // of silence until kDelayed
-  double isolatedMs = 10'000;  // of silence until kIsolated
-  double jitterShare = 0.2;    // of either limit, drawn once per router and added
+  double delayedMs = 3'000;    ///< of silence until kDelayed
+  double isolatedMs = 10'000;  ///< of silence until kIsolated
+  double jitterShare = 0.2;    ///< of either limit, drawn once per router and added
 };
 
 class Connectivity {
  public:
-  // seed: of the jitter; nowMs: the start, from which silence is counted.
+  /// seed: of the jitter; nowMs: the start, from which silence is counted.
   Connectivity(ConnectivityConfig config, std::uint64_t seed, double nowMs);
 
-  // A newer digest was read; acknowledged: the sequence of this router's newest report in it, 0
-  // if none.
+  /// A newer digest was read; acknowledged: the sequence of this router's newest report in it, 0
+  /// if none.
   void onDigest(std::uint64_t acknowledged, double nowMs);
-  // The store accepted this router's report with this sequence.
+  /// The store accepted this router's report with this sequence.
   void onReportAccepted(std::uint64_t reportSequence, double nowMs);
-  // Applies the passing of time; call before state().
+  /// Applies the passing of time; call before state().
   void tick(double nowMs);
 
   ConnectivityState state() const { return state_; }
   double sinceMs() const { return sinceMs_; }
-  // Time since the older of the last digest and the last accepted report.
+  /// Time since the older of the last digest and the last accepted report.
   double silenceMs(double nowMs) const;
 
  private:
--- a/src/shared/digest_task.cpp
+++ b/src/shared/digest_task.cpp
@@ -3,6 +3,9 @@
 #include <algorithm>
 #include <cmath>
 
+#include "shared/digest_codec.h"
+#include "shared/part_codec.h"
+
 namespace inference_router::shared {
 
 using coordination::Document;
@@ -17,15 +20,29 @@
 constexpr double kIntervalsBeforeLending = 2;  // report intervals that a new holder waits
 constexpr double kLoanExpiryMargin = 1.1;      // times loanMs: clock drift, and a step in flight
 
+constexpr const char* kOrphanedLoanPrefix = "lent ";
+
+/// Replaces the charges of an evicted router by what it really used, where it says so.
+void refundAll(std::map<std::string, BudgetLine>& budgets,
+               const std::map<std::string, std::uint64_t>& charges,
+               const std::map<std::string, std::uint64_t>& used) {
+  for (const auto& [tenant, charged] : charges) {
+    const auto usedTokens = used.find(tenant);
+    const auto line = budgets.find(tenant);
+    if (usedTokens != used.end() && line != budgets.end())
+      refund(line->second, charged, usedTokens->second);
+  }
+}
+
 }  // namespace
 
 DigestTask::DigestTask(coordination::TaskConfig task,
                        std::function<SharedConfig()> config,
                        std::function<double()> unixMs)
     : task_(std::move(task)),
-      read_(std::move(config)),
+      readConfig_(std::move(config)),
       unixMs_(std::move(unixMs)),
-      config_(read_()) {}
+      config_(readConfig_()) {}
 
 void DigestTask::countUndecodable(const std::string& key,
                                   std::uint64_t revision,
@@ -63,8 +80,8 @@
   return parts;
 }
 
-// A digest that is older than one that some part has seen was restored from a copy. Nothing is lent
-// until every forgotten loan has expired; live routers report their loans meanwhile.
+/// A digest that is older than one that some part has seen was restored from a copy. Nothing is
+/// lent until every forgotten loan has expired; live routers report their loans meanwhile.
 void DigestTask::detectRollback(Digest& digest, const std::map<Origin, Read>& parts) {
   std::uint64_t newest = lastSequence_;
   for (const auto& [origin, read] : parts)
@@ -102,83 +119,98 @@
   for (const auto& [origin, read] : parts) {
     if (!read.part.finalUsage)
       continue;
-    const FinalUsage& said = *read.part.finalUsage;
-    const Origin before{origin.name, said.incarnation};
-    const Folded* folded = digest.foldedOf(before);
+    const FinalUsage& finalUsage = *read.part.finalUsage;
+    const Origin evicted{origin.name, finalUsage.incarnation};
+    const Folded* folded = digest.foldedOf(evicted);
     if (folded == nullptr)
       continue;
-    if (said.period == folded->period && said.period == digest.period)
-      for (const auto& [tenant, charged] : folded->charged) {
-        const auto used = said.used.find(tenant);
-        const auto line = digest.budgets.find(tenant);
-        if (used != said.used.end() && line != digest.budgets.end())
-          refund(line->second, charged, used->second);
-      }
+    if (finalUsage.period == folded->period && finalUsage.period == digest.period)
+      refundAll(digest.budgets, folded->charged, finalUsage.used);
     ++stats_.refunded;
-    std::erase_if(digest.folded, [&](const Folded& one) { return one.origin == before; });
+    std::erase_if(digest.folded, [&](const Folded& entry) { return entry.origin == evicted; });
   }
 }
 
-// Evicting a router needs no proof that it is gone: what it may have spent is charged, and if it
-// is alive, it finds its document gone and restarts under a new incarnation.
+/// After how long without a change the part is folded: sooner if another incarnation of its router
+/// has reported since.
+double DigestTask::foldAfterMs(const std::map<Origin, Read>& parts,
+                               const Origin& origin,
+                               double ageMs) const {
+  const bool replaced = std::any_of(parts.begin(), parts.end(), [&](const auto& other) {
+    return other.first.name == origin.name && other.first.incarnation != origin.incarnation &&
+           other.second.ageMs < ageMs;
+  });
+  return replaced ? std::min(config_.replacedMs, config_.goneMs) : config_.goneMs;
+}
+
+/// Evicting a router needs no proof that it is gone: what it may have spent is charged, and if it
+/// is alive, it finds its document gone and restarts under a new incarnation.
 std::vector<Write> DigestTask::fold(Digest& digest, std::map<Origin, Read>& parts, double nowMs) {
   std::vector<Write> writes;
   for (auto it = parts.begin(); it != parts.end() && writes.size() < kMaxFoldsPerStep;) {
     const auto& [origin, read] = *it;
-    const bool replaced =
-        std::any_of(parts.begin(), parts.end(), [&, &self = *it](const auto& other) {
-          return other.first.name == self.first.name &&
-                 other.first.incarnation != self.first.incarnation &&
-                 other.second.ageMs < self.second.ageMs;
-        });
-    if (read.ageMs < (replaced ? std::min(config_.replacedMs, config_.goneMs) : config_.goneMs)) {
+    if (read.ageMs < foldAfterMs(parts, origin, read.ageMs)) {
       ++it;
       continue;
     }
-    Folded folded{origin, read.part.sequence, read.part.period, {}};
-    for (auto& [tenant, line] : digest.budgets) {
-      const bool now = read.part.period == digest.period;
-      const auto spend = read.part.spends.find(tenant);
-      std::optional<Spend> last;
-      // A part of an earlier period, or without a report on this budget, has no ceiling in it.
-      last = now && spend != read.part.spends.end() ? spend->second : Spend{};
-      const std::uint64_t before = line.charged;
-      if (config_.guards.chargeCeiling || !last)
-        charge(line, origin, last);
-      else
-        charge(line, origin, Spend{last->spent, 0, 0, 0, 0, 0});
-      folded.charged[tenant] = line.charged - before;
-    }
+    digest.folded.push_back({origin, read.part.sequence, read.part.period,
+                             chargeAll(digest.budgets, read.part, digest.period)});
     addUsage(digest.base, read.part.usage);
-    digest.folded.push_back(std::move(folded));
-    writes.push_back({it->second.part.key(), read.revision, std::nullopt});
+    writes.push_back({read.part.key(), read.revision, std::nullopt});
     ++stats_.folded;
     it = parts.erase(it);
   }
   if (digest.folded.size() > kMaxFolded)
     digest.folded.erase(digest.folded.begin(),
                         digest.folded.end() - static_cast<std::ptrdiff_t>(kMaxFolded));
-  // Loans without a part, as after a document was removed by hand.
-  std::set<std::string> missing;
+  chargeOrphanedLoans(digest, parts, nowMs);
+  return writes;
+}
+
+/// Charges each budget with what an evicted router may have spent of it; returns the charges.
+std::map<std::string, std::uint64_t> DigestTask::chargeAll(
+    std::map<std::string, BudgetLine>& budgets,
+    const Part& part,
+    std::uint64_t period) const {
+  std::map<std::string, std::uint64_t> charges;
+  for (auto& [tenant, line] : budgets) {
+    const auto reported = part.spends.find(tenant);
+    // A part of an earlier period, or without a report on this budget, has no ceiling in it.
+    Spend spend;
+    if (part.period == period && reported != part.spends.end())
+      spend = reported->second;
+    if (!config_.guards.chargeCeiling)
+      spend = Spend{spend.spent, 0, 0, 0, 0, 0};
+    const std::uint64_t before = line.charged;
+    charge(line, part.origin, spend);
+    charges[tenant] = line.charged - before;
+  }
+  return charges;
+}
+
+/// Charges loans whose borrower has had no part for long, as after a document was removed by hand.
+void DigestTask::chargeOrphanedLoans(Digest& digest,
+                                     const std::map<Origin, Read>& parts,
+                                     double nowMs) {
+  std::set<std::string> orphaned;
   for (auto& [tenant, line] : digest.budgets) {
-    std::vector<Origin> lost;
+    std::vector<Origin> expired;
     for (const auto& [origin, lent] : line.lent) {
       if (parts.count(origin) != 0)
         continue;
       Part part;
       part.origin = origin;
-      const std::string mark = "lent " + part.key();
-      missing.insert(mark);
-      if (ages_.unchangedMs(mark, 0, nowMs) >= config_.goneMs)
-        lost.push_back(origin);
+      const std::string name = kOrphanedLoanPrefix + part.key();
+      orphaned.insert(name);
+      if (ages_.unchangedMs(name, 0, nowMs) >= config_.goneMs)
+        expired.push_back(origin);
     }
-    for (const Origin& origin : lost)
+    for (const Origin& origin : expired)
       charge(line, origin, std::nullopt);
   }
-  ages_.forgetIf([&](const std::string& key) {
-    return key.rfind("lent ", 0) == 0 && missing.count(key) == 0;
+  ages_.forgetIf([&](const std::string& name) {
+    return name.rfind(kOrphanedLoanPrefix, 0) == 0 && orphaned.count(name) == 0;
   });
-  return writes;
 }
 
 void DigestTask::lendBudgets(Digest& digest,
@@ -196,55 +228,58 @@
       !config_.guards.waitBeforeLending ||
       (nowMs - fenceSinceMs_ >= settleMs && digest.sequence >= digest.lendsFromSequence);
   for (auto& [tenant, line] : digest.budgets) {
-    std::map<Origin, Spend> words;
+    std::map<Origin, Spend> spends;
     for (const auto& [origin, read] : parts) {
       if (read.part.period != digest.period)
         continue;
       const auto spend = read.part.spends.find(tenant);
       if (spend == read.part.spends.end())
         continue;
-      words[origin] = spend->second;
+      spends[origin] = spend->second;
       // A silent router keeps its loans, but gets no more.
       if (!mayLend || read.ageMs >= config_.silentMs)
-        words[origin].wants = 0;
+        spends[origin].wants = 0;
     }
-    lend(line, words);
-    line.left = digest.sequence >= digest.lendsFromSequence ? leftOf(line, words) : 0;
+    lend(line, spends);
+    line.left = digest.sequence >= digest.lendsFromSequence ? leftOf(line, spends) : 0;
   }
 }
 
-void DigestTask::updateVerdicts(Digest& digest, const std::map<Origin, Read>& parts) {
-  std::map<std::string, std::vector<HealthObservation>> heard;
+/// The observations of all credible witnesses, decayed to now, by instance.
+std::map<std::string, std::vector<HealthObservation>> DigestTask::credibleObservations(
+    const std::map<Origin, Read>& parts) {
+  std::map<std::string, std::vector<HealthObservation>> all;
   for (const auto& [origin, read] : parts) {
     if (read.ageMs >= config_.silentMs)
       continue;
-    std::map<std::string, HealthObservation> now;
+    std::map<std::string, HealthObservation> current;
     for (const auto& [instance, observation] : read.part.observations)
-      now[instance] = decayed(observation, read.ageMs, config_.observations);
-    if (config_.guards.credibleOnly && !isCredible(now, config_.observations)) {
+      current[instance] = decayed(observation, read.ageMs, config_.observations);
+    if (config_.guards.credibleOnly && !isCredible(current, config_.observations)) {
       ++stats_.incredible;
       continue;
     }
-    for (const auto& [instance, observation] : now)
-      heard[instance].push_back(observation);
+    for (const auto& [instance, observation] : current)
+      all[instance].push_back(observation);
   }
+  return all;
+}
+
+void DigestTask::updateVerdicts(Digest& digest, const std::map<Origin, Read>& parts) {
+  auto observations = credibleObservations(parts);
   for (const auto& [instance, verdict] : digest.instances)
-    heard[instance];
-  std::map<std::string, HealthVerdict> instances;
-  for (const auto& [instance, observations] : heard) {
-    const auto before = digest.instances.find(instance);
-    const HealthVerdict now =
-        nextVerdict(before == digest.instances.end() ? HealthVerdict{} : before->second,
-                    observations, digest.sequence, config_.observations, config_.verdict);
-    if (now.out || now.bad > 0)
-      instances[instance] = now;
+    observations.try_emplace(instance);
+  std::map<std::string, HealthVerdict> verdicts;
+  for (const auto& [instance, ofInstance] : observations) {
+    const auto previous = digest.instances.find(instance);
+    const HealthVerdict verdict =
+        nextVerdict(previous == digest.instances.end() ? HealthVerdict{} : previous->second,
+                    ofInstance, digest.sequence, config_.observations, config_.verdict);
+    if (verdict.out || verdict.bad > 0)
+      verdicts[instance] = verdict;
   }
-  while (instances.size() > kMaxInstances)  // drops instances that are not excluded first
-    instances.erase(
-        std::min_element(instances.begin(), instances.end(), [](const auto& a, const auto& b) {
-          return std::pair(a.second.out, a.second.bad) < std::pair(b.second.out, b.second.bad);
-        }));
-  digest.instances = std::move(instances);
+  keepStrongest(verdicts, kMaxInstances);
+  digest.instances = std::move(verdicts);
 }
 
 void DigestTask::count(Digest& digest, const std::map<Origin, Read>& parts) {
@@ -266,7 +301,7 @@
 }
 
 std::optional<Step> DigestTask::next(const View& view, std::uint64_t fence, double nowMs) {
-  config_ = read_();
+  config_ = readConfig_();
   Digest digest;
   std::uint64_t revision = 0;
   if (const auto document = view.documents.find(kDigestKey); document != view.documents.end()) {
@@ -290,17 +325,7 @@
   count(digest, parts);
   lendBudgets(digest, parts, fence, nowMs);
   updateVerdicts(digest, parts);
-  std::string text = encode(digest);
-  // If there is no room, entries of evicted routers go first, the older half at a time, then the
-  // totals.
-  while (text.size() > kMaxDocumentBytes && (!digest.folded.empty() || !digest.total.empty())) {
-    if (digest.folded.empty())
-      digest.total.clear();
-    const auto half = static_cast<std::ptrdiff_t>((digest.folded.size() + 1) / 2);
-    digest.folded.erase(digest.folded.begin(), digest.folded.begin() + half);
-    text = encode(digest);
-  }
-  writes.insert(writes.begin(), Write{kDigestKey, revision, std::move(text)});
+  writes.insert(writes.begin(), Write{kDigestKey, revision, encodeWithinBounds(digest)});
   return Step{"digest " + std::to_string(digest.sequence), std::move(writes)};
 }
 
--- a/src/shared/digest_task.h
+++ b/src/shared/digest_task.h
@@ -1,7 +1,7 @@
-// The task of the one router that holds the digest's lease: it makes a digest of all parts,
-// lends budgets, folds the parts of routers that are gone, and decides the verdicts on
-// instances. Each step is one transaction on the documents that it read, under the lease's fence;
-// the store rejects a step from a stale view. No I/O.
+/// The task of the one router that holds the digest's lease: it makes a digest of all parts,
+/// lends budgets, folds the parts of routers that are gone, and decides the verdicts on
+/// instances. Each step is one transaction on the documents that it read, under the lease's fence;
+/// the store rejects a step from a stale view. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -12,21 +12,22 @@
 
 #include "coordination/task.h"
 #include "coordination/unchanged_tracker.h"
-#include "shared/codec.h"
 #include "shared/config.h"
+#include "shared/document_format.h"
+#include "shared/documents.h"
 
 namespace inference_router::shared {
 
 class DigestTask final : public coordination::FleetTask {
  public:
-  // Counters since the start.
+  /// Counters since the start.
   struct Stats {
     std::uint64_t folded = 0, rolledBack = 0, refunded = 0, incredible = 0, backwards = 0;
     std::map<std::string, std::uint64_t>
-        unread;  // by decode error, each revision of a document once
+        unread;  ///< by decode error, each revision of a document once
   };
 
-  // config: read at each step, as a reload may change it. unixMs: the machine's wall clock.
+  /// config: read at each step, as a reload may change it. unixMs: the machine's wall clock.
   DigestTask(coordination::TaskConfig task,
              std::function<SharedConfig()> config,
              std::function<double()> unixMs);
@@ -52,20 +53,27 @@
   void advancePeriod(Digest& digest, const std::map<Origin, Read>& parts);
   // Refunds evicted incarnations that reported what they really used.
   void settle(Digest& digest, const std::map<Origin, Read>& parts);
+  double foldAfterMs(const std::map<Origin, Read>& parts, const Origin& origin, double ageMs) const;
   // Folds the parts of routers that are gone; returns the removals.
   std::vector<coordination::Write> fold(Digest& digest,
                                         std::map<Origin, Read>& parts,
                                         double nowMs);
+  std::map<std::string, std::uint64_t> chargeAll(std::map<std::string, BudgetLine>& budgets,
+                                                 const Part& part,
+                                                 std::uint64_t period) const;
+  void chargeOrphanedLoans(Digest& digest, const std::map<Origin, Read>& parts, double nowMs);
   void lendBudgets(Digest& digest,
                    const std::map<Origin, Read>& parts,
                    std::uint64_t fence,
                    double nowMs);
+  std::map<std::string, std::vector<HealthObservation>> credibleObservations(
+      const std::map<Origin, Read>& parts);
   void updateVerdicts(Digest& digest, const std::map<Origin, Read>& parts);
   // Sums the usage of all parts.
   void count(Digest& digest, const std::map<Origin, Read>& parts);
 
   coordination::TaskConfig task_;
-  std::function<SharedConfig()> read_;
+  std::function<SharedConfig()> readConfig_;
   std::function<double()> unixMs_;
   SharedConfig config_;
   coordination::UnchangedTracker ages_;
--- a/src/shared/health_observation.cpp
+++ b/src/shared/health_observation.cpp
@@ -94,14 +94,14 @@
 
 }  // namespace
 
-void keepStrongest(std::map<std::string, HealthObservation>& observations, std::size_t most) {
-  if (observations.size() <= most)
+void keepStrongest(std::map<std::string, HealthObservation>& observations, std::size_t max) {
+  if (observations.size() <= max)
     return;
   std::vector<Strength> weakest;
   weakest.reserve(observations.size());
   for (const auto& [instance, observation] : observations)
     weakest.push_back({observation.bad, observation.good, instance});
-  const auto end = weakest.begin() + static_cast<std::ptrdiff_t>(weakest.size() - most);
+  const auto end = weakest.begin() + static_cast<std::ptrdiff_t>(weakest.size() - max);
   std::nth_element(weakest.begin(), end, weakest.end());
   for (auto it = weakest.begin(); it != end; ++it)
     observations.erase(it->instance);
@@ -140,6 +140,15 @@
          static_cast<double>(bad) <= config.maxUnhealthyShare * static_cast<double>(known);
 }
 
+void keepStrongest(std::map<std::string, HealthVerdict>& verdicts, std::size_t max) {
+  const auto weaker = [](const auto& one, const auto& other) {
+    return std::pair(one.second.out, one.second.bad) <
+           std::pair(other.second.out, other.second.bad);
+  };
+  while (verdicts.size() > max)
+    verdicts.erase(std::min_element(verdicts.begin(), verdicts.end(), weaker));
+}
+
 HealthVerdict nextVerdict(const HealthVerdict& previous,
                           const std::vector<HealthObservation>& heard,
                           std::uint64_t sequence,
--- a/src/shared/health_observation.h
+++ b/src/shared/health_observation.h
@@ -1,7 +1,7 @@
-// Health observations: what one router measured of each instance, and how the fleet combines the
-// observations of all routers into a verdict. A verdict needs several distinct witnesses; a
-// witness that finds most instances unhealthy is taken to have a network problem of its own and is
-// ignored. No I/O.
+/// Health observations: what one router measured of each instance, and how the fleet combines the
+/// observations of all routers into a verdict. A verdict needs several distinct witnesses; a
+/// witness that finds most instances unhealthy is taken to have a network problem of its own and is
+/// ignored. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -14,46 +14,46 @@
 
 namespace inference_router::shared {
 
-// Why an attempt at an instance failed.
+/// Why an attempt at an instance failed.
 enum class FailureKind : std::uint8_t { kNone, kConnectionRefused, kTimeout, kError, kSlow };
 const char* nameOf(FailureKind failure);
 
-// Evidence of one router on one instance: decayed counts of successes and failures, as of now.
+/// Evidence of one router on one instance: decayed counts of successes and failures, as of now.
 struct HealthObservation {
   double good = 0, bad = 0;
-  double badAgeMs = 0, goodAgeMs = 0;        // time since the last of each, by the witness's clock
-  FailureKind failure = FailureKind::kNone;  // of the last failure
+  double badAgeMs = 0, goodAgeMs = 0;  ///< time since the last of each, by the witness's clock
+  FailureKind failure = FailureKind::kNone;  ///< of the last failure
 };
 
-// How evidence decays and is weighed.
+/// How evidence decays and is weighed.
 struct ObservationConfig {
-  double halfLifeMs = 10'000;  // half-life of evidence
-  // Failures from which a witness votes unhealthy: two, slightly decayed.
+  double halfLifeMs = 10'000;  ///< half-life of evidence
+  /// Failures from which a witness votes unhealthy: two, slightly decayed.
   double unhealthyFrom = 1.5;
-  // For how long a router's own success overrides the verdict of the fleet.
+  /// For how long a router's own success overrides the verdict of the fleet.
   double freshMs = 5'000;
-  // A witness that finds a larger share of its known instances unhealthy is ignored.
+  /// A witness that finds a larger share of its known instances unhealthy is ignored.
   double maxUnhealthyShare = 0.5;
 };
 
 constexpr std::size_t kMaxInstances = coordination::kMaxFleetInstances;
 
-// Keeps at most `most` observations: those with the most failures, then the most successes.
-void keepStrongest(std::map<std::string, HealthObservation>& observations, std::size_t most);
+/// Keeps at most `max` observations: those with the most failures, then the most successes.
+void keepStrongest(std::map<std::string, HealthObservation>& observations, std::size_t max);
 
-// The observations of this router, at most kMaxInstances.
+/// The observations of this router, at most kMaxInstances.
 class LocalObservations {
  public:
   explicit LocalObservations(ObservationConfig config = {}) : config_(config) {}
 
   void recordSuccess(const std::string& instance, double nowMs);
   void recordFailure(const std::string& instance, FailureKind failure, double nowMs);
-  // Drops instances that are no longer listed, and evidence that has decayed to nothing.
+  /// Drops instances that are no longer listed, and evidence that has decayed to nothing.
   void prune(const std::set<std::string>& listed, double nowMs);
 
-  // All observations, decayed to nowMs, by instance.
+  /// All observations, decayed to nowMs, by instance.
   std::map<std::string, HealthObservation> snapshot(double nowMs) const;
-  // Whether the last result was a success, within freshMs.
+  /// Whether the last result was a success, within freshMs.
   bool recentlyHealthy(const std::string& instance, double nowMs) const;
 
  private:
@@ -68,38 +68,43 @@
   std::map<std::string, Entry> entries_;
 };
 
-// The observation, `byMs` milliseconds later. Its evidence never grows.
+/// The observation, `byMs` milliseconds later. Its evidence never grows.
 HealthObservation decayed(const HealthObservation& observation,
                           double byMs,
                           const ObservationConfig& config);
 
-// What a witness says of one instance.
+/// What a witness says of one instance.
 enum class Vote : std::uint8_t { kAbstain, kHealthy, kUnhealthy };
 Vote voteOf(const HealthObservation& observation, const ObservationConfig& config);
 
-// Whether this witness counts: one that finds at least two instances, and more than
-// maxUnhealthyShare of those that it knows, unhealthy more likely has a network problem of its own.
+/// Whether this witness counts: one that finds at least two instances, and more than
+/// maxUnhealthyShare of those that it knows, unhealthy more likely has a network problem of its
+/// own.
 bool isCredible(const std::map<std::string, HealthObservation>& observations,
                 const ObservationConfig& config);
 
-// The verdict of the fleet on one instance.
+/// The verdict of the fleet on one instance.
 struct HealthVerdict {
-  std::uint32_t bad = 0, good = 0;  // votes of distinct witnesses
-  bool out = false;                 // the instance is excluded
+  std::uint32_t bad = 0, good = 0;  ///< votes of distinct witnesses
+  bool out = false;                 ///< the instance is excluded
   FailureKind failure = FailureKind::kNone;
-  double evidence = 0;              // sum over the unhealthy votes
-  std::uint64_t sinceSequence = 0;  // digest at which it was excluded
+  double evidence = 0;              ///< sum over the unhealthy votes
+  std::uint64_t sinceSequence = 0;  ///< digest at which it was excluded
   bool operator==(const HealthVerdict&) const = default;
 };
 
-// When a verdict excludes an instance, and when it ends.
+/// Keeps at most `max` verdicts: those that exclude an instance, then those with the most unhealthy
+/// votes.
+void keepStrongest(std::map<std::string, HealthVerdict>& verdicts, std::size_t max);
+
+/// When a verdict excludes an instance, and when it ends.
 struct VerdictConfig {
-  std::uint32_t witnesses = 2;  // least number of unhealthy votes
-  double expiryMs = 60'000;     // without a failure, after which an exclusion ends
+  std::uint32_t witnesses = 2;  ///< least number of unhealthy votes
+  double expiryMs = 60'000;     ///< without a failure, after which an exclusion ends
 };
 
-// The next verdict on an instance, from the previous one and the observations of credible
-// witnesses. sequence: of the digest that is being made.
+/// The next verdict on an instance, from the previous one and the observations of credible
+/// witnesses. sequence: of the digest that is being made.
 HealthVerdict nextVerdict(const HealthVerdict& previous,
                           const std::vector<HealthObservation>& heard,
                           std::uint64_t sequence,
--- a/src/shared/node.cpp
+++ b/src/shared/node.cpp
@@ -2,6 +2,9 @@
 
 #include <algorithm>
 
+#include "shared/digest_codec.h"
+#include "shared/part_codec.h"
+
 namespace inference_router::shared {
 
 using coordination::CommitResponse;
@@ -21,11 +24,11 @@
 
 SharedNode::SharedNode(SharedConfig config,
                        std::string name,
-                       std::function<std::uint64_t()> draw,
+                       std::function<std::uint64_t()> newIncarnation,
                        double nowMs)
     : config_(std::move(config)),
-      draw_(std::move(draw)),
-      self_{std::move(name), draw_()},
+      newIncarnation_(std::move(newIncarnation)),
+      self_{std::move(name), newIncarnation_()},
       connectivity_(config_.connectivity, self_.incarnation, nowMs),
       budgets_(config_.budget),
       observations_(config_.observations) {
@@ -50,13 +53,13 @@
 }
 
 void SharedNode::ended(const std::string& tenant,
-                       const std::string& cls,
+                       const std::string& requestClass,
                        const Reservation& reservation,
                        const Ended& how,
                        double nowMs) {
   budgets_.settle(reservation,
                   how.how == Ended::How::kServed ? how.promptTokens + how.answerTokens : 0, nowMs);
-  const UsageKey key{tenant, cls};
+  const UsageKey key{tenant, requestClass};
   if (usage_.count(key) == 0 && usage_.size() >= kMaxUsageRows)
     return;
   UsageCounters& counters = usage_[key];
@@ -82,9 +85,9 @@
   return {kDigestKey, own.key()};
 }
 
-void SharedNode::read(const std::map<std::string, Document>& documents,
-                      double readBegunMs,
-                      double nowMs) {
+void SharedNode::onRead(const std::map<std::string, Document>& documents,
+                        double readBegunMs,
+                        double nowMs) {
   const auto digest = documents.find(kDigestKey);
   if (digest != documents.end())
     readDigest(digest->second, nowMs);
@@ -104,7 +107,7 @@
     return;
   undecodableRevision_ = revision;
   ++stats_.unreadable;
-  trouble_ =
+  lastError_ =
       what + " of revision " + std::to_string(revision) + " is not believed: " + nameOf(error);
 }
 
@@ -120,15 +123,15 @@
   if (read.digest->sequence <= digestSequenceSeen_) {
     if (read.digest->sequence < digestSequenceSeen_) {
       ++stats_.rolledBack;
-      trouble_ = "the digest went back from " + std::to_string(digestSequenceSeen_) + " to " +
-                 std::to_string(read.digest->sequence);
+      lastError_ = "the digest went back from " + std::to_string(digestSequenceSeen_) + " to " +
+                   std::to_string(read.digest->sequence);
     }
     return;
   }
   digest_ = read.digest;
   digestSequenceSeen_ = digest_->sequence;
   ++stats_.digests;
-  trouble_.clear();
+  lastError_.clear();
   nodes_.clear();
   for (const auto& [origin, sequence] : digest_->heard)
     if (nodes_.empty() || nodes_.back() != origin.name)
@@ -193,7 +196,7 @@
     finalUsage_ =
         FinalUsage{self_.incarnation, period,
                    period == budgets_.period() ? used : std::map<std::string, std::uint64_t>()};
-  self_.incarnation = draw_();
+  self_.incarnation = newIncarnation_();
   pendingReports_.clear();
   revision_ = 0;
   nextMs_ = nowMs;
@@ -203,7 +206,7 @@
   return config_.reportIntervalMs(nodes_.size());
 }
 
-std::optional<Write> SharedNode::next(double unixMs, double nowMs) {
+std::optional<Write> SharedNode::nextReport(double unixMs, double nowMs) {
   connectivity_.tick(nowMs);
   if (writing_ || !ownRecordKnown_)
     return std::nullopt;
@@ -249,7 +252,7 @@
   pendingReports_.erase(pendingReports_.begin(), it);
 }
 
-void SharedNode::written(const CommitResponse& answer, double nowMs) {
+void SharedNode::onWritten(const CommitResponse& answer, double nowMs) {
   writing_ = false;
   lastWriteMs_ = nowMs;
   nextMs_ = nowMs + reportIntervalMs();
--- a/src/shared/node.h
+++ b/src/shared/node.h
@@ -1,7 +1,7 @@
-// One router's participation in shared state: it reads the digest and its own part from the
-// store, and decides what to write there next. Combines budgets, usage, observations and
-// connectivity; the caller does the I/O. Times are milliseconds of the caller's monotonic clock,
-// unless named unixMs.
+/// One router's participation in shared state: it reads the digest and its own part from the
+/// store, and decides what to write there next. Combines budgets, usage, observations and
+/// connectivity; the caller does the I/O. Times are milliseconds of the caller's monotonic clock,
+/// unless named unixMs.
 #pragma once
 
 #include <cstdint>
@@ -13,73 +13,74 @@
 #include <vector>
 
 #include "coordination/store.h"
-#include "shared/codec.h"
 #include "shared/config.h"
+#include "shared/document_format.h"
+#include "shared/documents.h"
 #include "shared/remote_health.h"
 
 namespace inference_router::shared {
 
-// Not thread-safe; owned by app::Sharer.
+/// Not thread-safe.
 class SharedNode {
  public:
-  // Counters since the start.
+  /// Counters since the start.
   struct Stats {
     std::uint64_t reports = 0, conflicts = 0, evicted = 0, digests = 0, rolledBack = 0,
                   unreadable = 0;
-    std::map<std::string, std::uint64_t> denied;  // by the name of the denial
+    std::map<std::string, std::uint64_t> denied;  ///< by the name of the denial
   };
 
-  // draw: yields incarnation numbers, each of which has to be new.
+  /// newIncarnation: returns a number that was never used before.
   SharedNode(SharedConfig config,
              std::string name,
-             std::function<std::uint64_t()> draw,
+             std::function<std::uint64_t()> newIncarnation,
              double nowMs);
 
-  // Applies changed settings while running.
+  /// Applies changed settings while running.
   void reconfigure(SharedConfig config);
 
   // ---- Input from requests ----
-  // Reserves tokens of a tenant's budget for one request.
+  /// Reserves tokens of a tenant's budget for one request.
   TokenBudgets::Answer reserve(const std::string& tenant, std::uint64_t tokens, double nowMs);
-  // How a request ended.
+  /// How a request ended.
   struct Ended {
     enum class How : std::uint8_t { kServed, kRefused, kFailed } how = How::kFailed;
-    std::uint64_t promptTokens = 0, answerTokens = 0;  // served: as the instance counted them
-    std::uint64_t askedTokens = 0;                     // upper bound of the request
+    std::uint64_t promptTokens = 0, answerTokens = 0;  ///< served: as the instance counted them
+    std::uint64_t askedTokens = 0;                     ///< upper bound of the request
   };
-  // Settles the reservation and counts the usage.
+  /// Settles the reservation and counts the usage.
   void ended(const std::string& tenant,
-             const std::string& cls,
+             const std::string& requestClass,
              const Reservation& reservation,
              const Ended& how,
              double nowMs);
   LocalObservations& observations() { return observations_; }
 
   // ---- Input from the store ----
-  // The keys of the documents that this router has to read.
+  /// The keys of the documents that this router has to read.
   std::vector<std::string> keys() const;
-  // Documents that were read; readBegunMs is when the read was issued. A missing key is a missing
-  // document.
-  void read(const std::map<std::string, coordination::Document>& documents,
-            double readBegunMs,
-            double nowMs);
+  /// Documents that were read; readBegunMs is when the read was issued. A missing key is a missing
+  /// document.
+  void onRead(const std::map<std::string, coordination::Document>& documents,
+              double readBegunMs,
+              double nowMs);
 
-  // The report to write, if one is due; nothing while a write is in flight.
-  std::optional<coordination::Write> next(double unixMs, double nowMs);
-  // leaving: no more requests are taken, so that the next report returns all unused loans; false
-  // undoes it.
-  void leave(bool leaving) {
+  /// The report to write, if one is due; nothing while a write is in flight.
+  std::optional<coordination::Write> nextReport(double unixMs, double nowMs);
+  /// leaving: no more requests are taken, so that the next report returns all unused loans; false
+  /// undoes it.
+  void setLeaving(bool leaving) {
     leaving_ = leaving;
     nextMs_ = 0;
   }
-  // The result of the write that next() asked for.
-  void written(const coordination::CommitResponse& answer, double nowMs);
+  /// The result of the write that nextReport() returned.
+  void onWritten(const coordination::CommitResponse& answer, double nowMs);
 
   // ---- Decisions and state ----
   std::map<std::string, Availability> availabilities(
       const std::map<std::string, KnownInstance>& instances,
       double nowMs) const;
-  // The number of live routers by the last digest; at least one.
+  /// The number of live routers by the last digest; at least one.
   std::size_t nodes() const { return std::max<std::size_t>(1, nodes_.size()); }
   ConnectivityState connectivityState(double nowMs);
   double silenceMs(double nowMs) const { return connectivity_.silenceMs(nowMs); }
@@ -91,8 +92,8 @@
   const UsageTable& usage() const { return usage_; }
   const Stats& stats() const { return stats_; }
   const SharedConfig& config() const { return config_; }
-  // What was last found wrong in the store, for operators; empty if nothing is.
-  const std::string& trouble() const { return trouble_; }
+  /// What was last found wrong in the store, for operators; empty if nothing is.
+  const std::string& lastError() const { return lastError_; }
 
  private:
   void readDigest(const coordination::Document& document, double nowMs);
@@ -103,7 +104,7 @@
   double reportIntervalMs() const;
 
   SharedConfig config_;
-  std::function<std::uint64_t()> draw_;
+  std::function<std::uint64_t()> newIncarnation_;
   Origin self_;
   Connectivity connectivity_;
   TokenBudgets budgets_;
@@ -128,7 +129,7 @@
   double nextMs_ = 0, lastWriteMs_ = 0;
   // Of an evicted incarnation, reported until the lender has refunded it.
   std::optional<FinalUsage> finalUsage_;
-  std::string trouble_;
+  std::string lastError_;
   Stats stats_;
 };
 
--- a/src/shared/setup.h
+++ b/src/shared/setup.h
@@ -1,6 +1,6 @@
-// What an operator's file says under `shared`: token budgets, and how the fleet keeps what it knows
-// together. It needs `coordination`, whose store carries it. Without it a router shares none of
-// this.
+/// The `shared` section of the operator's file: token budgets and the exchange of health
+/// observations. It needs the `coordination` section, whose store it uses. Without it a router
+/// shares neither.
 #pragma once
 
 #include <set>
@@ -14,10 +14,10 @@
 
 struct SharedSetup {
   SharedConfig config;
-  bool hearsay = true;  // whether instances are left out by what others saw
+  bool hearsay = true;  ///< whether instances are excluded by what other routers observed
 };
 
-// Throws std::invalid_argument with the path of what is wrong. tenants: that the settings name.
+/// Throws std::invalid_argument with the path of what is wrong. tenants: that the settings name.
 SharedSetup sharedOf(const core::ConfigReader& given, const std::vector<std::string>& tenants);
 
 }  // namespace inference_router::shared
--- a/tests/bounds_test.cpp
+++ b/tests/bounds_test.cpp
@@ -12,8 +12,10 @@
 #include "fleet/drains.h"
 #include "fleet/membership.h"
 #include "inference_router/router.h"
+#include "shared/digest_codec.h"
 #include "shared/digest_task.h"
 #include "shared/node.h"
+#include "shared/part_codec.h"
 #include "support/live_bytes.h"
 #include "support/program.h"
 #include "support/stage.h"
@@ -92,11 +94,11 @@
         if (const auto it = view.documents.find(key);
             it != view.documents.end() && (key != kDigestKey || i % every == 0))
           mine[key] = it->second;
-      node->read(mine, now, now);
-      const auto write = node->next(1.7e12 + now, now);
+      node->onRead(mine, now, now);
+      const auto write = node->nextReport(1.7e12 + now, now);
       ASSERT_TRUE(write && withinLimits({*write}));
       view.documents[write->key] = {*write->value, ++revision};
-      node->written({CommitStatus::kDone, revision}, now);
+      node->onWritten({CommitStatus::kDone, revision}, now);
     }
   };
   const auto digest = [&] {
@@ -146,7 +148,7 @@
   EXPECT_EQ(task.stats().unread.size(), 0u);
   now += 10;
   SharedNode& last = *nodes.back();
-  last.read({{kDigestKey, view.documents.at(kDigestKey)}}, now, now);
+  last.onRead({{kDigestKey, view.documents.at(kDigestKey)}}, now, now);
   EXPECT_EQ(last.nodes(), conductors);
   // Left out are all that are bad, but for those which the bounds keep in and the one that it is to
   // try.
@@ -176,11 +178,11 @@
   digest.sequence = 1;
   for (std::size_t i = 0; i < conductors; ++i)
     digest.heard[{conductorName(i), i}] = 1;
-  node.read({{kDigestKey, {encode(digest), 1}}}, 0, 0);
+  node.onRead({{kDigestKey, {encode(digest), 1}}}, 0, 0);
   for (std::size_t k = 0; k < instances; ++k)
     k % 10 == 0 ? node.observations().recordFailure(instanceName(k), FailureKind::kSlow, 0)
                 : node.observations().recordSuccess(instanceName(k), 0);
-  const auto write = node.next(0, 0);
+  const auto write = node.nextReport(0, 0);
   ASSERT_TRUE(write);
   EXPECT_LE(write->value->size(), kMaxPartsBytes / conductors);
   const auto part = decodePart(*write->value).part;
@@ -243,17 +245,18 @@
     list.entries.push_back(entryOf(instanceName(i)));
     all.insert(instanceName(i));
   }
-  const Held held = heldBy([&] { EXPECT_EQ(members.told(list, 0).entries.size(), instances); });
+  const Held held =
+      heldBy([&] { EXPECT_EQ(members.applyUpdate(list, 0).entries.size(), instances); });
   std::cout << held.after / instances << " bytes an instance in the membership\n";
   EXPECT_LE(held.after / instances, 1024u);
-  other.told(list, 0);
+  other.applyUpdate(list, 0);
   fleet::Drains drains;
   for (const std::string& id : all) {
-    EXPECT_EQ(members.exclude(id, 1).verdict, fleet::Membership::Verdict::kDone);
+    EXPECT_EQ(members.exclude(id, 1).result, fleet::Membership::Result::kDone);
     EXPECT_EQ(drains.handle({id, "anna", id, true, 0, {}, false}, {true, 1, "read", 0}, 1).code,
               fleet::DrainCode::kDone);
   }
-  const std::string text = members.exclusions().text();
+  const std::string text = members.exclusions().serialize();
   EXPECT_LE(text.size(), fleet::Exclusions::kMaxTextBytes);
   const auto exclusions = fleet::Exclusions::parse(text);
   ASSERT_TRUE(exclusions);
--- a/tests/coordination_test.cpp
+++ b/tests/coordination_test.cpp
@@ -307,24 +307,25 @@
 TEST(MembershipUnderAPlan, DrainsAndBringsBackAsJustStarted) {
   using routing::EndpointState, routing::endpoint, routing::kPrefill;
   fleet::Membership members(1);
-  members.told(
+  members.applyUpdate(
       {1, routing::EndpointListForm::kFull, {endpoint("a", kPrefill), endpoint("b", kPrefill)}}, 0);
   const auto out = members.setPlannedDrains({"a", "unlisted"}, 10);
   ASSERT_TRUE(out);
   ASSERT_EQ(out->entries.size(), 1u);
   EXPECT_EQ(out->entries[0].state, EndpointState::kDraining);
   EXPECT_FALSE(members.setPlannedDrains({"a", "unlisted"}, 20)) << "heard again it is no news";
-  EXPECT_EQ(members.told({2, routing::EndpointListForm::kChanges, {endpoint("a", kPrefill)}}, 30)
-                .entries[0]
-                .state,
-            EndpointState::kDraining);
+  EXPECT_EQ(
+      members.applyUpdate({2, routing::EndpointListForm::kChanges, {endpoint("a", kPrefill)}}, 30)
+          .entries[0]
+          .state,
+      EndpointState::kDraining);
   // An operator's exclusion holds beyond the plan.
   members.exclude("a", 40);
   const auto back = members.setPlannedDrains({}, 50);
   ASSERT_TRUE(back);
   EXPECT_EQ(back->entries[0].state, EndpointState::kDraining);
   const auto in = members.include("a", 60);
-  EXPECT_EQ(in.news->entries[0].state, EndpointState::kActive);
+  EXPECT_EQ(in.update->entries[0].state, EndpointState::kActive);
   members.setPlannedDrains({"b"}, 70);
   EXPECT_EQ(members.setPlannedDrains({}, 80)->entries[0].started, core::toModuleTime(80));
 }
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -28,10 +28,10 @@
   for (int i = 0; i < starts; ++i) {
     clock.advance(*rc::gen::inRange(0, 30'000));
     if (*rc::gen::arbitrary<bool>())
-      ages.heard();
+      ages.onContact();
     const double startedMs = clock.nowMs() - *rc::gen::inRange(0, 6'000);
-    ages.sees(startedMs + offsetMs);
-    const auto estimate = ages.startOf(std::to_string(i % 5), startedMs + offsetMs);
+    ages.observeStart(startedMs + offsetMs);
+    const auto estimate = ages.startTime(std::to_string(i % 5), startedMs + offsetMs);
     RC_ASSERT(estimate.has_value());
     RC_ASSERT(*estimate >= startedMs - 1e-3);
     RC_ASSERT(*estimate <= clock.nowMs());
@@ -43,16 +43,16 @@
   InstanceAges ages(clock);
   const double offsetMs = 3'600'000;
   const double begunMs = clock.nowMs();
-  ages.sees(begunMs + offsetMs);
-  EXPECT_EQ(ages.startOf("at once", begunMs + offsetMs), begunMs);
-  ages.heard();
+  ages.observeStart(begunMs + offsetMs);
+  EXPECT_EQ(ages.startTime("at once", begunMs + offsetMs), begunMs);
+  ages.onContact();
   clock.advance(5'000);
-  ages.sees(begunMs + 2'000 + offsetMs);
-  EXPECT_EQ(ages.startOf("late", begunMs + 2'000 + offsetMs), begunMs + 2'000);
+  ages.observeStart(begunMs + 2'000 + offsetMs);
+  EXPECT_EQ(ages.startTime("late", begunMs + 2'000 + offsetMs), begunMs + 2'000);
   clock.advance(5'000);
-  EXPECT_EQ(ages.startOf("late", begunMs + 2'000 + offsetMs), begunMs + 2'000)
+  EXPECT_EQ(ages.startTime("late", begunMs + 2'000 + offsetMs), begunMs + 2'000)
       << "it is told once more";
-  EXPECT_EQ(ages.startOf("long ago", 0), std::nullopt);
+  EXPECT_EQ(ages.startTime("long ago", 0), std::nullopt);
 }
 
 // The machine that discovery takes its times from is set back.
@@ -60,14 +60,14 @@
   core::ManualClock clock;
   InstanceAges ages(clock);
   const double upSinceMs = 1e12;
-  ages.sees(upSinceMs);
-  ages.startOf("a", upSinceMs);
-  ages.heard();
+  ages.observeStart(upSinceMs);
+  ages.startTime("a", upSinceMs);
+  ages.onContact();
   const double heardMs = clock.nowMs();
   clock.advance(2'000);
-  ages.sees(upSinceMs - 3'600'000);
-  EXPECT_EQ(ages.startOf("b", upSinceMs - 3'600'000), heardMs);
-  EXPECT_EQ(ages.startOf("a", upSinceMs - 3'600'000), heardMs)
+  ages.observeStart(upSinceMs - 3'600'000);
+  EXPECT_EQ(ages.startTime("b", upSinceMs - 3'600'000), heardMs);
+  EXPECT_EQ(ages.startTime("a", upSinceMs - 3'600'000), heardMs)
       << "another start time is a new start";
 }
 
@@ -174,7 +174,7 @@
   reconcile(lifecycle, facts, 5);
   EXPECT_EQ(lifecycle.state(), LifecycleState::kDraining);
   facts.reachable = false;  // trouble does not end a drain
-  facts.avoided = true;
+  facts.ejected = true;
   reconcile(lifecycle, facts, 6);
   EXPECT_EQ(lifecycle.state(), LifecycleState::kDraining);
   facts.listed = false;
@@ -188,9 +188,9 @@
 TEST(LifeOfAnInstance, AvoidedAndUnreachableComeBackToWhatWasBefore) {
   InstanceLifecycle lifecycle(true, 0);
   InstanceFacts facts = listed(false);
-  facts.avoided = true;
+  facts.ejected = true;
   reconcile(lifecycle, facts, 1);
-  EXPECT_EQ(lifecycle.state(), LifecycleState::kAvoided);
+  EXPECT_EQ(lifecycle.state(), LifecycleState::kEjected);
   facts.reachable = false;
   reconcile(lifecycle, facts, 2);
   EXPECT_EQ(lifecycle.state(), LifecycleState::kUnreachable);
@@ -202,10 +202,10 @@
   InstanceLifecycle lifecycle(false, 0);
   for (const LifecycleEvent event :
        {LifecycleEvent::kListed, LifecycleEvent::kWarm, LifecycleEvent::kIdle,
-        LifecycleEvent::kDrainOver, LifecycleEvent::kTrusted, LifecycleEvent::kReached}) {
+        LifecycleEvent::kUndrained, LifecycleEvent::kReinstated, LifecycleEvent::kReconnected}) {
     const auto outcome = lifecycle.apply(event, 9);
-    EXPECT_FALSE(outcome.legal);
-    EXPECT_NE(outcome.why.find("active"), std::string::npos);
+    EXPECT_FALSE(outcome.applied);
+    EXPECT_NE(outcome.message.find("active"), std::string::npos);
   }
   EXPECT_EQ(lifecycle.state(), LifecycleState::kActive);
   EXPECT_EQ(lifecycle.revision(), 1U);
@@ -224,7 +224,7 @@
       facts.listed = step % 8 != 0;
       facts.warm = (step & 1) != 0;
       facts.drainedBy = (step & 6) == 6 ? "maria" : "";
-      facts.avoided = (step & 8) != 0;
+      facts.ejected = (step & 8) != 0;
       facts.reachable = (step & 48) != 48;
       facts.open = step >> 6;
       const LifecycleState before = lifecycle.state();
@@ -242,8 +242,8 @@
           RC_ASSERT(lifecycle.state() == LifecycleState::kDrained);
       } else if (!facts.reachable) {
         RC_ASSERT(lifecycle.state() == LifecycleState::kUnreachable);
-      } else if (facts.avoided) {
-        RC_ASSERT(lifecycle.state() == LifecycleState::kAvoided);
+      } else if (facts.ejected) {
+        RC_ASSERT(lifecycle.state() == LifecycleState::kEjected);
       } else {
         RC_ASSERT(lifecycle.state() == LifecycleState::kWarming ||
                   lifecycle.state() == LifecycleState::kActive);
@@ -258,7 +258,7 @@
 // ---- Drain commands
 // --------------------------------------------------------------------------------
 
-Drains::Instance instance(std::size_t others = 1) {
+Drains::Target instance(std::size_t others = 1) {
   return {true, others, "write", 3};
 }
 
@@ -274,7 +274,7 @@
   const auto lost = drains.handle(command("2", "maria", true, 1), instance(), 21);
   EXPECT_EQ(won.code, DrainCode::kDone);
   EXPECT_EQ(lost.code, DrainCode::kConflict);
-  EXPECT_EQ(lost.state.by, "nikos");
+  EXPECT_EQ(lost.state.setBy, "nikos");
   EXPECT_FALSE(lost.state.drained);
   EXPECT_EQ(drains.stateOf("box-1").revision, 2U);
 }
@@ -291,7 +291,7 @@
   Drains drains;
   const auto refused = drains.handle(command("1", "maria", true, 0), instance(0), 10);
   EXPECT_EQ(refused.code, DrainCode::kLastOfRole);
-  EXPECT_NE(refused.why.find("3 requests"), std::string::npos);
+  EXPECT_NE(refused.error.find("3 requests"), std::string::npos);
   DrainCommand forced = command("2", "maria", true, 0);
   forced.force = true;
   EXPECT_EQ(drains.handle(forced, instance(0), 11).code, DrainCode::kDone);
@@ -300,10 +300,10 @@
 TEST(DrainCommands, BadOnesAreNamedAndChangeNothing) {
   Drains drains;
   DrainCommand late = command("1", "maria", true, 0);
-  late.doneByMs = 5;
+  late.deadlineMs = 5;
   EXPECT_EQ(drains.handle(late, instance(), 10).code, DrainCode::kBadCommand);
   DrainCommand odd = command("2", "maria", false, 0);
-  odd.doneByMs = 50;
+  odd.deadlineMs = 50;
   EXPECT_EQ(drains.handle(odd, instance(), 10).code, DrainCode::kBadCommand);
   EXPECT_EQ(drains.handle(command("", "maria", true, 0), instance(), 10).code,
             DrainCode::kBadCommand);
@@ -317,7 +317,7 @@
 TEST(DrainCommands, ATimeToBeDoneByOnlyReports) {
   Drains drains;
   DrainCommand timed = command("1", "maria", true, 0);
-  timed.doneByMs = 100;
+  timed.deadlineMs = 100;
   ASSERT_EQ(drains.handle(timed, instance(), 10).code, DrainCode::kDone);
   EXPECT_FALSE(drains.overdue("box-1", 2, 99));
   EXPECT_TRUE(drains.overdue("box-1", 2, 101));
@@ -331,7 +331,7 @@
     Drains drains;
     std::map<std::string, std::pair<bool, std::uint64_t>> model;       // drained, revision
     std::map<std::string, std::map<std::string, std::uint64_t>> seen;  // by console and instance
-    std::map<std::string, std::pair<DrainCommand, DrainAnswer>> answered;
+    std::map<std::string, std::pair<DrainCommand, DrainResponse>> answered;
     double now = 0;
     int ids = 0;
     for (const auto& [what, which] : steps) {
@@ -350,9 +350,9 @@
       }
       const DrainCommand command{std::to_string(++ids), by,           name, (what & 2) != 0,
                                  seen[by][name],        std::nullopt, false};
-      const DrainAnswer answer = drains.handle(command, instance(), now);
+      const DrainResponse answer = drains.handle(command, instance(), now);
       auto& [drained, revision] = model[name];
-      if (command.seen != revision) {
+      if (command.expectedRevision != revision) {
         RC_ASSERT(answer.code == DrainCode::kConflict);
       } else {
         RC_ASSERT(answer.code == DrainCode::kDone);
--- a/tests/ops_test.cpp
+++ b/tests/ops_test.cpp
@@ -46,7 +46,7 @@
       backwards.merge(*it);
     EXPECT_EQ(forwards, backwards);
     EXPECT_TRUE(forwards.merge(backwards).empty());
-    EXPECT_EQ(Exclusions::parse(forwards.text()), forwards);
+    EXPECT_EQ(Exclusions::parse(forwards.serialize()), forwards);
   }
 }
 
@@ -54,7 +54,7 @@
   Exclusions exclusions;
   exclusions.set("a", true, 1, 5);
   exclusions.set("b", false, 1, 6);
-  const std::string text = exclusions.text();
+  const std::string text = exclusions.serialize();
   for (std::size_t cut = 0; cut + 2 < text.size(); ++cut)
     EXPECT_FALSE(Exclusions::parse(text.substr(0, cut)));
   for (const char* other : {"{}", "[]", "null", R"({"form":"dahliastall-marks-2","marks":[]})",
@@ -90,82 +90,83 @@
 
 TEST(EffectiveMembership, AnExcludedInstanceLeavesWhateverDiscoverySays) {
   Membership members(1);
-  members.told(listOf(EndpointListForm::kFull, {endpoint("a", kPrefill), endpoint("b", kDecode)}),
-               0);
+  members.applyUpdate(
+      listOf(EndpointListForm::kFull, {endpoint("a", kPrefill), endpoint("b", kDecode)}), 0);
   const auto out = members.exclude("a", 10);
-  EXPECT_EQ(out.verdict, Membership::Verdict::kDone);
-  EXPECT_EQ(presenceIn(out.news, "a"), EndpointState::kDraining);
+  EXPECT_EQ(out.result, Membership::Result::kDone);
+  EXPECT_EQ(presenceIn(out.update, "a"), EndpointState::kDraining);
   // Restarted, announced anew, listed anew: still out.
   EndpointRecord restarted = endpoint("a", kPrefill);
   restarted.started = core::toModuleTime(50);
-  EXPECT_EQ(presenceIn(members.told(listOf(EndpointListForm::kChanges, {restarted}), 60), "a"),
-            EndpointState::kDraining);
   EXPECT_EQ(
-      presenceIn(
-          members.told(listOf(EndpointListForm::kFull, {restarted, endpoint("b", kDecode)}), 70),
-          "a"),
+      presenceIn(members.applyUpdate(listOf(EndpointListForm::kChanges, {restarted}), 60), "a"),
+      EndpointState::kDraining);
+  EXPECT_EQ(
+      presenceIn(members.applyUpdate(
+                     listOf(EndpointListForm::kFull, {restarted, endpoint("b", kDecode)}), 70),
+                 "a"),
       EndpointState::kDraining);
   EXPECT_EQ(
-      presenceIn(
-          members.told(listOf(EndpointListForm::kFull, {restarted, endpoint("b", kDecode)}), 70),
-          "b"),
+      presenceIn(members.applyUpdate(
+                     listOf(EndpointListForm::kFull, {restarted, endpoint("b", kDecode)}), 70),
+                 "b"),
       EndpointState::kActive);
 }
 
 TEST(EffectiveMembership, TwoCallsOutNeedOneCallBackAndItComesBackCold) {
   Membership members(1);
-  members.told(listOf(EndpointListForm::kFull, {endpoint("a", kPrefill)}), 0);
+  members.applyUpdate(listOf(EndpointListForm::kFull, {endpoint("a", kPrefill)}), 0);
   members.exclude("a", 10);
   const auto again = members.exclude("a", 20);
-  EXPECT_EQ(again.verdict, Membership::Verdict::kDone);
-  EXPECT_FALSE(again.news);
+  EXPECT_EQ(again.result, Membership::Result::kDone);
+  EXPECT_FALSE(again.update);
   const auto back = members.include("a", 30);
-  ASSERT_EQ(presenceIn(back.news, "a"), EndpointState::kActive);
-  EXPECT_EQ(back.news->entries[0].started, core::toModuleTime(30));
+  ASSERT_EQ(presenceIn(back.update, "a"), EndpointState::kActive);
+  EXPECT_EQ(back.update->entries[0].started, core::toModuleTime(30));
   // Whatever the list says of its start later does not make it warm; a later start counts.
   const auto later =
-      members.told(listOf(EndpointListForm::kChanges, {endpoint("a", kPrefill)}), 40);
+      members.applyUpdate(listOf(EndpointListForm::kChanges, {endpoint("a", kPrefill)}), 40);
   EXPECT_EQ(later.entries[0].started, core::toModuleTime(30));
   // Included once more, it stays as warm as it has become.
-  EXPECT_FALSE(members.include("a", 5000).news);
+  EXPECT_FALSE(members.include("a", 5000).update);
 }
 
 TEST(EffectiveMembership, AnIdThatNobodyHasIsUnknownAndChangesNothing) {
   Membership members(1);
-  members.told(listOf(EndpointListForm::kFull, {endpoint("a", kPrefill)}), 0);
+  members.applyUpdate(listOf(EndpointListForm::kFull, {endpoint("a", kPrefill)}), 0);
   for (const std::string& id : {std::string("nobody"), std::string(), std::string(1000, 'x')}) {
-    EXPECT_EQ(members.exclude(id, 1).verdict, Membership::Verdict::kUnknown);
-    EXPECT_EQ(members.include(id, 1).verdict, Membership::Verdict::kUnknown);
+    EXPECT_EQ(members.exclude(id, 1).result, Membership::Result::kUnknownInstance);
+    EXPECT_EQ(members.include(id, 1).result, Membership::Result::kUnknownInstance);
   }
   EXPECT_EQ(members.exclusions().size(), 0U);
 }
 
 TEST(EffectiveMembership, AnInstanceUnderRepairMayBeOffTheListButNotForGood) {
   Membership members(1);
-  members.told(listOf(EndpointListForm::kFull, {endpoint("a", kPrefill), endpoint("b", kPrefill)}),
-               0);
+  members.applyUpdate(
+      listOf(EndpointListForm::kFull, {endpoint("a", kPrefill), endpoint("b", kPrefill)}), 0);
   members.exclude("a", 0);
-  members.told(listOf(EndpointListForm::kFull, {endpoint("b", kPrefill)}), 1000);
-  EXPECT_EQ(members.exclude("a", 1500).verdict, Membership::Verdict::kDone);
-  EXPECT_EQ(
-      presenceIn(members.told(listOf(EndpointListForm::kChanges, {endpoint("a", kPrefill)}), 2000),
-                 "a"),
-      EndpointState::kDraining);
-  members.told(listOf(EndpointListForm::kFull, {endpoint("b", kPrefill)}), 3000);
+  members.applyUpdate(listOf(EndpointListForm::kFull, {endpoint("b", kPrefill)}), 1000);
+  EXPECT_EQ(members.exclude("a", 1500).result, Membership::Result::kDone);
+  EXPECT_EQ(presenceIn(members.applyUpdate(
+                           listOf(EndpointListForm::kChanges, {endpoint("a", kPrefill)}), 2000),
+                       "a"),
+            EndpointState::kDraining);
+  members.applyUpdate(listOf(EndpointListForm::kFull, {endpoint("b", kPrefill)}), 3000);
   for (double now = 3000; now < 3 * 3'600'000; now += 60'000)
-    members.tidy(now);
+    members.prune(now);
   EXPECT_EQ(members.exclusions().size(), 0U);
 }
 
 TEST(EffectiveMembership, WhatAnotherProcessWasToldHoldsHereToo) {
   Membership one(1), two(2);
   for (Membership* members : {&one, &two})
-    members->told(listOf(EndpointListForm::kFull, {endpoint("a", kPrefill)}), 0);
+    members->applyUpdate(listOf(EndpointListForm::kFull, {endpoint("a", kPrefill)}), 0);
   one.exclude("a", 10);
   EXPECT_EQ(presenceIn(two.merge(one.exclusions()), "a"), EndpointState::kDraining);
   EXPECT_FALSE(two.merge(one.exclusions()));
   const auto back = two.include("a", 20);
-  EXPECT_EQ(presenceIn(back.news, "a"), EndpointState::kActive);
+  EXPECT_EQ(presenceIn(back.update, "a"), EndpointState::kActive);
   const auto news = one.merge(two.exclusions());
   EXPECT_EQ(presenceIn(news, "a"), EndpointState::kActive);
   EXPECT_EQ(news->entries[0].started, core::toModuleTime(20));
--- a/tests/shared_processes_test.cpp
+++ b/tests/shared_processes_test.cpp
@@ -7,7 +7,8 @@
 #include <iostream>
 #include <random>
 
-#include "shared/codec.h"
+#include "shared/digest_codec.h"
+#include "shared/part_codec.h"
 #include "support/conductors.h"
 
 namespace inference_router {
--- a/tests/support/shared_world.h
+++ b/tests/support/shared_world.h
@@ -11,8 +11,10 @@
 #include <string>
 #include <vector>
 
+#include "shared/digest_codec.h"
 #include "shared/digest_task.h"
 #include "shared/node.h"
+#include "shared/part_codec.h"
 
 namespace inference_router {
 
@@ -315,7 +317,7 @@
         continue;
       }
       if (alive(it->node) && lives[it->node] == it->life)
-        nodes[it->node].shared->written(it->how, now);
+        nodes[it->node].shared->onWritten(it->how, now);
       it = answers.erase(it);
     }
     for (std::size_t i = 0; i < nodes.size(); ++i)
@@ -376,13 +378,13 @@
       for (const std::string& key : node.shared->keys())
         if (const auto it = store.documents.find(key); it != store.documents.end())
           mine[key] = it->second;
-      node.shared->read(mine, now, now);
+      node.shared->onRead(mine, now, now);
       if (options.way == Way::kOneCounter && node.writes)
         addToCounter(i);
       if (node.fence != 0)
         node.view = coordination::View{store.documents, store.revision, now};
     }
-    if (const auto write = node.shared->next(unix() + node.offsetMs, now)) {
+    if (const auto write = node.shared->nextReport(unix() + node.offsetMs, now)) {
       ++writesAsked;
       coordination::CommitResponse how;
       const bool arrives = storeUp && node.writes && !chance(lossShare);
