--- a/src/app/admin_client.cpp
+++ b/src/app/admin_client.cpp
@@ -8,36 +8,70 @@
 
 namespace inference_router::app {
 
-std::string callAdmin(const net::Endpoint& endpoint, const std::string& line, double withinMs) {
-  boost::asio::io_context io;
-  boost::asio::ip::tcp::socket socket(io);
-  const std::string text = line + "\n";
-  std::string answer;
-  bool closed = false;
-  boost::system::error_code trouble;
-  socket.async_connect(endpoint, [&](const boost::system::error_code& error) {
-    if ((trouble = error))
-      return;
-    boost::asio::async_write(socket, boost::asio::buffer(text),
-                             [&](const boost::system::error_code& failed, std::size_t) {
-                               if ((trouble = failed))
-                                 return;
-                               boost::asio::async_read(
-                                   socket, boost::asio::dynamic_buffer(answer),
-                                   [&](const boost::system::error_code& end, std::size_t) {
-                                     closed = end == boost::asio::error::eof;
-                                     if (!closed)
-                                       trouble = end;
-                                   });
+namespace {
+
+using boost::system::error_code;
+
+/// One connection: connect, write the line, read until the endpoint closes.
+class AdminCall {
+ public:
+  AdminCall(boost::asio::io_context& io, const std::string& line)
+      : socket_(io), request_(line + "\n") {}
+
+  void start(const net::Endpoint& endpoint) {
+    socket_.async_connect(endpoint, [this](const error_code& error) {
+      if (!failed(error))
+        write();
+    });
+  }
+
+  const error_code& error() const { return error_; }
+  /// Whether the whole answer has come.
+  bool complete() const { return closed_ && !answer_.empty(); }
+  const std::string& answer() const { return answer_; }
+
+ private:
+  bool failed(const error_code& error) {
+    error_ = error;
+    return static_cast<bool>(error);
+  }
+  void write() {
+    boost::asio::async_write(socket_, boost::asio::buffer(request_),
+                             [this](const error_code& error, std::size_t) {
+                               if (!failed(error))
+                                 read();
                              });
-  });
-  io.run_for(std::chrono::milliseconds(static_cast<long>(withinMs)));
-  const std::string where = endpoint.address().to_string() + ":" + std::to_string(endpoint.port());
-  if (trouble)
-    throw std::runtime_error("the door at " + where + " cannot be used: " + trouble.message());
-  if (!closed || answer.empty())
-    throw std::runtime_error("the door at " + where + " does not answer");
-  return answer;
+  }
+  void read() {
+    boost::asio::async_read(socket_, boost::asio::dynamic_buffer(answer_),
+                            [this](const error_code& error, std::size_t) {
+                              closed_ = error == boost::asio::error::eof;
+                              if (!closed_)
+                                error_ = error;
+                            });
+  }
+
+  boost::asio::ip::tcp::socket socket_;
+  std::string request_, answer_;
+  bool closed_ = false;
+  error_code error_;
+};
+
+}  // namespace
+
+std::string callAdmin(const net::Endpoint& endpoint, const std::string& line, double timeoutMs) {
+  boost::asio::io_context io;
+  AdminCall call(io, line);
+  call.start(endpoint);
+  io.run_for(std::chrono::milliseconds(static_cast<long>(timeoutMs)));
+  const std::string address =
+      endpoint.address().to_string() + ":" + std::to_string(endpoint.port());
+  if (call.error())
+    throw std::runtime_error("the door at " + address +
+                             " cannot be used: " + call.error().message());
+  if (!call.complete())
+    throw std::runtime_error("the door at " + address + " does not answer");
+  return call.answer();
 }
 
 }  // namespace inference_router::app
--- a/src/app/admin_client.h
+++ b/src/app/admin_client.h
@@ -1,4 +1,4 @@
-// A client of the admin endpoint of a running router, for sub-commands of the program.
+/// A client of the admin endpoint of a running router, for sub-commands of the program.
 #pragma once
 
 #include <string>
@@ -7,10 +7,10 @@
 
 namespace inference_router::app {
 
-// Sends one line and returns the whole answer. Blocks; throws std::runtime_error if the endpoint
-// cannot be reached or does not answer within withinMs.
+/// Sends one line and returns the whole answer. Blocks; throws std::runtime_error if the endpoint
+/// cannot be reached or does not answer within the timeout.
 std::string callAdmin(const net::Endpoint& endpoint,
                       const std::string& line,
-                      double withinMs = 10'000);
+                      double timeoutMs = 10'000);
 
 }  // namespace inference_router::app
--- a/src/app/config.cpp
+++ b/src/app/config.cpp
@@ -2,7 +2,8 @@
 
 #include <charconv>
 #include <fstream>
-#include <sstream>
+#include <stdexcept>
+#include <string_view>
 
 #include "frontend/settings_json.h"
 #include "upstream/instance_directory.h"
@@ -13,86 +14,108 @@
 
 namespace {
 
-std::uint64_t seedOf(const json& file) {
+constexpr std::uint32_t kDefaultSockets = 1024;
+constexpr std::uint32_t kMinSockets = 128;
+constexpr int kHexadecimal = 16;
+
+ConfigError fileError(const std::string& key, const std::string& reason) {
+  return {ConfigInput::kFile, key, reason};
+}
+
+std::uint64_t parseSeed(const json& file) {
   const json& seed = file.contains("seed") ? file.at("seed") : json("0");
   if (seed.is_number_unsigned())
     return seed.get<std::uint64_t>();
   const std::string text = seed.get<std::string>();
+  const char* const textEnd = text.data() + text.size();
   std::uint64_t value = 0;
-  const auto [end, fault] = std::from_chars(text.data(), text.data() + text.size(), value, 16);
-  if (fault != std::errc() || end != text.data() + text.size())
-    throw ConfigError("seed is not a hexadecimal number");
+  const auto [end, error] = std::from_chars(text.data(), textEnd, value, kHexadecimal);
+  if (error != std::errc() || end != textEnd)
+    throw fileError("seed", "seed is not a hexadecimal number");
   return value;
 }
 
-std::string pick(const json& file,
-                 const Environment& environment,
-                 const char* variable,
-                 const char* key) {
+// The value of the variable, else of the file's key.
+std::string valueOf(const json& file,
+                    const Environment& environment,
+                    const char* variable,
+                    const char* key) {
   const auto set = environment.find(variable);
   if (set != environment.end())
     return set->second;
   if (!file.contains(key))
-    throw ConfigError(std::string(key) + " is missing, and so is " + variable);
+    throw fileError(key, std::string(key) + " is missing, and so is " + variable);
   return file.at(key).get<std::string>();
 }
 
+std::size_t parseSockets(const json& file) {
+  std::size_t sockets = kDefaultSockets;
+  if (file.contains("limits"))
+    sockets = file.at("limits").value("sockets", kDefaultSockets);
+  if (sockets < kMinSockets)
+    throw fileError("limits.sockets", "limits.sockets is under 128: too few to serve");
+  return sockets;
+}
+
+Config parseConfig(const json& file, const Environment& environment) {
+  Config config;
+  config.name = valueOf(file, environment, "GW_NAME", "name");
+  config.listen = net::endpointOf(valueOf(file, environment, "GW_LISTEN", "listen"));
+  config.discovery = net::endpointOf(valueOf(file, environment, "GW_DISCOVERY", "discovery"));
+  if (file.contains("discovery"))
+    config.discoveryInFile = net::endpointOf(file.at("discovery").get<std::string>());
+  if (file.contains("admin_addr") || environment.count("GW_ADMIN_ADDR") != 0)
+    config.admin = net::endpointOf(valueOf(file, environment, "GW_ADMIN_ADDR", "admin_addr"));
+  if (const auto folder = environment.find("TMPDIR"); folder != environment.end())
+    config.sharedFolder = folder->second;
+  config.seed = parseSeed(file);
+  config.limits.sockets = parseSockets(file);
+  if (!file.contains("settings"))
+    throw fileError("settings", "settings is missing");
+  const json& settings = file.at("settings");
+  config.setup = frontend::settingsOf(settings);
+  if (settings.contains("limits"))
+    config.idleCloseMs = settings.at("limits").value("idleCloseMs", config.idleCloseMs);
+  if (file.contains("known"))
+    config.known = file.at("known");
+  return config;
+}
+
 }  // namespace
 
 Environment environmentOf(const char* const* variables) {
-  Environment found;
+  Environment environment;
   for (; variables != nullptr && *variables != nullptr; ++variables) {
     const std::string_view pair(*variables);
     const std::size_t equals = pair.find('=');
     if (equals != std::string_view::npos)
-      found.emplace(std::string(pair.substr(0, equals)), std::string(pair.substr(equals + 1)));
+      environment.emplace(std::string(pair.substr(0, equals)),
+                          std::string(pair.substr(equals + 1)));
   }
-  return found;
+  return environment;
 }
 
 json readJson(const std::string& path) {
   std::ifstream file(path);
   if (!file)
-    throw ConfigError("cannot read " + path);
+    throw fileError("", "cannot read " + path);
   try {
     return json::parse(file);
   } catch (const json::exception& fault) {
-    throw ConfigError(path + ": " + fault.what());
+    throw fileError("", path + ": " + fault.what());
   }
 }
 
+// What the parsers below this one throw names the key in its text.
 Config configOf(const json& file, const Environment& environment) {
   try {
-    Config config;
-    config.name = pick(file, environment, "GW_NAME", "name");
-    config.listen = net::endpointOf(pick(file, environment, "GW_LISTEN", "listen"));
-    config.discovery = net::endpointOf(pick(file, environment, "GW_DISCOVERY", "discovery"));
-    if (file.contains("discovery"))
-      config.discoveryInFile = net::endpointOf(file.at("discovery").get<std::string>());
-    if (file.contains("admin_addr") || environment.count("GW_ADMIN_ADDR") != 0)
-      config.admin = net::endpointOf(pick(file, environment, "GW_ADMIN_ADDR", "admin_addr"));
-    if (const auto folder = environment.find("TMPDIR"); folder != environment.end())
-      config.sharedFolder = folder->second;
-    config.seed = seedOf(file);
-    if (file.contains("limits"))
-      config.limits.sockets = file.at("limits").value("sockets", 1024U);
-    if (config.limits.sockets < 128)
-      throw ConfigError("limits.sockets is under 128: too few to serve");
-    if (!file.contains("settings"))
-      throw ConfigError("settings is missing");
-    const json& settings = file.at("settings");
-    config.setup = frontend::settingsOf(settings);
-    if (settings.contains("limits"))
-      config.idleCloseMs = settings.at("limits").value("idleCloseMs", config.idleCloseMs);
-    if (file.contains("known"))
-      config.known = file.at("known");
-    return config;
+    return parseConfig(file, environment);
   } catch (const json::exception& fault) {
-    throw ConfigError(fault.what());
+    throw fileError("", fault.what());
   } catch (const std::invalid_argument& fault) {
-    throw ConfigError(fault.what());
+    throw fileError("", fault.what());
   } catch (const routing::wire::Malformed& fault) {
-    throw ConfigError(fault.what());
+    throw fileError("", fault.what());
   }
 }
 
--- a/src/app/config.h
+++ b/src/app/config.h
@@ -1,53 +1,52 @@
-// What a router on the platform is told when it starts.
+/// The configuration of a router on the platform.
 #pragma once
 
 #include <cstdint>
 #include <map>
 #include <nlohmann/json.hpp>
 #include <optional>
-#include <stdexcept>
 #include <string>
 
+#include "app/config_error.h"
 #include "net/pool.h"
 #include "wire.h"
 
 namespace inference_router::app {
 
-struct ConfigError : std::runtime_error {
-  using std::runtime_error::runtime_error;
-};
-
+/// How the sockets of the process are shared out. Each request takes one connection on either side;
+/// files and discovery need a few descriptors too.
 struct Limits {
   std::size_t sockets = 1024;
-  // Shares of them: each request takes one connection on either side, and files and discovery a
-  // few.
-  std::size_t clients() const { return (sockets - spare()) / 2; }
-  std::size_t instances() const { return sockets - spare() - clients(); }
+
+  std::size_t clients() const { return (sockets - kSpare) / 2; }
+  std::size_t instances() const { return sockets - kSpare - clients(); }
 
  private:
-  std::size_t spare() const { return 64; }
+  static constexpr std::size_t kSpare = 64;
 };
 
-struct Config {
+struct Config {  // NOLINT(bugprone-exception-escape): of the move constructor of `known`
   std::string name;
   net::Endpoint listen, discovery;
-  std::optional<net::Endpoint> admin;  // the operators' door; none: there is no such door
-  std::string sharedFolder;            // with a process that replaces this one; empty: none
-  std::optional<net::Endpoint> discoveryInFile;  // which may differ from what the environment says
+  std::optional<net::Endpoint> admin;            // the admin endpoint; none: there is none
+  std::string sharedFolder;                      // with a process that replaces this one, or empty
+  std::optional<net::Endpoint> discoveryInFile;  // which the environment may override
   std::uint64_t seed = 0;
   Limits limits;
-  nlohmann::json known;
+  nlohmann::json known;  // the endpoint list to begin with; null if there is none
   routing::wire::Setup setup;
-  double idleCloseMs = 30'000;
+  double idleCloseMs = 30'000;  // after which instances close an idle connection
 };
 
 using Environment = std::map<std::string, std::string>;
+/// variables: NAME=value each, ended by a null pointer, as in `environ`.
 Environment environmentOf(const char* const* variables);
 
+/// Throws ConfigError if the file cannot be read or is no JSON.
 nlohmann::json readJson(const std::string& path);
 
-// GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_ADMIN_ADDR come before what the file says. Throws
-// ConfigError.
+/// GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_ADMIN_ADDR override what the file says. Throws
+/// ConfigError.
 Config configOf(const nlohmann::json& file, const Environment& environment);
 
 }  // namespace inference_router::app
--- a/src/app/coordinator.cpp
+++ b/src/app/coordinator.cpp
@@ -51,8 +51,8 @@
 
 }  // namespace
 
-Coordinator::Session::Session(Coordinator& owner, Setup given)
-    : setup(std::move(given)),
+Coordinator::Session::Session(Coordinator& owner, Setup config)
+    : setup(std::move(config)),
       store(openStore(owner.server_, setup)),
       runner({*store, owner.server_.clock, owner.server_.timers, owner.server_.counters},
              owner.self_,
@@ -80,7 +80,7 @@
     : server_(server),
       site_(site),
       sharedState_(sharedState),
-      self_{setup.name, freshNumber()},
+      self_{setup.name, randomIncarnation()},
       seed_(self_.incarnation),
       presence_(self_, presencePeriodMs(setup)),
       planFollower_(server) {
--- a/src/app/coordinator.h
+++ b/src/app/coordinator.h
@@ -52,7 +52,7 @@
  private:
   /// The store and the tasks of one setup.
   struct Session {
-    Session(Coordinator& owner, coordination::Setup setup);
+    Session(Coordinator& owner, coordination::Setup config);
     coordination::Setup setup;
     std::unique_ptr<coordination::Store> store;
     coordination::Runner runner;
--- a/src/app/fleet_instances.h
+++ b/src/app/fleet_instances.h
@@ -1,5 +1,5 @@
-// Helpers of the coordinator and the sharer: the fleet's instances as this process sees them, and
-// random numbers for incarnations.
+/// The fleet's instances as this process sees them, and random numbers for incarnations: what
+/// Coordinator and SharedStateService have in common.
 #pragma once
 
 #include <array>
@@ -11,23 +11,24 @@
 
 namespace inference_router::app {
 
-inline std::uint64_t freshNumber() {
+/// A number that tells one run of a process from all others under the same name.
+inline std::uint64_t randomIncarnation() {
   std::random_device source;
   return (static_cast<std::uint64_t>(source()) << 20) ^ source();
 }
 
-// The listed instances, without the drains of a maintenance.
+/// The listed instances by id. One that only a maintenance plan drains still counts as serving.
 inline coordination::FleetInstances fleetInstances(const fleet::Membership& members,
                                                    const routing::Settings& settings) {
-  constexpr std::array<const char*, 3> kRoles{"read", "write", "both"};
-  coordination::FleetInstances found;
+  constexpr std::array<const char*, 3> kRoleNames{"read", "write", "both"};
+  coordination::FleetInstances instances;
   for (const auto& [id, entry] : members.listed()) {
-    coordination::FleetInstance& instance = found[id.value];
-    instance.role = kRoles.at(static_cast<std::size_t>(settings.kinds[entry.kind.value].role));
+    coordination::FleetInstance& instance = instances[id.value];
+    instance.role = kRoleNames.at(static_cast<std::size_t>(settings.kinds[entry.kind.value].role));
     instance.cell = entry.cell.value;
     instance.serves = entry.state == routing::EndpointState::kActive && !members.excluded(id);
   }
-  return found;
+  return instances;
 }
 
 }  // namespace inference_router::app
--- a/src/app/otlp.cpp
+++ b/src/app/otlp.cpp
@@ -10,11 +10,12 @@
 
 namespace {
 
-constexpr double kDialMs = 1000;
+constexpr double kConnectTimeoutMs = 1000;
+constexpr std::size_t kMaxConnections = 1;
 constexpr int kCumulative = 2;  // AGGREGATION_TEMPORALITY_CUMULATIVE
 
-// 64-bit numbers are strings in the JSON of protocol buffers. Milliseconds as double keep
-// microseconds.
+// A 64-bit number is a string in the JSON of protocol buffers. A double of milliseconds since the
+// epoch is exact to the microsecond.
 std::string nanos(double ms) {
   return std::to_string(static_cast<std::uint64_t>(ms * 1000) * 1000);
 }
@@ -44,16 +45,17 @@
   return json{{"resourceMetrics", json::array({resource})}}.dump();
 }
 
+/// Counts the result of one export.
 class OtlpExporter::Export final : public net::CallSink {
  public:
   explicit Export(core::Counters& counters) : counters_(counters) {}
-  void head(const net::ResponseHead& head) override { good_ = head.result_int() / 100 == 2; }
-  void done() override { ++counters_[good_ ? "otlp.exported" : "otlp.refused"]; }
+  void head(const net::ResponseHead& head) override { accepted_ = head.result_int() / 100 == 2; }
+  void done() override { ++counters_[accepted_ ? "otlp.exported" : "otlp.refused"]; }
   void failed(net::CallFailure) override { ++counters_["otlp.failed"]; }
 
  private:
   core::Counters& counters_;
-  bool good_ = false;
+  bool accepted_ = false;
 };
 
 OtlpExporter::OtlpExporter(boost::asio::io_context& io,
@@ -65,14 +67,19 @@
     : clock_(clock),
       timers_(timers),
       counters_(counters),
-      pool_(io, clock, timers, unseen_, {1, kDialMs, intervalMs * 2}),
+      pool_(io, clock, timers, ownCounters_, {kMaxConnections, kConnectTimeoutMs, intervalMs * 2}),
       collector_(collector),
       intervalMs_(intervalMs),
       startUnixMs_(core::unixNowMs()) {
-  timers_.add(clock_.nowMs() + intervalMs_, [this] { send(); });
+  scheduleNext();
 }
 
-void OtlpExporter::send() {
+void OtlpExporter::scheduleNext() {
+  timer_ = timers_.schedule(clock_.nowMs() + intervalMs_, [this] { exportNow(); });
+}
+
+// An export that is still under way is abandoned: cumulative sums say all that it would have said.
+void OtlpExporter::exportNow() {
   if (call_)
     call_->abandon();
   const auto body = std::make_shared<const std::string>(
@@ -85,7 +92,7 @@
                                     {"Content-Type", "application/json"},
                                     {"Content-Length", std::to_string(body->size())}}),
                      body, std::make_shared<Export>(counters_));
-  timers_.add(clock_.nowMs() + intervalMs_, [this] { send(); });
+  scheduleNext();
 }
 
 }  // namespace inference_router::app
--- a/src/app/otlp.h
+++ b/src/app/otlp.h
@@ -1,5 +1,4 @@
-// Exports the registry of counters by OTLP/HTTP with JSON bodies, at a fixed interval. Off unless
-// asked for.
+/// Exports the counters by OTLP/HTTP with JSON bodies, at a fixed interval.
 #pragma once
 
 #include <memory>
@@ -12,14 +11,17 @@
 
 namespace inference_router::app {
 
-// An ExportMetricsServiceRequest: each counter as a cumulative, monotonic sum.
+/// An ExportMetricsServiceRequest: each counter as a cumulative, monotonic sum. Times are
+/// milliseconds since the Unix epoch.
 std::string otlpMetrics(const core::Counters& counters,
                         const std::string& service,
                         double startUnixMs,
                         double nowUnixMs);
 
+/// Belongs to the thread that runs the io_context. All references must outlive it.
 class OtlpExporter {
  public:
+  /// The first export takes place after one interval.
   OtlpExporter(boost::asio::io_context& io,
                const core::Clock& clock,
                core::TimerQueue& timers,
@@ -31,21 +33,21 @@
     pool_.accountTo(descriptorBudget, admission::Account::kTelemetry);
   }
 
-  // One export now; one that is still under way is given up for it, as sums say all there is to
-  // say.
-  void send();
-
  private:
   class Export;
 
+  void scheduleNext();
+  void exportNow();
+
   const core::Clock& clock_;
   core::TimerQueue& timers_;
   core::Counters& counters_;
-  core::Counters unseen_;  // of the exporter's own pool: exporting must not count as work
+  core::Counters ownCounters_;  // of the exporter's own pool: exporting must not count as work
   net::ConnectionPool pool_;
   net::Endpoint collector_;
   double intervalMs_, startUnixMs_;
-  std::shared_ptr<net::Call> call_;
+  std::shared_ptr<net::Call> call_;  // the last export; null before the first
+  core::Timer timer_;
 };
 
 }  // namespace inference_router::app
--- a/src/app/serve_operator_file.cpp
+++ b/src/app/serve_operator_file.cpp
@@ -15,13 +15,16 @@
 
 namespace {
 
+constexpr const char* kMaxConnectionsKey = "admission.connections.total";
+
 // The decision module numbers names by their order: those there are keep their places, and more
 // may follow.
 template <class Names>
 void requireSamePlaces(const Names& current, const Names& reread, const char* what) {
   if (reread.size() < current.size() || !std::equal(current.begin(), current.end(), reread.begin()))
-    throw ConfigError(std::string(what) +
-                      " were renamed, moved or removed: that needs a new start");
+    throw ConfigError(
+        ConfigInput::kFile, "settings",
+        std::string(what) + " were renamed, moved or removed: that needs a new start");
 }
 
 std::unique_ptr<admission::AdmissionController> makeAdmissionController(const OperatorFile& file,
@@ -29,8 +32,9 @@
   if (!file.admission)
     return nullptr;
   if (file.admission->total > frontend::mostAdmitted(limits.sockets))
-    throw ConfigError("admission.connections.total cannot be met: the system gives only " +
-                      std::to_string(limits.sockets) + " descriptors");
+    throw ConfigError(ConfigInput::kSystem, kMaxConnectionsKey,
+                      "admission.connections.total cannot be met: the system gives only " +
+                          std::to_string(limits.sockets) + " descriptors");
   return std::make_unique<admission::AdmissionController>(*file.admission);
 }
 
@@ -169,6 +173,7 @@
   keepSwitched(file_.admission, reread.admission, "admission");
   if (reread.admission && reread.admission->total > frontend::mostAdmitted(limits_.sockets))
     throw ConfigError(
+        ConfigInput::kSystem, kMaxConnectionsKey,
         "admission.connections.total is over what the descriptors of this process allow");
   keepSwitched(file_.coordination, reread.coordination, "coordination");
   keepSwitched(file_.shared, reread.shared, "shared");
--- a/src/app/shared_state_service.cpp
+++ b/src/app/shared_state_service.cpp
@@ -30,7 +30,7 @@
     : server_(server),
       site_(site),
       setup_(std::move(setup)),
-      node_(setup_.config, name, freshNumber, server.clock.nowMs()) {
+      node_(setup_.config, name, randomIncarnation, server.clock.nowMs()) {
   server_.dispatcher.onEvent([this](const routing::Event& event) { recordOutcome(event); });
   tick();
 }
@@ -107,11 +107,11 @@
 }
 
 std::map<std::string, KnownInstance> SharedStateService::instances() const {
-  auto found = fleetInstances(server_.membership, site_.settings);
+  auto instances = fleetInstances(server_.membership, site_.settings);
   for (const std::string& id : server_.membership.drained())
-    if (const auto instance = found.find(id); instance != found.end())
+    if (const auto instance = instances.find(id); instance != instances.end())
       instance->second.serves = false;
-  return found;
+  return instances;
 }
 
 // Takes out of use what the other routers saw fail, and back what they saw recover.
--- a/src/app/trace.h
+++ b/src/app/trace.h
@@ -1,4 +1,4 @@
-// What the module is told and what it decides, a line each, for counting over a fleet afterwards.
+/// Events and actions of the decision module, a line each, to be counted over a fleet afterwards.
 #pragma once
 
 #include <string>
@@ -7,7 +7,7 @@
 
 namespace inference_router::app {
 
-// Nothing for what only keeps time.
+/// Empty for events and actions that only keep time.
 std::string traceLine(const routing::Event& event);
 std::string traceLine(const routing::Action& action);
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -74,12 +74,16 @@
   return values;
 }
 
+app::ConfigError optionError(const std::string& option, const std::string& reason) {
+  return {app::ConfigInput::kCommandLine, option, reason};
+}
+
 // ---- serve and check-config ----
 
 options::variables_map parseServeOptions(const Arguments& arguments) {
   options::variables_map values = parse(arguments, describeServe());
   if (values.count("config") != 0 && values.count("operator") != 0)
-    throw app::ConfigError("--config and --operator exclude each other");
+    throw optionError("config", "--config and --operator exclude each other");
   return values;
 }
 
@@ -87,7 +91,8 @@
   const app::Environment environment = app::environmentOf(environ);
   const auto variable = environment.find("GW_CONFIG");
   if (values.count("config") == 0 && variable == environment.end())
-    throw app::ConfigError("no configuration: give --config or --operator FILE, or set GW_CONFIG");
+    throw optionError("config",
+                      "no configuration: give --config or --operator FILE, or set GW_CONFIG");
   const std::string path =
       values.count("config") != 0 ? values["config"].as<std::string>() : variable->second;
   return app::configOf(app::readJson(path), environment);
@@ -101,7 +106,7 @@
   app::Telemetry telemetry;
   telemetry.intervalMs = values["otlp-interval"].as<double>() * kMsPerSecond;
   if (!(telemetry.intervalMs >= kMinOtlpIntervalMs))
-    throw app::ConfigError("--otlp-interval is 0.1 or more");
+    throw optionError("otlp-interval", "--otlp-interval is 0.1 or more");
   telemetry.trace = values["trace"].as<bool>();
   if (values.count("otlp") != 0)
     telemetry.collector = net::endpointOf(values["otlp"].as<std::string>());
@@ -150,7 +155,7 @@
   const auto text = values["address"].as<std::string>();
   const auto address = admission::Address::parse(text);
   if (!address)
-    throw app::ConfigError("--address: '" + text + "' is no IPv4 or IPv6 address");
+    throw optionError("address", "--address: '" + text + "' is no IPv4 or IPv6 address");
   return *address;
 }
 
@@ -162,14 +167,14 @@
   const bool exists = std::any_of(file.keys.begin(), file.keys.end(),
                                   [&](const auto& entry) { return entry.second.name == name; });
   if (!exists)
-    throw app::ConfigError("--key-name: no entry of `keys` has the name '" + name + "'");
+    throw optionError("key-name", "--key-name: no entry of `keys` has the name '" + name + "'");
   return name;
 }
 
 int explainAdmission(Arguments arguments) {
   if (arguments.empty() || arguments.front() != "explain")
-    throw app::ConfigError(
-        "the command is 'admission explain --operator FILE --address A [--key-name K]'");
+    throw optionError(
+        "", "the command is 'admission explain --operator FILE --address A [--key-name K]'");
   arguments.erase(arguments.begin());
   const options::variables_map values = parse(arguments, describeExplain());
   const frontend::OperatorFile file = readOperatorFile(values);
--- a/src/net/descriptor_transfer.h
+++ b/src/net/descriptor_transfer.h
@@ -27,7 +27,7 @@
 class DescriptorReceiver {
  public:
   /// Stays under what a Unix socket takes at once.
-  static constexpr std::size_t kMaxMessageBytes = 160 * 1024;
+  static constexpr std::size_t kMaxMessageBytes = 160UL * 1024;
   using MessageHandler = std::function<void(ReceivedMessage)>;
 
   /// Listens under this name in the folder. Check isOpen(): if the socket cannot be made there,
--- a/tests/fleet_processes_test.cpp
+++ b/tests/fleet_processes_test.cpp
@@ -14,12 +14,12 @@
 namespace {
 
 // One trouble after another, drawn; each lasts for up to two leases and is over before the next.
-void trouble(Conductors& fleet, std::mt19937& random) {
+void trouble(RouterFleet& fleet, std::mt19937& random) {
   const auto draw = [&](double least, double most) {
     return std::uniform_real_distribution<>(least, most)(random);
   };
   // The holder as often as anybody else together: it is the one that matters.
-  Conductors::One* who = random() % 2 == 0 ? fleet.byName(fleet.holder()) : nullptr;
+  RouterFleet::Node* who = random() % 2 == 0 ? fleet.byName(fleet.holder()) : nullptr;
   if (who == nullptr)
     who = fleet.all[random() % fleet.all.size()].get();
   const double length = draw(0.2, 2) * kLeaseMs;
@@ -70,7 +70,7 @@
   const auto [count, seed] = GetParam();
   std::cout << count << " conductors, seed " << seed << "\n";
   std::mt19937 random(seed);
-  Conductors fleet(count, {"box-1", "box-2", "box-3"});
+  RouterFleet fleet(count, {"box-1", "box-2", "box-3"});
   ASSERT_TRUE(fleet.say("maintenance start june box-1,box-2,box-3 hold=2")) << fleet.logs();
   for (int i = 0; i < 8 && !fleet.done("june"); ++i)
     trouble(fleet, random);
@@ -95,9 +95,9 @@
 // The hardest case, on purpose: the holder is stopped in the middle of its step, the step's bytes
 // on their way. Its lease goes to another, which has nothing to do; then the step arrives.
 std::vector<std::string> stepThatArrivesLate(const std::string& program, std::string& log) {
-  Conductors fleet(3, {"box-1", "box-2"}, program);
+  RouterFleet fleet(3, {"box-1", "box-2"}, program);
   EXPECT_TRUE(waitFor(fleet.io, 60, [&] { return !fleet.holder().empty(); }));
-  const auto watch = [&](Conductors::One& one) {
+  const auto watch = [&](RouterFleet::Node& one) {
     // A change of the plan by its holder; what an operator says of it goes by another router.
     one.link->holdWhen = [](const std::string& bytes) {
       const std::size_t from = bytes.find("request_put");
@@ -119,7 +119,7 @@
   for (auto& one : fleet.all)
     watch(*one);
   EXPECT_TRUE(fleet.say("maintenance start june box-1 confirm"));
-  Conductors::One* held = nullptr;
+  RouterFleet::Node* held = nullptr;
   EXPECT_TRUE(waitFor(fleet.io, 60, [&] {
     for (auto& one : fleet.all)
       if (one->link->mode() == FaultLayer::Mode::kHold)
@@ -166,7 +166,7 @@
 // From one second after a router was told of a drain its instance sees no new work from it, and
 // SIGTERM gives the lease away in order.
 TEST(ManyConductorsWithClients, KeepDrainsAndHandOverInOrder) {
-  Conductors fleet(3, {"box-1", "box-2"});
+  RouterFleet fleet(3, {"box-1", "box-2"});
   ASSERT_TRUE(fleet.say("readyz"));
   std::size_t asked = 0;
   std::map<std::size_t, std::unique_ptr<RawPeer>> clients;
@@ -208,7 +208,7 @@
   // Out means that every router has said that it heard of the drain, and that nothing of it is
   // open there.
   const double out = fleet.clock.nowMs();
-  Conductors::One* first = fleet.byName(fleet.holder());
+  RouterFleet::Node* first = fleet.byName(fleet.holder());
   ASSERT_NE(first, nullptr);
   const std::string firstName = first->name;
   for (double until = out + 2500; fleet.clock.nowMs() < until;) {
@@ -246,7 +246,7 @@
 }
 
 // What the router itself says of the maintenance's lease.
-json leaseOf(Conductors& fleet, Conductors::One& one) {
+json leaseOf(RouterFleet& fleet, RouterFleet::Node& one) {
   std::string text = callAdmin(fleet.io, one.door, "leases json");
   const std::size_t end = text.rfind("eof\n");
   if (end == std::string::npos)
@@ -263,9 +263,9 @@
 // A disk that stalls takes the lease from its holder, and nothing from clients: they are answered
 // all the while.
 TEST(ConductorsOnOneMachine, GoOnRoutingWhileTheirStoreStalls) {
-  Conductors fleet(3, {"box-1", "box-2"}, INFERENCE_ROUTER_PROGRAM, /*sqlite=*/true);
+  RouterFleet fleet(3, {"box-1", "box-2"}, INFERENCE_ROUTER_PROGRAM, /*sqlite=*/true);
   ASSERT_TRUE(fleet.allReady()) << fleet.logs();
-  Conductors::One* holder = nullptr;
+  RouterFleet::Node* holder = nullptr;
   const auto held = [&] {
     for (auto& one : fleet.all)
       if (leaseOf(fleet, *one)["state"] == "holding")
@@ -278,7 +278,7 @@
   sqlite3_busy_timeout(blocker.get(), 10'000);
   ASSERT_EQ(sqlite3_exec(blocker.get(), "BEGIN IMMEDIATE", nullptr, nullptr, nullptr), SQLITE_OK);
   std::size_t answered = 0;
-  const auto ask = [&](Conductors::One& one) {
+  const auto ask = [&](RouterFleet::Node& one) {
     RawPeer client(fleet.io);
     client.connect(one.listen);
     client.write(messageText("POST /v1/chat/completions HTTP/1.1",
@@ -311,8 +311,8 @@
 // SIGHUP with another store lets go of what is held in the old one first; a file that cannot be
 // used leaves all.
 TEST(ConductorsOnOneMachine, ChangeTheirStoreUnderWay) {
-  Conductors fleet(1, {"box-1"}, INFERENCE_ROUTER_PROGRAM, /*sqlite=*/true);
-  Conductors::One& one = *fleet.all[0];
+  RouterFleet fleet(1, {"box-1"}, INFERENCE_ROUTER_PROGRAM, /*sqlite=*/true);
+  RouterFleet::Node& one = *fleet.all[0];
   const auto holds = [&] { return leaseOf(fleet, one)["state"] == "holding"; };
   ASSERT_TRUE(waitFor(fleet.io, 60, holds)) << fleet.logs();
   const auto rewrite = [&](const std::function<void(json&)>& change) {
@@ -348,7 +348,7 @@
 // called off are still on their way, and it stays a moment longer than the half second for which it
 // takes new clients.
 TEST(AConductorThatEnds, StaysForItsLastWords) {
-  Conductors fleet(1, {"box-1"});
+  RouterFleet fleet(1, {"box-1"});
   ASSERT_TRUE(fleet.allReady()) << fleet.logs();
   const double told = fleet.clock.nowMs();
   fleet.signal(*fleet.all[0], SIGTERM);
--- a/tests/fronts_test.cpp
+++ b/tests/fronts_test.cpp
@@ -1055,10 +1055,13 @@
   EXPECT_EQ(config.seed, 0x8c1f30d27a5be964U);
   EXPECT_EQ(config.setup.names.classes.size(), 2U);
   EXPECT_EQ(config.setup.settings.contract.releaseLimit, std::chrono::milliseconds(300));
-  const auto complaint = [](const json& bad) -> std::string {
+  std::string faultyKey;
+  const auto complaint = [&](const json& bad) -> std::string {
     try {
       app::configOf(bad, {});
     } catch (const app::ConfigError& fault) {
+      EXPECT_EQ(fault.input(), app::ConfigInput::kFile);
+      faultyKey = fault.key();
       return fault.what();
     }
     return "";
@@ -1072,6 +1075,14 @@
   bad = file;
   bad["settings"]["peersTotal"] = 0;
   EXPECT_NE(complaint(bad).find("fewer than one node"), std::string::npos);
+  bad = file;
+  bad["limits"]["sockets"] = 127;
+  EXPECT_EQ(complaint(bad), "limits.sockets is under 128: too few to serve");
+  EXPECT_EQ(faultyKey, "limits.sockets");
+  bad = file;
+  bad.erase("name");
+  EXPECT_EQ(complaint(bad), "name is missing, and so is GW_NAME");
+  EXPECT_EQ(faultyKey, "name");
 }
 
 TEST(Reload, ASighupBeforeTheLoopRunsIsKeptAndABadFileChangesNothing) {
@@ -1082,7 +1093,7 @@
   site.server->run(*site.listener, {.acceptForMs = 500}, [&] {
     if (++calls == 1) {
       raise(SIGHUP);
-      throw app::ConfigError("half a file");
+      throw app::ConfigError(app::ConfigInput::kFile, "", "half a file");
     }
     site.io.stop();
   });
--- a/tests/handover_faults_test.cpp
+++ b/tests/handover_faults_test.cpp
@@ -12,12 +12,12 @@
 
 using system_call_faults::Call;
 
-struct Passage : Stage {
+struct TransferStage : Stage {
   Folder folder;
-  std::vector<net::ReceivedMessage> taken;
+  std::vector<net::ReceivedMessage> received;
   net::DescriptorReceiver receiver{
       io, folder.path, "receiver",
-      [this](net::ReceivedMessage passed) { taken.push_back(std::move(passed)); }};
+      [this](net::ReceivedMessage message) { received.push_back(std::move(message)); }};
   net::DescriptorSender sender{folder.path, "receiver"};
 };
 
@@ -25,20 +25,20 @@
 TEST(HandOverUnderFaults, AStreamIsTakenOnlyIfItsSenderHearsOfIt) {
   for (const int error : {EINTR, ENOBUFS, ENOMEM, EAGAIN}) {
     SCOPED_TRACE(error);
-    Passage passage;
-    ASSERT_EQ(passage.sender.send("stream", {}), net::DescriptorSender::Result::kSent);
+    TransferStage stage;
+    ASSERT_EQ(stage.sender.send("stream", {}), net::DescriptorSender::Result::kSent);
     {
       const Faults faults({{.call = Call::kSend, .error = error, .every = error == EINTR ? 2 : 1}});
       for (int i = 0; i < 50; ++i)
-        passage.io.poll();
+        stage.io.poll();
     }
-    std::size_t heard = 0;
-    const bool settled = passage.until([&] {
-      heard += passage.sender.takeAcknowledged();
-      return heard > 0 || !passage.sender.isOpen();
+    std::size_t acknowledged = 0;
+    const bool settled = stage.until([&] {
+      acknowledged += stage.sender.takeAcknowledged();
+      return acknowledged > 0 || !stage.sender.isOpen();
     });
     EXPECT_TRUE(settled);
-    EXPECT_EQ(passage.taken.size(), heard);
+    EXPECT_EQ(stage.received.size(), acknowledged);
   }
 }
 
--- a/tests/ops_test.cpp
+++ b/tests/ops_test.cpp
@@ -175,7 +175,7 @@
 // ---- Calls
 // -----------------------------------------------------------------------------------------
 
-struct Played : control::AdminApi {
+struct FakeAdminApi : control::AdminApi {
   std::vector<std::string> calls;
   core::RequestMetrics counted;
   std::vector<std::string> names{"ask", "odd \"one\"\\"};
@@ -196,39 +196,39 @@
 };
 
 TEST(OperatorsCalls, EachDoesWhatItSays) {
-  Played played;
+  FakeAdminApi api;
   for (const char* call : {"readyz", "exclude s-1", "  include\ts-1 ", "evacuate", "activate"})
-    EXPECT_EQ(control::execute(played, call), "ok\n") << call;
+    EXPECT_EQ(control::execute(api, call), "ok\n") << call;
   const std::vector<std::string> expected{"ready", "exclude s-1", "include s-1", "evacuate",
                                           "activate"};
-  EXPECT_EQ(played.calls, expected);
+  EXPECT_EQ(api.calls, expected);
 }
 
 TEST(OperatorsCalls, WhatIsNotUnderstoodFailsWithAReasonAndChangesNothing) {
-  Played played;
+  FakeAdminApi api;
   for (const std::string& call :
        {std::string(), std::string("  "), std::string("exclude"), std::string("exclude a b"),
         std::string("EXCLUDE a"), std::string("readyz now"), std::string("reboot"),
         std::string("exclude a\x01"), std::string("exclude \0", 9),
         "exclude " + std::string(2000, 'a')}) {
-    const std::string answer = control::execute(played, call);
+    const std::string answer = control::execute(api, call);
     EXPECT_EQ(answer.rfind("fail ", 0), 0U) << call;
     EXPECT_EQ(answer.find('\n'), answer.size() - 1);
     EXPECT_GT(answer.size(), 10U);
   }
-  EXPECT_TRUE(played.calls.empty());
+  EXPECT_TRUE(api.calls.empty());
 }
 
 TEST(OperatorsCalls, TelemetryNamesEveryFigureOfEveryClassAndEnds) {
-  Played played;
-  played.counted.classes(2);
+  FakeAdminApi api;
+  api.counted.classes(2);
   for (int i = 0; i < 4; ++i)
-    played.counted.taken(0);
-  played.counted.ended(0, core::RequestOutcome::kOk);
-  played.counted.ended(0, core::RequestOutcome::kShed);
-  played.counted.ended(0, core::RequestOutcome::kError);
-  played.counted.tried(0);
-  const std::string text = control::execute(played, "telemetry");
+    api.counted.taken(0);
+  api.counted.ended(0, core::RequestOutcome::kOk);
+  api.counted.ended(0, core::RequestOutcome::kShed);
+  api.counted.ended(0, core::RequestOutcome::kError);
+  api.counted.tried(0);
+  const std::string text = control::execute(api, "telemetry");
   for (const char* line :
        {"app_ok_total{kind=\"ask\"} 1\n", "app_shed_total{kind=\"ask\"} 1\n",
         "app_errors_total{kind=\"ask\"} 1\n", "app_tries_total{kind=\"ask\"} 1\n",
@@ -241,7 +241,7 @@
 // ---- The door
 // --------------------------------------------------------------------------------------
 
-struct Door : Stage {
+struct LineServerStage : Stage {
   std::vector<std::string> lines;
   net::LineServer door{io,
                        anyPort(),
@@ -262,7 +262,7 @@
 TEST(LineServer, TakesALineThatComesByteByByteOrWithItsEndMissing) {
   for (const std::string& sent :
        {std::string("readyz\n"), std::string("readyz\r\n"), std::string("readyz\nmore\n")}) {
-    Door stage;
+    LineServerStage stage;
     RawPeer peer(stage.io);
     peer.connect(stage.door.address());
     for (const char c : sent) {
@@ -275,7 +275,7 @@
 }
 
 TEST(LineServer, AnOverlongLineIsHandedOverCutAndNotKeptWaitingFor) {
-  Door stage;
+  LineServerStage stage;
   RawPeer peer(stage.io);
   peer.connect(stage.door.address());
   peer.write(std::string(1000, 'x'));
@@ -285,7 +285,7 @@
 // A plan over every instance is one line, and its longest answer a line for each: both pass whole.
 // No other call may be as long.
 TEST(LineServer, CarriesAPlanOverAsManyInstancesAsThereMayBe) {
-  struct Planned final : Played {
+  struct Planned final : FakeAdminApi {
     std::string instancesReport() override {
       std::string text;
       for (std::size_t i = 0; i < coordination::kMostInstances; ++i)
@@ -327,7 +327,7 @@
 
 // Callers who never finish cost one place each, the oldest of them first; nobody waits behind them.
 TEST(LineServer, SilentCallersHoldUpNobodyAndAreClosedInTime) {
-  Door stage;
+  LineServerStage stage;
   std::vector<std::unique_ptr<RawPeer>> silent;
   for (int i = 0; i < 12; ++i) {
     silent.push_back(std::make_unique<RawPeer>(stage.io));
--- a/tests/shared_processes_test.cpp
+++ b/tests/shared_processes_test.cpp
@@ -49,7 +49,7 @@
 // Clients that ask all the time, each question with a mark of its own, and keep what they were
 // answered.
 struct Clients {
-  Clients(Conductors& given, unsigned seed) : fleet(given), random(seed) {
+  Clients(RouterFleet& given, unsigned seed) : fleet(given), random(seed) {
     for (auto& [name, instance] : fleet.instances)
       instance->script = [this, name = name](StandInInstance&, StandInInstance::Taken& taken) {
         if (silent.count(name) != 0)
@@ -73,11 +73,11 @@
 
   struct Asked {
     std::unique_ptr<RawPeer> peer;
-    Conductors::One* at;
+    RouterFleet::Node* at;
     pid_t process;
     std::string cls;
   };
-  void ask(Conductors::One& one, const std::string& tenant, const std::string& cls) {
+  void ask(RouterFleet::Node& one, const std::string& tenant, const std::string& cls) {
     char mark[16];
     std::snprintf(mark, sizeof mark, "%08zu", ++count);
     Asked asked{std::make_unique<RawPeer>(fleet.io), &one, one.process, cls};
@@ -139,7 +139,7 @@
     return sum;
   }
 
-  Conductors& fleet;
+  RouterFleet& fleet;
   std::mt19937 random;
   std::set<std::string> silent;
   std::vector<Made> made;
@@ -148,19 +148,19 @@
   std::size_t count = 0, unanswered = 0, twice = 0, overBudget = 0;
 };
 
-Digest decodeDigest(Conductors& fleet) {
+Digest decodeDigest(RouterFleet& fleet) {
   const auto text = fleet.store.value(kPrefix + "doc/digest");
   return text ? shared::decodeDigest(*text).digest.value_or(Digest{}) : Digest{};
 }
 
-std::uint64_t billed(Conductors& fleet, const std::string& tenant) {
+std::uint64_t billed(RouterFleet& fleet, const std::string& tenant) {
   std::uint64_t sum = 0;
   for (const auto& [key, counters] : decodeDigest(fleet).total)
     sum += key.tenant == tenant ? counters.billed() : 0;
   return sum;
 }
 
-json sharedAt(Conductors& fleet, Conductors::One& one) {
+json sharedAt(RouterFleet& fleet, RouterFleet::Node& one) {
   std::string text = callAdmin(fleet.io, one.door, "shared json");
   const std::size_t end = text.rfind("eof\n");
   return end == std::string::npos ? json{{"degree", "none"}, {"boxes", json::array()}}
@@ -175,7 +175,7 @@
   return out;
 }
 
-bool allAre(Conductors& fleet, const std::string& degree) {
+bool allAre(RouterFleet& fleet, const std::string& degree) {
   return std::all_of(fleet.all.begin(), fleet.all.end(),
                      [&](auto& one) { return sharedAt(fleet, *one)["degree"] == degree; });
 }
@@ -185,7 +185,8 @@
 TEST_P(ManyConductorsShare, KeepBudgetsBillsAndInstancesWhileAThirdHearsNothing) {
   const auto [count, seed] = GetParam();
   std::cout << count << " conductors, seed " << seed << "\n";
-  Conductors fleet(count, {"box-1", "box-2", "box-3"}, INFERENCE_ROUTER_PROGRAM, false, sharedFile);
+  RouterFleet fleet(count, {"box-1", "box-2", "box-3"}, INFERENCE_ROUTER_PROGRAM, false,
+                    sharedFile);
   ASSERT_TRUE(fleet.allReady()) << fleet.logs();
   ASSERT_TRUE(waitFor(fleet.io, 60, [&] { return allAre(fleet, "connected"); })) << fleet.logs();
   Clients clients(fleet, seed);
@@ -294,7 +295,7 @@
 
 // SIGTERM: what is not in use goes back, and the last word is said before the end.
 TEST(AConductorThatEnds, GivesBackWhatItWasLent) {
-  Conductors fleet(3, {"box-1"}, INFERENCE_ROUTER_PROGRAM, false, sharedFile);
+  RouterFleet fleet(3, {"box-1"}, INFERENCE_ROUTER_PROGRAM, false, sharedFile);
   ASSERT_TRUE(waitFor(fleet.io, 60, [&] { return allAre(fleet, "connected"); })) << fleet.logs();
   Clients clients(fleet, 1);
   clients.go(3'000);
@@ -319,8 +320,8 @@
 
 // SIGHUP takes over another budget; a file that cannot be used leaves the old one.
 TEST(AChangedBudget, IsTakenOverAndABadFileIsNot) {
-  Conductors fleet(1, {"box-1"}, INFERENCE_ROUTER_PROGRAM, false, sharedFile);
-  Conductors::One& one = *fleet.all[0];
+  RouterFleet fleet(1, {"box-1"}, INFERENCE_ROUTER_PROGRAM, false, sharedFile);
+  RouterFleet::Node& one = *fleet.all[0];
   const auto limit = [&] {
     return decodeDigest(fleet).budgets.count("attiki") == 0
                ? 0
--- a/tests/support/conductors.h
+++ b/tests/support/conductors.h
@@ -32,8 +32,8 @@
 }
 
 // Instances that answer reads and streams at once, and write down what comes, when, and from whom.
-struct Conductors {
-  struct One {
+struct RouterFleet {
+  struct Node {
     std::string name;
     std::unique_ptr<FaultLayer> link;
     net::Endpoint listen, door;
@@ -43,11 +43,11 @@
   };
 
   // sqlite: they share a file in place of the stand-in. change: of each one's file.
-  Conductors(std::size_t count,
-             const std::vector<std::string>& instanceNames,
-             std::string program = INFERENCE_ROUTER_PROGRAM,
-             bool sqlite = false,
-             std::function<void(json&)> change = nullptr)
+  RouterFleet(std::size_t count,
+              const std::vector<std::string>& instanceNames,
+              std::string program = INFERENCE_ROUTER_PROGRAM,
+              bool sqlite = false,
+              std::function<void(json&)> change = nullptr)
       : program_(std::move(program)), sqlite_(sqlite), change_(std::move(change)) {
     for (const std::string& name : instanceNames) {
       instances[name] = std::make_unique<StandInInstance>(io, clock, timers);
@@ -58,7 +58,7 @@
       };
     }
     for (std::size_t i = 0; i < count; ++i) {
-      auto one = std::make_unique<One>();
+      auto one = std::make_unique<Node>();
       one->name = "c" + std::to_string(i + 1);
       one->link = std::make_unique<FaultLayer>(io, store.address());
       one->listen = freePort();
@@ -70,12 +70,12 @@
     for (auto& one : all)
       start(*one);
   }
-  ~Conductors() {
+  ~RouterFleet() {
     for (auto& one : all)
       kill(*one);
   }
 
-  json fileOf(const One& one) const {
+  json fileOf(const Node& one) const {
     json settings = siteSettings();
     settings["contract"]["coldMs"] = 200.0;
     json listed = json::array();
@@ -106,7 +106,7 @@
     return file;
   }
 
-  void start(One& one) {
+  void start(Node& one) {
     const std::string log = folder.path + "/" + one.name + ".log";
     one.process = ::fork();
     if (one.process == 0) {
@@ -117,13 +117,13 @@
     }
     one.stopped = false;
   }
-  void signal(One& one, int number) {
+  void signal(Node& one, int number) {
     if (one.process > 0)
       ::kill(one.process, number);
     if (number == SIGSTOP || number == SIGCONT)
       one.stopped = number == SIGSTOP;
   }
-  void kill(One& one) {
+  void kill(Node& one) {
     if (one.process <= 0)
       return;
     ::kill(one.process, SIGKILL);
@@ -166,7 +166,7 @@
     const auto text = store.value(kPrefix + "lease/maintenance");
     return text ? json::parse(*text)["holder"]["name"].get<std::string>() : "";
   }
-  One* byName(const std::string& name) {
+  Node* byName(const std::string& name) {
     for (auto& one : all)
       if (one->name == name)
         return one.get();
@@ -197,7 +197,7 @@
   };
   std::vector<Arrival> arrivals;
   Folder folder;
-  std::vector<std::unique_ptr<One>> all;
+  std::vector<std::unique_ptr<Node>> all;
 
  private:
   std::string program_;
--- a/tests/support/program.h
+++ b/tests/support/program.h
@@ -38,20 +38,20 @@
     }
   }
 
-  // words: after the program's name; own: NAME=value, instead of whatever the environment says of
-  // these names.
-  pid_t start(std::vector<std::string> words, const std::vector<std::string>& own) {
-    words.insert(words.begin(), INFERENCE_ROUTER_PROGRAM);
+  // arguments: after the program's name; environment: NAME=value, in place of what this process's
+  // environment says of these names.
+  pid_t start(std::vector<std::string> arguments, const std::vector<std::string>& environment) {
+    arguments.insert(arguments.begin(), INFERENCE_ROUTER_PROGRAM);
     std::vector<char*> raw, variables;
-    for (const std::string& word : words)
-      raw.push_back(const_cast<char*>(word.c_str()));
+    for (const std::string& argument : arguments)
+      raw.push_back(const_cast<char*>(argument.c_str()));
     for (char** variable = environ; *variable != nullptr; ++variable) {
       const std::string_view name(*variable);
       if (name.rfind("TMPDIR=", 0) != 0 && name.rfind("GW_", 0) != 0)
         variables.push_back(*variable);
     }
-    for (const std::string& one : own)
-      variables.push_back(const_cast<char*>(one.c_str()));
+    for (const std::string& variable : environment)
+      variables.push_back(const_cast<char*>(variable.c_str()));
     raw.push_back(nullptr);
     variables.push_back(nullptr);
     const pid_t process = ::fork();
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -114,8 +114,8 @@
   Folder folder;
   boost::asio::io_context io;
   std::vector<net::ReceivedMessage> taken;
-  net::DescriptorReceiver receiver(io, folder.path, "in", [&](net::ReceivedMessage passed) {
-    taken.push_back(std::move(passed));
+  net::DescriptorReceiver receiver(io, folder.path, "in", [&](net::ReceivedMessage message) {
+    taken.push_back(std::move(message));
   });
   ASSERT_TRUE(receiver.isOpen());
   net::DescriptorSender sender(folder.path, "in");
@@ -145,8 +145,8 @@
 // ----------------------------------------------------------------
 
 // Streams under way here, and a process to pass them to whose loop runs only when the test says so.
-struct Passes : Site {
-  Passes() : Site(kMixed, false) {
+struct HandoverSite : Site {
+  HandoverSite() : Site(kMixed, false) {
     for (auto& [id, instance] : instances)
       instance->script = beginOnly;
   }
@@ -187,7 +187,7 @@
 };
 
 TEST(HandedStream, GoesOnHereIfItsSuccessorEndsBeforeItTookIt) {
-  Passes site;
+  HandoverSite site;
   site.open(3);
   boost::asio::io_context never;
   auto successor = std::make_unique<net::DescriptorReceiver>(never, site.folder.path, "in",
@@ -210,13 +210,13 @@
 }
 
 TEST(HandedStream, WaitsForASlowSuccessorWhileTheOthersGoOnHere) {
-  Passes site;
+  HandoverSite site;
   site.open(20);
   Site next(kMixed, false);
-  app::Handover takes(*next.server, *next.front, *next.listener);
+  app::Handover successor(*next.server, *next.front, *next.listener);
   net::DescriptorReceiver receiver(
       next.io, site.folder.path, "in",
-      [&](net::ReceivedMessage passed) { takes.receive(std::move(passed)); });
+      [&](net::ReceivedMessage message) { successor.receive(std::move(message)); });
   app::Handover handover(*site.server, *site.front, *site.listener);
   handover.begin(site.folder.path, "in");
   for (int i = 0; i < 20; ++i)
