--- a/src/net/descriptor_transfer.cpp
+++ b/src/net/descriptor_transfer.cpp
@@ -202,11 +202,11 @@
 
 DescriptorReceiver::DescriptorReceiver(boost::asio::io_context& io,
                                        std::string folder,
-                                       const std::string& name,
+                                       std::string name,
                                        MessageHandler onMessage)
     : io_(io),
       folder_(std::move(folder)),
-      name_(name),
+      name_(std::move(name)),
       onMessage_(std::move(onMessage)),
       listener_(io),
       acceptPause_(io) {
--- a/src/net/descriptor_transfer.h
+++ b/src/net/descriptor_transfer.h
@@ -34,7 +34,7 @@
   /// nobody can send anything here, and nothing else happens.
   DescriptorReceiver(boost::asio::io_context& io,
                      std::string folder,
-                     const std::string& name,
+                     std::string name,
                      MessageHandler onMessage);
   ~DescriptorReceiver();
   DescriptorReceiver(const DescriptorReceiver&) = delete;
