--- a/src/app/admin_service.cpp
+++ b/src/app/admin_service.cpp
@@ -28,9 +28,9 @@
 
 CommandResult AdminService::setExcluded(const std::string& instanceId, bool excluded) {
   const ExclusionStore::ChangeResult change = context_.exclusions.change(instanceId, excluded);
-  if (change.verdict == Membership::Verdict::kUnknown)
+  if (change.result == Membership::Result::kUnknownInstance)
     return {.ok = false, .message = "no instance has this id"};
-  if (change.verdict == Membership::Verdict::kNoRoom)
+  if (change.result == Membership::Result::kFull)
     return {.ok = false, .message = "too many instances are marked"};
   const std::string done = instanceId + (excluded ? " is excluded" : " is included");
   if (!change.stored)
--- a/src/app/exclusion_store.cpp
+++ b/src/app/exclusion_store.cpp
@@ -19,11 +19,11 @@
   fleet::Membership& membership = server_.membership;
   const auto change =
       excluded ? membership.exclude(instanceId, now) : membership.include(instanceId, now);
-  if (change.verdict != fleet::Membership::Verdict::kDone)
-    return {.verdict = change.verdict, .stored = false};
+  if (change.result != fleet::Membership::Result::kDone)
+    return {.result = change.result, .stored = false};
   const bool stored = store();
-  apply(change.news);
-  return {.verdict = change.verdict, .stored = stored};
+  apply(change.update);
+  return {.result = change.result, .stored = stored};
 }
 
 void ExclusionStore::read() {
@@ -63,7 +63,7 @@
   if (folder_ == nullptr)
     return true;
   const bool failedBefore = unstored_;
-  unstored_ = !known_ || !folder_->writeExclusions(server_.membership.exclusions().text());
+  unstored_ = !known_ || !folder_->writeExclusions(server_.membership.exclusions().serialize());
   if (!unstored_)
     return true;
   if (!failedBefore)
--- a/src/app/exclusion_store.h
+++ b/src/app/exclusion_store.h
@@ -23,7 +23,7 @@
   void synchronize();
 
   struct ChangeResult {
-    fleet::Membership::Verdict verdict;
+    fleet::Membership::Result verdict;
     bool stored;
   };
   ChangeResult change(const std::string& instanceId, bool excluded);
--- a/src/app/lifecycle_tracker.cpp
+++ b/src/app/lifecycle_tracker.cpp
@@ -50,7 +50,7 @@
     facts.drainedBy = "maintenance";
   else if (entry.state != routing::EndpointState::kActive)
     facts.drainedBy = "list";
-  facts.avoided = server_.dispatcher.avoids(id);
+  facts.ejected = server_.dispatcher.avoids(id);
   if (const upstream::InstanceEndpoint* endpoint = server_.directory.find(id))
     facts.reachable = endpoint->failedMs <= endpoint->heardMs;
   facts.open = server_.dispatcher.openAt(id);
@@ -75,7 +75,7 @@
             " for_s=" + std::to_string(static_cast<long>((now - lifecycle.sinceMs()) / 1000)) +
             " open=" + std::to_string(server_.dispatcher.openAt(id)) +
             " revision=" + std::to_string(lifecycle.revision()) +
-            " by=" + (lifecycle.by().empty() ? "-" : lifecycle.by()) + " why=\"" + lifecycle.why() +
+            " by=" + (lifecycle.by().empty() ? "-" : lifecycle.by()) + " why=\"" + lifecycle.reason() +
             "\"\n";
   return text;
 }
--- a/src/app/server.h
+++ b/src/app/server.h
@@ -59,7 +59,7 @@
 
   /// Passes a list through the membership to the decision module.
   void list(routing::EndpointListUpdate update) override {
-    dispatcher.list(membership.told(update, clock.nowMs()));
+    dispatcher.list(membership.applyUpdate(update, clock.nowMs()));
   }
 
   /// Applies settings that may change while the server runs.
--- a/src/app/shared_state_service.cpp
+++ b/src/app/shared_state_service.cpp
@@ -30,7 +30,7 @@
     : server_(server),
       site_(site),
       setup_(std::move(setup)),
-      node_(setup_.config, name, freshNumber, server.clock.nowMs()) {
+      node_(setup_.config, name, randomIncarnation, server.clock.nowMs()) {
   server_.dispatcher.onEvent([this](const routing::Event& event) { recordOutcome(event); });
   tick();
 }
@@ -51,7 +51,7 @@
 // ---- Exchange with the store ----
 
 void SharedStateService::readView(const coordination::View& view) {
-  node_.read(view.documents, view.readMs, server_.clock.nowMs());
+  node_.onRead(view.documents, view.readMs, server_.clock.nowMs());
 }
 
 void SharedStateService::tick() {
@@ -65,11 +65,11 @@
 void SharedStateService::writeReport() {
   if (!writer_)
     return;
-  const auto write = node_.next(core::unixNowMs(), server_.clock.nowMs());
+  const auto write = node_.nextReport(core::unixNowMs(), server_.clock.nowMs());
   if (!write)
     return;
   writer_(*write, lifetime_.guard([this](const coordination::CommitResponse& answer) {
-    node_.written(answer, server_.clock.nowMs());
+    node_.onWritten(answer, server_.clock.nowMs());
   }));
 }
 
@@ -107,11 +107,11 @@
 }
 
 std::map<std::string, KnownInstance> SharedStateService::instances() const {
-  auto found = fleetInstances(server_.membership, site_.settings);
+  auto instances = fleetInstances(server_.membership, site_.settings);
   for (const std::string& id : server_.membership.drained())
-    if (const auto instance = found.find(id); instance != found.end())
+    if (const auto instance = instances.find(id); instance != instances.end())
       instance->second.serves = false;
-  return found;
+  return instances;
 }
 
 // Takes out of use what the other routers saw fail, and back what they saw recover.
@@ -233,9 +233,9 @@
 }
 
 void SharedStateService::logFault() {
-  if (node_.trouble() != loggedFault_ && !node_.trouble().empty())
-    spdlog::warn("shared: {}", node_.trouble());
-  loggedFault_ = node_.trouble();
+  if (node_.lastError() != loggedFault_ && !node_.lastError().empty())
+    spdlog::warn("shared: {}", node_.lastError());
+  loggedFault_ = node_.lastError();
 }
 
 void SharedStateService::publishCounters() {
--- a/src/app/shared_state_service.h
+++ b/src/app/shared_state_service.h
@@ -37,7 +37,7 @@
   void setWriter(Writer writer) { writer_ = std::move(writer); }
   void reconfigure(shared::SharedSetup setup);
   /// leaving: no more requests are taken, so unused loans are returned; false undoes it.
-  void setLeaving(bool leaving) { node_.leave(leaving); }
+  void setLeaving(bool leaving) { node_.setLeaving(leaving); }
 
   /// The task that makes the digest, for the router that holds its lease. The one made last is
   /// observed, and has to live as long as this object or until the next one is made.
