--- a/src/app/server.cpp
+++ b/src/app/server.cpp
@@ -250,7 +250,7 @@
   const core::SystemClock clock;
   const Limits limits{descriptorsOf(config.limits.sockets)};
   Server server(io, clock, config.setup, config.seed, limits.instances(), config.idleCloseMs,
-                frontend::platformDialect(), limits.sockets);
+                frontend::platformProtocol(), limits.sockets);
   frontend::PlatformFront front(server.dispatcher, config.setup.names, server.clock,
                                 server.counters);
   frontend::Discovery discovery(server.io, server.clock, server.timers, server.counters, server,
@@ -259,7 +259,7 @@
   discovery.accountTo(server.descriptorBudget);
   traceTo(server, telemetry);
   if (!config.known.is_null())
-    discovery.known(config.known);
+    discovery.loadCached(config.known);
   discovery.watch(config.discovery);
   const auto exporter = exporterFor(server, telemetry);
   net::Listener listener(server.io, config.listen, limits.clients(), front, server.clock,
@@ -269,8 +269,8 @@
                           .admissionController = nullptr,
                           .descriptorBudget = &server.descriptorBudget});
   front.readyWhen([&listener] { return !listener.evacuated(); });
-  Operations operations({server, listener, config.setup, limits, [&] { return discovery.spoken(); },
-                         front, config.admin.has_value()},
+  Operations operations({server, listener, config.setup, limits,
+                         [&] { return discovery.hasWatch(); }, front, config.admin.has_value()},
                         folderFor(config));
   const auto door = doorFor(config.admin, operations, server);
   sayListening(config.name, listener);
@@ -313,7 +313,7 @@
   fresh.sockets = site.sockets;
   fresh.instances.version = site.instances.version + 1;
   site = std::move(fresh);
-  server.reconfigure(site.setup.settings, frontend::openaiDialect(site));
+  server.reconfigure(site.setup.settings, frontend::openaiProtocol(site));
   server.directory.update(site.directory.all(), /*whole=*/true, server.pool);
   server.list(site.instances);
 }
@@ -326,10 +326,10 @@
   const core::SystemClock clock;
   const Limits limits{descriptorsOf(site.sockets)};
   Server server(io, clock, site.setup, site.seed, limits.instances(), site.idleCloseMs,
-                frontend::openaiDialect(site), limits.sockets);
+                frontend::openaiProtocol(site), limits.sockets);
   std::unique_ptr<admission::AdmissionController> gate;
   if (site.admission) {
-    if (site.admission->total > frontend::mostAdmitted(limits.sockets))
+    if (site.admission->total > frontend::maxAdmittedConnections(limits.sockets))
       throw ConfigError("admission.connections.total cannot be met: the system gives only " +
                         std::to_string(limits.sockets) + " descriptors");
     gate = std::make_unique<admission::AdmissionController>(*site.admission);
@@ -357,7 +357,7 @@
     sharedState = std::make_shared<SharedStateService>(server, site.setup, *site.shared,
                                                        site.coordination->name);
     operations.sharedBy(*sharedState);
-    front.meterBy(sharedState);
+    front.setTokenMeter(sharedState);
   }
   std::unique_ptr<Coordinator> coordinator;
   if (site.coordination) {
@@ -379,7 +379,8 @@
       spdlog::warn("SIGHUP: admission is switched on or off with the next start only");
       fresh.admission = site.admission;
     }
-    if (fresh.admission && fresh.admission->total > frontend::mostAdmitted(limits.sockets))
+    if (fresh.admission &&
+        fresh.admission->total > frontend::maxAdmittedConnections(limits.sockets))
       throw ConfigError(
           "admission.connections.total is over what the descriptors of this process allow");
     if (fresh.coordination.has_value() != site.coordination.has_value()) {
--- a/src/app/shared_state_service.h
+++ b/src/app/shared_state_service.h
@@ -10,7 +10,7 @@
 
 #include "app/server.h"
 #include "coordination/task.h"
-#include "frontend/openai/meter.h"
+#include "frontend/openai/token_meter.h"
 #include "shared/digest_task.h"
 #include "shared/node.h"
 #include "shared/setup.h"
--- a/src/frontend/front.cpp
+++ b/src/frontend/front.cpp
@@ -4,19 +4,19 @@
 
 namespace inference_router::frontend {
 
-bool Front::submit(net::ClientConnection& connection,
-                   routing::Arrival arrival,
-                   double arrivedMs,
-                   std::shared_ptr<const upstream::ForwardedRequest> payload,
-                   std::shared_ptr<core::ResponseWriter> responseWriter) {
+bool Front::dispatch(net::ClientConnection& connection,
+                     routing::Arrival arrival,
+                     double arrivedMs,
+                     std::shared_ptr<const upstream::ForwardedRequest> payload,
+                     std::shared_ptr<core::ResponseWriter> responseWriter) {
   arrival.timeLeft -= core::toModule(clock_.nowMs() - arrivedMs);
-  open_[&connection] = {};  // before it is taken: the module may answer at once
+  inFlight_[&connection] = {};  // before it is taken: the module may answer at once
   const auto key =
       dispatcher_.take(std::move(arrival), std::move(payload), std::move(responseWriter));
-  const auto it = open_.find(&connection);
+  const auto it = inFlight_.find(&connection);
   if (!key)
-    open_.erase(it);
-  else if (it != open_.end())
+    inFlight_.erase(it);
+  else if (it != inFlight_.end())
     it->second = *key;
   return key.has_value();
 }
@@ -28,29 +28,29 @@
 }
 
 std::shared_ptr<net::ClientConnection> Front::connectionOf(core::RequestKey key) const {
-  for (const auto& [connection, open] : open_)
-    if (open == key)
+  for (const auto& [connection, request] : inFlight_)
+    if (request == key)
       return connection->shared_from_this();
   return nullptr;
 }
 
 void Front::leave(net::ClientConnection& connection) {
-  open_.erase(&connection);
+  inFlight_.erase(&connection);
   connection.release();
 }
 
 void Front::disconnected(net::ClientConnection& connection) {
-  const auto it = open_.find(&connection);
-  if (it == open_.end())
+  const auto it = inFlight_.find(&connection);
+  if (it == inFlight_.end())
     return;
   const core::RequestKey key = it->second;
-  open_.erase(it);
+  inFlight_.erase(it);
   dispatcher_.clientGone(key);
 }
 
 void Front::writable(net::ClientConnection& connection) {
-  const auto it = open_.find(&connection);
-  if (it != open_.end())
+  const auto it = inFlight_.find(&connection);
+  if (it != inFlight_.end())
     dispatcher_.clientReady(it->second);
 }
 
--- a/src/frontend/front.h
+++ b/src/frontend/front.h
@@ -1,4 +1,4 @@
-// What the fronts share: which request is under way on which client's connection.
+/// What the front ends share: which request is in flight on which client's connection.
 #pragma once
 
 #include <functional>
@@ -11,39 +11,46 @@
 
 namespace inference_router::frontend {
 
+/// Belongs to the dispatcher's thread; the dispatcher, the clock and the counters outlive it.
 class Front : public net::RequestHandler {
  public:
   void disconnected(net::ClientConnection& connection) override;
   void writable(net::ClientConnection& connection) override;
 
- public:
-  // Whether `GET /-/ready` says yes; as long as nothing is set it does.
+  /// Whether `GET /-/ready` says yes; as long as nothing is set it does.
   void readyWhen(std::function<bool()> ready) { ready_ = std::move(ready); }
+  /// The response to a connection's request is about to be ended: every final answer of a front
+  /// calls this first.
+  void responseFinished(net::ClientConnection& connection) { inFlight_.erase(&connection); }
 
   // ---- Streams that pass from one process to another ----
+
+  /// The connection of a request in flight; none if there is no such request.
   std::shared_ptr<net::ClientConnection> connectionOf(core::RequestKey key) const;
+  /// Lets go of a connection that another process owns now.
   void leave(net::ClientConnection& connection);
-  // Whether this front's answers can be taken up in mid-stream by another process's.
+  /// Takes up another process's response in mid-stream; nothing if this front's cannot be.
   virtual std::shared_ptr<core::ResponseWriter> adopted(
       const std::shared_ptr<net::ClientConnection>&) {
     return nullptr;
   }
-  void adopt(net::ClientConnection& connection, core::RequestKey key) { open_[&connection] = key; }
+  void adopt(net::ClientConnection& connection, core::RequestKey key) {
+    inFlight_[&connection] = key;
+  }
 
  protected:
   Front(core::RequestDispatcher& dispatcher, const core::Clock& clock, core::Counters& counters)
       : dispatcher_(dispatcher), clock_(clock), counters_(counters) {}
 
-  // arrivedMs: when the request's first byte was read; the client's patience began no later.
-  // False if a request of this id is under way; nothing has been answered then.
-  bool submit(net::ClientConnection& connection,
-              routing::Arrival arrival,
-              double arrivedMs,
-              std::shared_ptr<const upstream::ForwardedRequest> payload,
-              std::shared_ptr<core::ResponseWriter> responseWriter);
+  /// Hands a request to the dispatcher. arrivedMs: when its first byte was read; the client's
+  /// patience began no later. False if a request of this id is in flight; nothing has been answered
+  /// then.
+  bool dispatch(net::ClientConnection& connection,
+                routing::Arrival arrival,
+                double arrivedMs,
+                std::shared_ptr<const upstream::ForwardedRequest> payload,
+                std::shared_ptr<core::ResponseWriter> responseWriter);
   void answerReady(net::ClientConnection& connection);
-  // Every final answer of a front calls this first.
-  void over(net::ClientConnection& connection) { open_.erase(&connection); }
 
   core::RequestDispatcher& dispatcher_;
   const core::Clock& clock_;
@@ -51,7 +58,7 @@
 
  private:
   std::function<bool()> ready_;
-  std::map<net::ClientConnection*, core::RequestKey> open_;
+  std::map<net::ClientConnection*, core::RequestKey> inFlight_;
 };
 
 }  // namespace inference_router::frontend
--- a/src/frontend/openai/chat_request.cpp
+++ b/src/frontend/openai/chat_request.cpp
@@ -1,5 +1,7 @@
 #include "frontend/openai/chat_request.h"
 
+#include <algorithm>
+
 #include "frontend/openai/api_error.h"
 
 namespace inference_router::frontend {
@@ -8,51 +10,54 @@
 
 namespace {
 
-bool given(const json& body, const char* name) {
+bool has(const json& body, const char* name) {
   return body.contains(name) && !body.at(name).is_null();
 }
 
 bool flagOf(const json& body, const char* name) {
-  if (!given(body, name))
+  if (!has(body, name))
     return false;
   if (!body.at(name).is_boolean())
     throw badRequest(std::string(name) + " must be true or false", name);
   return body.at(name).get<bool>();
 }
 
-std::string wordOf(const json& body, const char* name) {
-  if (!given(body, name))
+std::string stringOf(const json& body, const char* name) {
+  if (!has(body, name))
     return {};
   if (!body.at(name).is_string())
     throw badRequest(std::string(name) + " must be a string", name);
   return body.at(name).get<std::string>();
 }
 
-double countOf(const json& body, const char* name, double otherwise) {
-  if (!given(body, name))
-    return otherwise;
+double countOf(const json& body, const char* name, double fallback) {
+  if (!has(body, name))
+    return fallback;
   const json& value = body.at(name);
   if (!value.is_number_integer() || value.get<double>() < 1)
     throw badRequest(std::string(name) + " must be a whole number of at least 1", name);
   return value.get<double>();
 }
 
-bool goodContent(const json& message) {
-  if (!given(message, "content"))
+bool hasString(const json& object, const char* name) {
+  return object.contains(name) && object.at(name).is_string();
+}
+
+bool isValidPart(const json& part) {
+  if (!part.is_object() || !hasString(part, "type"))
+    return false;
+  return part.at("type") != "text" || hasString(part, "text");
+}
+
+bool isValidContent(const json& message) {
+  if (!has(message, "content"))
     return message.at("role") == "assistant";  // one that only calls tools
   const json& content = message.at("content");
   if (content.is_string())
     return true;
   if (!content.is_array())
     return false;
-  for (const json& part : content) {
-    if (!part.is_object() || !part.contains("type") || !part.at("type").is_string())
-      return false;
-    const bool text = part.at("type") == "text";
-    if (text && (!part.contains("text") || !part.at("text").is_string()))
-      return false;
-  }
-  return true;
+  return std::all_of(content.begin(), content.end(), isValidPart);
 }
 
 void checkMessages(const json& body) {
@@ -63,13 +68,23 @@
     const std::string at = "messages[" + std::to_string(index++) + "]";
     if (!message.is_object())
       throw badRequest(at + " must be an object", at);
-    if (!message.contains("role") || !message.at("role").is_string())
+    if (!hasString(message, "role"))
       throw badRequest(at + ".role must be a string", at + ".role");
-    if (!goodContent(message))
+    if (!isValidContent(message))
       throw badRequest(at + ".content must be a string or a list of parts", at + ".content");
   }
 }
 
+bool includesUsage(const json& body, bool stream) {
+  if (!has(body, "stream_options"))
+    return false;
+  if (!stream)
+    throw badRequest("stream_options goes with stream", "stream_options");
+  if (!body.at("stream_options").is_object())
+    throw badRequest("stream_options must be an object", "stream_options");
+  return flagOf(body.at("stream_options"), "include_usage");
+}
+
 }  // namespace
 
 ChatRequest readChatRequest(const std::string& text, double defaultMaxTokens) {
@@ -77,19 +92,13 @@
   if (!body.is_object())
     throw badRequest("the body is not a JSON object");
   ChatRequest request;
-  request.model = wordOf(body, "model");
+  request.model = stringOf(body, "model");
   if (request.model.empty())
     throw badRequest("model is missing", "model");
   checkMessages(body);
-  request.user = wordOf(body, "user");
+  request.user = stringOf(body, "user");
   request.stream = flagOf(body, "stream");
-  if (given(body, "stream_options")) {
-    if (!request.stream)
-      throw badRequest("stream_options goes with stream", "stream_options");
-    if (!body.at("stream_options").is_object())
-      throw badRequest("stream_options must be an object", "stream_options");
-    request.includeUsage = flagOf(body.at("stream_options"), "include_usage");
-  }
+  request.includeUsage = includesUsage(body, request.stream);
   if (countOf(body, "n", 1) != 1)
     throw badRequest("only n = 1 is served", "n");
   request.maxTokens =
--- a/src/frontend/openai/chat_request.h
+++ b/src/frontend/openai/chat_request.h
@@ -1,4 +1,4 @@
-// A request of the chat API: checked, and made ready for the instances.
+/// A request of the chat API: checked, and made ready for the instances.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -11,13 +11,13 @@
   std::string user;
   nlohmann::json messages;
   bool stream = false;
-  bool includeUsage = false;
+  bool includeUsage = false;  ///< of a stream: with an event for the usage
   double maxTokens = 0;
-  std::string instanceBody;  // the same request as an instance gets it: always streamed, always
-                             // with its usage
+  /// The same request as an instance gets it: always streamed, always with its usage.
+  std::string instanceBody;
 };
 
-// Throws ApiError.
+/// Throws ApiError. defaultMaxTokens: for a request that does not bound its answer.
 ChatRequest readChatRequest(const std::string& body, double defaultMaxTokens);
 
 }  // namespace inference_router::frontend
--- /dev/null
+++ b/src/frontend/openai/chat_response_writer.h
@@ -0,0 +1,66 @@
+/// Answers one request of the chat API, as a stream of events or as one JSON document.
+#pragma once
+
+#include <cstdint>
+#include <memory>
+#include <nlohmann/json.hpp>
+#include <string>
+#include <string_view>
+
+#include "core/ports.h"
+#include "frontend/front.h"
+#include "frontend/openai/api_error.h"
+#include "frontend/openai/chat_request.h"
+#include "frontend/openai/completion.h"
+#include "frontend/openai/sse.h"
+#include "frontend/openai/token_reservation.h"
+#include "net/client_connection.h"
+
+namespace inference_router::frontend {
+
+/// The front outlives it.
+class ChatResponseWriter final : public core::ResponseWriter {
+ public:
+  /// promptTokens: an estimate, until the instance tells. reservation: none where tokens are not
+  /// counted.
+  ChatResponseWriter(Front& front,
+                     std::shared_ptr<net::ClientConnection> connection,
+                     const ChatRequest& request,
+                     std::string id,
+                     double promptTokens,
+                     std::unique_ptr<TokenReservation> reservation);
+
+  bool present() const override { return connection_->isPeerPresent(); }
+  void refuse(const core::Refusal& refusal) override;
+  void fail(const core::Failure& failure) override;
+  bool pass(std::string_view part) override;
+  void end() override;
+  void broken() override;
+
+ private:
+  enum class ShouldRetry { kNo, kYes };
+
+  bool passEvent(const std::string& event);
+  bool addToCompletion(const nlohmann::json& chunk);
+  void readUsage(const nlohmann::json& chunk);
+  bool writeEvent(std::string_view event);
+  void answerCompletion();
+  void answerError(const ApiError& error, ShouldRetry shouldRetry, double retryAfterMs = 0);
+
+  Front& front_;
+  std::shared_ptr<net::ClientConnection> connection_;
+  bool isStream_;
+  bool includesUsage_;
+  std::string id_;
+  std::unique_ptr<TokenReservation> reservation_;
+  std::uint64_t promptTokens_;
+  std::uint64_t answerTokens_ = 0;
+  EventSplitter events_;
+  Completion completion_;    // where the client wants no stream
+  bool begun_ = false;       // the client has the head of its stream
+  bool isComplete_ = false;  // the instance has ended its stream as the API says
+  bool hasError_ = false;    // an event told of one
+  bool isTooLong_ = false;
+};
+
+}  // namespace inference_router::frontend
--- a/src/frontend/openai/completion.h
+++ b/src/frontend/openai/completion.h
@@ -1,4 +1,4 @@
-// Puts the events of a stream together to the one answer that a client without `stream` gets.
+/// Puts the events of a stream together to the one answer that a client without `stream` gets.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -8,17 +8,23 @@
 
 class Completion {
  public:
+  /// One event of the stream.
   void add(const nlohmann::json& chunk);
+  /// The body of the answer.
   std::string text() const;
+  /// Bytes of text that have come.
   std::size_t size() const { return size_; }
 
  private:
+  void addChoice(const nlohmann::json& choice);
   void addDelta(const nlohmann::json& delta);
+  void addToolCall(const nlohmann::json& part, nlohmann::json& calls);
 
-  nlohmann::json head_ =
-      nlohmann::json::object();  // id, created, model and whatever else stands at the top
+  // The id, the model and whatever else stands at the top.
+  nlohmann::json head_ = nlohmann::json::object();
   nlohmann::json message_ = {{"role", "assistant"}, {"content", nullptr}};
-  nlohmann::json finish_, usage_;
+  nlohmann::json finishReason_;
+  nlohmann::json usage_;
   std::size_t size_ = 0;
 };
 
--- a/src/frontend/openai/openai_front.h
+++ b/src/frontend/openai/openai_front.h
@@ -1,20 +1,25 @@
-// The chat API that every client library speaks, on the same core, module and rules as the
-// platform's protocol.
+/// The chat API that every client library speaks, on the same core, module and rules as the
+/// platform's protocol.
 #pragma once
 
+#include <cstdint>
 #include <functional>
+#include <memory>
 #include <string>
 
 #include "frontend/front.h"
 #include "frontend/openai/api_error.h"
 #include "frontend/openai/chat_request.h"
-#include "frontend/openai/meter.h"
 #include "frontend/openai/operator_file.h"
+#include "frontend/openai/token_meter.h"
+#include "frontend/openai/token_reservation.h"
 
 namespace inference_router::frontend {
 
-upstream::InstanceProtocol openaiDialect(const OperatorFile& site);
+/// How instances are spoken to under this API.
+upstream::InstanceProtocol openaiProtocol(const OperatorFile& site);
 
+/// `site` outlives it and may change between two requests.
 class OpenAiFront final : public Front {
  public:
   using NewId = std::function<std::string()>;
@@ -25,8 +30,8 @@
               core::Counters& counters,
               NewId newId);
 
-  // Whoever counts tokens; without it nobody does.
-  void meterBy(std::shared_ptr<TokenMeter> meter) { meter_ = std::move(meter); }
+  /// Whoever counts tokens; without it nobody does.
+  void setTokenMeter(std::shared_ptr<TokenMeter> meter) { meter_ = std::move(meter); }
 
   void request(const std::shared_ptr<net::ClientConnection>& connection,
                net::HttpRequest&& request,
@@ -37,19 +42,21 @@
                               double retryAfterMs) const override;
 
  private:
-  class Answer;
-
-  const ApiKey& allowed(const net::HttpRequest& request) const;
+  const ApiKey& authenticate(const net::HttpRequest& request) const;
   void chat(const std::shared_ptr<net::ClientConnection>& connection,
             const net::HttpRequest& request,
             const ApiKey& key,
             double arrivedMs);
-  std::unique_ptr<Bill> billFor(const ApiKey& key,
-                                const std::string& cls,
-                                double promptTokens,
-                                double answerTokens);
+  const std::string& classFor(const ChatRequest& request, const ApiKey& key) const;
+  routing::Arrival arrivalFor(const ChatRequest& request,
+                              const ApiKey& key,
+                              const std::string& cls) const;
+  std::unique_ptr<TokenReservation> reserveTokens(const ApiKey& key,
+                                                  const std::string& cls,
+                                                  double promptTokens,
+                                                  double answerTokens);
   std::string models(const std::string& target) const;
-  void refuse(net::ClientConnection& connection, const ApiError& error);
+  void answerError(net::ClientConnection& connection, const ApiError& error);
 
   const OperatorFile& site_;
   NewId newId_;
@@ -57,7 +64,7 @@
   std::int64_t startedS_;
 };
 
-// Ids of requests, fresh also after a restart.
+/// Ids of requests, fresh also after a restart.
 OpenAiFront::NewId randomIds();
 
 }  // namespace inference_router::frontend
--- a/src/frontend/openai/operator_file.cpp
+++ b/src/frontend/openai/operator_file.cpp
@@ -3,7 +3,6 @@
 #include <algorithm>
 #include <nlohmann/json.hpp>
 #include <set>
-#include <stdexcept>
 
 #include "admission/descriptor_budget.h"
 #include "core/clock.h"
@@ -12,16 +11,20 @@
 
 namespace inference_router::frontend {
 
-using namespace inference_router::routing;
 using nlohmann::json;
+using routing::KindIndex;
+using routing::Role;
 
 namespace {
 
-bool among(const std::vector<std::string>& names, const std::string& name) {
+constexpr std::size_t kMinSockets = 128;
+constexpr std::uint64_t kFirstVersion = 1;
+
+bool contains(const std::vector<std::string>& names, const std::string& name) {
   return std::find(names.begin(), names.end(), name) != names.end();
 }
 
-KindIndex kindOf(const Settings& settings, const core::ConfigReader& role) {
+KindIndex kindOf(const routing::Settings& settings, const core::ConfigReader& role) {
   const std::map<std::string, Role> roles{
       {"read", Role::kPrefill}, {"write", Role::kDecode}, {"both", Role::kMixed}};
   const auto name = role.as<std::string>();
@@ -40,7 +43,7 @@
                       const std::vector<std::string>& names,
                       const char* what) {
   const auto name = entry.value<std::string>(field, "");
-  if (!name.empty() && !among(names, name))
+  if (!name.empty() && !contains(names, name))
     entry.at(field).fail("is " + name + ", not a " + what + " of the settings");
   return name;
 }
@@ -50,9 +53,10 @@
     const ApiKey key{nameAmong(entry, "tenant", to.setup.names.tenants, "tenant"),
                      nameAmong(entry, "class", to.setup.names.classes, "class"),
                      entry.value<std::string>("name", "")};
-    if (!key.name.empty() && std::any_of(to.keys.begin(), to.keys.end(), [&](const auto& other) {
-          return other.second.name == key.name;
-        }))
+    const bool isTaken = std::any_of(to.keys.begin(), to.keys.end(), [&](const auto& other) {
+      return other.second.name == key.name;
+    });
+    if (!key.name.empty() && isTaken)
       entry.at("name").fail("is " + key.name + ", which stands twice");
     const auto text = entry.at("key").as<std::string>();
     if (text.empty() || !to.keys.emplace(text, key).second)
@@ -67,9 +71,9 @@
 }
 
 void readInstances(const core::ConfigReader& file, OperatorFile& to) {
-  to.instances = {1, EndpointListForm::kFull, {}};
+  to.instances = {kFirstVersion, routing::EndpointListForm::kFull, {}};
   for (const core::ConfigReader& entry : file.at("boxes").list()) {
-    const InstanceId id{entry.at("id").as<std::string>()};
+    const routing::InstanceId id{entry.at("id").as<std::string>()};
     const double size = entry.above0("size", 1.0);
     upstream::InstanceEndpoint endpoint;
     endpoint.address = addressAt(entry.at("address"));
@@ -79,7 +83,7 @@
                                     to.setup.settings.zone,
                                     kindOf(to.setup.settings, entry.at("role")),
                                     {entry.value("cell", 0U)},
-                                    EndpointState::kActive,
+                                    routing::EndpointState::kActive,
                                     size,
                                     std::nullopt});
   }
@@ -87,9 +91,49 @@
     file.at("boxes").fail("is empty: there is none to send to");
 }
 
+void readModels(const core::ConfigReader& file, OperatorFile& to) {
+  const core::ConfigReader models = file.at("models").object();
+  for (const auto& [model, cls] : models.json().items()) {
+    to.models[model] = nameAmong(models, model.c_str(), to.setup.names.classes, "class");
+    if (to.models[model].empty())
+      models.at(model).fail("is empty");
+  }
+  if (to.models.empty())
+    models.fail("is empty: there is none to ask for");
+}
+
+void readSettings(const core::ConfigReader& file, OperatorFile& to) {
+  const core::ConfigReader settings = file.at("settings").object();
+  to.setup = settingsOf(settings.json());
+  if (settings.has("limits"))
+    to.idleCloseMs = settings.at("limits").above0("idleCloseMs", to.idleCloseMs);
+}
+
+void readAdmission(const core::ConfigReader& file, OperatorFile& to) {
+  if (!file.has("admission"))
+    return;
+  std::set<std::string> names;
+  for (const auto& [text, key] : to.keys)
+    if (!key.name.empty())
+      names.insert(key.name);
+  to.admission =
+      admission::rulesOf(file.at("admission").json(), names, maxAdmittedConnections(to.sockets));
+}
+
+void readFleet(const core::ConfigReader& file, OperatorFile& to) {
+  if (file.has("coordination"))
+    to.coordination = coordination::setupOf(file.at("coordination"),
+                                            core::toMs(to.setup.settings.contract.warmupDuration));
+  if (!file.has("shared"))
+    return;
+  if (!to.coordination)
+    file.at("shared").fail("needs `coordination`, whose store carries it");
+  to.shared = shared::sharedOf(file.at("shared"), to.setup.names.tenants);
+}
+
 }  // namespace
 
-std::size_t mostAdmitted(std::size_t sockets) {
+std::size_t maxAdmittedConnections(std::size_t sockets) {
   const admission::DescriptorBudget::Shares shares = admission::DescriptorBudget::sharesOf(sockets);
   return shares.max[static_cast<std::size_t>(admission::Account::kClients)];
 }
@@ -102,38 +146,16 @@
     to.admin = addressAt(file.at("admin_addr"));
   to.seed = file.value("seed", to.seed);
   to.sockets = file.value("sockets", to.sockets);
-  if (to.sockets < 128)
-    throw std::invalid_argument("sockets is under 128: too few to serve");
+  if (to.sockets < kMinSockets)
+    throw OperatorFileError("sockets is under 128: too few to serve");
   to.defaultMaxTokens = file.above0("default_max_tokens", to.defaultMaxTokens);
   to.instanceKey = file.value<std::string>("box_key", "");
-  const core::ConfigReader settings = file.at("settings").object();
-  to.setup = settingsOf(settings.json());
-  if (settings.has("limits"))
-    to.idleCloseMs = settings.at("limits").above0("idleCloseMs", to.idleCloseMs);
+  readSettings(file, to);
   readKeys(file, to);
-  const core::ConfigReader models = file.at("models").object();
-  for (const auto& [model, cls] : models.json().items())
-    if ((to.models[model] = nameAmong(models, model.c_str(), to.setup.names.classes, "class"))
-            .empty())
-      models.at(model).fail("is empty");
-  if (to.models.empty())
-    models.fail("is empty: there is none to ask for");
+  readModels(file, to);
   readInstances(file, to);
-  if (file.has("admission")) {
-    std::set<std::string> names;
-    for (const auto& [text, key] : to.keys)
-      if (!key.name.empty())
-        names.insert(key.name);
-    to.admission = admission::rulesOf(file.at("admission").json(), names, mostAdmitted(to.sockets));
-  }
-  if (file.has("coordination"))
-    to.coordination = coordination::setupOf(file.at("coordination"),
-                                            core::toMs(to.setup.settings.contract.warmupDuration));
-  if (file.has("shared")) {
-    if (!to.coordination)
-      file.at("shared").fail("needs `coordination`, whose store carries it");
-    to.shared = shared::sharedOf(file.at("shared"), to.setup.names.tenants);
-  }
+  readAdmission(file, to);
+  readFleet(file, to);
   return to;
 }
 
--- a/src/frontend/openai/operator_file.h
+++ b/src/frontend/openai/operator_file.h
@@ -1,10 +1,11 @@
-// What the operator of a small site writes down: where to listen, who may ask, and which instances
-// there are.
+/// What the operator of a small site writes down: where to listen, who may ask, and which instances
+/// there are.
 #pragma once
 
 #include <map>
 #include <nlohmann/json_fwd.hpp>
 #include <optional>
+#include <stdexcept>
 #include <string>
 #include <vector>
 
@@ -18,32 +19,40 @@
 
 struct ApiKey {
   std::string tenant;
-  std::string cls;   // empty: by the model
-  std::string name;  // by which the rest of the file speaks of it; empty: none
+  std::string cls;   ///< empty: by the model
+  std::string name;  ///< by which the rest of the file speaks of it; empty: none
 };
 
 struct OperatorFile {
   net::Endpoint listen;
-  std::optional<net::Endpoint> admin;  // the operators' door; none: there is no such door
+  std::optional<net::Endpoint> admin;  ///< the admin endpoint; none: there is none
   std::uint64_t seed = 1;
   std::size_t sockets = 1024;
   double idleCloseMs = 30'000;
   double defaultMaxTokens = 1024;
-  std::string instanceKey;                    // sent to the instances, if any
-  std::map<std::string, ApiKey> keys;         // by the key itself
-  std::map<std::string, std::string> models;  // name to class
+  std::string instanceKey;                    ///< sent to the instances, if any
+  std::map<std::string, ApiKey> keys;         ///< by the key itself
+  std::map<std::string, std::string> models;  ///< name to class
   routing::wire::Setup setup;
   routing::EndpointListUpdate instances;
   upstream::InstanceDirectory directory;
-  std::optional<admission::Rules> admission;        // none: whoever finds room may connect
-  std::optional<coordination::Setup> coordination;  // none: this router shares nothing with others
-  std::optional<shared::SharedSetup> shared;  // none: no budgets, counts or judgements of the fleet
+  std::optional<admission::Rules> admission;  ///< none: everybody within the limit may connect
+  std::optional<coordination::Setup>
+      coordination;                           ///< none: this router shares nothing with others
+  std::optional<shared::SharedSetup> shared;  ///< none: no budgets, counts or health of the fleet
 };
 
-// How many clients the gate may let in where so many descriptors may be open.
-std::size_t mostAdmitted(std::size_t sockets);
+/// How many client connections may be admitted where so many descriptors may be open.
+std::size_t maxAdmittedConnections(std::size_t sockets);
 
-// Throws std::invalid_argument with a plain complaint, or json::exception or wire::Malformed.
+/// A value of the file that cannot be used.
+class OperatorFileError : public std::invalid_argument {
+ public:
+  using std::invalid_argument::invalid_argument;
+};
+
+/// Throws OperatorFileError, std::invalid_argument, json::exception or wire::Malformed, with a text
+/// that the operator understands.
 OperatorFile operatorFileOf(const nlohmann::json& file);
 
 }  // namespace inference_router::frontend
--- a/src/frontend/openai/sse.h
+++ b/src/frontend/openai/sse.h
@@ -1,4 +1,4 @@
-// Cuts a stream of server-sent events into whole events.
+/// Splits a stream of server-sent events into whole events.
 #pragma once
 
 #include <optional>
@@ -7,30 +7,36 @@
 
 namespace inference_router::frontend {
 
-class EventCutter {
+class EventSplitter {
  public:
   void add(std::string_view part) { text_ += part; }
 
-  // The next whole event with its empty line, as it came.
+  /// The next complete event with its empty line, as it came.
   std::optional<std::string> next() {
-    const std::size_t plain = text_.find("\n\n"), carriage = text_.find("\r\n\r\n");
+    const std::size_t plain = text_.find(kEnd);
+    const std::size_t carriage = text_.find(kCarriageEnd);
     if (plain == std::string::npos && carriage == std::string::npos)
       return std::nullopt;
-    const std::size_t end = plain < carriage ? plain + 2 : carriage + 4;
+    const std::size_t end = plain < carriage ? plain + kEnd.size() : carriage + kCarriageEnd.size();
     std::string event = text_.substr(0, end);
     text_.erase(0, end);
     return event;
   }
 
-  std::size_t waiting() const { return text_.size(); }
+  /// Bytes of the event that is incomplete.
+  std::size_t pendingBytes() const { return text_.size(); }
 
  private:
+  static constexpr std::string_view kEnd = "\n\n";
+  static constexpr std::string_view kCarriageEnd = "\r\n\r\n";
+
   std::string text_;
 };
 
-// The data of an event; its lines joined as the format says. Comments and other fields are passed
-// over.
+/// The data of an event; its lines joined as the format says. Comments and other fields are
+/// skipped.
 inline std::string dataOf(std::string_view event) {
+  constexpr std::string_view kDataField = "data:";
   std::string data;
   bool found = false;
   while (!event.empty()) {
@@ -39,9 +45,9 @@
     event = end == std::string_view::npos ? std::string_view() : event.substr(end + 1);
     if (!line.empty() && line.back() == '\r')
       line.remove_suffix(1);
-    if (line.substr(0, 5) != "data:")
+    if (line.substr(0, kDataField.size()) != kDataField)
       continue;
-    line.remove_prefix(5);
+    line.remove_prefix(kDataField.size());
     if (!line.empty() && line.front() == ' ')
       line.remove_prefix(1);
     if (found)
--- /dev/null
+++ b/src/frontend/openai/token_reservation.h
@@ -0,0 +1,53 @@
+/// The tokens that are reserved for one request.
+#pragma once
+
+#include <cstdint>
+#include <memory>
+#include <string>
+#include <utility>
+
+#include "frontend/openai/token_meter.h"
+
+namespace inference_router::frontend {
+
+/// Reports to the meter once how its request ended; if nobody says so, as when its client has gone,
+/// the request failed. May outlive its meter.
+class TokenReservation {
+ public:
+  TokenReservation(const std::shared_ptr<TokenMeter>& meter,
+                   std::string tenant,
+                   std::string cls,
+                   shared::Reservation reservation,
+                   std::uint64_t tokens)
+      : meter_(meter),
+        tenant_(std::move(tenant)),
+        cls_(std::move(cls)),
+        reservation_(std::move(reservation)),
+        tokens_(tokens) {}
+  ~TokenReservation() { failed(); }
+  TokenReservation(const TokenReservation&) = delete;
+  TokenReservation& operator=(const TokenReservation&) = delete;
+
+  void served(std::uint64_t promptTokens, std::uint64_t answerTokens) {
+    report({Ended::How::kServed, promptTokens, answerTokens, tokens_});
+  }
+  void refused() { report({Ended::How::kRefused, 0, 0, tokens_}); }
+  void failed() { report({Ended::How::kFailed, 0, 0, tokens_}); }
+
+ private:
+  using Ended = shared::SharedNode::Ended;
+
+  void report(const Ended& how) {
+    const auto meter = std::exchange(meter_, {}).lock();
+    if (meter)
+      meter->ended(tenant_, cls_, reservation_, how);
+  }
+
+  std::weak_ptr<TokenMeter> meter_;
+  std::string tenant_;
+  std::string cls_;
+  shared::Reservation reservation_;
+  std::uint64_t tokens_;
+};
+
+}  // namespace inference_router::frontend
--- a/src/frontend/platform/discovery.cpp
+++ b/src/frontend/platform/discovery.cpp
@@ -1,213 +1,145 @@
 #include "frontend/platform/discovery.h"
 
-#include <algorithm>
 #include <nlohmann/json.hpp>
 #include <set>
+#include <string>
 #include <utility>
 
-#include "frontend/platform/json_document_splitter.h"
+#include "frontend/platform/endpoint_list.h"
 #include "net/message.h"
 
 namespace inference_router::frontend {
 
-using namespace inference_router::routing;
 using nlohmann::json;
+using routing::EndpointListForm;
 
 namespace {
 
-constexpr std::size_t kLineLimit = 4 * 1024 * 1024;
-
-EndpointState endpointStateOf(const std::string& phase) {
-  if (phase == "active")
-    return EndpointState::kActive;
-  return phase == "leaving" ? EndpointState::kDraining : EndpointState::kRemoved;
-}
-
-std::uint32_t placeOf(const std::vector<std::string>& names, const std::string& name) {
-  return static_cast<std::uint32_t>(std::find(names.begin(), names.end(), name) - names.begin());
-}
+constexpr std::size_t kMaxWatchConnections = 2;  // the one in use, and its candidate
+constexpr double kMaxIdleMs = 1'000;
 
 }  // namespace
 
-class Discovery::Watch final : public net::CallSink {
- public:
-  explicit Watch(Discovery& owner) : owner_(owner) {}
-  void hold(std::shared_ptr<net::Call> call) {
-    call_ = std::move(call);
-    sign(fleet::DiscoveryBackoff::kFirstByteTimeoutMs);
-  }
-
-  void close() {
-    owner_.timers_.cancel(silent_);
-    call_->abandon();
-  }
-
-  void head(const net::ResponseHead& head) override { good_ = head.result_int() == 200; }
-  bool body(std::string_view part) override {
-    sign(fleet::DiscoveryBackoff::kWatchTimeoutMs);
-    if (!good_)
-      return true;
-    text_ += part;
-    while (const std::size_t end = gate_.partOf(text_)) {
-      const std::string document = text_.substr(0, end);
-      text_.erase(0, end);
-      if (!owner_.line(document))
-        return fail();
-      owner_.spoke(*this);
-    }
-    if (text_.size() > kLineLimit)
-      return fail();
-    return true;
-  }
-  void done() override { end(); }
-  void failed(net::CallFailure) override { end(); }
-
- private:
-  void sign(double withinMs) {
-    owner_.timers_.cancel(silent_);
-    silent_ = owner_.timers_.add(owner_.clock_.nowMs() + withinMs, [this] {
-      silent_.reset();
-      if (!owner_.silent(*this))
-        fail();
-    });
-  }
-  bool fail() {
-    call_->abandon();
-    end();
-    return true;
-  }
-  void end() {
-    owner_.timers_.cancel(silent_);
-    Discovery& owner = owner_;
-    owner.broken(*this);
-  }
-
-  Discovery& owner_;
-  std::shared_ptr<net::Call> call_;
-  std::optional<core::TimerQueue::Key> silent_;
-  std::string text_;
-  JsonDocumentSplitter gate_;
-  bool good_ = false;
-};
-
 Discovery::Discovery(boost::asio::io_context& io,
                      const core::Clock& clock,
                      core::TimerQueue& timers,
                      core::Counters& counters,
                      core::EndpointListSink& lists,
                      upstream::InstanceDirectory& directory,
-                     net::ConnectionPool& droppable,
-                     const wire::Vocabulary& names,
-                     fleet::DiscoveryBackoff pace)
+                     net::ConnectionPool& instancePool,
+                     const routing::wire::Vocabulary& names,
+                     fleet::DiscoveryBackoff backoff)
     : clock_(clock),
       timers_(timers),
       counters_(counters),
       lists_(lists),
       directory_(directory),
-      endpoints_(droppable),
+      instancePool_(instancePool),
       names_(names),
-      own_(io, clock, timers, counters, {2, fleet::DiscoveryBackoff::kConnectTimeoutMs, 1000}),
-      pace_(pace),
+      watchPool_(io,
+                 clock,
+                 timers,
+                 counters,
+                 {kMaxWatchConnections, fleet::DiscoveryBackoff::kConnectTimeoutMs, kMaxIdleMs}),
+      backoff_(backoff),
       ages_(clock) {}
 
-// A call and its sink hold each other while it runs.
 Discovery::~Discovery() {
-  if (next_)
-    next_->close();
+  if (candidate_)
+    candidate_->close();
   if (watch_)
     watch_->close();
-  timers_.cancel(reopen_);
 }
 
-void Discovery::known(const json& list) {
-  apply(list, EndpointListForm::kCached);
-}
+// ---- The watches
 
 // Guards against a gap while discovery moves: the old watch goes on and the list stays as it is
-// until the new address has spoken. A move during a move only replaces the watch that has not
-// spoken yet.
+// until the new address has sent something. A move during a move only replaces the candidate.
 void Discovery::watch(const net::Endpoint& address) {
   if (address == address_)
     return;
   if (address_ == net::Endpoint())
-    spokenFor_ = address;  // the list that is known came from there
+    revisionAddress_ = address;  // the cached list came from there
   address_ = address;
-  doubted_ = false;
-  leaveNext();
+  stale_ = false;
+  dropCandidate();
   open();
 }
 
-// At another address the numbers of the versions may mean something else: there the whole list is
+// At another address the numbers of the versions may mean something else: there the full list is
 // asked for.
 void Discovery::open() {
   ++counters_["discovery.watches"];
-  const std::uint64_t after = address_ == spokenFor_ ? revision_ : 0;
+  const std::uint64_t after = address_ == revisionAddress_ ? revision_ : 0;
   const std::string target = "/api/targets?watch=1&after=" + std::to_string(after);
   const std::string host = address_.address().to_string() + ":" + std::to_string(address_.port());
-  next_ = std::make_shared<Watch>(*this);
-  next_->hold(own_.call(address_, net::headText("GET " + target + " HTTP/1.1", {{"Host", host}}),
-                        nullptr, next_));
+  const std::string head = net::headText("GET " + target + " HTTP/1.1", {{"Host", host}});
+  candidate_ = std::make_shared<DiscoveryWatch>(*this, clock_, timers_);
+  candidate_->hold(watchPool_.call(address_, head, nullptr, candidate_));
 }
 
-void Discovery::spoke(const Watch& watch) {
-  if (&watch == watch_.get() && std::exchange(doubted_, false))
-    leaveNext();
-  if (&watch != next_.get())
+void Discovery::openLater() {
+  openTimer_ = timers_.schedule(clock_.nowMs() + backoff_.nextDelayMs(), [this] { open(); });
+}
+
+void Discovery::dropCandidate() {
+  openTimer_.cancel();
+  if (candidate_)
+    std::exchange(candidate_, nullptr)->close();
+  backoff_.reset();
+}
+
+void Discovery::onAlive(const DiscoveryWatch& watch) {
+  if (&watch == watch_.get() && std::exchange(stale_, false))
+    dropCandidate();
+  if (&watch != candidate_.get())
     return;
-  doubted_ = false;
-  pace_.reset();
-  const auto old = std::exchange(watch_, std::exchange(next_, nullptr));
-  spokenFor_ = address_;
-  if (old)
-    old->close();
+  stale_ = false;
+  backoff_.reset();
+  const auto replaced = std::exchange(watch_, std::exchange(candidate_, nullptr));
+  revisionAddress_ = address_;
+  if (replaced)
+    replaced->close();
 }
 
 // Only the address that counts now is opened anew: an old watch may end whenever it likes.
-void Discovery::broken(const Watch& watch) {
+void Discovery::onEnded(const DiscoveryWatch& watch) {
   ++counters_["discovery.broken"];
-  const bool replaced = &watch == watch_.get() && (next_ || reopen_);
+  const bool isReplaced = &watch == watch_.get() && (candidate_ || openTimer_.armed());
   if (&watch == watch_.get()) {
     watch_ = nullptr;
-    doubted_ = false;
+    stale_ = false;
   }
-  if (&watch == next_.get())
-    next_ = nullptr;
-  if (replaced || reopen_)
+  if (&watch == candidate_.get())
+    candidate_ = nullptr;
+  if (isReplaced || openTimer_.armed())
     return;
   openLater();
 }
 
 // Discovery may be down for all, and what is in line for an answer stays in line: the watch is
 // kept, for it may go on, and another is tried beside it.
-bool Discovery::silent(const Watch& watch) {
+bool Discovery::onSilent(const DiscoveryWatch& watch) {
   if (&watch != watch_.get())
     return false;
   ++counters_["discovery.silent"];
-  if (next_ || reopen_)
+  if (candidate_ || openTimer_.armed())
     return true;
-  doubted_ = true;
+  stale_ = true;
   openLater();
   return true;
 }
 
-void Discovery::openLater() {
-  reopen_ = timers_.add(clock_.nowMs() + pace_.nextDelayMs(), [this] {
-    reopen_.reset();
-    open();
-  });
-}
+// ---- The lists
 
-void Discovery::leaveNext() {
-  timers_.cancel(reopen_);
-  if (next_)
-    std::exchange(next_, nullptr)->close();
-  pace_.reset();
+void Discovery::loadCached(const json& list) {
+  apply(list, EndpointListForm::kCached);
 }
 
-bool Discovery::line(std::string_view text) {
-  const bool signOfLife = text.find_first_not_of(" \r\t\n") == std::string_view::npos;
+bool Discovery::onDocument(std::string_view text) {
+  const bool isSignOfLife = text.find_first_not_of(" \r\t\n") == std::string_view::npos;
   try {
-    if (!signOfLife)
+    if (!isSignOfLife)
       apply(json::parse(text), std::nullopt);
     ages_.heard();
     return true;
@@ -218,57 +150,35 @@
   return false;
 }
 
+// Everything is read before anything is changed: a list that is malformed changes nothing.
+void Discovery::apply(const json& list, std::optional<EndpointListForm> form) {
+  EndpointList parsed = parseEndpointList(list, names_, form);
+  setStartTimes(parsed.update, parsed.endpoints);
+  directory_.update(parsed.endpoints, parsed.update.form != EndpointListForm::kChanges,
+                    instancePool_);
+  revision_ = parsed.update.version;
+  ++counters_["discovery.lists"];
+  lists_.list(std::move(parsed.update));
+}
+
 // An instance that leaves and comes back is a new one, whatever start time it has.
-void Discovery::fixAges(EndpointListUpdate& news,
-                        const std::map<InstanceId, upstream::InstanceEndpoint>& told) {
-  for (const auto& [id, endpoint] : told)
+void Discovery::setStartTimes(
+    routing::EndpointListUpdate& update,
+    const std::map<routing::InstanceId, upstream::InstanceEndpoint>& endpoints) {
+  for (const auto& [id, endpoint] : endpoints)
     ages_.sees(endpoint.startedMs);
   std::set<std::string> listed;
-  for (EndpointRecord& entry : news.entries) {
+  for (routing::EndpointRecord& entry : update.entries) {
     const std::string& id = entry.instance.value;
-    const auto started = ages_.startOf(id, told.at(entry.instance).startedMs);
+    const auto started = ages_.startOf(id, endpoints.at(entry.instance).startedMs);
     if (started)
       entry.started = core::toModuleTime(*started);
-    if (entry.state == EndpointState::kRemoved)
+    if (entry.state == routing::EndpointState::kRemoved)
       ages_.forget(id);
     listed.insert(id);
   }
-  if (news.form != EndpointListForm::kChanges)
+  if (update.form != EndpointListForm::kChanges)
     ages_.keepOnly(listed);
 }
 
-// Everything is read before anything is changed: a list that is malformed changes nothing.
-void Discovery::apply(const json& list, std::optional<EndpointListForm> form) {
-  EndpointListUpdate news;
-  news.version = list.at("revision").get<std::uint64_t>();
-  const bool whole = list.value("complete", false);
-  news.form = form.value_or(whole ? EndpointListForm::kFull : EndpointListForm::kChanges);
-  std::map<InstanceId, upstream::InstanceEndpoint> named;
-  for (const json& member : list.at("members")) {
-    const std::uint32_t zone = placeOf(names_.zones, member.at("locality").get<std::string>());
-    if (zone == names_.zones.size())
-      continue;  // of a zone that the settings do not name
-    const InstanceId id{member.at("id").get<std::string>()};
-    upstream::InstanceEndpoint endpoint;
-    endpoint.address = net::endpointOf(member.at("host_port").get<std::string>());
-    endpoint.state = endpointStateOf(member.at("phase").get<std::string>());
-    endpoint.startedMs = member.value("up_since_ms", 0.0);
-    news.entries.push_back({
-        .instance = id,
-        .zone = {zone},
-        .kind = {placeOf(names_.kinds, member.at("flavor").get<std::string>())},
-        .cell = {member.value("cell", 0U)},
-        .state = endpoint.state,
-        .weight = member.value("size", 1.0),
-        .started = std::nullopt,
-    });
-    named[id] = endpoint;
-  }
-  fixAges(news, named);
-  directory_.update(named, news.form != EndpointListForm::kChanges, endpoints_);
-  revision_ = news.version;
-  ++counters_["discovery.lists"];
-  lists_.list(std::move(news));
-}
-
 }  // namespace inference_router::frontend
--- a/src/frontend/platform/discovery.h
+++ b/src/frontend/platform/discovery.h
@@ -1,12 +1,11 @@
-// The watch on the fleet list. While it is broken the list stays as it is and the watch is opened
-// anew.
+/// The watch on the fleet's endpoint list. While it is broken the list stays as it is and the watch
+/// is opened anew.
 #pragma once
 
-#include <functional>
+#include <map>
 #include <memory>
 #include <nlohmann/json_fwd.hpp>
 #include <optional>
-#include <string>
 #include <string_view>
 
 #include "core/clock.h"
@@ -15,67 +14,73 @@
 #include "core/timer_queue.h"
 #include "fleet/discovery_backoff.h"
 #include "fleet/instance_ages.h"
+#include "frontend/platform/discovery_watch.h"
 #include "net/pool.h"
 #include "upstream/instance_directory.h"
 #include "wire.h"
 
 namespace inference_router::frontend {
 
-class Discovery {
+/// Belongs to one thread; all that it is given outlives it.
+class Discovery final : public DiscoveryWatchOwner {
  public:
-  // droppable: the pool of the instances, whose idle connections go when an instance restarts or
-  // leaves.
+  /// instancePool: its idle connections close when their instance restarts or is removed.
   Discovery(boost::asio::io_context& io,
             const core::Clock& clock,
             core::TimerQueue& timers,
             core::Counters& counters,
             core::EndpointListSink& lists,
             upstream::InstanceDirectory& directory,
-            net::ConnectionPool& droppable,
+            net::ConnectionPool& instancePool,
             const routing::wire::Vocabulary& names,
-            fleet::DiscoveryBackoff pace);
+            fleet::DiscoveryBackoff backoff);
+  ~Discovery() override;
+  Discovery(const Discovery&) = delete;
+  Discovery& operator=(const Discovery&) = delete;
 
-  ~Discovery();
-
-  // The list that the configuration carries: possibly old. Throws on what is no list.
-  void known(const nlohmann::json& list);
-  // Also while another address is watched: the list stays, and that watch too, until the new one
-  // speaks.
+  /// Takes the list that the configuration carries: possibly old. Throws json::exception or
+  /// net::AddressError on what is no list.
+  void loadCached(const nlohmann::json& list);
+  /// Also while another address is watched: the list stays, and that watch too, until the new one
+  /// has sent something.
   void watch(const net::Endpoint& address);
+  /// Where its descriptors are accounted for.
   void accountTo(admission::DescriptorBudget& descriptorBudget) {
-    own_.accountTo(descriptorBudget, admission::Account::kDiscovery);
+    watchPool_.accountTo(descriptorBudget, admission::Account::kDiscovery);
   }
-  bool spoken() const { return watch_ != nullptr; }  // whether a watch has said anything
-  // One line of the watch; false if it is no list.
-  bool line(std::string_view text);
+  /// Whether there is a watch that has sent something.
+  bool hasWatch() const { return watch_ != nullptr; }
+  /// Takes one document of a watch; false if it is no list. Blank text is a sign of life.
+  bool onDocument(std::string_view text) override;
 
  private:
-  class Watch;
+  void onAlive(const DiscoveryWatch& watch) override;
+  bool onSilent(const DiscoveryWatch& watch) override;
+  void onEnded(const DiscoveryWatch& watch) override;
 
   void open();
-  void spoke(const Watch& watch);
-  void broken(const Watch& watch);
-  bool silent(const Watch& watch);  // whether that one is kept
   void openLater();
-  void leaveNext();
+  void dropCandidate();
   void apply(const nlohmann::json& list, std::optional<routing::EndpointListForm> form);
   // Sets when the instances of a list started, from the start times that it tells.
-  void fixAges(routing::EndpointListUpdate& news,
-               const std::map<routing::InstanceId, upstream::InstanceEndpoint>& told);
+  void setStartTimes(routing::EndpointListUpdate& update,
+                     const std::map<routing::InstanceId, upstream::InstanceEndpoint>& endpoints);
 
   const core::Clock& clock_;
   core::TimerQueue& timers_;
   core::Counters& counters_;
   core::EndpointListSink& lists_;
   upstream::InstanceDirectory& directory_;
-  net::ConnectionPool& endpoints_;
+  net::ConnectionPool& instancePool_;
   const routing::wire::Vocabulary& names_;
-  net::ConnectionPool own_;
-  net::Endpoint address_, spokenFor_;    // where to watch, and where the version was told
-  std::shared_ptr<Watch> watch_, next_;  // the one that speaks, and the one that has not spoken yet
-  std::optional<core::TimerQueue::Key> reopen_;
-  bool doubted_ = false;  // the watch has gone silent, and another is tried beside it
-  fleet::DiscoveryBackoff pace_;
+  net::ConnectionPool watchPool_;
+  net::Endpoint address_;
+  net::Endpoint revisionAddress_;              // where revision_ was told
+  std::shared_ptr<DiscoveryWatch> watch_;      // has sent something
+  std::shared_ptr<DiscoveryWatch> candidate_;  // has not sent anything yet
+  core::Timer openTimer_;
+  bool stale_ = false;  // the watch has gone silent, and another is tried beside it
+  fleet::DiscoveryBackoff backoff_;
   fleet::InstanceAges ages_;
   std::uint64_t revision_ = 0;
 };
--- /dev/null
+++ b/src/frontend/platform/discovery_watch.cpp
@@ -0,0 +1,68 @@
+#include "frontend/platform/discovery_watch.h"
+
+#include <utility>
+
+#include "fleet/discovery_backoff.h"
+
+namespace inference_router::frontend {
+
+namespace {
+
+constexpr std::size_t kMaxDocumentBytes = std::size_t{4} * 1024 * 1024;
+constexpr unsigned kOk = 200;
+
+}  // namespace
+
+void DiscoveryWatch::hold(std::shared_ptr<net::Call> call) {
+  call_ = std::move(call);
+  expectWithin(fleet::DiscoveryBackoff::kFirstByteTimeoutMs);
+}
+
+void DiscoveryWatch::close() {
+  silenceTimer_.cancel();
+  call_->abandon();
+}
+
+void DiscoveryWatch::head(const net::ResponseHead& head) {
+  accepted_ = head.result_int() == kOk;
+}
+
+bool DiscoveryWatch::body(std::string_view part) {
+  expectWithin(fleet::DiscoveryBackoff::kWatchTimeoutMs);
+  if (!accepted_)
+    return true;
+  text_ += part;
+  while (const std::size_t end = splitter_.nextEnd(text_)) {
+    const std::string document = text_.substr(0, end);
+    text_.erase(0, end);
+    if (!owner_.onDocument(document)) {
+      fail();
+      return true;
+    }
+    owner_.onAlive(*this);
+  }
+  if (text_.size() > kMaxDocumentBytes)
+    fail();
+  return true;
+}
+
+void DiscoveryWatch::expectWithin(double ms) {
+  silenceTimer_ = timers_.schedule(clock_.nowMs() + ms, [this] { timedOut(); });
+}
+
+void DiscoveryWatch::timedOut() {
+  if (!owner_.onSilent(*this))
+    fail();
+}
+
+void DiscoveryWatch::fail() {
+  call_->abandon();
+  end();
+}
+
+void DiscoveryWatch::end() {
+  silenceTimer_.cancel();
+  owner_.onEnded(*this);
+}
+
+}  // namespace inference_router::frontend
--- a/src/frontend/platform/platform_front.h
+++ b/src/frontend/platform/platform_front.h
@@ -1,4 +1,4 @@
-// The platform's protocol: requests in headers, answers as the instances give them.
+/// The platform's protocol: requests in headers, answers as the instances give them.
 #pragma once
 
 #include <memory>
@@ -6,16 +6,15 @@
 
 #include "core/request_dispatcher.h"
 #include "frontend/front.h"
+#include "frontend/platform/request_headers.h"
 #include "net/client_connection.h"
 #include "upstream/http_instance_client.h"
 #include "wire.h"
 
 namespace inference_router::frontend {
 
-upstream::InstanceProtocol platformDialect();
-
-// What the headers of a request say. Throws std::invalid_argument with a plain complaint.
-routing::Arrival arrivalOf(const net::HttpRequest& request, const routing::wire::Vocabulary& names);
+/// How instances are spoken to under this protocol.
+upstream::InstanceProtocol platformProtocol();
 
 class PlatformFront final : public Front {
  public:
@@ -33,8 +32,6 @@
   void reject(net::ClientConnection& connection, unsigned status, std::string_view why) override;
 
  private:
-  class Answer;
-
   const routing::wire::Vocabulary& names_;
 };
 
--- a/src/frontend/settings_json.cpp
+++ b/src/frontend/settings_json.cpp
@@ -1,17 +1,19 @@
 #include "frontend/settings_json.h"
 
 #include <algorithm>
-#include <stdexcept>
 
 namespace inference_router::frontend {
 
 using nlohmann::json;
-using namespace inference_router::routing;
+namespace wire = routing::wire;
 
 namespace {
 
+// A setup message as far as its pairs; the seed plays no part in the settings.
+constexpr const char* kSetupMessage = "ENLIST\t0";
+
 // As on the simulator's wire: spaces, commas and tabs in a value arrive as underscores.
-std::string plain(const json& value) {
+std::string scalarText(const json& value) {
   std::string text = value.is_string() ? value.get<std::string>() : value.dump();
   std::replace_if(
       text.begin(), text.end(),
@@ -19,44 +21,47 @@
   return text;
 }
 
-void layOut(const json& value, const std::string& path, std::string& to) {
-  const std::string at = path.empty() ? path : path + ".";
+void appendPairs(const json& value, const std::string& path, std::string& to);
+
+void appendObject(const json& object, const std::string& prefix, std::string& to) {
+  for (const auto& [name, value] : object.items())
+    appendPairs(value, prefix + name, to);
+}
+
+void appendObjectList(const json& list, const std::string& prefix, std::string& to) {
+  to += "\t" + prefix + "count=" + std::to_string(list.size());
+  for (std::size_t i = 0; i < list.size(); ++i)
+    appendPairs(list[i], prefix + std::to_string(i), to);
+}
+
+void appendScalarList(const json& list, std::string& to) {
+  for (std::size_t i = 0; i < list.size(); ++i)
+    to += (i > 0 ? "," : "") + scalarText(list[i]);
+}
+
+void appendPairs(const json& value, const std::string& path, std::string& to) {
+  const std::string prefix = path.empty() ? path : path + ".";
   if (value.is_null())
     return;
-  if (value.is_object()) {
-    for (const auto& [name, inner] : value.items())
-      layOut(inner, at + name, to);
-    return;
-  }
-  const bool objects = value.is_array() && !value.empty() && value.front().is_object();
-  if (objects) {
-    to += "\t" + at + "count=" + std::to_string(value.size());
-    for (std::size_t i = 0; i < value.size(); ++i)
-      layOut(value[i], at + std::to_string(i), to);
-    return;
-  }
+  if (value.is_object())
+    return appendObject(value, prefix, to);
+  if (value.is_array() && !value.empty() && value.front().is_object())
+    return appendObjectList(value, prefix, to);
   to += "\t" + path + "=";
-  if (!value.is_array()) {
-    to += plain(value);
-    return;
-  }
-  for (std::size_t i = 0; i < value.size(); ++i)
-    to += (i > 0 ? "," : "") + plain(value[i]);
+  if (value.is_array())
+    appendScalarList(value, to);
+  else
+    to += scalarText(value);
 }
 
 }  // namespace
 
-std::string pairsOf(const json& settings, const std::string& seed) {
-  std::string text = "ENLIST\t" + seed;
-  layOut(settings, "", text);
-  return text;
-}
-
 wire::Setup settingsOf(const json& settings) {
-  const std::string text = pairsOf(settings, "0");
-  wire::Setup setup = wire::parseSetup(wire::Line(text, 1));
-  if (const auto problem = problemWith(setup.settings))
-    throw std::invalid_argument("unusable settings: " + *problem);
+  std::string message = kSetupMessage;
+  appendPairs(settings, "", message);
+  wire::Setup setup = wire::parseSetup(wire::Line(message, 1));
+  if (const auto problem = routing::problemWith(setup.settings))
+    throw SettingsError(*problem);
   return setup;
 }
 
--- a/tests/client_departure_test.cpp
+++ b/tests/client_departure_test.cpp
@@ -177,7 +177,7 @@
   auto settings = site.site.setup.settings;
   settings.classes[1].latencyObjective = std::chrono::seconds(6);
   site.server->reconfigure(
-      settings, site.openai ? frontend::openaiDialect(site.site) : frontend::platformDialect());
+      settings, site.openai ? frontend::openaiProtocol(site.site) : frontend::platformProtocol());
   site.askUntilTaken();
   ASSERT_TRUE(site.until([&] { return site.chats() == 1; }));
   site.pass(3'700);  // the prefill instance is given up
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -578,7 +578,7 @@
   Site site(kSplit, false);
   auto settings = site.site.setup.settings;
   settings.classes[1].latencyObjective = 6s;
-  site.server->reconfigure(settings, frontend::platformDialect());
+  site.server->reconfigure(settings, frontend::platformProtocol());
   for (auto& [id, instance] : site.instances)
     instance->script = leaveSilent;
   site.post("/v1/x", platformFields("a"), "{}");
@@ -637,7 +637,7 @@
     settings.classes[1].effect = routing::Effect::kDeduplicated;
     settings.classes[1].dedupScope = routing::DedupScope::kAll;
     settings.classes[1].dedupWindow = std::chrono::milliseconds(200);
-    site.server->reconfigure(settings, frontend::platformDialect());
+    site.server->reconfigure(settings, frontend::platformProtocol());
     for (auto& [id, instance] : site.instances)
       instance->script = [&](StandInInstance& instance, StandInInstance::Taken& taken) {
         if (site.chats() > 2)
--- a/tests/fronts_test.cpp
+++ b/tests/fronts_test.cpp
@@ -5,7 +5,7 @@
 
 #include "app/otlp.h"
 #include "coordination/store.h"
-#include "frontend/openai/derive.h"
+#include "frontend/openai/conversation.h"
 #include "frontend/settings_json.h"
 #include "support/live_bytes.h"
 #include "support/site.h"
@@ -43,7 +43,7 @@
     if (openai) {
       reply = site.chat(body);
     } else {
-      const auto derived = frontend::derive(messages, "club", "");
+      const auto derived = frontend::traitsOf(messages, "club", "");
       reply =
           site.post("/v1/chat/completions",
                     {{"X-Call-Id", "id" + std::to_string(i)},
@@ -533,17 +533,17 @@
 
 TEST(Derive, TurnsOfAConversationShareTheirSession) {
   json turn{{{"role", "system"}, {"content", "Opening."}}, {{"role", "user"}, {"content", "Hi"}}};
-  const auto first = frontend::derive(turn, "club", "");
+  const auto first = frontend::traitsOf(turn, "club", "");
   turn.push_back({{"role", "assistant"}, {"content", "Hello"}});
   turn.push_back(
       {{"role", "user"}, {"content", json::array({{{"type", "text"}, {"text", "More"}}})}});
-  const auto second = frontend::derive(turn, "club", "");
+  const auto second = frontend::traitsOf(turn, "club", "");
   EXPECT_EQ(first.session, second.session);
   EXPECT_EQ(first.prefix, second.prefix);
   EXPECT_EQ(first.prefixTokens, 2);
   EXPECT_EQ(first.promptTokens, 3);
   EXPECT_EQ(second.promptTokens, 5);
-  EXPECT_NE(first.session, frontend::derive(turn, "other", "").session);
+  EXPECT_NE(first.session, frontend::traitsOf(turn, "other", "").session);
 }
 
 // ---- Discovery, configuration and telemetry
@@ -556,7 +556,7 @@
   net::ConnectionPool pool{io, clock, timers, counters, {10, 250, 18'000}};
   upstream::InstanceDirectory directory;
   upstream::HttpInstanceClient instances{
-      frontend::platformDialect(), dispatcher, pool, directory, clock, timers, counters, 300};
+      frontend::platformProtocol(), dispatcher, pool, directory, clock, timers, counters, 300};
   frontend::Discovery discovery{io,       clock,       timers,
                                 counters, dispatcher,  directory,
                                 pool,     setup.names, fleet::DiscoveryBackoff(2, 7)};
@@ -595,7 +595,7 @@
 TEST(DiscoveryWatch, KeepsTheListWhenItBreaksAndOpensTheWatchAnewWhereItStood) {
   Watching watching;
   RawPeer agent(watching.io);
-  watching.discovery.known(json::parse(listOf(41, true, "active")));
+  watching.discovery.loadCached(json::parse(listOf(41, true, "active")));
   watching.discovery.watch(agent.address());
   agent.accept();
   ASSERT_TRUE(watching.until([&] { return agent.hasBytes(); }));
@@ -774,7 +774,7 @@
       return watching.until([&] { return watching.counters["discovery.lists"] == count; });
     };
     if (known)
-      watching.discovery.known(json::parse(
+      watching.discovery.loadCached(json::parse(
           lineOf(41, true, {memberOf(1, "active", 1001, 0), memberOf(2, "active", 1002, 0)})));
     watching.discovery.watch(agent.address());
     agent.accept();
@@ -786,7 +786,7 @@
             lineOf(42, false, {memberOf(2, "leaving", 1002, 0), memberOf(3, "active", 1003, 0)}) +
             "\n"));
     ASSERT_TRUE(lists(known ? 2 : 1));
-    EXPECT_TRUE(watching.discovery.spoken());
+    EXPECT_TRUE(watching.discovery.hasWatch());
     EXPECT_EQ(watching.directory.find({"b1"}) != nullptr, known);
     EXPECT_EQ(watching.directory.find({"b2"})->state, routing::EndpointState::kDraining);
     EXPECT_EQ(watching.dispatcher.instancesKnown(), known ? 3U : 2U);
@@ -868,10 +868,10 @@
         .dump();
   };
   for (int i = 0; i < 3000; ++i) {
-    ASSERT_TRUE(watching.discovery.line(list(i, "active")));
+    ASSERT_TRUE(watching.discovery.onDocument(list(i, "active")));
     if (i >= 5) {
-      ASSERT_TRUE(watching.discovery.line(list(i - 5, i % 2 == 0 ? "leaving" : "left")));
-      ASSERT_TRUE(watching.discovery.line(list(i - 5, "left")));
+      ASSERT_TRUE(watching.discovery.onDocument(list(i - 5, i % 2 == 0 ? "leaving" : "left")));
+      ASSERT_TRUE(watching.discovery.onDocument(list(i - 5, "left")));
     }
     watching.pass(500);
     ASSERT_LE(watching.directory.all().size(), 6U);
@@ -892,12 +892,13 @@
       if (i % 2 == 0)
         changes.push_back(memberOf(i, "active", 10'000 + i, 5));  // elsewhere, and started anew
     }
-    ASSERT_TRUE(watching.discovery.line(lineOf(1, true, all)));
+    ASSERT_TRUE(watching.discovery.onDocument(lineOf(1, true, all)));
     EXPECT_EQ(watching.directory.all().size(), static_cast<std::size_t>(instances));
     const std::string line = lineOf(2, false, changes);
-    EXPECT_FALSE(watching.discovery.line(line.substr(0, line.size() / 2)));  // cut: nothing changes
+    EXPECT_FALSE(
+        watching.discovery.onDocument(line.substr(0, line.size() / 2)));  // cut: nothing changes
     EXPECT_EQ(watching.directory.all().size(), static_cast<std::size_t>(instances));
-    ASSERT_TRUE(watching.discovery.line(line));
+    ASSERT_TRUE(watching.discovery.onDocument(line));
     EXPECT_EQ(watching.directory.all().size(), static_cast<std::size_t>(instances / 2));
     EXPECT_EQ(watching.directory.find({"b0"})->address.port(), 10'000);
     EXPECT_EQ(watching.directory.find({"b1"}), nullptr);
@@ -905,9 +906,9 @@
          elsewhere = memberOf(instances + 1, "active", 9, 0);
     odd["flavor"] = "unheard-of";
     elsewhere["locality"] = "nowhere";
-    ASSERT_TRUE(watching.discovery.line(lineOf(3, false, {odd, elsewhere})));
+    ASSERT_TRUE(watching.discovery.onDocument(lineOf(3, false, {odd, elsewhere})));
     EXPECT_EQ(watching.directory.find({"b" + std::to_string(instances + 1)}), nullptr);
-    ASSERT_TRUE(watching.discovery.line(lineOf(4, true, json::array())));
+    ASSERT_TRUE(watching.discovery.onDocument(lineOf(4, true, json::array())));
     EXPECT_EQ(watching.directory.all().size(), 0U);
     EXPECT_EQ(watching.counters["discovery.malformed"], 1U);
   }
@@ -965,10 +966,10 @@
 
 TEST(DiscoveryWatch, AListThatIsMalformedChangesNothing) {
   Watching watching;
-  ASSERT_TRUE(watching.discovery.line(listOf(5, true, "active")));
+  ASSERT_TRUE(watching.discovery.onDocument(listOf(5, true, "active")));
   for (const char* bad : {"{", "[]", "{\"revision\":6,\"complete\":true,\"members\":[{\"id\":7}]}"})
-    EXPECT_FALSE(watching.discovery.line(bad)) << bad;
-  EXPECT_TRUE(watching.discovery.line("  \r"));
+    EXPECT_FALSE(watching.discovery.onDocument(bad)) << bad;
+  EXPECT_TRUE(watching.discovery.onDocument("  \r"));
   EXPECT_EQ(watching.directory.all().size(), 1U);
   EXPECT_EQ(watching.directory.find({"a"})->state, routing::EndpointState::kActive);
 }
@@ -984,13 +985,13 @@
       started = news->entries.back().started;
   });
   constexpr double kTold = 1e12;
-  ASSERT_TRUE(
-      watching.discovery.line(lineOf(1, true, json::array({memberOf(1, "active", 9, kTold)}))));
+  ASSERT_TRUE(watching.discovery.onDocument(
+      lineOf(1, true, json::array({memberOf(1, "active", 9, kTold)}))));
   const double firstMs = watching.clock.nowMs();
   watching.clock.advance(1'000);
   const json bad = json::array({memberOf(1, "active", 9, kTold + 3'600'000), json{{"id", 7}}});
-  ASSERT_FALSE(watching.discovery.line(lineOf(2, false, bad)));
-  ASSERT_TRUE(watching.discovery.line(
+  ASSERT_FALSE(watching.discovery.onDocument(lineOf(2, false, bad)));
+  ASSERT_TRUE(watching.discovery.onDocument(
       lineOf(3, false, json::array({memberOf(1, "active", 9, kTold + 500)}))));
   EXPECT_EQ(started, core::toModuleTime(firstMs + 500));
 }
@@ -1019,13 +1020,13 @@
                 {"cell", cell},     {"phase", phase},
                 {"size", 1.5},      {"up_since_ms", 0}};
   };
-  ASSERT_TRUE(discovery.line(json{
+  ASSERT_TRUE(discovery.onDocument(json{
       {"revision", 1},
       {"complete", true},
       {"members",
        {entry("a", "near", "reader", 3, "active"), entry("b", "farthest", "large", 7, "leaving"),
         entry("c", "far", "mixed", 7, "resting"), entry("d", "elsewhere", "mixed", 7, "active")}}}
-                                 .dump()));
+                                       .dump()));
   ASSERT_EQ(told.news.entries.size(), 3U);
   const auto& [a, b, c] =
       std::tie(told.news.entries[0], told.news.entries[1], told.news.entries[2]);
@@ -1035,9 +1036,9 @@
   EXPECT_EQ(std::tuple(a.state, b.state, c.state),
             std::tuple(routing::EndpointState::kActive, routing::EndpointState::kDraining,
                        routing::EndpointState::kRemoved));
-  ASSERT_TRUE(discovery.line(json{
+  ASSERT_TRUE(discovery.onDocument(json{
       {"revision", 2}, {"complete", false}, {"members", {entry("a", "near", "reader", 3, "left")}}}
-                                 .dump()));
+                                       .dump()));
   EXPECT_EQ(told.news.form, routing::EndpointListForm::kChanges);
   EXPECT_EQ(told.news.entries.at(0).state, routing::EndpointState::kRemoved);
 }
--- a/tests/instance_deadline_test.cpp
+++ b/tests/instance_deadline_test.cpp
@@ -107,7 +107,7 @@
   auto settings = site.site.setup.settings;
   settings.classes[1].latencyObjective = 6s;
   site.server->reconfigure(
-      settings, openai ? frontend::openaiDialect(site.site) : frontend::platformDialect());
+      settings, openai ? frontend::openaiProtocol(site.site) : frontend::platformProtocol());
   site.ask();
   EXPECT_TRUE(site.until([&] { return site.chats() == 1; }));
   site.pass(3'700);
--- a/tests/support/site.h
+++ b/tests/support/site.h
@@ -39,7 +39,7 @@
          {"default_max_tokens", 100},
          {"boxes", instanceList},
          {"settings", siteSettings()}});
-    const auto dialect = openai ? frontend::openaiDialect(site) : frontend::platformDialect();
+    const auto dialect = openai ? frontend::openaiProtocol(site) : frontend::platformProtocol();
     server = std::make_unique<app::Server>(io, clock, site.setup, 7, 100, 30'000, dialect);
     server->directory = site.directory;
     server->dispatcher.onAction([this](const routing::Action& action) {
