--- a/src/frontend/openai/chat_request.cpp
+++ b/src/frontend/openai/chat_request.cpp
@@ -87,26 +87,26 @@
 
 }  // namespace
 
-ChatRequest readChatRequest(const std::string& text, double defaultMaxTokens) {
-  json body = json::parse(text, nullptr, /*allow_exceptions=*/false);
-  if (!body.is_object())
+ChatRequest readChatRequest(const std::string& body, double defaultMaxTokens) {
+  json document = json::parse(body, nullptr, /*allow_exceptions=*/false);
+  if (!document.is_object())
     throw badRequest("the body is not a JSON object");
   ChatRequest request;
-  request.model = stringOf(body, "model");
+  request.model = stringOf(document, "model");
   if (request.model.empty())
     throw badRequest("model is missing", "model");
-  checkMessages(body);
-  request.user = stringOf(body, "user");
-  request.stream = flagOf(body, "stream");
-  request.includeUsage = includesUsage(body, request.stream);
-  if (countOf(body, "n", 1) != 1)
+  checkMessages(document);
+  request.user = stringOf(document, "user");
+  request.stream = flagOf(document, "stream");
+  request.includeUsage = includesUsage(document, request.stream);
+  if (countOf(document, "n", 1) != 1)
     throw badRequest("only n = 1 is served", "n");
   request.maxTokens =
-      countOf(body, "max_completion_tokens", countOf(body, "max_tokens", defaultMaxTokens));
-  request.messages = body.at("messages");
-  body["stream"] = true;
-  body["stream_options"] = {{"include_usage", true}};
-  request.instanceBody = body.dump(-1, ' ', false, json::error_handler_t::replace);
+      countOf(document, "max_completion_tokens", countOf(document, "max_tokens", defaultMaxTokens));
+  request.messages = document.at("messages");
+  document["stream"] = true;
+  document["stream_options"] = {{"include_usage", true}};
+  request.instanceBody = document.dump(-1, ' ', false, json::error_handler_t::replace);
   return request;
 }
 
--- a/src/frontend/openai/operator_file.cpp
+++ b/src/frontend/openai/operator_file.cpp
@@ -42,7 +42,7 @@
                       const char* field,
                       const std::vector<std::string>& names,
                       const char* what) {
-  const auto name = entry.value<std::string>(field, "");
+  auto name = entry.value<std::string>(field, "");
   if (!name.empty() && !contains(names, name))
     entry.at(field).fail("is " + name + ", not a " + what + " of the settings");
   return name;
@@ -138,24 +138,24 @@
   return shares.max[static_cast<std::size_t>(admission::Account::kClients)];
 }
 
-OperatorFile operatorFileOf(const json& given) {
-  const core::ConfigReader file(given);
+OperatorFile operatorFileOf(const json& file) {
+  const core::ConfigReader reader(file);
   OperatorFile to;
-  to.listen = addressAt(file.at("listen"));
-  if (file.has("admin_addr"))
-    to.admin = addressAt(file.at("admin_addr"));
-  to.seed = file.value("seed", to.seed);
-  to.sockets = file.value("sockets", to.sockets);
+  to.listen = addressAt(reader.at("listen"));
+  if (reader.has("admin_addr"))
+    to.admin = addressAt(reader.at("admin_addr"));
+  to.seed = reader.value("seed", to.seed);
+  to.sockets = reader.value("sockets", to.sockets);
   if (to.sockets < kMinSockets)
     throw OperatorFileError("sockets is under 128: too few to serve");
-  to.defaultMaxTokens = file.above0("default_max_tokens", to.defaultMaxTokens);
-  to.instanceKey = file.value<std::string>("box_key", "");
-  readSettings(file, to);
-  readKeys(file, to);
-  readModels(file, to);
-  readInstances(file, to);
-  readAdmission(file, to);
-  readFleet(file, to);
+  to.defaultMaxTokens = reader.above0("default_max_tokens", to.defaultMaxTokens);
+  to.instanceKey = reader.value<std::string>("box_key", "");
+  readSettings(reader, to);
+  readKeys(reader, to);
+  readModels(reader, to);
+  readInstances(reader, to);
+  readAdmission(reader, to);
+  readFleet(reader, to);
   return to;
 }
 
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -198,7 +198,7 @@
   if (assign(socket, protocol_, state.descriptor))
     return nullptr;  // also once the listener is closed
   ++counters_["clients.adopted"];
-  const auto connection = addConnection(std::move(socket), 0);
+  auto connection = addConnection(std::move(socket), 0);
   connection->adopt(state);
   return connection;
 }
--- a/src/net/send_operation.cpp
+++ b/src/net/send_operation.cpp
@@ -15,7 +15,7 @@
     std::string_view first,
     std::string_view second,
     Done done) {
-  const std::shared_ptr<SendOperation> operation(
+  std::shared_ptr<SendOperation> operation(
       new SendOperation(std::move(socket), first, second, std::move(done)));
   operation->proceed();
   return operation;
