--- a/example/example_instance.cpp
+++ b/example/example_instance.cpp
@@ -59,8 +59,8 @@
       return;
     if (index < std::size(kWords)) {
       sendChunk(*connection, chunkOf(model, {{"content", kWords[index]}}, nullptr));
-      timers_.add(clock_.nowMs() + kWordIntervalMs,
-                  [this, connection, model, index] { word(connection, model, index + 1); });
+      timers_.runAt(clock_.nowMs() + kWordIntervalMs,
+                    [this, connection, model, index] { word(connection, model, index + 1); });
       return;
     }
     sendChunk(*connection, chunkOf(model, json::object(), "stop"));
--- a/soak/environment.h
+++ b/soak/environment.h
@@ -25,7 +25,7 @@
     return std::uniform_real_distribution<>(min, max)(random);
   }
   void after(double ms, core::TimerQueue::Task task) {
-    timers.add(clock.nowMs() + ms, std::move(task));
+    timers.runAt(clock.nowMs() + ms, std::move(task));
   }
 };
 
--- a/src/app/exclusion_store.h
+++ b/src/app/exclusion_store.h
@@ -23,7 +23,7 @@
   void synchronize();
 
   struct ChangeResult {
-    fleet::Membership::Result verdict;
+    fleet::Membership::Result result;
     bool stored;
   };
   ChangeResult change(const std::string& instanceId, bool excluded);
--- a/src/app/lifecycle_tracker.cpp
+++ b/src/app/lifecycle_tracker.cpp
@@ -75,8 +75,8 @@
             " for_s=" + std::to_string(static_cast<long>((now - lifecycle.sinceMs()) / 1000)) +
             " open=" + std::to_string(server_.dispatcher.openAt(id)) +
             " revision=" + std::to_string(lifecycle.revision()) +
-            " by=" + (lifecycle.by().empty() ? "-" : lifecycle.by()) + " why=\"" + lifecycle.reason() +
-            "\"\n";
+            " by=" + (lifecycle.by().empty() ? "-" : lifecycle.by()) + " why=\"" +
+            lifecycle.reason() + "\"\n";
   return text;
 }
 
--- a/src/app/otlp.cpp
+++ b/src/app/otlp.cpp
@@ -1,6 +1,7 @@
 #include "app/otlp.h"
 
 #include <nlohmann/json.hpp>
+#include <utility>
 
 #include "net/message.h"
 
@@ -62,13 +63,13 @@
                            const core::Clock& clock,
                            core::TimerQueue& timers,
                            core::Counters& counters,
-                           const net::Endpoint& collector,
+                           net::Endpoint collector,
                            double intervalMs)
     : clock_(clock),
       timers_(timers),
       counters_(counters),
       pool_(io, clock, timers, ownCounters_, {kMaxConnections, kConnectTimeoutMs, intervalMs * 2}),
-      collector_(collector),
+      collector_(std::move(collector)),
       intervalMs_(intervalMs),
       startUnixMs_(core::unixNowMs()) {
   scheduleNext();
--- a/src/app/otlp.h
+++ b/src/app/otlp.h
@@ -26,7 +26,7 @@
                const core::Clock& clock,
                core::TimerQueue& timers,
                core::Counters& counters,
-               const net::Endpoint& collector,
+               net::Endpoint collector,
                double intervalMs);
 
   void accountTo(admission::DescriptorBudget& descriptorBudget) {
--- a/src/app/serve_operator_file.cpp
+++ b/src/app/serve_operator_file.cpp
@@ -31,7 +31,7 @@
                                                                         const Limits& limits) {
   if (!file.admission)
     return nullptr;
-  if (file.admission->total > frontend::mostAdmitted(limits.sockets))
+  if (file.admission->total > frontend::maxAdmittedConnections(limits.sockets))
     throw ConfigError(ConfigInput::kSystem, kMaxConnectionsKey,
                       "admission.connections.total cannot be met: the system gives only " +
                           std::to_string(limits.sockets) + " descriptors");
@@ -47,7 +47,7 @@
                                          ServerOptions{.seed = file.seed,
                                                        .instanceConnections = limits.instances(),
                                                        .idleCloseMs = file.idleCloseMs,
-                                                       .protocol = frontend::openaiDialect(file),
+                                                       .protocol = frontend::openaiProtocol(file),
                                                        .descriptors = limits.sockets});
   attachTrace(*server, telemetry);
   server->directory = file.directory;
@@ -153,7 +153,7 @@
       adminEndpoint_(makeAdminEndpoint(file_.admin, adminService_, *server_)) {
   front_.readyWhen([this] { return !listener_.evacuated(); });
   if (sharedState_)
-    front_.meterBy(sharedState_);
+    front_.setTokenMeter(sharedState_);
 }
 
 void OperatorFileRouter::run(const Reread<OperatorFile>& reread) {
@@ -171,7 +171,8 @@
 
 void OperatorFileRouter::reload(OperatorFile reread) {
   keepSwitched(file_.admission, reread.admission, "admission");
-  if (reread.admission && reread.admission->total > frontend::mostAdmitted(limits_.sockets))
+  if (reread.admission &&
+      reread.admission->total > frontend::maxAdmittedConnections(limits_.sockets))
     throw ConfigError(
         ConfigInput::kSystem, kMaxConnectionsKey,
         "admission.connections.total is over what the descriptors of this process allow");
@@ -204,7 +205,7 @@
   reread.sockets = current.sockets;
   reread.instances.version = current.instances.version + 1;
   current = std::move(reread);
-  server.reconfigure(current.setup.settings, frontend::openaiDialect(current));
+  server.reconfigure(current.setup.settings, frontend::openaiProtocol(current));
   server.directory.update(current.directory.all(), /*whole=*/true, server.pool);
   server.list(current.instances);
 }
--- a/src/app/serve_platform.cpp
+++ b/src/app/serve_platform.cpp
@@ -36,7 +36,7 @@
                                          ServerOptions{.seed = config.seed,
                                                        .instanceConnections = limits.instances(),
                                                        .idleCloseMs = config.idleCloseMs,
-                                                       .protocol = frontend::platformDialect(),
+                                                       .protocol = frontend::platformProtocol(),
                                                        .descriptors = limits.sockets});
   attachTrace(*server, telemetry);
   return server;
@@ -49,7 +49,7 @@
       fleet::DiscoveryBackoff(config.setup.settings.nodes, config.seed));
   discovery->accountTo(server.descriptorBudget);
   if (!config.known.is_null())
-    discovery->known(config.known);
+    discovery->loadCached(config.known);
   discovery->watch(config.discovery);
   return discovery;
 }
@@ -108,7 +108,7 @@
                    .front = front_,
                    .setup = config.setup,
                    .limits = limits_,
-                   .listConfirmed = [this] { return discovery_->spoken(); }},
+                   .listConfirmed = [this] { return discovery_->hasWatch(); }},
                   folder_.get(),
                   exclusions_),
       lifecycles_(*server_, config.setup),
--- a/src/app/shared_state_service.h
+++ b/src/app/shared_state_service.h
@@ -14,7 +14,7 @@
 #include "app/shared_state_report.h"
 #include "control/admin_api.h"
 #include "coordination/task.h"
-#include "frontend/openai/meter.h"
+#include "frontend/openai/token_meter.h"
 #include "shared/digest_task.h"
 #include "shared/node.h"
 #include "shared/setup.h"
--- a/src/core/timer_queue.h
+++ b/src/core/timer_queue.h
@@ -58,7 +58,6 @@
 /// The ordered structure. Tasks that are due at the same time run in the order of their addition.
 class TimerQueue {
  public:
-  using Key = Timer::Key;
   using Task = std::function<void()>;
 
   TimerQueue() = default;
@@ -74,21 +73,6 @@
   void runAt(double atMs, Task task) { add(atMs, std::move(task)); }
 
   /// Schedules a task whose key the caller keeps for cancel(). Prefer schedule().
-  Key add(double atMs, Task task) {
-    const Key key{atMs, ++added_};
-    tasks_->emplace(key, std::move(task));
-    if (onEarlier_ && tasks_->begin()->first == key)
-      onEarlier_();
-    return key;
-  }
-
-  /// Cancels the task of a key, if there is one, and resets the key.
-  void cancel(std::optional<Key>& key) {
-    if (key)
-      tasks_->erase(*key);
-    key.reset();
-  }
-
   /// The time of the first task; nothing if there is none.
   std::optional<double> next() const {
     return tasks_->empty() ? std::nullopt : std::optional(tasks_->begin()->first.first);
@@ -119,6 +103,14 @@
   void onEarlier(Task task) { onEarlier_ = std::move(task); }
 
  private:
+  Timer::Key add(double atMs, Task task) {
+    const Timer::Key key{atMs, ++added_};
+    tasks_->emplace(key, std::move(task));
+    if (onEarlier_ && tasks_->begin()->first == key)
+      onEarlier_();
+    return key;
+  }
+
   std::shared_ptr<Timer::Tasks> tasks_ = std::make_shared<Timer::Tasks>();
   std::uint64_t added_ = 0;
   Task onEarlier_;
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -34,6 +34,8 @@
 
 }  // namespace
 
+// The process's services are passed one by one, as to every part that uses them.
+// NOLINTNEXTLINE(readability-function-size)
 Listener::Listener(boost::asio::io_context& io,
                    const boost::asio::ip::tcp::endpoint& address,
                    std::size_t maxConnections,
@@ -198,7 +200,7 @@
   if (assign(socket, protocol_, state.descriptor))
     return nullptr;  // also once the listener is closed
   ++counters_["clients.adopted"];
-  const auto connection = addConnection(std::move(socket), 0);
+  auto connection = addConnection(std::move(socket), 0);
   connection->adopt(state);
   return connection;
 }
