--- a/src/frontend/platform/endpoint_list.h
+++ b/src/frontend/platform/endpoint_list.h
@@ -6,8 +6,8 @@
 #include <optional>
 
 #include "inference_router/router.h"
-#include "upstream/instance_directory.h"
 #include "settings_parser.h"
+#include "upstream/instance_directory.h"
 
 namespace inference_router::frontend {
 
