--- a/src/core/timer_queue.h
+++ b/src/core/timer_queue.h
@@ -72,7 +72,6 @@
   /// The same without a handle: the task runs in any case, as long as the queue lives.
   void runAt(double atMs, Task task) { add(atMs, std::move(task)); }
 
-  /// Schedules a task whose key the caller keeps for cancel(). Prefer schedule().
   /// The time of the first task; nothing if there is none.
   std::optional<double> next() const {
     return tasks_->empty() ? std::nullopt : std::optional(tasks_->begin()->first.first);
@@ -88,7 +87,7 @@
         ++next;
         continue;
       }
-      const Key key = next->first;
+      const Timer::Key key = next->first;
       Task task = std::move(next->second);
       tasks_->erase(next);
       task();
