--- a/benchmarks/gate_cost.cpp
+++ b/benchmarks/admission_cost.cpp
@@ -1,4 +1,4 @@
-// What one decision of the gate costs, by how many addresses it remembers.
+// What one decision of the controller costs, by how many addresses it remembers.
 #include <benchmark/benchmark.h>
 
 #include <nlohmann/json.hpp>
@@ -25,48 +25,48 @@
   return address;
 }
 
-// Addresses that are not quiet, so that none can be let go of.
-void fill(AdmissionController& gate, unsigned addresses) {
+// Addresses that are not idle, so that none can be evicted.
+void fill(AdmissionController& controller, unsigned addresses) {
   for (unsigned n = 0; n < addresses; ++n) {
-    const Decision d = gate.connect(numbered(n), Level::kNormal, 1000);
-    if (d.admit && gate.open() > 300)
-      gate.closed(d.visitor, 1000);
+    const Decision decision = controller.connect(numbered(n), Level::kNormal, 1000);
+    if (decision.admit && controller.open() > 300)
+      controller.closed(decision.id, 1000);
   }
 }
 
 void admitAndClose(benchmark::State& state) {
-  AdmissionController gate(rules());
+  AdmissionController controller(rules());
   const auto addresses = static_cast<unsigned>(state.range(0));
-  fill(gate, addresses);
+  fill(controller, addresses);
   double now = 1000;
   unsigned n = 0;
   for (auto _ : state) {
     now += 100;
-    const Decision d = gate.connect(numbered(n++ % addresses), Level::kNormal, now);
-    benchmark::DoNotOptimize(d);
-    if (d.admit)
-      gate.closed(d.visitor, now);
+    const Decision decision = controller.connect(numbered(n++ % addresses), Level::kNormal, now);
+    benchmark::DoNotOptimize(decision);
+    if (decision.admit)
+      controller.closed(decision.id, now);
   }
 }
 BENCHMARK(admitAndClose)->Arg(1)->Arg(1000)->Arg(4096);
 
 void refuseOne(benchmark::State& state) {
-  AdmissionController gate(rules());
-  fill(gate, static_cast<unsigned>(state.range(0)));
+  AdmissionController controller(rules());
+  fill(controller, static_cast<unsigned>(state.range(0)));
   for (int i = 0; i < 100; ++i)
-    gate.connect(numbered(0), Level::kNormal, 1000);
+    controller.connect(numbered(0), Level::kNormal, 1000);
   for (auto _ : state)
-    benchmark::DoNotOptimize(gate.connect(numbered(0), Level::kNormal, 1000));
+    benchmark::DoNotOptimize(controller.connect(numbered(0), Level::kNormal, 1000));
 }
 BENCHMARK(refuseOne)->Arg(1)->Arg(1000)->Arg(4096);
 
-// Ever new addresses on a full table, none of them quiet.
+// Ever new addresses on a full table, none of them idle.
 void refuseNewOnes(benchmark::State& state) {
-  AdmissionController gate(rules());
-  fill(gate, 4096);
+  AdmissionController controller(rules());
+  fill(controller, 4096);
   unsigned n = 5000;
   for (auto _ : state)
-    benchmark::DoNotOptimize(gate.connect(numbered(n++), Level::kNormal, 1000));
+    benchmark::DoNotOptimize(controller.connect(numbered(n++), Level::kNormal, 1000));
 }
 BENCHMARK(refuseNewOnes);
 
--- a/benchmarks/decision_cost.cpp
+++ b/benchmarks/decision_cost.cpp
@@ -12,7 +12,7 @@
 std::vector<EndpointRecord> instances(int count) {
   std::vector<EndpointRecord> list;
   for (int i = 0; i < count; ++i)
-    list.push_back(instance(numbered("box-", i), i % 3 == 0 ? kPrefill : kDecode,
+    list.push_back(endpoint(numbered("box-", i), i % 3 == 0 ? kPrefill : kDecode,
                             static_cast<std::uint32_t>(i / 5)));
   return list;
 }
