--- a/src/app/serve_operator_file.cpp
+++ b/src/app/serve_operator_file.cpp
@@ -206,7 +206,7 @@
   reread.instances.version = current.instances.version + 1;
   current = std::move(reread);
   server.reconfigure(current.setup.settings, frontend::openaiProtocol(current));
-  server.directory.update(current.directory.all(), /*whole=*/true, server.pool);
+  server.directory.update(current.directory.all(), /*complete=*/true, server.pool);
   server.list(current.instances);
 }
 
