--- a/src/upstream/reservations.cpp
+++ b/src/upstream/reservations.cpp
@@ -7,7 +7,7 @@
 
 namespace inference_router::upstream {
 
-using routing::EngineId;
+using routing::InstanceId;
 using routing::RequestId;
 
 namespace {
@@ -28,8 +28,8 @@
 // One call, the first or a renewal.
 class Reservations::Sink final : public net::CallSink {
  public:
-  Sink(Reservations& owner, Number number, EngineId engine)
-      : owner_(owner), number_(number), engine_(std::move(engine)) {}
+  Sink(Reservations& owner, Number number, InstanceId instance)
+      : owner_(owner), number_(number), instance_(std::move(instance)) {}
   bool ready() override { return owner_.wanted(number_); }
   void written() override {
     written_ = true;
@@ -37,8 +37,8 @@
   }
   void head(const net::ResponseHead& head) override {
     status_ = head.result_int();
-    if (Box* box = owner_.directory_.find(engine_))
-      box->heardMs = owner_.clock_.nowMs();
+    if (InstanceEndpoint* endpoint = owner_.directory_.find(instance_))
+      endpoint->heardMs = owner_.clock_.nowMs();
   }
   void done() override { owner_.answered(number_, status_); }
   void failed(net::CallFailure) override { owner_.unanswered(number_, written_); }
@@ -47,14 +47,14 @@
  private:
   Reservations& owner_;
   Number number_;
-  EngineId engine_;
+  InstanceId instance_;
   unsigned status_ = 0;
   bool written_ = false;
 };
 
-Reservations::Reservations(core::Conductor& conductor,
-                           net::Pool& pool,
-                           Directory& directory,
+Reservations::Reservations(core::RequestDispatcher& dispatcher,
+                           net::ConnectionPool& pool,
+                           InstanceDirectory& directory,
                            const core::Clock& clock,
                            core::Deadlines& deadlines,
                            core::Counters& counters,
@@ -63,7 +63,7 @@
                            double withinMs,
                            Head head,
                            PrefillIsOut prefillIsOut)
-    : conductor_(conductor),
+    : dispatcher_(dispatcher),
       pool_(pool),
       directory_(directory),
       clock_(clock),
@@ -85,28 +85,30 @@
   }
 }
 
-void Reservations::ask(const RequestId& request, core::AttemptKey prefill, const EngineId& engine) {
-  if (directory_.find(engine) == nullptr)
+void Reservations::ask(const RequestId& request,
+                       core::AttemptKey prefill,
+                       const InstanceId& instance) {
+  if (directory_.find(instance) == nullptr)
     return;
   const Number number = ++numbers_;
-  reservations_.try_emplace(number, request, prefill, engine, withinMs_);
+  reservations_.try_emplace(number, request, prefill, instance, withinMs_);
   send(number);
 }
 
 void Reservations::send(Number number) {
   Reservation& reservation = reservations_.at(number);
-  const Box* box = directory_.find(reservation.engine);
-  if (box == nullptr)
+  const InstanceEndpoint* endpoint = directory_.find(reservation.instance);
+  if (endpoint == nullptr)
     return unanswered(number, /*written=*/false);
-  const auto urgency =
-      reservation.renewed ? net::Pool::Urgency::kFirst : net::Pool::Urgency::kInTurn;
-  const std::string head = head_(reservation.request, *box);
-  const auto sink = std::make_shared<Sink>(*this, number, reservation.engine);
+  const auto urgency = reservation.renewed ? net::ConnectionPool::Urgency::kFirst
+                                           : net::ConnectionPool::Urgency::kInTurn;
+  const std::string head = head_(reservation.request, *endpoint);
+  const auto sink = std::make_shared<Sink>(*this, number, reservation.instance);
   releases_.placeAsked(reservation.request);
   reservation.sink = sink;
   reservation.limit =
       deadlines_.add(clock_.nowMs() + kAnswerMs, [this, number] { giveUp(number); });
-  const auto call = pool_.call(box->address, head, nullptr, sink, urgency);
+  const auto call = pool_.call(endpoint->address, head, nullptr, sink, urgency);
   const auto it = reservations_.find(number);
   if (it != reservations_.end() && it->second.sink == sink)
     it->second.call = call;
@@ -119,8 +121,8 @@
   if (it == reservations_.end())
     return false;
   const Reservation& reservation = it->second;
-  return prefillIsOut_(reservation.prefill) && conductor_.mayHold(reservation.engine) &&
-         conductor_.attemptIsWanted(reservation.prefill);
+  return prefillIsOut_(reservation.prefill) && dispatcher_.mayHold(reservation.instance) &&
+         dispatcher_.attemptIsWanted(reservation.prefill);
 }
 
 void Reservations::written(Number number) {
@@ -139,18 +141,18 @@
   if (!first)
     ++counters_["places.renewed." + std::to_string(status)];
   const core::AttemptKey prefill = reservation.prefill;
-  const EngineId engine = reservation.engine;
+  const InstanceId instance = reservation.instance;
   const RequestId request = reservation.request;
   reservation.lease.answered(answerOf(status));
   settle(number);
   // A grant that comes once the request streams, or is over, is taken by nobody.
-  if (status == kGranted && conductor_.needsNothingHeld(request))
+  if (status == kGranted && dispatcher_.needsNothingHeld(request))
     releases_.release(request);
   // 204: not known. A place may be held, and a note that none is would be a guess.
   if (status == kGranted && first)
-    conductor_.placeAnswered(prefill, engine, true);
+    dispatcher_.placeAnswered(prefill, instance, true);
   if (answerOf(status) == ReservationLease::Answer::kRefused)
-    conductor_.placeAnswered(prefill, engine, false);
+    dispatcher_.placeAnswered(prefill, instance, false);
 }
 
 void Reservations::unanswered(Number number, bool written) {
@@ -171,7 +173,7 @@
   if (reservation.call)
     reservation.call->abandon();
   if (written)
-    owed_.owe(reservation.engine, reservation.request);
+    owed_.owe(reservation.instance, reservation.request);
   unanswered(number, written);
 }
 
@@ -224,11 +226,11 @@
 void Reservations::release(Reservation& reservation) {
   ++counters_["places.doubtful"];
   if (!std::exchange(reservation.doubted, true))
-    conductor_.note("reservation in doubt: request " + reservation.request.value + " at " +
-                    reservation.engine.value + ", asked " +
-                    std::to_string(std::lround(clock_.nowMs() - reservation.askedMs)) + " ms ago" +
-                    (reservation.renewed ? ", granted before" : ""));
-  if (conductor_.needsNothingHeld(reservation.request))
+    dispatcher_.note("reservation in doubt: request " + reservation.request.value + " at " +
+                     reservation.instance.value + ", asked " +
+                     std::to_string(std::lround(clock_.nowMs() - reservation.askedMs)) + " ms ago" +
+                     (reservation.renewed ? ", granted before" : ""));
+  if (dispatcher_.needsNothingHeld(reservation.request))
     releases_.release(reservation.request);
   else
     releases_.releaseBeside(reservation.request);
--- a/src/upstream/reservations.h
+++ b/src/upstream/reservations.h
@@ -24,12 +24,12 @@
 class Reservations {
  public:
   /// The head of the message that asks for a reservation.
-  using Head = std::function<std::string(const routing::RequestId&, const Box&)>;
+  using Head = std::function<std::string(const routing::RequestId&, const InstanceEndpoint&)>;
   using PrefillIsOut = std::function<bool(core::AttemptKey)>;
 
-  Reservations(core::Conductor& conductor,
-               net::Pool& pool,
-               Directory& directory,
+  Reservations(core::RequestDispatcher& dispatcher,
+               net::ConnectionPool& pool,
+               InstanceDirectory& directory,
                const core::Clock& clock,
                core::Deadlines& deadlines,
                core::Counters& counters,
@@ -45,7 +45,7 @@
   /// Asks an instance to hold a place for the request whose prefill has just been written.
   void ask(const routing::RequestId& request,
            core::AttemptKey prefill,
-           const routing::EngineId& engine);
+           const routing::InstanceId& instance);
   void prefillEnded(core::AttemptKey prefill);
   /// Until when a release beside the request's prefill could take a reservation that it waits for.
   double coversUntilMs(const routing::RequestId& request) const;
@@ -57,15 +57,15 @@
   struct Reservation {
     Reservation(routing::RequestId request,
                 core::AttemptKey prefill,
-                routing::EngineId engine,
+                routing::InstanceId instance,
                 double withinMs)
         : request(std::move(request)),
           prefill(prefill),
-          engine(std::move(engine)),
+          instance(std::move(instance)),
           lease(withinMs) {}
     routing::RequestId request;
     core::AttemptKey prefill;
-    routing::EngineId engine;
+    routing::InstanceId instance;
     ReservationLease lease;
     double askedMs = 0;  // the last call was written
     bool renewed = false, doubted = false;
@@ -85,9 +85,9 @@
   void release(Reservation& reservation);
   void close(Number number);
 
-  core::Conductor& conductor_;
-  net::Pool& pool_;
-  Directory& directory_;
+  core::RequestDispatcher& dispatcher_;
+  net::ConnectionPool& pool_;
+  InstanceDirectory& directory_;
   const core::Clock& clock_;
   core::Deadlines& deadlines_;
   core::Counters& counters_;
--- a/src/upstream/usage_reader.h
+++ b/src/upstream/usage_reader.h
@@ -1,5 +1,5 @@
-// Finds how much of a prompt was found kept in what a box answers, without holding or parsing the
-// stream.
+// Finds how much of a prompt was found kept in what an instance answers, without holding or parsing
+// the stream.
 #pragma once
 
 #include <cctype>
--- a/tests/held_state_processes_test.cpp
+++ b/tests/held_state_processes_test.cpp
@@ -1,4 +1,4 @@
-// What instances hold for a request, with real processes: two conductors between emulated instances
+// What instances hold for a request, with real processes: two routers between emulated instances
 // whose ledger tells how long anything was held while no attempt of its request was out.
 #include <gtest/gtest.h>
 #include <unistd.h>
