--- a/adapter/message_codec.cpp
+++ b/adapter/message_codec.cpp
@@ -167,7 +167,7 @@
 
 std::string format(const DispatchAttempt& dispatch) {
   return "ISSUE\t" + dispatch.request.value + "\t" + dispatch.instance.value + "\t" +
-         toMillis(dispatch.until.time_since_epoch());
+         toMillis(dispatch.timeoutAt.time_since_epoch());
 }
 
 std::string format(const ReserveDecode& reserve) {
@@ -196,7 +196,7 @@
 }
 
 std::string format(const SetTimer& timer) {
-  return "SET_ALARM\t" + std::to_string(timer.timer) + "\t" + toMillis(timer.in);
+  return "SET_ALARM\t" + std::to_string(timer.timer) + "\t" + toMillis(timer.delay);
 }
 
 std::string format(const SendHealthCheck& check) {
--- a/adapter/settings_parser.cpp
+++ b/adapter/settings_parser.cpp
@@ -245,7 +245,7 @@
   settings.countedByWork = pairs.wordOr("countedBy", "request") == "work";
   settings.overQuotaWeight = pairs.decimalOr("overShareWorth", 1);
   settings.nodes = pairs.whole("peersTotal");
-  settings.me = pairs.whole("me");
+  settings.nodeIndex = pairs.whole("me");
   settings.tick = pairs.span("tickMs");
   names.zones = pairs.list("zones");
   names.x0Meaning = pairs.wordOr("familyInfo.reportX0", "");
--- a/benchmarks/decision_cost.cpp
+++ b/benchmarks/decision_cost.cpp
@@ -2,7 +2,7 @@
 // by the number of instances that are listed.
 #include <benchmark/benchmark.h>
 
-#include "../tests/fleet.h"
+#include "../tests/router_harness.h"
 
 namespace {
 
@@ -24,11 +24,11 @@
 }
 
 void wholeRequest(benchmark::State& state) {
-  Fleet fleet(hundredNodes());
-  fleet.list(instances(static_cast<int>(state.range(0))));
+  RouterHarness router(hundredNodes());
+  router.updateEndpoints(instances(static_cast<int>(state.range(0))));
   int n = 0;
   for (auto _ : state) {
-    fleet.serve(numbered("request-", n), numbered("prefix-", n % 20));
+    router.serve(numbered("request-", n), numbered("prefix-", n % 20));
     ++n;
   }
 }
@@ -41,14 +41,14 @@
     ->ReportAggregatesOnly();
 
 void oneInstanceChanges(benchmark::State& state) {
-  Fleet fleet(hundredNodes());
+  RouterHarness router(hundredNodes());
   const std::vector<EndpointRecord> all = instances(static_cast<int>(state.range(0)));
-  fleet.list(all);
+  router.updateEndpoints(all);
   std::size_t n = 0;
   for (auto _ : state) {
     EndpointRecord entry = all[n++ % all.size()];
-    entry.started = fleet.wait(1ms).now();
-    fleet.list({entry}, EndpointListForm::kChanges);
+    entry.started = router.advance(1ms).now();
+    router.updateEndpoints({entry}, EndpointListForm::kChanges);
   }
 }
 BENCHMARK(oneInstanceChanges)
@@ -60,10 +60,10 @@
     ->ReportAggregatesOnly();
 
 void wholeListAgain(benchmark::State& state) {
-  Fleet fleet(hundredNodes());
+  RouterHarness router(hundredNodes());
   const std::vector<EndpointRecord> all = instances(static_cast<int>(state.range(0)));
   for (auto _ : state)
-    fleet.list(all);
+    router.updateEndpoints(all);
 }
 BENCHMARK(wholeListAgain)
     ->Arg(12)
--- a/include/inference_router/actions.h
+++ b/include/inference_router/actions.h
@@ -14,8 +14,9 @@
 struct DispatchAttempt {
   RequestId request;
   InstanceId instance;
-  Time until;                 ///< the attempt times out then
-  Time before = Time::max();  ///< nothing of it may go out from then on: a repeat might be executed
+  Time timeoutAt;  ///< the attempt times out then
+  Time sendDeadline =
+      Time::max();  ///< nothing of it may go out from then on: a repeat might be executed
 };
 
 /// Action: reserve capacity for the request at a decode instance.
@@ -54,7 +55,7 @@
 /// Action: send TimerFired after that time.
 struct SetTimer {
   std::uint64_t timer;
-  Duration in;
+  Duration delay;
 };
 
 /// Action: send a health check.
--- a/include/inference_router/router.h
+++ b/include/inference_router/router.h
@@ -18,7 +18,7 @@
 
 /// Decides for one node. Not safe for use by several threads at once.
 ///
-/// Settings that problemWith() names give a Router that fails every arrival at once and says why in
+/// Settings that validate() names give a Router that fails every arrival at once and says why in
 /// its log; an arrival of an unknown class is failed, too. Entries of an unknown kind are left out
 /// of the endpoint list. An arrival of a request that is held already, and any other event for one
 /// that is not held, are ignored.
--- a/include/inference_router/settings.h
+++ b/include/inference_router/settings.h
@@ -96,7 +96,7 @@
   bool countedByWork;        ///< priority weights count for each unit of work
   double overQuotaWeight;    ///< part of the weight kept beyond a tenant's quota, 0 to 1
   int nodes;                 ///< of the routing tier, this one included
-  int me;                    ///< this node's number among them
+  int nodeIndex;             ///< this node's number among them
   ZoneIndex zone;            ///< where this node runs
   Duration tick;             ///< events come at most this often
 };
@@ -115,6 +115,6 @@
 std::string describe(SettingsError error);
 
 /// Why the settings cannot be used; nothing if they can.
-std::optional<SettingsError> problemWith(const Settings& settings);
+std::optional<SettingsError> validate(const Settings& settings);
 
 }  // namespace inference_router::routing
--- a/src/core/action_executor.cpp
+++ b/src/core/action_executor.cpp
@@ -58,7 +58,8 @@
   if (!guard_.maySend(key))
     return lifecycle_.endAttempt(key, {.outcome = AttemptOutcome::kNotSent});
   const RequestState& request = *context_.requests.find(*owner);
-  const double untilMs = toMs(action.until) > 0 ? toMs(action.until) : request.facts.deadlineMs;
+  const double untilMs =
+      toMs(action.timeoutAt) > 0 ? toMs(action.timeoutAt) : request.facts.deadlineMs;
   const double deadlineMs = std::min(untilMs, request.facts.deadlineMs);
   context_.requests.findAttempt(key)->timeout = context_.timers.schedule(deadlineMs, [this, key] {
     if (context_.requests.findAttempt(key) != nullptr)
@@ -84,7 +85,7 @@
   attempt.number = static_cast<int>(request.attempts.size());
   attempt.instance = action.instance;
   attempt.startedMs = context_.nowMs();
-  attempt.retryWindowEnd = action.before;
+  attempt.retryWindowEnd = action.sendDeadline;
   request.facts.attempts.push_back(
       {.instance = action.instance.value, .isPrefill = isPrefill, .sentMs = context_.nowMs()});
   ++context_.counters["attempts.sent"];
@@ -154,7 +155,7 @@
 
 void ActionExecutor::carryOut(const SetTimer& action) {
   const auto fire = [this, timer = action.timer] { loop_.post(TimerFired{.timer = timer}); };
-  context_.timers.runAt(context_.nowMs() + toMs(action.in), fire);
+  context_.timers.runAt(context_.nowMs() + toMs(action.delay), fire);
 }
 
 void ActionExecutor::carryOut(const SendHealthCheck& action) {
--- a/src/frontend/settings_json.cpp
+++ b/src/frontend/settings_json.cpp
@@ -60,7 +60,7 @@
   std::string message = kSetupMessage;
   appendPairs(settings, "", message);
   wire::Setup setup = wire::parseSetup(wire::Line(message, 1));
-  if (const auto problem = routing::problemWith(setup.settings))
+  if (const auto problem = routing::validate(setup.settings))
     throw SettingsError(describe(*problem));
   return setup;
 }
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -43,13 +43,13 @@
  public:
   Impl(const Settings& settings, std::uint64_t seed)
       : settings_(settings),
-        settingsError_(problemWith(settings)),
+        settingsError_(validate(settings)),
         registry_(settings_, std::to_string(seed)),
         decodeSelector_(selectionInputs_, std::to_string(seed)) {}
 
   void reconfigure(const Settings& settings) {
     settings_ = settings;
-    settingsError_ = problemWith(settings);
+    settingsError_ = validate(settings);
   }
 
   void handle(Time now, const Event& event, std::vector<Action>& actions) {
--- a/src/routing/settings_check.cpp
+++ b/src/routing/settings_check.cpp
@@ -23,7 +23,7 @@
   return "";
 }
 
-std::optional<SettingsError> problemWith(const Settings& settings) {
+std::optional<SettingsError> validate(const Settings& settings) {
   if (settings.classes.empty())
     return SettingsError::kNoClasses;
   if (settings.kinds.empty())
--- a/tests/coordination_store_test.cpp
+++ b/tests/coordination_store_test.cpp
@@ -10,7 +10,7 @@
 #include "coordination/runner.h"
 #include "coordination/setup.h"
 #include "coordination/sqlite_store.h"
-#include "fleet.h"
+#include "router_harness.h"
 #include "support/etcd_stand_in.h"
 #include "support/program.h"
 
--- a/tests/coordination_test.cpp
+++ b/tests/coordination_test.cpp
@@ -13,9 +13,9 @@
 #include "coordination/runner.h"
 #include "coordination/setup.h"
 #include "coordination/sqlite_store.h"
-#include "fleet.h"
 #include "fleet/membership.h"
 #include "net/line_server.h"
+#include "router_harness.h"
 #include "support/plan_checker.h"
 #include "support/program.h"
 
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -8,7 +8,7 @@
 
 #include "core/config_reader.h"
 #include "core/request_dispatcher.h"
-#include "fleet.h"
+#include "router_harness.h"
 
 namespace inference_router::core {
 namespace {
@@ -208,7 +208,8 @@
   }
   std::shared_ptr<FakeClient> submit(const std::string& id) {
     const auto client = std::make_shared<FakeClient>();
-    const auto key = dispatcher.submit(Fleet::arrival(id), std::make_shared<Payload>(), client);
+    const auto key =
+        dispatcher.submit(RouterHarness::arrival(id), std::make_shared<Payload>(), client);
     if (!key)
       return nullptr;
     keys[id] = *key;
@@ -434,7 +435,7 @@
     list(EndpointListForm::kFull, {endpoint("r1", kPrefill), endpoint("r2", kPrefill),
                                    endpoint("w1", kDecode), endpoint("w2", kDecode)});
     const auto client = std::make_shared<FakeClient>();
-    Arrival arrival = Fleet::arrival("a");
+    Arrival arrival = RouterHarness::arrival("a");
     arrival.resumed = sequence % 3 == 0;
     const auto key = dispatcher.submit(arrival, std::make_shared<Payload>(), client);
     std::string stepsTaken;
--- a/tests/ops_test.cpp
+++ b/tests/ops_test.cpp
@@ -10,9 +10,9 @@
 #include "app/shared_folder.h"
 #include "control/commands.h"
 #include "coordination/plan.h"
-#include "fleet.h"
 #include "fleet/membership.h"
 #include "net/line_server.h"
+#include "router_harness.h"
 #include "support/program.h"
 
 namespace inference_router {
--- a/tests/package/embed.cpp
+++ b/tests/package/embed.cpp
@@ -17,7 +17,7 @@
   settings.reservationsAllowed = true;
   settings.nodes = 1;
   settings.tick = 2ms;
-  if (const auto problem = problemWith(settings)) {
+  if (const auto problem = validate(settings)) {
     std::cerr << describe(*problem) << '\n';
     return 1;
   }
--- a/tests/property_test.cpp
+++ b/tests/property_test.cpp
@@ -165,7 +165,7 @@
       if (const auto* cancel = std::get_if<CancelAttempt>(&action))
         cancelled_.emplace_back(cancel->request, cancel->attempt);
       if (const auto* timer = std::get_if<SetTimer>(&action))
-        timers_.emplace(now_ + timer->in, timer->timer);
+        timers_.emplace(now_ + timer->delay, timer->timer);
     }
     for (const auto& [id, n] : std::exchange(cancelled_, {})) {
       const auto it = requests_.find(id);
--- a/tests/router_answers_test.cpp
+++ b/tests/router_answers_test.cpp
@@ -12,79 +12,79 @@
 }
 
 TEST(FinalAnswers, AFailureWithNothingElseToTryIsRejectedOnce) {
-  Fleet fleet;
-  fleet.list({endpoint("r0", kPrefill), endpoint("w0", kDecode)}).arrive("a");
-  fleet.end("a", "r0", AttemptOutcome::kError).wait(7s);
-  EXPECT_EQ(fleet.all<RejectRequest>().size(), 1U);
+  RouterHarness router;
+  router.updateEndpoints({endpoint("r0", kPrefill), endpoint("w0", kDecode)}).arrive("a");
+  router.endAttempt("a", "r0", AttemptOutcome::kError).advance(7s);
+  EXPECT_EQ(router.actionsOf<RejectRequest>().size(), 1U);
 }
 
 TEST(FinalAnswers, ComeBeforeTheDeadlineWithoutAnyInstance) {
-  Fleet fleet;
-  fleet.arrive("a", "", 300ms).wait(300ms);
-  EXPECT_EQ(fleet.all<RejectRequest>().size(), 1U);
+  RouterHarness router;
+  router.arrive("a", "", 300ms).advance(300ms);
+  EXPECT_EQ(router.actionsOf<RejectRequest>().size(), 1U);
 }
 
 TEST(FinalAnswers, NothingGoesOutAfterTheClientLeft) {
-  Fleet fleet;
-  const std::string prefillInstance = fleet.list(twoCells()).arrive("a").sentTo();
-  fleet.give(RequestAbandoned{{"a"}});
-  EXPECT_TRUE(fleet.any<ReleaseState>());
-  EXPECT_TRUE(fleet.any<CancelAttempt>());
-  fleet.end("a", prefillInstance, AttemptOutcome::kPrefilled);
-  EXPECT_FALSE(fleet.any<DispatchAttempt>());
-  EXPECT_TRUE(fleet.any<ReleaseState>());
+  RouterHarness router;
+  const std::string prefillInstance = router.updateEndpoints(twoCells()).arrive("a").sentTo();
+  router.handle(RequestAbandoned{{"a"}});
+  EXPECT_TRUE(router.hasAction<ReleaseState>());
+  EXPECT_TRUE(router.hasAction<CancelAttempt>());
+  router.endAttempt("a", prefillInstance, AttemptOutcome::kPrefilled);
+  EXPECT_FALSE(router.hasAction<DispatchAttempt>());
+  EXPECT_TRUE(router.hasAction<ReleaseState>());
 }
 
 TEST(FinalAnswers, APromptLargerThanAnyMemoryIsRejectedAtOnce) {
-  Fleet fleet;
-  fleet.list(twoCells()).arrive("a", "", 6s, 1e6);
-  EXPECT_TRUE(fleet.any<RejectRequest>());
-  EXPECT_FALSE(fleet.any<DispatchAttempt>());
+  RouterHarness router;
+  router.updateEndpoints(twoCells()).arrive("a", "", 6s, 1e6);
+  EXPECT_TRUE(router.hasAction<RejectRequest>());
+  EXPECT_FALSE(router.hasAction<DispatchAttempt>());
 }
 
 TEST(FinalAnswers, UnusableSettingsFailEveryArrivalAndAreLogged) {
-  Fleet fleet{Settings{}};
-  fleet.arrive("a");
-  EXPECT_TRUE(fleet.any<FailRequest>());
-  EXPECT_TRUE(fleet.any<LogMessage>());
-  EXPECT_TRUE(problemWith(Settings{}).has_value());
+  RouterHarness router{Settings{}};
+  router.arrive("a");
+  EXPECT_TRUE(router.hasAction<FailRequest>());
+  EXPECT_TRUE(router.hasAction<LogMessage>());
+  EXPECT_TRUE(validate(Settings{}).has_value());
 }
 
 TEST(FinalAnswers, AnUnknownClassIsFailedAtOnce) {
-  Fleet fleet;
-  Arrival arrival = Fleet::arrival("a");
+  RouterHarness router;
+  Arrival arrival = RouterHarness::arrival("a");
   arrival.cls = {9};
-  fleet.list(twoCells()).give(arrival);
-  EXPECT_EQ(fleet.all<FailRequest>().size(), 1U);
+  router.updateEndpoints(twoCells()).handle(arrival);
+  EXPECT_EQ(router.actionsOf<FailRequest>().size(), 1U);
 }
 
 TEST(Idempotency, AnAtMostOnceRequestThatMayHaveRunIsNeitherRepeatedNorRejected) {
-  Fleet fleet(withEffect(Effect::kAtMostOnce, DedupScope::kAll));
-  const std::string decodeInstance = startDecode(fleet);
-  fleet.end("a", decodeInstance, AttemptOutcome::kConnectionLost);
-  EXPECT_FALSE(fleet.any<DispatchAttempt>());
-  EXPECT_FALSE(fleet.any<RejectRequest>());
-  EXPECT_TRUE(fleet.any<FailRequest>());
+  RouterHarness router(withEffect(Effect::kAtMostOnce, DedupScope::kAll));
+  const std::string decodeInstance = startDecode(router);
+  router.endAttempt("a", decodeInstance, AttemptOutcome::kConnectionLost);
+  EXPECT_FALSE(router.hasAction<DispatchAttempt>());
+  EXPECT_FALSE(router.hasAction<RejectRequest>());
+  EXPECT_TRUE(router.hasAction<FailRequest>());
 }
 
 TEST(Idempotency, AnAtMostOnceRequestThatNeverRanIsRetried) {
-  Fleet fleet(withEffect(Effect::kAtMostOnce, DedupScope::kAll));
-  const std::string decodeInstance = startDecode(fleet);
-  EXPECT_TRUE(
-      fleet.end("a", decodeInstance, AttemptOutcome::kConnectFailed).any<DispatchAttempt>());
+  RouterHarness router(withEffect(Effect::kAtMostOnce, DedupScope::kAll));
+  const std::string decodeInstance = startDecode(router);
+  EXPECT_TRUE(router.endAttempt("a", decodeInstance, AttemptOutcome::kConnectFailed)
+                  .hasAction<DispatchAttempt>());
 }
 
 TEST(Idempotency, AFailedPrefillOfAnAtMostOnceRequestIsRetried) {
-  Fleet fleet(withEffect(Effect::kAtMostOnce, DedupScope::kAll));
-  const std::string prefillInstance = fleet.list(twoCells()).arrive("a").sentTo();
-  EXPECT_TRUE(
-      fleet.end("a", prefillInstance, AttemptOutcome::kConnectionLost).any<DispatchAttempt>());
+  RouterHarness router(withEffect(Effect::kAtMostOnce, DedupScope::kAll));
+  const std::string prefillInstance = router.updateEndpoints(twoCells()).arrive("a").sentTo();
+  EXPECT_TRUE(router.endAttempt("a", prefillInstance, AttemptOutcome::kConnectionLost)
+                  .hasAction<DispatchAttempt>());
 }
 
 TEST(Idempotency, ADeduplicatedRequestStaysInTheCellThatDropsItsRepeats) {
-  Fleet fleet(withEffect(Effect::kDeduplicated, DedupScope::kCell));
-  const std::string decodeInstance = startDecode(fleet);
-  const std::string next = fleet.end("a", decodeInstance, AttemptOutcome::kError).sentTo();
+  RouterHarness router(withEffect(Effect::kDeduplicated, DedupScope::kCell));
+  const std::string decodeInstance = startDecode(router);
+  const std::string next = router.endAttempt("a", decodeInstance, AttemptOutcome::kError).sentTo();
   ASSERT_NE(next, "");
   EXPECT_EQ(cellOf(next), cellOf(decodeInstance));
 }
@@ -92,59 +92,59 @@
 TEST(Idempotency, ADeduplicatedRequestIsNotRetriedPastItsWindow) {
   Settings settings = withEffect(Effect::kDeduplicated, DedupScope::kAll);
   settings.classes[0].dedupWindow = 100ms;
-  Fleet fleet(settings);
-  const std::string decodeInstance = startDecode(fleet);
-  fleet.wait(150ms).end("a", decodeInstance, AttemptOutcome::kError);
-  EXPECT_FALSE(fleet.any<DispatchAttempt>());
+  RouterHarness router(settings);
+  const std::string decodeInstance = startDecode(router);
+  router.advance(150ms).endAttempt("a", decodeInstance, AttemptOutcome::kError);
+  EXPECT_FALSE(router.hasAction<DispatchAttempt>());
 }
 
 TEST(Idempotency, NoSecondAttemptGoesOutBesideTheFirst) {
-  Fleet fleet;
-  fleet.list(twoCells()).arrive("a").wait(2s);
-  EXPECT_FALSE(fleet.any<DispatchAttempt>());
+  RouterHarness router;
+  router.updateEndpoints(twoCells()).arrive("a").advance(2s);
+  EXPECT_FALSE(router.hasAction<DispatchAttempt>());
 }
 
 TEST(Retries, APrefillOfAnAtMostOnceRequestLeavesTimeForAnother) {
   Settings settings = plainSettings();
   settings.classes[0].effect = Effect::kAtMostOnce;
-  Fleet fleet(settings);
-  fleet.list(twoCells()).arrive("a");
-  EXPECT_LT(fleet.all<DispatchAttempt>().back().until, fleet.now() + 5s);
-  const std::string prefillInstance = fleet.sentTo();
-  EXPECT_EQ(fleet.end("a", prefillInstance, AttemptOutcome::kPrefilled)
-                .all<DispatchAttempt>()
+  RouterHarness router(settings);
+  router.updateEndpoints(twoCells()).arrive("a");
+  EXPECT_LT(router.actionsOf<DispatchAttempt>().back().timeoutAt, router.now() + 5s);
+  const std::string prefillInstance = router.sentTo();
+  EXPECT_EQ(router.endAttempt("a", prefillInstance, AttemptOutcome::kPrefilled)
+                .actionsOf<DispatchAttempt>()
                 .back()
-                .until,
-            fleet.now() + 6s);
+                .timeoutAt,
+            router.now() + 6s);
 }
 
 TEST(Retries, AFailedDecodeIsRetriedWithoutAnotherPrefill) {
-  Fleet fleet;
-  const std::string decodeInstance = startDecode(fleet);
-  const std::string next = fleet.end("a", decodeInstance, AttemptOutcome::kError).sentTo();
+  RouterHarness router;
+  const std::string decodeInstance = startDecode(router);
+  const std::string next = router.endAttempt("a", decodeInstance, AttemptOutcome::kError).sentTo();
   EXPECT_EQ(cellOf(next), cellOf(decodeInstance));
   EXPECT_NE(next[0], 'r');
 }
 
 TEST(Retries, AKvCacheThatIsLostIsPrefilledAgain) {
-  Fleet fleet;
-  const std::string decodeInstance = startDecode(fleet);
-  fleet.end("a", decodeInstance, AttemptOutcome::kRejected, 1ms, false, true);
-  EXPECT_EQ(fleet.sentTo()[0], 'r');
+  RouterHarness router;
+  const std::string decodeInstance = startDecode(router);
+  router.endAttempt("a", decodeInstance, AttemptOutcome::kRejected, 1ms, false, true);
+  EXPECT_EQ(router.sentTo()[0], 'r');
 }
 
 // Hundreds of nodes, each with a burst of retries, would turn congestion into overload.
 TEST(Retries, ANodeThatSeesFewRequestsSavesUpFew) {
-  Fleet fleet;
+  RouterHarness router;
   std::vector<EndpointRecord> instances{endpoint("w0", kDecode)};
   for (int i = 0; i < 8; ++i)
     instances.push_back(endpoint(numbered("r", i), kPrefill));
-  fleet.list(instances);
+  router.updateEndpoints(instances);
   int dispatches = 0;
   for (int i = 0; i < 4; ++i) {
     const std::string id = numbered("q", i);
-    for (std::string at = fleet.wait(500ms).arrive(id).sentTo(); !at.empty();
-         at = fleet.end(id, at, AttemptOutcome::kError).sentTo())
+    for (std::string at = router.advance(500ms).arrive(id).sentTo(); !at.empty();
+         at = router.endAttempt(id, at, AttemptOutcome::kError).sentTo())
       ++dispatches;
   }
   EXPECT_GT(dispatches, 4);
@@ -154,36 +154,38 @@
 TEST(Retries, StopAtTheLimit) {
   Settings settings = plainSettings();
   settings.limits.maxAttempts = 1;
-  Fleet fleet(settings);
-  const std::string prefillInstance = fleet.list(twoCells()).arrive("a").sentTo();
-  EXPECT_FALSE(fleet.end("a", prefillInstance, AttemptOutcome::kError).any<DispatchAttempt>());
+  RouterHarness router(settings);
+  const std::string prefillInstance = router.updateEndpoints(twoCells()).arrive("a").sentTo();
+  EXPECT_FALSE(
+      router.endAttempt("a", prefillInstance, AttemptOutcome::kError).hasAction<DispatchAttempt>());
 }
 
 TEST(RemoteState, AKvCacheThatNoInstanceDecodesIsReleasedWithinTheLimit) {
-  Fleet fleet;
-  fleet.list({endpoint("r0", kPrefill), endpoint("w0", kDecode)}).arrive("a");
-  fleet.list({withState(endpoint("w0", kDecode), EndpointState::kRemoved)},
-             EndpointListForm::kChanges);
-  fleet.end("a", "r0", AttemptOutcome::kPrefilled);
-  EXPECT_FALSE(fleet.any<DispatchAttempt>());
-  EXPECT_TRUE(fleet.wait(499ms).any<ReleaseState>());
+  RouterHarness router;
+  router.updateEndpoints({endpoint("r0", kPrefill), endpoint("w0", kDecode)}).arrive("a");
+  router.updateEndpoints({withState(endpoint("w0", kDecode), EndpointState::kRemoved)},
+                         EndpointListForm::kChanges);
+  router.endAttempt("a", "r0", AttemptOutcome::kPrefilled);
+  EXPECT_FALSE(router.hasAction<DispatchAttempt>());
+  EXPECT_TRUE(router.advance(499ms).hasAction<ReleaseState>());
 }
 
 TEST(RemoteState, ALatePrefillOfAnEndedRequestIsReleased) {
-  Fleet fleet;
-  const std::string prefillInstance = fleet.list(twoCells()).arrive("a").sentTo();
-  fleet.give(RequestAbandoned{{"a"}}).end("a", prefillInstance, AttemptOutcome::kPrefilled);
-  EXPECT_TRUE(fleet.any<ReleaseState>());
+  RouterHarness router;
+  const std::string prefillInstance = router.updateEndpoints(twoCells()).arrive("a").sentTo();
+  router.handle(RequestAbandoned{{"a"}})
+      .endAttempt("a", prefillInstance, AttemptOutcome::kPrefilled);
+  EXPECT_TRUE(router.hasAction<ReleaseState>());
 }
 
 TEST(RemoteState, AKvCacheIsReleasedOnceTheDecodeThatWaitedForItIsCancelled) {
-  Fleet fleet;
-  const std::string prefillInstance = fleet.list(twoCells()).arrive("a").sentTo();
+  RouterHarness router;
+  const std::string prefillInstance = router.updateEndpoints(twoCells()).arrive("a").sentTo();
   const std::string decodeInstance =
-      fleet.end("a", prefillInstance, AttemptOutcome::kPrefilled).sentTo();
-  fleet.give(RequestAbandoned{{"a"}})
-      .end("a", decodeInstance, AttemptOutcome::kCancelled, 20ms, true);
-  EXPECT_TRUE(fleet.any<ReleaseState>());
+      router.endAttempt("a", prefillInstance, AttemptOutcome::kPrefilled).sentTo();
+  router.handle(RequestAbandoned{{"a"}})
+      .endAttempt("a", decodeInstance, AttemptOutcome::kCancelled, 20ms, true);
+  EXPECT_TRUE(router.hasAction<ReleaseState>());
 }
 
 // The time of a KV cache goes on while connections do not come up. A long-running test found KV
@@ -191,37 +193,38 @@
 TEST(RemoteState, AKvCacheIsReleasedInTimeWhileConnectionsDoNotComeUp) {
   Settings settings = plainSettings();
   settings.limits.connectTimeout = 100ms;
-  Fleet fleet(settings);
-  fleet.list({endpoint("r0", kPrefill), endpoint("r1", kPrefill), endpoint("w0", kDecode),
-              endpoint("w1", kDecode), endpoint("w2", kDecode), endpoint("w3", kDecode)});
-  fleet.arrive("a");
+  RouterHarness router(settings);
+  router.updateEndpoints({endpoint("r0", kPrefill), endpoint("r1", kPrefill),
+                          endpoint("w0", kDecode), endpoint("w1", kDecode), endpoint("w2", kDecode),
+                          endpoint("w3", kDecode)});
+  router.arrive("a");
   const std::string first =
-      fleet.wait(50ms).end("a", fleet.sentTo(), AttemptOutcome::kPrefilled).sentTo();
+      router.advance(50ms).endAttempt("a", router.sentTo(), AttemptOutcome::kPrefilled).sentTo();
   const std::string second =
-      fleet.wait(100ms).end("a", first, AttemptOutcome::kConnectFailed, 100ms).sentTo();
+      router.advance(100ms).endAttempt("a", first, AttemptOutcome::kConnectFailed, 100ms).sentTo();
   EXPECT_EQ(second.substr(0, 1), "w") << "there is time for another";
   EXPECT_NE(second, first);
-  EXPECT_FALSE(fleet.any<ReleaseState>());
-  fleet.wait(100ms).end("a", second, AttemptOutcome::kConnectFailed, 100ms);
-  EXPECT_TRUE(fleet.any<ReleaseState>())
+  EXPECT_FALSE(router.hasAction<ReleaseState>());
+  router.advance(100ms).endAttempt("a", second, AttemptOutcome::kConnectFailed, 100ms);
+  EXPECT_TRUE(router.hasAction<ReleaseState>())
       << "a third that does not come up would end with the limit";
-  EXPECT_NE(fleet.sentTo().substr(0, 1), "w") << "it is read anew";
+  EXPECT_NE(router.sentTo().substr(0, 1), "w") << "it is read anew";
 }
 
 // A connect that fails takes nearly the whole limit here: two of them and the release would exceed
 // it.
 TEST(RemoteState, NoSecondConnectIsTriedThatWouldExceedTheTimeOfAKvCache) {
   for (const AttemptOutcome outcome : {AttemptOutcome::kConnectFailed, AttemptOutcome::kNotSent}) {
-    Fleet fleet;
-    fleet.list({endpoint("r0", kPrefill), endpoint("r1", kPrefill), endpoint("w0", kDecode),
-                endpoint("w1", kDecode)});
-    fleet.arrive("a");
+    RouterHarness router;
+    router.updateEndpoints({endpoint("r0", kPrefill), endpoint("r1", kPrefill),
+                            endpoint("w0", kDecode), endpoint("w1", kDecode)});
+    router.arrive("a");
     const std::string first =
-        fleet.wait(50ms).end("a", fleet.sentTo(), AttemptOutcome::kPrefilled).sentTo();
+        router.advance(50ms).endAttempt("a", router.sentTo(), AttemptOutcome::kPrefilled).sentTo();
     ASSERT_EQ(first.substr(0, 1), "w");
-    fleet.wait(250ms).end("a", first, outcome, 250ms);
-    EXPECT_TRUE(fleet.any<ReleaseState>());
-    EXPECT_NE(fleet.sentTo().substr(0, 1), "w");
+    router.advance(250ms).endAttempt("a", first, outcome, 250ms);
+    EXPECT_TRUE(router.hasAction<ReleaseState>());
+    EXPECT_NE(router.sentTo().substr(0, 1), "w");
   }
 }
 
@@ -230,12 +233,12 @@
 TEST(RemoteState, IsReleasedBeforeTheRejectionOfARequestWithAReservation) {
   Settings settings = plainSettings();
   settings.streamResumption = true;
-  Fleet fleet(settings);
-  fleet.list({endpoint("r0", kPrefill), endpoint("w0", kDecode)}).arrive("a");
-  ASSERT_EQ(fleet.reservedAt(), "w0");
-  fleet.give(ReservationResult{{"a"}, 0, {"w0"}, true}).give(ShutdownStarted{1s}).wait(1s);
+  RouterHarness router(settings);
+  router.updateEndpoints({endpoint("r0", kPrefill), endpoint("w0", kDecode)}).arrive("a");
+  ASSERT_EQ(router.reservedAt(), "w0");
+  router.handle(ReservationResult{{"a"}, 0, {"w0"}, true}).handle(ShutdownStarted{1s}).advance(1s);
   std::vector<std::string> order;
-  for (const Action& action : fleet.actions()) {
+  for (const Action& action : router.actions()) {
     if (std::holds_alternative<CancelAttempt>(action))
       order.emplace_back("cancel");
     if (std::holds_alternative<ReleaseState>(action))
@@ -250,30 +253,33 @@
 TEST(RemoteState, AnAnswerOfADecodeInstanceRestartsTheTimeOfAKvCache) {
   Settings settings = plainSettings();
   settings.limits.connectTimeout = 100ms;
-  Fleet fleet(settings);
-  fleet.list({endpoint("r0", kPrefill), endpoint("w0", kDecode), endpoint("w1", kDecode),
-              endpoint("w2", kDecode)});
+  RouterHarness router(settings);
+  router.updateEndpoints({endpoint("r0", kPrefill), endpoint("w0", kDecode),
+                          endpoint("w1", kDecode), endpoint("w2", kDecode)});
   for (int i = 0; i < 10; ++i)
-    fleet.serve(numbered("before", i));  // earns retries
-  fleet.arrive("a");
-  const std::string first = fleet.wait(50ms).end("a", "r0", AttemptOutcome::kPrefilled).sentTo();
+    router.serve(numbered("before", i));  // earns retries
+  router.arrive("a");
+  const std::string first =
+      router.advance(50ms).endAttempt("a", "r0", AttemptOutcome::kPrefilled).sentTo();
   const std::string second =
-      fleet.wait(400ms).end("a", first, AttemptOutcome::kRejected, 400ms).sentTo();
+      router.advance(400ms).endAttempt("a", first, AttemptOutcome::kRejected, 400ms).sentTo();
   const std::string third =
-      fleet.wait(100ms).end("a", second, AttemptOutcome::kConnectFailed, 100ms).sentTo();
+      router.advance(100ms).endAttempt("a", second, AttemptOutcome::kConnectFailed, 100ms).sentTo();
   EXPECT_EQ(third.substr(0, 1), "w");
-  EXPECT_FALSE(fleet.any<ReleaseState>());
+  EXPECT_FALSE(router.hasAction<ReleaseState>());
 }
 
 TEST(Input, EventsForUnknownRequestsAreIgnored) {
-  Fleet fleet;
-  fleet.list(twoCells());
-  fleet.give(StreamOpened{{"nobody"}, 3, {"r0"}, 1ms});
-  EXPECT_TRUE(fleet.actions().empty());
-  fleet.give(ReservationResult{{"nobody"}, 0, {"w0"}, true});
-  EXPECT_TRUE(fleet.actions().empty());
-  fleet.give(RequestAbandoned{{"nobody"}}).give(TimerFired{999}).give(PeerMessage{0, "\x01zz"});
-  EXPECT_FALSE(fleet.any<DispatchAttempt>());
+  RouterHarness router;
+  router.updateEndpoints(twoCells());
+  router.handle(StreamOpened{{"nobody"}, 3, {"r0"}, 1ms});
+  EXPECT_TRUE(router.actions().empty());
+  router.handle(ReservationResult{{"nobody"}, 0, {"w0"}, true});
+  EXPECT_TRUE(router.actions().empty());
+  router.handle(RequestAbandoned{{"nobody"}})
+      .handle(TimerFired{999})
+      .handle(PeerMessage{0, "\x01zz"});
+  EXPECT_FALSE(router.hasAction<DispatchAttempt>());
 }
 
 }  // namespace
--- a/tests/fleet.h
+++ b/tests/router_harness.h
@@ -48,31 +48,31 @@
 }
 
 // One router, the instances it is told of and the requests of its clients.
-class Fleet {
+class RouterHarness {
  public:
-  explicit Fleet(const Settings& settings = plainSettings(), std::uint64_t seed = 7)
+  explicit RouterHarness(const Settings& settings = plainSettings(), std::uint64_t seed = 7)
       : settings_(settings), router_(settings, seed) {}
 
-  Fleet& list(std::vector<EndpointRecord> entries,
-              EndpointListForm form = EndpointListForm::kFull) {
-    return give(EndpointListUpdate{++version_, form, std::move(entries)});
+  RouterHarness& updateEndpoints(std::vector<EndpointRecord> entries,
+                                 EndpointListForm form = EndpointListForm::kFull) {
+    return handle(EndpointListUpdate{++version_, form, std::move(entries)});
   }
-  Fleet& give(const Event& event) {
+  RouterHarness& handle(const Event& event) {
     actions_.clear();
     router_.handle(now_, event, actions_);
     for (const Action& action : actions_) {
       if (const auto* send = std::get_if<DispatchAttempt>(&action))
         ++attempts_[send->request.value];
       if (const auto* timer = std::get_if<SetTimer>(&action))
-        timers_.emplace(now_ + timer->in, timer->timer);
+        timers_.emplace(now_ + timer->delay, timer->timer);
     }
     return *this;
   }
-  Fleet& arrive(const std::string& id,
-                const std::string& prefix = "",
-                Duration left = 6s,
-                double tokens = 1000) {
-    return give(arrival(id, prefix, left, tokens));
+  RouterHarness& arrive(const std::string& id,
+                        const std::string& prefix = "",
+                        Duration left = 6s,
+                        double tokens = 1000) {
+    return handle(arrival(id, prefix, left, tokens));
   }
   static Arrival arrival(const std::string& id,
                          const std::string& prefix = "",
@@ -80,27 +80,27 @@
                          double tokens = 1000) {
     return {{id}, {0}, {}, "session-" + id, prefix, left, {}, tokens, 0, 200, false, false};
   }
-  Fleet& end(const std::string& id,
-             const std::string& at,
-             AttemptOutcome outcome,
-             Duration took = 50ms,
-             bool concluded = false,
-             bool kvCacheLost = false) {
-    return give(
+  RouterHarness& endAttempt(const std::string& id,
+                            const std::string& at,
+                            AttemptOutcome outcome,
+                            Duration took = 50ms,
+                            bool concluded = false,
+                            bool kvCacheLost = false) {
+    return handle(
         AttemptEnded{{id}, attempts_[id] - 1, {at}, outcome, took, concluded, 0, kvCacheLost, {}});
   }
-  Fleet& open(const std::string& id, const std::string& at) {
-    return give(StreamOpened{{id}, attempts_[id] - 1, {at}, 20ms});
+  RouterHarness& openStream(const std::string& id, const std::string& at) {
+    return handle(StreamOpened{{id}, attempts_[id] - 1, {at}, 20ms});
   }
   // Moves the clock and fires the timers that are due; keeps the actions of all of them together.
-  Fleet& wait(Duration span) {
+  RouterHarness& advance(Duration span) {
     const Time until = now_ + span;
     std::vector<Action> all;
     while (!timers_.empty() && timers_.begin()->first <= until) {
       const auto [at, timer] = *timers_.begin();
       timers_.erase(timers_.begin());
       now_ = std::max(now_, at);
-      give(TimerFired{timer});
+      handle(TimerFired{timer});
       all.insert(all.end(), actions_.begin(), actions_.end());
     }
     now_ = until;
@@ -109,7 +109,7 @@
   }
 
   template <class Act>
-  std::vector<Act> all() const {
+  std::vector<Act> actionsOf() const {
     std::vector<Act> found;
     for (const Action& action : actions_) {
       if (const auto* act = std::get_if<Act>(&action))
@@ -118,26 +118,26 @@
     return found;
   }
   template <class Act>
-  bool any() const {
-    return !all<Act>().empty();
+  bool hasAction() const {
+    return !actionsOf<Act>().empty();
   }
   std::string sentTo() const {
-    const auto sends = all<DispatchAttempt>();
+    const auto sends = actionsOf<DispatchAttempt>();
     return sends.empty() ? "" : sends.back().instance.value;
   }
   std::string reservedAt() const {
-    const auto reservations = all<ReserveDecode>();
+    const auto reservations = actionsOf<ReserveDecode>();
     return reservations.empty() ? "" : reservations.back().instance.value;
   }
   // A request that is served without a fault; returns where it was prefilled.
   std::string serve(const std::string& id, const std::string& prefix = "") {
     const std::string prefillInstance = arrive(id, prefix).sentTo();
     const std::string decodeInstance =
-        wait(50ms).end(id, prefillInstance, AttemptOutcome::kPrefilled).sentTo();
-    wait(20ms)
-        .open(id, decodeInstance)
-        .wait(200ms)
-        .end(id, decodeInstance, AttemptOutcome::kServed, 220ms, true);
+        advance(50ms).endAttempt(id, prefillInstance, AttemptOutcome::kPrefilled).sentTo();
+    advance(20ms)
+        .openStream(id, decodeInstance)
+        .advance(200ms)
+        .endAttempt(id, decodeInstance, AttemptOutcome::kServed, 220ms, true);
     return prefillInstance;
   }
   Time now() const { return now_; }
--- a/tests/router_health_test.cpp
+++ b/tests/router_health_test.cpp
@@ -6,61 +6,64 @@
 namespace inference_router::routing {
 namespace {
 
-void serveFrom(Fleet& fleet, const std::string& id, const std::string& prefillInstance) {
+void serveFrom(RouterHarness& router, const std::string& id, const std::string& prefillInstance) {
   const std::string decodeInstance =
-      fleet.wait(2ms).end(id, prefillInstance, AttemptOutcome::kPrefilled, 2ms).sentTo();
-  fleet.open(id, decodeInstance).end(id, decodeInstance, AttemptOutcome::kServed, 5ms, true);
+      router.advance(2ms).endAttempt(id, prefillInstance, AttemptOutcome::kPrefilled, 2ms).sentTo();
+  router.openStream(id, decodeInstance)
+      .endAttempt(id, decodeInstance, AttemptOutcome::kServed, 5ms, true);
 }
 
 // Sends requests until one goes to this instance, and serves the others; returns its id, empty if
 // none does.
-std::string arriveAt(Fleet& fleet, const std::string& stem, const std::string& instance) {
+std::string arriveAt(RouterHarness& router, const std::string& stem, const std::string& instance) {
   for (int i = 0; i < 40; ++i) {
-    const std::string id = numbered(stem.c_str(), i), at = fleet.arrive(id).sentTo();
+    const std::string id = numbered(stem.c_str(), i), at = router.arrive(id).sentTo();
     if (at == instance)
       return id;
-    serveFrom(fleet, id, at);
+    serveFrom(router, id, at);
   }
   return "";
 }
 
 TEST(Draining, ADrainingInstanceGetsNothingNew) {
-  Fleet fleet;
-  fleet.list({endpoint("r0", kPrefill), endpoint("r1", kPrefill), endpoint("w0", kDecode),
-              endpoint("v0", kDecode)});
-  fleet.list({withState(endpoint("r0", kPrefill), EndpointState::kDraining),
-              withState(endpoint("w0", kDecode), EndpointState::kDraining)},
-             EndpointListForm::kChanges);
-  fleet.arrive("a");
-  EXPECT_EQ(fleet.sentTo(), "r1");
-  EXPECT_EQ(fleet.reservedAt(), "v0");
+  RouterHarness router;
+  router.updateEndpoints({endpoint("r0", kPrefill), endpoint("r1", kPrefill),
+                          endpoint("w0", kDecode), endpoint("v0", kDecode)});
+  router.updateEndpoints({withState(endpoint("r0", kPrefill), EndpointState::kDraining),
+                          withState(endpoint("w0", kDecode), EndpointState::kDraining)},
+                         EndpointListForm::kChanges);
+  router.arrive("a");
+  EXPECT_EQ(router.sentTo(), "r1");
+  EXPECT_EQ(router.reservedAt(), "v0");
 }
 
 TEST(Draining, ACompleteListWithoutAnInstanceRemovesIt) {
-  Fleet fleet;
-  fleet.list(twoCells()).list({endpoint("r0", kPrefill), endpoint("w0", kDecode)});
+  RouterHarness router;
+  router.updateEndpoints(twoCells())
+      .updateEndpoints({endpoint("r0", kPrefill), endpoint("w0", kDecode)});
   for (int i = 0; i < 5; ++i)
-    EXPECT_EQ(fleet.arrive(numbered("a", i)).sentTo(), "r0");
+    EXPECT_EQ(router.arrive(numbered("a", i)).sentTo(), "r0");
 }
 
 TEST(Draining, AReservationOnADrainingInstanceIsUsedEarlyInTheGrace) {
-  Fleet fleet;
-  fleet.list({endpoint("r0", kPrefill), endpoint("w0", kDecode)}).arrive("a");
-  fleet.give(ReservationResult{{"a"}, 0, {"w0"}, true});
-  fleet.list({withState(endpoint("w0", kDecode), EndpointState::kDraining)},
-             EndpointListForm::kChanges);
-  EXPECT_EQ(fleet.end("a", "r0", AttemptOutcome::kPrefilled).sentTo(), "w0");
+  RouterHarness router;
+  router.updateEndpoints({endpoint("r0", kPrefill), endpoint("w0", kDecode)}).arrive("a");
+  router.handle(ReservationResult{{"a"}, 0, {"w0"}, true});
+  router.updateEndpoints({withState(endpoint("w0", kDecode), EndpointState::kDraining)},
+                         EndpointListForm::kChanges);
+  EXPECT_EQ(router.endAttempt("a", "r0", AttemptOutcome::kPrefilled).sentTo(), "w0");
 }
 
 TEST(Draining, AReservationOnADrainingInstanceIsLeftLateInTheGrace) {
-  Fleet fleet;
-  fleet.list({endpoint("r0", kPrefill), endpoint("w0", kDecode), endpoint("v0", kDecode)});
-  const std::string reserved = fleet.arrive("a").reservedAt();
-  fleet.give(ReservationResult{{"a"}, 0, {reserved}, true});
-  fleet.list({withState(endpoint(reserved, kDecode), EndpointState::kDraining)},
-             EndpointListForm::kChanges);
+  RouterHarness router;
+  router.updateEndpoints(
+      {endpoint("r0", kPrefill), endpoint("w0", kDecode), endpoint("v0", kDecode)});
+  const std::string reserved = router.arrive("a").reservedAt();
+  router.handle(ReservationResult{{"a"}, 0, {reserved}, true});
+  router.updateEndpoints({withState(endpoint(reserved, kDecode), EndpointState::kDraining)},
+                         EndpointListForm::kChanges);
   const std::string decodeInstance =
-      fleet.wait(700ms).end("a", "r0", AttemptOutcome::kPrefilled).sentTo();
+      router.advance(700ms).endAttempt("a", "r0", AttemptOutcome::kPrefilled).sentTo();
   EXPECT_NE(decodeInstance, reserved);
   EXPECT_NE(decodeInstance, "");
 }
@@ -68,38 +71,40 @@
 TEST(EndpointList, IsSubscribedToWhereItIsPolledAndAgainAfterAFailure) {
   Settings settings = plainSettings();
   settings.discovery = Discovery::kPoll;
-  Fleet fleet(settings);
-  EXPECT_TRUE(fleet.list(twoCells(), EndpointListForm::kCached).any<SubscribeEndpoints>());
-  fleet.list({}, EndpointListForm::kFailed);
-  EXPECT_TRUE(fleet.wait(3s).any<SubscribeEndpoints>());
+  RouterHarness router(settings);
+  EXPECT_TRUE(router.updateEndpoints(twoCells(), EndpointListForm::kCached)
+                  .hasAction<SubscribeEndpoints>());
+  router.updateEndpoints({}, EndpointListForm::kFailed);
+  EXPECT_TRUE(router.advance(3s).hasAction<SubscribeEndpoints>());
 }
 
 TEST(EndpointList, AnEntryOfAnUnknownKindIsLeftOut) {
-  Fleet fleet;
-  fleet.list({endpoint("x0", 9)}).arrive("a", "", 200ms);
-  EXPECT_FALSE(fleet.any<DispatchAttempt>());
+  RouterHarness router;
+  router.updateEndpoints({endpoint("x0", 9)}).arrive("a", "", 200ms);
+  EXPECT_FALSE(router.hasAction<DispatchAttempt>());
 }
 
-// A large fleet must neither leave a restarted instance idle nor send it a request from each node.
+// A large router must neither leave a restarted instance idle nor send it a request from each node.
 TEST(SlowStart, ManyNodesTogetherKeepTheBudgetOfAnInstance) {
   for (const int nodes : {2, 20, 200}) {
     Settings settings = plainSettings();
     settings.nodes = nodes;
-    std::vector<Fleet> fleets;
+    std::vector<RouterHarness> routers;
     for (int n = 0; n < nodes; ++n)
-      fleets.emplace_back(settings, 100 + n);
-    for (Fleet& fleet : fleets) {
-      fleet.list({endpoint("r0", kPrefill), endpoint("w0", kDecode)});
+      routers.emplace_back(settings, 100 + n);
+    for (RouterHarness& router : routers) {
+      router.updateEndpoints({endpoint("r0", kPrefill), endpoint("w0", kDecode)});
       for (int i = 0; i < 800 / nodes; ++i)
-        fleet.wait(Duration(25'000) * nodes).serve(numbered("warm", i));
-      fleet.list({slowStarting("v0", kDecode, fleet.now())}, EndpointListForm::kChanges);
+        router.advance(Duration(25'000) * nodes).serve(numbered("warm", i));
+      router.updateEndpoints({slowStarting("v0", kDecode, router.now())},
+                             EndpointListForm::kChanges);
     }
     int toNew = 0;
     for (int i = 0; i < 120; ++i) {  // three seconds, one window: 40 requests a second to all
-      Fleet& fleet = fleets[static_cast<std::size_t>(i % nodes)];
-      fleet.wait(Duration(25'000) * std::min(i < nodes ? i + 1 : nodes, nodes))
+      RouterHarness& router = routers[static_cast<std::size_t>(i % nodes)];
+      router.advance(Duration(25'000) * std::min(i < nodes ? i + 1 : nodes, nodes))
           .arrive(numbered("b", i));
-      toNew += fleet.reservedAt() == "v0" ? 1 : 0;
+      toNew += router.reservedAt() == "v0" ? 1 : 0;
     }
     EXPECT_GT(toNew, 1) << nodes << " nodes";
     EXPECT_LE(toNew, 60)
@@ -108,15 +113,15 @@
 }
 
 TEST(SlowStart, ANewDecodeInstanceGetsFewerReservationsThanItsWarmPeer) {
-  Fleet fleet;
-  fleet.list({endpoint("r0", kPrefill), endpoint("w0", kDecode)});
+  RouterHarness router;
+  router.updateEndpoints({endpoint("r0", kPrefill), endpoint("w0", kDecode)});
   for (int i = 0; i < 30; ++i)
-    fleet.serve(numbered("warm", i));
-  fleet.list({slowStarting("v0", kDecode, fleet.now())}, EndpointListForm::kChanges);
+    router.serve(numbered("warm", i));
+  router.updateEndpoints({slowStarting("v0", kDecode, router.now())}, EndpointListForm::kChanges);
   int toNew = 0;
   for (int i = 0; i < 20; ++i) {
-    fleet.arrive(numbered("b", i));
-    toNew += fleet.reservedAt() == "v0" ? 1 : 0;
+    router.arrive(numbered("b", i));
+    toNew += router.reservedAt() == "v0" ? 1 : 0;
   }
   EXPECT_LE(toNew, 3);
 }
@@ -126,14 +131,14 @@
 TEST(SlowStart, ANewNodeUsesANewInstanceAsMuchAsAnOldOne) {
   int used[2] = {};
   for (const int old : {0, 1}) {
-    Fleet fleet;
-    fleet.list({endpoint("r0", kPrefill), endpoint("w0", kDecode)});
+    RouterHarness router;
+    router.updateEndpoints({endpoint("r0", kPrefill), endpoint("w0", kDecode)});
     for (int i = 0; i < (old != 0 ? 400 : 12); ++i)
-      fleet.serve(numbered("warm", i));  // 4 a second
-    fleet.list({slowStarting("v0", kDecode, fleet.now())}, EndpointListForm::kChanges);
+      router.serve(numbered("warm", i));  // 4 a second
+    router.updateEndpoints({slowStarting("v0", kDecode, router.now())}, EndpointListForm::kChanges);
     for (int i = 0; i < 24; ++i) {
-      fleet.wait(250ms).arrive(numbered("b", i));
-      used[old] += fleet.reservedAt() == "v0" ? 1 : 0;
+      router.advance(250ms).arrive(numbered("b", i));
+      used[old] += router.reservedAt() == "v0" ? 1 : 0;
     }
   }
   EXPECT_GE(used[0], used[1] - 2);
@@ -141,76 +146,77 @@
 }
 
 TEST(OutlierDetection, EjectsAnInstanceThatFailsFast) {
-  Fleet fleet;
-  fleet.list(twoCells());
-  const std::string affinityInstance = fleet.arrive("x", "p").sentTo();
-  fleet.end("x", affinityInstance, AttemptOutcome::kError);
+  RouterHarness router;
+  router.updateEndpoints(twoCells());
+  const std::string affinityInstance = router.arrive("x", "p").sentTo();
+  router.endAttempt("x", affinityInstance, AttemptOutcome::kError);
   for (int i = 0; i < 6; ++i) {
-    fleet.arrive(numbered("a", i), "p");
-    if (fleet.sentTo() == affinityInstance)
-      fleet.end(numbered("a", i), affinityInstance, AttemptOutcome::kError);
+    router.arrive(numbered("a", i), "p");
+    if (router.sentTo() == affinityInstance)
+      router.endAttempt(numbered("a", i), affinityInstance, AttemptOutcome::kError);
   }
-  EXPECT_NE(fleet.arrive("last", "p").sentTo(), affinityInstance);
+  EXPECT_NE(router.arrive("last", "p").sentTo(), affinityInstance);
 }
 
 TEST(OutlierDetection, TriesAnUnreachableInstanceAgainAfterItsBackoff) {
-  Fleet fleet;
-  fleet.list(twoCells());
-  const std::string affinityInstance = fleet.arrive("x", "p").sentTo();
-  fleet.end("x", affinityInstance, AttemptOutcome::kConnectFailed);
-  EXPECT_NE(fleet.arrive("soon", "p").sentTo(), affinityInstance);
-  fleet.wait(50ms).end("soon", cellOf(affinityInstance) == '0' ? "r1" : "r0",
-                       AttemptOutcome::kPrefilled);
-  EXPECT_EQ(fleet.wait(1200ms).arrive("later", "p").sentTo(), affinityInstance);
+  RouterHarness router;
+  router.updateEndpoints(twoCells());
+  const std::string affinityInstance = router.arrive("x", "p").sentTo();
+  router.endAttempt("x", affinityInstance, AttemptOutcome::kConnectFailed);
+  EXPECT_NE(router.arrive("soon", "p").sentTo(), affinityInstance);
+  router.advance(50ms).endAttempt("soon", cellOf(affinityInstance) == '0' ? "r1" : "r0",
+                                  AttemptOutcome::kPrefilled);
+  EXPECT_EQ(router.advance(1200ms).arrive("later", "p").sentTo(), affinityInstance);
 }
 
 // Instances that fail fast get most of the requests: they must not become the measure of failure.
 TEST(OutlierDetection, EjectsBothOfTwoOfThreeInstancesThatMostlyFail) {
-  Fleet fleet;
-  fleet.list({endpoint("r0", kPrefill), endpoint("r1", kPrefill), endpoint("r2", kPrefill),
-              endpoint("w0", kDecode)});
+  RouterHarness router;
+  router.updateEndpoints({endpoint("r0", kPrefill), endpoint("r1", kPrefill),
+                          endpoint("r2", kPrefill), endpoint("w0", kDecode)});
   for (int i = 0; i < 30; ++i)
-    fleet.serve(numbered("warm", i), numbered("p", i));
+    router.serve(numbered("warm", i), numbered("p", i));
   std::map<std::string, int> attempts;
   int failed = 0;
   for (int i = 0; i < 40; ++i) {
     const std::string id = numbered("a", i);
-    std::string at = fleet.arrive(id, numbered("p", i % 30)).sentTo();
+    std::string at = router.arrive(id, numbered("p", i % 30)).sentTo();
     while (!at.empty() && at != "r2" && ++attempts[at] % 4 != 0) {
       ++failed;
-      at = fleet.end(id, at, AttemptOutcome::kError, 1ms).sentTo();
+      at = router.endAttempt(id, at, AttemptOutcome::kError, 1ms).sentTo();
     }
     if (at.empty())
       continue;
     const std::string decodeInstance =
-        fleet.wait(5ms).end(id, at, AttemptOutcome::kPrefilled, 5ms).sentTo();
-    fleet.open(id, decodeInstance).end(id, decodeInstance, AttemptOutcome::kServed, 10ms, true);
+        router.advance(5ms).endAttempt(id, at, AttemptOutcome::kPrefilled, 5ms).sentTo();
+    router.openStream(id, decodeInstance)
+        .endAttempt(id, decodeInstance, AttemptOutcome::kServed, 10ms, true);
   }
   EXPECT_LE(failed, 12);
 }
 
 TEST(OutlierDetection, ReinstatesAnInstanceThatFailedSomeAfterSeveralTrials) {
-  Fleet fleet;
-  fleet.list(twoCells());
-  for (std::string id; !(id = arriveAt(fleet, "f" + id, "r0")).empty();)
-    serveFrom(fleet, id, fleet.end(id, "r0", AttemptOutcome::kError, 1ms).sentTo());
-  ASSERT_EQ(arriveAt(fleet, "out", "r0"), "");
-  fleet.wait(1100ms);
+  RouterHarness router;
+  router.updateEndpoints(twoCells());
+  for (std::string id; !(id = arriveAt(router, "f" + id, "r0")).empty();)
+    serveFrom(router, id, router.endAttempt(id, "r0", AttemptOutcome::kError, 1ms).sentTo());
+  ASSERT_EQ(arriveAt(router, "out", "r0"), "");
+  router.advance(1100ms);
   for (int i = 0; i < 3; ++i) {
-    const std::string trial = arriveAt(fleet, numbered("t", i), "r0");
+    const std::string trial = arriveAt(router, numbered("t", i), "r0");
     ASSERT_NE(trial, "");
-    EXPECT_EQ(arriveAt(fleet, numbered("b", i), "r0"), "");  // one at a time
-    serveFrom(fleet, trial, "r0");
+    EXPECT_EQ(arriveAt(router, numbered("b", i), "r0"), "");  // one at a time
+    serveFrom(router, trial, "r0");
   }
-  ASSERT_NE(arriveAt(fleet, "again", "r0"), "");
-  EXPECT_NE(arriveAt(fleet, "beside", "r0"), "");
+  ASSERT_NE(arriveAt(router, "again", "r0"), "");
+  EXPECT_NE(arriveAt(router, "beside", "r0"), "");
 }
 
 TEST(OutlierDetection, DoesNotEjectForOneBrokenConnection) {
-  Fleet fleet;
-  fleet.list(twoCells());
-  fleet.end(arriveAt(fleet, "x", "r0"), "r0", AttemptOutcome::kConnectionLost, 1ms);
-  EXPECT_NE(arriveAt(fleet, "next", "r0"), "");
+  RouterHarness router;
+  router.updateEndpoints(twoCells());
+  router.endAttempt(arriveAt(router, "x", "r0"), "r0", AttemptOutcome::kConnectionLost, 1ms);
+  EXPECT_NE(arriveAt(router, "next", "r0"), "");
 }
 
 // A moment without connections fails whatever is out at once: one failure, not one for each that
@@ -218,52 +224,55 @@
 TEST(OutlierDetection, ConnectsThatFailTogetherEjectForOneBackoff) {
   Settings settings = plainSettings();
   settings.limits.maxAttempts = 2;
-  Fleet fleet(settings);
-  fleet.list({endpoint("r", kPrefill), endpoint("w", kDecode)});
+  RouterHarness router(settings);
+  router.updateEndpoints({endpoint("r", kPrefill), endpoint("w", kDecode)});
   const std::vector<std::string> ids{"a", "b", "c", "d"};
   for (const std::string& id : ids)
-    EXPECT_EQ(fleet.arrive(id).wait(5ms).end(id, "r", AttemptOutcome::kPrefilled).sentTo(), "w");
-  fleet.wait(250ms);
+    EXPECT_EQ(
+        router.arrive(id).advance(5ms).endAttempt(id, "r", AttemptOutcome::kPrefilled).sentTo(),
+        "w");
+  router.advance(250ms);
   for (const std::string& id : ids)
-    EXPECT_TRUE(fleet.end(id, "w", AttemptOutcome::kConnectFailed).any<RejectRequest>());
-  EXPECT_FALSE(fleet.wait(900ms)
+    EXPECT_TRUE(
+        router.endAttempt(id, "w", AttemptOutcome::kConnectFailed).hasAction<RejectRequest>());
+  EXPECT_FALSE(router.advance(900ms)
                    .arrive("next")
-                   .wait(5ms)
-                   .end("next", "r", AttemptOutcome::kPrefilled)
-                   .any<DispatchAttempt>());
-  EXPECT_EQ(fleet.wait(200ms).sentTo(), "w")
+                   .advance(5ms)
+                   .endAttempt("next", "r", AttemptOutcome::kPrefilled)
+                   .hasAction<DispatchAttempt>());
+  EXPECT_EQ(router.advance(200ms).sentTo(), "w")
       << "the pause of a second is over, and was not doubled";
 }
 
 // The instance answers the rest, so it is never silent.
 TEST(Stragglers, APrefillThatOthersOvertakeIsCancelledAndRetriedElsewhere) {
-  Fleet fleet;
-  fleet.list(twoCells());
-  const std::string lost = arriveAt(fleet, "s", "r0");
+  RouterHarness router;
+  router.updateEndpoints(twoCells());
+  const std::string lost = arriveAt(router, "s", "r0");
   bool cancelled = false;
   for (int i = 0; i < 5 && !cancelled; ++i) {
-    const std::string later = arriveAt(fleet, numbered("a", i), "r0");
+    const std::string later = arriveAt(router, numbered("a", i), "r0");
     ASSERT_NE(later, "");
-    fleet.wait(50ms).end(later, "r0", AttemptOutcome::kPrefilled, 2ms);
-    for (const CancelAttempt& cancel : fleet.all<CancelAttempt>())
+    router.advance(50ms).endAttempt(later, "r0", AttemptOutcome::kPrefilled, 2ms);
+    for (const CancelAttempt& cancel : router.actionsOf<CancelAttempt>())
       cancelled |= cancel.request.value == lost;
   }
   ASSERT_TRUE(cancelled);
-  fleet.end(lost, "r0", AttemptOutcome::kCancelled, 250ms);
-  EXPECT_EQ(fleet.sentTo(), "r1");
+  router.endAttempt(lost, "r0", AttemptOutcome::kCancelled, 250ms);
+  EXPECT_EQ(router.sentTo(), "r1");
 }
 
 TEST(Stragglers, AttemptsAtASilentInstanceAreCancelledAndRetriedElsewhere) {
-  Fleet fleet;
-  fleet.list(twoCells());
+  RouterHarness router;
+  router.updateEndpoints(twoCells());
   for (int i = 0; i < 4; ++i)
-    fleet.serve(numbered("warm", i));
-  const std::string silent = fleet.arrive("x").sentTo();
-  fleet.wait(700ms);
-  ASSERT_TRUE(fleet.any<CancelAttempt>());
-  fleet.end("x", silent, AttemptOutcome::kCancelled);
-  EXPECT_NE(fleet.sentTo(), "");
-  EXPECT_NE(fleet.sentTo(), silent);
+    router.serve(numbered("warm", i));
+  const std::string silent = router.arrive("x").sentTo();
+  router.advance(700ms);
+  ASSERT_TRUE(router.hasAction<CancelAttempt>());
+  router.endAttempt("x", silent, AttemptOutcome::kCancelled);
+  EXPECT_NE(router.sentTo(), "");
+  EXPECT_NE(router.sentTo(), silent);
 }
 
 }  // namespace
--- a/tests/router_load_test.cpp
+++ b/tests/router_load_test.cpp
@@ -5,19 +5,19 @@
 namespace {
 
 // So many streams, opened one after the other.
-Fleet fleetWithStreams(int count, bool resume) {
+RouterHarness fleetWithStreams(int count, bool resume) {
   Settings settings = plainSettings();
   settings.streamResumption = resume;
-  Fleet fleet(settings);
-  fleet.list(twoCells());
+  RouterHarness router(settings);
+  router.updateEndpoints(twoCells());
   for (int i = 0; i < count; ++i) {
     const std::string id = numbered("s", i);
-    const std::string prefillInstance = fleet.arrive(id).sentTo();
+    const std::string prefillInstance = router.arrive(id).sentTo();
     const std::string decodeInstance =
-        fleet.end(id, prefillInstance, AttemptOutcome::kPrefilled).sentTo();
-    fleet.open(id, decodeInstance).wait(10ms);
+        router.endAttempt(id, prefillInstance, AttemptOutcome::kPrefilled).sentTo();
+    router.openStream(id, decodeInstance).advance(10ms);
   }
-  return fleet;
+  return router;
 }
 
 Settings manyNodes(int nodes) {
@@ -26,12 +26,13 @@
   return settings;
 }
 
-std::vector<Fleet> nodesOf(const Settings& settings, const std::vector<EndpointRecord>& list) {
-  std::vector<Fleet> nodes;
+std::vector<RouterHarness> nodesOf(const Settings& settings,
+                                   const std::vector<EndpointRecord>& list) {
+  std::vector<RouterHarness> nodes;
   for (int i = 0; i < settings.nodes; ++i)
     nodes.emplace_back(settings, static_cast<std::uint64_t>(i));
-  for (Fleet& node : nodes)
-    node.list(list);
+  for (RouterHarness& node : nodes)
+    node.updateEndpoints(list);
   return nodes;
 }
 
@@ -44,60 +45,61 @@
   return list;
 }
 
-// Sends one request to a fleet whose prefill instances all have full queues, or none has; returns
+// Sends one request to a router whose prefill instances all have full queues, or none has; returns
 // whether a prefill was tried.
-bool prefillOnce(Fleet& node, const std::string& id, bool congested) {
-  std::string at = node.wait(400ms).arrive(id, id).sentTo();
+bool prefillOnce(RouterHarness& node, const std::string& id, bool congested) {
+  std::string at = node.advance(400ms).arrive(id, id).sentTo();
   const bool tried = !at.empty();
   while (!at.empty() && congested)
-    at = node.end(id, at, AttemptOutcome::kRejected, 1ms).sentTo();
+    at = node.endAttempt(id, at, AttemptOutcome::kRejected, 1ms).sentTo();
   if (at.empty())
     return tried;
   const std::string decodeInstance =
-      node.wait(20ms).end(id, at, AttemptOutcome::kPrefilled, 20ms).sentTo();
-  node.wait(10ms)
-      .open(id, decodeInstance)
-      .wait(10ms)
-      .end(id, decodeInstance, AttemptOutcome::kServed, 20ms, true);
+      node.advance(20ms).endAttempt(id, at, AttemptOutcome::kPrefilled, 20ms).sentTo();
+  node.advance(10ms)
+      .openStream(id, decodeInstance)
+      .advance(10ms)
+      .endAttempt(id, decodeInstance, AttemptOutcome::kServed, 20ms, true);
   return true;
 }
 
 TEST(LoadShedding, CongestionSeenLongAgoDoesNotRejectForEver) {
-  Fleet fleet;
-  fleet.list({endpoint("r0", kPrefill), endpoint("w0", kDecode)});
+  RouterHarness router;
+  router.updateEndpoints({endpoint("r0", kPrefill), endpoint("w0", kDecode)});
   for (int i = 0; i < 10; ++i) {
     const std::string id = numbered("slow", i);
-    fleet.arrive(id).wait(3s).end(id, "r0", AttemptOutcome::kPrefilled, 3s);
-    fleet.wait(10ms).open(id, "w0").end(id, "w0", AttemptOutcome::kServed, 20ms, true);
+    router.arrive(id).advance(3s).endAttempt(id, "r0", AttemptOutcome::kPrefilled, 3s);
+    router.advance(10ms).openStream(id, "w0").endAttempt(id, "w0", AttemptOutcome::kServed, 20ms,
+                                                         true);
   }
-  EXPECT_TRUE(fleet.wait(5s).arrive("later").any<DispatchAttempt>());
+  EXPECT_TRUE(router.advance(5s).arrive("later").hasAction<DispatchAttempt>());
 }
 
 // Its first token came in time long ago; a rejection would lose all that was decoded for it.
 TEST(LoadShedding, AResumedRequestIsNotRejectedForBeingLate) {
-  Fleet fleet;
-  fleet.list({endpoint("r0", kPrefill), endpoint("w0", kDecode)});
-  fleet.arrive("slow", "", 6s, 1000);
-  fleet.wait(900ms).end("slow", "r0", AttemptOutcome::kPrefilled,
-                        900ms);  // prefills take most of the objective of 1 s
-  ASSERT_TRUE(fleet.arrive("fresh", "", 6s, 4000).any<RejectRequest>());
-  Arrival rest = Fleet::arrival("rest", "", 6s, 4000);
+  RouterHarness router;
+  router.updateEndpoints({endpoint("r0", kPrefill), endpoint("w0", kDecode)});
+  router.arrive("slow", "", 6s, 1000);
+  router.advance(900ms).endAttempt("slow", "r0", AttemptOutcome::kPrefilled,
+                                   900ms);  // prefills take most of the objective of 1 s
+  ASSERT_TRUE(router.arrive("fresh", "", 6s, 4000).hasAction<RejectRequest>());
+  Arrival rest = RouterHarness::arrival("rest", "", 6s, 4000);
   rest.resumed = true;
-  EXPECT_EQ(fleet.give(rest).sentTo(), "r0");
+  EXPECT_EQ(router.handle(rest).sentTo(), "r0");
 }
 
 TEST(LoadShedding, RequestsWaitBeforeThePrefillWhileEveryDecodeInstanceIsFull) {
-  Fleet fleet;
-  fleet.list({endpoint("r0", kPrefill), endpoint("w0", kDecode)}).arrive("a");
-  fleet.give(ReservationResult{{"a"}, 0, {"w0"}, false});
-  EXPECT_FALSE(fleet.arrive("b").any<DispatchAttempt>());
-  EXPECT_TRUE(fleet.wait(200ms).any<DispatchAttempt>());
+  RouterHarness router;
+  router.updateEndpoints({endpoint("r0", kPrefill), endpoint("w0", kDecode)}).arrive("a");
+  router.handle(ReservationResult{{"a"}, 0, {"w0"}, false});
+  EXPECT_FALSE(router.arrive("b").hasAction<DispatchAttempt>());
+  EXPECT_TRUE(router.advance(200ms).hasAction<DispatchAttempt>());
 }
 
 TEST(LoadShedding, WhatWaitsPastItsObjectiveIsRejected) {
-  Fleet fleet;
-  fleet.arrive("a").wait(1200ms);
-  EXPECT_TRUE(fleet.any<RejectRequest>());
+  RouterHarness router;
+  router.arrive("a").advance(1200ms);
+  EXPECT_TRUE(router.hasAction<RejectRequest>());
 }
 
 // A burst must not be rejected for want of prefill instances while the decode instances have little
@@ -105,31 +107,31 @@
 TEST(DecodePrefill, TakesWhatAPrefillInstanceCannotPrefillInTime) {
   Settings settings = plainSettings();
   settings.decodeCanPrefill = true;
-  Fleet fleet(settings);
-  congestPrefillInstance(fleet, endpoint("w0", kDecode), 1).arrive("late", "", 6s, 6000);
-  EXPECT_EQ(fleet.sentTo(), "w0");
-  EXPECT_FALSE(fleet.any<ReserveDecode>());
-  fleet.wait(100ms)
-      .open("late", "w0")
-      .wait(100ms)
-      .end("late", "w0", AttemptOutcome::kServed, 200ms, true);
+  RouterHarness router(settings);
+  congestPrefillInstance(router, endpoint("w0", kDecode), 1).arrive("late", "", 6s, 6000);
+  EXPECT_EQ(router.sentTo(), "w0");
+  EXPECT_FALSE(router.hasAction<ReserveDecode>());
+  router.advance(100ms)
+      .openStream("late", "w0")
+      .advance(100ms)
+      .endAttempt("late", "w0", AttemptOutcome::kServed, 200ms, true);
   for (const std::string id : {"long0", "long1"})
-    fleet.end(id, "r0", AttemptOutcome::kPrefilled, 250ms);
-  EXPECT_EQ(fleet.wait(3s).arrive("calm").sentTo(), "r0");  // the usual path stays
+    router.endAttempt(id, "r0", AttemptOutcome::kPrefilled, 250ms);
+  EXPECT_EQ(router.advance(3s).arrive("calm").sentTo(), "r0");  // the usual path stays
 }
 
 // Answers must not come late because the queue of a prefill instance is long, though not too long
 // to try.
 TEST(DecodePrefill, TakesWhatWouldTakeAPrefillInstanceMostOfTheObjective) {
   Settings settings = plainSettings();
-  Fleet withoutPrefill(settings);
+  RouterHarness withoutPrefill(settings);
   EXPECT_EQ(congestPrefillInstance(withoutPrefill, endpoint("w0", kDecode), 1)
                 .arrive("next", "", 6s, 2000)
                 .sentTo(),
             "r0");
   settings.decodeCanPrefill = true;
-  Fleet fleet(settings);
-  EXPECT_EQ(congestPrefillInstance(fleet, endpoint("w0", kDecode), 1)
+  RouterHarness router(settings);
+  EXPECT_EQ(congestPrefillInstance(router, endpoint("w0", kDecode), 1)
                 .arrive("next", "", 6s, 4000)
                 .sentTo(),
             "w0");
@@ -139,27 +141,27 @@
 // start may be overloaded.
 TEST(DecodePrefill, IsNotAskedOfInstancesInSlowStartOrWithMuchInMemoryOrUnableToPrefill) {
   Settings settings = plainSettings();
-  Fleet withoutPrefill(settings);
+  RouterHarness withoutPrefill(settings);
   EXPECT_TRUE(congestPrefillInstance(withoutPrefill, endpoint("w0", kDecode), 1)
                   .arrive("late", "", 6s, 6000)
-                  .any<RejectRequest>());
+                  .hasAction<RejectRequest>());
   settings.decodeCanPrefill = true;
-  Fleet fullMemory(settings);
+  RouterHarness fullMemory(settings);
   EXPECT_TRUE(congestPrefillInstance(fullMemory, endpoint("w0", kDecode), 5)
                   .arrive("late", "", 6s, 6000)
-                  .any<RejectRequest>());
-  Fleet startingInstance(settings);
+                  .hasAction<RejectRequest>());
+  RouterHarness startingInstance(settings);
   EXPECT_TRUE(congestPrefillInstance(startingInstance,
                                      slowStarting("w0", kDecode, startingInstance.now()), 1)
                   .arrive("late", "", 6s, 6000)
-                  .any<RejectRequest>());
+                  .hasAction<RejectRequest>());
 }
 
 // Many nodes must not keep up the congestion of prefill instances together, and each has to see its
 // end.
 TEST(ManyNodes, PrefillLittleWhereNothingIsInTimeAndAllAgainAfterwards) {
   int tried = 0, after = 0;
-  for (Fleet& node : nodesOf(manyNodes(100), prefillAndDecodeInstances(12))) {
+  for (RouterHarness& node : nodesOf(manyNodes(100), prefillAndDecodeInstances(12))) {
     for (int i = 0; i < 20; ++i)
       tried += prefillOnce(node, numbered("a", i), true) ? 1 : 0;
     for (int i = 0; i < 40; ++i)
@@ -171,7 +173,7 @@
 }
 
 TEST(ManyNodes, AFewThatKnowEachPrefillInstanceAreNotThrottled) {
-  for (Fleet& node : nodesOf(manyNodes(2), prefillAndDecodeInstances(2)))
+  for (RouterHarness& node : nodesOf(manyNodes(2), prefillAndDecodeInstances(2)))
     for (int i = 0; i < 20; ++i)
       EXPECT_TRUE(prefillOnce(node, numbered("a", i), true)) << i;
 }
@@ -180,11 +182,11 @@
 // together must not send all at once.
 TEST(ManyNodes, SomeOfThemSendToAnInstanceInSlowStartAtOnce) {
   int toNew = 0, key = 0;
-  for (Fleet& node : nodesOf(manyNodes(300), prefillAndDecodeInstances(2))) {
-    node.list({slowStarting("rc", kPrefill, node.now())}, EndpointListForm::kChanges);
+  for (RouterHarness& node : nodesOf(manyNodes(300), prefillAndDecodeInstances(2))) {
+    node.updateEndpoints({slowStarting("rc", kPrefill, node.now())}, EndpointListForm::kChanges);
     for (int i = 0; i < 6; ++i, ++key)
       toNew +=
-          node.wait(10ms).arrive(numbered("a", i), numbered("p", key)).sentTo() == "rc" ? 1 : 0;
+          node.advance(10ms).arrive(numbered("a", i), numbered("p", key)).sentTo() == "rc" ? 1 : 0;
   }
   EXPECT_GT(toNew, 15);
   EXPECT_LT(toNew, 300 * 0.35);
@@ -198,15 +200,16 @@
     settings.decodeCanPrefill = true;
     settings.kinds[kDecode].memoryTokens = 1e9;  // so that capacity is not what they lack
     int prefills = 0;
-    Fleet node(settings);
+    RouterHarness node(settings);
     congestPrefillInstance(node, endpoint("w0", kDecode), 1)
-        .end("stream0", "w0", AttemptOutcome::kServed, 600ms, true);
+        .endAttempt("stream0", "w0", AttemptOutcome::kServed, 600ms, true);
     for (int i = 0; i < 10; ++i) {
       const std::string id = numbered("late", i);
       if (node.arrive(id, "", 6s, 6000).sentTo() != "w0")
         continue;
       ++prefills;
-      node.wait(10ms).open(id, "w0").wait(10ms).end(id, "w0", AttemptOutcome::kServed, 20ms, true);
+      node.advance(10ms).openStream(id, "w0").advance(10ms).endAttempt(
+          id, "w0", AttemptOutcome::kServed, 20ms, true);
     }
     return prefills;
   };
@@ -215,39 +218,39 @@
 }
 
 TEST(GracefulShutdown, StreamsAreMigratedOverTheEndOfTheGraceTheYoungestFirst) {
-  Fleet fleet = fleetWithStreams(10, true);
-  EXPECT_FALSE(fleet.give(ShutdownStarted{3700ms}).any<MigrateStream>());
-  EXPECT_FALSE(fleet.wait(2200ms).any<MigrateStream>());
-  std::vector<MigrateStream> migrated = fleet.wait(600ms).all<MigrateStream>();
+  RouterHarness router = fleetWithStreams(10, true);
+  EXPECT_FALSE(router.handle(ShutdownStarted{3700ms}).hasAction<MigrateStream>());
+  EXPECT_FALSE(router.advance(2200ms).hasAction<MigrateStream>());
+  std::vector<MigrateStream> migrated = router.advance(600ms).actionsOf<MigrateStream>();
   ASSERT_GE(migrated.size(), 4U);
   ASSERT_LE(migrated.size(), 7U);
   EXPECT_EQ(migrated.front().request.value, "s9");
   const std::size_t first = migrated.size();
-  migrated = fleet.wait(600ms).all<MigrateStream>();
+  migrated = router.advance(600ms).actionsOf<MigrateStream>();
   EXPECT_EQ(first + migrated.size(), 10U);  // none twice, none left
 }
 
 TEST(GracefulShutdown, AMigratedStreamDoesNotCountAgainstItsInstance) {
-  Fleet fleet = fleetWithStreams(1, true);
-  fleet.give(ShutdownStarted{1s}).wait(990ms);
-  ASSERT_TRUE(fleet.any<MigrateStream>());
-  fleet.end("s0", "w0", AttemptOutcome::kConnectionLost, 1s, true);
-  for (const LogMessage& log : fleet.all<LogMessage>())
+  RouterHarness router = fleetWithStreams(1, true);
+  router.handle(ShutdownStarted{1s}).advance(990ms);
+  ASSERT_TRUE(router.hasAction<MigrateStream>());
+  router.endAttempt("s0", "w0", AttemptOutcome::kConnectionLost, 1s, true);
+  for (const LogMessage& log : router.actionsOf<LogMessage>())
     EXPECT_EQ(log.text.find("passing over"), std::string::npos);
 }
 
 TEST(GracefulShutdown, NothingIsMigratedWhereClientsDoNotResume) {
-  Fleet fleet = fleetWithStreams(3, false);
-  EXPECT_FALSE(fleet.give(ShutdownStarted{1s}).any<MigrateStream>());
-  EXPECT_FALSE(fleet.wait(2s).any<MigrateStream>());
+  RouterHarness router = fleetWithStreams(3, false);
+  EXPECT_FALSE(router.handle(ShutdownStarted{1s}).hasAction<MigrateStream>());
+  EXPECT_FALSE(router.advance(2s).hasAction<MigrateStream>());
 }
 
 TEST(GracefulShutdown, WhatHasNoStreamNearTheEndGetsItsFinalAnswer) {
-  Fleet fleet;
-  fleet.list(twoCells()).arrive("a");
-  fleet.give(ShutdownStarted{1s});
-  EXPECT_FALSE(fleet.wait(900ms).any<RejectRequest>());
-  EXPECT_EQ(fleet.wait(60ms).all<RejectRequest>().size(), 1U);
+  RouterHarness router;
+  router.updateEndpoints(twoCells()).arrive("a");
+  router.handle(ShutdownStarted{1s});
+  EXPECT_FALSE(router.advance(900ms).hasAction<RejectRequest>());
+  EXPECT_EQ(router.advance(60ms).actionsOf<RejectRequest>().size(), 1U);
 }
 
 }  // namespace
--- a/tests/router_scenarios.h
+++ b/tests/router_scenarios.h
@@ -5,7 +5,7 @@
 #include <utility>
 #include <vector>
 
-#include "fleet.h"
+#include "router_harness.h"
 
 namespace inference_router::routing {
 
@@ -29,23 +29,27 @@
   return entry;
 }
 
-inline std::string startDecode(Fleet& fleet) {
-  const std::string prefillInstance = fleet.list(twoCells()).arrive("a").sentTo();
-  return fleet.wait(20ms).end("a", prefillInstance, AttemptOutcome::kPrefilled).sentTo();
+inline std::string startDecode(RouterHarness& router) {
+  const std::string prefillInstance = router.updateEndpoints(twoCells()).arrive("a").sentTo();
+  return router.advance(20ms).endAttempt("a", prefillInstance, AttemptOutcome::kPrefilled).sentTo();
 }
 
 // A prefill instance with a queue of 0.75 s, beside a decode instance that holds the prompts of so
 // many open streams.
-inline Fleet& congestPrefillInstance(Fleet& fleet, EndpointRecord decodeInstance, int streams) {
-  fleet.list({endpoint("r0", kPrefill), std::move(decodeInstance)});
+inline RouterHarness& congestPrefillInstance(RouterHarness& router,
+                                             EndpointRecord decodeInstance,
+                                             int streams) {
+  router.updateEndpoints({endpoint("r0", kPrefill), std::move(decodeInstance)});
   for (int i = 0; i < streams; ++i) {
     const std::string id = numbered("stream", i);
-    fleet.arrive(id, "", 6s, 10'000).wait(500ms).end(id, "r0", AttemptOutcome::kPrefilled, 500ms);
-    fleet.wait(20ms).open(id, "w0");
+    router.arrive(id, "", 6s, 10'000)
+        .advance(500ms)
+        .endAttempt(id, "r0", AttemptOutcome::kPrefilled, 500ms);
+    router.advance(20ms).openStream(id, "w0");
   }
   for (int i = 0; i < 3; ++i)
-    fleet.arrive(numbered("long", i), "", 6s, 5000);
-  return fleet;
+    router.arrive(numbered("long", i), "", 6s, 5000);
+  return router;
 }
 
 }  // namespace inference_router::routing
--- a/tests/router_selection_test.cpp
+++ b/tests/router_selection_test.cpp
@@ -7,55 +7,55 @@
 namespace {
 
 TEST(DispatchPath, ReservesInTheCellOfThePrefillTogetherWithIt) {
-  Fleet fleet;
-  fleet.list(twoCells()).arrive("a");
-  ASSERT_EQ(fleet.sentTo()[0], 'r');
-  EXPECT_EQ(cellOf(fleet.reservedAt()), cellOf(fleet.sentTo()));
+  RouterHarness router;
+  router.updateEndpoints(twoCells()).arrive("a");
+  ASSERT_EQ(router.sentTo()[0], 'r');
+  EXPECT_EQ(cellOf(router.reservedAt()), cellOf(router.sentTo()));
 }
 
 TEST(DispatchPath, DecodesAtTheReservationAsSoonAsThePrefillEnds) {
-  Fleet fleet;
-  const std::string prefillInstance = fleet.list(twoCells()).arrive("a").sentTo();
-  const std::string reserved = fleet.reservedAt();
-  fleet.give(ReservationResult{{"a"}, 0, {reserved}, true});
-  EXPECT_EQ(fleet.end("a", prefillInstance, AttemptOutcome::kPrefilled).sentTo(), reserved);
+  RouterHarness router;
+  const std::string prefillInstance = router.updateEndpoints(twoCells()).arrive("a").sentTo();
+  const std::string reserved = router.reservedAt();
+  router.handle(ReservationResult{{"a"}, 0, {reserved}, true});
+  EXPECT_EQ(router.endAttempt("a", prefillInstance, AttemptOutcome::kPrefilled).sentTo(), reserved);
 }
 
 TEST(DispatchPath, DecodesInTheCellWhenTheReservationIsRejected) {
-  Fleet fleet;
-  const std::string prefillInstance = fleet.list(twoCells()).arrive("a").sentTo();
-  fleet.give(ReservationResult{{"a"}, 0, {fleet.reservedAt()}, false});
-  EXPECT_EQ(cellOf(fleet.end("a", prefillInstance, AttemptOutcome::kPrefilled).sentTo()),
+  RouterHarness router;
+  const std::string prefillInstance = router.updateEndpoints(twoCells()).arrive("a").sentTo();
+  router.handle(ReservationResult{{"a"}, 0, {router.reservedAt()}, false});
+  EXPECT_EQ(cellOf(router.endAttempt("a", prefillInstance, AttemptOutcome::kPrefilled).sentTo()),
             cellOf(prefillInstance));
 }
 
 TEST(DispatchPath, LeavesTheCellOnlyWhenItHasNoUsableDecodeInstance) {
-  Fleet fleet;
-  const std::string prefillInstance = fleet.list(twoCells()).arrive("a").sentTo();
+  RouterHarness router;
+  const std::string prefillInstance = router.updateEndpoints(twoCells()).arrive("a").sentTo();
   std::vector<EndpointRecord> gone;
   for (EndpointRecord entry : twoCells()) {
     if (cellOf(entry.instance.value) == cellOf(prefillInstance) && entry.kind.value == kDecode) {
       gone.push_back(withState(entry, EndpointState::kRemoved));
     }
   }
-  fleet.list(gone, EndpointListForm::kChanges);
+  router.updateEndpoints(gone, EndpointListForm::kChanges);
   const std::string decodeInstance =
-      fleet.end("a", prefillInstance, AttemptOutcome::kPrefilled).sentTo();
+      router.endAttempt("a", prefillInstance, AttemptOutcome::kPrefilled).sentTo();
   ASSERT_NE(decodeInstance, "");
   EXPECT_NE(cellOf(decodeInstance), cellOf(prefillInstance));
 }
 
 TEST(DispatchPath, AMixedInstancePrefillsAndDecodes) {
-  Fleet fleet;
-  fleet.list({endpoint("m0", kMixed)}).arrive("a");
-  EXPECT_EQ(fleet.sentTo(), "m0");
-  EXPECT_FALSE(fleet.any<ReserveDecode>());
+  RouterHarness router;
+  router.updateEndpoints({endpoint("m0", kMixed)}).arrive("a");
+  EXPECT_EQ(router.sentTo(), "m0");
+  EXPECT_FALSE(router.hasAction<ReserveDecode>());
 }
 
 TEST(PrefillSelection, OnePrefixIsPrefilledAtOneInstanceFromEveryNode) {
-  Fleet one(plainSettings(), 1), other(plainSettings(), 2);
-  one.list(twoCells());
-  other.list(twoCells());
+  RouterHarness one(plainSettings(), 1), other(plainSettings(), 2);
+  one.updateEndpoints(twoCells());
+  other.updateEndpoints(twoCells());
   std::set<std::string> prefillInstances;
   for (int i = 0; i < 6; ++i) {
     for (int j = 0; j < 6; ++j)
@@ -71,9 +71,9 @@
 // One prefill instance must not take all of a popular prefix, and nodes must agree where the text
 // of a session is cached.
 TEST(PrefillSelection, APopularPrefixIsSpreadBySessionAlikeAtEveryNode) {
-  Fleet one(plainSettings(), 1), other(plainSettings(), 2);
-  one.list(twoCells());
-  other.list(twoCells());
+  RouterHarness one(plainSettings(), 1), other(plainSettings(), 2);
+  one.updateEndpoints(twoCells());
+  other.updateEndpoints(twoCells());
   for (int i = 0; i < 12; ++i)
     one.serve(numbered("warm", i), "prefix");
   for (int i = 0; i < 12; ++i)
@@ -96,22 +96,23 @@
     entries.push_back(endpoint(numbered("r", i), kPrefill));
   std::set<std::string> prefillInstances;
   for (int i = 0; i < kNodes; ++i) {
-    Fleet node(plainSettings(), static_cast<std::uint64_t>(i));
-    prefillInstances.insert(node.list(entries).arrive(numbered("a", i), "prefix").sentTo());
+    RouterHarness node(plainSettings(), static_cast<std::uint64_t>(i));
+    prefillInstances.insert(
+        node.updateEndpoints(entries).arrive(numbered("a", i), "prefix").sentTo());
   }
   EXPECT_EQ(prefillInstances.size(), 1U);
 }
 
 // Cells without decode instances must not be left idle, and their neighbours not be overloaded.
 TEST(PrefillSelection, InstancesOfACellWithoutDecodeInstancesTakePart) {
-  Fleet fleet;
-  fleet.list({endpoint("r0", kPrefill, 0), endpoint("w0", kDecode, 0), endpoint("v0", kDecode, 0),
-              endpoint("r1", kPrefill, 1)});
+  RouterHarness router;
+  router.updateEndpoints({endpoint("r0", kPrefill, 0), endpoint("w0", kDecode, 0),
+                          endpoint("v0", kDecode, 0), endpoint("r1", kPrefill, 1)});
   int away = 0;
   for (int i = 0; i < 40; ++i) {
-    if (fleet.arrive(numbered("a", i), numbered("p", i)).sentTo() == "r1") {
+    if (router.arrive(numbered("a", i), numbered("p", i)).sentTo() == "r1") {
       ++away;
-      EXPECT_EQ(fleet.reservedAt()[1], '0');
+      EXPECT_EQ(router.reservedAt()[1], '0');
     }
   }
   EXPECT_GT(away, 4);
@@ -120,48 +121,49 @@
 
 // Congestion must be noticed where no prefill ends in time.
 TEST(PrefillSelection, APrefillThatTimesOutShowsTheQueueingDelay) {
-  Fleet fleet;
-  fleet.list(twoCells());
+  RouterHarness router;
+  router.updateEndpoints(twoCells());
   for (int i = 0; i < 6; ++i)
-    fleet.serve(numbered("warm", i), numbered("q", i));
-  const std::string affinityInstance = fleet.arrive("a", "p").sentTo();
-  fleet.wait(900ms).end("a", affinityInstance, AttemptOutcome::kTimeout, 900ms);
-  EXPECT_NE(fleet.arrive("b", "p").sentTo(), affinityInstance);
+    router.serve(numbered("warm", i), numbered("q", i));
+  const std::string affinityInstance = router.arrive("a", "p").sentTo();
+  router.advance(900ms).endAttempt("a", affinityInstance, AttemptOutcome::kTimeout, 900ms);
+  EXPECT_NE(router.arrive("b", "p").sentTo(), affinityInstance);
 }
 
 TEST(PrefillSelection, ASuddenlyPopularPrefixSpreadsByTheBound) {
-  Fleet fleet;
-  fleet.list(twoCells());
+  RouterHarness router;
+  router.updateEndpoints(twoCells());
   for (int i = 0; i < 8; ++i)
-    fleet.serve(numbered("warm", i), numbered("p", i));
+    router.serve(numbered("warm", i), numbered("p", i));
   std::set<std::string> prefillInstances;
   for (int i = 0; i < 12; ++i)
-    prefillInstances.insert(fleet.arrive(numbered("hot", i), "hot", 6s, 6000).sentTo());
+    prefillInstances.insert(router.arrive(numbered("hot", i), "hot", 6s, 6000).sentTo());
   EXPECT_EQ(prefillInstances.count("r0") + prefillInstances.count("r1"), 2U);
 }
 
 TEST(PrefillSelection, ALongPromptAloneDoesNotMoveItsKey) {
-  Fleet fleet;
-  fleet.list(twoCells());
-  const std::string affinityInstance = fleet.serve("first", "prefix");
+  RouterHarness router;
+  router.updateEndpoints(twoCells());
+  const std::string affinityInstance = router.serve("first", "prefix");
   for (int i = 0; i < 4; ++i)
-    fleet.serve(numbered("warm", i), numbered("p", i));
-  EXPECT_EQ(fleet.arrive("long", "prefix", 6s, 9000).sentTo(), affinityInstance);
+    router.serve(numbered("warm", i), numbered("p", i));
+  EXPECT_EQ(router.arrive("long", "prefix", 6s, 9000).sentTo(), affinityInstance);
 }
 
 TEST(DecodeSelection, TakesTheInstanceWithFewestOwnStreams) {
-  Fleet fleet;
-  fleet.list({endpoint("r0", kPrefill), endpoint("w0", kDecode), endpoint("v0", kDecode)});
-  const std::string first = fleet.arrive("a").reservedAt();
-  EXPECT_NE(fleet.arrive("b").reservedAt(), first);
+  RouterHarness router;
+  router.updateEndpoints(
+      {endpoint("r0", kPrefill), endpoint("w0", kDecode), endpoint("v0", kDecode)});
+  const std::string first = router.arrive("a").reservedAt();
+  EXPECT_NE(router.arrive("b").reservedAt(), first);
 }
 
 // Another reservation is asked for while the prefill goes on.
 TEST(DecodeSelection, ARejectedReservationIsAskedOfTheNextInstance) {
-  Fleet fleet;
-  fleet.list(twoCells()).arrive("a");
-  const std::string first = fleet.reservedAt();
-  const std::string next = fleet.give(ReservationResult{{"a"}, 0, {first}, false}).reservedAt();
+  RouterHarness router;
+  router.updateEndpoints(twoCells()).arrive("a");
+  const std::string first = router.reservedAt();
+  const std::string next = router.handle(ReservationResult{{"a"}, 0, {first}, false}).reservedAt();
   ASSERT_NE(next, "");
   EXPECT_NE(next, first);
   EXPECT_EQ(cellOf(next), cellOf(first));
@@ -169,47 +171,47 @@
 
 // KV caches must not wait while a mixed instance has capacity.
 TEST(DecodeSelection, AMixedInstanceTakesWhatTheCellHasNoCapacityFor) {
-  Fleet fleet;
+  RouterHarness router;
   const EndpointRecord mixed = endpoint("m1", kMixed, 1);
-  fleet.list({endpoint("r0", kPrefill, 0), endpoint("w0", kDecode, 0), mixed});
+  router.updateEndpoints({endpoint("r0", kPrefill, 0), endpoint("w0", kDecode, 0), mixed});
   std::string id;
   for (int i = 0; id.empty() && i < 20; ++i)
-    if (fleet.arrive(numbered("a", i), numbered("p", i)).sentTo() == "r0")
+    if (router.arrive(numbered("a", i), numbered("p", i)).sentTo() == "r0")
       id = numbered("a", i);
-  ASSERT_EQ(fleet.reservedAt(), "w0");
-  EXPECT_EQ(fleet.give(ReservationResult{{id}, 0, {"w0"}, false}).reservedAt(), "m1");
+  ASSERT_EQ(router.reservedAt(), "w0");
+  EXPECT_EQ(router.handle(ReservationResult{{id}, 0, {"w0"}, false}).reservedAt(), "m1");
 }
 
 TEST(DecodeSelection, AsksForThreeReservationsAtMost) {
-  Fleet fleet;
-  fleet.list(twoCells()).arrive("a");
+  RouterHarness router;
+  router.updateEndpoints(twoCells()).arrive("a");
   int reservations = 1;
-  for (std::string at = fleet.reservedAt(); !at.empty(); at = fleet.reservedAt()) {
-    fleet.give(ReservationResult{{"a"}, 0, {at}, false});
-    reservations += fleet.any<ReserveDecode>() ? 1 : 0;
+  for (std::string at = router.reservedAt(); !at.empty(); at = router.reservedAt()) {
+    router.handle(ReservationResult{{"a"}, 0, {at}, false});
+    reservations += router.hasAction<ReserveDecode>() ? 1 : 0;
   }
   EXPECT_EQ(reservations, 3);
 }
 
 // A decode instance that has just failed the request is not used again, reservation or not.
 TEST(DecodeSelection, AReservationThatFailedIsNotUsedAgain) {
-  Fleet fleet;
-  const std::string prefillInstance = fleet.list(twoCells()).arrive("a").sentTo();
-  const std::string reserved = fleet.reservedAt();
-  fleet.give(ReservationResult{{"a"}, 0, {reserved}, true})
-      .end("a", prefillInstance, AttemptOutcome::kPrefilled);
-  const std::string next = fleet.end("a", reserved, AttemptOutcome::kError).sentTo();
+  RouterHarness router;
+  const std::string prefillInstance = router.updateEndpoints(twoCells()).arrive("a").sentTo();
+  const std::string reserved = router.reservedAt();
+  router.handle(ReservationResult{{"a"}, 0, {reserved}, true})
+      .endAttempt("a", prefillInstance, AttemptOutcome::kPrefilled);
+  const std::string next = router.endAttempt("a", reserved, AttemptOutcome::kError).sentTo();
   EXPECT_NE(next, reserved);
   EXPECT_NE(next, "");
 }
 
 TEST(Determinism, TheSameEventsGiveTheSameActions) {
   auto play = [] {
-    Fleet fleet;
-    fleet.list(twoCells());
+    RouterHarness router;
+    router.updateEndpoints(twoCells());
     std::string trace;
     for (int i = 0; i < 20; ++i)
-      trace += fleet.arrive(numbered("a", i)).sentTo() + fleet.reservedAt() + ' ';
+      trace += router.arrive(numbered("a", i)).sentTo() + router.reservedAt() + ' ';
     return trace;
   };
   EXPECT_EQ(play(), play());
--- a/tests/routing_units_test.cpp
+++ b/tests/routing_units_test.cpp
@@ -1,7 +1,7 @@
 // Units of the decision module, each alone.
 #include <cmath>
 
-#include "fleet.h"
+#include "router_harness.h"
 #include "routing/cell_plan.h"
 #include "routing/graceful_shutdown.h"
 #include "routing/idempotency.h"
--- a/tests/settings_edges_test.cpp
+++ b/tests/settings_edges_test.cpp
@@ -293,19 +293,21 @@
 TEST(InstanceSize, APromptThatNothingCanPrefillIsRejectedAtOnce) {
   Settings settings = plainSettings();
   settings.kinds = {{Role::kPrefill, 500}, {Role::kDecode, 100'000}};
-  Fleet fleet(settings);
-  fleet.list({endpoint("r", kPrefill), endpoint("w", kDecode)}).arrive("a", "", 6s, 1'000);
-  EXPECT_TRUE(fleet.any<RejectRequest>());
-  EXPECT_FALSE(fleet.any<DispatchAttempt>());
+  RouterHarness router(settings);
+  router.updateEndpoints({endpoint("r", kPrefill), endpoint("w", kDecode)})
+      .arrive("a", "", 6s, 1'000);
+  EXPECT_TRUE(router.hasAction<RejectRequest>());
+  EXPECT_FALSE(router.hasAction<DispatchAttempt>());
 }
 
 TEST(InstanceSize, APromptThatOnlyADecodeInstanceHoldsIsPrefilledThereWhereItCan) {
   Settings settings = plainSettings();
   settings.kinds = {{Role::kPrefill, 500}, {Role::kDecode, 100'000}};
   settings.decodeCanPrefill = true;
-  Fleet fleet(settings);
-  fleet.list({endpoint("r", kPrefill), endpoint("w", kDecode)}).arrive("a", "", 6s, 1'000);
-  EXPECT_EQ(fleet.sentTo(), "w");
+  RouterHarness router(settings);
+  router.updateEndpoints({endpoint("r", kPrefill), endpoint("w", kDecode)})
+      .arrive("a", "", 6s, 1'000);
+  EXPECT_EQ(router.sentTo(), "w");
 }
 
 TEST(InstanceSize, APromptGoesWhereItFits) {
@@ -313,11 +315,13 @@
   settings.kinds = {
       {Role::kPrefill, 500}, {Role::kDecode, 500}, {Role::kPrefill, 9'000}, {Role::kDecode, 9'000}};
   for (int n = 0; n < 20; ++n) {
-    Fleet fleet(settings, static_cast<std::uint64_t>(n));
-    fleet.list({endpoint("r1", 0), endpoint("w1", 1), endpoint("r2", 2), endpoint("w2", 3)});
-    EXPECT_EQ(fleet.arrive("a", numbered("p", n), 6s, 1'000).sentTo(), "r2");
-    EXPECT_EQ(fleet.reservedAt(), "w2");
-    EXPECT_EQ(fleet.wait(20ms).end("a", "r2", AttemptOutcome::kPrefilled).sentTo(), "w2");
+    RouterHarness router(settings, static_cast<std::uint64_t>(n));
+    router.updateEndpoints(
+        {endpoint("r1", 0), endpoint("w1", 1), endpoint("r2", 2), endpoint("w2", 3)});
+    EXPECT_EQ(router.arrive("a", numbered("p", n), 6s, 1'000).sentTo(), "r2");
+    EXPECT_EQ(router.reservedAt(), "w2");
+    EXPECT_EQ(router.advance(20ms).endAttempt("a", "r2", AttemptOutcome::kPrefilled).sentTo(),
+              "w2");
   }
 }
 
@@ -325,20 +329,20 @@
   Settings settings = plainSettings();
   settings.contract.answerGrace = settings.tick = 0s;
   settings.classes[0].latencyObjective = 1min;
-  Fleet fleet(settings);
-  fleet.list({}).arrive("a", "", 1'005ms);
-  EXPECT_TRUE(fleet.wait(1'005ms).any<RejectRequest>());
+  RouterHarness router(settings);
+  router.updateEndpoints({}).arrive("a", "", 1'005ms);
+  EXPECT_TRUE(router.advance(1'005ms).hasAction<RejectRequest>());
 }
 
 TEST(Weights, BelowZeroAreTakenForZero) {
-  Fleet fleet;
+  RouterHarness router;
   std::vector<EndpointRecord> entries{endpoint("r1", kPrefill), endpoint("r2", kPrefill),
                                       endpoint("w", kDecode)};
   entries.front().weight = -1;
   std::feclearexcept(FE_ALL_EXCEPT);
-  fleet.list(entries);
+  router.updateEndpoints(entries);
   for (int n = 0; n < 20; ++n)
-    EXPECT_EQ(fleet.arrive(numbered("q", n), numbered("p", n)).sentTo(), "r2");
+    EXPECT_EQ(router.arrive(numbered("q", n), numbered("p", n)).sentTo(), "r2");
   EXPECT_FALSE(std::fetestexcept(FE_DIVBYZERO | FE_INVALID));
 }
 
@@ -346,14 +350,14 @@
 TEST(SlowStart, OfInstancesWithoutCapacityAtTheirStartDividesByNothing) {
   Settings settings = plainSettings();
   settings.contract.warmupInitialShare = 0;
-  Fleet fleet(settings);
+  RouterHarness router(settings);
   std::vector<EndpointRecord> entries{endpoint("r1", kPrefill), endpoint("r2", kPrefill),
                                       endpoint("w1", kDecode), endpoint("w2", kDecode)};
   for (EndpointRecord& entry : entries)
-    entry.started = fleet.now() + 10s;
-  fleet.list(entries).wait(4s);
+    entry.started = router.now() + 10s;
+  router.updateEndpoints(entries).advance(4s);
   std::feclearexcept(FE_ALL_EXCEPT);
-  EXPECT_NE(fleet.arrive("a").sentTo(), "");
+  EXPECT_NE(router.arrive("a").sentTo(), "");
   EXPECT_FALSE(std::fetestexcept(FE_DIVBYZERO | FE_INVALID));
 }
 
@@ -361,11 +365,12 @@
   Settings settings = plainSettings();
   settings.kinds = {{Role::kPrefill, 1e300}, {Role::kDecode, 1e300}};
   for (const double tokens : {1e12, 2.3e17, 1e19, 1e200}) {
-    Fleet fleet(settings);
+    RouterHarness router(settings);
     std::feclearexcept(FE_ALL_EXCEPT);
-    fleet.list({endpoint("r", kPrefill), endpoint("w", kDecode)}).arrive("a", "", 6s, tokens);
+    router.updateEndpoints({endpoint("r", kPrefill), endpoint("w", kDecode)})
+        .arrive("a", "", 6s, tokens);
     EXPECT_FALSE(std::fetestexcept(FE_DIVBYZERO | FE_INVALID)) << tokens;
-    EXPECT_FALSE(fleet.any<RejectRequest>()) << tokens << ": its aim grows with it";
+    EXPECT_FALSE(router.hasAction<RejectRequest>()) << tokens << ": its aim grows with it";
   }
 }
 
@@ -373,7 +378,7 @@
   const auto problem = [](auto change) {
     Settings settings = plainSettings();
     change(settings);
-    return problemWith(settings).has_value();
+    return validate(settings).has_value();
   };
   EXPECT_FALSE(problem([](Settings&) {}));
   EXPECT_TRUE(problem([](Settings& s) { s.classes[0].latencyObjective = 0s; }));
--- a/tests/slow_start_budget_test.cpp
+++ b/tests/slow_start_budget_test.cpp
@@ -7,7 +7,7 @@
 #include <cmath>
 #include <vector>
 
-#include "fleet.h"
+#include "router_harness.h"
 
 namespace inference_router::routing {
 namespace {
--- a/tests/support/drawn_day.h
+++ b/tests/support/drawn_day.h
@@ -6,7 +6,7 @@
 #include <functional>
 #include <random>
 
-#include "fleet.h"
+#include "router_harness.h"
 
 namespace inference_router::routing {
 
--- a/tests/support/invariant_checker.h
+++ b/tests/support/invariant_checker.h
@@ -6,7 +6,7 @@
 #include <map>
 #include <vector>
 
-#include "fleet.h"
+#include "router_harness.h"
 
 namespace inference_router::routing {
 
@@ -128,9 +128,9 @@
           << "a repeat outside the scope of deduplication";
     }
     EXPECT_LT(request.attemptsSent, settings_.limits.maxAttempts);
-    EXPECT_LE(send.until, request.deadline);
+    EXPECT_LE(send.timeoutAt, request.deadline);
     const bool decodes = settings_.kinds[entryOf(send.instance).kind.value].role != Role::kPrefill;
-    request.attemptsOut[request.attemptsSent++] = {send.instance, decodes, now_, send.until};
+    request.attemptsOut[request.attemptsSent++] = {send.instance, decodes, now_, send.timeoutAt};
   }
   void check(const ReserveDecode& reservation) {
     EXPECT_TRUE(settings_.reservationsAllowed);
--- a/tests/support/simulated_day.h
+++ b/tests/support/simulated_day.h
@@ -17,7 +17,7 @@
       : day_(day) {
     for (int n = 0; n < day.settings.nodes; ++n) {
       Settings own = day.settings;
-      own.me = n;
+      own.nodeIndex = n;
       own.zone = day.instances[static_cast<std::size_t>(n)].zone;  // any that has instances
       nodes_.push_back(std::make_unique<Node>(own, policy(n), checked));
     }
@@ -194,7 +194,7 @@
   template <class Act>
   void carryOut(std::size_t, const Act&) {}
   void carryOut(std::size_t node, const SetTimer& timer) {
-    after(timer.in, [this, node, n = timer.timer] { give(node, TimerFired{n}); });
+    after(timer.delay, [this, node, n = timer.timer] { give(node, TimerFired{n}); });
   }
   void carryOut(std::size_t, const DispatchAttempt& send) {
     RequestProgress& progress = progress_.at(send.request);
@@ -207,8 +207,8 @@
     if (progress.reservation != nullptr && progress.reservation != &instance &&
         roleOf(instance) != Role::kPrefill)
       freeReservation(progress);
-    const Time until = std::min(
-        send.until, start(progress.clientRequest->at) + progress.clientRequest->arrival.timeLeft);
+    const Time until = std::min(send.timeoutAt, start(progress.clientRequest->at) +
+                                                    progress.clientRequest->arrival.timeLeft);
     later(secondsOf(until - now_), job, &SimulatedDay::timeOut);
     if (instance.reachable)
       later(0.001, job, &SimulatedDay::reach);
--- a/tests/support/slow_start_fleet.h
+++ b/tests/support/slow_start_fleet.h
@@ -11,7 +11,7 @@
 #include <random>
 #include <vector>
 
-#include "fleet.h"
+#include "router_harness.h"
 
 namespace inference_router::routing {
 
@@ -75,7 +75,7 @@
     load_ *= scene_.loadFactor;
     // Most of the role are removed as they come, so that most requests would go to them.
     for (auto& node : nodes_)
-      node->list(changedEndpoints(), EndpointListForm::kFull);
+      node->updateEndpoints(changedEndpoints(), EndpointListForm::kFull);
     if (scene_.allNodesStart)
       restart(0, 1);
     if (!scene_.rolling && !scene_.allNodesStart) {
@@ -104,11 +104,11 @@
   };
 
   // A node that starts knows nothing but the present endpoint list.
-  std::unique_ptr<Fleet> start(const std::vector<EndpointRecord>& list) {
-    auto node =
-        std::make_unique<Fleet>(settings_, 1'000 + static_cast<std::uint64_t>(++totalStarts_) * 7);
+  std::unique_ptr<RouterHarness> start(const std::vector<EndpointRecord>& list) {
+    auto node = std::make_unique<RouterHarness>(
+        settings_, 1'000 + static_cast<std::uint64_t>(++totalStarts_) * 7);
     advanceTo(*node, now_);
-    node->list(list);
+    node->updateEndpoints(list);
     return node;
   }
   void restart(std::size_t first, std::size_t step) {
@@ -139,21 +139,21 @@
     }
     return all;
   }
-  static bool advanceTo(Fleet& node, double at) {
+  static bool advanceTo(RouterHarness& node, double at) {
     const Time until{Duration(static_cast<Duration::rep>((10 + at) * 1e6))};
     if (until <= node.now())
       return false;
-    node.wait(until - node.now());
+    node.advance(until - node.now());
     return true;
   }
   // Moves a node's clock to now and collects what it sent meanwhile, as requests may have waited.
-  Fleet& nodeNow(std::size_t n) {
+  RouterHarness& nodeNow(std::size_t n) {
     if (advanceTo(*nodes_[n], now_))
       collectDispatches(n);
     return *nodes_[n];
   }
   void collectDispatches(std::size_t n) {
-    for (const DispatchAttempt& send : nodes_[n]->all<DispatchAttempt>()) {
+    for (const DispatchAttempt& send : nodes_[n]->actionsOf<DispatchAttempt>()) {
       const char kind = send.instance.value[0];
       if (kind == 'c')
         dispatches_[send.instance.value].push_back(now_);
@@ -168,15 +168,15 @@
   void apply(const Step& step) {
     if (step.kind == StepKind::kTimer)
       timerPending_[step.node] = false;
-    Fleet& node = nodeNow(step.node);
+    RouterHarness& node = nodeNow(step.node);
     if (step.kind == StepKind::kTimer)
       return;
     if (step.kind == StepKind::kPrefilled) {
-      node.end(step.id, step.instance, AttemptOutcome::kPrefilled, Duration(60'000));
+      node.endAttempt(step.id, step.instance, AttemptOutcome::kPrefilled, Duration(60'000));
     } else {
-      node.open(step.id, step.instance);
+      node.openStream(step.id, step.instance);
       collectDispatches(step.node);
-      node.end(step.id, step.instance, AttemptOutcome::kServed, 80ms, true);
+      node.endAttempt(step.id, step.instance, AttemptOutcome::kServed, 80ms, true);
     }
     collectDispatches(step.node);
   }
@@ -222,7 +222,7 @@
   double load_ = kLoad;
   std::mt19937_64 random_;
   std::discrete_distribution<std::size_t> prefixes_;
-  std::vector<std::unique_ptr<Fleet>> nodes_;
+  std::vector<std::unique_ptr<RouterHarness>> nodes_;
   std::vector<double> trafficShare_;
   std::priority_queue<Step> steps_;
   std::map<std::string, std::vector<double>> dispatches_;
