--- a/src/routing/attempt_dispatcher.cpp
+++ b/src/routing/attempt_dispatcher.cpp
@@ -18,7 +18,7 @@
                                     Time now) const {
   if (request.phase == Phase::kFinished || request.phase == Phase::kStreaming)
     return false;
-  if (now >= request.deadline || request.attemptOut())
+  if (now >= request.deadline || request.hasAttemptInFlight())
     return false;
   if (!hasAttemptsLeft(settings_, request, 1))
     return false;
@@ -42,7 +42,7 @@
                         (instance.role == Role::kDecode && request.prefillInstance == nullptr);
   const double tokens = prefills ? estimates_.uncachedTokens(request, instance) : 0;
   instance.prefillTokens += tokens;
-  const Time notAfter = repeatsAllowedUntil(classOf(settings_, request), request, now);
+  const Time sendDeadline = repeatsAllowedUntil(classOf(settings_, request), request, now);
   request.attempts.push_back({&instance, now, instance.role != Role::kPrefill, tokens,
                               request.affinityInstance == &instance});
   request.phase = next;
@@ -50,8 +50,8 @@
   request.holdsRemoteState = true;
   InstanceAvailability::recordDispatch(instance, now);
   const Time timeoutAt = attemptTimeoutAt(settings_, request, instance, now);
-  context.emit(
-      DispatchAttempt{request.arrival.request, instance.endpoint.instance, timeoutAt, notAfter});
+  context.emit(DispatchAttempt{request.arrival.request, instance.endpoint.instance, timeoutAt,
+                               sendDeadline});
   if (&instance != request.reservation)  // otherwise it was counted with the reservation
     slowStart_.countDispatch(instance, now);
   return true;
@@ -91,7 +91,7 @@
 }
 
 void AttemptDispatcher::cancelAttempt(const RequestRecord& request, EventContext& context) const {
-  if (settings_.limits.cancel && request.attemptOut())
+  if (settings_.limits.cancel && request.hasAttemptInFlight())
     context.emit(CancelAttempt{request.arrival.request, request.lastAttemptNumber()});
 }
 
--- a/src/routing/cell_plan.cpp
+++ b/src/routing/cell_plan.cpp
@@ -78,10 +78,11 @@
 // picks one of the cells whose decode share exceeds their prefill share, weighted by the
 // difference.
 CellIndex CellPlan::decodeCell(const RequestId& request, CellIndex prefillCell) const {
-  const auto own = cells_.find(prefillCell);  // none: no instance of the cell is listed any more
-  if (own != cells_.end() &&
+  const auto ownCell =
+      cells_.find(prefillCell);  // none: no instance of the cell is listed any more
+  if (ownCell != cells_.end() &&
       stableDraw(request.value, "near") <
-          own->second.decodeShare / std::max(own->second.prefillShare, kMinDivisor))
+          ownCell->second.decodeShare / std::max(ownCell->second.prefillShare, kMinDivisor))
     return prefillCell;
   CellIndex best = prefillCell;
   double lowestScore = HUGE_VAL;
--- a/src/routing/decode_prefill_selector.cpp
+++ b/src/routing/decode_prefill_selector.cpp
@@ -23,9 +23,9 @@
 
 }  // namespace
 
-bool DecodePrefillSelector::isWorthTrying(const RequestRecord& request,
-                                          const Instance* prefillInstance,
-                                          Time now) const {
+bool DecodePrefillSelector::isPreferable(const RequestRecord& request,
+                                         const Instance* prefillInstance,
+                                         Time now) const {
   return prefillInstance == nullptr ||
          inputs_.estimates.timeToPrefill(request, *prefillInstance, now) >
              scaled(request.objectiveAt - now, kMaxObjectiveShare);
--- a/src/routing/decode_prefill_selector.h
+++ b/src/routing/decode_prefill_selector.h
@@ -16,7 +16,7 @@
 
   /// Whether a prefill instance takes so much of the time to the objective that a decode instance
   /// is worth trying. Null stands for no prefill instance.
-  bool isWorthTrying(const RequestRecord& request, const Instance* prefillInstance, Time now) const;
+  bool isPreferable(const RequestRecord& request, const Instance* prefillInstance, Time now) const;
 
   /// Returns a decode instance that can prefill and decode the request, or null if none can in time
   /// or their spare time is used up.
--- a/src/routing/fading_average.h
+++ b/src/routing/fading_average.h
@@ -9,8 +9,8 @@
  public:
   /// Adds one sample, which was taken at `now`.
   void add(double sample, Time now = {}) {
-    sum_ = sum_ * kKeptWeight + sample;
-    weight_ = weight_ * kKeptWeight + 1;
+    sum_ = sum_ * kRetainedWeight + sample;
+    weight_ = weight_ * kRetainedWeight + 1;
     lastSample_ = now;
   }
 
@@ -26,7 +26,7 @@
  private:
   /// Weight that each older sample keeps when one is added: about the last seven determine the
   /// mean.
-  static constexpr double kKeptWeight = 0.85;
+  static constexpr double kRetainedWeight = 0.85;
 
   double sum_ = 0;
   double weight_ = 0;
--- a/src/routing/graceful_shutdown.cpp
+++ b/src/routing/graceful_shutdown.cpp
@@ -47,11 +47,12 @@
   if (!mayMigrate || elapsed < kMigrationStart)
     return step;
   maxStreams_ = std::max(maxStreams_, streams.size());
-  const double shareLeft =
+  const double remainingShare =
       std::max(0.0, (kMigrationEnd - elapsed) / (kMigrationEnd - kMigrationStart));
-  const auto staying = static_cast<std::size_t>(shareLeft * static_cast<double>(maxStreams_));
+  const auto remainingStreams =
+      static_cast<std::size_t>(remainingShare * static_cast<double>(maxStreams_));
   std::sort(streams.rbegin(), streams.rend());
-  for (std::size_t i = 0; i + staying < streams.size(); ++i)
+  for (std::size_t i = 0; i + remainingStreams < streams.size(); ++i)
     step.toMigrate.push_back(streams[i].request);
   return step;
 }
--- a/src/routing/instance_availability.cpp
+++ b/src/routing/instance_availability.cpp
@@ -60,7 +60,7 @@
   ++instance.unansweredAttempts;
 }
 
-void InstanceAvailability::recordSign(Instance& instance, Time now) {
+void InstanceAvailability::recordActivity(Instance& instance, Time now) {
   instance.silentSince = now;
   instance.unansweredAttempts = std::max(0, instance.unansweredAttempts - 1);
 }
--- a/src/routing/instance_availability.h
+++ b/src/routing/instance_availability.h
@@ -36,7 +36,7 @@
   static void recordDispatch(Instance& instance, Time now);
 
   /// An attempt there has shown a sign: a token, or its end.
-  static void recordSign(Instance& instance, Time now);
+  static void recordActivity(Instance& instance, Time now);
 
  private:
   const Settings& settings_;
--- a/src/routing/instance_registry.cpp
+++ b/src/routing/instance_registry.cpp
@@ -50,7 +50,7 @@
     markDraining(instance, entry.state, now);
 }
 
-void InstanceRegistry::forgetRemoved(const RequestMap& requests, Time now) {
+void InstanceRegistry::eraseRemoved(const RequestMap& requests, Time now) {
   std::erase_if(instances_, [&](const auto& entry) {
     const Instance& instance = entry.second;
     const bool removed =
--- a/src/routing/instance_registry.h
+++ b/src/routing/instance_registry.h
@@ -11,7 +11,7 @@
 
 namespace inference_router::routing {
 
-/// Owns the instances. Pointers to them stay valid until forgetRemoved() erases them.
+/// Owns the instances. Pointers to them stay valid until eraseRemoved() erases them.
 class InstanceRegistry {
  public:
   /// `seed` tells the slow-start draws of this process from those of others. `settings` must
@@ -31,7 +31,7 @@
 
   /// Erases instances that were removed for longer than a new one takes to warm up, unless a
   /// request still refers to them.
-  void forgetRemoved(const RequestMap& requests, Time now);
+  void eraseRemoved(const RequestMap& requests, Time now);
 
  private:
   void applyEndpoint(const EndpointRecord& entry, Time now);
--- a/src/routing/key_popularity.cpp
+++ b/src/routing/key_popularity.cpp
@@ -10,7 +10,7 @@
 // Number of keys above which rare ones are forgotten.
 constexpr std::size_t kMaxKeys = 500;
 // Lower bound of the decayed arrivals of a key that is kept then.
-constexpr double kMinKeptArrivals = 0.5;
+constexpr double kMinRetainedArrivals = 0.5;
 
 }  // namespace
 
@@ -20,11 +20,11 @@
   if (keys_.size() <= kMaxKeys)
     return;
   std::erase_if(keys_, [&](const auto& entry) {
-    return entry.second.at(now, timeConstant_) < kMinKeptArrivals;
+    return entry.second.at(now, timeConstant_) < kMinRetainedArrivals;
   });
 }
 
-double KeyPopularity::shareOfOthers(const std::string& key, Time now) const {
+double KeyPopularity::shareExcludingLatest(const std::string& key, Time now) const {
   const auto found = keys_.find(key);
   if (found == keys_.end())
     return 0;
--- a/src/routing/key_popularity.h
+++ b/src/routing/key_popularity.h
@@ -25,7 +25,7 @@
   /// The share of all arrivals that `key` has, leaving out its latest one: the request being
   /// decided on says nothing of how popular its key is. Shrunk towards 0 while few arrivals were
   /// seen.
-  double shareOfOthers(const std::string& key, Time now) const;
+  double shareExcludingLatest(const std::string& key, Time now) const;
 
  private:
   Duration timeConstant_;
--- a/src/routing/load_shedder.cpp
+++ b/src/routing/load_shedder.cpp
@@ -17,9 +17,9 @@
 // Prefills of each prefill instance in that time that let a node know them apart.
 constexpr double kMinPrefillsPerInstance = 3;
 // Prefills that are tried, as a multiple of those that were in time.
-constexpr double kTriedPerTimely = 1.3;
+constexpr double kMaxPrefillsPerTimely = 1.3;
 // Lower bound of the prefills that are tried in that time.
-constexpr double kMinTried = 1;
+constexpr double kMinAllowedPrefills = 1;
 
 }  // namespace
 
@@ -27,27 +27,27 @@
                                          const Instance& instance,
                                          Time now) const {
   const Duration timeToDecode = instance.role == Role::kPrefill
-                                    ? estimates_.usualResponseTime(Role::kDecode, now)
+                                    ? estimates_.recentResponseTime(Role::kDecode, now)
                                     : Duration::zero();
   const double priorityWeight = classOf(settings_, request).priorityWeight;
   const Duration othersObjective =
       request.arrival.resumed ? Duration::max() : shortestObjective(settings_, priorityWeight);
   const Duration timeLeft = std::min(request.objectiveAt - now, othersObjective);
   const Duration timeToPrefill =
-      scaled(estimates_.timeToPrefill(request, instance, now), estimates_.lastPrefillWeight(now));
+      scaled(estimates_.timeToPrefill(request, instance, now), estimates_.lastPrefillDecay(now));
   return timeToPrefill + timeToDecode > timeLeft;
 }
 
 bool LoadShedder::cannotMeetObjective(const RequestRecord& request, Time now) const {
-  return now + estimates_.usualResponseTime(Role::kPrefill, now) > request.objectiveAt;
+  return now + estimates_.recentResponseTime(Role::kPrefill, now) > request.objectiveAt;
 }
 
 bool LoadShedder::cannotMeetDeadline(const RequestRecord& request, Time now) const {
-  Duration timeNeeded = estimates_.usualResponseTime(Role::kDecode, now);
+  Duration timeNeeded = estimates_.recentResponseTime(Role::kDecode, now);
   if (request.phase != Phase::kPrefilled)
-    timeNeeded += estimates_.usualResponseTime(Role::kPrefill, now);
-  const Duration untilNextLook = kQueueInterval + 2 * settings_.tick;
-  return request.deadline - now < std::max(timeNeeded, untilNextLook);
+    timeNeeded += estimates_.recentResponseTime(Role::kPrefill, now);
+  const Duration timeToNextCheck = kQueueInterval + 2 * settings_.tick;
+  return request.deadline - now < std::max(timeNeeded, timeToNextCheck);
 }
 
 bool LoadShedder::exceedsMemory(const RequestRecord& request) const {
@@ -65,18 +65,18 @@
 }
 
 bool LoadShedder::isThrottled(const RequestRecord& request, Time now) const {
-  const double tried = prefillOutcomes_.at(now, kCongestionTimeConstant);
+  const double recentPrefills = prefillOutcomes_.at(now, kCongestionTimeConstant);
   const double needed = kMinPrefillsPerInstance * cells_.listedCount(Role::kPrefill);
-  if (tried >= needed)
+  if (recentPrefills >= needed)
     return false;
-  const double allowed = kTriedPerTimely * timelyPrefills_.at(now, kCongestionTimeConstant) +
-                         std::max(kMinTried, needed / settings_.nodes);
-  return stableDraw(request.arrival.request.value, "throttle") * tried > allowed;
+  const double allowed = kMaxPrefillsPerTimely * timelyPrefills_.at(now, kCongestionTimeConstant) +
+                         std::max(kMinAllowedPrefills, needed / settings_.nodes);
+  return stableDraw(request.arrival.request.value, "throttle") * recentPrefills > allowed;
 }
 
-void LoadShedder::recordPrefillOutcome(bool isTelling, bool inTime, Time now) {
-  prefillOutcomes_.add(isTelling ? 1 : 0, now, kCongestionTimeConstant);
-  timelyPrefills_.add(isTelling && inTime ? 1 : 0, now, kCongestionTimeConstant);
+void LoadShedder::recordPrefillOutcome(bool isInformative, bool inTime, Time now) {
+  prefillOutcomes_.add(isInformative ? 1 : 0, now, kCongestionTimeConstant);
+  timelyPrefills_.add(isInformative && inTime ? 1 : 0, now, kCongestionTimeConstant);
 }
 
 }  // namespace inference_router::routing
--- a/src/routing/load_shedder.h
+++ b/src/routing/load_shedder.h
@@ -43,7 +43,7 @@
 
   /// Records how an attempt has ended: whether it tells something of prefill congestion, and
   /// whether its prefill was in time for the latency objective.
-  void recordPrefillOutcome(bool isTelling, bool inTime, Time now);
+  void recordPrefillOutcome(bool isInformative, bool inTime, Time now);
 
  private:
   const Settings& settings_;
--- a/src/routing/outcome_recorder.cpp
+++ b/src/routing/outcome_recorder.cpp
@@ -37,7 +37,7 @@
                                        RequestMap& requests,
                                        EventContext& context) {
   // A time that includes a prefill at the same instance is no sample of the time to decode.
-  recordSign(attempt, took, attempt.out && attempt.prefillTokens <= 0, context.now());
+  recordActivity(attempt, took, attempt.inFlight && attempt.prefillTokens <= 0, context.now());
   recordSuccess(attempt, context);
   countOvertakenAttempts(requests, attempt, took, context.now());
   attempt.instance->prefillTokens -= std::exchange(attempt.prefillTokens, 0);
@@ -51,8 +51,8 @@
   const Time now = context.now();
   const bool prefilled = ended.outcome == AttemptOutcome::kPrefilled;
   if (!request.firstTokenAt)
-    recordSign(attempt, ended.took, prefilled, now);
-  attempt.out = false;
+    recordActivity(attempt, ended.took, prefilled, now);
+  attempt.inFlight = false;
   if (prefilled)
     countOvertakenAttempts(requests, attempt, ended.took, now);
   attempt.instance->prefillTokens -= attempt.prefillTokens;
@@ -78,18 +78,18 @@
       ended.outcome == AttemptOutcome::kTimeout || ended.outcome == AttemptOutcome::kCancelled;
   if (hadPrefill && tooLate && !isOvertaken(attempt))
     ServiceEstimates::recordQueueingDelay(*attempt.instance, ended.took, now);
-  const bool isTelling =
+  const bool isInformative =
       hadPrefill && (tooLate || prefilled || ended.outcome == AttemptOutcome::kRejected);
-  shedder_.recordPrefillOutcome(isTelling, prefilled && now < request.objectiveAt, now);
+  shedder_.recordPrefillOutcome(isInformative, prefilled && now < request.objectiveAt, now);
 }
 
-void OutcomeRecorder::recordSign(const AttemptRecord& attempt,
-                                 Duration took,
-                                 bool countsAsResponse,
-                                 Time now) {
+void OutcomeRecorder::recordActivity(const AttemptRecord& attempt,
+                                     Duration took,
+                                     bool countsAsResponse,
+                                     Time now) {
   if (countsAsResponse)
     estimates_.recordResponse(attempt.instance->role, took, now);
-  InstanceAvailability::recordSign(*attempt.instance, now);
+  InstanceAvailability::recordActivity(*attempt.instance, now);
 }
 
 void OutcomeRecorder::recordSuccess(const AttemptRecord& attempt, EventContext& context) const {
--- a/src/routing/outcome_recorder.h
+++ b/src/routing/outcome_recorder.h
@@ -40,7 +40,7 @@
                      EventContext& context) const;
 
  private:
-  void recordSign(const AttemptRecord& attempt, Duration took, bool countsAsResponse, Time now);
+  void recordActivity(const AttemptRecord& attempt, Duration took, bool countsAsResponse, Time now);
   void recordSuccess(const AttemptRecord& attempt, EventContext& context) const;
   void recordPrefillOutcome(const RequestRecord& request,
                             const AttemptRecord& attempt,
--- a/src/routing/outlier_detector.cpp
+++ b/src/routing/outlier_detector.cpp
@@ -5,7 +5,7 @@
 namespace inference_router::routing {
 namespace {
 
-// Lower bound of the failure rate that ejects an instance.
+// Lower bound of the failure rate that mustEject an instance.
 constexpr double kMinEjectionFailureRate = 0.35;
 // Lower bound of the same, as a multiple of the failure rate of the best peer.
 constexpr double kMinEjectionPeerMultiple = 3;
@@ -59,9 +59,9 @@
   // Connections that were being opened when the instance was ejected are no trials that failed.
   if (state.ejected && unreachable && sentAt < state.ejectedAt)
     return std::nullopt;
-  const bool ejects =
+  const bool mustEject =
       state.ejected || unreachable || state.failureRate.mean() > allowedFailureRate(instance);
-  if (!ejects)
+  if (!mustEject)
     return std::nullopt;
   const bool wasEjected = state.ejected;
   state.eject(now, unreachable ? kTrialsAfterNoConnection : kTrialsAfterFailures);
--- a/src/routing/prefill_selector.cpp
+++ b/src/routing/prefill_selector.cpp
@@ -77,11 +77,11 @@
   rankByRendezvousHash(order, order.size(), key);
   if (request.arrival.session.empty())
     return order;
-  const double keyShare = inputs_.popularity.shareOfOthers(key, now);
-  double carriedWeight = 0;
+  const double keyShare = inputs_.popularity.shareExcludingLatest(key, now);
+  double coveredWeight = 0;
   std::size_t spread = 0;
-  while (spread < order.size() && carriedWeight * kMaxKeyShare < keyShare * totalWeight) {
-    carriedWeight += cells.hashWeight(*order[spread]);
+  while (spread < order.size() && coveredWeight * kMaxKeyShare < keyShare * totalWeight) {
+    coveredWeight += cells.hashWeight(*order[spread]);
     ++spread;
   }
   rankByRendezvousHash(order, spread, request.arrival.session);
--- a/src/routing/request_lifecycle.cpp
+++ b/src/routing/request_lifecycle.cpp
@@ -21,69 +21,70 @@
 
 }  // namespace
 
-void RequestLifecycle::screen(RequestRecord& request, EventContext& context) {
-  if (units_.shedder.exceedsMemory(request) ||
-      units_.shedder.cannotMeetDeadline(request, context.now()))
+void RequestLifecycle::checkAdmission(RequestRecord& request, EventContext& context) {
+  if (components_.shedder.exceedsMemory(request) ||
+      components_.shedder.cannotMeetDeadline(request, context.now()))
     finish(request, context);
 }
 
 void RequestLifecycle::advance(RequestRecord& request, EventContext& context) {
   const Time now = context.now();
-  if (units_.shedder.cannotMeetDeadline(request, now)) {
+  if (components_.shedder.cannotMeetDeadline(request, now)) {
     finish(request, context);
     return;
   }
   if (request.phase == Phase::kPrefilled) {
     startDecode(request, context);
-    const Duration maxWait = scaled(units_.settings.contract.releaseLimit, kMaxKvCacheWaitShare);
+    const Duration maxWait =
+        scaled(components_.settings.contract.releaseLimit, kMaxKvCacheWaitShare);
     if (request.phase != Phase::kPrefilled || now - request.prefilledAt < maxWait)
       return;
-    units_.dispatcher.releaseState(request, context);
+    components_.dispatcher.releaseState(request, context);
     request.phase = Phase::kWaiting;
-    if (!hasAttemptsLeft(units_.settings, request, kAttemptsFromStart)) {
+    if (!hasAttemptsLeft(components_.settings, request, kAttemptsFromStart)) {
       finish(request, context);
       return;
     }
   }
-  if (units_.shedder.cannotMeetObjective(request, now)) {
+  if (components_.shedder.cannotMeetObjective(request, now)) {
     finish(request, context);
     return;
   }
-  if (!units_.capacity.allFull(now))
+  if (!components_.capacity.allFull(now))
     startPrefill(request, context);
 }
 
 void RequestLifecycle::startPrefill(RequestRecord& request, EventContext& context) {
   const Time now = context.now();
-  Instance* instance = units_.prefillSelector.choose(request, now);
+  Instance* instance = components_.prefillSelector.choose(request, now);
   const bool tooLate =
-      instance != nullptr && units_.shedder.missesLatencyObjective(request, *instance, now);
+      instance != nullptr && components_.shedder.missesLatencyObjective(request, *instance, now);
   const bool tryDecodeInstance =
-      tooLate || units_.decodePrefillSelector.isWorthTrying(request, instance, now);
+      tooLate || components_.decodePrefillSelector.isPreferable(request, instance, now);
   if (tryDecodeInstance && prefillAtDecodeInstance(request, context))
     return;
   if (instance == nullptr)
     return;
-  if (tooLate || units_.shedder.isThrottled(request, now)) {
+  if (tooLate || components_.shedder.isThrottled(request, now)) {
     finish(request, context);
     return;
   }
-  units_.dispatcher.releaseState(request, context);
+  components_.dispatcher.releaseState(request, context);
   request.prefillInstance = instance;
   const Phase next = instance->role == Role::kMixed ? Phase::kDecoding : Phase::kPrefilling;
-  if (!units_.dispatcher.dispatch(request, *instance, next, context))
+  if (!components_.dispatcher.dispatch(request, *instance, next, context))
     return;
   if (instance->role == Role::kPrefill)
-    units_.dispatcher.reserveDecode(request, context);
+    components_.dispatcher.reserveDecode(request, context);
 }
 
 bool RequestLifecycle::prefillAtDecodeInstance(RequestRecord& request, EventContext& context) {
-  Instance* instance = units_.decodePrefillSelector.choose(request, context.now());
+  Instance* instance = components_.decodePrefillSelector.choose(request, context.now());
   if (instance == nullptr)
     return false;
-  units_.dispatcher.releaseState(request, context);
-  units_.dispatcher.dispatch(request, *instance, Phase::kDecoding, context);
-  units_.decodePrefillSelector.countDispatch(request, context.now());
+  components_.dispatcher.releaseState(request, context);
+  components_.dispatcher.dispatch(request, *instance, Phase::kDecoding, context);
+  components_.decodePrefillSelector.countDispatch(request, context.now());
   return true;
 }
 
@@ -92,11 +93,11 @@
 void RequestLifecycle::startDecode(RequestRecord& request, EventContext& context) {
   const Time now = context.now();
   request.phase = Phase::kPrefilled;
-  Instance* instance = units_.decodeSelector.reservationUsable(request, now)
+  Instance* instance = components_.decodeSelector.reservationUsable(request, now)
                            ? request.reservation
-                           : units_.decodeSelector.choose(request, now);
+                           : components_.decodeSelector.choose(request, now);
   if (instance != nullptr)
-    units_.dispatcher.dispatch(request, *instance, Phase::kDecoding, context);
+    components_.dispatcher.dispatch(request, *instance, Phase::kDecoding, context);
 }
 
 void RequestLifecycle::applyOutcome(RequestRecord& request,
@@ -137,9 +138,9 @@
                                 request.prefillInstance != nullptr;
   if (!decodedElsewhere || ended.kvCacheLost)
     return false;
-  const Time connectedBy = now + units_.settings.limits.connectTimeout;
+  const Time connectedBy = now + components_.settings.limits.connectTimeout;
   return wasSent(ended.outcome) ||
-         connectedBy - request.prefilledAt < units_.settings.contract.releaseLimit;
+         connectedBy - request.prefilledAt < components_.settings.contract.releaseLimit;
 }
 
 // Another instance, within the limit of attempts, the time left and the retry budget.
@@ -151,22 +152,22 @@
   request.excludedInstances.insert(failed.endpoint.instance);
   request.slowStartOfferedAt.clear();
   const int attemptsNeeded = kvCacheUsable ? kAttemptsFromKvCache : kAttemptsFromStart;
-  const ClassSettings& cls = classOf(units_.settings, request);
-  const bool allowed = hasAttemptsLeft(units_.settings, request, attemptsNeeded) &&
-                       units_.retryBudget.isAvailable() &&
-                       !units_.shedder.cannotMeetDeadline(request, now) &&
+  const ClassSettings& cls = classOf(components_.settings, request);
+  const bool allowed = hasAttemptsLeft(components_.settings, request, attemptsNeeded) &&
+                       components_.retryBudget.isAvailable() &&
+                       !components_.shedder.cannotMeetDeadline(request, now) &&
                        now < repeatsAllowedUntil(cls, request, now);
   if (!allowed) {
     finish(request, context);
     return;
   }
-  units_.retryBudget.spend();
+  components_.retryBudget.spend();
   if (kvCacheUsable) {
-    units_.dispatcher.freeCapacity(request);
+    components_.dispatcher.freeCapacity(request);
     startDecode(request, context);
     return;
   }
-  units_.dispatcher.releaseState(request, context);
+  components_.dispatcher.releaseState(request, context);
   request.phase = Phase::kWaiting;
   startPrefill(request, context);
 }
@@ -174,12 +175,12 @@
 void RequestLifecycle::finish(RequestRecord& request, EventContext& context) {
   if (request.phase == Phase::kFinished)
     return;
-  units_.dispatcher.cancelAttempt(request, context);
+  components_.dispatcher.cancelAttempt(request, context);
   // Before the answer: a rejection says that nothing is under way anywhere.
-  units_.dispatcher.releaseState(request, context);
+  components_.dispatcher.releaseState(request, context);
   const RequestId& id = request.arrival.request;
-  const Limits& limits = units_.settings.limits;
-  if (mayReject(classOf(units_.settings, request), request, context.now())) {
+  const Limits& limits = components_.settings.limits;
+  if (mayReject(classOf(components_.settings, request), request, context.now())) {
     std::optional<Duration> retryAfter;
     if (limits.retryAfter)
       retryAfter = scaled(limits.maxRetryAfter, kRetryAfterShare);
@@ -192,7 +193,7 @@
 
 void RequestLifecycle::close(RequestRecord& request, EventContext& context) {
   request.phase = Phase::kFinished;
-  units_.dispatcher.releaseState(request, context);
+  components_.dispatcher.releaseState(request, context);
 }
 
 }  // namespace inference_router::routing
--- a/src/routing/request_lifecycle.h
+++ b/src/routing/request_lifecycle.h
@@ -20,7 +20,7 @@
 class RequestLifecycle {
  public:
   /// The units that it asks and directs; all must outlive it.
-  struct Units {
+  struct Components {
     const Settings& settings;
     const DecodeCapacity& capacity;
     const LoadShedder& shedder;
@@ -31,10 +31,10 @@
     AttemptDispatcher& dispatcher;
   };
 
-  explicit RequestLifecycle(const Units& units) : units_(units) {}
+  explicit RequestLifecycle(const Components& components) : components_(components) {}
 
   /// Rejects a request that has just arrived and can never be answered.
-  void screen(RequestRecord& request, EventContext& context);
+  void checkAdmission(RequestRecord& request, EventContext& context);
 
   /// Looks at a request in phase kWaiting or kPrefilled again: sends its next attempt if an
   /// instance can take it now, or ends it.
@@ -67,7 +67,7 @@
                      const AttemptEnded& ended,
                      Time now) const;
 
-  Units units_;
+  Components components_;
 };
 
 }  // namespace inference_router::routing
--- a/src/routing/request_queue.h
+++ b/src/routing/request_queue.h
@@ -32,7 +32,7 @@
 }
 
 /// The place of a request in the queue.
-inline QueuedRequest queuePlace(const Settings& settings,
+inline QueuedRequest queueEntry(const Settings& settings,
                                 const RequestId& id,
                                 const RequestRecord& request) {
   return {request.phase == Phase::kWaiting, -classOf(settings, request).priorityWeight,
--- a/src/routing/request_record.h
+++ b/src/routing/request_record.h
@@ -33,9 +33,9 @@
   bool decodes;             ///< at a decode or mixed instance: it may have had its effect
   double prefillTokens;     ///< prompt tokens counted as waiting to be read there
   bool atAffinityInstance;  ///< at the first instance in the order of its prefix
-  bool out = true;          ///< no outcome yet; true of the last attempt of a request at most
+  bool inFlight = true;     ///< no outcome yet; true of the last attempt of a request at most
   bool cancelled = false;   ///< cancelled by the module, its outcome still to come
-  int timesOvertaken = 0;   ///< later attempts there that were answered well ahead of it
+  int overtakenCount = 0;   ///< later attempts there that were answered well ahead of it
   bool provedNotExecuted = false;  ///< its outcome proved that it never ran
 };
 
@@ -61,7 +61,7 @@
   std::optional<Time> firstTokenAt;            ///< when its first token came
 
   /// Whether an attempt is out.
-  bool attemptOut() const { return !attempts.empty() && attempts.back().out; }
+  bool hasAttemptInFlight() const { return !attempts.empty() && attempts.back().inFlight; }
 
   /// The first attempt that may have had its effect; null if all are known not to have run.
   const AttemptRecord* possiblyExecutedAttempt() const;
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -87,7 +87,7 @@
       return;
     }
     registry_.apply(update, context.now());
-    registry_.forgetRemoved(requests_, context.now());
+    registry_.eraseRemoved(requests_, context.now());
     cells_.update(registry_.instances(), settings_, context.now());
   }
 
@@ -106,8 +106,8 @@
     request.objectiveAt = objectiveFor(arrival, classOf(settings_, request), context.now());
     popularity_.count(affinityKey(request), context.now());
     retryBudget_.recordArrival(popularity_.arrivals(context.now()));
-    lifecycle_.screen(request, context);
-    forgetIfFinished(arrival.request);
+    lifecycle_.checkAdmission(request, context);
+    eraseIfFinished(arrival.request);
   }
 
   void on(const StreamOpened& opened, EventContext& context) {
@@ -150,12 +150,12 @@
   void on(const AttemptEnded& ended, EventContext& context) {
     RequestRecord* request = findRequest(ended.request);
     AttemptRecord* attempt = request == nullptr ? nullptr : request->attempt(ended.attempt);
-    if (attempt == nullptr || !attempt->out)
+    if (attempt == nullptr || !attempt->inFlight)
       return;
     Instance& instance = *attempt->instance;
     outcomes_.recordEnd(*request, *attempt, ended, requests_, context);
     lifecycle_.applyOutcome(*request, instance, ended, context);
-    forgetIfFinished(ended.request);
+    eraseIfFinished(ended.request);
   }
 
   void on(const RequestAbandoned& abandoned, EventContext& context) {
@@ -164,7 +164,7 @@
       return;
     dispatcher_.cancelAttempt(*request, context);
     lifecycle_.close(*request, context);
-    forgetIfFinished(abandoned.request);
+    eraseIfFinished(abandoned.request);
   }
 
   void on(const ShutdownStarted& shutdown, EventContext& context) {
@@ -182,9 +182,9 @@
     return found == requests_.end() ? nullptr : &found->second;
   }
 
-  void forgetIfFinished(const RequestId& id) {
+  void eraseIfFinished(const RequestId& id) {
     const RequestRecord* request = findRequest(id);
-    if (request != nullptr && request->phase == Phase::kFinished && !request->attemptOut())
+    if (request != nullptr && request->phase == Phase::kFinished && !request->hasAttemptInFlight())
       requests_.erase(id);
   }
 
@@ -193,7 +193,7 @@
         shutdown_.next(requests_, settings_.streamResumption, context.now());
     for (const RequestId& id : step.toFinish) {
       lifecycle_.finish(requests_.at(id), context);
-      forgetIfFinished(id);
+      eraseIfFinished(id);
     }
     for (const RequestId& id : step.toMigrate) {
       requests_.at(id).attempts.back().cancelled = true;
@@ -207,12 +207,12 @@
       if (request.phase == Phase::kPrefilling || request.phase == Phase::kDecoding)
         cancelStraggler(request, context);
       if (isQueued(request))
-        queue.push_back(queuePlace(settings_, id, request));
+        queue.push_back(queueEntry(settings_, id, request));
     }
     std::sort(queue.begin(), queue.end());
     for (const QueuedRequest& queued : queue) {
       lifecycle_.advance(requests_.at(queued.id), context);
-      forgetIfFinished(queued.id);
+      eraseIfFinished(queued.id);
     }
   }
 
@@ -235,13 +235,13 @@
 
   // One timer at a time, while there is something to look at.
   void armTimer(EventContext& context) {
-    const bool hasQueue =
+    const bool hasWaitingRequests =
         (shutdown_.hasBegun() && !requests_.empty()) || anyBeforeFirstToken(requests_);
-    if (timerArmed_ || (!hasQueue && !pollEndpointsAt_))
+    if (timerArmed_ || (!hasWaitingRequests && !pollEndpointsAt_))
       return;
     timerArmed_ = true;
     ++timersSet_;
-    context.emit(SetTimer{timersSet_, hasQueue ? kQueueInterval : kEndpointPollBackoff});
+    context.emit(SetTimer{timersSet_, hasWaitingRequests ? kQueueInterval : kEndpointPollBackoff});
   }
 
   Settings settings_;
--- a/src/routing/service_estimates.cpp
+++ b/src/routing/service_estimates.cpp
@@ -16,7 +16,7 @@
 // Arrivals at this node that a half-life spans between its bounds.
 constexpr double kArrivalsPerHalfLife = 4;
 // Share of the fastest throughput observed that is kept with each prefill that is slower.
-constexpr double kThroughputKept = 0.98;
+constexpr double kThroughputDecay = 0.98;
 
 }  // namespace
 
@@ -57,11 +57,11 @@
   return responseTime_[roleIndex(role)].mean();
 }
 
-Duration ServiceEstimates::usualResponseTime(Role role, Time now) const {
+Duration ServiceEstimates::recentResponseTime(Role role, Time now) const {
   return microseconds(responseTime_[roleIndex(role)].decayedMean(now, halfLife(now)));
 }
 
-double ServiceEstimates::lastPrefillWeight(Time now) const {
+double ServiceEstimates::lastPrefillDecay(Time now) const {
   return decay(now, lastPrefillAt_, halfLife(now));
 }
 
@@ -84,7 +84,7 @@
   const double prefilledTokens = std::max(1.0, promptTokens - ended.cachedTokens);
   lastPrefillAt_ = now;
   const auto took = static_cast<double>(std::max<Duration::rep>(1, ended.took.count()));
-  prefillThroughput_ = std::max(prefillThroughput_ * kThroughputKept, prefilledTokens / took);
+  prefillThroughput_ = std::max(prefillThroughput_ * kThroughputDecay, prefilledTokens / took);
   recordQueueingDelay(*attempt.instance,
                       std::max(Duration::zero(), ended.took - prefillTime(prefilledTokens)), now);
 }
--- a/src/routing/service_estimates.h
+++ b/src/routing/service_estimates.h
@@ -45,10 +45,10 @@
   double meanResponseMicroseconds(Role role) const;
 
   /// The same mean, faded with the age of the last observation.
-  Duration usualResponseTime(Role role, Time now) const;
+  Duration recentResponseTime(Role role, Time now) const;
 
   /// Weight of the last prefill that was observed: 1 at once, 0.5 after a half-life.
-  double lastPrefillWeight(Time now) const;
+  double lastPrefillDecay(Time now) const;
 
   /// Records the time to the end of a prefill or to the first token.
   void recordResponse(Role role, Duration took, Time now);
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -17,7 +17,7 @@
 
 RoleWeights SlowStart::weights(Role role, Time now) const {
   RoleWeights weights;
-  weights.complete =
+  weights.fullFleet =
       std::max(cells_.maxWarmWeight(role), kMinDivisor) + cells_.maxWarmWeight(Role::kMixed);
   for (const auto& [id, instance] : registry_.instances()) {
     if (!instance.isListed() || (instance.role != role && instance.role != Role::kMixed))
@@ -26,13 +26,13 @@
     if (warmFraction(settings_, instance, now) < 1)
       weights.inSlowStart += instance.endpoint.weight;
   }
-  weights.complete = std::max(weights.complete, weights.inSlowStart);
+  weights.fullFleet = std::max(weights.fullFleet, weights.inSlowStart);
   if (!recentlyStarted(now))
     return weights;
   // A node that has just started has seen the present list alone, so it assumes that much is
   // missing.
   const double unlisted = weights.inSlowStart < weights.listed ? 0 : kUnlistedWeight;
-  weights.complete = std::max(weights.complete, cells_.maxListedWeight()) + unlisted;
+  weights.fullFleet = std::max(weights.fullFleet, cells_.maxListedWeight()) + unlisted;
   return weights;
 }
 
@@ -43,24 +43,25 @@
                        Time now) {
   if (warmFraction(settings_, instance, now) >= 1)
     return true;
-  const double usualPerWindow = ownDemand(instance.role, now) *
-                                ratio(settings_.contract.overloadWindow, kTrafficTimeConstant) *
-                                instance.endpoint.weight / weights.complete;
+  const double warmDispatchesPerWindow =
+      ownDemand(instance.role, now) *
+      ratio(settings_.contract.overloadWindow, kTrafficTimeConstant) * instance.endpoint.weight /
+      weights.fullFleet;
   const Time offeredSince =
       request.slowStartOfferedAt.try_emplace(request.phase, now).first->second;
-  const SlowStartOffer offer{usualPerWindow, candidates.offeredWeight / weights.complete,
-                             candidates.part, offeredSince};
+  const SlowStartOffer offer{warmDispatchesPerWindow, candidates.offeredWeight / weights.fullFleet,
+                             candidates.instanceShare, offeredSince};
   return instance.slowStart.admits(settings_, instance.endpoint.started, offer, now);
 }
 
 // Requests of this node for the role in one time constant; extrapolated while the node has run for
 // less.
 double SlowStart::ownDemand(Role role, Time now) const {
-  const Duration observed = std::max(now - startedAt_, settings_.contract.overloadWindow);
-  const double seen = recentlyStarted(now)
-                          ? popularity_.arrivals(now)
-                          : dispatches_[roleIndex(role)].at(now, kTrafficTimeConstant);
-  return seen / -std::expm1(-ratio(observed, kTrafficTimeConstant));
+  const Duration observedFor = std::max(now - startedAt_, settings_.contract.overloadWindow);
+  const double recentRequests = recentlyStarted(now)
+                                    ? popularity_.arrivals(now)
+                                    : dispatches_[roleIndex(role)].at(now, kTrafficTimeConstant);
+  return recentRequests / -std::expm1(-ratio(observedFor, kTrafficTimeConstant));
 }
 
 void SlowStart::countDispatch(Instance& instance, Time now) {
--- a/src/routing/slow_start.h
+++ b/src/routing/slow_start.h
@@ -18,7 +18,7 @@
 
 /// Weights of the instances that do one step, prefill or decode; mixed instances do both.
 struct RoleWeights {
-  double complete = 0;     ///< when the whole fleet is listed
+  double fullFleet = 0;    ///< when the whole fleet is listed
   double listed = 0;       ///< listed now
   double inSlowStart = 0;  ///< of these, in slow start
 };
@@ -26,7 +26,7 @@
 /// To which instances one request is offered.
 struct SlowStartCandidates {
   double offeredWeight;  ///< weight of the instances that the request is offered to
-  double part;           ///< of one instance in it: 1 if offered the request alone, 0 for no draw
+  double instanceShare;  ///< of one instance in it: 1 if offered the request alone, 0 for no draw
 };
 
 /// Turns the traffic of this node and the weights of the fleet into the offers that the budget of
--- a/src/routing/slow_start_budget.cpp
+++ b/src/routing/slow_start_budget.cpp
@@ -49,25 +49,25 @@
   // could bear less.
   const double factor =
       contract.overloadFactor * warmFraction(contract, started, now - contract.overloadWindow);
-  const double own = factor * kMaxCountedShare * offer.usualPerWindow;
-  const bool counts = own >= 1;
+  const double ownPerWindow = factor * kMaxCountedShare * offer.warmDispatchesPerWindow;
+  const bool isCounted = ownPerWindow >= 1;
   // Processes that draw have one counted dispatch a window among them all.
-  const double perWindow = counts ? own : 1.0 / settings.nodes;
+  const double perWindow = isCounted ? ownPerWindow : 1.0 / settings.nodes;
   tokens_ = std::min(std::max(1.0, perWindow * kMaxBucketWindows),
                      tokens_ + perWindow * ratio(now - refilledAt_, contract.overloadWindow));
   refilledAt_ = now;
-  if (counts || tokens_ >= 1)
+  if (isCounted || tokens_ >= 1)
     return tokens_ >= 1;
   const std::int64_t slot = slotOf(contract, now);
-  const double any = std::min(1.0, factor * kMaxDrawnShare * offer.share);
-  const double probability = 1 - std::pow(1 - any, offer.part);
-  const auto times = static_cast<double>(1 + slot - slotOf(contract, offer.since));
-  return slot != usedSlot_ && stableDraw(seed_, slot) < std::pow(probability, times);
+  const double offerProbability = std::min(1.0, factor * kMaxDrawnShare * offer.offeredShare);
+  const double probability = 1 - std::pow(1 - offerProbability, offer.instanceShare);
+  const auto slotsWaited = static_cast<double>(1 + slot - slotOf(contract, offer.since));
+  return slot != lastUsedSlot_ && stableDraw(seed_, slot) < std::pow(probability, slotsWaited);
 }
 
 void SlowStartBudget::countDispatch(const Contract& contract, Time now) {
   tokens_ = std::max(0.0, tokens_ - 1);
-  usedSlot_ = slotOf(contract, now);
+  lastUsedSlot_ = slotOf(contract, now);
 }
 
 }  // namespace inference_router::routing
--- a/src/routing/slow_start_budget.h
+++ b/src/routing/slow_start_budget.h
@@ -20,11 +20,11 @@
 /// A request that could go to an instance in slow start.
 struct SlowStartOffer {
   /// Requests of this process that a warm instance of its weight gets in an overload window.
-  double usualPerWindow;
+  double warmDispatchesPerWindow;
   /// Weight of the instances that the request is offered to, over that of the whole role.
-  double share;
+  double offeredShare;
   /// Part of this instance in that weight: 1 if it is offered the request alone, 0 for no draw.
-  double part;
+  double instanceShare;
   /// When it was first offered; a request that waits is drawn against powers of the probability.
   Time since;
 };
@@ -50,7 +50,7 @@
   std::uint64_t seed_ = 0;
   double tokens_ = 0;
   Time refilledAt_{};
-  std::int64_t usedSlot_ = -1;
+  std::int64_t lastUsedSlot_ = -1;
 };
 
 }  // namespace inference_router::routing
--- a/src/routing/stable_hash.cpp
+++ b/src/routing/stable_hash.cpp
@@ -7,8 +7,8 @@
 constexpr std::uint64_t kFnvPrime = 1099511628211ULL;
 constexpr std::uint64_t kSeparator = 0xffU;  // occurs in no UTF-8 text
 constexpr int kFinalizerShift = 33;
-constexpr int kDroppedBits = 11;             // a double holds 53 of the 64 bits
-constexpr double kDraws = 9007199254740992;  // 2^53
+constexpr int kDroppedBits = 11;                 // a double holds 53 of the 64 bits
+constexpr double kDrawRange = 9007199254740992;  // 2^53
 
 }  // namespace
 
@@ -28,11 +28,11 @@
   std::uint64_t bits = seed + static_cast<std::uint64_t>(index);
   bits = (bits ^ bits >> 30) * 0xbf58476d1ce4e5b9ULL;
   bits = (bits ^ bits >> 27) * 0x94d049bb133111ebULL;
-  return static_cast<double>((bits ^ bits >> 31) >> kDroppedBits) / kDraws;
+  return static_cast<double>((bits ^ bits >> 31) >> kDroppedBits) / kDrawRange;
 }
 
 double stableDraw(const std::string& first, const std::string& second) {
-  return (static_cast<double>(stableHash(first, second) >> kDroppedBits) + 0.5) / kDraws;
+  return (static_cast<double>(stableHash(first, second) >> kDroppedBits) + 0.5) / kDrawRange;
 }
 
 }  // namespace inference_router::routing
--- a/src/routing/straggler_detector.cpp
+++ b/src/routing/straggler_detector.cpp
@@ -19,7 +19,7 @@
 }  // namespace
 
 bool isOvertaken(const AttemptRecord& attempt) {
-  return attempt.timesOvertaken >= kMinOvertakes;
+  return attempt.overtakenCount >= kMinOvertakes;
 }
 
 void countOvertakenAttempts(RequestMap& requests,
@@ -30,14 +30,14 @@
     if (request.phase != Phase::kPrefilling && request.phase != Phase::kDecoding)
       continue;
     AttemptRecord& attempt = request.attempts.back();
-    const bool wasBehind =
-        attempt.out && attempt.instance == answered.instance && attempt.sentAt < answered.sentAt;
+    const bool wasBehind = attempt.inFlight && attempt.instance == answered.instance &&
+                           attempt.sentAt < answered.sentAt;
     if (!wasBehind)
       continue;
     const double relativeSize =
         std::max(1.0, (attempt.prefillTokens + 1) / (answered.prefillTokens + 1));
     if (now - attempt.sentAt > scaled(took, relativeSize * kMinOvertakenTimes))
-      ++attempt.timesOvertaken;
+      ++attempt.overtakenCount;
   }
 }
 
@@ -45,10 +45,10 @@
   if (!mayCancel(request))
     return false;
   const AttemptRecord& attempt = request.attempts.back();
-  const bool longOut =
+  const bool isOverdue =
       now - attempt.sentAt >= scaled(request.objectiveAt - request.arrivedAt, kMinObjectiveShare);
-  const bool isLost = isOvertaken(attempt) && (longOut || !attempt.decodes);
-  const bool isStuck = isLost || (longOut && availability_.isSilent(*attempt.instance, now));
+  const bool isLost = isOvertaken(attempt) && (isOverdue || !attempt.decodes);
+  const bool isStuck = isLost || (isOverdue && availability_.isSilent(*attempt.instance, now));
   return isStuck && availability_.hasAlternative(request, *attempt.instance, now);
 }
 
@@ -56,7 +56,7 @@
   const AttemptRecord& attempt = request.attempts.back();
   if (!settings_.limits.cancel || !retryBudget_.isAvailable())
     return false;
-  if (!attempt.out || attempt.cancelled)
+  if (!attempt.inFlight || attempt.cancelled)
     return false;
   return !attempt.decodes || classOf(settings_, request).effect != Effect::kAtMostOnce;
 }
--- a/tests/estimates_test.cpp
+++ b/tests/estimates_test.cpp
@@ -72,20 +72,20 @@
 
 TEST(KeyPopularity, LeavesTheLatestArrivalOutAndAssumesTenOthers) {
   KeyPopularity popularity(seconds(20));
-  EXPECT_DOUBLE_EQ(popularity.shareOfOthers("a", at(1)), 0);
+  EXPECT_DOUBLE_EQ(popularity.shareExcludingLatest("a", at(1)), 0);
   popularity.count("a", at(1));
-  EXPECT_DOUBLE_EQ(popularity.shareOfOthers("a", at(1)), 0);
+  EXPECT_DOUBLE_EQ(popularity.shareExcludingLatest("a", at(1)), 0);
   popularity.count("a", at(1));
-  EXPECT_DOUBLE_EQ(popularity.shareOfOthers("a", at(1)), 1.0 / 12);
-  EXPECT_DOUBLE_EQ(popularity.shareOfOthers("b", at(1)), 0);
+  EXPECT_DOUBLE_EQ(popularity.shareExcludingLatest("a", at(1)), 1.0 / 12);
+  EXPECT_DOUBLE_EQ(popularity.shareExcludingLatest("b", at(1)), 0);
 }
 
 TEST(KeyPopularity, FindsThePopularKeyOfManyRareOnes) {
   KeyPopularity popularity(seconds(20));
   for (int i = 0; i < 4'000; ++i)
     popularity.count(i % 4 == 0 ? "popular" : "rare" + std::to_string(i), at(i * 0.01));
-  EXPECT_NEAR(popularity.shareOfOthers("popular", at(40)), 0.25, 0.01);
-  EXPECT_DOUBLE_EQ(popularity.shareOfOthers("rare3999", at(40)), 0);
+  EXPECT_NEAR(popularity.shareExcludingLatest("popular", at(40)), 0.25, 0.01);
+  EXPECT_DOUBLE_EQ(popularity.shareExcludingLatest("rare3999", at(40)), 0);
 }
 
 // The figures are part of the contract: nodes of different releases must order instances alike.
--- a/tests/request_record_test.cpp
+++ b/tests/request_record_test.cpp
@@ -15,13 +15,13 @@
 TEST(RequestRecord, HasAnAttemptOutOnlyWhileTheLastOneIs) {
   Instance instance;
   RequestRecord request;
-  EXPECT_FALSE(request.attemptOut());
+  EXPECT_FALSE(request.hasAttemptInFlight());
   request.attempts.push_back(attemptAt(instance, false));
-  EXPECT_TRUE(request.attemptOut());
-  request.attempts.back().out = false;
-  EXPECT_FALSE(request.attemptOut());
+  EXPECT_TRUE(request.hasAttemptInFlight());
+  request.attempts.back().inFlight = false;
+  EXPECT_FALSE(request.hasAttemptInFlight());
   request.attempts.push_back(attemptAt(instance, true));
-  EXPECT_TRUE(request.attemptOut());
+  EXPECT_TRUE(request.hasAttemptInFlight());
 }
 
 TEST(RequestRecord, TakesForExecutedTheFirstDecodeThatIsNotProvedNotToBe) {
--- a/tests/routing_units_test.cpp
+++ b/tests/routing_units_test.cpp
@@ -1,4 +1,4 @@
-// Units of the decision module, each alone.
+// Components of the decision module, each alone.
 #include <cmath>
 
 #include "router_harness.h"
@@ -30,11 +30,11 @@
   EXPECT_FALSE(registry.find({"b"})->isListed());
   RequestMap requests;
   requests[{"r"}].reservation = registry.find({"b"});
-  registry.forgetRemoved(requests, kStart + 11s);
+  registry.eraseRemoved(requests, kStart + 11s);
   EXPECT_NE(registry.find({"b"}), nullptr) << "a request refers to it";
-  registry.forgetRemoved({}, kStart + 10s);
+  registry.eraseRemoved({}, kStart + 10s);
   EXPECT_NE(registry.find({"b"}), nullptr) << "not gone for a warm-up time";
-  registry.forgetRemoved({}, kStart + 11s);
+  registry.eraseRemoved({}, kStart + 11s);
   EXPECT_EQ(registry.find({"b"}), nullptr);
 }
 
@@ -184,7 +184,7 @@
   }
   EXPECT_TRUE(isOvertaken(same.attempts[0]));
   for (const RequestRecord* request : {&larger, &elsewhere, &later})
-    EXPECT_EQ(request->attempts[0].timesOvertaken, 0);
+    EXPECT_EQ(request->attempts[0].overtakenCount, 0);
 }
 
 TEST(GracefulShutdownStep, MigratesTheLongestStreamsFirstAndFinishesTheRestNearTheEnd) {
