--- a/include/inference_router/actions.h
+++ b/include/inference_router/actions.h
@@ -1,4 +1,4 @@
-// What the decision module decides: its output, which the caller carries out.
+// Actions: the output of the decision module, which the caller executes.
 #pragma once
 
 #include <cstdint>
@@ -10,13 +10,12 @@
 
 namespace inference_router::routing {
 
-/// Action: send the request to the instance. The attempts of a request count from 0.
+/// Action: send the request to the instance. The attempts of a request are numbered from 0.
 struct DispatchAttempt {
   RequestId request;
   InstanceId instance;
-  Time timeoutAt;  ///< the attempt times out then
-  Time sendDeadline =
-      Time::max();  ///< nothing of it may go out from then on: a repeat might be executed
+  Time timeoutAt;                   ///< when the attempt times out
+  Time sendDeadline = Time::max();  ///< after this, a repeat might be executed: no byte may be sent
 };
 
 /// Action: reserve capacity for the request at a decode instance.
@@ -25,34 +24,34 @@
   InstanceId instance;
 };
 
-/// Action: release the KV caches and reservations that are held for the request anywhere.
+/// Action: release the KV caches and reservations that any instance holds for the request.
 struct ReleaseState {
   RequestId request;
 };
 
-/// Action: the final answer of a request that was not served; the client may repeat it.
+/// Action: end the request with a rejection. It was not served, and the client may safely retry it.
 struct RejectRequest {
   RequestId request;
-  std::optional<Duration> retryAfter;  ///< advice for the client
+  std::optional<Duration> retryAfter;  ///< delay after which the client is advised to retry
 };
 
-/// Action: the final answer of a request that was not served; it may have been executed.
+/// Action: end the request with a failure. It was not served, but may have been executed.
 struct FailRequest {
   RequestId request;
 };
 
-/// Action: cancel an attempt that is out; AttemptEnded still follows.
+/// Action: cancel an attempt that is in flight. AttemptEnded still follows.
 struct CancelAttempt {
   RequestId request;
   int attempt;
 };
 
-/// Action: break a stream off so that its client resumes it at another node.
+/// Action: close a stream early so that its client resumes it at another node.
 struct MigrateStream {
   RequestId request;
 };
 
-/// Action: send TimerFired after that time.
+/// Action: deliver TimerFired after the delay.
 struct SetTimer {
   std::uint64_t timer;
   Duration delay;
@@ -68,10 +67,10 @@
   std::string bytes;
 };
 
-/// Action: ask for the endpoint list and for its changes from then on.
+/// Action: request the endpoint list and subscribe to its changes.
 struct SubscribeEndpoints {};
 
-/// Action: ask for the endpoint list once.
+/// Action: request the endpoint list once.
 struct FetchEndpoints {};
 
 /// Action: write a line to the log.
@@ -79,7 +78,7 @@
   std::string text;
 };
 
-/// Everything that a Router decides.
+/// Any action that a Router can emit.
 using Action = std::variant<DispatchAttempt,
                             ReserveDecode,
                             ReleaseState,
--- a/include/inference_router/events.h
+++ b/include/inference_router/events.h
@@ -1,4 +1,4 @@
-// What the decision module is told while it runs.
+// Events: the input of the decision module while it runs.
 #pragma once
 
 #include <cstdint>
@@ -11,20 +11,22 @@
 
 namespace inference_router::routing {
 
-/// What an instance said of itself; somewhat old and not exact.
+/// Load that an instance reports about itself; approximate and slightly out of date.
 struct LoadReport {
-  std::optional<double> inFlight;       ///< requests in hand, waiting KV caches included
-  std::optional<double> queued;         ///< requests waiting
-  std::optional<double> slotShare;      ///< share of slots busy, 0 to 1
-  std::optional<double> memoryShare;    ///< share of memory taken, 0 to 1
-  std::optional<double> tokensWaiting;  ///< prompt tokens to be prefilled or fetched
-  std::optional<Duration> latency;  ///< recent time to the end of a prefill or to the first token
+  std::optional<double>
+      inFlight;  ///< requests in progress, including KV caches that wait to be fetched
+  std::optional<double> queued;         ///< requests that wait to be started
+  std::optional<double> slotShare;      ///< share of slots in use, 0 to 1
+  std::optional<double> memoryShare;    ///< share of memory in use, 0 to 1
+  std::optional<double> tokensWaiting;  ///< prompt tokens that wait to be prefilled or fetched
+  std::optional<Duration>
+      latency;  ///< recent time until a prefill ended or the first token was sent
 };
 
-/// What the endpoint list says of an instance.
+/// State of an instance in the endpoint list.
 enum class EndpointState {
   kActive,
-  kDraining,  ///< takes no new requests
+  kDraining,  ///< accepts no new requests
   kRemoved
 };
 
@@ -35,19 +37,19 @@
   KindIndex kind;
   CellIndex cell;
   EndpointState state;
-  double weight;                ///< capacity, compared with other instances of its role
-  std::optional<Time> started;  ///< its last start, if not long ago
+  double weight;                ///< capacity relative to other instances of its role
+  std::optional<Time> started;  ///< time of its last start, if recent
 };
 
-/// What an update of the endpoint list holds.
+/// Content of an update of the endpoint list.
 enum class EndpointListForm {
-  kChanges,  ///< entries that have changed
+  kChanges,  ///< only the entries that have changed
   kFull,     ///< the complete list
-  kCached,   ///< a complete list that may be old
-  kFailed    ///< nothing: the list could not be obtained
+  kCached,   ///< a complete list that may be out of date
+  kFailed    ///< no entries: the list could not be obtained
 };
 
-/// Event: the endpoint list, or that it could not be obtained.
+/// Event: the endpoint list, its changes, or a failure to obtain it.
 struct EndpointListUpdate {
   std::uint64_t version;
   EndpointListForm form;
@@ -59,54 +61,55 @@
   RequestId request;
   ClassIndex cls;
   std::optional<TenantIndex> tenant;
-  std::string session;  ///< of the client; empty: unknown
-  std::string prefix;   ///< names the beginning that its prompt shares with others; empty: none
-  Duration timeLeft;    ///< until the client gives up this attempt of its own
-  std::optional<Duration> lengthHint;  ///< rough duration of the answer at the class's objective
+  std::string session;  ///< client session; empty if unknown
+  std::string prefix;   ///< key of the prefix that its prompt shares with others; empty if none
+  Duration timeLeft;    ///< until the client gives up this try
+  std::optional<Duration>
+      lengthHint;  ///< approximate duration of the answer at the class's token interval objective
   double promptTokens;
-  double prefixTokens;  ///< length of the shared beginning
-  double maxTokens;     ///< upper bound of the answer's length
-  bool repeat;          ///< the client has sent it before
-  bool resumed;         ///< the rest of an answer whose stream broke
+  double prefixTokens;  ///< length of the shared prefix
+  double maxTokens;     ///< upper bound of the answer's length in tokens
+  bool repeat;          ///< the client has sent this request before
+  bool resumed;         ///< asks for the rest of an answer whose stream broke off
 };
 
-/// How an attempt has ended.
+/// How an attempt ended.
 enum class AttemptOutcome {
   kServed,          ///< the answer is complete
   kError,           ///< the instance answered with an error
-  kRejected,        ///< the instance has no capacity for it
-  kTimeout,         ///< DispatchAttempt::until has passed
-  kConnectFailed,   ///< the connection did not come up
-  kConnectionLost,  ///< the connection broke before the answer was complete
-  kCancelled,       ///< as this module or the client wanted
-  kNotSent,         ///< nothing of it went out
-  kPrefilled        ///< the KV cache waits at the prefill instance
+  kRejected,        ///< the instance had no capacity for it
+  kTimeout,         ///< DispatchAttempt::timeoutAt has passed
+  kConnectFailed,   ///< the connection could not be established
+  kConnectionLost,  ///< the connection was lost before the answer was complete
+  kCancelled,       ///< cancelled by this module or by the client
+  kNotSent,         ///< no byte of it was sent
+  kPrefilled        ///< the prefill instance holds the KV cache
 };
 
-/// Event: an attempt has ended.
+/// Event: an attempt ended.
 struct AttemptEnded {
   RequestId request;
-  int attempt;  ///< its number, from 0
+  int attempt;  ///< number of the attempt, from 0
   InstanceId instance;
   AttemptOutcome outcome;
   Duration took;        ///< since its dispatch
-  bool concluded;       ///< the client has its answer; nothing more is owed
-  double cachedTokens;  ///< on kPrefilled and kServed: prompt tokens found in the cache
-  bool kvCacheLost;  ///< no KV cache waits any more: there was none to fetch (kRejected), or it was
-                     ///< fetched
+  bool concluded;       ///< the client has its final answer; nothing else is to be sent
+  double cachedTokens;  ///< on kPrefilled and kServed: prompt tokens that were cached
+  bool kvCacheLost;     ///< no KV cache is held any longer: none was found (kRejected), or it was
+                        ///< fetched
   std::optional<LoadReport> report;
-  bool doubtful = false;  ///< on kRejected: may have been meant for an earlier request
+  bool doubtful = false;  ///< on kRejected: the rejection may belong to an earlier request
 };
 
-/// Whether an outcome proves that its attempt never ran: its connection did not come up, nothing of
-/// it went out, or its instance rejected it. A rejection that may have been meant for an earlier
-/// request proves nothing.
+/// Whether an outcome proves that its attempt was never executed: the connection could not be
+/// established, no byte was sent, or the instance rejected it. A rejection that may belong to an
+/// earlier request proves nothing.
 constexpr bool provesNotExecuted(AttemptOutcome outcome, bool doubtful) {
   return outcome == AttemptOutcome::kConnectFailed || outcome == AttemptOutcome::kNotSent ||
          (outcome == AttemptOutcome::kRejected && !doubtful);
 }
 
-/// Event: the first token of an attempt has come.
+/// Event: the first token of an attempt has arrived.
 struct StreamOpened {
   RequestId request;
   int attempt;
@@ -114,7 +117,7 @@
   Duration took;  ///< since its dispatch
 };
 
-/// Event: the answer to ReserveDecode.
+/// Event: the result of ReserveDecode.
 struct ReservationResult {
   RequestId request;
   int attempt;
@@ -122,7 +125,7 @@
   bool granted;
 };
 
-/// Event: the end of a health check.
+/// Event: a health check ended.
 struct HealthCheckEnded {
   InstanceId instance;
   Duration took;
@@ -130,9 +133,9 @@
   std::optional<LoadReport> report;
 };
 
-/// Event: gossip of another node.
+/// Event: gossip received from another node.
 struct PeerMessage {
-  int from;  ///< the number of the node
+  int from;  ///< index of the sending node
   std::string bytes;
 };
 
@@ -141,24 +144,24 @@
   std::uint64_t timer;
 };
 
-/// Event: nobody waits for the request any more.
+/// Event: the client no longer waits for the request.
 struct RequestAbandoned {
   RequestId request;
 };
 
-/// Event: this node shuts down; it is killed no sooner than this from now.
+/// Event: this node starts to shut down. It is not killed before the grace period ends.
 struct ShutdownStarted {
   Duration grace;
 };
 
-/// Event: this node has taken over a stream that another process of it began. Its attempt is
-/// number 0.
+/// Event: this process has taken over a stream that another process of the same node opened. Its
+/// attempt has number 0.
 struct StreamAdopted {
   Arrival arrival;
   InstanceId instance;
 };
 
-/// Everything that a Router is told.
+/// Any event that a Router handles.
 using Event = std::variant<EndpointListUpdate,
                            Arrival,
                            StreamOpened,
--- a/include/inference_router/router.h
+++ b/include/inference_router/router.h
@@ -1,8 +1,9 @@
-// The whole interface of the decision module: settings are handed in once, events in, actions out.
+// Entry point of the decision module: it is configured once, then maps events to actions.
 //
-// A Router decides for one node of the routing tier. It owns no thread, clock or socket: the time
-// comes with each event and every random draw from the seed. Nothing here has a default that tunes
-// a decision. All durations are in microseconds; no call blocks or throws, but for lack of memory.
+// A Router decides for one node of the routing tier. It owns no thread, clock or socket: the
+// current time comes with each event, and all randomness is derived from the seed. No setting that
+// influences a decision has a default. All durations are in microseconds. No call blocks or throws,
+// except when memory is exhausted.
 #pragma once
 
 #include <cstdint>
@@ -16,29 +17,30 @@
 
 namespace inference_router::routing {
 
-/// Decides for one node. Not safe for use by several threads at once.
+/// Decides for one node. Not thread-safe.
 ///
-/// Settings that validate() names give a Router that fails every arrival at once and says why in
-/// its log; an arrival of an unknown class is failed, too. Entries of an unknown kind are left out
-/// of the endpoint list. An arrival of a request that is held already, and any other event for one
-/// that is not held, are ignored.
+/// With settings that validate() rejects, the Router fails every arrival immediately and logs the
+/// reason. An arrival of an unknown class is failed, too. Endpoint list entries of an unknown kind
+/// are ignored, and so are an arrival of a request that is already known and any other event for an
+/// unknown request.
 class Router {
  public:
-  /// `seed` is the source of all random draws; nodes should differ in it.
+  /// `seed` determines all random draws; each node should use a different one.
   Router(const Settings& settings, std::uint64_t seed);
   ~Router();
   Router(Router&&) noexcept;
   Router& operator=(Router&&) noexcept;
 
-  /// Handles one event and appends the actions that follow from it, in the order in which they are
-  /// to be done. Events at the same time are handed over in the order in which they came; `now`
-  /// must not go back. The actions of the start itself come with the first event.
+  /// Handles one event and appends the resulting actions in the order in which they are to be
+  /// executed. Events with the same time are passed in order of arrival; `now` must not decrease.
+  /// The actions for the start of the router are emitted with the first event.
   void handle(Time now, const Event& event, std::vector<Action>& actions);
 
-  /// Replaces the settings. Classes, tenants and kinds keep their places; more may follow them.
+  /// Replaces the settings. Existing classes, tenants and kinds keep their indices; new ones may be
+  /// appended.
   void reconfigure(const Settings& settings);
 
-  /// Whether an instance that is listed is sent no requests for now, as it is ejected or silent.
+  /// Whether a listed instance currently gets no requests because it is ejected or silent.
   bool avoids(Time now, const InstanceId& instance) const;
 
  private:
--- a/include/inference_router/settings.h
+++ b/include/inference_router/settings.h
@@ -1,4 +1,4 @@
-// What the decision module is told once: the site, its contract and its request classes.
+// Settings of the decision module: the site, its contract and its request classes.
 #pragma once
 
 #include <optional>
@@ -12,78 +12,79 @@
 /// A class of requests.
 struct ClassSettings {
   Effect effect;
-  DedupScope dedupScope;  ///< of a deduplicated class
-  Duration dedupWindow;   ///< of a deduplicated class, from the dispatch of the first attempt that
-                          ///< may have been executed
+  DedupScope dedupScope;  ///< for deduplicated classes
+  Duration dedupWindow;   ///< for deduplicated classes: starts at the dispatch of the first attempt
+                          ///< that may have been executed
   Duration latencyObjective;  ///< time to the first token that earns the full priority weight
-  Duration latencyObjectivePer1000;  ///< added to it for each 1,000 prompt tokens
+  Duration latencyObjectivePer1000;  ///< added to latencyObjective for each 1,000 prompt tokens
   Duration tokenIntervalObjective;   ///< mean time between tokens that earns the full weight
-  Duration deadline;                 ///< how long a client waits, over all its attempts
-  double lateWeightShare;  ///< share of the weight for an answer after the objective, 0 to 1
-  double priorityWeight;   ///< worth of one answer, compared with other classes
+  Duration deadline;                 ///< how long a client waits, over all its tries
+  double lateWeightShare;  ///< share of the weight that an answer after the objective earns, 0 to 1
+  double priorityWeight;   ///< value of one answer, relative to other classes
   bool stream;             ///< answers are streamed
 };
 
 /// A kind of instance.
 struct KindSettings {
   Role role;
-  double memoryTokens;  ///< tokens that its memory holds
+  double memoryTokens;  ///< number of tokens that fit into its memory
 };
 
 /// A tenant of the site.
 struct TenantSettings {
-  double share;               ///< of the capacity of the site, 0 to 1
-  double allowancePerSecond;  ///< requests a second within its quota, over all nodes
+  double share;               ///< share of the site's capacity, 0 to 1
+  double allowancePerSecond;  ///< quota in requests per second, over all nodes
 };
 
-/// What the site guarantees and demands.
+/// Guarantees and requirements of the site.
 struct Contract {
-  Duration drainGrace;   ///< requests at a draining instance end within this
-  Duration answerGrace;  ///< a final answer this late after the deadline still counts
-  Duration maxListAge;   ///< how old an endpoint list may grow that has to be asked for
+  Duration drainGrace;        ///< time within which requests at a draining instance must end
+  Duration answerGrace;       ///< a final answer still counts if it is late by at most this
+  Duration maxListAge;        ///< maximum age of an endpoint list that is polled
+  double warmupInitialShare;  ///< minimum share of its capacity that a started instance has, 0 to 1
+  Duration warmupDuration;    ///< time from the start of an instance until it is warm
   double
-      warmupInitialShare;   ///< share of its capacity that a started instance has at least, 0 to 1
-  Duration warmupDuration;  ///< from its start until an instance is warm
-  double overloadFactor;    ///< load that overloads an instance, in times its present capacity,
-  Duration overloadWindow;  ///< if it lasts this long while the instance is not warm
-  Duration releaseLimit;    ///< how long an instance keeps a KV cache that nobody fetches
+      overloadFactor;  ///< load, as a multiple of its current capacity, that overloads an instance
+  Duration overloadWindow;  ///< when it lasts this long while the instance is not warm
+  Duration releaseLimit;    ///< how long an instance keeps a KV cache that is not fetched
 };
 
-/// Which actions the site allows.
+/// Actions that the site allows, and their limits.
 struct Limits {
   bool cancel;             ///< CancelAttempt
   bool gossip;             ///< SendGossip
   bool healthChecks;       ///< SendHealthCheck
-  bool hedgedRequests;     ///< a second attempt while one is out
+  bool hedgedRequests;     ///< a second attempt while one is in flight
   bool retryAfter;         ///< RejectRequest::retryAfter
-  int maxAttempts;         ///< of one request; a prefill and a decode are two
-  Duration maxRetryAfter;  ///< longest advice that clients heed
+  int maxAttempts;         ///< per request; a prefill and a decode count as two
+  Duration maxRetryAfter;  ///< longest delay that clients honour
   Duration connectTimeout;
 };
 
-/// What costs of the site's result, each a share of it for a rate of one.
+/// Cost factors of the site's score. Each is the share of the score that a rate of one costs.
 struct Prices {
-  double crossZone;  ///< attempts that cross zones, for each request
-  double lateFail;   ///< priority weight that ended unserved after the latency objective
-  double move;       ///< prompt tokens whose KV cache leaves its cell
-  double peer;       ///< bytes of gossip, for each request
-  double probe;      ///< health checks and reservations, for each request
-  double waste;      ///< work of instances that served no answer, of all work offered
+  double crossZone;  ///< attempts that cross zones, per request
+  double lateFail;  ///< priority weight of requests that ended unserved after the latency objective
+  double move;      ///< prompt tokens whose KV cache leaves its cell
+  double peer;      ///< bytes of gossip, per request
+  double probe;     ///< health checks and reservations, per request
+  double
+      waste;  ///< share of the offered work that instances spent on requests that were not served
 };
 
-/// What the site's result is made of: the weights of the whole day and of its worst parts.
+/// Weights of the components of the site's score.
 struct Goal {
-  double whole;
-  double worstWindow;  ///< the worst short time
-  double worstClass;
-  double worstTenant;  ///< within its quota
+  double whole;        ///< the whole day
+  double worstWindow;  ///< the worst short time window
+  double worstClass;   ///< the worst request class
+  double worstTenant;  ///< the worst tenant, within its quota
 };
 
 /// All settings of a router.
 struct Settings {
   std::vector<ClassSettings> classes;
   std::vector<KindSettings> kinds;
-  std::vector<TenantSettings> tenants;  ///< empty where the site has none
+  std::vector<TenantSettings> tenants;  ///< empty if the site has none
   Contract contract;
   Limits limits;
   Prices prices;
@@ -91,17 +92,18 @@
   Discovery discovery;
   LoadReports reports;
   bool reservationsAllowed;  ///< ReserveDecode may be used
-  bool decodeCanPrefill;     ///< a decode instance without a KV cache computes it itself
-  bool streamResumption;     ///< a broken stream may go on elsewhere; MigrateStream may be used
-  bool countedByWork;        ///< priority weights count for each unit of work
-  double overQuotaWeight;    ///< part of the weight kept beyond a tenant's quota, 0 to 1
-  int nodes;                 ///< of the routing tier, this one included
-  int nodeIndex;             ///< this node's number among them
-  ZoneIndex zone;            ///< where this node runs
-  Duration tick;             ///< events come at most this often
+  bool decodeCanPrefill;     ///< a decode instance can compute a missing KV cache itself
+  bool streamResumption;   ///< clients resume broken streams at another node; MigrateStream may be
+                           ///< used
+  bool countedByWork;      ///< priority weights apply per unit of work instead of per request
+  double overQuotaWeight;  ///< share of the priority weight beyond a tenant's quota, 0 to 1
+  int nodes;               ///< number of nodes of the routing tier, including this one
+  int nodeIndex;           ///< index of this node, from 0
+  ZoneIndex zone;          ///< zone of this node
+  Duration tick;           ///< minimum interval at which events are delivered
 };
 
-/// Why settings cannot be used.
+/// Reason why settings are invalid.
 enum class SettingsError {
   kNoClasses,
   kNoKinds,
@@ -111,10 +113,10 @@
   kClassWithoutObjectiveOrDeadline
 };
 
-/// The error as a text for operators.
+/// Returns a description of the error for operators.
 std::string describe(SettingsError error);
 
-/// Why the settings cannot be used; nothing if they can.
+/// Returns the reason why the settings are invalid, or nothing if they are valid.
 std::optional<SettingsError> validate(const Settings& settings);
 
 }  // namespace inference_router::routing
--- a/include/inference_router/types.h
+++ b/include/inference_router/types.h
@@ -1,4 +1,4 @@
-// The vocabulary that settings, events and actions of the decision module share.
+// Types shared by the settings, events and actions of the decision module.
 #pragma once
 
 #include <chrono>
@@ -11,9 +11,10 @@
 /// A span of time, in microseconds.
 using Duration = std::chrono::microseconds;
 
-/// The node's clock: it starts at no particular value and only advances.
+/// The node's monotonic clock; its epoch is unspecified.
 struct NodeClock {
-  // NOLINTBEGIN(readability-identifier-naming): names that the standard demands of a clock.
+  // NOLINTBEGIN(readability-identifier-naming): names required by the standard's Clock
+  // requirements.
   using duration = Duration;
   using rep = duration::rep;
   using period = duration::period;
@@ -24,18 +25,18 @@
 /// A point in time on the node's clock.
 using Time = NodeClock::time_point;
 
-/// A string that names something; the tag keeps names of different things apart.
+/// A string identifier. The tag makes identifiers of different kinds distinct types.
 template <class Tag>
 struct Name {
   std::string value;
   auto operator<=>(const Name&) const = default;
 };
-/// Names an instance of the inference service.
+/// Identifies an instance of the inference service.
 using InstanceId = Name<struct InstanceTag>;
-/// Names a request; unique among those that a node holds.
+/// Identifies a request; unique among the requests that a node holds.
 using RequestId = Name<struct RequestTag>;
 
-/// A position in a list; the tag keeps positions in different lists apart.
+/// An index into a list. The tag makes indices into different lists distinct types.
 template <class Tag>
 struct Index {
   std::uint32_t value = 0;
@@ -45,40 +46,41 @@
 using TenantIndex = Index<struct TenantTag>;  ///< into Settings::tenants
 using KindIndex = Index<struct KindTag>;      ///< into Settings::kinds
 using ZoneIndex = Index<struct ZoneTag>;      ///< a zone of the site
-using CellIndex = Index<struct CellTag>;      ///< a group of instances with cheap transfers in it
+using CellIndex =
+    Index<struct CellTag>;  ///< a group of instances among which KV cache transfers are cheap
 
-/// What repeats of a request of a class do.
+/// Effect of executing a request of a class more than once.
 enum class Effect {
-  kIdempotent,    ///< no harm
-  kDeduplicated,  ///< instances discard them by an idempotency key, for a time and within a scope
-  kAtMostOnce     ///< harm: it must be executed once at most
+  kIdempotent,    ///< none: repeats are harmless
+  kDeduplicated,  ///< instances discard repeats by idempotency key, for a time and within a scope
+  kAtMostOnce     ///< harmful: the request must be executed at most once
 };
 
-/// Which instances recognize the repeats of a deduplicated request.
+/// Which instances recognize repeats of a deduplicated request.
 enum class DedupScope {
-  kAll,   ///< all
-  kZone,  ///< those of the zone of the first attempt
-  kCell   ///< those of the cell of the first attempt
+  kAll,   ///< all instances
+  kZone,  ///< the instances in the zone of the first attempt
+  kCell   ///< the instances in the cell of the first attempt
 };
 
-/// What a kind of instance does.
+/// Function of a kind of instance.
 enum class Role {
-  kPrefill,  ///< computes the KV cache of a prompt, for a decode instance to fetch
+  kPrefill,  ///< computes the KV cache of a prompt, which a decode instance fetches
   kDecode,   ///< generates the answer
-  kMixed     ///< does both for its requests
+  kMixed     ///< does both steps of its requests
 };
 
-/// How the endpoint list reaches the node.
+/// How a node obtains the endpoint list.
 enum class Discovery {
-  kPush,  ///< it is sent without being asked for
-  kPoll   ///< it has to be asked for
+  kPush,  ///< the list is pushed to the node
+  kPoll   ///< the node has to request it
 };
 
-/// How instances report their load.
+/// Whether and how instances report their load.
 enum class LoadReports {
-  kNone,    ///< they do not
+  kNone,    ///< not at all
   kInline,  ///< with each answer
-  kProbed   ///< with the answer to a health check
+  kProbed   ///< with the response to a health check
 };
 
 }  // namespace inference_router::routing
--- a/src/routing/attempt_dispatcher.cpp
+++ b/src/routing/attempt_dispatcher.cpp
@@ -7,8 +7,8 @@
 namespace inference_router::routing {
 namespace {
 
-// Upper bound of the reservations that are asked for one request. Asking takes little of the time
-// of a prefill.
+// Maximum number of reservations requested for one request. Each takes only a small part of the
+// prefill, during which they are made.
 constexpr int kMaxReservations = 3;
 
 }  // namespace
@@ -46,13 +46,13 @@
   request.attempts.push_back({&instance, now, instance.role != Role::kPrefill, tokens,
                               request.affinityInstance == &instance});
   request.phase = next;
-  // Whatever the role: a mixed instance that times out may still hold the KV cache of its prefill.
+  // For every role: a mixed instance whose attempt times out may still hold the KV cache.
   request.holdsRemoteState = true;
   InstanceAvailability::recordDispatch(instance, now);
   const Time timeoutAt = attemptTimeoutAt(settings_, request, instance, now);
   context.emit(DispatchAttempt{request.arrival.request, instance.endpoint.instance, timeoutAt,
                                sendDeadline});
-  if (&instance != request.reservation)  // otherwise it was counted with the reservation
+  if (&instance != request.reservation)  // a dispatch to the reservation was counted when reserving
     slowStart_.countDispatch(instance, now);
   return true;
 }
--- a/src/routing/attempt_dispatcher.h
+++ b/src/routing/attempt_dispatcher.h
@@ -1,4 +1,5 @@
-// The actions on the remote side of a request: attempts, reservations, releases, cancellations.
+// Emits the actions of a request that concern instances: attempts, reservations, releases and
+// cancellations.
 #pragma once
 
 #include "inference_router/settings.h"
@@ -12,8 +13,8 @@
 
 namespace inference_router::routing {
 
-/// Every attempt passes dispatch(), so the conditions that each has to meet are checked in one
-/// place. Owns no state; changes the records of requests and instances.
+/// All attempts are sent by dispatch(), so their preconditions are checked in one place. Stateless;
+/// updates the records of requests and instances.
 class AttemptDispatcher {
  public:
   /// All must outlive the dispatcher.
@@ -28,25 +29,26 @@
         capacity_(capacity),
         slowStart_(slowStart) {}
 
-  /// Sends an attempt to the instance and moves the request to the phase `next`, if the request is
-  /// still open, has no attempt out and attempts left, the instance is listed or has its
-  /// reservation, and the effect of its class allows it. Returns whether it was sent. Capacity of
-  /// an instance that decodes is reserved in either case.
+  /// Sends an attempt to the instance and moves the request to the phase `next`. Preconditions: the
+  /// request has no first token or final answer yet, its deadline has not passed, no attempt is in
+  /// flight, attempts are left, the instance is listed or holds a usable reservation, and the
+  /// effect of the class allows the attempt. Returns whether it was sent. Capacity of an instance
+  /// that decodes is reserved in either case.
   bool dispatch(RequestRecord& request, Instance& instance, Phase next, EventContext& context);
 
-  /// Asks a decode instance for a reservation, where the site allows it and one can be chosen.
+  /// Requests a reservation at a decode instance if the site allows it and one can be selected.
   void reserveDecode(RequestRecord& request, EventContext& context);
 
-  /// The instance has rejected the reservation: asks another while the request is prefilled.
+  /// Handles a rejected reservation: requests one at another instance during the prefill.
   void handleRejectedReservation(RequestRecord& request, EventContext& context);
 
-  /// Has KV caches and reservations of the request released wherever they may be held.
+  /// Releases the KV caches and reservations that any instance may hold for the request.
   void releaseState(RequestRecord& request, EventContext& context);
 
-  /// Counts the request no longer at the decode instance that it was meant for.
+  /// Frees the decode capacity that is reserved for the request.
   void freeCapacity(RequestRecord& request) { capacity_.free(request); }
 
-  /// Cancels the attempt that is out, if there is one and the site allows it.
+  /// Cancels the attempt in flight, if there is one and the site allows it.
   void cancelAttempt(const RequestRecord& request, EventContext& context) const;
 
  private:
--- a/src/routing/cell_plan.cpp
+++ b/src/routing/cell_plan.cpp
@@ -10,9 +10,9 @@
 namespace inference_router::routing {
 namespace {
 
-// Lower bound of the prefills of a cell, as a multiple of the even share of its prefill instances.
+// Minimum share of all prefills for a cell, as a multiple of its share of the prefill weight.
 constexpr double kMinPrefillShare = 0.5;
-// Upper bound of the same.
+// Maximum share of all prefills for a cell, as a multiple of its share of the prefill weight.
 constexpr double kMaxPrefillShare = 1.25;
 
 }  // namespace
@@ -25,7 +25,7 @@
   distributePrefills();
 }
 
-// Returns the weights times the warm fractions.
+// Returns the sum by role of weight times warm fraction.
 CellPlan::ByRole CellPlan::addUpWeights(const InstanceMap& instances,
                                         const Settings& settings,
                                         Time now) {
@@ -63,8 +63,8 @@
     cell.prefillShare /= std::max(sum, kMinDivisor);
 }
 
-// Prefill instances share the work of the decode instances, in the units of these; a mixed instance
-// prefills what it decodes.
+// The weights of prefill instances are scaled to the total decode weight, so that they are
+// comparable with those of mixed instances, which prefill what they decode.
 double CellPlan::hashWeight(const Instance& instance) const {
   const double decodeWeight = listedWeight(Role::kDecode);
   if (instance.role == Role::kMixed || decodeWeight <= 0)
@@ -74,12 +74,12 @@
                                    std::max(kMinDivisor, cell.prefillWeight));
 }
 
-// Stays in the cell with the probability decodeShare / prefillShare. Otherwise rendezvous hashing
-// picks one of the cells whose decode share exceeds their prefill share, weighted by the
-// difference.
+// Stays in the prefill cell with probability decodeShare / prefillShare. Otherwise selects, by
+// rendezvous hashing, one of the cells whose decode share exceeds their prefill share, weighted by
+// the difference.
 CellIndex CellPlan::decodeCell(const RequestId& request, CellIndex prefillCell) const {
   const auto ownCell =
-      cells_.find(prefillCell);  // none: no instance of the cell is listed any more
+      cells_.find(prefillCell);  // missing if none of the cell's instances is listed any more
   if (ownCell != cells_.end() &&
       stableDraw(request.value, "near") <
           ownCell->second.decodeShare / std::max(ownCell->second.prefillShare, kMinDivisor))
--- a/src/routing/cell_plan.h
+++ b/src/routing/cell_plan.h
@@ -1,4 +1,4 @@
-// How prefills and decodes are spread over the cells of a site.
+// Distributes prefills and decodes over the cells of a site.
 #pragma once
 
 #include <array>
@@ -10,48 +10,48 @@
 
 namespace inference_router::routing {
 
-/// Index of a role in an array by role.
+/// Index of a role in an array with one element per role.
 constexpr std::size_t roleIndex(Role role) {
   return static_cast<std::size_t>(role);
 }
+/// Number of roles.
 constexpr std::size_t kRoleCount = 3;
 
-/// Plans the share of all prefills that each cell does. Moving a KV cache within a cell is cheap,
-/// so a cell should prefill what its own decode instances can decode, within bounds of its prefill
-/// instances; the rest moves to the cells that have decode capacity to spare. The plan follows from
-/// the endpoint list alone, so all nodes compute the same.
+/// Assigns each cell its share of all prefills. Transferring a KV cache within a cell is cheap, so
+/// a cell should prefill as much as its own decode instances can decode, within bounds given by its
+/// prefill capacity. The remaining requests are decoded in cells with spare decode capacity. The
+/// plan depends on the endpoint list only, so all nodes compute the same plan.
 class CellPlan {
  public:
-  /// Computes the plan anew for the instances that are listed.
+  /// Recomputes the plan for the listed instances.
   void update(const InstanceMap& instances, const Settings& settings, Time now);
 
-  /// The weight of an instance in rendezvous hashing of prefills. It must have been listed at the
-  /// last update().
+  /// Weight of an instance in the rendezvous hashing of prefills. The instance must have been
+  /// listed at the last update().
   double hashWeight(const Instance& instance) const;
 
-  /// The cell that is to decode a request that was prefilled in `prefillCell`. Drawn by the id of
-  /// the request, so that the planned part of the requests leaves the cell.
+  /// The cell that is to decode a request prefilled in `prefillCell`. Drawn from the request's id,
+  /// so that the planned share of the requests leaves the cell.
   CellIndex decodeCell(const RequestId& request, CellIndex prefillCell) const;
 
-  /// Sum of the weights of the listed instances of that role.
+  /// Sum of the weights of the listed instances with that role.
   double listedWeight(Role role) const { return listedWeight_[roleIndex(role)]; }
 
-  /// Number of listed instances of that role.
+  /// Number of listed instances with that role.
   double listedCount(Role role) const { return listedCount_[roleIndex(role)]; }
 
-  /// The largest sum of weights, each times the warm fraction, that any update() found for the
-  /// role.
+  /// The largest sum of weight times warm fraction that any update() has found for the role.
   double maxWarmWeight(Role role) const { return maxWarmWeight_[roleIndex(role)]; }
 
-  /// The largest listedWeight() of all roles.
+  /// The largest listedWeight() over all roles.
   double maxListedWeight() const;
 
  private:
   struct Cell {
-    double prefillWeight = 0;  ///< of its prefill instances
-    double decodeWeight = 0;   ///< of its decode instances
-    double prefillShare = 0;   ///< of all prefills that it is to do
-    double decodeShare = 0;    ///< of all decodes that it is to do
+    double prefillWeight = 0;  ///< total weight of its prefill instances
+    double decodeWeight = 0;   ///< total weight of its decode instances
+    double prefillShare = 0;   ///< its planned share of all prefills
+    double decodeShare = 0;    ///< its share of all decodes
   };
   using ByRole = std::array<double, kRoleCount>;
 
--- a/src/routing/constants.h
+++ b/src/routing/constants.h
@@ -1,4 +1,4 @@
-// Constants that several units of the decision module share.
+// Constants shared by several parts of the decision module.
 #pragma once
 
 #include <chrono>
@@ -7,16 +7,16 @@
 
 namespace inference_router::routing {
 
-/// Time constant, in seconds, of the sums over this node's own traffic: arrivals by affinity key,
-/// dispatches by role and prompt tokens sent to decode instances. Long enough for a node that sees
-/// few requests to know where its traffic goes.
+/// Time constant of the decaying sums over this node's own traffic: arrivals by affinity key,
+/// dispatches by role and prompt tokens sent to decode instances. Long enough for a node that gets
+/// few requests to measure the distribution of its traffic.
 constexpr Duration kTrafficTimeConstant = std::chrono::seconds{20};
 
-/// Lower bound of weights and capacities that something is divided by.
+/// Lower bound for weights and capacities that are used as divisors.
 constexpr double kMinDivisor = 1e-9;
 
-/// Interval, in milliseconds, at which the router looks at queued requests and at attempts that are
-/// out. Short compared with any latency objective.
+/// Interval at which the router processes queued requests and attempts in flight. Short compared
+/// with any latency objective.
 constexpr Duration kQueueInterval = std::chrono::milliseconds{10};
 
 }  // namespace inference_router::routing
--- a/src/routing/decaying_sum.h
+++ b/src/routing/decaying_sum.h
@@ -7,9 +7,11 @@
 
 namespace inference_router::routing {
 
+/// Exponentially decaying sum. Does not store the time constant: each call passes it.
 class DecayingSum {
  public:
-  /// The sum as of `now`. In the steady state it is the rate of amounts times `timeConstant`.
+  /// The sum at `now`. In the steady state it is the amount added per unit of time, multiplied by
+  /// `timeConstant`.
   double at(Time now, Duration timeConstant) const {
     return sum_ * std::exp(-ratio(now - lastChange_, timeConstant));
   }
--- a/src/routing/decode_capacity.cpp
+++ b/src/routing/decode_capacity.cpp
@@ -9,12 +9,13 @@
 namespace inference_router::routing {
 namespace {
 
-// Expected length of an answer, as a share of the most tokens that it may have.
+// Expected length of an answer, as a share of its maximum length.
 constexpr double kExpectedOutputShare = 0.25;
-// Number of own streams that weigh as much as the assumption that the fleet's are spread evenly.
+// Weight of the prior assumption that the fleet's streams are spread by instance weight, as a
+// number of own streams.
 constexpr double kPriorStreams = 3;
-// How long an instance that rejected a reservation counts as full, as a share of the shortest
-// latency objective.
+// How long an instance is considered full after it rejected a reservation, as a share of the
+// shortest latency objective.
 constexpr double kRejectionObjectiveShare = 0.15;
 
 double expectedMemory(const Arrival& arrival) {
@@ -54,8 +55,9 @@
          (std::max(instance.endpoint.weight, kMinDivisor) * warmFraction(settings_, instance, now));
 }
 
-// Share of all answers of the fleet that is at the instance: as this node's own are spread, the
-// more the more there are, and otherwise by weight.
+// Estimated share of the fleet's reserved tokens that is at the instance: a mean of this node's own
+// distribution and a distribution by instance weight. The more streams this node has, the more its
+// own distribution counts.
 double DecodeCapacity::fleetShare(const Instance& instance) const {
   const double decodeWeight =
       cells_.listedWeight(Role::kDecode) + cells_.listedWeight(Role::kMixed);
--- a/src/routing/decode_capacity.h
+++ b/src/routing/decode_capacity.h
@@ -1,4 +1,4 @@
-// The memory and streams of decode instances, as far as this node can know them.
+// Estimates how much of the decode instances' memory is in use.
 #pragma once
 
 #include "inference_router/settings.h"
@@ -10,11 +10,11 @@
 
 namespace inference_router::routing {
 
-/// Share of a decode instance's memory that counts as full.
+/// Share of memory in use above which a decode instance is considered full.
 constexpr double kFullMemoryShare = 0.95;
 
-/// Counts the requests of this node that decode at each instance, or will, and extrapolates from
-/// them to the other nodes, which share nothing.
+/// Counts this node's requests that decode, or are going to decode, at each instance, and
+/// extrapolates to the other nodes, with which no state is shared.
 class DecodeCapacity {
  public:
   /// All must outlive the object.
@@ -24,23 +24,25 @@
                  const InstanceAvailability& availability)
       : settings_(settings), registry_(registry), cells_(cells), availability_(availability) {}
 
-  /// Counts the request at the instance, and no longer at another.
+  /// Reserves capacity for the request at the instance. Frees a previous reservation at another
+  /// one.
   void reserve(RequestRecord& request, Instance& instance);
 
-  /// Counts the request at no instance.
+  /// Frees the capacity that is reserved for the request.
   void free(RequestRecord& request);
 
-  /// The instance has rejected a reservation: it counts as full for a while.
+  /// Records that the instance rejected a reservation: it is considered full for a while.
   void recordRejection(Instance& instance, Time now) const;
 
-  /// Streams of this node there for its weight, while it is in slow start for what it can bear.
+  /// This node's streams at the instance, relative to its weight. For an instance in slow start the
+  /// weight is reduced by its warm fraction.
   double load(const Instance& instance, Time now) const;
 
-  /// Whether more than that share of its memory is expected to be taken, or it has just rejected a
-  /// reservation.
+  /// Whether more than `memoryShare` of the instance's memory is expected to be in use, or it has
+  /// recently rejected a reservation.
   bool isFull(const Instance& instance, Time now, double memoryShare = kFullMemoryShare) const;
 
-  /// Whether there are usable instances that decode and all of them are full.
+  /// Whether there are usable instances that can decode and all of them are full.
   bool allFull(Time now) const;
 
  private:
@@ -51,8 +53,8 @@
   const InstanceRegistry& registry_;
   const CellPlan& cells_;
   const InstanceAvailability& availability_;
-  double reservedTokens_ = 0;  ///< of all instances
-  double streams_ = 0;         ///< of all instances
+  double reservedTokens_ = 0;  ///< over all instances
+  double streams_ = 0;         ///< over all instances
 };
 
 }  // namespace inference_router::routing
--- a/src/routing/decode_prefill_selector.cpp
+++ b/src/routing/decode_prefill_selector.cpp
@@ -9,16 +9,16 @@
 namespace inference_router::routing {
 namespace {
 
-// Upper bound of the memory share of a decode instance that prefills as well.
+// Maximum share of memory in use at a decode instance that is selected for a prefill.
 constexpr double kMaxMemoryShare = 0.45;
-// Times that a decode instance takes to prefill, compared with a prefill instance.
+// Ratio of the prefill time at a decode instance to that at a prefill instance.
 constexpr int kSlowdown = 2;
-// Upper bound of the time that a prefill instance may take, as a share of the time to the
-// objective, without a decode instance being tried.
+// Share of the time to the objective that a prefill instance may take before a decode instance is
+// considered instead.
 constexpr double kMaxObjectiveShare = 0.6;
-// Share of the time of all decode instances that they may spend on prefills.
+// Share of their time that the decode instances together may spend on prefills.
 constexpr double kSpareTimeShare = 0.15;
-// The same for a fleet of few nodes: this number divided by the number of nodes, if that is more.
+// For few nodes, the share is this constant divided by the number of nodes, if that is larger.
 constexpr double kSpareTimeShareNodes = 3;
 
 }  // namespace
@@ -60,8 +60,8 @@
   return best;
 }
 
-// Each node alone sees the decode instances idle, so it assumes that all nodes send them as much as
-// it does.
+// A node knows only its own load on the decode instances, so it assumes that every node sends them
+// as many prefills as it does.
 bool DecodePrefillSelector::hasSpareTime(Time now) const {
   const int nodes = inputs_.settings.nodes;
   const double ownTokens = prefillTokens_.at(now, kTrafficTimeConstant);
--- a/src/routing/decode_prefill_selector.h
+++ b/src/routing/decode_prefill_selector.h
@@ -1,4 +1,4 @@
-// Lets decode instances with spare time prefill prompts themselves.
+// Selects decode instances with spare time to prefill prompts themselves.
 #pragma once
 
 #include "inference_router/types.h"
@@ -8,21 +8,21 @@
 
 namespace inference_router::routing {
 
-/// Prefill instances may be too few, or fail, while decode instances have time to spare. These can
-/// prefill a prompt between their decode steps, more slowly.
+/// Prefill instances may be overloaded or fail while decode instances have spare time. A decode
+/// instance can prefill a prompt between its decode steps, but more slowly.
 class DecodePrefillSelector {
  public:
   explicit DecodePrefillSelector(const SelectionInputs& inputs) : inputs_(inputs) {}
 
-  /// Whether a prefill instance takes so much of the time to the objective that a decode instance
-  /// is worth trying. Null stands for no prefill instance.
+  /// Whether the prefill instance is expected to take so much of the time to the objective that a
+  /// decode instance should be considered. `prefillInstance` is null if none is available.
   bool isPreferable(const RequestRecord& request, const Instance* prefillInstance, Time now) const;
 
-  /// Returns a decode instance that can prefill and decode the request, or null if none can in time
-  /// or their spare time is used up.
+  /// Returns a decode instance that can prefill and decode the request, or null if none can do so
+  /// in time or their spare time is used up.
   Instance* choose(const RequestRecord& request, Time now) const;
 
-  /// Counts a request that was sent to a decode instance to prefill its prompt.
+  /// Records that the request was sent to a decode instance for its prefill.
   void countDispatch(const RequestRecord& request, Time now);
 
  private:
@@ -30,7 +30,7 @@
   bool hasSpareTime(Time now) const;
 
   SelectionInputs inputs_;
-  DecayingSum prefillTokens_;  ///< that this node sent to decode instances
+  DecayingSum prefillTokens_;  ///< prompt tokens that this node sent to decode instances
 };
 
 }  // namespace inference_router::routing
--- a/src/routing/decode_selector.cpp
+++ b/src/routing/decode_selector.cpp
@@ -8,8 +8,8 @@
 namespace inference_router::routing {
 namespace {
 
-// Divisor of the drain grace period: reservations on a draining instance are used before the end of
-// that part of it.
+// A reservation at a draining instance is used only within the first 1 / kDrainGraceDivisor of the
+// drain grace period.
 constexpr int kDrainGraceDivisor = 2;
 
 }  // namespace
@@ -25,7 +25,7 @@
   return hasCapacity ? anywhere : planned;
 }
 
-// Of the decode instances of the cell; without a cell, of all decode and mixed instances.
+// Searches the decode instances of the cell or, without a cell, all decode and mixed instances.
 Instance* DecodeSelector::leastLoaded(RequestRecord& request,
                                       std::optional<CellIndex> cell,
                                       Time now) {
@@ -49,7 +49,8 @@
   return best;
 }
 
-// Those with capacity first, then by load, then by the node's own order.
+// Instances with free capacity come first, then those with less load; ties are broken by a hash
+// that differs between nodes.
 bool DecodeSelector::isLessLoaded(const Instance& instance, const Instance& other, Time now) const {
   const bool isFull = inputs_.capacity.isFull(instance, now);
   const bool otherIsFull = inputs_.capacity.isFull(other, now);
--- a/src/routing/decode_selector.h
+++ b/src/routing/decode_selector.h
@@ -1,4 +1,4 @@
-// Chooses the instance that decodes a request whose prompt was prefilled elsewhere.
+// Selects the instance that decodes a request whose prompt was prefilled at another instance.
 #pragma once
 
 #include <cstdint>
@@ -11,21 +11,21 @@
 
 namespace inference_router::routing {
 
-/// The least loaded instance of the cell that the plan names; one of another cell only if that cell
-/// has none with capacity.
+/// Selects the least loaded instance of the cell given by CellPlan::decodeCell(); an instance of
+/// another cell only if that cell has none with free capacity.
 class DecodeSelector {
  public:
-  /// `seed` breaks ties between instances, differently at each node, so that the nodes do not all
-  /// choose the same one.
+  /// `seed` determines how ties between instances are broken. It differs between nodes, so that
+  /// they do not all select the same instance.
   DecodeSelector(const SelectionInputs& inputs, std::string seed)
       : inputs_(inputs), seed_(std::move(seed)) {}
 
-  /// Returns the instance, or null if none may be sent the request now. The request must have been
-  /// sent to a prefill instance.
+  /// Returns the instance, or null if no instance is eligible now. The request must have a prefill
+  /// instance.
   Instance* choose(RequestRecord& request, Time now);
 
-  /// Whether the decode instance that the request asked for a reservation can be used. One that
-  /// drains is still used early in its grace period, as the KV cache may be there alone.
+  /// Whether the instance at which the request has requested a reservation can be used. A draining
+  /// one is still used early in the grace period: it may hold the only copy of the KV cache.
   bool reservationUsable(const RequestRecord& request, Time now) const;
 
  private:
--- a/src/routing/duration_math.h
+++ b/src/routing/duration_math.h
@@ -1,4 +1,4 @@
-// Arithmetic on the decision module's durations. No state, no decisions.
+// Arithmetic on durations.
 #pragma once
 
 #include <algorithm>
@@ -15,23 +15,23 @@
   return static_cast<double>(numerator.count()) / static_cast<double>(divisor);
 }
 
-/// The longest duration that estimates may reach, some 30 years: sums of a few of them do not
-/// overflow.
+/// Upper bound of estimated durations, in microseconds: about 30 years, so that sums of a few of
+/// them do not overflow.
 constexpr double kLongestMicroseconds = 1e15;
 
-/// Returns `count` microseconds, rounded to the nearest one and limited to kLongestMicroseconds
-/// either way.
+/// Returns `count` microseconds, rounded to the nearest integer and clamped to
+/// +-kLongestMicroseconds.
 inline Duration microseconds(double count) {
   return Duration(std::llround(std::clamp(count, -kLongestMicroseconds, kLongestMicroseconds)));
 }
 
-/// Returns span * factor, rounded and limited like microseconds().
+/// Returns span * factor, rounded and clamped like microseconds().
 inline Duration scaled(Duration span, double factor) {
   return microseconds(static_cast<double>(span.count()) * factor);
 }
 
-/// Returns the exponential decay factor after the time from `last` to `now`: 1 at once, 0.5 after
-/// `halfLife`.
+/// Returns the exponential decay factor for the time from `last` to `now`: 1 for no time, 0.5 for
+/// one `halfLife`.
 inline double decay(Time now, Time last, Duration halfLife) {
   return std::exp2(-ratio(now - last, halfLife));
 }
--- a/src/routing/ejection_state.h
+++ b/src/routing/ejection_state.h
@@ -1,4 +1,4 @@
-// The record of failures of one instance and its ejection by outlier detection.
+// Failure rate and ejection state of one instance, for outlier detection.
 #pragma once
 
 #include <algorithm>
@@ -9,31 +9,31 @@
 
 namespace inference_router::routing {
 
-/// Whether an instance is ejected and when it may be tried again. Changed by OutlierDetector alone,
-/// but for the reset of an instance that has restarted.
+/// Whether an instance is ejected and when the next trial request may be sent. Modified only by
+/// OutlierDetector, except when an instance is added or has restarted.
 struct EjectionState {
-  /// First backoff before a trial, in seconds; it doubles with each further ejection.
+  /// Backoff before the first trial; it doubles with each further ejection.
   static constexpr Duration kInitialBackoff = std::chrono::seconds{1};
-  /// Upper bound of the backoff, in seconds.
+  /// Upper bound of the backoff.
   static constexpr Duration kMaxBackoff = std::chrono::seconds{8};
-  /// Number of successes that an instance new to this node is assumed to have had.
+  /// Number of successes that a newly listed instance is credited with.
   static constexpr int kAssumedSuccesses = 3;
 
-  FadingAverage failureRate;           ///< 1 for each failure, 0 for each success
-  bool ejected = false;                ///< no requests but trials are sent
-  Time ejectedAt{};                    ///< last ejection
-  int trialsLeft = 0;                  ///< successful trials that end the ejection
-  Duration backoff = kInitialBackoff;  ///< from the next ejection to its first trial
-  Time nextTrialAt{};                  ///< no trial is sent before
+  FadingAverage failureRate;  ///< mean of 1 for each failure and 0 for each success
+  bool ejected = false;       ///< only trial requests are sent
+  Time ejectedAt{};           ///< time of the last ejection
+  int trialsLeft = 0;         ///< number of successful trials still needed to end the ejection
+  Duration backoff = kInitialBackoff;  ///< time from the next ejection to its first trial
+  Time nextTrialAt{};                  ///< no trial is sent before this time
 
-  /// Records the successes that a new instance is assumed to have had.
+  /// Credits a newly listed instance with kAssumedSuccesses successes.
   void assumeHealthy() {
     for (int i = 0; i < kAssumedSuccesses; ++i)
       failureRate.add(0);
   }
 
-  /// Ejects at `now`, until `trials` trials have succeeded. An instance that is ejected already
-  /// gets the longer backoff.
+  /// Ejects the instance at `now` until `trials` trials have succeeded. Each further ejection
+  /// doubles the backoff.
   void eject(Time now, int trials) {
     ejected = true;
     ejectedAt = now;
@@ -42,7 +42,7 @@
     backoff = std::min<Duration>(backoff * 2, kMaxBackoff);
   }
 
-  /// Ends an ejection and forgets the failures.
+  /// Ends the ejection and resets the failure rate.
   void reinstate() {
     ejected = false;
     backoff = kInitialBackoff;
--- a/src/routing/event_context.h
+++ b/src/routing/event_context.h
@@ -1,4 +1,4 @@
-// What one call of Router::handle() works with.
+// Context of one call of Router::handle().
 #pragma once
 
 #include <string>
@@ -10,18 +10,18 @@
 
 namespace inference_router::routing {
 
-/// The time of the event that is being handled, and the actions decided so far. Lives as long as
-/// the call.
+/// Time of the event being handled, and the actions emitted so far. Its lifetime is that of the
+/// call.
 class EventContext {
  public:
   EventContext(Time now, std::vector<Action>& actions) : now_(now), actions_(actions) {}
 
   Time now() const { return now_; }
 
-  /// Appends an action; actions are done in the order in which they were emitted.
+  /// Appends an action; actions are executed in the order in which they were emitted.
   void emit(Action action) { actions_.push_back(std::move(action)); }
 
-  /// Appends a line for the log.
+  /// Appends a log message.
   void log(std::string text) { emit(LogMessage{std::move(text)}); }
 
  private:
--- a/src/routing/graceful_shutdown.cpp
+++ b/src/routing/graceful_shutdown.cpp
@@ -8,15 +8,15 @@
 namespace inference_router::routing {
 namespace {
 
-// Share of the grace period after which streams are migrated: by then a node that shut down before
-// this one is back.
+// Share of the grace period after which streams are migrated: by then a node that was restarted
+// before this one is running again.
 constexpr double kMigrationStart = 0.6;
-// Share of the grace period by which all streams are migrated.
+// Share of the grace period at which all streams have been migrated.
 constexpr double kMigrationEnd = 0.9;
-// Share of the grace period after which requests without a stream get their final answer.
+// Share of the grace period after which requests that have no stream yet get their final answer.
 constexpr double kFinalAnswers = 0.93;
 
-// Compared by the length of the answer, then by the age of the stream.
+// Ordered by the maximum length of the answer, then by the time of the first token.
 struct Stream {
   double maxTokens;
   Time firstTokenAt;
--- a/src/routing/graceful_shutdown.h
+++ b/src/routing/graceful_shutdown.h
@@ -1,4 +1,4 @@
-// What a node that shuts down does with its requests during the grace period.
+// Ends or migrates the requests of a node during its shutdown grace period.
 #pragma once
 
 #include <cstddef>
@@ -10,29 +10,30 @@
 
 namespace inference_router::routing {
 
-/// Migrates streams over a part of the grace period, so that they do not all break when the process
-/// is killed, and gives requests without a stream their final answer before its end.
+/// Migrates streams gradually during a part of the grace period, so that they are not all cut off
+/// when the process is killed, and gives requests that have no stream yet their final answer before
+/// the grace period ends.
 class GracefulShutdown {
  public:
-  /// What is to be done now.
+  /// Requests to act on in one step.
   struct Step {
-    std::vector<RequestId> toFinish;   ///< requests without a stream
-    std::vector<RequestId> toMigrate;  ///< streams, the longest first
+    std::vector<RequestId> toFinish;   ///< requests without a stream: to be given a final answer
+    std::vector<RequestId> toMigrate;  ///< streams to migrate, the longest answers first
   };
 
-  /// Begins, or changes the grace period of a shutdown that has begun.
+  /// Begins the shutdown, or changes the grace period of one that has begun.
   void begin(Time now, Duration gracePeriod);
 
   bool hasBegun() const { return begunAt_.has_value(); }
 
-  /// The next step; begin() must have been called. `mayMigrate` says whether a stream may go on
-  /// elsewhere.
+  /// Returns the next step. begin() must have been called. `mayMigrate`: whether clients resume a
+  /// stream at another node.
   Step next(const RequestMap& requests, bool mayMigrate, Time now);
 
  private:
   std::optional<Time> begunAt_;
   Duration gracePeriod_{};
-  std::size_t maxStreams_ = 0;  ///< most streams seen since migration began
+  std::size_t maxStreams_ = 0;  ///< largest number of streams since migration began
 };
 
 }  // namespace inference_router::routing
--- a/src/routing/idempotency.h
+++ b/src/routing/idempotency.h
@@ -1,8 +1,8 @@
-// When a request that may have been executed may be sent again, by the effect of its class.
+// Decides whether a request that may already have been executed can be sent again.
 //
-// An idempotent request may be repeated anywhere. A deduplicated one carries an idempotency key:
-// instances within the scope of deduplication discard repeats for a limited time. Any other request
-// is executed at most once. Pure functions.
+// An idempotent request may be repeated at any instance. A deduplicated request carries an
+// idempotency key: instances within the deduplication scope discard repeats for a limited time. Any
+// other request must be executed at most once. All functions are pure.
 #pragma once
 
 #include "inference_router/settings.h"
@@ -12,18 +12,19 @@
 
 namespace inference_router::routing {
 
-/// Until when the request may be sent again: Time::max() if no attempt can have been executed or
-/// repeats do no harm, `now` if it may not.
+/// Time until which the request may be sent again: Time::max() if no attempt can have been executed
+/// or repeats are harmless, `now` if it must not be repeated.
 Time repeatsAllowedUntil(const ClassSettings& cls, const RequestRecord& request, Time now);
 
-/// Whether the request may be sent to the instance now. All attempts of a deduplicated request that
-/// may have been executed have to be within the scope of deduplication of the first of them.
+/// Whether the effect of the class allows to send the request to the instance now. Once an attempt
+/// of a deduplicated request may have been executed, all further ones must stay within the
+/// deduplication scope of that first attempt.
 bool effectAllowsDispatch(const ClassSettings& cls,
                           const RequestRecord& request,
                           const Instance& instance,
                           Time now);
 
-/// Whether the client may be told that a repeat is harmless, which a rejection does.
+/// Whether the request may be rejected. A rejection tells the client that a retry is harmless.
 bool mayReject(const ClassSettings& cls, const RequestRecord& request, Time now);
 
 }  // namespace inference_router::routing
--- a/src/routing/instance.h
+++ b/src/routing/instance.h
@@ -1,4 +1,4 @@
-// One instance of the endpoint list, with what this node knows of it.
+// An instance of the endpoint list and the state that this node keeps for it.
 #pragma once
 
 #include <map>
@@ -12,44 +12,44 @@
 
 namespace inference_router::routing {
 
-/// One instance. Owned by InstanceRegistry; request records refer to it by pointer. All counts are
-/// of this node's own requests.
+/// One instance. Owned by InstanceRegistry; request records refer to it by pointer. All counts
+/// cover this node's own requests only.
 struct Instance {
-  EndpointRecord endpoint;            ///< last record of the endpoint list
-  Role role = Role::kPrefill;         ///< by its kind
-  std::optional<Time> drainingSince;  ///< when the list said that it drains or is removed
+  EndpointRecord endpoint;            ///< latest entry in the endpoint list
+  Role role = Role::kPrefill;         ///< role of its kind
+  std::optional<Time> drainingSince;  ///< when the list first marked it as draining or removed
 
-  double prefillTokens = 0;  ///< prompt tokens of attempts that are out to be prefilled here
+  double prefillTokens = 0;  ///< prompt tokens to be prefilled here by attempts in flight
 
-  // Written by DecodeCapacity.
-  int streams = 0;            ///< requests that decode here or have reserved capacity
-  double reservedTokens = 0;  ///< tokens that these are expected to hold in memory
-  Time fullUntil{};           ///< a reservation was rejected; no capacity is expected before
+  // Updated by DecodeCapacity.
+  int streams = 0;            ///< requests that decode here or have capacity reserved
+  double reservedTokens = 0;  ///< memory, in tokens, that these are expected to use
+  Time fullUntil{};           ///< considered full until then: it rejected a reservation
 
-  // Written by InstanceAvailability.
-  int unansweredAttempts = 0;  ///< attempts that have shown no sign yet
-  Time silentSince{};          ///< last sign of life while attempts were out
+  // Updated by InstanceAvailability.
+  int unansweredAttempts = 0;  ///< attempts without a token or outcome yet
+  Time silentSince{};          ///< last response, or the dispatch of the first unanswered attempt
 
-  // Written by ServiceEstimates.
-  Duration queueingDelay{};  ///< before a prefill begins, as observed last
+  // Updated by ServiceEstimates.
+  Duration queueingDelay{};  ///< last observed delay before a prefill begins
   Time queueingDelayAt{};    ///< when it was observed
 
   EjectionState ejection;
   SlowStartBudget slowStart;
 
-  /// Whether the endpoint list has it as active.
+  /// Whether the endpoint list contains it as active.
   bool isListed() const { return !drainingSince; }
 };
 
-/// All instances by their ids. Iteration order is part of the decisions: ties go to the first.
+/// All instances by id. The iteration order affects decisions: the first instance wins a tie.
 using InstanceMap = std::map<InstanceId, Instance>;
 
-/// Share of its capacity that the instance has by its age, up to 1 when it is warm.
+/// Share of its capacity that the instance has at its current age; 1 when it is warm.
 inline double warmFraction(const Settings& settings, const Instance& instance, Time now) {
   return warmFraction(settings.contract, instance.endpoint.started, now);
 }
 
-/// Tokens that the memory of the instance holds.
+/// Number of tokens that fit into the instance's memory.
 inline double memoryTokens(const Settings& settings, const Instance& instance) {
   return settings.kinds[instance.endpoint.kind.value].memoryTokens;
 }
--- a/src/routing/instance_availability.cpp
+++ b/src/routing/instance_availability.cpp
@@ -8,9 +8,9 @@
 namespace inference_router::routing {
 namespace {
 
-// Lower bound of the time without a sign that counts as silence, in usual response times.
+// An instance is silent if it has not responded for at least this many mean response times.
 constexpr double kMinSilentResponseTimes = 5;
-// Lower bound of the same, as a share of the shortest latency objective.
+// Minimum time without a response for silence, as a share of the shortest latency objective.
 constexpr double kMinSilentObjectiveShare = 0.5;
 
 }  // namespace
@@ -31,7 +31,8 @@
     return false;
   if (!instance.ejection.ejected)
     return true;
-  return now >= instance.ejection.nextTrialAt && instance.unansweredAttempts == 0;  // one at a time
+  return now >= instance.ejection.nextTrialAt &&
+         instance.unansweredAttempts == 0;  // one trial at a time
 }
 
 bool InstanceAvailability::isEligible(const RequestRecord& request,
--- a/src/routing/instance_availability.h
+++ b/src/routing/instance_availability.h
@@ -1,4 +1,4 @@
-// Which instances may be sent a request now.
+// Determines which instances can be sent a request.
 #pragma once
 
 #include "inference_router/settings.h"
@@ -9,8 +9,8 @@
 
 namespace inference_router::routing {
 
-/// Combines listing, ejection and silence of an instance. Owns no state; the last sign of life is
-/// kept with the instance.
+/// Combines listing, ejection and silence of an instance. Stateless: the time of the last response
+/// is stored in the instance.
 class InstanceAvailability {
  public:
   /// All must outlive the object.
@@ -19,23 +19,25 @@
                        const ServiceEstimates& estimates)
       : settings_(settings), registry_(registry), estimates_(estimates) {}
 
-  /// Whether attempts are out there and none has shown a sign for much longer than usual. A hang, a
-  /// one-way network fault and congestion look alike, and all are avoided while they last.
+  /// Whether the instance has attempts in flight and has not responded for much longer than usual.
+  /// A hang, a one-way network fault and congestion cannot be told apart here; the instance is
+  /// avoided in all three cases while the condition lasts.
   bool isSilent(const Instance& instance, Time now) const;
 
-  /// Whether it is listed, not silent, and not ejected or due for a trial.
+  /// Whether the instance is listed, not silent, and either not ejected or due for a trial.
   bool isUsable(const Instance& instance, Time now) const;
 
-  /// Whether it is usable for this request: not excluded by it, with memory for its prompt.
+  /// Whether the instance is usable for this request: it has not failed the request before, and the
+  /// prompt fits into its memory.
   bool isEligible(const RequestRecord& request, const Instance& instance, Time now) const;
 
-  /// Whether another instance that does the same step is eligible for the request.
+  /// Whether another instance that can do the same step is eligible for the request.
   bool hasAlternative(const RequestRecord& request, const Instance& instance, Time now) const;
 
-  /// An attempt was sent there.
+  /// Records that an attempt was sent to the instance.
   static void recordDispatch(Instance& instance, Time now);
 
-  /// An attempt there has shown a sign: a token, or its end.
+  /// Records activity of an attempt at the instance: its first token or its end.
   static void recordActivity(Instance& instance, Time now);
 
  private:
--- a/src/routing/instance_registry.h
+++ b/src/routing/instance_registry.h
@@ -1,4 +1,4 @@
-// The instances that this node knows, by the endpoint list.
+// The instances known from the endpoint list.
 #pragma once
 
 #include <string>
@@ -11,10 +11,10 @@
 
 namespace inference_router::routing {
 
-/// Owns the instances. Pointers to them stay valid until eraseRemoved() erases them.
+/// Owns the instances. Pointers to an instance stay valid until eraseRemoved() erases it.
 class InstanceRegistry {
  public:
-  /// `seed` tells the slow-start draws of this process from those of others. `settings` must
+  /// `seed` makes the slow-start draws of this process differ from those of others. `settings` must
   /// outlive the registry.
   InstanceRegistry(const Settings& settings, std::string seed)
       : settings_(settings), seed_(std::move(seed)) {}
@@ -22,15 +22,15 @@
   InstanceMap& instances() { return instances_; }
   const InstanceMap& instances() const { return instances_; }
 
-  /// The instance of that id; null if it is unknown.
+  /// Returns the instance with that id, or null if it is unknown.
   Instance* find(const InstanceId& id);
 
-  /// Applies an update that is not EndpointListForm::kFailed. What a complete list does not name
-  /// counts as removed; entries of an unknown kind are skipped.
+  /// Applies an update, which must not be EndpointListForm::kFailed. Instances missing from a
+  /// complete list are marked as removed; entries of an unknown kind are skipped.
   void apply(const EndpointListUpdate& update, Time now);
 
-  /// Erases instances that were removed for longer than a new one takes to warm up, unless a
-  /// request still refers to them.
+  /// Erases instances that were removed more than a warm-up duration ago, unless a request still
+  /// refers to them.
   void eraseRemoved(const RequestMap& requests, Time now);
 
  private:
--- a/src/routing/key_popularity.cpp
+++ b/src/routing/key_popularity.cpp
@@ -5,11 +5,11 @@
 namespace inference_router::routing {
 namespace {
 
-// Arrivals of other keys that are assumed beside those seen.
+// Number of assumed arrivals of other keys, added to the observed ones.
 constexpr double kPriorArrivals = 10;
-// Number of keys above which rare ones are forgotten.
+// Number of keys above which rare keys are erased.
 constexpr std::size_t kMaxKeys = 500;
-// Lower bound of the decayed arrivals of a key that is kept then.
+// Minimum decayed arrivals of a key for it to be retained then.
 constexpr double kMinRetainedArrivals = 0.5;
 
 }  // namespace
--- a/src/routing/key_popularity.h
+++ b/src/routing/key_popularity.h
@@ -1,4 +1,4 @@
-// Which share of recent traffic each key has, from a small sample.
+// Estimates the share of recent traffic that each key has.
 #pragma once
 
 #include <cstddef>
@@ -9,22 +9,22 @@
 
 namespace inference_router::routing {
 
-/// Counts arrivals by key; a count decays with the time constant given. Keys that were not seen for
-/// long are forgotten once there are many, so memory is bounded by the traffic within some time
+/// Counts arrivals by key; counts decay with a given time constant. When there are many keys, those
+/// without recent arrivals are erased, so memory use is bounded by the traffic within a few time
 /// constants.
 class KeyPopularity {
  public:
   explicit KeyPopularity(Duration timeConstant) : timeConstant_(timeConstant) {}
 
-  /// Counts one arrival of `key`.
+  /// Records one arrival of `key`.
   void count(const std::string& key, Time now);
 
-  /// All arrivals, decayed by their age.
+  /// Number of all arrivals, decayed by their age.
   double arrivals(Time now) const { return all_.at(now, timeConstant_); }
 
-  /// The share of all arrivals that `key` has, leaving out its latest one: the request being
-  /// decided on says nothing of how popular its key is. Shrunk towards 0 while few arrivals were
-  /// seen.
+  /// The share of all arrivals that `key` has, excluding its latest one: the request being routed
+  /// is no evidence of its key's popularity. Shrunk towards 0 while few arrivals have been
+  /// observed.
   double shareExcludingLatest(const std::string& key, Time now) const;
 
  private:
--- a/src/routing/latency_objective.h
+++ b/src/routing/latency_objective.h
@@ -11,8 +11,8 @@
 /// `minPriorityWeight`; Duration::max() if there is no such class.
 Duration shortestObjective(const Settings& settings, double minPriorityWeight = 0);
 
-/// When the first token of a request that arrives at `now` is due. A resumed request had its first
-/// token already: its objective is its deadline.
+/// When the first token of a request that arrives at `now` is due. A resumed request already had
+/// its first token, so its objective is its deadline.
 Time objectiveFor(const Arrival& arrival, const ClassSettings& cls, Time now);
 
 }  // namespace inference_router::routing
--- a/src/routing/load_shedder.cpp
+++ b/src/routing/load_shedder.cpp
@@ -11,14 +11,15 @@
 namespace inference_router::routing {
 namespace {
 
-// Time constant, in seconds, over which prefill outcomes show congestion: longer than any prefill
-// queues.
+// Time constant over which prefill outcomes are used to detect congestion; longer than any prefill
+// waits in a queue.
 constexpr Duration kCongestionTimeConstant = std::chrono::seconds{6};
-// Prefills of each prefill instance in that time that let a node know them apart.
+// Prefills per prefill instance within the time constant that a node needs to know the queueing
+// delay of each.
 constexpr double kMinPrefillsPerInstance = 3;
-// Prefills that are tried, as a multiple of those that were in time.
+// Prefills that are allowed, as a multiple of those that ended in time.
 constexpr double kMaxPrefillsPerTimely = 1.3;
-// Lower bound of the prefills that are tried in that time.
+// Minimum number of prefills that are allowed within the time constant.
 constexpr double kMinAllowedPrefills = 1;
 
 }  // namespace
--- a/src/routing/load_shedder.h
+++ b/src/routing/load_shedder.h
@@ -1,4 +1,4 @@
-// Which requests are rejected early, by their latency objective, deadline and the load.
+// Decides which requests to reject early, based on latency objectives, deadlines and load.
 #pragma once
 
 #include "inference_router/settings.h"
@@ -11,8 +11,8 @@
 
 namespace inference_router::routing {
 
-/// Early rejection. A late answer earns little and delays the requests behind it. Owns the recent
-/// outcomes of prefills.
+/// Sheds load: a late answer is of little value and delays the requests queued behind it. Owns the
+/// recent outcomes of prefills.
 class LoadShedder {
  public:
   /// All must outlive the object.
@@ -20,37 +20,39 @@
       : settings_(settings), cells_(cells), estimates_(estimates) {}
 
   /// Whether a prefill at the instance is expected to end too late for the latency objective of the
-  /// request, or of requests of its priority or more that would queue behind it.
+  /// request, or for that of requests of the same or a higher priority that would queue behind it.
   bool missesLatencyObjective(const RequestRecord& request,
                               const Instance& instance,
                               Time now) const;
 
-  /// Whether the usual time of a prefill alone is too long for the latency objective.
+  /// Whether the recent mean time of a prefill alone exceeds the time to the latency objective.
   bool cannotMeetObjective(const RequestRecord& request, Time now) const;
 
-  /// Whether the usual time of the steps left is too long for the deadline. True at the latest when
-  /// the router would not look at the request again before its deadline.
+  /// Whether the recent mean time of the remaining steps exceeds the time to the deadline. Also
+  /// true when the router would not process the request again before its deadline.
   bool cannotMeetDeadline(const RequestRecord& request, Time now) const;
 
-  /// Whether no kind of instance that prefills, or none that decodes, has memory for the prompt.
+  /// Whether the prompt fits into the memory of no kind that can prefill or of no kind that can
+  /// decode.
   bool exceedsMemory(const RequestRecord& request) const;
 
-  /// Whether the request is held back as prefills have been late. Each of many nodes may send too
-  /// few prefills to know the queueing delay of every prefill instance, and together they would
-  /// keep up congestion that none of them sees. Such a node sends little more than was answered in
-  /// time, and its part of the trials that show when the congestion ends.
+  /// Whether the request is throttled because recent prefills were late. With many nodes, each may
+  /// send too few prefills to know the queueing delay of every prefill instance, and together they
+  /// would sustain a congestion that none of them observes. Such a node sends only slightly more
+  /// prefills than ended in time, plus its share of the trials that detect the end of the
+  /// congestion.
   bool isThrottled(const RequestRecord& request, Time now) const;
 
-  /// Records how an attempt has ended: whether it tells something of prefill congestion, and
-  /// whether its prefill was in time for the latency objective.
+  /// Records the end of an attempt: whether it is informative about prefill congestion, and whether
+  /// its prefill ended in time for the latency objective.
   void recordPrefillOutcome(bool isInformative, bool inTime, Time now);
 
  private:
   const Settings& settings_;
   const CellPlan& cells_;
   const ServiceEstimates& estimates_;
-  DecayingSum prefillOutcomes_;  ///< telling outcomes
-  DecayingSum timelyPrefills_;   ///< of these, in time
+  DecayingSum prefillOutcomes_;  ///< informative outcomes
+  DecayingSum timelyPrefills_;   ///< those that were in time
 };
 
 }  // namespace inference_router::routing
--- a/src/routing/outcome_recorder.cpp
+++ b/src/routing/outcome_recorder.cpp
@@ -10,7 +10,7 @@
 namespace inference_router::routing {
 namespace {
 
-// Why an attempt that ended so counts against its instance; nothing if it does not.
+// Returns why the outcome counts as a failure of the instance, or nothing if it does not.
 std::optional<FailureReason> failureOf(const AttemptRecord& attempt, AttemptOutcome outcome) {
   switch (outcome) {
     case AttemptOutcome::kError:
@@ -20,8 +20,9 @@
     case AttemptOutcome::kConnectFailed:
       return FailureReason::kNoConnection;
     case AttemptOutcome::kConnectionLost:
-      // A lost stream does not predict the next: an instance that is gone refuses the next
-      // connection.
+      // One lost connection does not predict the next failure: an instance that has failed also
+      // refuses the next connection. It does not count if this node cancelled or migrated the
+      // attempt.
       if (attempt.cancelled)
         return std::nullopt;
       return FailureReason::kLostConnections;
@@ -36,7 +37,8 @@
                                        Duration took,
                                        RequestMap& requests,
                                        EventContext& context) {
-  // A time that includes a prefill at the same instance is no sample of the time to decode.
+  // A time that includes a prefill at the same instance is not a sample of the decode response
+  // time.
   recordActivity(attempt, took, attempt.inFlight && attempt.prefillTokens <= 0, context.now());
   recordSuccess(attempt, context);
   countOvertakenAttempts(requests, attempt, took, context.now());
@@ -66,8 +68,8 @@
   attempt.provedNotExecuted = provesNotExecuted(ended.outcome, ended.doubtful);
 }
 
-// A prefill that has not ended in time queued for at least so long: congestion shows in what is not
-// answered.
+// A prefill that timed out or was cancelled was queued for at least that long, so it is a sample of
+// the queueing delay as well: congestion must be detected even if no prefill ends.
 void OutcomeRecorder::recordPrefillOutcome(const RequestRecord& request,
                                            const AttemptRecord& attempt,
                                            const AttemptEnded& ended,
--- a/src/routing/outcome_recorder.h
+++ b/src/routing/outcome_recorder.h
@@ -1,4 +1,4 @@
-// What is learnt from the answers of instances: estimates, failures, overtaken attempts.
+// Records outcomes of attempts: service estimates, failures and overtaken attempts.
 #pragma once
 
 #include "inference_router/events.h"
@@ -11,8 +11,8 @@
 
 namespace inference_router::routing {
 
-/// Passes the facts of an answer on to the units that learn from them. Decides nothing about the
-/// request.
+/// Forwards the outcome of an attempt to the components that collect statistics. Makes no decision
+/// about the request.
 class OutcomeRecorder {
  public:
   /// All must outlive the recorder.
@@ -21,20 +21,21 @@
                   const OutlierDetector& outlierDetector)
       : estimates_(estimates), shedder_(shedder), outlierDetector_(outlierDetector) {}
 
-  /// The attempt has brought its first token, `took` after it was sent. `requests` holds it.
+  /// Records the first token of an attempt, `took` after its dispatch. The attempt's request is in
+  /// `requests`.
   void recordFirstToken(AttemptRecord& attempt,
                         Duration took,
                         RequestMap& requests,
                         EventContext& context);
 
-  /// An attempt of the request that was out has ended. `requests` holds it.
+  /// Records the end of an attempt in flight. `request` is in `requests`.
   void recordEnd(const RequestRecord& request,
                  AttemptRecord& attempt,
                  const AttemptEnded& ended,
                  RequestMap& requests,
                  EventContext& context);
 
-  /// The attempt has failed for that reason.
+  /// Records a failure of the attempt.
   void recordFailure(const AttemptRecord& attempt,
                      FailureReason reason,
                      EventContext& context) const;
--- a/src/routing/outlier_detector.cpp
+++ b/src/routing/outlier_detector.cpp
@@ -5,13 +5,13 @@
 namespace inference_router::routing {
 namespace {
 
-// Lower bound of the failure rate that mustEject an instance.
+// Failure rate that an instance may always have without being ejected.
 constexpr double kMinEjectionFailureRate = 0.35;
-// Lower bound of the same, as a multiple of the failure rate of the best peer.
+// Failure rate that an instance may have, as a multiple of that of its best peer.
 constexpr double kMinEjectionPeerMultiple = 3;
-// Successful trials in a row that reinstate an instance that fails part of its requests.
+// Successful trials needed to reinstate an instance that was ejected for its failure rate.
 constexpr int kTrialsAfterFailures = 3;
-// Successful trials that reinstate an instance that could not be reached.
+// Successful trials needed to reinstate an instance that was unreachable.
 constexpr int kTrialsAfterNoConnection = 1;
 
 const char* describe(FailureReason reason) {
@@ -37,8 +37,8 @@
                                                           Time now) const {
   EjectionState& state = instance.ejection;
   state.failureRate.add(0);
-  // An instance that fails part of its requests may well answer one trial: it takes several, and
-  // attempts that were sent before the ejection are none.
+  // An instance that fails only some of its requests may well pass one trial, so several are
+  // needed. Attempts sent before the ejection do not count as trials.
   if (!state.ejected || (state.trialsLeft > 1 && sentAt < state.ejectedAt))
     return std::nullopt;
   state.nextTrialAt = now;
@@ -56,7 +56,7 @@
   EjectionState& state = instance.ejection;
   const bool unreachable = reason == FailureReason::kNoConnection;
   state.failureRate.add(1);
-  // Connections that were being opened when the instance was ejected are no trials that failed.
+  // Connection attempts started before the ejection do not count as failed trials.
   if (state.ejected && unreachable && sentAt < state.ejectedAt)
     return std::nullopt;
   const bool mustEject =
@@ -70,7 +70,7 @@
   return "passing over " + instance.endpoint.instance.value + ": " + describe(reason);
 }
 
-// Relative to the best peer in use: where all fail alike, ejecting one gains nothing.
+// Relative to the best peer in use: if all peers fail equally, ejecting one gains nothing.
 double OutlierDetector::allowedFailureRate(const Instance& instance) const {
   double best = 1;
   for (const auto& [id, peer] : registry_.instances()) {
--- a/src/routing/outlier_detector.h
+++ b/src/routing/outlier_detector.h
@@ -1,4 +1,4 @@
-// Ejection of instances that fail more often than their peers (outlier detection).
+// Outlier detection: ejects instances that fail more often than their peers.
 #pragma once
 
 #include <optional>
@@ -9,28 +9,28 @@
 
 namespace inference_router::routing {
 
-/// Why an attempt counts against its instance.
+/// Why an attempt counts as a failure of its instance.
 enum class FailureReason {
   kErrors,
-  kNoAnswers,     ///< timed out
-  kNoConnection,  ///< could not be reached: ejects at the first failure
+  kNoAnswers,     ///< the attempt timed out
+  kNoConnection,  ///< the instance was unreachable: ejects it at the first failure
   kLostConnections,
-  kSilent  ///< cancelled by this node, as nothing was heard of it
+  kSilent  ///< this node cancelled the attempt because it got no response
 };
 
-/// Counts successes and failures of an instance, ejects it when its failure rate is too high, and
-/// reinstates it after trials that succeed. The state is kept with the instance.
+/// Records successes and failures of instances, ejects an instance when its failure rate is too
+/// high and reinstates it after successful trials. The state is stored in the instance.
 class OutlierDetector {
  public:
   /// `registry` must outlive the detector.
   explicit OutlierDetector(const InstanceRegistry& registry) : registry_(registry) {}
 
-  /// Records that an attempt sent at `sentAt` has succeeded. Returns the text for the log if that
-  /// ends an ejection.
+  /// Records that an attempt sent at `sentAt` succeeded. Returns a log message if that ends an
+  /// ejection.
   std::optional<std::string> recordSuccess(Instance& instance, Time sentAt, Time now) const;
 
-  /// Records that an attempt sent at `sentAt` has failed. Returns the text for the log if the
-  /// instance is newly ejected.
+  /// Records that an attempt sent at `sentAt` failed. Returns a log message if the instance is
+  /// newly ejected.
   std::optional<std::string> recordFailure(Instance& instance,
                                            Time sentAt,
                                            FailureReason reason,
--- a/src/routing/prefill_selector.cpp
+++ b/src/routing/prefill_selector.cpp
@@ -10,17 +10,18 @@
 namespace inference_router::routing {
 namespace {
 
-// Upper bound of the queueing delay at the preferred instance, in times that the whole prompt takes
-// to prefill.
+// Maximum queueing delay at a preferred instance, as a multiple of the time to prefill the whole
+// prompt.
 constexpr double kMaxQueueingPrefills = 1.5;
-// Upper bound of the part of an instance's traffic that one affinity key may be.
+// Maximum share of an instance's traffic that one affinity key may have.
 constexpr double kMaxKeyShare = 0.5;
 
 }  // namespace
 
-// The first in the order whose queueing delay is within the bound. Where all exceed it, the one
-// that would be done first, the earlier in the order at a tie: under congestion, moving a key means
-// to prefill what is cached elsewhere, which adds to the congestion.
+// Returns the first instance in preference order whose queueing delay is within the bound. If all
+// exceed it, returns the one that is expected to end the prefill first; a tie goes to the one
+// earlier in the order. Under congestion a key should not move without need: prefilling again what
+// another instance has cached adds to the congestion.
 Instance* PrefillSelector::choose(RequestRecord& request, Time now) {
   const ServiceEstimates& estimates = inputs_.estimates;
   const Duration maxDelay =
@@ -59,9 +60,9 @@
   return instance.role != Role::kMixed || !inputs_.capacity.isFull(instance, now);
 }
 
-// The order of the key. A popular key, by the sample of this node, is spread over as many instances
-// as carry it together; a session picks its order among them, the same at every node, and so finds
-// its cached prefix.
+// Returns the instances in preference order of the affinity key. A key that is popular at this node
+// is spread over as many instances as its traffic needs. The session determines the order among
+// these, the same at every node, so that its requests find their cached prefix.
 std::vector<Instance*> PrefillSelector::preferenceOrder(const RequestRecord& request,
                                                         Time now) const {
   const CellPlan& cells = inputs_.cells;
@@ -88,7 +89,7 @@
   return order;
 }
 
-// Sorts the first `count` instances by their weighted rendezvous score for the key; every node gets
+// Sorts the first `count` instances by weighted rendezvous hashing of the key. All nodes compute
 // the same order.
 void PrefillSelector::rankByRendezvousHash(std::vector<Instance*>& instances,
                                            std::size_t count,
--- a/src/routing/prefill_selector.h
+++ b/src/routing/prefill_selector.h
@@ -1,4 +1,4 @@
-// Chooses the instance that prefills a request.
+// Selects the instance that prefills a request.
 #pragma once
 
 #include <cstddef>
@@ -11,14 +11,15 @@
 
 namespace inference_router::routing {
 
-/// Weighted rendezvous hashing of the affinity key with bounded load: a key keeps to the first
-/// instance in its order, whose cache holds its prefix, unless prefills queue there for too long.
+/// Weighted rendezvous hashing of the affinity key with bounded load: a key stays at the first
+/// instance in its preference order, which has its prefix cached, unless the queueing delay there
+/// is too long.
 class PrefillSelector {
  public:
   explicit PrefillSelector(const SelectionInputs& inputs) : inputs_(inputs) {}
 
-  /// Returns the instance, or null if none may be sent the request now. Notes in the record which
-  /// instance is first in its order.
+  /// Returns the instance, or null if no instance is eligible now. Sets the request's affinity
+  /// instance to the first in preference order.
   Instance* choose(RequestRecord& request, Time now);
 
  private:
--- a/src/routing/request_lifecycle.cpp
+++ b/src/routing/request_lifecycle.cpp
@@ -8,13 +8,13 @@
 namespace inference_router::routing {
 namespace {
 
-// Upper bound of the time that a KV cache waits for a decode instance, as a share of the time after
-// which its instance releases it.
+// Maximum time that a KV cache waits for a decode instance, as a share of the time after which the
+// prefill instance releases it.
 constexpr double kMaxKvCacheWaitShare = 0.6;
-// Time after which a client is advised to retry, as a share of the longest that clients heed.
+// Delay after which a client is advised to retry, as a share of the longest that clients honour.
 constexpr double kRetryAfterShare = 0.1;
 
-// Whether anything of the attempt reached its instance.
+// Whether the attempt was sent over an established connection.
 bool wasSent(AttemptOutcome outcome) {
   return outcome != AttemptOutcome::kConnectFailed && outcome != AttemptOutcome::kNotSent;
 }
@@ -88,8 +88,7 @@
   return true;
 }
 
-// Without an instance that can take it, the request stays in phase kPrefilled, and advance() tries
-// again.
+// If no instance is eligible, the request stays in phase kPrefilled and advance() tries again.
 void RequestLifecycle::startDecode(RequestRecord& request, EventContext& context) {
   const Time now = context.now();
   request.phase = Phase::kPrefilled;
@@ -106,13 +105,13 @@
                                     EventContext& context) {
   const Time now = context.now();
   if (request.phase == Phase::kFinished || ended.concluded) {
-    // A release does not reach what an attempt is still waiting for, so each late outcome brings
-    // another.
+    // A release has no effect on state that an attempt in flight still creates or fetches, so each
+    // late outcome emits another release.
     request.holdsRemoteState = !request.firstTokenAt;
     close(request, context);
     return;
   }
-  // An attempt that was not sent does not renew the time for which the KV cache is kept.
+  // An attempt that was not sent does not restart the release time limit of the KV cache.
   if (wasSent(ended.outcome))
     request.prefilledAt = now;
   if (ended.outcome == AttemptOutcome::kPrefilled) {
@@ -127,8 +126,8 @@
   retry(request, instance, kvCacheUsable(request, instance, ended, now), context);
 }
 
-// Whether the KV cache is still there after a decode attempt has failed, and stays for as long as
-// the next one may take to connect.
+// Whether the KV cache still exists after a failed decode attempt and will not be released before
+// the next attempt can have connected.
 bool RequestLifecycle::kvCacheUsable(const RequestRecord& request,
                                      const Instance& instance,
                                      const AttemptEnded& ended,
@@ -143,7 +142,8 @@
          connectedBy - request.prefilledAt < components_.settings.contract.releaseLimit;
 }
 
-// Another instance, within the limit of attempts, the time left and the retry budget.
+// Retries at another instance if the attempt limit, the remaining time, the retry budget and the
+// effect of the class allow it.
 void RequestLifecycle::retry(RequestRecord& request,
                              const Instance& failed,
                              bool kvCacheUsable,
@@ -176,7 +176,7 @@
   if (request.phase == Phase::kFinished)
     return;
   components_.dispatcher.cancelAttempt(request, context);
-  // Before the answer: a rejection says that nothing is under way anywhere.
+  // Before the answer: a rejection implies that no instance is working on the request.
   components_.dispatcher.releaseState(request, context);
   const RequestId& id = request.arrival.request;
   const Limits& limits = components_.settings.limits;
--- a/src/routing/request_lifecycle.h
+++ b/src/routing/request_lifecycle.h
@@ -1,4 +1,4 @@
-// The way of one request through its phases.
+// State transitions of a request.
 #pragma once
 
 #include "inference_router/events.h"
@@ -15,11 +15,11 @@
 
 namespace inference_router::routing {
 
-/// Moves a request from phase to phase: prefill, decode, retry, final answer. Every final answer
-/// that this module decides passes finish(). Owns no state; changes the record it is given.
+/// Moves a request from phase to phase: prefill, decode, retry, final answer. All final answers of
+/// this module are emitted by finish(). Stateless; updates the record that is passed in.
 class RequestLifecycle {
  public:
-  /// The units that it asks and directs; all must outlive it.
+  /// Components that the lifecycle uses; all must outlive it.
   struct Components {
     const Settings& settings;
     const DecodeCapacity& capacity;
@@ -33,25 +33,26 @@
 
   explicit RequestLifecycle(const Components& components) : components_(components) {}
 
-  /// Rejects a request that has just arrived and can never be answered.
+  /// Rejects a new request that cannot be served: its prompt fits into no memory, or its deadline
+  /// is too close.
   void checkAdmission(RequestRecord& request, EventContext& context);
 
-  /// Looks at a request in phase kWaiting or kPrefilled again: sends its next attempt if an
-  /// instance can take it now, or ends it.
+  /// Processes a queued request (phase kWaiting or kPrefilled): sends its next attempt if an
+  /// instance is eligible, or ends the request.
   void advance(RequestRecord& request, EventContext& context);
 
-  /// Goes on after the end of an attempt at the instance.
+  /// Continues the request after an attempt at the instance ended.
   void applyOutcome(RequestRecord& request,
                     Instance& instance,
                     const AttemptEnded& ended,
                     EventContext& context);
 
-  /// Gives the final answer, a rejection where a repeat is harmless and a failure otherwise, unless
-  /// the request has had one. Nothing is left running or reserved for it.
+  /// Emits the final answer, a rejection if a repeat is harmless and a failure otherwise, unless
+  /// the request already has one. Cancels its attempt and releases its remote state.
   void finish(RequestRecord& request, EventContext& context);
 
-  /// Ends a request that has its answer or that nobody waits for. Its record is kept while an
-  /// attempt is out, which may yet leave a KV cache behind.
+  /// Ends a request that has its final answer or was abandoned. Its record is kept while an attempt
+  /// is in flight, since that attempt may still leave a KV cache behind.
   void close(RequestRecord& request, EventContext& context);
 
  private:
--- a/src/routing/request_queue.h
+++ b/src/routing/request_queue.h
@@ -1,4 +1,4 @@
-// The order in which requests that wait for an attempt are advanced.
+// Order in which queued requests are processed.
 #pragma once
 
 #include <algorithm>
@@ -10,8 +10,8 @@
 
 namespace inference_router::routing {
 
-/// A request that waits, compared by the order in which it is advanced: those with a KV cache
-/// first, as it takes memory; then by priority, then by deadline.
+/// A queued request. Compares in processing order: requests with a KV cache first, since it
+/// occupies memory, then by priority, then by deadline.
 struct QueuedRequest {
   bool hasNoKvCache;
   double negativePriority;
@@ -20,18 +20,18 @@
   auto operator<=>(const QueuedRequest&) const = default;
 };
 
-/// Whether the request waits for an attempt.
+/// Whether the request waits for its next attempt.
 inline bool isQueued(const RequestRecord& request) {
   return request.phase == Phase::kWaiting || request.phase == Phase::kPrefilled;
 }
 
-/// Whether any of the requests is open and has no token yet.
+/// Whether any of the requests has neither its first token nor a final answer.
 inline bool anyBeforeFirstToken(const RequestMap& requests) {
   return std::any_of(requests.begin(), requests.end(),
                      [](const auto& entry) { return entry.second.phase < Phase::kStreaming; });
 }
 
-/// The place of a request in the queue.
+/// The queue entry of a request.
 inline QueuedRequest queueEntry(const Settings& settings,
                                 const RequestId& id,
                                 const RequestRecord& request) {
--- a/src/routing/request_record.h
+++ b/src/routing/request_record.h
@@ -1,5 +1,4 @@
-// What the decision module remembers of one request and of its attempts. Holds facts; decides
-// nothing.
+// State of a request and of its attempts. Contains no decision logic.
 #pragma once
 
 #include <map>
@@ -14,69 +13,70 @@
 
 namespace inference_router::routing {
 
-struct Instance;  // an instance, owned by the module; records only refer to it
+struct Instance;  // owned by InstanceRegistry; records only refer to it
 
-/// Where a request stands, in the order in which it passes.
+/// Phase of a request, in the order in which a request passes through them.
 enum class Phase {
-  kWaiting,     ///< no attempt is out and no KV cache waits for it
-  kPrefilling,  ///< out at a prefill instance
-  kPrefilled,   ///< its KV cache waits for a decode instance
-  kDecoding,    ///< out at a decode or mixed instance, no token yet
-  kStreaming,   ///< its first token has come
-  kFinished     ///< it has had its final answer
+  kWaiting,     ///< no attempt is in flight and no KV cache exists
+  kPrefilling,  ///< an attempt at a prefill instance is in flight
+  kPrefilled,   ///< the KV cache waits for a decode instance
+  kDecoding,    ///< an attempt at a decode or mixed instance is in flight, no token yet
+  kStreaming,   ///< the first token has arrived
+  kFinished     ///< the final answer was given
 };
 
 /// One attempt at one instance.
 struct AttemptRecord {
   Instance* instance;
   Time sentAt;
-  bool decodes;             ///< at a decode or mixed instance: it may have had its effect
-  double prefillTokens;     ///< prompt tokens counted as waiting to be read there
-  bool atAffinityInstance;  ///< at the first instance in the order of its prefix
-  bool inFlight = true;     ///< no outcome yet; true of the last attempt of a request at most
-  bool cancelled = false;   ///< cancelled by the module, its outcome still to come
-  int overtakenCount = 0;   ///< later attempts there that were answered well ahead of it
-  bool provedNotExecuted = false;  ///< its outcome proved that it never ran
+  bool decodes;             ///< at a decode or mixed instance, so it may have been executed
+  double prefillTokens;     ///< prompt tokens included in Instance::prefillTokens
+  bool atAffinityInstance;  ///< at the first instance in preference order of its affinity key
+  bool inFlight = true;     ///< no outcome yet; only the last attempt can be in flight
+  bool cancelled = false;   ///< cancelled or migrated by this node
+  int overtakenCount = 0;   ///< later attempts there that were answered well before it
+  bool provedNotExecuted = false;  ///< its outcome proved that it was not executed
 };
 
-/// One request, from its arrival until it has its final answer and no attempt is out.
+/// One request, from its arrival until it has its final answer and no attempt is in flight.
 struct RequestRecord {
   Arrival arrival;
   Time arrivedAt;
   Time deadline;
   Time objectiveAt;
-  Time prefilledAt{};  ///< since when its KV cache has waited unused
+  Time prefilledAt{};  ///< since when its KV cache has been unused
   Phase phase = Phase::kWaiting;
   std::vector<AttemptRecord> attempts;
-  std::set<InstanceId> excludedInstances;  ///< instances that failed it
-  Instance* reservation = nullptr;         ///< where a reservation is asked for or held
-  Instance* prefillInstance = nullptr;     ///< whose memory holds its KV cache
-  int reservationsRejected = 0;            ///< reservations that were not granted
-  /// When instances in slow start were first looked at, by the phase it was in.
+  std::set<InstanceId> excludedInstances;  ///< instances at which an attempt has failed
+  Instance* reservation = nullptr;         ///< where a reservation was requested or is held
+  Instance* prefillInstance = nullptr;     ///< the instance that prefills or holds its KV cache
+  int reservationsRejected = 0;            ///< number of reservations that were rejected
+  /// When the request was first offered to an instance in slow start, by phase.
   std::map<Phase, Time> slowStartOfferedAt;
-  const Instance* affinityInstance = nullptr;  ///< the first instance in the order of its prefix
-  bool holdsRemoteState = false;               ///< a KV cache or a reservation may be held for it
-  Instance* reservedOn = nullptr;              ///< the decode instance in whose load it counts
-  double reservedTokens = 0;                   ///< by so many tokens
-  std::optional<Time> firstTokenAt;            ///< when its first token came
-
-  /// Whether an attempt is out.
+  const Instance* affinityInstance =
+      nullptr;                       ///< the first in preference order of its affinity key
+  bool holdsRemoteState = false;     ///< an instance may hold a KV cache or a reservation
+  Instance* reservedOn = nullptr;    ///< instance at which DecodeCapacity counts it
+  double reservedTokens = 0;         ///< number of tokens counted there
+  std::optional<Time> firstTokenAt;  ///< when its first token arrived
+
+  /// Whether an attempt is in flight.
   bool hasAttemptInFlight() const { return !attempts.empty() && attempts.back().inFlight; }
 
-  /// The first attempt that may have had its effect; null if all are known not to have run.
+  /// The first attempt that may have been executed, or null if none can have been.
   const AttemptRecord* possiblyExecutedAttempt() const;
 
-  /// The attempt of that number, from 0; null if there is none.
+  /// The attempt with that number, from 0; null if there is none.
   AttemptRecord* attempt(int number);
 
   /// The number of the last attempt, from 0; -1 if there is none.
   int lastAttemptNumber() const { return static_cast<int>(attempts.size()) - 1; }
 
-  /// Whether it refers to the instance, which must then be kept.
+  /// Whether the record refers to the instance, which must then not be erased.
   bool refersTo(const Instance& instance) const;
 };
 
-/// All requests that the module holds, by their ids.
+/// All requests that the module holds, by id.
 using RequestMap = std::map<RequestId, RequestRecord>;
 
 /// The settings of the request's class.
@@ -84,8 +84,8 @@
   return settings.classes[request.arrival.cls.value];
 }
 
-/// The key by which a request keeps to an instance: its shared prefix, else its session, else its
-/// own id.
+/// The key that determines the preferred instances of a request: its shared prefix if it has one,
+/// otherwise its session, otherwise its id.
 const std::string& affinityKey(const RequestRecord& request);
 
 }  // namespace inference_router::routing
--- a/src/routing/retry_policy.cpp
+++ b/src/routing/retry_policy.cpp
@@ -7,10 +7,9 @@
 namespace inference_router::routing {
 namespace {
 
-// Retries that one arrival allows.
+// Retries that each arrival adds to the budget.
 constexpr double kRetriesPerArrival = 0.3;
-// Upper bound of the share of the time to the deadline that an attempt may take while another is
-// possible.
+// Timeout of an attempt that may be followed by another, as a share of the time to the deadline.
 constexpr double kMaxAttemptTimeShare = 0.6;
 
 }  // namespace
--- a/src/routing/retry_policy.h
+++ b/src/routing/retry_policy.h
@@ -1,4 +1,4 @@
-// How often and how long a request is tried.
+// Retry budget, attempt limits and attempt timeouts.
 #pragma once
 
 #include "inference_router/settings.h"
@@ -8,38 +8,38 @@
 
 namespace inference_router::routing {
 
-/// Token bucket for retries: they stay a share of the arrivals, so that they cannot multiply the
+/// Token bucket that limits retries to a share of the arrivals, so that they cannot multiply the
 /// traffic while instances fail.
 class RetryBudget {
  public:
-  /// Adds the part of one arrival. `recentArrivals` is the decayed number of arrivals at this node
-  /// and limits what can be saved up.
+  /// Adds the tokens of one arrival. `recentArrivals`, the decayed number of arrivals at this node,
+  /// limits the size of the bucket.
   void recordArrival(double recentArrivals);
 
-  /// Whether a retry may be made.
+  /// Whether a retry is allowed.
   bool isAvailable() const { return tokens_ >= 1; }
 
-  /// Counts a retry.
+  /// Consumes the token of one retry.
   void spend() { tokens_ -= 1; }
 
  private:
-  /// Upper bound of the retries that are saved up.
+  /// Maximum number of tokens in the bucket.
   static constexpr double kMaxTokens = 30;
 
   double tokens_ = kMaxTokens;
 };
 
-/// Attempts that a request takes from its start: a prefill and a decode.
+/// Number of attempts that a request needs without a KV cache: a prefill and a decode.
 constexpr int kAttemptsFromStart = 2;
-/// Attempts that it takes from a KV cache: a decode.
+/// Number of attempts that a request needs with a KV cache: a decode.
 constexpr int kAttemptsFromKvCache = 1;
 
-/// Whether the limit of attempts leaves room for `count` more.
+/// Whether the attempt limit allows `count` more attempts.
 bool hasAttemptsLeft(const Settings& settings, const RequestRecord& request, int count);
 
-/// When the last attempt of the record, which is sent to the instance at `now`, times out. Leaves
-/// time for one more attempt where there may be one: an early time-out under congestion would only
-/// prefill the prompt twice.
+/// When the latest attempt of the request, which is sent to the instance at `now`, times out.
+/// Leaves time for another attempt if one is possible, but not more: under congestion, an early
+/// timeout would only cause the prompt to be prefilled twice.
 Time attemptTimeoutAt(const Settings& settings,
                       const RequestRecord& request,
                       const Instance& instance,
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -1,6 +1,6 @@
-// The router of one node. An event changes what is known; then requests that wait are advanced, and
-// the actions are what that decides. A request passes the phases kWaiting, kPrefilling, kPrefilled,
-// kDecoding, kStreaming and kFinished (see RequestLifecycle).
+// Implementation of the router of one node. Each event first updates the state; then queued
+// requests are processed, which emits further actions. The phases of a request are kWaiting,
+// kPrefilling, kPrefilled, kDecoding, kStreaming and kFinished (see RequestLifecycle).
 #include "inference_router/router.h"
 
 #include <algorithm>
@@ -34,7 +34,7 @@
 namespace inference_router::routing {
 namespace {
 
-// Backoff, in seconds, between attempts to obtain the endpoint list.
+// Backoff between attempts to obtain the endpoint list.
 constexpr Duration kEndpointPollBackoff = std::chrono::seconds{1};
 
 }  // namespace
@@ -57,7 +57,8 @@
     if (!started_)
       start(context);
     std::visit([&](const auto& received) { on(received, context); }, event);
-    // Before the queue: a request that gets its final answer is sent no attempt at the same time.
+    // Before the queue, so that a request that gets its final answer here is not dispatched as
+    // well.
     if (shutdown_.hasBegun())
       continueShutdown(context);
     processQueue(context);
@@ -233,7 +234,7 @@
     pollEndpointsAt_.reset();
   }
 
-  // One timer at a time, while there is something to look at.
+  // Keeps one timer armed while requests wait, or a poll or the shutdown is pending.
   void armTimer(EventContext& context) {
     const bool hasWaitingRequests =
         (shutdown_.hasBegun() && !requests_.empty()) || anyBeforeFirstToken(requests_);
@@ -247,7 +248,7 @@
   Settings settings_;
   std::optional<SettingsError> settingsError_;
 
-  // What is known. Each unit refers to those above it.
+  // Knowledge about instances and traffic. Each component refers to those declared above it.
   KeyPopularity popularity_{kTrafficTimeConstant};
   InstanceRegistry registry_;
   CellPlan cells_;
@@ -256,7 +257,7 @@
   DecodeCapacity capacity_{settings_, registry_, cells_, availability_};
   OutlierDetector outlierDetector_{registry_};
 
-  // What is decided.
+  // Decisions.
   SlowStart slowStart_{settings_, registry_, cells_, popularity_};
   SelectionInputs selectionInputs_{settings_,  registry_,     cells_,    popularity_,
                                    estimates_, availability_, capacity_, slowStart_};
--- a/src/routing/selection_inputs.h
+++ b/src/routing/selection_inputs.h
@@ -1,4 +1,4 @@
-// What the selection of an instance for a request reads.
+// Components that the selection of instances depends on.
 #pragma once
 
 #include "inference_router/settings.h"
@@ -12,9 +12,9 @@
 
 namespace inference_router::routing {
 
-/// References to the units that the selectors read; all must outlive the selectors. Two are not
-/// const: a selector returns instances of the registry for its caller to change, and the draws of
-/// slow start take note of what was offered.
+/// References to the components that the selectors read; all must outlive the selectors. Two are
+/// not const: a selector returns mutable instances of the registry, and SlowStart::admits() updates
+/// the budget of the instance that is offered.
 struct SelectionInputs {
   const Settings& settings;
   InstanceRegistry& registry;
--- a/src/routing/service_estimates.cpp
+++ b/src/routing/service_estimates.cpp
@@ -9,13 +9,13 @@
 namespace inference_router::routing {
 namespace {
 
-// Lower bound of the half-life of estimates, in seconds.
+// Lower bound of the half-life of estimates.
 constexpr Duration kMinHalfLife = std::chrono::seconds{1};
-// Upper bound of the half-life, in seconds: congestion passes whether or not it is observed.
+// Upper bound of the half-life of estimates: congestion also ends while it is not observed.
 constexpr Duration kMaxHalfLife = std::chrono::seconds{3};
-// Arrivals at this node that a half-life spans between its bounds.
+// Number of arrivals at this node in one half-life, within the bounds above.
 constexpr double kArrivalsPerHalfLife = 4;
-// Share of the fastest throughput observed that is kept with each prefill that is slower.
+// Factor by which the highest observed throughput decays with each slower prefill.
 constexpr double kThroughputDecay = 0.98;
 
 }  // namespace
@@ -27,7 +27,7 @@
       kMaxHalfLife);
 }
 
-// The throughput is that of the fastest prefills of late: a slower one was queued, or ran at a slow
+// The throughput is that of the fastest recent prefills: slower ones were queued, or ran at a slow
 // instance.
 Duration ServiceEstimates::prefillTime(double tokens) const {
   return prefillThroughput_ > 0 ? microseconds(tokens / prefillThroughput_) : Duration::zero();
--- a/src/routing/settings_check.cpp
+++ b/src/routing/settings_check.cpp
@@ -1,4 +1,4 @@
-// Which settings the decision module can work with.
+// Validation of settings.
 #include <algorithm>
 
 #include "inference_router/settings.h"
@@ -10,15 +10,15 @@
     case SettingsError::kNoClasses:
       return "no request classes";
     case SettingsError::kNoKinds:
-      return "no engine kinds";
+      return "no instance kinds";
     case SettingsError::kNoNodes:
       return "fewer than one node";
     case SettingsError::kNoAttempts:
       return "no attempts allowed";
     case SettingsError::kNoOverloadWindow:
-      return "no time over which a cold engine falls";
+      return "the overload window is not positive";
     case SettingsError::kClassWithoutObjectiveOrDeadline:
-      return "a class without an aim or a deadline";
+      return "a class without a latency objective or a deadline";
   }
   return "";
 }
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -9,8 +9,8 @@
 namespace inference_router::routing {
 namespace {
 
-// Weight that a node which has just started adds to a role for instances that it never saw listed,
-// if all that are listed are in slow start: the rest of the fleet may be down with them.
+// Weight of unlisted instances that a recently started node assumes for a role if all of its listed
+// instances are in slow start: the rest of the fleet may have failed along with them.
 constexpr double kUnlistedWeight = 8;
 
 }  // namespace
@@ -29,8 +29,7 @@
   weights.fullFleet = std::max(weights.fullFleet, weights.inSlowStart);
   if (!recentlyStarted(now))
     return weights;
-  // A node that has just started has seen the present list alone, so it assumes that much is
-  // missing.
+  // A recently started node knows only the current list, so it assumes that instances are missing.
   const double unlisted = weights.inSlowStart < weights.listed ? 0 : kUnlistedWeight;
   weights.fullFleet = std::max(weights.fullFleet, cells_.maxListedWeight()) + unlisted;
   return weights;
@@ -54,8 +53,8 @@
   return instance.slowStart.admits(settings_, instance.endpoint.started, offer, now);
 }
 
-// Requests of this node for the role in one time constant; extrapolated while the node has run for
-// less.
+// Number of requests of this node for the role in one time constant; extrapolated while the node
+// has been running for less.
 double SlowStart::ownDemand(Role role, Time now) const {
   const Duration observedFor = std::max(now - startedAt_, settings_.contract.overloadWindow);
   const double recentRequests = recentlyStarted(now)
--- a/src/routing/slow_start.h
+++ b/src/routing/slow_start.h
@@ -1,4 +1,4 @@
-// Limits what this node sends to instances in slow start, over all of them.
+// Limits the requests that this node sends to instances in slow start.
 #pragma once
 
 #include <array>
@@ -13,25 +13,25 @@
 
 namespace inference_router::routing {
 
-/// Number of instances in slow start that one request is offered to at most, where this node draws.
+/// Maximum number of instances in slow start that one request is offered to with a draw each.
 constexpr int kMaxSlowStartOffers = 3;
 
-/// Weights of the instances that do one step, prefill or decode; mixed instances do both.
+/// Total weights of the instances that do one step, prefill or decode; mixed instances do both.
 struct RoleWeights {
-  double fullFleet = 0;    ///< when the whole fleet is listed
-  double listed = 0;       ///< listed now
-  double inSlowStart = 0;  ///< of these, in slow start
+  double fullFleet = 0;    ///< estimate for the whole fleet, all listed and warm
+  double listed = 0;       ///< currently listed
+  double inSlowStart = 0;  ///< listed and in slow start
 };
 
-/// To which instances one request is offered.
+/// The instances in slow start to which one request is offered.
 struct SlowStartCandidates {
-  double offeredWeight;  ///< weight of the instances that the request is offered to
-  double instanceShare;  ///< of one instance in it: 1 if offered the request alone, 0 for no draw
+  double offeredWeight;  ///< total weight of the instances that the request is offered to
+  double instanceShare;  ///< share of one of them: 1 if it is the only one, 0 for no draw
 };
 
-/// Turns the traffic of this node and the weights of the fleet into the offers that the budget of
-/// an instance (SlowStartBudget) decides on: the nodes together must not overload an instance that
-/// is not warm.
+/// Computes, from this node's traffic and the weights of the fleet, the offers on which an
+/// instance's SlowStartBudget decides: all nodes together must not overload an instance that is not
+/// warm.
 class SlowStart {
  public:
   /// All must outlive the object.
@@ -41,21 +41,22 @@
             const KeyPopularity& popularity)
       : settings_(settings), registry_(registry), cells_(cells), popularity_(popularity) {}
 
-  /// Notes that this node starts: for a warm-up time it does not know how large the fleet is.
+  /// Records the start of this node: for one warm-up duration it does not know the size of the
+  /// fleet.
   void start(Time now) { startedAt_ = now; }
 
-  /// The weights of the instances that do the step of `role`, which is not kMixed.
+  /// The weights of the instances that do the step of `role`, which must not be kMixed.
   RoleWeights weights(Role role, Time now) const;
 
-  /// Whether the request may be sent to the instance now. Always if it is warm; notes in the record
-  /// since when the request is offered otherwise.
+  /// Whether the request may be sent to the instance now. Always true for a warm instance;
+  /// otherwise records in the request when it was first offered.
   bool admits(RequestRecord& request,
               Instance& instance,
               const RoleWeights& weights,
               const SlowStartCandidates& candidates,
               Time now);
 
-  /// Counts a request, or a reservation for one, that was sent to the instance.
+  /// Counts a request, or a reservation for one, sent to the instance.
   void countDispatch(Instance& instance, Time now);
 
  private:
--- a/src/routing/slow_start_budget.cpp
+++ b/src/routing/slow_start_budget.cpp
@@ -9,15 +9,16 @@
 namespace inference_router::routing {
 namespace {
 
-// Upper bound of the share of the budget that is used where dispatches are counted.
+// Share of the budget that may be used when dispatches are counted.
 constexpr double kMaxCountedShare = 0.7;
-// The same where dispatches are drawn: more is left for chance and for bursts.
+// Share of the budget that may be used when dispatches are drawn; smaller, to leave a margin for
+// random variation and bursts.
 constexpr double kMaxDrawnShare = 0.34;
-// Upper bound of the dispatches that are saved up, in overload windows.
+// Capacity of the token bucket, in overload windows.
 constexpr double kMaxBucketWindows = 0.25;
-// Number of slots in an overload window; a process may win one draw in each.
+// Number of slots in an overload window; a process sends at most one drawn request per slot.
 constexpr int kSlotsPerWindow = 8;
-// Lower bound of the warm fraction: loads are divided by it.
+// Lower bound of the warm fraction, which is used as a divisor.
 constexpr double kMinWarmFraction = 1e-9;
 
 }  // namespace
@@ -27,7 +28,7 @@
   return age >= 1 ? 1 : std::max({contract.warmupInitialShare, age, kMinWarmFraction});
 }
 
-// Slots of different processes begin at different times.
+// The seed shifts the slots, so that those of different processes begin at different times.
 std::int64_t SlowStartBudget::slotOf(const Contract& contract, Time time) const {
   const Duration slot = std::max(Duration(1), contract.overloadWindow / kSlotsPerWindow);
   return (time.time_since_epoch() + Duration(seed_ % static_cast<std::uint64_t>(slot.count()))) /
@@ -45,13 +46,13 @@
                              const SlowStartOffer& offer,
                              Time now) {
   const Contract& contract = settings.contract;
-  // A dispatch counts in each window that holds it, and the first of these began when the instance
-  // could bear less.
+  // A dispatch counts in every window that contains it. The earliest of these began one window ago,
+  // when the instance could take less load.
   const double factor =
       contract.overloadFactor * warmFraction(contract, started, now - contract.overloadWindow);
   const double ownPerWindow = factor * kMaxCountedShare * offer.warmDispatchesPerWindow;
   const bool isCounted = ownPerWindow >= 1;
-  // Processes that draw have one counted dispatch a window among them all.
+  // All processes that draw share one counted dispatch per window.
   const double perWindow = isCounted ? ownPerWindow : 1.0 / settings.nodes;
   tokens_ = std::min(std::max(1.0, perWindow * kMaxBucketWindows),
                      tokens_ + perWindow * ratio(now - refilledAt_, contract.overloadWindow));
--- a/src/routing/slow_start_budget.h
+++ b/src/routing/slow_start_budget.h
@@ -1,11 +1,12 @@
-// The slow-start budget of one instance: what this process may send to it until it is warm.
+// Slow-start budget of one instance: limits what this process sends to it until it is warm.
 //
-// A started instance bears overloadFactor x warmFraction() x its capacity in each window of length
-// overloadWindow. Processes share nothing, so each uses a part. One that would send it several
-// requests a window counts: a token bucket refills with its part. Others draw: in each slot, a
-// fraction of a window, a process may send one request with a probability that follows what the
-// whole fleet would offer the instance. The sum is then right for any number of processes and any
-// spread of traffic over them, also where some restart and forget.
+// A started instance can take overloadFactor x warmFraction() x its capacity in each window of
+// length overloadWindow. Processes share no state, so each uses a part of that budget. A process
+// that would send several requests per window counts them with a token bucket, which is refilled at
+// the rate of its part. The others draw: in each slot, a fraction of a window, a process may send
+// one request, with a probability derived from what the whole fleet would offer the instance. The
+// expected total is then correct for any number of processes and any distribution of traffic over
+// them, even if some restart and lose their counts.
 #pragma once
 
 #include "inference_router/settings.h"
@@ -13,34 +14,35 @@
 
 namespace inference_router::routing {
 
-/// Share of its capacity that an instance has by its age; 1 if it is warm or has not started
-/// lately.
+/// Share of its capacity that an instance has at its age; 1 if it is warm or its start is unknown.
 double warmFraction(const Contract& contract, std::optional<Time> started, Time now);
 
-/// A request that could go to an instance in slow start.
+/// Offer of a request to an instance in slow start.
 struct SlowStartOffer {
-  /// Requests of this process that a warm instance of its weight gets in an overload window.
+  /// Requests that this process would send, per overload window, to a warm instance of that weight.
   double warmDispatchesPerWindow;
-  /// Weight of the instances that the request is offered to, over that of the whole role.
+  /// Weight of the instances that the request is offered to, divided by that of the whole role.
   double offeredShare;
-  /// Part of this instance in that weight: 1 if it is offered the request alone, 0 for no draw.
+  /// Share of this instance in the offered weight: 1 if it is the only one, 0 for no draw.
   double instanceShare;
-  /// When it was first offered; a request that waits is drawn against powers of the probability.
+  /// When the request was first offered. The probability of a draw is raised to the power of the
+  /// number of slots since then, so that waiting does not help the request to be admitted.
   Time since;
 };
 
-/// Admits requests to one instance while it is in slow start. Kept with the instance.
+/// Admits requests to one instance while it is in slow start. Stored in the instance.
 class SlowStartBudget {
  public:
-  /// The instance has started, or this process has just learnt of it. The seed differs between
-  /// processes.
+  /// Resets the budget when the instance has started or is new to this process. `seed` must differ
+  /// between processes.
   void reset(std::uint64_t seed, int processes, Time now);
-  /// Whether the request may be sent now to the instance, which started then and is not warm.
+  /// Whether the request may be sent now to the instance, which started at `started` and is not
+  /// warm.
   bool admits(const Settings& settings,
               std::optional<Time> started,
               const SlowStartOffer& offer,
               Time now);
-  /// A request, or a reservation for it, has been sent; the later send to a reservation is not
+  /// Counts a request, or a reservation for it, that was sent. The dispatch to a reservation is not
   /// counted again.
   void countDispatch(const Contract& contract, Time now);
 
--- a/src/routing/stable_hash.h
+++ b/src/routing/stable_hash.h
@@ -1,4 +1,4 @@
-// Hashes that are the same in every process, on every machine and in every release.
+// Hash functions whose values are the same in every process, on every machine and in every release.
 #pragma once
 
 #include <cstdint>
@@ -6,13 +6,14 @@
 
 namespace inference_router::routing {
 
-/// A 64-bit hash of a pair of strings (FNV-1a with the finalizer of MurmurHash3).
+/// A 64-bit hash of a pair of strings (FNV-1a followed by the finalizer of MurmurHash3).
 std::uint64_t stableHash(const std::string& first, const std::string& second);
 
-/// A number between 0 and 1, both excluded, that is drawn uniformly by stableHash().
+/// A uniformly distributed number between 0 and 1, both excluded, derived from stableHash().
 double stableDraw(const std::string& first, const std::string& second);
 
-/// The same for a pair of numbers (finalizer of splitmix64); 0 is possible.
+/// A uniformly distributed number in [0, 1), derived from a pair of integers with the finalizer of
+/// splitmix64.
 double stableDraw(std::uint64_t seed, std::int64_t index);
 
 }  // namespace inference_router::routing
--- a/src/routing/straggler_detector.cpp
+++ b/src/routing/straggler_detector.cpp
@@ -7,13 +7,13 @@
 namespace inference_router::routing {
 namespace {
 
-// Later attempts answered well ahead of an attempt that show that it was lost.
+// Number of later attempts, answered well before an attempt, after which it is considered lost.
 constexpr int kMinOvertakes = 3;
-// Lower bound of the time that an overtaken attempt has been out, in times that the later one took,
-// for its size.
+// Minimum age of an overtaken attempt, as a multiple of the time that the later one took, scaled by
+// their relative size.
 constexpr double kMinOvertakenTimes = 2;
-// Lower bound of the time that an attempt at a silent instance has been out, as a share of the time
-// from the arrival to the latency objective.
+// Minimum age of an attempt at a silent instance, as a share of the time from the arrival to the
+// latency objective.
 constexpr double kMinObjectiveShare = 0.5;
 
 }  // namespace
--- a/src/routing/straggler_detector.h
+++ b/src/routing/straggler_detector.h
@@ -1,4 +1,4 @@
-// Finds attempts that an instance holds up or has lost, so that they can be cancelled and retried.
+// Detects attempts that an instance delays or has lost, so that they can be cancelled and retried.
 #pragma once
 
 #include "inference_router/settings.h"
@@ -9,19 +9,19 @@
 
 namespace inference_router::routing {
 
-/// Whether so many later attempts at the same instance were answered well ahead of this one that
-/// the instance has lost it.
+/// Whether so many later attempts at the same instance were answered well before this one that the
+/// instance must have lost it.
 bool isOvertaken(const AttemptRecord& attempt);
 
-/// Notes in all attempts that are out at the same instance and were sent before `answered` if that
-/// was well ahead of them for its size. Congestion holds up all alike, so it overtakes none. `took`
-/// is how long the answer took.
+/// Counts, for each earlier attempt in flight at the same instance, whether `answered` was answered
+/// well before it, considering their sizes. Congestion delays all attempts equally, so it does not
+/// count as overtaking. `took` is the time from the dispatch of `answered` to its answer.
 void countOvertakenAttempts(RequestMap& requests,
                             const AttemptRecord& answered,
                             Duration took,
                             Time now);
 
-/// Decides which attempts to cancel. Owns no state.
+/// Decides which attempts to cancel. Stateless.
 class StragglerDetector {
  public:
   /// All must outlive the object.
@@ -30,8 +30,8 @@
                     const RetryBudget& retryBudget)
       : settings_(settings), availability_(availability), retryBudget_(retryBudget) {}
 
-  /// Whether the last attempt of a request that is prefilling or decoding is at a silent instance
-  /// or was lost, and a retry elsewhere is allowed and possible.
+  /// Whether the last attempt of a request in phase kPrefilling or kDecoding is at a silent
+  /// instance or lost, and a retry at another instance is allowed and possible.
   bool shouldCancel(const RequestRecord& request, Time now) const;
 
  private:
