--- a/include/inference_router/events.h
+++ b/include/inference_router/events.h
@@ -13,14 +13,12 @@
 
 /// Load that an instance reports about itself; approximate and slightly out of date.
 struct LoadReport {
-  std::optional<double>
-      inFlight;  ///< requests in progress, including KV caches that wait to be fetched
+  std::optional<double> inFlight;       ///< requests in progress, unfetched KV caches included
   std::optional<double> queued;         ///< requests that wait to be started
   std::optional<double> slotShare;      ///< share of slots in use, 0 to 1
   std::optional<double> memoryShare;    ///< share of memory in use, 0 to 1
   std::optional<double> tokensWaiting;  ///< prompt tokens that wait to be prefilled or fetched
-  std::optional<Duration>
-      latency;  ///< recent time until a prefill ended or the first token was sent
+  std::optional<Duration> latency;      ///< recent time to the end of a prefill or first token
 };
 
 /// State of an instance in the endpoint list.
@@ -64,8 +62,8 @@
   std::string session;  ///< client session; empty if unknown
   std::string prefix;   ///< key of the prefix that its prompt shares with others; empty if none
   Duration timeLeft;    ///< until the client gives up this try
-  std::optional<Duration>
-      lengthHint;  ///< approximate duration of the answer at the class's token interval objective
+  /// Approximate duration of the answer at the class's token interval objective.
+  std::optional<Duration> lengthHint;
   double promptTokens;
   double prefixTokens;  ///< length of the shared prefix
   double maxTokens;     ///< upper bound of the answer's length in tokens
--- a/include/inference_router/settings.h
+++ b/include/inference_router/settings.h
@@ -68,8 +68,7 @@
   double move;      ///< prompt tokens whose KV cache leaves its cell
   double peer;      ///< bytes of gossip, per request
   double probe;     ///< health checks and reservations, per request
-  double
-      waste;  ///< share of the offered work that instances spent on requests that were not served
+  double waste;     ///< work spent on requests that were not served, as a share of offered work
 };
 
 /// Weights of the components of the site's score.
--- a/include/inference_router/types.h
+++ b/include/inference_router/types.h
@@ -46,8 +46,7 @@
 using TenantIndex = Index<struct TenantTag>;  ///< into Settings::tenants
 using KindIndex = Index<struct KindTag>;      ///< into Settings::kinds
 using ZoneIndex = Index<struct ZoneTag>;      ///< a zone of the site
-using CellIndex =
-    Index<struct CellTag>;  ///< a group of instances among which KV cache transfers are cheap
+using CellIndex = Index<struct CellTag>;      ///< instances among which transfers are cheap
 
 /// Effect of executing a request of a class more than once.
 enum class Effect {
--- a/src/routing/cell_plan.cpp
+++ b/src/routing/cell_plan.cpp
@@ -78,8 +78,7 @@
 // rendezvous hashing, one of the cells whose decode share exceeds their prefill share, weighted by
 // the difference.
 CellIndex CellPlan::decodeCell(const RequestId& request, CellIndex prefillCell) const {
-  const auto ownCell =
-      cells_.find(prefillCell);  // missing if none of the cell's instances is listed any more
+  const auto ownCell = cells_.find(prefillCell);  // end() if none of its instances is listed
   if (ownCell != cells_.end() &&
       stableDraw(request.value, "near") <
           ownCell->second.decodeShare / std::max(ownCell->second.prefillShare, kMinDivisor))
--- a/src/routing/request_record.h
+++ b/src/routing/request_record.h
@@ -53,12 +53,11 @@
   int reservationsRejected = 0;            ///< number of reservations that were rejected
   /// When the request was first offered to an instance in slow start, by phase.
   std::map<Phase, Time> slowStartOfferedAt;
-  const Instance* affinityInstance =
-      nullptr;                       ///< the first in preference order of its affinity key
-  bool holdsRemoteState = false;     ///< an instance may hold a KV cache or a reservation
-  Instance* reservedOn = nullptr;    ///< instance at which DecodeCapacity counts it
-  double reservedTokens = 0;         ///< number of tokens counted there
-  std::optional<Time> firstTokenAt;  ///< when its first token arrived
+  const Instance* affinityInstance = nullptr;  ///< first in preference order of its affinity key
+  bool holdsRemoteState = false;               ///< an instance may hold a KV cache or a reservation
+  Instance* reservedOn = nullptr;              ///< instance at which DecodeCapacity counts it
+  double reservedTokens = 0;                   ///< number of tokens counted there
+  std::optional<Time> firstTokenAt;            ///< when its first token arrived
 
   /// Whether an attempt is in flight.
   bool hasAttemptInFlight() const { return !attempts.empty() && attempts.back().inFlight; }
--- a/tests/router_answers_test.cpp
+++ b/tests/router_answers_test.cpp
@@ -1,4 +1,4 @@
-// Final answers, retries and what is released: what every request is owed, whatever fails.
+// Tests of final answers, idempotency, retries and the release of remote state.
 #include "router_scenarios.h"
 
 namespace inference_router::routing {
@@ -11,20 +11,20 @@
   return settings;
 }
 
-TEST(FinalAnswers, AFailureWithNothingElseToTryIsRejectedOnce) {
+TEST(FinalAnswers, RejectsOnceIfNoOtherInstanceIsLeft) {
   RouterHarness router;
   router.updateEndpoints({endpoint("r0", kPrefill), endpoint("w0", kDecode)}).arrive("a");
   router.endAttempt("a", "r0", AttemptOutcome::kError).advance(7s);
   EXPECT_EQ(router.actionsOf<RejectRequest>().size(), 1U);
 }
 
-TEST(FinalAnswers, ComeBeforeTheDeadlineWithoutAnyInstance) {
+TEST(FinalAnswers, AreGivenByTheDeadlineWithoutAnyInstance) {
   RouterHarness router;
   router.arrive("a", "", 300ms).advance(300ms);
   EXPECT_EQ(router.actionsOf<RejectRequest>().size(), 1U);
 }
 
-TEST(FinalAnswers, NothingGoesOutAfterTheClientLeft) {
+TEST(FinalAnswers, NothingIsDispatchedAfterTheClientDisconnected) {
   RouterHarness router;
   const std::string prefillInstance = router.updateEndpoints(twoCells()).arrive("a").sentTo();
   router.handle(RequestAbandoned{{"a"}});
@@ -35,14 +35,14 @@
   EXPECT_TRUE(router.hasAction<ReleaseState>());
 }
 
-TEST(FinalAnswers, APromptLargerThanAnyMemoryIsRejectedAtOnce) {
+TEST(FinalAnswers, RejectPromptsLargerThanAnyMemoryImmediately) {
   RouterHarness router;
   router.updateEndpoints(twoCells()).arrive("a", "", 6s, 1e6);
   EXPECT_TRUE(router.hasAction<RejectRequest>());
   EXPECT_FALSE(router.hasAction<DispatchAttempt>());
 }
 
-TEST(FinalAnswers, UnusableSettingsFailEveryArrivalAndAreLogged) {
+TEST(FinalAnswers, InvalidSettingsFailEveryArrivalAndAreLogged) {
   RouterHarness router{Settings{}};
   router.arrive("a");
   EXPECT_TRUE(router.hasAction<FailRequest>());
@@ -50,7 +50,7 @@
   EXPECT_TRUE(validate(Settings{}).has_value());
 }
 
-TEST(FinalAnswers, AnUnknownClassIsFailedAtOnce) {
+TEST(FinalAnswers, FailRequestsOfAnUnknownClassImmediately) {
   RouterHarness router;
   Arrival arrival = RouterHarness::arrival("a");
   arrival.cls = {9};
@@ -58,7 +58,7 @@
   EXPECT_EQ(router.actionsOf<FailRequest>().size(), 1U);
 }
 
-TEST(Idempotency, AnAtMostOnceRequestThatMayHaveRunIsNeitherRepeatedNorRejected) {
+TEST(Idempotency, PossiblyExecutedAtMostOnceRequestIsNeitherRepeatedNorRejected) {
   RouterHarness router(withEffect(Effect::kAtMostOnce, DedupScope::kAll));
   const std::string decodeInstance = startDecode(router);
   router.endAttempt("a", decodeInstance, AttemptOutcome::kConnectionLost);
@@ -67,21 +67,21 @@
   EXPECT_TRUE(router.hasAction<FailRequest>());
 }
 
-TEST(Idempotency, AnAtMostOnceRequestThatNeverRanIsRetried) {
+TEST(Idempotency, AtMostOnceRequestThatWasNotExecutedIsRetried) {
   RouterHarness router(withEffect(Effect::kAtMostOnce, DedupScope::kAll));
   const std::string decodeInstance = startDecode(router);
   EXPECT_TRUE(router.endAttempt("a", decodeInstance, AttemptOutcome::kConnectFailed)
                   .hasAction<DispatchAttempt>());
 }
 
-TEST(Idempotency, AFailedPrefillOfAnAtMostOnceRequestIsRetried) {
+TEST(Idempotency, FailedPrefillOfAtMostOnceRequestIsRetried) {
   RouterHarness router(withEffect(Effect::kAtMostOnce, DedupScope::kAll));
   const std::string prefillInstance = router.updateEndpoints(twoCells()).arrive("a").sentTo();
   EXPECT_TRUE(router.endAttempt("a", prefillInstance, AttemptOutcome::kConnectionLost)
                   .hasAction<DispatchAttempt>());
 }
 
-TEST(Idempotency, ADeduplicatedRequestStaysInTheCellThatDropsItsRepeats) {
+TEST(Idempotency, DeduplicatedRequestIsRetriedWithinItsDedupScope) {
   RouterHarness router(withEffect(Effect::kDeduplicated, DedupScope::kCell));
   const std::string decodeInstance = startDecode(router);
   const std::string next = router.endAttempt("a", decodeInstance, AttemptOutcome::kError).sentTo();
@@ -89,7 +89,7 @@
   EXPECT_EQ(cellOf(next), cellOf(decodeInstance));
 }
 
-TEST(Idempotency, ADeduplicatedRequestIsNotRetriedPastItsWindow) {
+TEST(Idempotency, DeduplicatedRequestIsNotRetriedAfterTheDedupWindow) {
   Settings settings = withEffect(Effect::kDeduplicated, DedupScope::kAll);
   settings.classes[0].dedupWindow = 100ms;
   RouterHarness router(settings);
@@ -98,13 +98,13 @@
   EXPECT_FALSE(router.hasAction<DispatchAttempt>());
 }
 
-TEST(Idempotency, NoSecondAttemptGoesOutBesideTheFirst) {
+TEST(Idempotency, NoSecondAttemptIsSentWhileOneIsInFlight) {
   RouterHarness router;
   router.updateEndpoints(twoCells()).arrive("a").advance(2s);
   EXPECT_FALSE(router.hasAction<DispatchAttempt>());
 }
 
-TEST(Retries, APrefillOfAnAtMostOnceRequestLeavesTimeForAnother) {
+TEST(Retries, PrefillOfAtMostOnceRequestLeavesTimeForAnother) {
   Settings settings = plainSettings();
   settings.classes[0].effect = Effect::kAtMostOnce;
   RouterHarness router(settings);
@@ -118,7 +118,7 @@
             router.now() + 6s);
 }
 
-TEST(Retries, AFailedDecodeIsRetriedWithoutAnotherPrefill) {
+TEST(Retries, FailedDecodeIsRetriedWithoutAnotherPrefill) {
   RouterHarness router;
   const std::string decodeInstance = startDecode(router);
   const std::string next = router.endAttempt("a", decodeInstance, AttemptOutcome::kError).sentTo();
@@ -126,15 +126,15 @@
   EXPECT_NE(next[0], 'r');
 }
 
-TEST(Retries, AKvCacheThatIsLostIsPrefilledAgain) {
+TEST(Retries, LostKvCacheIsPrefilledAgain) {
   RouterHarness router;
   const std::string decodeInstance = startDecode(router);
   router.endAttempt("a", decodeInstance, AttemptOutcome::kRejected, 1ms, false, true);
   EXPECT_EQ(router.sentTo()[0], 'r');
 }
 
-// Hundreds of nodes, each with a burst of retries, would turn congestion into overload.
-TEST(Retries, ANodeThatSeesFewRequestsSavesUpFew) {
+// Bursts of retries from hundreds of nodes would turn congestion into overload.
+TEST(Retries, NodeWithFewRequestsHasASmallRetryBudget) {
   RouterHarness router;
   std::vector<EndpointRecord> instances{endpoint("w0", kDecode)};
   for (int i = 0; i < 8; ++i)
@@ -151,7 +151,7 @@
   EXPECT_LE(dispatches, 4 + 3);
 }
 
-TEST(Retries, StopAtTheLimit) {
+TEST(Retries, StopAtTheAttemptLimit) {
   Settings settings = plainSettings();
   settings.limits.maxAttempts = 1;
   RouterHarness router(settings);
@@ -160,7 +160,7 @@
       router.endAttempt("a", prefillInstance, AttemptOutcome::kError).hasAction<DispatchAttempt>());
 }
 
-TEST(RemoteState, AKvCacheThatNoInstanceDecodesIsReleasedWithinTheLimit) {
+TEST(RemoteState, KvCacheWithoutDecodeInstanceIsReleasedWithinTheLimit) {
   RouterHarness router;
   router.updateEndpoints({endpoint("r0", kPrefill), endpoint("w0", kDecode)}).arrive("a");
   router.updateEndpoints({withState(endpoint("w0", kDecode), EndpointState::kRemoved)},
@@ -170,7 +170,7 @@
   EXPECT_TRUE(router.advance(499ms).hasAction<ReleaseState>());
 }
 
-TEST(RemoteState, ALatePrefillOfAnEndedRequestIsReleased) {
+TEST(RemoteState, LatePrefillOfAFinishedRequestIsReleased) {
   RouterHarness router;
   const std::string prefillInstance = router.updateEndpoints(twoCells()).arrive("a").sentTo();
   router.handle(RequestAbandoned{{"a"}})
@@ -178,7 +178,7 @@
   EXPECT_TRUE(router.hasAction<ReleaseState>());
 }
 
-TEST(RemoteState, AKvCacheIsReleasedOnceTheDecodeThatWaitedForItIsCancelled) {
+TEST(RemoteState, KvCacheIsReleasedAfterItsDecodeAttemptWasCancelled) {
   RouterHarness router;
   const std::string prefillInstance = router.updateEndpoints(twoCells()).arrive("a").sentTo();
   const std::string decodeInstance =
@@ -188,9 +188,9 @@
   EXPECT_TRUE(router.hasAction<ReleaseState>());
 }
 
-// The time of a KV cache goes on while connections do not come up. A long-running test found KV
-// caches kept for 750 ms over three such decode instances.
-TEST(RemoteState, AKvCacheIsReleasedInTimeWhileConnectionsDoNotComeUp) {
+// Failed connects must not restart the release limit of a KV cache: a soak test found KV caches
+// that stayed for 750 ms, over three unreachable decode instances.
+TEST(RemoteState, KvCacheIsReleasedInTimeWhileConnectionsFail) {
   Settings settings = plainSettings();
   settings.limits.connectTimeout = 100ms;
   RouterHarness router(settings);
@@ -202,18 +202,18 @@
       router.advance(50ms).endAttempt("a", router.sentTo(), AttemptOutcome::kPrefilled).sentTo();
   const std::string second =
       router.advance(100ms).endAttempt("a", first, AttemptOutcome::kConnectFailed, 100ms).sentTo();
-  EXPECT_EQ(second.substr(0, 1), "w") << "there is time for another";
+  EXPECT_EQ(second.substr(0, 1), "w") << "there is time for another decode attempt";
   EXPECT_NE(second, first);
   EXPECT_FALSE(router.hasAction<ReleaseState>());
   router.advance(100ms).endAttempt("a", second, AttemptOutcome::kConnectFailed, 100ms);
   EXPECT_TRUE(router.hasAction<ReleaseState>())
-      << "a third that does not come up would end with the limit";
-  EXPECT_NE(router.sentTo().substr(0, 1), "w") << "it is read anew";
+      << "a third failed connect would reach the release limit";
+  EXPECT_NE(router.sentTo().substr(0, 1), "w") << "it is prefilled again";
 }
 
-// A connect that fails takes nearly the whole limit here: two of them and the release would exceed
-// it.
-TEST(RemoteState, NoSecondConnectIsTriedThatWouldExceedTheTimeOfAKvCache) {
+// A failed connect takes half of the release limit here: after a second one, the release would come
+// too late.
+TEST(RemoteState, NoConnectIsTriedThatWouldExceedTheReleaseLimit) {
   for (const AttemptOutcome outcome : {AttemptOutcome::kConnectFailed, AttemptOutcome::kNotSent}) {
     RouterHarness router;
     router.updateEndpoints({endpoint("r0", kPrefill), endpoint("r1", kPrefill),
@@ -228,9 +228,9 @@
   }
 }
 
-// A rejection says that nothing is under way: the prefill is cancelled and its state released
-// before.
-TEST(RemoteState, IsReleasedBeforeTheRejectionOfARequestWithAReservation) {
+// A rejection implies that no instance is working on the request, so the prefill is cancelled and
+// its state released first.
+TEST(RemoteState, IsReleasedBeforeARequestWithAReservationIsRejected) {
   Settings settings = plainSettings();
   settings.streamResumption = true;
   RouterHarness router(settings);
@@ -244,20 +244,20 @@
     if (std::holds_alternative<ReleaseState>(action))
       order.emplace_back("release");
     if (std::holds_alternative<RejectRequest>(action))
-      order.emplace_back("refuse");
+      order.emplace_back("reject");
   }
-  EXPECT_EQ(order, (std::vector<std::string>{"cancel", "release", "refuse"}));
+  EXPECT_EQ(order, (std::vector<std::string>{"cancel", "release", "reject"}));
 }
 
-// A decode instance that rejected the request was reached: the time of the KV cache restarts.
-TEST(RemoteState, AnAnswerOfADecodeInstanceRestartsTheTimeOfAKvCache) {
+// A decode instance that rejected the request was reached, so the release limit starts again.
+TEST(RemoteState, RejectionByADecodeInstanceRestartsTheReleaseLimit) {
   Settings settings = plainSettings();
   settings.limits.connectTimeout = 100ms;
   RouterHarness router(settings);
   router.updateEndpoints({endpoint("r0", kPrefill), endpoint("w0", kDecode),
                           endpoint("w1", kDecode), endpoint("w2", kDecode)});
   for (int i = 0; i < 10; ++i)
-    router.serve(numbered("before", i));  // earns retries
+    router.serve(numbered("before", i));  // adds to the retry budget
   router.arrive("a");
   const std::string first =
       router.advance(50ms).endAttempt("a", "r0", AttemptOutcome::kPrefilled).sentTo();
--- a/tests/router_harness.h
+++ b/tests/router_harness.h
@@ -1,4 +1,4 @@
-// A router with a clock of its own for the tests of the decision module; its actions by kind.
+// Test harness for the decision module: a router with a simulated clock and access to its actions.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -11,7 +11,8 @@
 
 using namespace std::chrono_literals;
 
-// Appends rather than adds: GCC 12 warns falsely on a literal plus a string (its bug 105329).
+// Uses append() because GCC 12 reports a false warning for a literal plus a string (GCC bug
+// 105329).
 inline std::string numbered(const char* stem, int number) {
   return std::string(stem).append(std::to_string(number));
 }
@@ -38,7 +39,7 @@
   return settings;
 }
 
-// Kinds of plainSettings().
+// Indices of the kinds in plainSettings().
 constexpr std::uint32_t kPrefill = 0;
 constexpr std::uint32_t kDecode = 1;
 constexpr std::uint32_t kMixed = 2;
@@ -47,7 +48,7 @@
   return {{id}, {0}, {kind}, {cell}, EndpointState::kActive, 1.0, {}};
 }
 
-// One router, the instances it is told of and the requests of its clients.
+// Feeds events to one router and stores the actions of the latest call.
 class RouterHarness {
  public:
   explicit RouterHarness(const Settings& settings = plainSettings(), std::uint64_t seed = 7)
@@ -92,7 +93,7 @@
   RouterHarness& openStream(const std::string& id, const std::string& at) {
     return handle(StreamOpened{{id}, attempts_[id] - 1, {at}, 20ms});
   }
-  // Moves the clock and fires the timers that are due; keeps the actions of all of them together.
+  // Advances the clock and fires the timers that are due; collects the actions of all of them.
   RouterHarness& advance(Duration span) {
     const Time until = now_ + span;
     std::vector<Action> all;
@@ -129,7 +130,7 @@
     const auto reservations = actionsOf<ReserveDecode>();
     return reservations.empty() ? "" : reservations.back().instance.value;
   }
-  // A request that is served without a fault; returns where it was prefilled.
+  // Serves one request without a fault; returns the instance that prefilled it.
   std::string serve(const std::string& id, const std::string& prefix = "") {
     const std::string prefillInstance = arrive(id, prefix).sentTo();
     const std::string decodeInstance =
--- a/tests/router_health_test.cpp
+++ b/tests/router_health_test.cpp
@@ -1,4 +1,4 @@
-// Instances that drain, start, fail or fall silent.
+// Tests with instances that drain, start, fail or stop responding.
 #include <map>
 
 #include "router_scenarios.h"
@@ -13,8 +13,8 @@
       .endAttempt(id, decodeInstance, AttemptOutcome::kServed, 5ms, true);
 }
 
-// Sends requests until one goes to this instance, and serves the others; returns its id, empty if
-// none does.
+// Sends requests until one goes to the instance, and serves the others. Returns its id, or an empty
+// string if none does.
 std::string arriveAt(RouterHarness& router, const std::string& stem, const std::string& instance) {
   for (int i = 0; i < 40; ++i) {
     const std::string id = numbered(stem.c_str(), i), at = router.arrive(id).sentTo();
@@ -25,7 +25,7 @@
   return "";
 }
 
-TEST(Draining, ADrainingInstanceGetsNothingNew) {
+TEST(Draining, DrainingInstanceGetsNoNewRequests) {
   RouterHarness router;
   router.updateEndpoints({endpoint("r0", kPrefill), endpoint("r1", kPrefill),
                           endpoint("w0", kDecode), endpoint("v0", kDecode)});
@@ -37,7 +37,7 @@
   EXPECT_EQ(router.reservedAt(), "v0");
 }
 
-TEST(Draining, ACompleteListWithoutAnInstanceRemovesIt) {
+TEST(Draining, CompleteListWithoutAnInstanceRemovesIt) {
   RouterHarness router;
   router.updateEndpoints(twoCells())
       .updateEndpoints({endpoint("r0", kPrefill), endpoint("w0", kDecode)});
@@ -45,7 +45,7 @@
     EXPECT_EQ(router.arrive(numbered("a", i)).sentTo(), "r0");
 }
 
-TEST(Draining, AReservationOnADrainingInstanceIsUsedEarlyInTheGrace) {
+TEST(Draining, ReservationAtADrainingInstanceIsUsedEarlyInTheGracePeriod) {
   RouterHarness router;
   router.updateEndpoints({endpoint("r0", kPrefill), endpoint("w0", kDecode)}).arrive("a");
   router.handle(ReservationResult{{"a"}, 0, {"w0"}, true});
@@ -54,7 +54,7 @@
   EXPECT_EQ(router.endAttempt("a", "r0", AttemptOutcome::kPrefilled).sentTo(), "w0");
 }
 
-TEST(Draining, AReservationOnADrainingInstanceIsLeftLateInTheGrace) {
+TEST(Draining, ReservationAtADrainingInstanceIsNotUsedLateInTheGracePeriod) {
   RouterHarness router;
   router.updateEndpoints(
       {endpoint("r0", kPrefill), endpoint("w0", kDecode), endpoint("v0", kDecode)});
@@ -68,7 +68,7 @@
   EXPECT_NE(decodeInstance, "");
 }
 
-TEST(EndpointList, IsSubscribedToWhereItIsPolledAndAgainAfterAFailure) {
+TEST(EndpointList, IsRequestedWhenPolledAndAgainAfterAFailure) {
   Settings settings = plainSettings();
   settings.discovery = Discovery::kPoll;
   RouterHarness router(settings);
@@ -78,14 +78,14 @@
   EXPECT_TRUE(router.advance(3s).hasAction<SubscribeEndpoints>());
 }
 
-TEST(EndpointList, AnEntryOfAnUnknownKindIsLeftOut) {
+TEST(EndpointList, EntryOfAnUnknownKindIsIgnored) {
   RouterHarness router;
   router.updateEndpoints({endpoint("x0", 9)}).arrive("a", "", 200ms);
   EXPECT_FALSE(router.hasAction<DispatchAttempt>());
 }
 
 // A large router must neither leave a restarted instance idle nor send it a request from each node.
-TEST(SlowStart, ManyNodesTogetherKeepTheBudgetOfAnInstance) {
+TEST(SlowStart, ManyNodesTogetherStayWithinTheBudgetOfAnInstance) {
   for (const int nodes : {2, 20, 200}) {
     Settings settings = plainSettings();
     settings.nodes = nodes;
@@ -112,7 +112,7 @@
   }
 }
 
-TEST(SlowStart, ANewDecodeInstanceGetsFewerReservationsThanItsWarmPeer) {
+TEST(SlowStart, NewDecodeInstanceGetsFewerReservationsThanItsWarmPeer) {
   RouterHarness router;
   router.updateEndpoints({endpoint("r0", kPrefill), endpoint("w0", kDecode)});
   for (int i = 0; i < 30; ++i)
@@ -126,9 +126,9 @@
   EXPECT_LE(toNew, 3);
 }
 
-// A node that has just started has seen little, not little a second: at an upgrade all are as young
-// as that.
-TEST(SlowStart, ANewNodeUsesANewInstanceAsMuchAsAnOldOne) {
+// A recently started node has counted few requests, which must not be taken for a low rate: during
+// an upgrade all nodes have recently started.
+TEST(SlowStart, NewNodeUsesANewInstanceAsMuchAsAnOldNode) {
   int used[2] = {};
   for (const int old : {0, 1}) {
     RouterHarness router;
@@ -145,7 +145,7 @@
   EXPECT_GT(used[1], 4);
 }
 
-TEST(OutlierDetection, EjectsAnInstanceThatFailsFast) {
+TEST(OutlierDetection, EjectsAnInstanceThatReturnsErrors) {
   RouterHarness router;
   router.updateEndpoints(twoCells());
   const std::string affinityInstance = router.arrive("x", "p").sentTo();
@@ -169,8 +169,9 @@
   EXPECT_EQ(router.advance(1200ms).arrive("later", "p").sentTo(), affinityInstance);
 }
 
-// Instances that fail fast get most of the requests: they must not become the measure of failure.
-TEST(OutlierDetection, EjectsBothOfTwoOfThreeInstancesThatMostlyFail) {
+// Instances that fail fast get most of the requests; their failure rate must not become the
+// reference for the other instances.
+TEST(OutlierDetection, EjectsTwoOfThreeInstancesThatMostlyFail) {
   RouterHarness router;
   router.updateEndpoints({endpoint("r0", kPrefill), endpoint("r1", kPrefill),
                           endpoint("r2", kPrefill), endpoint("w0", kDecode)});
@@ -195,7 +196,7 @@
   EXPECT_LE(failed, 12);
 }
 
-TEST(OutlierDetection, ReinstatesAnInstanceThatFailedSomeAfterSeveralTrials) {
+TEST(OutlierDetection, ReinstatesAFailingInstanceAfterSeveralTrials) {
   RouterHarness router;
   router.updateEndpoints(twoCells());
   for (std::string id; !(id = arriveAt(router, "f" + id, "r0")).empty();)
@@ -212,16 +213,16 @@
   EXPECT_NE(arriveAt(router, "beside", "r0"), "");
 }
 
-TEST(OutlierDetection, DoesNotEjectForOneBrokenConnection) {
+TEST(OutlierDetection, DoesNotEjectForOneLostConnection) {
   RouterHarness router;
   router.updateEndpoints(twoCells());
   router.endAttempt(arriveAt(router, "x", "r0"), "r0", AttemptOutcome::kConnectionLost, 1ms);
   EXPECT_NE(arriveAt(router, "next", "r0"), "");
 }
 
-// A moment without connections fails whatever is out at once: one failure, not one for each that
-// doubles the backoff again.
-TEST(OutlierDetection, ConnectsThatFailTogetherEjectForOneBackoff) {
+// A short network outage fails all connects in flight at once. They count as one failure: each must
+// not double the backoff again.
+TEST(OutlierDetection, ConcurrentConnectFailuresEjectForOneBackoff) {
   Settings settings = plainSettings();
   settings.limits.maxAttempts = 2;
   RouterHarness router(settings);
@@ -241,11 +242,11 @@
                    .endAttempt("next", "r", AttemptOutcome::kPrefilled)
                    .hasAction<DispatchAttempt>());
   EXPECT_EQ(router.advance(200ms).sentTo(), "w")
-      << "the pause of a second is over, and was not doubled";
+      << "the backoff of one second is over and was not doubled";
 }
 
-// The instance answers the rest, so it is never silent.
-TEST(Stragglers, APrefillThatOthersOvertakeIsCancelledAndRetriedElsewhere) {
+// The instance answers all other attempts, so it is never silent.
+TEST(Stragglers, OvertakenPrefillIsCancelledAndRetriedElsewhere) {
   RouterHarness router;
   router.updateEndpoints(twoCells());
   const std::string lost = arriveAt(router, "s", "r0");
--- a/tests/router_load_test.cpp
+++ b/tests/router_load_test.cpp
@@ -1,10 +1,10 @@
-// Load: early rejection, prefills at decode instances, many nodes, and the end of a node.
+// Tests of load shedding, prefills at decode instances, many nodes and graceful shutdown.
 #include "router_scenarios.h"
 
 namespace inference_router::routing {
 namespace {
 
-// So many streams, opened one after the other.
+// A router with that many streams, opened one after the other.
 RouterHarness fleetWithStreams(int count, bool resume) {
   Settings settings = plainSettings();
   settings.streamResumption = resume;
@@ -63,7 +63,7 @@
   return true;
 }
 
-TEST(LoadShedding, CongestionSeenLongAgoDoesNotRejectForEver) {
+TEST(LoadShedding, PastCongestionDoesNotCauseRejectionsForever) {
   RouterHarness router;
   router.updateEndpoints({endpoint("r0", kPrefill), endpoint("w0", kDecode)});
   for (int i = 0; i < 10; ++i) {
@@ -75,8 +75,8 @@
   EXPECT_TRUE(router.advance(5s).arrive("later").hasAction<DispatchAttempt>());
 }
 
-// Its first token came in time long ago; a rejection would lose all that was decoded for it.
-TEST(LoadShedding, AResumedRequestIsNotRejectedForBeingLate) {
+// The first token of a resumed request came in time; a rejection would discard all decoded tokens.
+TEST(LoadShedding, ResumedRequestIsNotRejectedForBeingLate) {
   RouterHarness router;
   router.updateEndpoints({endpoint("r0", kPrefill), endpoint("w0", kDecode)});
   router.arrive("slow", "", 6s, 1000);
@@ -96,15 +96,14 @@
   EXPECT_TRUE(router.advance(200ms).hasAction<DispatchAttempt>());
 }
 
-TEST(LoadShedding, WhatWaitsPastItsObjectiveIsRejected) {
+TEST(LoadShedding, RequestQueuedPastItsObjectiveIsRejected) {
   RouterHarness router;
   router.arrive("a").advance(1200ms);
   EXPECT_TRUE(router.hasAction<RejectRequest>());
 }
 
-// A burst must not be rejected for want of prefill instances while the decode instances have little
-// to do.
-TEST(DecodePrefill, TakesWhatAPrefillInstanceCannotPrefillInTime) {
+// A burst must not be rejected for lack of prefill capacity while decode instances have spare time.
+TEST(DecodePrefill, IsUsedIfAPrefillInstanceWouldMissTheObjective) {
   Settings settings = plainSettings();
   settings.decodeCanPrefill = true;
   RouterHarness router(settings);
@@ -117,12 +116,13 @@
       .endAttempt("late", "w0", AttemptOutcome::kServed, 200ms, true);
   for (const std::string id : {"long0", "long1"})
     router.endAttempt(id, "r0", AttemptOutcome::kPrefilled, 250ms);
-  EXPECT_EQ(router.advance(3s).arrive("calm").sentTo(), "r0");  // the usual path stays
+  EXPECT_EQ(router.advance(3s).arrive("calm").sentTo(),
+            "r0");  // the prefill instance is preferred again
 }
 
-// Answers must not come late because the queue of a prefill instance is long, though not too long
-// to try.
-TEST(DecodePrefill, TakesWhatWouldTakeAPrefillInstanceMostOfTheObjective) {
+// A decode instance must also be used when the queue of a prefill instance would make the answer
+// almost late.
+TEST(DecodePrefill, IsUsedIfAPrefillInstanceWouldTakeMostOfTheObjective) {
   Settings settings = plainSettings();
   RouterHarness withoutPrefill(settings);
   EXPECT_EQ(congestPrefillInstance(withoutPrefill, endpoint("w0", kDecode), 1)
@@ -137,9 +137,9 @@
             "w0");
 }
 
-// Protects the streams of decode instances: a prefill comes between their steps, and one in slow
-// start may be overloaded.
-TEST(DecodePrefill, IsNotAskedOfInstancesInSlowStartOrWithMuchInMemoryOrUnableToPrefill) {
+// Protects the streams of decode instances: a prefill delays their decode steps, and could overload
+// an instance in slow start.
+TEST(DecodePrefill, IsNotUsedInSlowStartOrWithMuchMemoryInUseOrWithoutSupport) {
   Settings settings = plainSettings();
   RouterHarness withoutPrefill(settings);
   EXPECT_TRUE(congestPrefillInstance(withoutPrefill, endpoint("w0", kDecode), 1)
@@ -157,9 +157,9 @@
                   .hasAction<RejectRequest>());
 }
 
-// Many nodes must not keep up the congestion of prefill instances together, and each has to see its
-// end.
-TEST(ManyNodes, PrefillLittleWhereNothingIsInTimeAndAllAgainAfterwards) {
+// Many nodes together must not sustain the congestion of prefill instances, and each must detect
+// its end.
+TEST(ManyNodes, ThrottlePrefillsDuringCongestionAndRecoverAfterwards) {
   int tried = 0, after = 0;
   for (RouterHarness& node : nodesOf(manyNodes(100), prefillAndDecodeInstances(12))) {
     for (int i = 0; i < 20; ++i)
@@ -172,15 +172,15 @@
   EXPECT_GT(after, 100 * 20 * 0.95);
 }
 
-TEST(ManyNodes, AFewThatKnowEachPrefillInstanceAreNotThrottled) {
+TEST(ManyNodes, FewNodesThatKnowEachPrefillInstanceAreNotThrottled) {
   for (RouterHarness& node : nodesOf(manyNodes(2), prefillAndDecodeInstances(2)))
     for (int i = 0; i < 20; ++i)
       EXPECT_TRUE(prefillOnce(node, numbered("a", i), true)) << i;
 }
 
-// A node that sees few requests must not wait for its whole part of the budget, and the nodes
-// together must not send all at once.
-TEST(ManyNodes, SomeOfThemSendToAnInstanceInSlowStartAtOnce) {
+// A node with few requests must not wait until its part of the budget has accumulated, and the
+// nodes together must not all send at once.
+TEST(ManyNodes, SomeSendToAnInstanceInSlowStartImmediately) {
   int toNew = 0, key = 0;
   for (RouterHarness& node : nodesOf(manyNodes(300), prefillAndDecodeInstances(2))) {
     node.updateEndpoints({slowStarting("rc", kPrefill, node.now())}, EndpointListForm::kChanges);
@@ -192,13 +192,13 @@
   EXPECT_LT(toNew, 300 * 0.35);
 }
 
-// Each of many nodes sees the decode instances idle and would have them prefill all that prefill
-// instances cannot. A few nodes see for themselves what is prefilled there.
-TEST(ManyNodes, HaveDecodeInstancesPrefillForAPartOfTheirTimeAlone) {
+// To each of many nodes the decode instances look idle, so it would send them every prefill that
+// the prefill instances cannot do. A few nodes know most of the load themselves.
+TEST(ManyNodes, UseOnlyAShareOfDecodeInstancesTimeForPrefills) {
   const auto prefillsAtDecodeInstance = [](int nodes) {
     Settings settings = manyNodes(nodes);
     settings.decodeCanPrefill = true;
-    settings.kinds[kDecode].memoryTokens = 1e9;  // so that capacity is not what they lack
+    settings.kinds[kDecode].memoryTokens = 1e9;  // so that memory is not the limit
     int prefills = 0;
     RouterHarness node(settings);
     congestPrefillInstance(node, endpoint("w0", kDecode), 1)
@@ -217,7 +217,7 @@
   EXPECT_LE(prefillsAtDecodeInstance(100), 1);
 }
 
-TEST(GracefulShutdown, StreamsAreMigratedOverTheEndOfTheGraceTheYoungestFirst) {
+TEST(GracefulShutdown, StreamsAreMigratedLateInTheGracePeriodNewestFirst) {
   RouterHarness router = fleetWithStreams(10, true);
   EXPECT_FALSE(router.handle(ShutdownStarted{3700ms}).hasAction<MigrateStream>());
   EXPECT_FALSE(router.advance(2200ms).hasAction<MigrateStream>());
@@ -227,10 +227,10 @@
   EXPECT_EQ(migrated.front().request.value, "s9");
   const std::size_t first = migrated.size();
   migrated = router.advance(600ms).actionsOf<MigrateStream>();
-  EXPECT_EQ(first + migrated.size(), 10U);  // none twice, none left
+  EXPECT_EQ(first + migrated.size(), 10U);  // each exactly once
 }
 
-TEST(GracefulShutdown, AMigratedStreamDoesNotCountAgainstItsInstance) {
+TEST(GracefulShutdown, MigratedStreamIsNoFailureOfItsInstance) {
   RouterHarness router = fleetWithStreams(1, true);
   router.handle(ShutdownStarted{1s}).advance(990ms);
   ASSERT_TRUE(router.hasAction<MigrateStream>());
@@ -239,13 +239,13 @@
     EXPECT_EQ(log.text.find("passing over"), std::string::npos);
 }
 
-TEST(GracefulShutdown, NothingIsMigratedWhereClientsDoNotResume) {
+TEST(GracefulShutdown, NoStreamIsMigratedIfClientsDoNotResume) {
   RouterHarness router = fleetWithStreams(3, false);
   EXPECT_FALSE(router.handle(ShutdownStarted{1s}).hasAction<MigrateStream>());
   EXPECT_FALSE(router.advance(2s).hasAction<MigrateStream>());
 }
 
-TEST(GracefulShutdown, WhatHasNoStreamNearTheEndGetsItsFinalAnswer) {
+TEST(GracefulShutdown, RequestWithoutStreamGetsItsFinalAnswerBeforeTheEnd) {
   RouterHarness router;
   router.updateEndpoints(twoCells()).arrive("a");
   router.handle(ShutdownStarted{1s});
--- a/tests/router_scenarios.h
+++ b/tests/router_scenarios.h
@@ -1,4 +1,4 @@
-// Situations that several tests of the router begin with.
+// Setups shared by the tests of the router.
 #pragma once
 
 #include <string>
@@ -34,8 +34,8 @@
   return router.advance(20ms).endAttempt("a", prefillInstance, AttemptOutcome::kPrefilled).sentTo();
 }
 
-// A prefill instance with a queue of 0.75 s, beside a decode instance that holds the prompts of so
-// many open streams.
+// Sets up a prefill instance with a queueing delay of 0.75 s and a decode instance with that many
+// open streams in memory.
 inline RouterHarness& congestPrefillInstance(RouterHarness& router,
                                              EndpointRecord decodeInstance,
                                              int streams) {
--- a/tests/router_selection_test.cpp
+++ b/tests/router_selection_test.cpp
@@ -1,4 +1,4 @@
-// Which instance prefills a request and which decodes it.
+// Tests of the selection of prefill and decode instances.
 #include <set>
 
 #include "router_scenarios.h"
@@ -29,30 +29,30 @@
             cellOf(prefillInstance));
 }
 
-TEST(DispatchPath, LeavesTheCellOnlyWhenItHasNoUsableDecodeInstance) {
+TEST(DispatchPath, LeavesTheCellOnlyIfItHasNoUsableDecodeInstance) {
   RouterHarness router;
   const std::string prefillInstance = router.updateEndpoints(twoCells()).arrive("a").sentTo();
-  std::vector<EndpointRecord> gone;
+  std::vector<EndpointRecord> removed;
   for (EndpointRecord entry : twoCells()) {
     if (cellOf(entry.instance.value) == cellOf(prefillInstance) && entry.kind.value == kDecode) {
-      gone.push_back(withState(entry, EndpointState::kRemoved));
+      removed.push_back(withState(entry, EndpointState::kRemoved));
     }
   }
-  router.updateEndpoints(gone, EndpointListForm::kChanges);
+  router.updateEndpoints(removed, EndpointListForm::kChanges);
   const std::string decodeInstance =
       router.endAttempt("a", prefillInstance, AttemptOutcome::kPrefilled).sentTo();
   ASSERT_NE(decodeInstance, "");
   EXPECT_NE(cellOf(decodeInstance), cellOf(prefillInstance));
 }
 
-TEST(DispatchPath, AMixedInstancePrefillsAndDecodes) {
+TEST(DispatchPath, MixedInstancePrefillsAndDecodes) {
   RouterHarness router;
   router.updateEndpoints({endpoint("m0", kMixed)}).arrive("a");
   EXPECT_EQ(router.sentTo(), "m0");
   EXPECT_FALSE(router.hasAction<ReserveDecode>());
 }
 
-TEST(PrefillSelection, OnePrefixIsPrefilledAtOneInstanceFromEveryNode) {
+TEST(PrefillSelection, AllNodesPrefillAPrefixAtTheSameInstance) {
   RouterHarness one(plainSettings(), 1), other(plainSettings(), 2);
   one.updateEndpoints(twoCells());
   other.updateEndpoints(twoCells());
@@ -68,9 +68,9 @@
   EXPECT_EQ(prefillInstances.size(), 1U);
 }
 
-// One prefill instance must not take all of a popular prefix, and nodes must agree where the text
-// of a session is cached.
-TEST(PrefillSelection, APopularPrefixIsSpreadBySessionAlikeAtEveryNode) {
+// A popular prefix must not overload one prefill instance, and all nodes must agree on where a
+// session is cached.
+TEST(PrefillSelection, PopularPrefixIsSpreadBySessionEquallyAtEveryNode) {
   RouterHarness one(plainSettings(), 1), other(plainSettings(), 2);
   one.updateEndpoints(twoCells());
   other.updateEndpoints(twoCells());
@@ -87,9 +87,9 @@
   EXPECT_EQ(prefillInstances.size(), 2U);
 }
 
-// A rare prefix must not be prefilled at many instances, as it would be if nodes that see few
-// requests took the first one of a key for a large share of the traffic.
-TEST(PrefillSelection, APrefixSeenOnceHasOneInstanceAtNodesThatSeeFewRequests) {
+// A rare prefix would be prefilled at many instances if nodes with few requests took the first
+// request of a key for a large share of the traffic.
+TEST(PrefillSelection, RarePrefixHasOneInstanceAtNodesWithFewRequests) {
   constexpr int kPrefillInstances = 40, kNodes = 20;
   std::vector<EndpointRecord> entries = {endpoint("w0", kDecode), endpoint("v0", kDecode)};
   for (int i = 0; i < kPrefillInstances; ++i)
@@ -103,8 +103,9 @@
   EXPECT_EQ(prefillInstances.size(), 1U);
 }
 
-// Cells without decode instances must not be left idle, and their neighbours not be overloaded.
-TEST(PrefillSelection, InstancesOfACellWithoutDecodeInstancesTakePart) {
+// Prefill instances of cells without decode instances must not be idle, and the decode instances of
+// other cells not be overloaded.
+TEST(PrefillSelection, PrefillInstancesOfACellWithoutDecodeInstancesAreUsed) {
   RouterHarness router;
   router.updateEndpoints({endpoint("r0", kPrefill, 0), endpoint("w0", kDecode, 0),
                           endpoint("v0", kDecode, 0), endpoint("r1", kPrefill, 1)});
@@ -119,8 +120,8 @@
   EXPECT_LT(away, 25);
 }
 
-// Congestion must be noticed where no prefill ends in time.
-TEST(PrefillSelection, APrefillThatTimesOutShowsTheQueueingDelay) {
+// Congestion must be detected even if no prefill ends in time.
+TEST(PrefillSelection, PrefillTimeoutIsASampleOfTheQueueingDelay) {
   RouterHarness router;
   router.updateEndpoints(twoCells());
   for (int i = 0; i < 6; ++i)
@@ -130,7 +131,7 @@
   EXPECT_NE(router.arrive("b", "p").sentTo(), affinityInstance);
 }
 
-TEST(PrefillSelection, ASuddenlyPopularPrefixSpreadsByTheBound) {
+TEST(PrefillSelection, SuddenlyPopularPrefixIsSpreadByTheQueueingBound) {
   RouterHarness router;
   router.updateEndpoints(twoCells());
   for (int i = 0; i < 8; ++i)
@@ -141,7 +142,7 @@
   EXPECT_EQ(prefillInstances.count("r0") + prefillInstances.count("r1"), 2U);
 }
 
-TEST(PrefillSelection, ALongPromptAloneDoesNotMoveItsKey) {
+TEST(PrefillSelection, LongPromptAloneDoesNotMoveItsKey) {
   RouterHarness router;
   router.updateEndpoints(twoCells());
   const std::string affinityInstance = router.serve("first", "prefix");
@@ -150,7 +151,7 @@
   EXPECT_EQ(router.arrive("long", "prefix", 6s, 9000).sentTo(), affinityInstance);
 }
 
-TEST(DecodeSelection, TakesTheInstanceWithFewestOwnStreams) {
+TEST(DecodeSelection, SelectsTheInstanceWithFewestOwnStreams) {
   RouterHarness router;
   router.updateEndpoints(
       {endpoint("r0", kPrefill), endpoint("w0", kDecode), endpoint("v0", kDecode)});
@@ -158,8 +159,8 @@
   EXPECT_NE(router.arrive("b").reservedAt(), first);
 }
 
-// Another reservation is asked for while the prefill goes on.
-TEST(DecodeSelection, ARejectedReservationIsAskedOfTheNextInstance) {
+// The next reservation is requested while the prefill is in flight.
+TEST(DecodeSelection, RejectedReservationIsRequestedAtTheNextInstance) {
   RouterHarness router;
   router.updateEndpoints(twoCells()).arrive("a");
   const std::string first = router.reservedAt();
@@ -169,8 +170,8 @@
   EXPECT_EQ(cellOf(next), cellOf(first));
 }
 
-// KV caches must not wait while a mixed instance has capacity.
-TEST(DecodeSelection, AMixedInstanceTakesWhatTheCellHasNoCapacityFor) {
+// A KV cache must not wait while a mixed instance has capacity.
+TEST(DecodeSelection, MixedInstanceIsUsedIfTheCellHasNoCapacity) {
   RouterHarness router;
   const EndpointRecord mixed = endpoint("m1", kMixed, 1);
   router.updateEndpoints({endpoint("r0", kPrefill, 0), endpoint("w0", kDecode, 0), mixed});
@@ -182,7 +183,7 @@
   EXPECT_EQ(router.handle(ReservationResult{{id}, 0, {"w0"}, false}).reservedAt(), "m1");
 }
 
-TEST(DecodeSelection, AsksForThreeReservationsAtMost) {
+TEST(DecodeSelection, RequestsAtMostThreeReservations) {
   RouterHarness router;
   router.updateEndpoints(twoCells()).arrive("a");
   int reservations = 1;
@@ -193,8 +194,9 @@
   EXPECT_EQ(reservations, 3);
 }
 
-// A decode instance that has just failed the request is not used again, reservation or not.
-TEST(DecodeSelection, AReservationThatFailedIsNotUsedAgain) {
+// A decode instance at which an attempt failed is excluded for the request, even with a
+// reservation.
+TEST(DecodeSelection, ReservationAtAFailedInstanceIsNotUsedAgain) {
   RouterHarness router;
   const std::string prefillInstance = router.updateEndpoints(twoCells()).arrive("a").sentTo();
   const std::string reserved = router.reservedAt();
