--- a/src/routing/attempt_dispatcher.cpp
+++ b/src/routing/attempt_dispatcher.cpp
@@ -7,8 +7,8 @@
 namespace inference_router::routing {
 namespace {
 
-// Upper bound of the reservations that are asked for one request. Asking takes little of the time
-// of a prefill.
+// Maximum number of reservations requested for one request. Each takes only a small part of the
+// prefill, during which they are made.
 constexpr int kMaxReservations = 3;
 
 }  // namespace
@@ -18,7 +18,7 @@
                                     Time now) const {
   if (request.phase == Phase::kFinished || request.phase == Phase::kStreaming)
     return false;
-  if (now >= request.deadline || request.attemptOut())
+  if (now >= request.deadline || request.hasAttemptInFlight())
     return false;
   if (!hasAttemptsLeft(settings_, request, 1))
     return false;
@@ -42,17 +42,17 @@
                         (instance.role == Role::kDecode && request.prefillInstance == nullptr);
   const double tokens = prefills ? estimates_.uncachedTokens(request, instance) : 0;
   instance.prefillTokens += tokens;
-  const Time notAfter = repeatsAllowedUntil(classOf(settings_, request), request, now);
+  const Time sendDeadline = repeatsAllowedUntil(classOf(settings_, request), request, now);
   request.attempts.push_back({&instance, now, instance.role != Role::kPrefill, tokens,
                               request.affinityInstance == &instance});
   request.phase = next;
-  // Whatever the role: a mixed instance that times out may still hold the KV cache of its prefill.
+  // For every role: a mixed instance whose attempt times out may still hold the KV cache.
   request.holdsRemoteState = true;
   InstanceAvailability::recordDispatch(instance, now);
   const Time timeoutAt = attemptTimeoutAt(settings_, request, instance, now);
-  context.emit(
-      DispatchAttempt{request.arrival.request, instance.endpoint.instance, timeoutAt, notAfter});
-  if (&instance != request.reservation)  // otherwise it was counted with the reservation
+  context.emit(DispatchAttempt{request.arrival.request, instance.endpoint.instance, timeoutAt,
+                               sendDeadline});
+  if (&instance != request.reservation)  // a dispatch to the reservation was counted when reserving
     slowStart_.countDispatch(instance, now);
   return true;
 }
@@ -91,7 +91,7 @@
 }
 
 void AttemptDispatcher::cancelAttempt(const RequestRecord& request, EventContext& context) const {
-  if (settings_.limits.cancel && request.attemptOut())
+  if (settings_.limits.cancel && request.hasAttemptInFlight())
     context.emit(CancelAttempt{request.arrival.request, request.lastAttemptNumber()});
 }
 
--- a/src/routing/graceful_shutdown.cpp
+++ b/src/routing/graceful_shutdown.cpp
@@ -8,15 +8,15 @@
 namespace inference_router::routing {
 namespace {
 
-// Share of the grace period after which streams are migrated: by then a node that shut down before
-// this one is back.
+// Share of the grace period after which streams are migrated: by then a node that was restarted
+// before this one is running again.
 constexpr double kMigrationStart = 0.6;
-// Share of the grace period by which all streams are migrated.
+// Share of the grace period at which all streams have been migrated.
 constexpr double kMigrationEnd = 0.9;
-// Share of the grace period after which requests without a stream get their final answer.
+// Share of the grace period after which requests that have no stream yet get their final answer.
 constexpr double kFinalAnswers = 0.93;
 
-// Compared by the length of the answer, then by the age of the stream.
+// Ordered by the maximum length of the answer, then by the time of the first token.
 struct Stream {
   double maxTokens;
   Time firstTokenAt;
@@ -47,11 +47,12 @@
   if (!mayMigrate || elapsed < kMigrationStart)
     return step;
   maxStreams_ = std::max(maxStreams_, streams.size());
-  const double shareLeft =
+  const double remainingShare =
       std::max(0.0, (kMigrationEnd - elapsed) / (kMigrationEnd - kMigrationStart));
-  const auto staying = static_cast<std::size_t>(shareLeft * static_cast<double>(maxStreams_));
+  const auto remainingStreams =
+      static_cast<std::size_t>(remainingShare * static_cast<double>(maxStreams_));
   std::sort(streams.rbegin(), streams.rend());
-  for (std::size_t i = 0; i + staying < streams.size(); ++i)
+  for (std::size_t i = 0; i + remainingStreams < streams.size(); ++i)
     step.toMigrate.push_back(streams[i].request);
   return step;
 }
--- a/src/routing/key_popularity.cpp
+++ b/src/routing/key_popularity.cpp
@@ -5,12 +5,12 @@
 namespace inference_router::routing {
 namespace {
 
-// Arrivals of other keys that are assumed beside those seen.
+// Number of assumed arrivals of other keys, added to the observed ones.
 constexpr double kPriorArrivals = 10;
-// Number of keys above which rare ones are forgotten.
+// Number of keys above which rare keys are erased.
 constexpr std::size_t kMaxKeys = 500;
-// Lower bound of the decayed arrivals of a key that is kept then.
-constexpr double kMinKeptArrivals = 0.5;
+// Minimum decayed arrivals of a key for it to be retained then.
+constexpr double kMinRetainedArrivals = 0.5;
 
 }  // namespace
 
@@ -20,11 +20,11 @@
   if (keys_.size() <= kMaxKeys)
     return;
   std::erase_if(keys_, [&](const auto& entry) {
-    return entry.second.at(now, timeConstant_) < kMinKeptArrivals;
+    return entry.second.at(now, timeConstant_) < kMinRetainedArrivals;
   });
 }
 
-double KeyPopularity::shareOfOthers(const std::string& key, Time now) const {
+double KeyPopularity::shareExcludingLatest(const std::string& key, Time now) const {
   const auto found = keys_.find(key);
   if (found == keys_.end())
     return 0;
--- a/src/routing/outcome_recorder.cpp
+++ b/src/routing/outcome_recorder.cpp
@@ -10,7 +10,7 @@
 namespace inference_router::routing {
 namespace {
 
-// Why an attempt that ended so counts against its instance; nothing if it does not.
+// Returns why the outcome counts as a failure of the instance, or nothing if it does not.
 std::optional<FailureReason> failureOf(const AttemptRecord& attempt, AttemptOutcome outcome) {
   switch (outcome) {
     case AttemptOutcome::kError:
@@ -20,8 +20,9 @@
     case AttemptOutcome::kConnectFailed:
       return FailureReason::kNoConnection;
     case AttemptOutcome::kConnectionLost:
-      // A lost stream does not predict the next: an instance that is gone refuses the next
-      // connection.
+      // One lost connection does not predict the next failure: an instance that has failed also
+      // refuses the next connection. It does not count if this node cancelled or migrated the
+      // attempt.
       if (attempt.cancelled)
         return std::nullopt;
       return FailureReason::kLostConnections;
@@ -36,8 +37,9 @@
                                        Duration took,
                                        RequestMap& requests,
                                        EventContext& context) {
-  // A time that includes a prefill at the same instance is no sample of the time to decode.
-  recordSign(attempt, took, attempt.out && attempt.prefillTokens <= 0, context.now());
+  // A time that includes a prefill at the same instance is not a sample of the decode response
+  // time.
+  recordActivity(attempt, took, attempt.inFlight && attempt.prefillTokens <= 0, context.now());
   recordSuccess(attempt, context);
   countOvertakenAttempts(requests, attempt, took, context.now());
   attempt.instance->prefillTokens -= std::exchange(attempt.prefillTokens, 0);
@@ -51,8 +53,8 @@
   const Time now = context.now();
   const bool prefilled = ended.outcome == AttemptOutcome::kPrefilled;
   if (!request.firstTokenAt)
-    recordSign(attempt, ended.took, prefilled, now);
-  attempt.out = false;
+    recordActivity(attempt, ended.took, prefilled, now);
+  attempt.inFlight = false;
   if (prefilled)
     countOvertakenAttempts(requests, attempt, ended.took, now);
   attempt.instance->prefillTokens -= attempt.prefillTokens;
@@ -66,8 +68,8 @@
   attempt.provedNotExecuted = provesNotExecuted(ended.outcome, ended.doubtful);
 }
 
-// A prefill that has not ended in time queued for at least so long: congestion shows in what is not
-// answered.
+// A prefill that timed out or was cancelled was queued for at least that long, so it is a sample of
+// the queueing delay as well: congestion must be detected even if no prefill ends.
 void OutcomeRecorder::recordPrefillOutcome(const RequestRecord& request,
                                            const AttemptRecord& attempt,
                                            const AttemptEnded& ended,
@@ -78,18 +80,18 @@
       ended.outcome == AttemptOutcome::kTimeout || ended.outcome == AttemptOutcome::kCancelled;
   if (hadPrefill && tooLate && !isOvertaken(attempt))
     ServiceEstimates::recordQueueingDelay(*attempt.instance, ended.took, now);
-  const bool isTelling =
+  const bool isInformative =
       hadPrefill && (tooLate || prefilled || ended.outcome == AttemptOutcome::kRejected);
-  shedder_.recordPrefillOutcome(isTelling, prefilled && now < request.objectiveAt, now);
+  shedder_.recordPrefillOutcome(isInformative, prefilled && now < request.objectiveAt, now);
 }
 
-void OutcomeRecorder::recordSign(const AttemptRecord& attempt,
-                                 Duration took,
-                                 bool countsAsResponse,
-                                 Time now) {
+void OutcomeRecorder::recordActivity(const AttemptRecord& attempt,
+                                     Duration took,
+                                     bool countsAsResponse,
+                                     Time now) {
   if (countsAsResponse)
     estimates_.recordResponse(attempt.instance->role, took, now);
-  InstanceAvailability::recordSign(*attempt.instance, now);
+  InstanceAvailability::recordActivity(*attempt.instance, now);
 }
 
 void OutcomeRecorder::recordSuccess(const AttemptRecord& attempt, EventContext& context) const {
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -9,15 +9,15 @@
 namespace inference_router::routing {
 namespace {
 
-// Weight that a node which has just started adds to a role for instances that it never saw listed,
-// if all that are listed are in slow start: the rest of the fleet may be down with them.
+// Weight of unlisted instances that a recently started node assumes for a role if all of its listed
+// instances are in slow start: the rest of the fleet may have failed along with them.
 constexpr double kUnlistedWeight = 8;
 
 }  // namespace
 
 RoleWeights SlowStart::weights(Role role, Time now) const {
   RoleWeights weights;
-  weights.complete =
+  weights.fullFleet =
       std::max(cells_.maxWarmWeight(role), kMinDivisor) + cells_.maxWarmWeight(Role::kMixed);
   for (const auto& [id, instance] : registry_.instances()) {
     if (!instance.isListed() || (instance.role != role && instance.role != Role::kMixed))
@@ -26,13 +26,12 @@
     if (warmFraction(settings_, instance, now) < 1)
       weights.inSlowStart += instance.endpoint.weight;
   }
-  weights.complete = std::max(weights.complete, weights.inSlowStart);
+  weights.fullFleet = std::max(weights.fullFleet, weights.inSlowStart);
   if (!recentlyStarted(now))
     return weights;
-  // A node that has just started has seen the present list alone, so it assumes that much is
-  // missing.
+  // A recently started node knows only the current list, so it assumes that instances are missing.
   const double unlisted = weights.inSlowStart < weights.listed ? 0 : kUnlistedWeight;
-  weights.complete = std::max(weights.complete, cells_.maxListedWeight()) + unlisted;
+  weights.fullFleet = std::max(weights.fullFleet, cells_.maxListedWeight()) + unlisted;
   return weights;
 }
 
@@ -43,24 +42,25 @@
                        Time now) {
   if (warmFraction(settings_, instance, now) >= 1)
     return true;
-  const double usualPerWindow = ownDemand(instance.role, now) *
-                                ratio(settings_.contract.overloadWindow, kTrafficTimeConstant) *
-                                instance.endpoint.weight / weights.complete;
+  const double warmDispatchesPerWindow =
+      ownDemand(instance.role, now) *
+      ratio(settings_.contract.overloadWindow, kTrafficTimeConstant) * instance.endpoint.weight /
+      weights.fullFleet;
   const Time offeredSince =
       request.slowStartOfferedAt.try_emplace(request.phase, now).first->second;
-  const SlowStartOffer offer{usualPerWindow, candidates.offeredWeight / weights.complete,
-                             candidates.part, offeredSince};
+  const SlowStartOffer offer{warmDispatchesPerWindow, candidates.offeredWeight / weights.fullFleet,
+                             candidates.instanceShare, offeredSince};
   return instance.slowStart.admits(settings_, instance.endpoint.started, offer, now);
 }
 
-// Requests of this node for the role in one time constant; extrapolated while the node has run for
-// less.
+// Number of requests of this node for the role in one time constant; extrapolated while the node
+// has been running for less.
 double SlowStart::ownDemand(Role role, Time now) const {
-  const Duration observed = std::max(now - startedAt_, settings_.contract.overloadWindow);
-  const double seen = recentlyStarted(now)
-                          ? popularity_.arrivals(now)
-                          : dispatches_[roleIndex(role)].at(now, kTrafficTimeConstant);
-  return seen / -std::expm1(-ratio(observed, kTrafficTimeConstant));
+  const Duration observedFor = std::max(now - startedAt_, settings_.contract.overloadWindow);
+  const double recentRequests = recentlyStarted(now)
+                                    ? popularity_.arrivals(now)
+                                    : dispatches_[roleIndex(role)].at(now, kTrafficTimeConstant);
+  return recentRequests / -std::expm1(-ratio(observedFor, kTrafficTimeConstant));
 }
 
 void SlowStart::countDispatch(Instance& instance, Time now) {
