--- a/tests/bounds_test.cpp
+++ b/tests/bounds_test.cpp
@@ -17,8 +17,8 @@
 #include "shared/node.h"
 #include "shared/part_codec.h"
 #include "support/live_bytes.h"
+#include "support/network_fixture.h"
 #include "support/program.h"
-#include "support/stage.h"
 
 namespace inference_router {
 namespace {
@@ -298,7 +298,7 @@
 
 // Both documents of each router, and the largest texts, in a store on a disk.
 TEST_P(Fleet, FitsIntoOneFile) {
-  const Folder folder;
+  const TemporaryDirectory folder;
   SqliteFile file(folder.path + "/shared.db", machineClock(), 1000);
   std::vector<Write> writes{{"digest", 0, std::string(kMaxValueBytes, 'd')}};
   const auto put = [&] {
--- a/tests/client_departure_test.cpp
+++ b/tests/client_departure_test.cpp
@@ -3,8 +3,8 @@
 // once with the loop told of the close before time goes on, and once with the close only in the
 // system's hands.
 #include "app/handover.h"
-#include "support/folder.h"
-#include "support/site.h"
+#include "support/router_fixture.h"
+#include "support/temporary_directory.h"
 
 namespace inference_router {
 namespace {
@@ -45,10 +45,11 @@
 }
 
 // One client on a bare socket, and a site whose instances answer only what the test says.
-struct Departure : Site {
-  Departure(const std::vector<Kind>& kinds, bool openai) : Site(kinds, openai), openai(openai) {
+struct Departure : RouterFixture {
+  Departure(const std::vector<Kind>& kinds, bool openai)
+      : RouterFixture(kinds, openai), openai(openai) {
     for (auto& [id, instance] : instances)
-      instance->script = leaveSilent;
+      instance->script = leaveUnanswered;
     client.connect(listener->address());
   }
   void ask(const std::string& filling = "") { client.write(requestText(openai, "a", filling)); }
@@ -90,9 +91,9 @@
       all += instance->count("POST", "/bootstrap/");
     return all;
   }
-  StandInInstance::Taken& onlyChat() {
+  StandInInstance::ReceivedRequest& onlyChat() {
     for (const auto& [id, instance] : instances)
-      for (const auto& taken : instance->taken)
+      for (const auto& taken : instance->received)
         if (taken->target == "/v1/chat/completions")
           return *taken;
     throw std::logic_error("no attempt has arrived");
@@ -115,7 +116,7 @@
 // there.
 TEST_P(AClientThatLeft, GetsNoAttemptOutOfTheModulesQueue) {
   Departure site(kSplit, GetParam().openai);
-  routing::EndpointListUpdate none = site.site.instances;
+  routing::EndpointListUpdate none = site.operatorFile.instances;
   none.form = routing::EndpointListForm::kFull;
   none.entries.clear();
   site.server->dispatcher.list(none);
@@ -123,7 +124,7 @@
   site.askUntilTaken();
   site.settle();
   site.leave(GetParam());
-  routing::EndpointListUpdate all = site.site.instances;
+  routing::EndpointListUpdate all = site.operatorFile.instances;
   all.version = none.version + 1;
   site.server->dispatcher.list(all);
   site.unpause();
@@ -153,7 +154,7 @@
   site.ask();
   ASSERT_TRUE(site.until([&] { return site.server->counters["calls.waited"] == 1; }));
   site.leave(GetParam());
-  streamWhole(*site.instances["m1"], site.onlyChat());
+  streamFullAnswer(*site.instances["m1"], site.onlyChat());
   site.unpause();
   site.expectGone(1);
 }
@@ -174,10 +175,10 @@
 // The second attempt waits until the close of the first has surely arrived.
 TEST_P(AClientThatLeft, GetsNoAttemptAfterThePauseThatFollowsAClose) {
   Departure site(kSplit, GetParam().openai);
-  auto settings = site.site.setup.settings;
+  auto settings = site.operatorFile.setup.settings;
   settings.classes[1].latencyObjective = std::chrono::seconds(6);
-  site.server->reconfigure(
-      settings, site.openai ? frontend::openaiProtocol(site.site) : frontend::platformProtocol());
+  site.server->reconfigure(settings, site.openai ? frontend::openaiProtocol(site.operatorFile)
+                                                 : frontend::platformProtocol());
   site.askUntilTaken();
   ASSERT_TRUE(site.until([&] { return site.chats() == 1; }));
   site.pass(3'700);  // the prefill instance is given up
@@ -194,7 +195,7 @@
   ASSERT_TRUE(site.until([&] { return site.chats() == 1 && site.reservations() == 1; }));
   site.settle();
   site.leave(GetParam());
-  answerRead(*site.instances["r1"], site.onlyChat());
+  answerPrefill(*site.instances["r1"], site.onlyChat());
   site.unpause();
   site.expectGone(1, 1);
 }
@@ -241,8 +242,8 @@
 // Its read has just gone out, and the reservation would follow at once on a connection at hand.
 TEST_P(AClientThatLeft, GetsNoReservationAsItsReadGoesOut) {
   Departure site({{"r1", "read", 0}, {"w1", "write", 0}}, GetParam().openai);
-  site.instances["r1"]->script = answerRead;
-  site.instances["w1"]->script = streamWhole;
+  site.instances["r1"]->script = answerPrefill;
+  site.instances["w1"]->script = streamFullAnswer;
   RawPeer other(site.io);
   other.connect(site.listener->address());
   other.write(requestText(site.openai, "other"));
@@ -293,7 +294,7 @@
   if (GetParam().told)
     site.settle();
   site.leave(GetParam().how);
-  streamWhole(*site.instances["m1"], site.onlyChat());
+  streamFullAnswer(*site.instances["m1"], site.onlyChat());
   site.unpause();
   EXPECT_EQ(site.chats(), 1);
   EXPECT_EQ(site.server->dispatcher.open(), 0U);
@@ -333,7 +334,7 @@
       site.settle();
     }
     EXPECT_EQ(site.server->counters["requests.client_gone"], 1U);
-    answerRead(*site.instances["r1"], site.onlyChat());
+    answerPrefill(*site.instances["r1"], site.onlyChat());
     site.unpause();
     EXPECT_EQ(site.chats(), 1);
     EXPECT_EQ(site.server->dispatcher.open(), 0U);
@@ -344,7 +345,7 @@
 // cut off.
 TEST(AClientThatSendsTooMuchAhead, GetsAnAnswerToEachRequestThatWasRead) {
   Departure site({{"m1", "both", 0}}, false);
-  site.instances["m1"]->script = streamWhole;
+  site.instances["m1"]->script = streamFullAnswer;
   site.server->pool.setMaxConnections(0);
   site.client.writeLater(requestText(false, "a") + requestText(false, "b") +
                          requestText(false, "c", std::string(255 * 1024, 'p')) +
@@ -379,7 +380,7 @@
   for (const bool ended : {false, true}) {
     for (const Leaving how : {Leaving::kClose, Leaving::kHalfClose, Leaving::kReset}) {
       SCOPED_TRACE(std::to_string(ended) + std::to_string(static_cast<int>(how)));
-      Folder folder;
+      TemporaryDirectory folder;
       Departure site({{"m1", "both", 0}}, false), next({{"m1", "both", 0}}, false);
       site.instances["m1"]->script = beginOnly;
       site.ask();
--- a/tests/coordination_store_test.cpp
+++ b/tests/coordination_store_test.cpp
@@ -34,17 +34,17 @@
 // -----------------------------------------------------------------------------------
 
 struct SqlitePlace {
-  Folder folder;
-  std::unique_ptr<Store> open(Stage& stage) {
+  TemporaryDirectory folder;
+  std::unique_ptr<Store> open(NetworkFixture& stage) {
     return std::make_unique<SqliteStore>(stage.io, folder.path + "/shared.db", 5000);
   }
-  explicit SqlitePlace(Stage&) {}
+  explicit SqlitePlace(NetworkFixture&) {}
 };
 
 struct EtcdStandInPlace {
   EtcdStandIn server;
-  explicit EtcdStandInPlace(Stage& stage) : server(stage.io, stage.clock, stage.timers) {}
-  std::unique_ptr<Store> open(Stage& stage) {
+  explicit EtcdStandInPlace(NetworkFixture& stage) : server(stage.io, stage.clock, stage.timers) {}
+  std::unique_ptr<Store> open(NetworkFixture& stage) {
     return std::make_unique<EtcdStore>(stage.io, stage.clock, stage.timers, stage.counters,
                                        EtcdConfig{{server.address()}, "test/", 1000});
   }
@@ -53,7 +53,7 @@
 template <class Place>
 class StoreOfAnyKind : public ::testing::Test {
  protected:
-  Stage stage;
+  NetworkFixture stage;
   Place place{stage};
 
   LeaseResponse ask(Store& store, const LeaseRequest& what) {
@@ -115,7 +115,7 @@
 
 // Guards a fleet whose holder has died against waiting a whole lease more than it has left.
 TEST(EtcdOfTheStandIn, TellsACandidateHowLongALeaseHasLeft) {
-  Stage stage;
+  NetworkFixture stage;
   EtcdStandIn server(stage.io, stage.clock, stage.timers);
   const EtcdConfig place{{server.address()}, "test/", 1000};
   EtcdStore one(stage.io, stage.clock, stage.timers, stage.counters, place),
@@ -205,7 +205,7 @@
 }
 
 TEST(SqliteFileOfOneMachine, LetsALeaseLapseByTheMachinesClockAndKeepsItsFenceOverABoot) {
-  const Folder folder;
+  const TemporaryDirectory folder;
   double now = 1000;
   std::uint64_t fence = 0;
   {
@@ -231,7 +231,7 @@
 }
 
 TEST(SqliteFileOfOneMachine, IsNotTakenIfItIsForeignDamagedOrOfALaterForm) {
-  const Folder folder;
+  const TemporaryDirectory folder;
   double now = 0;
   const std::string text = folder.path + "/text.db", foreign = folder.path + "/foreign.db",
                     later = folder.path + "/later.db";
@@ -274,7 +274,7 @@
 // ------------------------------------------------------------------------------------------
 
 struct OnEtcd : ::testing::Test {
-  Stage stage;
+  NetworkFixture stage;
   EtcdStandIn server{stage.io, stage.clock, stage.timers};
   EtcdStore store{stage.io,
                   stage.clock,
--- a/tests/coordination_test.cpp
+++ b/tests/coordination_test.cpp
@@ -392,7 +392,7 @@
 // An answer that comes later is given when it is there; one for a caller that has gone goes
 // nowhere.
 TEST(DoorForFleetTasks, AnswersWhenTheStoreHas) {
-  Stage stage;
+  NetworkFixture stage;
   Talker service;
   net::LineServer door(
       stage.io, anyPort(),
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -1,5 +1,5 @@
 // Two events that cross, each pair forced on real sockets: what docs/design/crossings.md lists.
-#include "support/site.h"
+#include "support/router_fixture.h"
 #include "upstream/release_retry.h"
 
 namespace inference_router {
@@ -55,12 +55,12 @@
 
 constexpr double kSettleMs = 150;  // half of the site's releaseMs
 
-struct Held : Site {
-  explicit Held(const std::vector<Kind>& kinds = kSplit) : Site(kinds, false) {}
+struct Held : RouterFixture {
+  explicit Held(const std::vector<Kind>& kinds = kSplit) : RouterFixture(kinds, false) {}
   // A request whose read is out; its place is asked for, and answered where instances answer that.
   std::shared_ptr<Reply> reading(const std::string& id = "a") {
     for (auto& [name, instance] : instances)
-      instance->script = leaveSilent;
+      instance->script = leaveUnanswered;
     const auto reply = post("/v1/chat/completions", platformFields(id), "{}");
     EXPECT_TRUE(until([&] { return chats() == 1 && places(id) == 1; }));
     return reply;
@@ -68,14 +68,14 @@
   // One that is served while the call for its place has no answer.
   std::shared_ptr<Reply> servedWithItsPlaceOut() {
     for (auto& [name, instance] : instances)
-      instance->places = false;
+      instance->answersReservations = false;
     const auto reply = reading();
     for (auto& [name, instance] : instances)
-      instance->script = streamWhole;
+      instance->script = streamFullAnswer;
     for (const auto& [name, instance] : instances)
-      for (const auto& taken : instance->taken)
+      for (const auto& taken : instance->received)
         if (taken->target == "/v1/chat/completions")
-          answerRead(*instance, *taken);
+          answerPrefill(*instance, *taken);
     finished(reply);
     return reply;
   }
@@ -89,9 +89,9 @@
       found += instance->count(method, target);
     return found;
   }
-  StandInInstance::Taken& placeCall() {
+  StandInInstance::ReceivedRequest& placeCall() {
     for (const auto& [name, instance] : instances)
-      for (const auto& taken : instance->taken)
+      for (const auto& taken : instance->received)
         if (taken->method == "POST" && taken->target.rfind("/bootstrap/", 0) == 0)
           return *taken;
     throw std::logic_error("no place was asked for");
@@ -109,19 +109,19 @@
 // after another they used up the time of what was held. With ten silent of eleven the one that
 // hears is reached within 0.3 s.
 TEST(Releases, ReachTheOneInstanceThatHearsAmongManySilentOnesInTime) {
-  std::vector<Site::Kind> kinds{{"r1", "read", 0}};
+  std::vector<RouterFixture::Kind> kinds{{"r1", "read", 0}};
   for (int i = 0; i < 10; ++i)
     kinds.push_back({"w" + std::to_string(i), "write", 0});
   Held held(kinds);
   held.reading();
   StandInInstance* last = nullptr;
   for (auto& [name, instance] : held.instances) {
-    instance->hears = false;
-    if (instance->taken.empty())
+    instance->answersReleases = false;
+    if (instance->received.empty())
       last = instance.get();  // no connection leads there yet: the last choice
   }
-  last->hears = true;
-  held.last->abandon();
+  last->answersReleases = true;
+  held.lastCall->abandon();
   ASSERT_TRUE(held.until([&] { return held.releases() == 1; }));
   for (int waves = 0; waves < 4 && last->count("DELETE", "/") == 0; ++waves) {
     held.pass(upstream::ReleaseRetry::kWaveMs);
@@ -135,7 +135,7 @@
 TEST(Releases, AreAskedASecondTimeForWhatWasUnderWay) {
   Held held;
   held.reading();
-  held.last->abandon();
+  held.lastCall->abandon();
   ASSERT_TRUE(held.until([&] { return held.releases() >= 1; }));
   held.settle();
   const int first = held.releases();
@@ -149,9 +149,9 @@
 TEST(Releases, AreAskedAgainWithinTheTimeWhileACallForAPlaceHasNoAnswer) {
   Held held;
   for (auto& [name, instance] : held.instances)
-    instance->places = false;
+    instance->answersReservations = false;
   held.reading();
-  held.last->abandon();
+  held.lastCall->abandon();
   ASSERT_TRUE(held.until([&] { return held.releases() >= 1; }));
   held.settle();
   for (int round = 1; round <= 4; ++round) {  // 600 ms: 650 are allowed
@@ -182,12 +182,12 @@
     });
   };
   for (auto& [name, instance] : held.instances)
-    instance->hears = false;
-  held.last->abandon();
+    instance->answersReleases = false;
+  held.lastCall->abandon();
   ASSERT_TRUE(another());
   for (auto& [name, instance] : held.instances)
-    instance->hears = true;
-  for (const auto& taken : held.instances.at(takers[0])->taken)
+    instance->answersReleases = true;
+  for (const auto& taken : held.instances.at(takers[0])->received)
     if (taken->method == "DELETE")
       taken->connection->answer(202, {}, "{\"cached_tokens\":4}");
   ASSERT_TRUE(another()) << "a read's answer is none";
@@ -203,9 +203,9 @@
   for (const bool answered : {true, false}) {
     Held held;
     for (auto& [name, instance] : held.instances)
-      instance->places = false;
+      instance->answersReservations = false;
     held.reading();
-    held.last->abandon();
+    held.lastCall->abandon();
     ASSERT_TRUE(held.until([&] { return held.releases() >= 1; }));
     held.pass(kSettleMs + 1);
     held.settle();
@@ -224,7 +224,7 @@
 TEST(Releases, FollowADoubtfulPlaceOfARequestThatIsServed) {
   Held held;
   const auto reply = held.servedWithItsPlaceOut();
-  ASSERT_TRUE(reply->whole);
+  ASSERT_TRUE(reply->complete);
   EXPECT_EQ(held.releases(), 0);
   held.placeCall().connection->answer(204, {}, "");
   ASSERT_TRUE(held.until([&] { return held.releases() == 1; }));
@@ -235,7 +235,7 @@
 TEST(Releases, FollowAReservationThatIsGrantedOnceItsRequestIsServed) {
   Held held;
   const auto reply = held.servedWithItsPlaceOut();
-  ASSERT_TRUE(reply->whole);
+  ASSERT_TRUE(reply->complete);
   EXPECT_EQ(held.releases(), 0);
   held.placeCall().connection->answer(200, {}, "");
   ASSERT_TRUE(held.until([&] { return held.releases() == 1; }));
@@ -248,7 +248,7 @@
   for (const int answer : {0, 204, 200, 409}) {
     Held held;
     for (auto& [name, instance] : held.instances)
-      instance->places = false;
+      instance->answersReservations = false;
     held.reading();
     if (answer != 0)
       held.placeCall().connection->answer(answer, {}, "");
@@ -269,12 +269,12 @@
   for (const int parts : {0, 1, 2}) {
     Held held;
     for (auto& [name, instance] : held.instances)
-      instance->script = name[0] == 'r' ? answerRead : leaveSilent;
+      instance->script = name[0] == 'r' ? answerPrefill : leaveUnanswered;
     held.post("/v1/chat/completions", platformFields("a"), "{}");
-    StandInInstance::Taken* write = nullptr;
+    StandInInstance::ReceivedRequest* write = nullptr;
     ASSERT_TRUE(held.until([&] {
       for (const auto& [name, instance] : held.instances)
-        for (const auto& taken : instance->taken)
+        for (const auto& taken : instance->received)
           if (name[0] == 'w' && taken->target == "/v1/chat/completions")
             write = taken.get();
       return write != nullptr;
@@ -302,10 +302,11 @@
   for (const bool shown : {false, true}) {
     Held held;
     for (auto& [name, instance] : held.instances)
-      instance->places = shown;
+      instance->answersReservations = shown;
     int reads = 0;
     for (const char* reader : {"r1", "r2"})
-      held.instances.at(reader)->script = [&](StandInInstance&, StandInInstance::Taken& taken) {
+      held.instances.at(reader)->script = [&](StandInInstance&,
+                                              StandInInstance::ReceivedRequest& taken) {
         if (reads++ == 0)
           taken.connection->answer(500, {}, "");
       };
@@ -334,11 +335,11 @@
   RawPeer filling(held.io);
   filling.connect(full.local_endpoint());
   for (const auto& [name, other] : {std::pair("r1", "r2"), std::pair("r2", "r1")})
-    held.instances.at(name)->script = [&held, &full, other = other](StandInInstance&,
-                                                                    StandInInstance::Taken& taken) {
-      held.server->directory.find({other})->address = full.local_endpoint();
-      taken.connection->answer(500, {}, "");
-    };
+    held.instances.at(name)->script =
+        [&held, &full, other = other](StandInInstance&, StandInInstance::ReceivedRequest& taken) {
+          held.server->directory.find({other})->address = full.local_endpoint();
+          taken.connection->answer(500, {}, "");
+        };
   held.post("/v1/chat/completions", platformFields("a"), "{}");
   ASSERT_TRUE(held.until(
       [&] { return held.server->counters["attempts.sent"] == 2 && held.releases() >= 1; }));
@@ -357,11 +358,11 @@
     instance->script = beginOnly;
   for (const char* reader : {"r1", "r2"})
     held.instances.at(reader)->script = [&](StandInInstance& instance,
-                                            StandInInstance::Taken& taken) {
+                                            StandInInstance::ReceivedRequest& taken) {
       if (reads++ == 0)
         taken.connection->answer(500, {}, "");
       else
-        answerRead(instance, taken);
+        answerPrefill(instance, taken);
     };
   held.post("/v1/chat/completions", platformFields("a"), "{}");
   ASSERT_TRUE(held.until([&] { return reads == 1 && held.releases() >= 1; }));
@@ -375,9 +376,9 @@
   Held held;
   held.reading();
   for (auto& [name, instance] : held.instances)
-    if (!instance->taken.empty())
+    if (!instance->received.empty())
       held.server->directory.find({name})->state = routing::EndpointState::kRemoved;
-  held.last->abandon();
+  held.lastCall->abandon();
   ASSERT_TRUE(held.until([&] { return held.releases() >= 1; }));
   for (const auto& [name, instance] : held.instances)
     EXPECT_TRUE(instance->count("DELETE", "/") == 0 ||
@@ -399,7 +400,7 @@
 TEST(Releases, FindAConnectionWhereAttemptsHaveTakenAllOthers) {
   Held held;
   for (auto& [name, instance] : held.instances)
-    instance->script = leaveSilent;
+    instance->script = leaveUnanswered;
   held.reading("first");
   held.server->pool.setMaxConnections(16);
   std::vector<std::shared_ptr<Reply>> others;
@@ -417,7 +418,7 @@
 // --------------------------------------------------------------
 
 TEST(Pool, ACallThatGetsNoConnectionWithinTheTimeOfADialIsWithdrawn) {
-  Stage stage;
+  NetworkFixture stage;
   RawPeer peer(stage.io);
   net::ConnectionPool pool(stage.io, stage.clock, stage.timers, stage.counters,
                            {1, 250, 18'000, 1 << 20});
@@ -445,16 +446,16 @@
 // decided.
 TEST(GoneClients, GetNoFurtherAttemptInTheTurnOfTheLoopInWhichTheyLeave) {
   for (const bool reset : {false, true}) {
-    Site site(kSplit, false);
+    RouterFixture site(kSplit, false);
     for (auto& [name, instance] : site.instances)
-      instance->script = leaveSilent;
+      instance->script = leaveUnanswered;
     RawPeer client(site.io);
     client.connect(site.listener->address());
     client.write(messageText("POST /v1/chat/completions HTTP/1.1", platformFields("a"), "{}"));
     ASSERT_TRUE(site.until([&] { return site.chats() == 1; }));
-    StandInInstance::Taken* read = nullptr;
+    StandInInstance::ReceivedRequest* read = nullptr;
     for (const auto& [name, instance] : site.instances)
-      for (const auto& taken : instance->taken)
+      for (const auto& taken : instance->received)
         if (taken->target == "/v1/chat/completions")
           read = taken.get();
     ASSERT_NE(read, nullptr);
@@ -474,7 +475,7 @@
 
 // While a dial is under way: the connection comes up for a client that is no longer there.
 TEST(GoneClients, GetNoAttemptOnAConnectionThatComesUpAfterTheyLeft) {
-  Site site(kSplit, false);
+  RouterFixture site(kSplit, false);
   RawPeer client(site.io);
   client.connect(site.listener->address());
   client.write(messageText("POST /v1/chat/completions HTTP/1.1", platformFields("a"), "{}"));
@@ -492,9 +493,9 @@
 
 // Behind more requests than are kept ahead of their turn, a close no longer shows as readiness.
 TEST(GoneClients, AreNoticedBehindMoreThanIsReadAheadOfItsTurn) {
-  Site site(kSplit, false);
+  RouterFixture site(kSplit, false);
   for (auto& [name, instance] : site.instances)
-    instance->script = leaveSilent;
+    instance->script = leaveUnanswered;
   RawPeer client(site.io);
   client.connect(site.listener->address());
   client.write(messageText("POST /v1/chat/completions HTTP/1.1", platformFields("a"), "{}"));
@@ -519,16 +520,16 @@
 // A class whose repeats are discarded is known to its instances by a header of the client's,
 // whatever its name.
 TEST(OtherCustomers, AClientsOwnHeadersReachTheInstanceAndThoseOfItsConnectionDoNot) {
-  Site site(kMixed, false);
+  RouterFixture site(kMixed, false);
   auto fields = platformFields("a");
   fields.emplace_back("Some-Key", "k-77");
   fields.emplace_back("X-Again", "1");
   fields.emplace_back("Connection", "keep-alive");
   fields.emplace_back("Keep-Alive", "timeout=5");
   site.finished(site.post("/v1/chat/completions", fields, "{}"));
-  const StandInInstance::Taken* request = nullptr;
+  const StandInInstance::ReceivedRequest* request = nullptr;
   for (const auto& [name, instance] : site.instances)
-    for (const auto& taken : instance->taken)
+    for (const auto& taken : instance->received)
       if (taken->id == "a" && taken->method == "POST" && taken->target == "/v1/chat/completions")
         request = taken.get();
   ASSERT_NE(request, nullptr);
@@ -557,9 +558,9 @@
 // wait.
 TEST(CalledOffAttempts, AreClosedBeforeTheirRequestIsRefused) {
   for (const std::string cls : {"membership-changes", "member-questions"}) {
-    Site site(kSplit, false);
+    RouterFixture site(kSplit, false);
     for (auto& [id, instance] : site.instances)
-      instance->script = leaveSilent;
+      instance->script = leaveUnanswered;
     net::Fields fields = platformFields("a");
     fields[1].second = cls;
     const auto reply = site.post("/v1/x", fields, "{}");
@@ -575,12 +576,12 @@
 }
 
 TEST(CalledOffAttempts, AreClosedBeforeTheirRequestIsSentAgain) {
-  Site site(kSplit, false);
-  auto settings = site.site.setup.settings;
+  RouterFixture site(kSplit, false);
+  auto settings = site.operatorFile.setup.settings;
   settings.classes[1].latencyObjective = 6s;
   site.server->reconfigure(settings, frontend::platformProtocol());
   for (auto& [id, instance] : site.instances)
-    instance->script = leaveSilent;
+    instance->script = leaveUnanswered;
   site.post("/v1/x", platformFields("a"), "{}");
   ASSERT_TRUE(site.until([&] { return site.chats() == 1; }));
   site.pass(3'700);  // of 6 s: the prefill instance is given up, and there is time for another
@@ -604,7 +605,7 @@
   for (const auto& [cls, used] : {std::pair{"membership-changes", true},
                                   {"member-questions", true},
                                   {"membership-changes", false}}) {
-    Site site({{"m1", "both", 0}, {"m2", "both", 0}}, false);
+    RouterFixture site({{"m1", "both", 0}, {"m2", "both", 0}}, false);
     const auto ask = [&, cls = cls](const std::string& id) {
       net::Fields fields = platformFields(id);
       fields[1].second = cls;
@@ -616,11 +617,11 @@
     site.pass(5);  // the connection has rested
     int refusals = 0;
     for (auto& [id, instance] : site.instances)
-      instance->script = [&](StandInInstance& instance, StandInInstance::Taken& taken) {
+      instance->script = [&](StandInInstance& instance, StandInInstance::ReceivedRequest& taken) {
         if (++refusals > 1)
-          return streamWhole(instance, taken);
-        EXPECT_EQ(taken.connection, instance.taken.front()->connection);
-        instance.taken.front()->connection->answer(503, refused, "");
+          return streamFullAnswer(instance, taken);
+        EXPECT_EQ(taken.connection, instance.received.front()->connection);
+        instance.received.front()->connection->answer(503, refused, "");
       };
     const bool proof = !used || cls == std::string("member-questions");
     EXPECT_EQ(ask("b"), proof ? 200U : 502U) << cls << used;
@@ -632,16 +633,16 @@
 // may have run, is over: the instance would not know it for a repeat any more.
 TEST(KeyedClasses, SendNoRepeatThatWaitedUntilTheirWindowWasOver) {
   for (const double waited : {150.0, 210.0}) {
-    Site site({{"m1", "both", 0}, {"m2", "both", 0}}, false);
-    auto settings = site.site.setup.settings;
+    RouterFixture site({{"m1", "both", 0}, {"m2", "both", 0}}, false);
+    auto settings = site.operatorFile.setup.settings;
     settings.classes[1].effect = routing::Effect::kDeduplicated;
     settings.classes[1].dedupScope = routing::DedupScope::kAll;
     settings.classes[1].dedupWindow = std::chrono::milliseconds(200);
     site.server->reconfigure(settings, frontend::platformProtocol());
     for (auto& [id, instance] : site.instances)
-      instance->script = [&](StandInInstance& instance, StandInInstance::Taken& taken) {
+      instance->script = [&](StandInInstance& instance, StandInInstance::ReceivedRequest& taken) {
         if (site.chats() > 2)
-          streamWhole(instance, taken);
+          streamFullAnswer(instance, taken);
       };
     site.post("/v1/x", platformFields("other"), "{}");  // keeps one of two connections
     ASSERT_TRUE(site.until([&] { return site.chats() == 1; }));
@@ -649,7 +650,7 @@
     ASSERT_TRUE(site.until([&] { return site.chats() == 2; }));
     site.server->pool.setMaxConnections(1);
     for (const auto& [id, instance] : site.instances)
-      for (const auto& taken : instance->taken)
+      for (const auto& taken : instance->received)
         if (taken->id == "a")
           taken->connection->abortResponse();
     ASSERT_TRUE(site.until([&] { return site.server->counters["calls.waited"] == 2; }))
@@ -664,7 +665,7 @@
 // ---- Closes against what still arrives
 // -------------------------------------------------------------
 
-struct Door : Stage, net::RequestHandler {
+struct Door : NetworkFixture, net::RequestHandler {
   net::Listener listener{io, anyPort(), 3, *this, clock, timers, counters};
   std::vector<std::shared_ptr<net::ClientConnection>> asked;
   void request(const std::shared_ptr<net::ClientConnection>& connection,
--- a/tests/final_answer_test.cpp
+++ b/tests/final_answer_test.cpp
@@ -7,7 +7,7 @@
 #include <thread>
 
 #include "frontend/platform/discovery.h"
-#include "support/site.h"
+#include "support/router_fixture.h"
 
 namespace inference_router {
 namespace {
@@ -33,7 +33,7 @@
     double everyMs;  // 0: as fast as it is taken
   };
 
-  BrokenInstance(Site& site, Way way)
+  BrokenInstance(RouterFixture& site, Way way)
       : site_(site), way_(std::move(way)), acceptor_(io_, anyPort()) {
     accept();
   }
@@ -105,7 +105,7 @@
   static constexpr int kSteps = 400;
 
   boost::asio::io_context io_;
-  Site& site_;
+  RouterFixture& site_;
   Way way_;
   std::vector<std::shared_ptr<Peer>> peers_;
   tcp::acceptor acceptor_;
@@ -142,7 +142,7 @@
 TEST(FinalAnswers, ComeInTimeFromInstancesThatMisbehave) {
   for (const auto& way : ways()) {
     SCOPED_TRACE(way.name);
-    Site site({{"m1", "both", 0}}, false);
+    RouterFixture site({{"m1", "both", 0}}, false);
     BrokenInstance broken(site, way);
     site.server->directory.find({"m1"})->address = broken.address();
     const auto reply = site.post("/v1/x", platformFields("a"), "{}");
@@ -166,7 +166,7 @@
     EXPECT_GT(broken.requests(), 0U);
     // A whole answer: an error, or a stream that broke off in the end.
     for (const auto& one : {reply, other})
-      EXPECT_TRUE(one->whole ? one->status >= 500 : one->status == 200);
+      EXPECT_TRUE(one->complete ? one->status >= 500 : one->status == 200);
     EXPECT_EQ(site.server->counters["requests.overdue"], 0U);
     EXPECT_EQ(site.server->dispatcher.open(), 0U);
   }
@@ -176,7 +176,7 @@
 TEST(FinalAnswers, AreServedBySoundInstancesBesideOnesThatMisbehave) {
   for (const auto& way : ways()) {
     SCOPED_TRACE(way.name);
-    Site site(kMixed, false);
+    RouterFixture site(kMixed, false);
     BrokenInstance broken(site, way);
     site.server->directory.find({"m1"})->address = broken.address();
     site.server->directory.find({"m2"})->address = broken.address();
@@ -198,7 +198,7 @@
     }
     EXPECT_TRUE(over());
     EXPECT_TRUE(std::any_of(replies.begin(), replies.end(), [](const auto& reply) {
-      return reply->whole && reply->status == 200;
+      return reply->complete && reply->status == 200;
     }));
     EXPECT_EQ(site.server->counters["requests.overdue"], 0U);
   }
@@ -214,7 +214,7 @@
 }
 
 TEST(OtherClients, WhoReadNothingHoldNoInstanceForLongerThanTheLimitAndBuffersStayBounded) {
-  Site site({{"m1", "both", 0}}, false);
+  RouterFixture site({{"m1", "both", 0}}, false);
   site.instances["m1"]->script = beginOnly;
   RawPeer stalled(site.io);
   stalled.connect(site.listener->address());
@@ -233,22 +233,22 @@
     turn();
   EXPECT_LT(sent, 2'000);
   // Others are served beside it, on the same instance, in their time.
-  site.instances["m1"]->script = streamWhole;
+  site.instances["m1"]->script = streamFullAnswer;
   const auto served = site.finished(site.post("/v1/x", platformFields("b"), "{}"));
-  EXPECT_TRUE(served->whole);
+  EXPECT_TRUE(served->complete);
   EXPECT_EQ(served->status, 200U);
   site.pass(29'000);
   turn();
   EXPECT_EQ(instance->state(), State::kStreaming);
   site.pass(1'100);
-  EXPECT_TRUE(site.until([&] { return site.instances["m1"]->taken.front()->gone; }));
+  EXPECT_TRUE(site.until([&] { return site.instances["m1"]->received.front()->disconnected; }));
   EXPECT_EQ(site.server->counters["requests.client_gone"], 1U);
 }
 
 // The stalled one has the only connection there may be: the other is told within the time of its
 // request.
 TEST(OtherClients, WhoReadNothingLeaveNobodyWithoutAnAnswer) {
-  Site site({{"m1", "both", 0}}, false);
+  RouterFixture site({{"m1", "both", 0}}, false);
   site.server->pool.setMaxConnections(1);
   site.instances["m1"]->script = beginOnly;
   RawPeer stalled(site.io);
@@ -262,13 +262,13 @@
     site.io.poll();
   }
   ASSERT_TRUE(reply->over);
-  EXPECT_TRUE(reply->whole);
+  EXPECT_TRUE(reply->complete);
   EXPECT_EQ(reply->status, 503U);
 }
 
 // The loop takes one request of a connection at a time, however many stand behind it.
 TEST(OtherClients, WhoFloodTakeTheirTurn) {
-  Site site(kMixed, false);
+  RouterFixture site(kMixed, false);
   std::string flood;
   constexpr int kRequests = 20'000;
   for (int i = 0; i < kRequests; ++i)
@@ -284,7 +284,7 @@
   ASSERT_TRUE(site.until([&] { return site.server->counters["clients.rejected"] > 100; }));
   const auto before = site.server->counters["clients.rejected"];
   const auto reply = site.finished(site.post("/v1/x", platformFields("b"), "{}"));
-  EXPECT_TRUE(reply->whole);
+  EXPECT_TRUE(reply->complete);
   EXPECT_EQ(reply->status, 200U);
   EXPECT_LT(site.server->counters["clients.rejected"] - before, 2'000U);
   site.until([&] {
@@ -298,9 +298,9 @@
 // ---- Discovery
 // ---------------------------------------------------------------------------------------------
 
-struct WatchedSite : Site {
+struct WatchedSite : RouterFixture {
   WatchedSite()
-      : Site(kMixed, false),
+      : RouterFixture(kMixed, false),
         discovery(server->io,
                   clock,
                   server->timers,
@@ -308,7 +308,7 @@
                   *server,
                   server->directory,
                   server->pool,
-                  site.setup.names,
+                  operatorFile.setup.names,
                   fleet::DiscoveryBackoff(1, 1)) {}
   frontend::Discovery discovery;
 };
@@ -337,7 +337,7 @@
       site.pass(300);
       const auto reply = site.post("/v1/x", platformFields("id" + std::to_string(i)), "{}");
       ASSERT_TRUE(agent.until([&] { return reply->over; }));
-      EXPECT_TRUE(reply->whole);
+      EXPECT_TRUE(reply->complete);
       EXPECT_EQ(reply->status, 200U);
     }
   }
--- a/tests/flood_test.cpp
+++ b/tests/flood_test.cpp
@@ -20,7 +20,7 @@
 // ---- The listener under floods
 // ---------------------------------------------------------------------
 
-struct House : Stage, net::RequestHandler {
+struct House : NetworkFixture, net::RequestHandler {
   explicit House(const json& change = {})
       : ledger(DescriptorBudget::sharesOf(512)), gate(make(change)) {}
   static Rules make(const json& change) {
@@ -290,17 +290,17 @@
 // The program in a flood that never stops: it takes other rules over, serves its known clients, and
 // ends in order with every stream whole.
 TEST(Flood, SighupAndSigtermMeanwhileCostNoKnownClientItsAnswer) {
-  Stage stage;
-  Folder folder;
+  NetworkFixture stage;
+  TemporaryDirectory folder;
   Programs programs;
   StandInInstance instance(stage.io, stage.clock, stage.timers),
       drained(stage.io, stage.clock, stage.timers);
-  std::vector<StandInInstance::Taken*> held;
+  std::vector<StandInInstance::ReceivedRequest*> held;
   bool hold = false;
-  drained.script = streamWhole;
-  instance.script = [&](StandInInstance& at, StandInInstance::Taken& taken) {
+  drained.script = streamFullAnswer;
+  instance.script = [&](StandInInstance& at, StandInInstance::ReceivedRequest& taken) {
     if (!hold)
-      return streamWhole(at, taken);
+      return streamFullAnswer(at, taken);
     taken.connection->beginStream({{"Content-Type", "text/event-stream"}});
     taken.connection->pass(eventOf("first"));
     held.push_back(&taken);
@@ -343,9 +343,9 @@
       if (flood.size() > 100)
         flood.pop_front();
     }
-    for (StandInInstance::Taken* taken :
+    for (StandInInstance::ReceivedRequest* taken :
          held)  // a stream that brings nothing for long counts as broken
-      if (!taken->gone)
+      if (!taken->disconnected)
         taken->connection->pass(eventOf("more"));
     stage.io.poll();
   };
@@ -397,8 +397,8 @@
   }
   ::kill(program, SIGTERM);
   storm();
-  for (StandInInstance::Taken* taken : held) {
-    if (taken->gone)
+  for (StandInInstance::ReceivedRequest* taken : held) {
+    if (taken->disconnected)
       continue;  // one of the flood, which has left
     taken->connection->pass(kLastEvents);
     taken->connection->endStream();
@@ -417,7 +417,7 @@
   // drain was asked for.
   std::set<std::string> ids;
   for (const StandInInstance* one : {&instance, &drained})
-    for (const auto& taken : one->taken) {
+    for (const auto& taken : one->received) {
       if (taken->target.rfind("/v1/", 0) != 0)
         continue;
       EXPECT_TRUE(ids.insert(taken->id).second) << taken->id;
@@ -429,7 +429,7 @@
 // On the platform a front brings all clients from few addresses: there is no gate, and nobody is
 // counted by address.
 TEST(WithoutAGate, AHundredConnectionsOfOneAddressAreServedAsBefore) {
-  Stage stage;
+  NetworkFixture stage;
   struct Plain final : net::RequestHandler {
     int asked = 0;
     void request(const std::shared_ptr<net::ClientConnection>& connection,
--- a/tests/folder_faults_test.cpp
+++ b/tests/folder_faults_test.cpp
@@ -6,8 +6,8 @@
 
 #include "app/admin_service.h"
 #include "support/faults.h"
-#include "support/folder.h"
-#include "support/site.h"
+#include "support/router_fixture.h"
+#include "support/temporary_directory.h"
 
 namespace inference_router {
 namespace {
@@ -16,10 +16,10 @@
 using system_call_faults::Rule;
 
 // One process of a router whose folder lasts longer than the process.
-struct Process : Site {
-  explicit Process(const Folder& folder)
-      : Site(kMixed, /*openai=*/false), sharedFolder(folder.path, "n0") {
-    server->list(site.instances);
+struct Process : RouterFixture {
+  explicit Process(const TemporaryDirectory& folder)
+      : RouterFixture(kMixed, /*openai=*/false), sharedFolder(folder.path, "n0") {
+    server->list(operatorFile.instances);
     hotRestart.start();
     lifecycles.start();
   }
@@ -33,21 +33,21 @@
   app::HotRestart hotRestart{{.server = *server,
                               .listener = *listener,
                               .front = *front,
-                              .setup = site.setup,
+                              .setup = operatorFile.setup,
                               .limits = app::Limits{100},
                               .listConfirmed = [] { return true; }},
                              &sharedFolder,
                              exclusions};
-  app::LifecycleTracker lifecycles{*server, site.setup};
+  app::LifecycleTracker lifecycles{*server, operatorFile.setup};
   app::AdminService adminService{{.server = *server,
                                   .listener = *listener,
-                                  .setup = site.setup,
+                                  .setup = operatorFile.setup,
                                   .hotRestart = hotRestart,
                                   .exclusions = exclusions,
                                   .lifecycles = lifecycles}};
 };
 
-std::string storedIn(const Folder& folder) {
+std::string storedIn(const TemporaryDirectory& folder) {
   std::ifstream file(folder.path + "/dahliastall-n0.marks");
   return {std::istreambuf_iterator<char>(file), {}};
 }
@@ -60,7 +60,7 @@
 TEST(ExclusionsUnderFaults, WhatCannotBeStoredIsSaidHoldsHereAndIsStoredLater) {
   for (const Rule& rule : kWriteFaults) {
     SCOPED_TRACE(static_cast<int>(rule.call));
-    Folder folder;
+    TemporaryDirectory folder;
     Process process(folder);
     {
       const Faults faults({rule});
@@ -84,7 +84,7 @@
       {.call = Call::kOpen, .error = EMFILE, .path = "dahliastall-n0"}};
   for (const Rule& rule : readFaults) {
     SCOPED_TRACE(rule.path);
-    Folder folder;
+    TemporaryDirectory folder;
     { EXPECT_TRUE(Process(folder).adminService.exclude("m1").ok); }
     std::unique_ptr<Process> next;
     {
@@ -107,7 +107,7 @@
                                 {.call = Call::kWrite, .error = ENOSPC}};
   for (const Rule& rule : rules) {
     SCOPED_TRACE(rule.path);
-    Folder folder;
+    TemporaryDirectory folder;
     std::unique_ptr<Process> process;
     {
       const Faults faults({rule});
--- a/tests/fronts_test.cpp
+++ b/tests/fronts_test.cpp
@@ -11,7 +11,7 @@
 #include "frontend/settings_json.h"
 #include "message_codec.h"
 #include "support/live_bytes.h"
-#include "support/site.h"
+#include "support/router_fixture.h"
 
 namespace inference_router {
 namespace {
@@ -22,14 +22,15 @@
 // ---- The same decisions through both fronts
 // --------------------------------------------------------
 
-std::vector<std::string> decisionsThrough(bool openai, const std::vector<Site::Kind>& kinds) {
-  Site site(kinds, openai);
+std::vector<std::string> decisionsThrough(bool openai,
+                                          const std::vector<RouterFixture::Kind>& kinds) {
+  RouterFixture site(kinds, openai);
   // A read ends only after its place is answered, so that what races on a network comes in one
   // order here.
   for (const auto& kind : kinds) {
     if (kind.role != "read")
       continue;
-    site.instances[kind.id]->script = leaveSilent;
+    site.instances[kind.id]->script = leaveUnanswered;
   }
   for (int i = 0; i < 24; ++i) {
     const std::string opening =
@@ -67,9 +68,9 @@
       EXPECT_TRUE(site.until(ready)) << i << ' ' << site.decisions.back();
       if (!ready())
         return site.decisions;
-      for (const auto& taken : site.instances[kind.id]->taken)
+      for (const auto& taken : site.instances[kind.id]->received)
         if (taken->connection->state() == net::ClientConnection::State::kAnswering)
-          answerRead(*site.instances[kind.id], *taken);
+          answerPrefill(*site.instances[kind.id], *taken);
     }
     site.finished(reply);
     EXPECT_EQ(reply->status, 200U);
@@ -95,12 +96,12 @@
 // -----------------------------------------------------------------------
 
 TEST(Platform, PassesAStreamOnUnchanged) {
-  Site site(kSplit, false);
+  RouterFixture site(kSplit, false);
   const auto reply =
       site.finished(site.post("/v1/chat/completions?x=1", platformFields("a"), "{\"any\":1}"));
   EXPECT_EQ(reply->text, eventOf("Hel") + eventOf("lo") + kLastEvents);
   for (const auto& [id, instance] : site.instances) {
-    for (const auto& taken : instance->taken) {
+    for (const auto& taken : instance->received) {
       if (taken->target.rfind("/v1/", 0) != 0)
         continue;
       EXPECT_EQ(taken->target, "/v1/chat/completions?x=1");
@@ -120,8 +121,8 @@
        {Case{500, false, "attempts.error"}, Case{503, true, "attempts.turned_away"},
         Case{504, true, "attempts.turned_away"}, Case{503, false, "attempts.error"},
         Case{410, true, "attempts.turned_away"}, Case{202, false, "attempts.read"}}) {
-    Site site({{"m1", "both", 0}}, false);
-    site.instances["m1"]->script = [&](StandInInstance&, StandInInstance::Taken& taken) {
+    RouterFixture site({{"m1", "both", 0}}, false);
+    site.instances["m1"]->script = [&](StandInInstance&, StandInInstance::ReceivedRequest& taken) {
       taken.connection->answer(c.status,
                                c.rejected ? net::Fields{{"X-Rejected", "1"}} : net::Fields{}, "");
     };
@@ -134,12 +135,13 @@
 // the instances, any of which may send a spoilt answer, against being passed over for one.
 TEST(Platform, ASpoiltStreamIsTriedAgainBeforeItsFirstEventAndBreaksOffAfterIt) {
   for (const std::string spoilt : {"data: {\"x\":1}\nab", "noise", "data: half an event\n"}) {
-    Site site({{"m1", "both", 0}, {"m2", "both", 0}}, false);
+    RouterFixture site({{"m1", "both", 0}, {"m2", "both", 0}}, false);
     int asked = 0;
     for (auto& [id, instance] : site.instances)
-      instance->script = [&, spoilt](StandInInstance& self, StandInInstance::Taken& taken) {
+      instance->script = [&, spoilt](StandInInstance& self,
+                                     StandInInstance::ReceivedRequest& taken) {
         if (++asked > 1)
-          return streamWhole(self, taken);
+          return streamFullAnswer(self, taken);
         taken.connection->beginStream({});
         taken.connection->pass(spoilt);
         taken.connection->endStream();
@@ -151,9 +153,9 @@
     EXPECT_EQ(site.server->counters["answers.garbled"], 1U);
     EXPECT_EQ(site.server->counters["attempts.error"], 1U);
   }
-  Site site(kMixed, false);
+  RouterFixture site(kMixed, false);
   for (auto& [id, instance] : site.instances)
-    instance->script = [](StandInInstance&, StandInInstance::Taken& taken) {
+    instance->script = [](StandInInstance&, StandInInstance::ReceivedRequest& taken) {
       taken.connection->beginStream({});
       taken.connection->pass(eventOf("Hel") + "dat");
     };
@@ -169,15 +171,16 @@
 // between their steps: the state went to the decode instance whose opening was spoilt, and the
 // prefill instance keeps the prompt's text.
 TEST(Platform, ASpoiltOpeningIsReadAgainBeforeTheNextWriterGetsIt) {
-  Site site(kSplit, false);
+  RouterFixture site(kSplit, false);
   std::vector<std::string> order;
   for (auto& [id, instance] : site.instances)
-    instance->script = [&, id = id](StandInInstance& self, StandInInstance::Taken& taken) {
+    instance->script = [&, id = id](StandInInstance& self,
+                                    StandInInstance::ReceivedRequest& taken) {
       order.push_back(id.substr(0, 1));
       if (order.back() == "r")
-        return answerRead(self, taken);
+        return answerPrefill(self, taken);
       if (order.size() > 2)
-        return streamWhole(self, taken);
+        return streamFullAnswer(self, taken);
       taken.connection->beginStream({});
       taken.connection->pass("noise");
       taken.connection->endStream();
@@ -192,7 +195,7 @@
 // Guards a client against waiting on a stream whose instance has gone silent; a slow one is left
 // alone.
 TEST(Platform, AStreamThatStopsBreaksOffWithinFiveSeconds) {
-  Site site(kMixed, false);
+  RouterFixture site(kMixed, false);
   for (auto& [id, instance] : site.instances)
     instance->script = beginOnly;
   const auto reply = site.post("/v1/x", platformFields("a"), "{}");
@@ -211,9 +214,9 @@
 
 // Guards against a last chunk that never follows the event that ends the stream.
 TEST(Platform, AStreamWithoutItsLastChunkBreaksOffByTheClock) {
-  Site site(kMixed, false);
+  RouterFixture site(kMixed, false);
   for (auto& [id, instance] : site.instances)
-    instance->script = [](StandInInstance&, StandInInstance::Taken& taken) {
+    instance->script = [](StandInInstance&, StandInInstance::ReceivedRequest& taken) {
       taken.connection->beginStream({});
       taken.connection->pass(kLastEvents);
     };
@@ -224,27 +227,27 @@
 }
 
 TEST(Platform, AReleaseIsTriedElsewhereUntilItGetsThrough) {
-  Site site(kSplit, false);
+  RouterFixture site(kSplit, false);
   for (auto& [id, instance] : site.instances)
-    instance->script = leaveSilent;
+    instance->script = leaveUnanswered;
   const auto reply = site.post("/v1/chat/completions", platformFields("a"), "{}");
   ASSERT_TRUE(site.until(
       [&] { return site.chats() == 1 && site.server->counters["places.answered"] == 1; }));
   // Those with a connection at hand are asked first, and do not do it.
   for (auto& [id, instance] : site.instances)
-    instance->releases = instance->taken.empty();
-  site.last->abandon();
+    instance->acceptsReleases = instance->received.empty();
+  site.lastCall->abandon();
   ASSERT_TRUE(site.until([&] {
     int released = 0;
     for (const auto& [id, instance] : site.instances)
-      if (instance->releases)
+      if (instance->acceptsReleases)
         released += instance->count("DELETE", "/bootstrap/rooms/a");
     return released > 0;
   }));
 }
 
 TEST(Platform, RequestsThatAreNoneGetAPlain400) {
-  Site site(kMixed, false);
+  RouterFixture site(kMixed, false);
   auto fields = platformFields("a");
   for (std::size_t i : {0U, 1U, 4U}) {
     auto bad = fields;
@@ -306,7 +309,7 @@
 // ----------------------------------------------------------------------------------
 
 TEST(ChatApi, StreamsWithoutUsageUnlessItIsAskedFor) {
-  Site site(kSplit, true);
+  RouterFixture site(kSplit, true);
   const auto plain = site.finished(site.chat({{"model", "ask"}, {"stream", true}}));
   EXPECT_NE(plain->text.find("Hel"), std::string::npos);
   EXPECT_EQ(plain->text.find("usage"), std::string::npos);
@@ -317,7 +320,7 @@
 }
 
 TEST(ChatApi, AnAnswerWithoutStreamIsPutTogether) {
-  Site site(kMixed, true);
+  RouterFixture site(kMixed, true);
   const auto reply = site.finished(site.chat({{"model", "ask"}}));
   const json answer = json::parse(reply->text);
   EXPECT_EQ(answer["object"], "chat.completion");
@@ -327,7 +330,7 @@
 }
 
 TEST(ChatApi, ErrorsAreWordedAsItsClientsExpect) {
-  Site site(kMixed, true);
+  RouterFixture site(kMixed, true);
   const auto expect = [&](const std::shared_ptr<Reply>& reply, unsigned status, const json& param) {
     site.finished(reply);
     EXPECT_EQ(reply->status, status) << reply->text;
@@ -352,22 +355,22 @@
 }
 
 TEST(ChatApi, AClientThatClosesMidStreamEndsTheInstancesWork) {
-  Site site(kMixed, true);
+  RouterFixture site(kMixed, true);
   for (auto& [id, instance] : site.instances)
     instance->script = beginOnly;
   const auto reply = site.chat({{"model", "ask"}, {"stream", true}});
   ASSERT_TRUE(site.until([&] { return !reply->text.empty(); }));
-  const StandInInstance::Taken* const taken = site.streaming();
+  const StandInInstance::ReceivedRequest* const taken = site.streaming();
   ASSERT_NE(taken, nullptr);
-  site.last->abandon();
-  EXPECT_TRUE(site.until([&] { return taken->gone; }));
+  site.lastCall->abandon();
+  EXPECT_TRUE(site.until([&] { return taken->disconnected; }));
   EXPECT_EQ(site.server->counters["requests.client_gone"], 1U);
   EXPECT_EQ(site.server->dispatcher.open(), 0U);
 }
 
 TEST(ChatApi, AChangeWhoseInstanceVanishesAfterTheFirstEventEndsInOneErrorAndIsNotSentAgain) {
   for (const bool stream : {true, false}) {
-    Site site(kMixed, true);
+    RouterFixture site(kMixed, true);
     for (auto& [id, instance] : site.instances)
       instance->script = beginOnly;
     const auto reply = site.chat({{"model", "change"}, {"stream", stream}}, "desk");
@@ -380,7 +383,7 @@
     site.streaming()->connection->abortResponse();
     site.finished(reply);
     site.pass(8000);
-    EXPECT_TRUE(reply->whole);
+    EXPECT_TRUE(reply->complete);
     const std::size_t error = reply->text.find("\"error\"");
     EXPECT_NE(error, std::string::npos);
     EXPECT_EQ(reply->text.find("\"error\"", error + 1), std::string::npos);
@@ -394,8 +397,8 @@
 
 TEST(ChatApi, ADeadlineBeforeTheFirstTokenIsA504) {
   for (const char* model : {"ask", "change"}) {
-    Site site({{"m1", "both", 0}}, true);
-    site.instances["m1"]->script = leaveSilent;
+    RouterFixture site({{"m1", "both", 0}}, true);
+    site.instances["m1"]->script = leaveUnanswered;
     const auto reply = site.chat({{"model", model}, {"stream", true}});
     ASSERT_TRUE(site.until([&] { return site.chats() == 1; }));
     for (int i = 0; i < 800 && !reply->over; ++i) {
@@ -410,7 +413,7 @@
 }
 
 TEST(ChatApi, ASlowReaderHoldsItsInstanceAndLosesNothing) {
-  Site site({{"m1", "both", 0}}, true);
+  RouterFixture site({{"m1", "both", 0}}, true);
   site.instances["m1"]->script = beginOnly;
   RawPeer client(site.io);
   client.connect(site.listener->address());
@@ -445,7 +448,7 @@
 }
 
 TEST(ChatApi, ADrainLetsAStreamEnd) {
-  Site site(kMixed, true);
+  RouterFixture site(kMixed, true);
   for (auto& [id, instance] : site.instances)
     instance->script = beginOnly;
   const auto reply = site.chat({{"model", "ask"}, {"stream", true}});
@@ -457,7 +460,7 @@
   EXPECT_FALSE(done);
   instance->pass(kLastEvents);
   instance->endStream();
-  EXPECT_TRUE(site.finished(reply)->whole);
+  EXPECT_TRUE(site.finished(reply)->complete);
   EXPECT_TRUE(site.until([&] { return done; }));
 }
 
@@ -476,9 +479,9 @@
 // At the last call of a node that ends, what has no stream is refused, and so is what arrives after
 // it, on whatever connection; no instance hears of it, and each connection closes with its answer.
 TEST(Endings, WhatComesAfterTheLastCallIsRefusedAndItsConnectionCloses) {
-  Site site(kMixed, false);
+  RouterFixture site(kMixed, false);
   for (auto& [id, instance] : site.instances)
-    instance->script = leaveSilent;
+    instance->script = leaveUnanswered;
   const auto ask = [](const std::string& id) {
     net::Fields fields = platformFields(id);
     fields.emplace_back("Host", "x");
@@ -523,7 +526,7 @@
 }
 
 TEST(ChatApi, ListsItsModels) {
-  Site site(kMixed, true);
+  RouterFixture site(kMixed, true);
   const auto reply = std::make_shared<Reply>();
   site.clients->call(site.listener->address(),
                      net::headText("GET /v1/models HTTP/1.1", {{"Authorization", "Bearer k"}}),
@@ -552,7 +555,7 @@
 // ---- Discovery, configuration and telemetry
 // --------------------------------------------------------
 
-struct Watching : Stage {
+struct Watching : NetworkFixture {
   Watching() { dispatcher.connect(instances); }
   routing::wire::Setup setup = frontend::settingsOf(siteSettings());
   core::RequestDispatcher dispatcher{setup.settings, 7, clock, timers, counters};
@@ -1092,7 +1095,7 @@
 TEST(Reload, ASighupBeforeTheLoopRunsIsKeptAndABadFileChangesNothing) {
   app::blockReloadSignal();
   raise(SIGHUP);  // by default this would end the program
-  Site site(kMixed, true);
+  RouterFixture site(kMixed, true);
   int calls = 0;
   site.server->run(*site.listener, {.acceptForMs = 500}, [&] {
     if (++calls == 1) {
@@ -1106,7 +1109,7 @@
 }
 
 TEST(Reload, AnOperatorsFileIsTakenOverWholeOrNotAtAll) {
-  Site site(kMixed, true);
+  RouterFixture site(kMixed, true);
   site.finished(site.chat({{"model", "ask"}}));
   json settings = siteSettings();
   settings["grades"][0]["hardLimitMs"] = 9000.0;
@@ -1115,15 +1118,15 @@
                   {"models", {{"ask2", "member-questions"}}},
                   {"boxes",
                    {{{"id", "m3"},
-                     {"address", Site::text(site.instances["m3"]->address())},
+                     {"address", RouterFixture::text(site.instances["m3"]->address())},
                      {"role", "both"}}}},
                   {"settings", settings}};
   json bad = file;
   bad["settings"]["kinds"][2] = "renamed";
-  EXPECT_THROW(app::applyReload(frontend::operatorFileOf(bad), site.site, *site.server),
+  EXPECT_THROW(app::applyReload(frontend::operatorFileOf(bad), site.operatorFile, *site.server),
                app::ConfigError);
   EXPECT_EQ(site.finished(site.chat({{"model", "ask"}}))->status, 200U);
-  app::applyReload(frontend::operatorFileOf(file), site.site, *site.server);
+  app::applyReload(frontend::operatorFileOf(file), site.operatorFile, *site.server);
   EXPECT_EQ(site.finished(site.chat({{"model", "ask"}}))->status, 401U);
   EXPECT_EQ(site.finished(site.chat({{"model", "ask"}}, "new"))->status, 404U);
   const int before = site.instances["m3"]->chats();
@@ -1144,20 +1147,20 @@
 }
 
 TEST(Telemetry, CountersReachACollectorAsOtlp) {
-  Stage stage;
+  NetworkFixture stage;
   StandInInstance collector(stage.io, stage.clock, stage.timers);
-  collector.script = [](StandInInstance&, StandInInstance::Taken& taken) {
+  collector.script = [](StandInInstance&, StandInInstance::ReceivedRequest& taken) {
     taken.connection->answer(200, {}, "{}");
   };
   stage.counters["requests.taken"] = 3;
   app::OtlpExporter exporter(stage.io, stage.clock, stage.timers, stage.counters,
                              collector.address(), 1000);
   stage.pass(999);
-  EXPECT_TRUE(collector.taken.empty());
+  EXPECT_TRUE(collector.received.empty());
   stage.pass(1);
   ASSERT_TRUE(stage.until([&] { return stage.counters["otlp.exported"] == 1; }));
-  EXPECT_EQ(collector.taken[0]->target, "/v1/metrics");
-  const json sent = json::parse(collector.taken[0]->body);
+  EXPECT_EQ(collector.received[0]->target, "/v1/metrics");
+  const json sent = json::parse(collector.received[0]->body);
   const json& metrics = sent["resourceMetrics"][0]["scopeMetrics"][0]["metrics"];
   ASSERT_FALSE(metrics.empty());
   EXPECT_EQ(metrics[0]["name"], "dahliastall.requests.taken");
--- a/tests/handover_faults_test.cpp
+++ b/tests/handover_faults_test.cpp
@@ -4,16 +4,16 @@
 
 #include "net/descriptor_transfer.h"
 #include "support/faults.h"
-#include "support/folder.h"
-#include "support/stage.h"
+#include "support/network_fixture.h"
+#include "support/temporary_directory.h"
 
 namespace inference_router {
 namespace {
 
 using system_call_faults::Call;
 
-struct TransferStage : Stage {
-  Folder folder;
+struct TransferStage : NetworkFixture {
+  TemporaryDirectory folder;
   std::vector<net::ReceivedMessage> received;
   net::DescriptorReceiver receiver{
       io, folder.path, "receiver",
--- a/tests/held_state_processes_test.cpp
+++ b/tests/held_state_processes_test.cpp
@@ -4,7 +4,7 @@
 #include <unistd.h>
 
 #include "scenario.h"
-#include "support/folder.h"
+#include "support/temporary_directory.h"
 
 namespace inference_router::soak {
 namespace {
@@ -39,7 +39,7 @@
 constexpr int kPrefill = 0, kDecode = 1;
 
 void expectNothingHeldTooLong(const Plan& plan) {
-  const Folder folder;
+  const TemporaryDirectory folder;
   const Outcome outcome =
       play(plan, {INFERENCE_ROUTER_PROGRAM, SYSTEM_CALL_FAULTS_LIBRARY}, folder.path);
   EXPECT_GT(outcome.served, 50U);
--- a/tests/instance_deadline_test.cpp
+++ b/tests/instance_deadline_test.cpp
@@ -4,8 +4,8 @@
 #include <thread>
 
 #include "app/handover.h"
-#include "support/folder.h"
-#include "support/site.h"
+#include "support/router_fixture.h"
+#include "support/temporary_directory.h"
 
 namespace inference_router {
 namespace {
@@ -28,11 +28,11 @@
                      {{"Host", "x"}, {"Authorization", "Bearer desk"}}, body.dump());
 }
 
-struct TimerQueue : Site {
+struct TimerQueue : RouterFixture {
   explicit TimerQueue(bool openai, const std::vector<Kind>& kinds = {{"m1", "both", 0}})
-      : Site(kinds, openai), openai(openai) {
+      : RouterFixture(kinds, openai), openai(openai) {
     for (auto& [id, instance] : instances)
-      instance->script = leaveSilent;
+      instance->script = leaveUnanswered;
     client.connect(listener->address());
   }
   void ask(const std::string& id = "a") {
@@ -50,7 +50,7 @@
   std::vector<double> budgets() const {
     std::vector<double> told;
     for (const auto& [id, instance] : instances)
-      for (const auto& taken : instance->taken)
+      for (const auto& taken : instance->received)
         if (taken->target == "/v1/chat/completions")
           told.push_back(std::stod(taken->budget));
     return told;
@@ -104,10 +104,10 @@
 // What the second attempt tells its instance if its pause and its dial took so long.
 double toldAfterAPauseOf(double ms, bool openai) {
   TimerQueue site(openai, kSplit);
-  auto settings = site.site.setup.settings;
+  auto settings = site.operatorFile.setup.settings;
   settings.classes[1].latencyObjective = 6s;
-  site.server->reconfigure(
-      settings, openai ? frontend::openaiProtocol(site.site) : frontend::platformProtocol());
+  site.server->reconfigure(settings, openai ? frontend::openaiProtocol(site.operatorFile)
+                                            : frontend::platformProtocol());
   site.ask();
   EXPECT_TRUE(site.until([&] { return site.chats() == 1; }));
   site.pass(3'700);
@@ -136,7 +136,7 @@
   site.pass(500);
   for (int i = 0; i < 2; ++i) {
     const auto answered = static_cast<std::size_t>(i);
-    streamWhole(*site.instances["m1"], *site.instances["m1"]->taken.at(answered));
+    streamFullAnswer(*site.instances["m1"], *site.instances["m1"]->received.at(answered));
     ASSERT_TRUE(site.until([&] { return site.chats() == i + 2; }));
   }
   EXPECT_EQ(site.budgets(), (std::vector<double>{kClientMs, kClientMs - 2'500, kClientMs - 500}));
@@ -155,7 +155,7 @@
 
 // A process takes a stream over, and with it the next request, which had waited for a while.
 TEST(ABudget, IsLessByTheTimeBehindAStreamThatWasHandedOver) {
-  Folder folder;
+  TemporaryDirectory folder;
   TimerQueue site(false), next(false);
   site.instances["m1"]->script = beginOnly;
   site.ask("a");
@@ -177,7 +177,7 @@
   ASSERT_TRUE(next.until([&] { return next.server->counters["streams.taken_over"] == 1; }));
   next.pass(1'000);
   site.streaming()->connection->pass(kLastEvents);
-  for (const auto& taken : site.instances["m1"]->taken)
+  for (const auto& taken : site.instances["m1"]->received)
     taken->connection->endStream();
   site.settle();
   ASSERT_TRUE(next.until([&] { return next.chats() == 1; }));
@@ -187,7 +187,7 @@
 // ---- A write that stops midway
 // -----------------------------------------------------------------------
 
-struct Writes : Stage {
+struct Writes : NetworkFixture {
   static constexpr std::size_t kMore = 64 << 20;  // than the system takes at once
   net::ConnectionPool pool{io, clock, timers, counters, {4, 250, 18'000, 1 << 20}};
   RawPeer instance{io};
@@ -227,7 +227,7 @@
 // The last byte is out, and the loop comes to hear of it late: it may run, and is not said never to
 // have.
 TEST(AWriteThatStopsMidway, IsNotOneThatIsWholeWhenItsTimeIsUp) {
-  Stage stage;
+  NetworkFixture stage;
   net::ConnectionPool pool(stage.io, stage.clock, stage.timers, stage.counters,
                            {4, 250, 18'000, 1 << 20});
   RawPeer instance(stage.io);
@@ -238,7 +238,7 @@
   ASSERT_TRUE(stage.until([&] { return first->wasWritten; }));
   instance.readSome();
   instance.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
-  ASSERT_TRUE(stage.until([&] { return first->whole; }));
+  ASSERT_TRUE(stage.until([&] { return first->complete; }));
   stage.pass(5);
   pool.call(instance.address(), head, std::make_shared<const std::string>("ab"),
             reply);  // written at once
@@ -248,7 +248,7 @@
   EXPECT_FALSE(reply->over);
   EXPECT_EQ(instance.readSome(), head + "ab");
   instance.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
-  ASSERT_TRUE(stage.until([&] { return reply->whole; }));
+  ASSERT_TRUE(stage.until([&] { return reply->complete; }));
 }
 
 }  // namespace
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -5,14 +5,14 @@
 #include "net/client_connection.h"
 #include "net/listener.h"
 #include "net/pool.h"
-#include "support/stage.h"
+#include "support/network_fixture.h"
 
 namespace inference_router::net {
 namespace {
 
 constexpr const char* kWhole = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
-struct Calls : Stage {
+struct Calls : NetworkFixture {
   RawPeer peer{io};
   ConnectionPool pool{io, clock, timers, counters, {2, 250, 18'000, 1 << 20}};
 
@@ -124,7 +124,7 @@
   const auto reply = calls.served(
       "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"
       "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
-  EXPECT_TRUE(reply->whole);
+  EXPECT_TRUE(reply->complete);
   EXPECT_EQ(reply->status, 200U);
   EXPECT_EQ(reply->text, "ok");
   EXPECT_EQ(calls.counters["answers.interim"], 2U);
@@ -152,7 +152,7 @@
   calls.peer.readSome();
   calls.peer.write(kWhole);
   ASSERT_TRUE(calls.until([&] { return again->over; }));
-  EXPECT_TRUE(again->whole);
+  EXPECT_TRUE(again->complete);
   EXPECT_EQ(calls.counters["links.opened"], 1U);
   calls.pass(17'000);
   EXPECT_EQ(calls.pool.size(), 1U);
@@ -179,13 +179,13 @@
   calls.call(fourth);
   EXPECT_EQ(waits->state(), Call::State::kWaiting);
   EXPECT_EQ(calls.pool.size(), 2U);
-  third->willing = false;  // as if a drain was told while it waited
+  third->allowsSending = false;  // as if a drain was told while it waited
   calls.peer.readSome();
   calls.peer.write(kWhole);
   ASSERT_TRUE(calls.until([&] { return third->over && fourth->wasWritten; }));
   EXPECT_EQ(third->failure, CallFailure::kWithdrawn);
   EXPECT_FALSE(third->wasWritten);
-  EXPECT_TRUE(first->whole);
+  EXPECT_TRUE(first->complete);
   EXPECT_LE(calls.pool.size(), 2U);
 }
 
@@ -236,7 +236,7 @@
       calls.io.poll();
       calls.peer.write(answer.substr(cut));
       ASSERT_TRUE(calls.until([&] { return reply->over; }));
-      EXPECT_TRUE(reply->whole);
+      EXPECT_TRUE(reply->complete);
       EXPECT_EQ(reply->text, "ok");
     }
     EXPECT_EQ(calls.pool.size(), act > 1 && keep ? 1U : 0U);
@@ -246,7 +246,7 @@
 // ---- Client connections
 // ----------------------------------------------------------------------------
 
-struct Server : Stage, RequestHandler {
+struct Server : NetworkFixture, RequestHandler {
   Listener listener{io, anyPort(), 3, *this, clock, timers, counters};
   std::vector<std::pair<std::shared_ptr<ClientConnection>, HttpRequest>> asked;
   int left = 0, drains = 0;
--- a/tests/network_faults_test.cpp
+++ b/tests/network_faults_test.cpp
@@ -9,7 +9,7 @@
 #include "net/listener.h"
 #include "net/pool.h"
 #include "support/faults.h"
-#include "support/stage.h"
+#include "support/network_fixture.h"
 
 namespace inference_router::net {
 namespace {
@@ -28,9 +28,9 @@
 }
 
 // A listener whose handler answers each request at once.
-struct Door : Stage {
+struct Door : NetworkFixture {
   Door() {
-    instance.script = [](StandInInstance&, StandInInstance::Taken& taken) {
+    instance.script = [](StandInInstance&, StandInInstance::ReceivedRequest& taken) {
       taken.connection->answer(200, {}, "whole");
     };
   }
@@ -78,9 +78,9 @@
 TEST(ListenerUnderFaults, WhoStandsInTheQueueAsTheDoorClosesIsServed) {
   for (const int error : {ENOBUFS, ENOMEM, ECONNABORTED, EPROTO}) {
     SCOPED_TRACE(error);
-    Stage stage;
+    NetworkFixture stage;
     StandInInstance handler(stage.io, stage.clock, stage.timers);
-    handler.script = [](StandInInstance&, StandInInstance::Taken& taken) {
+    handler.script = [](StandInInstance&, StandInInstance::ReceivedRequest& taken) {
       taken.connection->answer(200, {}, "whole");
     };
     core::Counters counters;
@@ -133,7 +133,7 @@
 }
 
 TEST(ListenerUnderFaults, TheAdminEndpointAnswersWholeAndBehindAbortedConnections) {
-  Stage stage;
+  NetworkFixture stage;
   const std::string text(20'000, 'x');
   LineServer server(
       stage.io, anyPort(), [&](std::string_view) { return text; }, stage.clock, stage.timers,
@@ -163,7 +163,7 @@
     SCOPED_TRACE(rule.error);
     Door door;
     const std::string body(200'000, 'y');
-    door.instance.script = [&](StandInInstance&, StandInInstance::Taken& taken) {
+    door.instance.script = [&](StandInInstance&, StandInInstance::ReceivedRequest& taken) {
       taken.connection->answer(200, {}, body);
     };
     const auto client = door.client();
@@ -183,7 +183,7 @@
        {Rule{.call = Call::kSend, .error = EINTR, .every = 2}, Rule{.call = Call::kSend},
         Rule{.call = Call::kReceive, .error = EINTR, .every = 2}}) {
     SCOPED_TRACE(static_cast<int>(rule.call));
-    Stage stage;
+    NetworkFixture stage;
     StandInInstance handler(stage.io, stage.clock, stage.timers);
     core::Counters counters;
     Listener listener(stage.io, anyPort(), 0, handler, stage.clock, stage.timers, counters);
@@ -204,7 +204,7 @@
   const auto client = door.client();
   client->write(kRequest);
   ASSERT_TRUE(door.answered(*client));
-  const std::shared_ptr<ClientConnection> connection = door.instance.taken.front()->connection;
+  const std::shared_ptr<ClientConnection> connection = door.instance.received.front()->connection;
   ASSERT_TRUE(door.until([&] { return connection->state() == ClientConnection::State::kIdle; }));
   client->write(kRequest);
   {
@@ -218,7 +218,7 @@
 // ---- Calls to instances
 // ------------------------------------------------------------------------------
 
-struct Calls : Stage {
+struct Calls : NetworkFixture {
   RawPeer peer{io};
   ConnectionPool pool{io, clock, timers, counters, {2, 250, 18'000, 1 << 20}};
   std::shared_ptr<Reply> reply = std::make_shared<Reply>();
@@ -293,7 +293,7 @@
       calls.pass(1);
       return calls.reply->over;
     }));
-    EXPECT_TRUE(calls.reply->whole);
+    EXPECT_TRUE(calls.reply->complete);
     EXPECT_GT(hits + Faults::hits(), 0U);
   }
 }
--- a/tests/ops_test.cpp
+++ b/tests/ops_test.cpp
@@ -242,7 +242,7 @@
 // ---- The door
 // --------------------------------------------------------------------------------------
 
-struct LineServerStage : Stage {
+struct LineServerStage : NetworkFixture {
   std::vector<std::string> lines;
   net::LineServer door{io,
                        anyPort(),
@@ -298,7 +298,7 @@
       onResult({arguments.size() == 3, arguments.back()});
     }
   } planned;
-  Stage stage;
+  NetworkFixture stage;
   net::LineServer door(
       stage.io, anyPort(),
       net::LineServer::LaterAnswer([&](std::string_view line, net::LineServer::Reply reply) {
@@ -350,7 +350,7 @@
 // ---- Evacuation
 // ------------------------------------------------------------------------------------
 
-struct Clients final : Stage, net::RequestHandler {
+struct Clients final : NetworkFixture, net::RequestHandler {
   net::Listener listener{io, anyPort(), 10, *this, clock, timers, counters};
   std::vector<std::shared_ptr<net::ClientConnection>> asked;
   void request(const std::shared_ptr<net::ClientConnection>& connection,
@@ -511,7 +511,7 @@
 // -------------------------------------------------------------------------------
 
 TEST(SharedFolder, AKilledProcessIsKnownToBeGoneAndItsFileGoes) {
-  Folder folder;
+  TemporaryDirectory folder;
   app::SharedFolder own(folder.path, "n0");
   ASSERT_TRUE(own.join());
   int started[2];
@@ -546,7 +546,7 @@
 }
 
 TEST(SharedFolder, TextsPassWholeAndAreFreshOnce) {
-  Folder folder;
+  TemporaryDirectory folder;
   app::SharedFolder one(folder.path, "n0");
   using Status = app::SharedFolder::ReadStatus;
   EXPECT_EQ(one.readExclusions().status, Status::kAbsent);
--- a/tests/shared_processes_test.cpp
+++ b/tests/shared_processes_test.cpp
@@ -52,7 +52,8 @@
 struct Clients {
   Clients(RouterFleet& given, unsigned seed) : fleet(given), random(seed) {
     for (auto& [name, instance] : fleet.instances)
-      instance->script = [this, name = name](StandInInstance&, StandInInstance::Taken& taken) {
+      instance->script = [this, name = name](StandInInstance&,
+                                             StandInInstance::ReceivedRequest& taken) {
         if (silent.count(name) != 0)
           return;
         const json body = json::parse(taken.body);
--- a/tests/support/conductors.h
+++ b/tests/support/conductors.h
@@ -52,9 +52,9 @@
     for (const std::string& name : instanceNames) {
       instances[name] = std::make_unique<StandInInstance>(io, clock, timers);
       instances[name]->script = [this, name](StandInInstance& instance,
-                                             StandInInstance::Taken& taken) {
+                                             StandInInstance::ReceivedRequest& taken) {
         arrivals.push_back({name, taken.target, clock.nowMs()});
-        streamWhole(instance, taken);
+        streamFullAnswer(instance, taken);
       };
     }
     for (std::size_t i = 0; i < count; ++i) {
@@ -196,7 +196,7 @@
     double atMs;
   };
   std::vector<Arrival> arrivals;
-  Folder folder;
+  TemporaryDirectory folder;
   std::vector<std::unique_ptr<Node>> all;
 
  private:
--- a/tests/support/etcd_stand_in.h
+++ b/tests/support/etcd_stand_in.h
@@ -12,7 +12,7 @@
 #include <string>
 #include <vector>
 
-#include "support/stage.h"
+#include "support/network_fixture.h"
 
 namespace inference_router {
 
--- a/tests/support/fault_layer.h
+++ b/tests/support/fault_layer.h
@@ -6,7 +6,7 @@
 #include <memory>
 #include <string>
 
-#include "support/stage.h"
+#include "support/network_fixture.h"
 
 namespace inference_router {
 
--- a/tests/support/stage.h
+++ b/tests/support/network_fixture.h
@@ -1,6 +1,6 @@
-// What the tests of the network code stand on: loopback sockets, a clock that the test sets,
-// stand-ins for the parties at the other ends. Nothing sleeps; until() runs the program's own
-// handlers until something is true.
+// Test support for the network code: loopback sockets, a clock that the test sets, and stand-ins
+// for clients and model instances. Nothing sleeps: until() runs the event loop until a condition
+// holds.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -29,10 +29,11 @@
   return {boost::asio::ip::make_address("127.0.0.1"), 0};
 }
 
-// Only a test that has failed runs into the limit.
-inline bool until(boost::asio::io_context& io, const std::function<bool()>& met) {
+// Runs the event loop until the condition holds. False after 20 s, which only a failing test
+// reaches.
+inline bool until(boost::asio::io_context& io, const std::function<bool()>& condition) {
   const auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(20);
-  while (!met()) {
+  while (!condition()) {
     if (std::chrono::steady_clock::now() > limit)
       return false;
     io.restart();
@@ -42,29 +43,34 @@
   return true;
 }
 
-struct Stage {
+// The event loop, clock, timers and counters of one test.
+struct NetworkFixture {
   boost::asio::io_context io;
   core::ManualClock clock;
   core::TimerQueue timers;
   core::Counters counters;
 
-  bool until(const std::function<bool()>& met) { return inference_router::until(io, met); }
+  bool until(const std::function<bool()>& condition) {
+    return inference_router::until(io, condition);
+  }
+  // Advances the clock and runs the timers that are due.
   void pass(double ms) {
     clock.advance(ms);
     timers.runDue(clock.nowMs());
   }
 };
 
-// One call and what came of it.
+// Records the outcome of one call.
 struct Reply final : net::CallSink {
-  bool willing = true, patient = true;
+  // What ready() and body() return; a body() that returns false pauses the response.
+  bool allowsSending = true, acceptsMore = true;
   unsigned status = 0;
-  bool wasWritten = false, over = false, whole = false;
+  bool wasWritten = false, over = false, complete = false;
   std::optional<net::CallFailure> failure;
   std::string text;
   std::map<std::string, std::string> fields;
 
-  bool ready() override { return willing; }
+  bool ready() override { return allowsSending; }
   void written() override { wasWritten = true; }
   void head(const net::ResponseHead& head) override {
     status = head.result_int();
@@ -73,9 +79,9 @@
   }
   bool body(std::string_view part) override {
     text += part;
-    return patient;
+    return acceptsMore;
   }
-  void done() override { over = whole = true; }
+  void done() override { over = complete = true; }
   void failed(net::CallFailure why) override {
     over = true;
     failure = why;
@@ -89,7 +95,8 @@
   return net::headText(firstLine, fields) + body;
 }
 
-// A peer at the level of bytes; it blocks only for what the other side has sent already.
+// A peer that reads and writes raw bytes. Its reads block, so they are for bytes that the other
+// side has sent already.
 class RawPeer {
  public:
   explicit RawPeer(boost::asio::io_context& io) : io_(io), acceptor_(io, anyPort()), socket_(io) {}
@@ -104,7 +111,7 @@
     socket_.set_option(tcp::no_delay(true));
   }
   void write(const std::string& bytes) { boost::asio::write(socket_, boost::asio::buffer(bytes)); }
-  // Writes as the other side reads, while the loop runs.
+  // Writes asynchronously, as fast as the other side reads, while the event loop runs.
   void writeLater(std::string bytes) {
     later_ = std::move(bytes);
     boost::asio::async_write(
@@ -119,8 +126,8 @@
     return bytes;
   }
   bool hasBytes() { return socket_.available() > 0; }
-  // Whether the other side has ended; what it sent before is kept in seen. As clients do, it closes
-  // then.
+  // Whether the other side has closed its end or reset the connection. Appends what it sent before
+  // that to `seen`, and then closes this end too, as clients do, unless closesAfterPeer is false.
   bool ended() {
     if (!socket_.is_open())
       return true;
@@ -134,7 +141,7 @@
       if (error == boost::asio::error::interrupted)
         continue;
       if (error) {
-        if (closes)
+        if (closesAfterPeer)
           socket_.close();
         return true;
       }
@@ -149,7 +156,7 @@
   }
   void stopListening() { acceptor_.close(); }
   std::string seen;
-  bool closes = true;  // once the other side has ended
+  bool closesAfterPeer = true;
 
  private:
   boost::asio::io_context& io_;
@@ -159,17 +166,17 @@
   bool wroteAll_ = false;
 };
 
-// A model instance of our own, on the server side of the program's network code.
+// A model instance for tests, built on the server side of the program's network code.
 class StandInInstance final : public net::RequestHandler {
  public:
-  struct Taken {
+  struct ReceivedRequest {
     std::shared_ptr<net::ClientConnection> connection;
     std::string method, target, body, id;
     std::string budget = {};  // X-Budget-Ms, as it came
-    bool gone = false;
+    bool disconnected = false;
     std::vector<std::pair<std::string, std::string>> fields = {};
   };
-  using Script = std::function<void(StandInInstance&, Taken&)>;
+  using Script = std::function<void(StandInInstance&, ReceivedRequest&)>;
 
   StandInInstance(boost::asio::io_context& io, const core::Clock& clock, core::TimerQueue& timers)
       : listener_(io, anyPort(), 1000, *this, clock, timers, counters_) {}
@@ -181,70 +188,77 @@
     std::string id(request["X-Call-Id"]);
     if (id.empty())
       id = std::string(request["X-Request-Id"]);
-    taken.push_back(std::make_unique<Taken>(Taken{connection, std::string(request.method_string()),
-                                                  std::string(request.target()), request.body(), id,
-                                                  std::string(request["X-Budget-Ms"])}));
-    Taken& now = *taken.back();
+    received.push_back(std::make_unique<ReceivedRequest>(ReceivedRequest{
+        connection, std::string(request.method_string()), std::string(request.target()),
+        request.body(), id, std::string(request["X-Budget-Ms"])}));
+    ReceivedRequest& current = *received.back();
     for (const auto& field : request)
-      now.fields.emplace_back(std::string(field.name_string()), std::string(field.value()));
-    if (now.method == "DELETE")
-      return hears ? now.connection->answer(releases ? 204 : 500, {}, "") : void();
-    if (now.method == "POST" && now.target.rfind("/bootstrap/", 0) == 0)
-      return places ? now.connection->answer(200, {}, "") : void();
+      current.fields.emplace_back(std::string(field.name_string()), std::string(field.value()));
+    if (current.method == "DELETE")
+      return answersReleases ? current.connection->answer(acceptsReleases ? 204 : 500, {}, "")
+                             : void();
+    if (current.method == "POST" && current.target.rfind("/bootstrap/", 0) == 0)
+      return answersReservations ? current.connection->answer(200, {}, "") : void();
     if (script)
-      script(*this, now);
+      script(*this, current);
   }
   void disconnected(net::ClientConnection& connection) override {
-    for (const auto& one : taken)
-      if (one->connection.get() == &connection)
-        one->gone = true;
+    for (const auto& entry : received)
+      if (entry->connection.get() == &connection)
+        entry->disconnected = true;
   }
   void writable(net::ClientConnection&) override { ++drains; }
   void reject(net::ClientConnection& connection, unsigned status, std::string_view) override {
     connection.answer(status, {}, "");
   }
+  // How many requests of this method and target prefix have arrived.
   int count(const std::string& method, const std::string& prefix) const {
     int found = 0;
-    for (const auto& one : taken)
-      found += one->method == method && one->target.rfind(prefix, 0) == 0;
+    for (const auto& entry : received)
+      found += entry->method == method && entry->target.rfind(prefix, 0) == 0;
     return found;
   }
   int chats() const { return count("POST", "/v1/"); }
 
   Script script;
-  std::vector<std::unique_ptr<Taken>> taken;
+  std::vector<std::unique_ptr<ReceivedRequest>> received;
   int drains = 0;
-  bool releases = true;              // and not an error in place of it
-  bool hears = true, places = true;  // otherwise no answer to a release, or to a call for a place
+  bool acceptsReleases = true;  // false: answers releases with an error
+  // False leaves releases, or reservation requests, unanswered.
+  bool answersReleases = true, answersReservations = true;
 
  private:
   core::Counters counters_;
   net::Listener listener_;
 };
 
+// One chat completion chunk as a server-sent event.
 inline std::string eventOf(const std::string& content) {
   return "data: "
          "{\"id\":\"c\",\"object\":\"chat.completion.chunk\",\"choices\":[{\"index\":0,\"delta\":{"
          "\"content\":\"" +
          content + "\"},\"finish_reason\":null}]}\n\n";
 }
+// The events that end a stream: finish reason, usage and [DONE].
 inline const std::string kLastEvents =
     "data: {\"id\":\"c\",\"choices\":[{\"index\":0,\"delta\":{},\"finish_reason\":\"stop\"}]}\n\n"
     "data: {\"id\":\"c\",\"choices\":[],\"usage\":{\"prompt_tokens\":8,\"completion_tokens\":2,"
     "\"prompt_tokens_details\":{\"cached_tokens\":4}}}\n\n"
     "data: [DONE]\n\n";
 
-inline void streamWhole(StandInInstance&, StandInInstance::Taken& taken) {
-  taken.connection->beginStream({{"Content-Type", "text/event-stream"}});
-  taken.connection->pass(eventOf("Hel") + eventOf("lo"));
-  taken.connection->pass(kLastEvents);
-  taken.connection->endStream();
+// A script that streams a complete response.
+inline void streamFullAnswer(StandInInstance&, StandInInstance::ReceivedRequest& request) {
+  request.connection->beginStream({{"Content-Type", "text/event-stream"}});
+  request.connection->pass(eventOf("Hel") + eventOf("lo"));
+  request.connection->pass(kLastEvents);
+  request.connection->endStream();
 }
-inline void answerRead(StandInInstance&, StandInInstance::Taken& taken) {
-  taken.connection->answer(202, {{"Content-Type", "application/json"}}, "{\"cached_tokens\":4}");
+// A script that answers a prefill.
+inline void answerPrefill(StandInInstance&, StandInInstance::ReceivedRequest& request) {
+  request.connection->answer(202, {{"Content-Type", "application/json"}}, "{\"cached_tokens\":4}");
 }
 
-// Settings as a configuration carries them.
+// Settings in the form that a configuration file holds.
 inline nlohmann::json siteSettings() {
   return nlohmann::json::parse(R"({
     "me":0,"peersTotal":1,"tickMs":2.0,"discovery":"push","zones":["z"],"myZone":"z","countedBy":"work",
--- a/tests/support/platform.h
+++ b/tests/support/platform.h
@@ -35,8 +35,8 @@
   net::Listener listener;
 };
 
-struct Platform : Stage {
-  Folder folder;
+struct Platform : NetworkFixture {
+  TemporaryDirectory folder;
   StandInInstance instance{io, clock, timers}, other{io, clock, timers};
   Discovery discovery{io, clock, timers};
   net::Endpoint listen = freePort();
--- a/tests/support/program.h
+++ b/tests/support/program.h
@@ -10,8 +10,8 @@
 #include <string_view>
 #include <vector>
 
-#include "support/folder.h"
-#include "support/stage.h"
+#include "support/network_fixture.h"
+#include "support/temporary_directory.h"
 
 extern char** environ;
 
--- a/tests/support/folder.h
+++ b/tests/support/temporary_directory.h
@@ -1,4 +1,4 @@
-// A folder of a test's own, which goes with the test.
+// A temporary directory for one test, removed when the test ends.
 #pragma once
 
 #include <cstdlib>
@@ -7,13 +7,13 @@
 
 namespace inference_router {
 
-struct Folder {
-  Folder() {
+struct TemporaryDirectory {
+  TemporaryDirectory() {
     std::string name =
         (std::filesystem::temp_directory_path() / "dahliastall-test-XXXXXX").string();
     path = ::mkdtemp(name.data());
   }
-  ~Folder() { std::filesystem::remove_all(path); }
+  ~TemporaryDirectory() { std::filesystem::remove_all(path); }
   std::string path;
 };
 
--- a/tests/unanswered_requests_test.cpp
+++ b/tests/unanswered_requests_test.cpp
@@ -15,7 +15,7 @@
 #include "net/request_reader.h"
 #include "net/shed_requests.h"
 #include "support/program.h"
-#include "support/site.h"
+#include "support/router_fixture.h"
 
 namespace inference_router {
 namespace {
@@ -102,7 +102,7 @@
 // ---- The cap, idle closes, pipelines
 // ---------------------------------------------------------------
 
-struct Service : Stage, net::RequestHandler {
+struct Service : NetworkFixture, net::RequestHandler {
   explicit Service(std::size_t cap, admission::AdmissionController* gate = nullptr)
       : listener(io,
                  anyPort(),
@@ -483,14 +483,14 @@
 // ---- The program
 // -----------------------------------------------------------------------------------
 
-struct SmallSite : Stage {
-  Folder folder;
+struct SmallSite : NetworkFixture {
+  TemporaryDirectory folder;
   StandInInstance instance{io, clock, timers};
   net::Endpoint listen = freePort(), door = freePort();
   Programs programs;
 
   SmallSite() {
-    instance.script = streamWhole;
+    instance.script = streamFullAnswer;
     writeFile(listen);
   }
   void writeFile(const net::Endpoint& at) const {
@@ -581,7 +581,7 @@
 // -----------------------------------------------------------------------------------
 
 TEST(HandedConnections, CarryTheRequestThatStandsBehindTheirStream) {
-  Site before(kMixed, false), after(kMixed, false);
+  RouterFixture before(kMixed, false), after(kMixed, false);
   for (auto& [id, instance] : before.instances)
     instance->script = beginOnly;
   const auto ask = [](const std::string& id) {
@@ -597,7 +597,7 @@
     return before.streaming() != nullptr && client.seen.find("first") != std::string::npos;
   }));
   client.write(ask("second"));
-  Folder folder;
+  TemporaryDirectory folder;
   app::Handover takes(*after.server, *after.front, *after.listener);
   net::DescriptorReceiver receiver(after.io, folder.path, "in", [&](net::ReceivedMessage passed) {
     takes.receive(std::move(passed));
@@ -610,7 +610,7 @@
   }));
   ASSERT_TRUE(after.until([&] { return after.server->counters["streams.taken_over"] == 1; }));
   for (auto& [id, instance] : before.instances)
-    for (auto& taken : instance->taken) {
+    for (auto& taken : instance->received) {
       taken->connection->pass(kLastEvents);
       taken->connection->endStream();
     }
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -7,7 +7,7 @@
 
 #include "app/handover.h"
 #include "support/platform.h"
-#include "support/site.h"
+#include "support/router_fixture.h"
 
 namespace inference_router {
 namespace {
@@ -29,7 +29,7 @@
       chunk(text.substr(0, 7)) + chunk(text.substr(7, 1)) + chunk(text.substr(8)) + "0\r\n\r\n";
   for (std::size_t cut = 5; cut + 5 < body.size(); ++cut) {
     SCOPED_TRACE(cut);
-    Stage stage;
+    NetworkFixture stage;
     net::ConnectionPool first(stage.io, stage.clock, stage.timers, stage.counters,
                               {4, 1000, 10'000});
     net::ConnectionPool second(stage.io, stage.clock, stage.timers, stage.counters,
@@ -54,7 +54,7 @@
     taken->unpause();
     instance.write(body.substr(cut));
     ASSERT_TRUE(stage.until([&] { return after->over; }));
-    EXPECT_TRUE(after->whole);
+    EXPECT_TRUE(after->complete);
     EXPECT_EQ(before->text + after->text, text);
     EXPECT_EQ(first.size(), 0U);
     EXPECT_EQ(second.size(), 1U);  // kept for the next request
@@ -62,7 +62,7 @@
 }
 
 TEST(AnswerUnderWay, GoesOnWhereItIsIfItIsNotHandedOver) {
-  Stage stage;
+  NetworkFixture stage;
   net::ConnectionPool pool(stage.io, stage.clock, stage.timers, stage.counters, {4, 1000, 10'000});
   RawPeer instance(stage.io);
   const auto reply = std::make_shared<Reply>();
@@ -79,7 +79,7 @@
   }
   instance.write(chunk("two") + "0\r\n\r\n");
   ASSERT_TRUE(stage.until([&] { return reply->over; }));
-  EXPECT_TRUE(reply->whole);
+  EXPECT_TRUE(reply->complete);
   EXPECT_EQ(reply->text, "onetwo");
 }
 
@@ -111,7 +111,7 @@
 }
 
 TEST(Passing, DescriptorsArriveWithTheirMessageAndFullIsSaidAtOnce) {
-  Folder folder;
+  TemporaryDirectory folder;
   boost::asio::io_context io;
   std::vector<net::ReceivedMessage> taken;
   net::DescriptorReceiver receiver(io, folder.path, "in", [&](net::ReceivedMessage message) {
@@ -145,8 +145,8 @@
 // ----------------------------------------------------------------
 
 // Streams under way here, and a process to pass them to whose loop runs only when the test says so.
-struct HandoverSite : Site {
-  HandoverSite() : Site(kMixed, false) {
+struct HandoverSite : RouterFixture {
+  HandoverSite() : RouterFixture(kMixed, false) {
     for (auto& [id, instance] : instances)
       instance->script = beginOnly;
   }
@@ -161,7 +161,7 @@
     }));
   }
   void pass() {
-    Site::pass(10);
+    RouterFixture::pass(10);
     for (int i = 0; i < 10; ++i) {
       io.restart();
       io.poll();
@@ -170,8 +170,8 @@
   std::size_t handed() { return server->counters["streams.handed_over"]; }
   void endAll() {
     for (const auto& [id, instance] : instances)
-      for (const auto& taken : instance->taken)
-        if (!std::exchange(taken->gone, true)) {
+      for (const auto& taken : instance->received)
+        if (!std::exchange(taken->disconnected, true)) {
           taken->connection->pass(eventOf("second") + kLastEvents);
           taken->connection->endStream();
         }
@@ -179,10 +179,10 @@
   std::size_t whole() const {
     return static_cast<std::size_t>(
         std::count_if(replies.begin(), replies.end(), [](const auto& reply) {
-          return reply->whole && reply->text.find("second") != std::string::npos;
+          return reply->complete && reply->text.find("second") != std::string::npos;
         }));
   }
-  Folder folder;
+  TemporaryDirectory folder;
   std::vector<std::shared_ptr<Reply>> replies;
 };
 
@@ -212,7 +212,7 @@
 TEST(HandedStream, WaitsForASlowSuccessorWhileTheOthersGoOnHere) {
   HandoverSite site;
   site.open(20);
-  Site next(kMixed, false);
+  RouterFixture next(kMixed, false);
   app::Handover successor(*next.server, *next.front, *next.listener);
   net::DescriptorReceiver receiver(
       next.io, site.folder.path, "in",
@@ -246,12 +246,12 @@
 
 TEST(Upgrade, NoStreamBreaksNoConnectionIsRefusedAndExclusionsHold) {
   Platform platform;
-  std::vector<StandInInstance::Taken*> held;
+  std::vector<StandInInstance::ReceivedRequest*> held;
   bool hold = true;
   for (StandInInstance* instance : {&platform.instance, &platform.other})
-    instance->script = [&](StandInInstance& at, StandInInstance::Taken& taken) {
+    instance->script = [&](StandInInstance& at, StandInInstance::ReceivedRequest& taken) {
       if (!hold)
-        return streamWhole(at, taken);
+        return streamFullAnswer(at, taken);
       taken.connection->beginStream({{"Content-Type", "text/event-stream"}});
       taken.connection->pass(eventOf("first"));
       held.push_back(&taken);
@@ -309,7 +309,7 @@
   // The streams that the old process began end whole under the new one, and it counts them.
   EXPECT_NE(platform.call(newDoor, "telemetry").find("app_active 6\n"), std::string::npos);
   for (std::size_t i = 0; i < kStreams; ++i) {
-    EXPECT_FALSE(held[i]->gone);
+    EXPECT_FALSE(held[i]->disconnected);
     held[i]->connection->pass(eventOf("second"));
     held[i]->connection->pass(kLastEvents);
     held[i]->connection->endStream();
@@ -335,7 +335,7 @@
 TEST(Upgrade, WhatAKilledProcessLeavesBehindDoesNoHarm) {
   Platform platform;
   for (StandInInstance* instance : {&platform.instance, &platform.other})
-    instance->script = streamWhole;
+    instance->script = streamFullAnswer;
   const net::Endpoint first = freePort(), second = freePort();
   const pid_t killed = platform.start(first);
   ASSERT_TRUE(platform.ready(first));
@@ -356,9 +356,9 @@
 // under way ends whole, and so does the process.
 TEST(Upgrade, ASecondSigtermWithASighupBeforeItChangesNothing) {
   Platform platform;
-  StandInInstance::Taken* held = nullptr;
+  StandInInstance::ReceivedRequest* held = nullptr;
   for (StandInInstance* instance : {&platform.instance, &platform.other})
-    instance->script = [&](StandInInstance&, StandInInstance::Taken& taken) {
+    instance->script = [&](StandInInstance&, StandInInstance::ReceivedRequest& taken) {
       taken.connection->beginStream({{"Content-Type", "text/event-stream"}});
       taken.connection->pass(eventOf("first"));
       held = &taken;
@@ -396,7 +396,7 @@
   ASSERT_TRUE(platform.until([&] { return moved.hasBytes(); }));
   ASSERT_EQ(platform.call(door, "readyz"), "fail not yet\n");
   ASSERT_NE(held, nullptr);
-  EXPECT_FALSE(held->gone);
+  EXPECT_FALSE(held->disconnected);
   held->connection->pass(eventOf("second") + kLastEvents);
   held->connection->endStream();
   ASSERT_TRUE(platform.until([&] { return client.ended(); }));
@@ -409,9 +409,9 @@
 // with them.
 TEST(Upgrade, ASuccessorThatIsStoppedAndKilledInMidHandOverBreaksNoStream) {
   Platform platform;
-  std::vector<StandInInstance::Taken*> held;
+  std::vector<StandInInstance::ReceivedRequest*> held;
   for (StandInInstance* instance : {&platform.instance, &platform.other})
-    instance->script = [&](StandInInstance&, StandInInstance::Taken& taken) {
+    instance->script = [&](StandInInstance&, StandInInstance::ReceivedRequest& taken) {
       taken.connection->beginStream({{"Content-Type", "text/event-stream"}});
       taken.connection->pass(eventOf("first"));
       held.push_back(&taken);
@@ -436,8 +436,8 @@
     return platform.call(oldDoor, "telemetry").find("app_active 0\n") != std::string::npos;
   }));
   platform.programs.kill(fresh);
-  for (StandInInstance::Taken* taken : held) {
-    EXPECT_FALSE(taken->gone);
+  for (StandInInstance::ReceivedRequest* taken : held) {
+    EXPECT_FALSE(taken->disconnected);
     taken->connection->pass(eventOf("second") + kLastEvents);
     taken->connection->endStream();
   }
