--- a/src/app/admin_service.cpp
+++ b/src/app/admin_service.cpp
@@ -62,7 +62,7 @@
   const Membership& membership = context_.server.membership;
   control::InstanceCounts counts{.listed = membership.listed().size(), .ejected = 0};
   for (const auto& [id, entry] : membership.listed())
-    if (membership.excluded(id) || context_.server.dispatcher.avoids(id))
+    if (membership.excluded(id) || context_.server.dispatcher.isEjectedOrSilent(id))
       ++counts.ejected;
   return counts;
 }
--- a/src/app/admin_service.h
+++ b/src/app/admin_service.h
@@ -40,7 +40,7 @@
 
   const core::RequestMetrics& metrics() override { return context_.server.dispatcher.metrics(); }
   const std::vector<std::string>& classNames() override { return context_.setup.names.classes; }
-  std::size_t openRequests() override { return context_.server.dispatcher.open(); }
+  std::size_t openRequests() override { return context_.server.dispatcher.openRequests(); }
   control::InstanceCounts instanceCounts() override;
 
   std::string instancesReport() override { return context_.lifecycles.report(); }
--- a/src/app/coordinator.cpp
+++ b/src/app/coordinator.cpp
@@ -180,7 +180,7 @@
     presence.plan = plan->id;
     presence.steps = plan->steps;
     for (const std::string& instance : plan->drained())
-      if (const std::size_t open = server_.dispatcher.openAt({instance}); open > 0)
+      if (const std::size_t open = server_.dispatcher.attemptsInFlightAt({instance}); open > 0)
         presence.open[instance] = open;
   }
   const auto write = presence_.nextWrite(presence, server_.clock.nowMs());
--- a/src/app/lifecycle_tracker.cpp
+++ b/src/app/lifecycle_tracker.cpp
@@ -50,10 +50,10 @@
     facts.drainedBy = "maintenance";
   else if (entry.state != routing::EndpointState::kActive)
     facts.drainedBy = "list";
-  facts.ejected = server_.dispatcher.avoids(id);
+  facts.ejected = server_.dispatcher.isEjectedOrSilent(id);
   if (const upstream::InstanceEndpoint* endpoint = server_.directory.find(id))
-    facts.reachable = endpoint->failedMs <= endpoint->heardMs;
-  facts.open = server_.dispatcher.openAt(id);
+    facts.reachable = endpoint->lastFailureMs <= endpoint->lastAnswerMs;
+  facts.open = server_.dispatcher.attemptsInFlightAt(id);
   return facts;
 }
 
@@ -73,7 +73,7 @@
   for (const auto& [id, lifecycle] : lifecycles_)
     text += "box " + id.value + " " + fleet::nameOf(lifecycle.state()) +
             " for_s=" + std::to_string(static_cast<long>((now - lifecycle.sinceMs()) / 1000)) +
-            " open=" + std::to_string(server_.dispatcher.openAt(id)) +
+            " open=" + std::to_string(server_.dispatcher.attemptsInFlightAt(id)) +
             " revision=" + std::to_string(lifecycle.revision()) +
             " by=" + (lifecycle.by().empty() ? "-" : lifecycle.by()) + " why=\"" +
             lifecycle.reason() + "\"\n";
--- a/src/app/server.cpp
+++ b/src/app/server.cpp
@@ -114,7 +114,7 @@
   if (shutdown_.resign)
     shutdown_.resign();
   if (shutdown_.graceMs)
-    dispatcher.stopping(*shutdown_.graceMs);
+    dispatcher.beginShutdown(*shutdown_.graceMs);
   listener_->drain(replaced ? 0 : shutdown_.acceptForMs, [this] { finish(); });
   if (replaced)
     shutdown_.handOver();
--- a/src/app/shared_state_service.cpp
+++ b/src/app/shared_state_service.cpp
@@ -98,7 +98,7 @@
       return node_.observations().recordFailure(instance, FailureKind::kTimeout, now);
     // Cancelled because it was silent, not because its client is gone or was refused.
     case AttemptOutcome::kCancelled:
-      if (!ended->concluded && server_.dispatcher.avoids(ended->instance))
+      if (!ended->concluded && server_.dispatcher.isEjectedOrSilent(ended->instance))
         node_.observations().recordFailure(instance, FailureKind::kTimeout, now);
       return;
     default:
--- a/src/control/commands.cpp
+++ b/src/control/commands.cpp
@@ -160,7 +160,7 @@
   perClass("app_ok_total", &core::ClassMetrics::ok);
   perClass("app_shed_total", &core::ClassMetrics::shed);
   perClass("app_errors_total", &core::ClassMetrics::errors);
-  perClass("app_tries_total", &core::ClassMetrics::tries);
+  perClass("app_tries_total", &core::ClassMetrics::attempts);
   const InstanceCounts counts = api.instanceCounts();
   text += "app_active " + std::to_string(api.openRequests()) + "\n";
   text += "app_pool_size " + std::to_string(counts.listed) + "\n";
--- a/src/core/action_executor.cpp
+++ b/src/core/action_executor.cpp
@@ -112,15 +112,16 @@
   ++context_.counters[std::string("requests.refused_after.") + request->lastOutcome +
                       request->lastInstanceRole];
   guard_.checkRejection(*request);
-  const Refusal refusal{
+  const Rejection rejection{
       .retryAfterMs = action.retryAfter ? std::optional(toMs(*action.retryAfter)) : std::nullopt,
       .pastDeadline = context_.nowMs() >= request->facts.deadlineMs};
   const double answerMs = rejectionMs(*request);
   const std::shared_ptr<ResponseWriter> responseWriter =
       lifecycle_.concludeRequest(*request, RequestOutcome::kShed);
   if (context_.nowMs() >= answerMs)
-    return responseWriter->refuse(refusal);
-  context_.timers.runAt(answerMs, [responseWriter, refusal] { responseWriter->refuse(refusal); });
+    return responseWriter->reject(rejection);
+  context_.timers.runAt(answerMs,
+                        [responseWriter, rejection] { responseWriter->reject(rejection); });
 }
 
 void ActionExecutor::carryOut(const FailRequest& action) {
--- a/src/core/decision_loop.cpp
+++ b/src/core/decision_loop.cpp
@@ -28,7 +28,7 @@
                            Callbacks callbacks)
     : clock_(clock), router_(settings, seed), callbacks_(std::move(callbacks)) {}
 
-bool DecisionLoop::avoids(const InstanceId& instance) const {
+bool DecisionLoop::isEjectedOrSilent(const InstanceId& instance) const {
   return router_.avoids(toModuleTime(clock_.nowMs()), instance);
 }
 
--- a/src/core/decision_loop.h
+++ b/src/core/decision_loop.h
@@ -39,7 +39,7 @@
 
   void reconfigure(const routing::Settings& settings) { router_.reconfigure(settings); }
   /// Whether the decision module ejected a listed instance by its own judgement.
-  bool avoids(const routing::InstanceId& instance) const;
+  bool isEjectedOrSilent(const routing::InstanceId& instance) const;
 
   /// Sees every action before it is carried out. One observer at most.
   void onAction(std::function<void(const routing::Action&)> observer);
--- a/src/core/ports.h
+++ b/src/core/ports.h
@@ -21,7 +21,7 @@
 };
 
 /// The answer to a request that was rejected.
-struct Refusal {
+struct Rejection {
   std::optional<double> retryAfterMs;
   bool pastDeadline = false;  ///< its deadline had passed
 };
@@ -31,22 +31,23 @@
   bool pastDeadline = false;  ///< its deadline had passed
 };
 
-/// Writes the response to one client. Gets one final call, which is any but pass() and present().
+/// Writes the response to one client. Gets one final call, which is any but write() and
+/// isClientPresent().
 class ResponseWriter {
  public:
   virtual ~ResponseWriter() = default;
   /// The request was rejected and has not run: a repeat is harmless.
-  virtual void refuse(const Refusal& refusal) = 0;
+  virtual void reject(const Rejection& refusal) = 0;
   /// The request failed, and may have run.
   virtual void fail(const Failure& failure) = 0;
   /// Sends a part of the stream. False asks to wait for RequestDispatcher::clientReady().
-  virtual bool pass(std::string_view part) = 0;
+  virtual bool write(std::string_view part) = 0;
   /// The stream is complete.
   virtual void end() = 0;
   /// The stream breaks off.
-  virtual void broken() = 0;
+  virtual void abort() = 0;
   /// Whether the client is connected at this very moment, whatever was reported of it so far.
-  virtual bool present() const { return true; }
+  virtual bool isClientPresent() const { return true; }
 };
 
 /// Receives updates of the endpoint list.
@@ -90,7 +91,7 @@
 };
 
 /// How an attempt ended.
-struct Result {
+struct AttemptResult {
   routing::AttemptOutcome outcome;
   double cachedTokens = 0;   ///< of the prompt, found in the instance's cache
   bool kvCacheLost = false;  ///< no KV cache waits for the request any more
--- a/src/core/request_dispatcher.cpp
+++ b/src/core/request_dispatcher.cpp
@@ -98,7 +98,7 @@
   loop_.post(std::move(update));
 }
 
-void RequestDispatcher::stopping(double graceMs) {
+void RequestDispatcher::beginShutdown(double graceMs) {
   loop_.post(ShutdownStarted{.grace = toModule(graceMs)});
 }
 
@@ -119,7 +119,7 @@
   if (!request->responseWriter)
     return true;
   const std::shared_ptr<ResponseWriter> responseWriter = request->responseWriter;
-  return responseWriter->pass(part);
+  return responseWriter->write(part);
 }
 
 // The first part ties the request to this attempt; the stream of a later one is dropped.
@@ -138,7 +138,7 @@
   // The part goes out before the decision module hears of it: a stream that it migrates at once
   // would end its client's connection without any answer.
   const std::shared_ptr<ResponseWriter> responseWriter = request->responseWriter;
-  const bool more = responseWriter->pass(part);
+  const bool more = responseWriter->write(part);
   attempt = context_.requests.findAttempt(key);
   if (attempt != nullptr)
     loop_.post(StreamOpened{.request = context_.requests.find(attempt->request)->id,
--- a/src/core/request_dispatcher.h
+++ b/src/core/request_dispatcher.h
@@ -38,7 +38,7 @@
   /// Receives log lines of the decision module and of the core.
   void onLog(std::function<void(const std::string&)> log) { context_.log = std::move(log); }
   /// Writes a line to that log.
-  void note(const std::string& text) { context_.log(text); }
+  void log(const std::string& text) { context_.log(text); }
   /// Sees every action before it is carried out. One observer at most.
   void onAction(std::function<void(const routing::Action&)> observer) {
     loop_.onAction(std::move(observer));
@@ -58,14 +58,14 @@
                                    std::shared_ptr<const Payload> payload,
                                    std::shared_ptr<ResponseWriter> responseWriter);
   void clientDisconnected(RequestKey key) { lifecycle_.clientDisconnected(key); }
-  /// The client reads again, after ResponseWriter::pass() asked to wait.
+  /// The client reads again, after ResponseWriter::write() asked to wait.
   void clientReady(RequestKey key);
 
   // ---- From discovery and operators
 
   void list(routing::EndpointListUpdate update) override;
   /// This process ends, and is killed no sooner than this from now.
-  void stopping(double graceMs);
+  void beginShutdown(double graceMs);
 
   // ---- From the instances' side
 
@@ -85,7 +85,9 @@
   /// The attempt's last byte is out.
   void attemptWritten(AttemptKey key);
   /// The attempt is over, be it answered or failed. Does nothing for one that ended before.
-  void attemptEnded(AttemptKey key, const Result& result) { lifecycle_.endAttempt(key, result); }
+  void attemptEnded(AttemptKey key, const AttemptResult& result) {
+    lifecycle_.endAttempt(key, result);
+  }
   /// An instance answered a reservation that was made beside a prefill. Does nothing once the
   /// prefill has ended, as the answer comes too late to mean anything.
   void reservationAnswered(AttemptKey prefill, const routing::InstanceId& instance, bool granted);
@@ -109,14 +111,16 @@
 
   std::size_t instancesKnown() const { return context_.endpoints.size(); }
   /// How many requests are owed an answer or the rest of it.
-  std::size_t open() const { return lifecycle_.openRequests(); }
+  std::size_t openRequests() const { return lifecycle_.openRequests(); }
   /// How many attempts are in flight at an instance.
-  std::size_t openAt(const routing::InstanceId& instance) const {
+  std::size_t attemptsInFlightAt(const routing::InstanceId& instance) const {
     return context_.requests.attemptsInFlightAt(instance);
   }
   const RequestMetrics& metrics() const { return context_.metrics; }
   /// Whether the decision module ejected a listed instance by its own judgement.
-  bool avoids(const routing::InstanceId& instance) const { return loop_.avoids(instance); }
+  bool isEjectedOrSilent(const routing::InstanceId& instance) const {
+    return loop_.isEjectedOrSilent(instance);
+  }
 
  private:
   void configure(const routing::Settings& settings);
--- a/src/core/request_lifecycle.cpp
+++ b/src/core/request_lifecycle.cpp
@@ -135,14 +135,14 @@
   const RequestState* request = context_.requests.find(key);
   if (request == nullptr || !request->responseWriter)
     return false;
-  if (request->responseWriter->present())
+  if (request->responseWriter->isClientPresent())
     return true;
   clientDisconnected(key);
   return false;
 }
 
 // The attempt is removed here and only here, so that it cannot end a second time.
-void RequestLifecycle::endAttempt(AttemptKey key, const Result& result) {
+void RequestLifecycle::endAttempt(AttemptKey key, const AttemptResult& result) {
   AttemptState* attempt = context_.requests.findAttempt(key);
   if (attempt == nullptr)
     return;
@@ -171,7 +171,7 @@
 
 void RequestLifecycle::recordOutcome(RequestState& request,
                                      const AttemptState& attempt,
-                                     const Result& result) const {
+                                     const AttemptResult& result) const {
   const char* counter = counterOf(result.outcome);
   ++context_.counters[counter];
   request.lastEndedMs = context_.nowMs();
@@ -193,7 +193,7 @@
   } else {
     const auto responseWriter = concludeRequest(request, RequestOutcome::kError);
     ++context_.counters["requests.broken"];
-    responseWriter->broken();
+    responseWriter->abort();
   }
 }
 
--- a/src/core/request_lifecycle.h
+++ b/src/core/request_lifecycle.h
@@ -42,7 +42,7 @@
   bool clientPresent(RequestKey key);
 
   /// Ends an attempt that its instance has answered, or that has failed.
-  void endAttempt(AttemptKey key, const Result& result);
+  void endAttempt(AttemptKey key, const AttemptResult& result);
   /// Closes the connection of an attempt and ends it.
   void abortAttempt(AttemptKey key, routing::AttemptOutcome outcome);
 
@@ -53,7 +53,7 @@
   RequestFacts factsOf(routing::ClassIndex index) const;
   void recordOutcome(RequestState& request,
                      const AttemptState& attempt,
-                     const Result& result) const;
+                     const AttemptResult& result) const;
   void finishResponse(RequestState& request, routing::AttemptOutcome outcome);
   void cancelAll(RequestKey key);
 
--- a/src/core/request_metrics.h
+++ b/src/core/request_metrics.h
@@ -1,6 +1,6 @@
 /// Request metrics by class, as /metrics and OTLP report them. Counted where requests begin and end
 /// and nowhere else, so that at every moment
-/// taken = ok + shed + errors + abandoned + handedOver + open. Belongs to one thread.
+/// received = ok + shed + errors + abandoned + handedOver + open. Belongs to one thread.
 #pragma once
 
 #include <cstddef>
@@ -20,9 +20,9 @@
 
 /// The totals of one class since the start of the process.
 struct ClassMetrics {
-  std::uint64_t taken = 0, ok = 0, shed = 0, errors = 0, abandoned = 0;
+  std::uint64_t received = 0, ok = 0, shed = 0, errors = 0, abandoned = 0;
   std::uint64_t handedOver = 0;  ///< to the process that replaces this one
-  std::uint64_t tries = 0;       ///< attempts whose last byte was written to an instance
+  std::uint64_t attempts = 0;    ///< attempts whose last byte was written to an instance
   std::uint64_t open = 0;        ///< begun and not ended
 };
 
@@ -40,12 +40,12 @@
   void requestBegan(std::size_t cls) {
     if (cls >= byClass_.size())
       return;
-    ++byClass_[cls].taken;
+    ++byClass_[cls].received;
     ++byClass_[cls].open;
   }
   void attemptWritten(std::size_t cls) {
     if (cls < byClass_.size())
-      ++byClass_[cls].tries;
+      ++byClass_[cls].attempts;
   }
   void requestEnded(std::size_t cls, RequestOutcome outcome) {
     if (cls >= byClass_.size())
--- a/src/frontend/openai/chat_response_writer.cpp
+++ b/src/frontend/openai/chat_response_writer.cpp
@@ -52,7 +52,7 @@
       promptTokens_(static_cast<std::uint64_t>(promptTokens)) {}
 
 // It has not run, so the libraries may try again by themselves.
-void ChatResponseWriter::refuse(const core::Refusal& refusal) {
+void ChatResponseWriter::reject(const core::Rejection& refusal) {
   if (reservation_)
     reservation_->refused();
   if (refusal.pastDeadline)
@@ -74,7 +74,7 @@
               ShouldRetry::kNo, kRetryAfterMs);
 }
 
-bool ChatResponseWriter::pass(std::string_view part) {
+bool ChatResponseWriter::write(std::string_view part) {
   events_.add(part);
   bool takesMore = true;
   while (const auto event = events_.next())
@@ -86,7 +86,7 @@
 
 void ChatResponseWriter::end() {
   if (!isComplete_ || hasError_ || isTooLong_)
-    return broken();
+    return abort();
   if (reservation_)
     reservation_->served(promptTokens_, answerTokens_);
   if (!isStream_)
@@ -97,7 +97,7 @@
 }
 
 // One last event tells the client; what was begun is never sent again.
-void ChatResponseWriter::broken() {
+void ChatResponseWriter::abort() {
   if (reservation_)
     reservation_->failed();
   const ApiError error{503, "the answer broke off", "server_error", {}, "stream_broken"};
--- a/src/frontend/openai/chat_response_writer.h
+++ b/src/frontend/openai/chat_response_writer.h
@@ -30,12 +30,12 @@
                      double promptTokens,
                      std::unique_ptr<TokenReservation> reservation);
 
-  bool present() const override { return connection_->isPeerPresent(); }
-  void refuse(const core::Refusal& refusal) override;
+  bool isClientPresent() const override { return connection_->isPeerPresent(); }
+  void reject(const core::Rejection& refusal) override;
   void fail(const core::Failure& failure) override;
-  bool pass(std::string_view part) override;
+  bool write(std::string_view part) override;
   void end() override;
-  void broken() override;
+  void abort() override;
 
  private:
   enum class ShouldRetry { kNo, kYes };
--- a/src/frontend/platform/platform_front.cpp
+++ b/src/frontend/platform/platform_front.cpp
@@ -24,9 +24,9 @@
   StreamWriter(Front& front, std::shared_ptr<net::ClientConnection> connection, bool begun)
       : front_(front), connection_(std::move(connection)), begun_(begun) {}
 
-  bool present() const override { return connection_->isPeerPresent(); }
+  bool isClientPresent() const override { return connection_->isPeerPresent(); }
 
-  void refuse(const core::Refusal& refusal) override {
+  void reject(const core::Rejection& refusal) override {
     net::Fields fields = textFields();
     if (refusal.retryAfterMs) {
       std::array<char, 32> seconds{};
@@ -42,7 +42,7 @@
     connection_->answer(failure.pastDeadline ? 504 : 502, textFields(), "failed\n");
   }
 
-  bool pass(std::string_view part) override {
+  bool write(std::string_view part) override {
     begin();
     return connection_->pass(part);
   }
@@ -53,7 +53,7 @@
     connection_->endStream();
   }
 
-  void broken() override {
+  void abort() override {
     front_.responseFinished(*connection_);
     connection_->abortResponse();
   }
@@ -75,7 +75,7 @@
   payload->method = std::string(request.method_string());
   payload->target = std::string(request.target());
   payload->contentType = headerOf(request, "Content-Type");
-  payload->passed = forwardedFields(request);
+  payload->forwardedFields = forwardedFields(request);
   payload->body = std::make_shared<const std::string>(std::move(request.body()));
   return payload;
 }
--- a/src/upstream/attempt_call.cpp
+++ b/src/upstream/attempt_call.cpp
@@ -184,7 +184,7 @@
   end({.outcome = outcomeOf(why)});
 }
 
-core::Result HttpInstanceClient::AttemptCall::result() const {
+core::AttemptResult HttpInstanceClient::AttemptCall::result() const {
   if (status_ == kServedStatus)
     return {.outcome = AttemptOutcome::kServed, .cachedTokens = usage_.cachedTokens()};
   if (status_ == kPrefilledStatus)
@@ -200,7 +200,7 @@
   return {.outcome = AttemptOutcome::kError};
 }
 
-void HttpInstanceClient::AttemptCall::end(const core::Result& result) {
+void HttpInstanceClient::AttemptCall::end(const core::AttemptResult& result) {
   lastChunkTimer_.cancel();
   stallTimer_.cancel();
   releaseTimer_.cancel();
--- a/src/upstream/attempt_call.h
+++ b/src/upstream/attempt_call.h
@@ -59,8 +59,8 @@
   void scheduleReleaseBeside();
   double acceptedByMs() const;
   void limitLastChunk();
-  core::Result result() const;
-  void end(const core::Result& result);
+  core::AttemptResult result() const;
+  void end(const core::AttemptResult& result);
   double nowMs() const { return client_.services_.clock.nowMs(); }
 
   HttpInstanceClient& client_;
--- a/src/upstream/http_instance_client.cpp
+++ b/src/upstream/http_instance_client.cpp
@@ -58,7 +58,7 @@
             return reservationHead("DELETE", request, endpoint);
           },
           [this](const RequestId& request) { return releaseAllowedFromMs(request); },
-          [&dispatcher](const std::string& line) { dispatcher.note(line); }),
+          [&dispatcher](const std::string& line) { dispatcher.log(line); }),
       owed_(services,
             releaseLimitMs,
             [this](const RequestId& request, const InstanceEndpoint& endpoint) {
@@ -116,7 +116,8 @@
 std::string HttpInstanceClient::reservationHead(const std::string& method,
                                                 const RequestId& request,
                                                 const InstanceEndpoint& endpoint) const {
-  return head(method, protocol_.roomsPath + request.value, endpoint, {{"Content-Length", "0"}});
+  return head(method, protocol_.reservationPath + request.value, endpoint,
+              {{"Content-Length", "0"}});
 }
 
 std::string HttpInstanceClient::head(const std::string& method,
@@ -125,7 +126,7 @@
                                      net::Fields fields) const {
   fields.insert(fields.begin(), {"Host", endpoint.address.address().to_string() + ":" +
                                              std::to_string(endpoint.address.port())});
-  fields.insert(fields.end(), protocol_.extra.begin(), protocol_.extra.end());
+  fields.insert(fields.end(), protocol_.extraFields.begin(), protocol_.extraFields.end());
   return net::headText(method + " " + target + " HTTP/1.1", fields);
 }
 
@@ -140,7 +141,7 @@
                      {"Content-Length", std::to_string(forwarded.body->size())}};
   if (!forwarded.contentType.empty())
     fields.emplace_back("Content-Type", forwarded.contentType);
-  fields.insert(fields.end(), forwarded.passed.begin(), forwarded.passed.end());
+  fields.insert(fields.end(), forwarded.forwardedFields.begin(), forwarded.forwardedFields.end());
   releases_.attemptStarted(dispatch.request);
   const auto attempt = std::make_shared<AttemptCall>(*this, dispatch);
   attempts_[dispatch.attempt.slot] = attempt;
--- a/src/upstream/http_instance_client.h
+++ b/src/upstream/http_instance_client.h
@@ -24,11 +24,11 @@
 /// The names that instances give to what they are sent and send.
 struct InstanceProtocol {
   std::string idHeader;
-  std::string budgetHeader;    ///< how long the client waits, in milliseconds
-  std::string rejectedHeader;  ///< marks an answer that proves that the request never ran
-  std::string roomsPath;       ///< of reservations and releases, with the slash before the id
+  std::string budgetHeader;     ///< how long the client waits, in milliseconds
+  std::string rejectedHeader;   ///< marks an answer that proves that the request never ran
+  std::string reservationPath;  ///< of reservations and releases, with the slash before the id
   std::string healthPath;
-  net::Fields extra;  ///< on every message
+  net::Fields extraFields;  ///< on every message
 };
 
 /// What is forwarded unchanged to whichever instance gets the request.
@@ -36,7 +36,7 @@
   std::string method;
   std::string target;
   std::string contentType;
-  net::Fields passed;  ///< further headers of the client's, as they came
+  net::Fields forwardedFields;  ///< further headers of the client's, as they came
   std::shared_ptr<const std::string> body;
 };
 
--- a/src/upstream/instance_directory.cpp
+++ b/src/upstream/instance_directory.cpp
@@ -11,7 +11,7 @@
         endpoint.startedMs != record.startedMs || endpoint.address != record.address;
     if (replaced) {
       pool.dropIdle(endpoint.address);
-      endpoint.failedMs = 0;
+      endpoint.lastFailureMs = 0;
     }
     endpoint.address = record.address;
     endpoint.state = record.state;
--- a/src/upstream/instance_directory.h
+++ b/src/upstream/instance_directory.h
@@ -14,8 +14,8 @@
   net::Endpoint address;
   routing::EndpointState state = routing::EndpointState::kActive;
   double startedMs = 0;
-  double heardMs = 0;   ///< when it last answered anything
-  double failedMs = 0;  ///< when it last could not be reached or did not answer
+  double lastAnswerMs = 0;   ///< when it last answered anything
+  double lastFailureMs = 0;  ///< when it last could not be reached or did not answer
 };
 
 class InstanceDirectory {
@@ -30,12 +30,12 @@
   /// The instance has answered something.
   void recordAnswer(const routing::InstanceId& instance, double nowMs) {
     if (InstanceEndpoint* endpoint = find(instance))
-      endpoint->heardMs = nowMs;
+      endpoint->lastAnswerMs = nowMs;
   }
   /// The instance could not be reached or did not answer.
   void recordFailure(const routing::InstanceId& instance, double nowMs) {
     if (InstanceEndpoint* endpoint = find(instance))
-      endpoint->failedMs = nowMs;
+      endpoint->lastFailureMs = nowMs;
   }
 
   /// Takes in an endpoint list; a complete one names every instance that there is. Idle connections
--- a/src/upstream/releases.cpp
+++ b/src/upstream/releases.cpp
@@ -143,8 +143,9 @@
   for (const auto& [instance, endpoint] : services_.directory.all()) {
     if (state.asked.count(instance) != 0 || endpoint.state == routing::EndpointState::kRemoved)
       continue;
-    const Rank rank{endpoint.heardMs >= endpoint.failedMs, services_.pool.hasIdle(endpoint.address),
-                    instance != state.lastAcceptedBy, endpoint.heardMs};
+    const Rank rank{endpoint.lastAnswerMs >= endpoint.lastFailureMs,
+                    services_.pool.hasIdle(endpoint.address), instance != state.lastAcceptedBy,
+                    endpoint.lastAnswerMs};
     if (best != nullptr && rank <= bestRank)
       continue;
     best = &instance;
--- a/src/upstream/reservations.cpp
+++ b/src/upstream/reservations.cpp
@@ -220,9 +220,9 @@
 
 void Reservations::logDoubt(const Reservation& reservation) const {
   const long askedMsAgo = std::lround(services_.clock.nowMs() - reservation.requestedMs);
-  dispatcher_.note("reservation in doubt: request " + reservation.request.value + " at " +
-                   reservation.instance.value + ", asked " + std::to_string(askedMsAgo) +
-                   " ms ago" + (reservation.renewed ? ", granted before" : ""));
+  dispatcher_.log("reservation in doubt: request " + reservation.request.value + " at " +
+                  reservation.instance.value + ", asked " + std::to_string(askedMsAgo) + " ms ago" +
+                  (reservation.renewed ? ", granted before" : ""));
 }
 
 void Reservations::prefillEnded(core::AttemptKey prefill) {
--- a/tests/client_departure_test.cpp
+++ b/tests/client_departure_test.cpp
@@ -102,7 +102,7 @@
     EXPECT_EQ(chats(), chatsBefore);
     EXPECT_EQ(reservations(), reservationsBefore);
     EXPECT_EQ(server->counters["requests.client_gone"], 1U);
-    EXPECT_EQ(server->dispatcher.open(), 0U);
+    EXPECT_EQ(server->dispatcher.openRequests(), 0U);
   }
 
   bool openai;
@@ -218,7 +218,7 @@
   ASSERT_TRUE(site.until([&] { return site.chats() == 1; }));
   site.onlyChat().connection->answer(503, {{"X-Rejected", "1"}}, "");
   ASSERT_TRUE(site.until([&] { return site.server->counters["attempts.turned_away"] == 1; }));
-  ASSERT_EQ(site.server->dispatcher.open(), 1U);
+  ASSERT_EQ(site.server->dispatcher.openRequests(), 1U);
   ASSERT_EQ(site.server->counters["attempts.sent"], 1U);
   site.leave(GetParam());
   site.unpause();
@@ -236,7 +236,7 @@
   site.server->pool.setMaxConnections(100);
   site.unpause();
   EXPECT_EQ(site.reservations(), 0);
-  EXPECT_EQ(site.server->dispatcher.open(), 0U);
+  EXPECT_EQ(site.server->dispatcher.openRequests(), 0U);
 }
 
 // Its read has just gone out, and the reservation would follow at once on a connection at hand.
@@ -261,7 +261,7 @@
   site.leave(GetParam().how);
   site.unpause();
   EXPECT_EQ(site.reservations(), reservations);
-  EXPECT_EQ(site.server->dispatcher.open(), 0U);
+  EXPECT_EQ(site.server->dispatcher.openRequests(), 0U);
 }
 
 // It wrote and left before the loop ran at all: its request is read, and nothing is sent on.
@@ -271,7 +271,7 @@
   site.leave(GetParam().how);
   site.unpause();
   EXPECT_EQ(site.chats(), 0);
-  EXPECT_EQ(site.server->dispatcher.open(), 0U);
+  EXPECT_EQ(site.server->dispatcher.openRequests(), 0U);
 }
 
 TEST_P(AClientThatLeft, GetsNothingForHalfARequest) {
@@ -297,7 +297,7 @@
   streamFullAnswer(*site.instances["m1"], site.onlyChat());
   site.unpause();
   EXPECT_EQ(site.chats(), 1);
-  EXPECT_EQ(site.server->dispatcher.open(), 0U);
+  EXPECT_EQ(site.server->dispatcher.openRequests(), 0U);
 }
 
 // The largest request that is taken stands behind the first, and in pieces more than the system
@@ -314,7 +314,7 @@
     site.settle();
   }
   EXPECT_EQ(site.server->counters["requests.client_gone"], 1U);
-  EXPECT_EQ(site.server->dispatcher.open(), 0U);
+  EXPECT_EQ(site.server->dispatcher.openRequests(), 0U);
 }
 
 // More than is kept is read and dropped by the clock: a close behind it comes through.
@@ -337,7 +337,7 @@
     answerPrefill(*site.instances["r1"], site.onlyChat());
     site.unpause();
     EXPECT_EQ(site.chats(), 1);
-    EXPECT_EQ(site.server->dispatcher.open(), 0U);
+    EXPECT_EQ(site.server->dispatcher.openRequests(), 0U);
   }
 }
 
@@ -408,7 +408,7 @@
       ASSERT_TRUE(next.until([&] { return next.server->counters["streams.taken_over"] == 1; }));
       next.unpause();
       site.unpause();
-      EXPECT_EQ(next.server->dispatcher.open(), 0U);
+      EXPECT_EQ(next.server->dispatcher.openRequests(), 0U);
       EXPECT_EQ(next.chats(), 0);
       EXPECT_EQ(site.chats(), 1);
     }
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -156,7 +156,7 @@
   int refused = 0, failed = 0, ended = 0, broke = 0;
   bool late = false;
   std::string text;
-  void refuse(const Refusal& refusal) override {
+  void reject(const Rejection& refusal) override {
     ++refused;
     late = refusal.pastDeadline;
   }
@@ -164,12 +164,12 @@
     ++failed;
     late = failure.pastDeadline;
   }
-  bool pass(std::string_view part) override {
+  bool write(std::string_view part) override {
     text += part;
     return true;
   }
   void end() override { ++ended; }
-  void broken() override { ++broke; }
+  void abort() override { ++broke; }
   int finals() const { return refused + failed + ended + broke; }
 };
 
@@ -248,7 +248,7 @@
   harness.end(AttemptOutcome::kServed);
   EXPECT_EQ(client->ended, 1);
   EXPECT_EQ(client->finals(), 1);
-  EXPECT_EQ(harness.dispatcher.open(), 0U);
+  EXPECT_EQ(harness.dispatcher.openRequests(), 0U);
 }
 
 TEST(RequestDispatcher, AStreamThatBreaksEndsTheRequestAndIsNotSentAgain) {
@@ -273,7 +273,7 @@
   harness.list();
   const auto client = harness.submit("a");
   harness.end(AttemptOutcome::kPrefilled);
-  harness.dispatcher.stopping(1000);
+  harness.dispatcher.beginShutdown(1000);
   harness.clock.advance(910);  // late in the grace, and no timer has fired yet
   harness.dispatcher.responseReceived(harness.instances.inFlight.back().attempt, "one");
   EXPECT_EQ(client->text, "one");
@@ -292,7 +292,7 @@
     const auto client = harness.submit("a");
     harness.end(AttemptOutcome::kPrefilled);
     harness.instances.hasUnread = true;
-    harness.dispatcher.stopping(1000);
+    harness.dispatcher.beginShutdown(1000);
     harness.clock.advance(910);
     harness.dispatcher.responseReceived(harness.instances.inFlight.back().attempt, "one");
     harness.advance(6);
@@ -316,7 +316,7 @@
   EXPECT_TRUE(harness.instances.inFlight.empty());
   EXPECT_FALSE(harness.instances.released.empty());
   EXPECT_EQ(client->finals(), 0);
-  EXPECT_EQ(harness.dispatcher.open(), 0U);
+  EXPECT_EQ(harness.dispatcher.openRequests(), 0U);
 }
 
 TEST(RequestDispatcher, AnIdThatIsUnderWayIsNotTakenTwice) {
@@ -324,7 +324,7 @@
   harness.list();
   ASSERT_NE(harness.submit("a"), nullptr);
   EXPECT_EQ(harness.submit("a"), nullptr);
-  EXPECT_EQ(harness.dispatcher.open(), 1U);
+  EXPECT_EQ(harness.dispatcher.openRequests(), 1U);
 }
 
 TEST(RequestDispatcher, ASendThatWaitedIsCheckedForDrainAndDeadline) {
@@ -456,7 +456,7 @@
       else if (step == kOutcomes.size() + 1)
         advance(2500);
       else if (step == kOutcomes.size() + 2)
-        dispatcher.stopping(100);
+        dispatcher.beginShutdown(100);
       else if (step == kOutcomes.size() + 3)
         dispatcher.clientDisconnected(*key);
       else if (step == kOutcomes.size() + 4) {
@@ -562,10 +562,10 @@
       if (name.rfind("attempts.", 0) == 0 && name != "attempts.sent")
         ends += value;
     EXPECT_EQ(ends, harness.counters["attempts.sent"]);
-    EXPECT_EQ(harness.dispatcher.open(), 0U);
+    EXPECT_EQ(harness.dispatcher.openRequests(), 0U);
     const ClassMetrics& metrics = harness.dispatcher.metrics().byClass()[0];
-    EXPECT_EQ(metrics.taken, clients.size());
-    EXPECT_EQ(metrics.taken, metrics.ok + metrics.shed + metrics.errors + metrics.abandoned);
+    EXPECT_EQ(metrics.received, clients.size());
+    EXPECT_EQ(metrics.received, metrics.ok + metrics.shed + metrics.errors + metrics.abandoned);
     EXPECT_EQ(metrics.ok, harness.counters["requests.served"]);
     EXPECT_EQ(metrics.shed, harness.counters["requests.refused"]);
     EXPECT_EQ(metrics.abandoned, harness.counters["requests.client_gone"]);
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -468,7 +468,7 @@
     site.server->dispatcher.attemptEnded(attempt, {routing::AttemptOutcome::kPrefilled});
     EXPECT_EQ(site.server->counters["requests.client_gone"], 1U);
     EXPECT_EQ(site.server->counters["attempts.not_sent"], 1U);
-    ASSERT_TRUE(site.until([&] { return site.server->dispatcher.open() == 0; }));
+    ASSERT_TRUE(site.until([&] { return site.server->dispatcher.openRequests() == 0; }));
     EXPECT_EQ(site.chats(), 1);
   }
 }
@@ -487,7 +487,7 @@
   ASSERT_EQ(site.server->counters["attempts.sent"], 1U);
   client.close();
   ASSERT_TRUE(site.until([&] { return site.server->counters["requests.client_gone"] == 1; }));
-  ASSERT_TRUE(site.until([&] { return site.server->dispatcher.open() == 0; }));
+  ASSERT_TRUE(site.until([&] { return site.server->dispatcher.openRequests() == 0; }));
   EXPECT_EQ(site.chats(), 0);
 }
 
@@ -565,7 +565,7 @@
     fields[1].second = cls;
     const auto reply = site.post("/v1/x", fields, "{}");
     ASSERT_TRUE(site.until([&] { return site.chats() == 1; }));
-    site.server->dispatcher.stopping(1000);
+    site.server->dispatcher.beginShutdown(1000);
     site.pass(940);  // the last call
     for (int i = 0; i < 20; ++i)
       site.io.poll(), site.io.restart(), site.io.run_one_for(1ms);
--- a/tests/final_answer_test.cpp
+++ b/tests/final_answer_test.cpp
@@ -168,7 +168,7 @@
     for (const auto& one : {reply, other})
       EXPECT_TRUE(one->complete ? one->status >= 500 : one->status == 200);
     EXPECT_EQ(site.server->counters["requests.overdue"], 0U);
-    EXPECT_EQ(site.server->dispatcher.open(), 0U);
+    EXPECT_EQ(site.server->dispatcher.openRequests(), 0U);
   }
 }
 
--- a/tests/fronts_test.cpp
+++ b/tests/fronts_test.cpp
@@ -74,7 +74,7 @@
     }
     site.finished(reply);
     EXPECT_EQ(reply->status, 200U);
-    EXPECT_TRUE(site.until([&] { return site.server->dispatcher.open() == 0; }));
+    EXPECT_TRUE(site.until([&] { return site.server->dispatcher.openRequests() == 0; }));
     site.pass(40 + i);
   }
   return site.decisions;
@@ -365,7 +365,7 @@
   site.lastCall->abandon();
   EXPECT_TRUE(site.until([&] { return taken->disconnected; }));
   EXPECT_EQ(site.server->counters["requests.client_gone"], 1U);
-  EXPECT_EQ(site.server->dispatcher.open(), 0U);
+  EXPECT_EQ(site.server->dispatcher.openRequests(), 0U);
 }
 
 TEST(ChatApi, AChangeWhoseInstanceVanishesAfterTheFirstEventEndsInOneErrorAndIsNotSentAgain) {
@@ -497,7 +497,7 @@
   ASSERT_TRUE(site.until([&] { return site.chats() == 1; }));
   constexpr double kGraceMs = 3'700;
   bool done = false;
-  site.server->dispatcher.stopping(kGraceMs);
+  site.server->dispatcher.beginShutdown(kGraceMs);
   site.listener->drain(kGraceMs * 0.58, [&] { done = true; });
   auto passTo = [&, passed = 0.0](double share) mutable {
     for (; passed < kGraceMs * share; passed += 10) {
--- a/tests/ops_test.cpp
+++ b/tests/ops_test.cpp
@@ -586,7 +586,7 @@
     }
     for (std::size_t i = 0; i < 2; ++i) {
       const core::ClassMetrics& f = metrics.byClass()[i];
-      ASSERT_EQ(f.taken, f.ok + f.shed + f.errors + f.abandoned + f.open);
+      ASSERT_EQ(f.received, f.ok + f.shed + f.errors + f.abandoned + f.open);
       ASSERT_EQ(f.open, static_cast<std::uint64_t>(open[i]));
     }
   }
