--- a/src/core/action_executor.cpp
+++ b/src/core/action_executor.cpp
@@ -11,13 +11,14 @@
 
 namespace {
 
-// By how much a close may reach its instance later than what is sent next reaches others, on other
-// connections: far above the transmission time within a deployment, and far below the slack of each
-// limit.
+// How much later the close of a connection may reach its instance than the next message, sent on
+// another connection, reaches another instance. Far above the transmission time within a deployment
+// and far below the slack of each time limit.
 constexpr double kCloseTransmissionMs = 10;
 
-// Guards a rejection and the next attempt against a close that they overtake: until it is there, an
-// attempt that was cancelled is open at its instance, be it a prefill instance, and may run.
+// When the last close has arrived at its instance. Until then the cancelled attempt is still open
+// there, even at a prefill instance, and may run, so neither a rejection nor the next attempt may
+// overtake it.
 double closesArrivedMs(const RequestState& request) {
   return request.lastClosedMs + kCloseTransmissionMs;
 }
@@ -28,16 +29,18 @@
 
 }  // namespace
 
-void ActionExecutor::carryOut(const Action& action) {
-  std::visit([this](const auto& alternative) { carryOut(alternative); }, action);
+void ActionExecutor::execute(const Action& action) {
+  std::visit([this](const auto& alternative) { execute(alternative); }, action);
 }
 
-// Without hedged requests no two attempts may be open at once, whatever the request's class.
-double ActionExecutor::nextSendMs(const RequestState& request) const {
+// The earliest time for the next attempt. Without hedged requests no two attempts of a request may
+// be open at once, whatever its class.
+double ActionExecutor::earliestSendMs(const RequestState& request) const {
   return isIdempotent(request) && hedgedRequests_ ? 0 : closesArrivedMs(request);
 }
 
-double ActionExecutor::rejectionMs(const RequestState& request) const {
+// The earliest time for a rejection.
+double ActionExecutor::earliestRejectionMs(const RequestState& request) const {
   return isIdempotent(request) ? 0 : closesArrivedMs(request);
 }
 
@@ -48,7 +51,7 @@
   return unanswered ? request : nullptr;
 }
 
-void ActionExecutor::carryOut(const DispatchAttempt& action) {
+void ActionExecutor::execute(const DispatchAttempt& action) {
   const auto owner = context_.requests.keyOf(action.request);
   if (!owner)
     return;
@@ -70,7 +73,7 @@
                                   .payload = request.payload,
                                   .deadlineMs = deadlineMs,
                                   .isPrefill = isPrefill,
-                                  .notBeforeMs = nextSendMs(request),
+                                  .notBeforeMs = earliestSendMs(request),
                                   .lastAttemptEndedMs = request.lastEndedMs});
 }
 
@@ -91,7 +94,7 @@
   return context_.requests.addAttempt(std::move(attempt));
 }
 
-void ActionExecutor::carryOut(const ReserveDecode& action) {
+void ActionExecutor::execute(const ReserveDecode& action) {
   const RequestState* request = context_.requests.find(action.request);
   if (request == nullptr || request->attempts.empty())
     return;
@@ -99,12 +102,12 @@
   context_.instanceClient->reserve(request->id, request->attempts.back(), action.instance);
 }
 
-void ActionExecutor::carryOut(const ReleaseState& action) {
+void ActionExecutor::execute(const ReleaseState& action) {
   ++context_.counters["releases.sent"];
   context_.instanceClient->release(action.request);
 }
 
-void ActionExecutor::carryOut(const RejectRequest& action) {
+void ActionExecutor::execute(const RejectRequest& action) {
   RequestState* request = findUnanswered(action.request);
   if (request == nullptr)
     return;
@@ -115,16 +118,16 @@
   const Rejection rejection{
       .retryAfterMs = action.retryAfter ? std::optional(toMs(*action.retryAfter)) : std::nullopt,
       .pastDeadline = context_.nowMs() >= request->facts.deadlineMs};
-  const double answerMs = rejectionMs(*request);
+  const double rejectAtMs = earliestRejectionMs(*request);
   const std::shared_ptr<ResponseWriter> responseWriter =
       lifecycle_.concludeRequest(*request, RequestOutcome::kShed);
-  if (context_.nowMs() >= answerMs)
+  if (context_.nowMs() >= rejectAtMs)
     return responseWriter->reject(rejection);
-  context_.timers.runAt(answerMs,
+  context_.timers.runAt(rejectAtMs,
                         [responseWriter, rejection] { responseWriter->reject(rejection); });
 }
 
-void ActionExecutor::carryOut(const FailRequest& action) {
+void ActionExecutor::execute(const FailRequest& action) {
   RequestState* request = findUnanswered(action.request);
   if (request == nullptr)
     return;
@@ -134,8 +137,8 @@
   responseWriter->fail({.pastDeadline = pastDeadline});
 }
 
-// A stream that has begun belongs to its client.
-void ActionExecutor::carryOut(const CancelAttempt& action) {
+// Does not cancel a stream that a connected client is receiving.
+void ActionExecutor::execute(const CancelAttempt& action) {
   const RequestState* request = context_.requests.find(action.request);
   if (request == nullptr || action.attempt < 0)
     return;
@@ -149,21 +152,21 @@
   lifecycle_.abortAttempt(key, AttemptOutcome::kCancelled);
 }
 
-void ActionExecutor::carryOut(const MigrateStream& action) {
+void ActionExecutor::execute(const MigrateStream& action) {
   migration_.migrate(action);
 }
 
-void ActionExecutor::carryOut(const SetTimer& action) {
+void ActionExecutor::execute(const SetTimer& action) {
   const auto fire = [this, timer = action.timer] { loop_.post(TimerFired{.timer = timer}); };
   context_.timers.runAt(context_.nowMs() + toMs(action.in), fire);
 }
 
-void ActionExecutor::carryOut(const SendHealthCheck& action) {
+void ActionExecutor::execute(const SendHealthCheck& action) {
   ++context_.counters["probes.sent"];
   context_.instanceClient->checkHealth(action.instance);
 }
 
-void ActionExecutor::carryOut(const LogMessage& action) {
+void ActionExecutor::execute(const LogMessage& action) {
   context_.log(action.text);
 }
 
--- a/src/core/action_executor.h
+++ b/src/core/action_executor.h
@@ -1,5 +1,5 @@
-/// Carries out the actions of the decision module: starts and cancels attempts, reserves capacity,
-/// gives final answers and sets timers.
+/// Executes the actions of the decision module: starts and cancels attempts, reserves capacity,
+/// writes final answers and sets timers.
 #pragma once
 
 #include "core/decision_loop.h"
@@ -24,34 +24,35 @@
         guard_(guard),
         migration_(migration) {}
 
-  /// To be called before all else, and again with later settings.
+  /// Has to be called before any other function, and again when the settings change.
   void configure(const routing::Settings& settings) {
     hedgedRequests_ = settings.limits.hedgedRequests;
   }
 
-  /// An action for a request that is over does nothing.
-  void carryOut(const routing::Action& action);
+  /// Executes one action. Does nothing if the action's request has ended.
+  void execute(const routing::Action& action);
 
  private:
-  void carryOut(const routing::DispatchAttempt& action);
-  void carryOut(const routing::ReserveDecode& action);
-  void carryOut(const routing::ReleaseState& action);
-  void carryOut(const routing::RejectRequest& action);
-  void carryOut(const routing::FailRequest& action);
-  void carryOut(const routing::CancelAttempt& action);
-  void carryOut(const routing::MigrateStream& action);
-  void carryOut(const routing::SetTimer& action);
-  void carryOut(const routing::SendHealthCheck& action);
-  void carryOut(const routing::LogMessage& action);
-  // Nodes share nothing this way, and the endpoint list is always watched.
-  void carryOut(const routing::SendGossip&) {}
-  void carryOut(const routing::SubscribeEndpoints&) {}
-  void carryOut(const routing::FetchEndpoints&) {}
+  void execute(const routing::DispatchAttempt& action);
+  void execute(const routing::ReserveDecode& action);
+  void execute(const routing::ReleaseState& action);
+  void execute(const routing::RejectRequest& action);
+  void execute(const routing::FailRequest& action);
+  void execute(const routing::CancelAttempt& action);
+  void execute(const routing::MigrateStream& action);
+  void execute(const routing::SetTimer& action);
+  void execute(const routing::SendHealthCheck& action);
+  void execute(const routing::LogMessage& action);
+  // Not used: nodes do not share state through gossip actions, and the endpoint list is always
+  // watched.
+  void execute(const routing::SendGossip&) {}
+  void execute(const routing::SubscribeEndpoints&) {}
+  void execute(const routing::FetchEndpoints&) {}
 
   AttemptKey addAttempt(RequestKey owner, const routing::DispatchAttempt& action, bool isPrefill);
   RequestState* findUnanswered(const routing::RequestId& id);
-  double nextSendMs(const RequestState& request) const;
-  double rejectionMs(const RequestState& request) const;
+  double earliestSendMs(const RequestState& request) const;
+  double earliestRejectionMs(const RequestState& request) const;
 
   DispatchContext& context_;
   DecisionLoop& loop_;
--- a/src/core/clock.h
+++ b/src/core/clock.h
@@ -1,5 +1,6 @@
-/// The program's two clocks. All spans (deadlines, windows, waits) are measured on the monotonic
-/// one. The wall clock may be wrong and may be stepped; it is read only to tell times to others.
+/// The monotonic clock and the wall clock. All durations (deadlines, windows, delays) are measured
+/// on the monotonic clock. The wall clock may be wrong and may be stepped, so it is read only for
+/// times that are reported to other systems.
 #pragma once
 
 #include <chrono>
@@ -9,8 +10,8 @@
 
 namespace inference_router::core {
 
-/// Milliseconds that only grow. What they count from means nothing, except that all processes of a
-/// machine count from the same moment.
+/// A monotonic clock in milliseconds. Its origin is arbitrary, but the same for all processes of a
+/// machine.
 class Clock {
  public:
   virtual ~Clock() = default;
@@ -22,18 +23,18 @@
 class SystemClock final : public Clock {
  public:
   double nowMs() const override {
-    const std::chrono::duration<double, std::milli> running =
+    const std::chrono::duration<double, std::milli> sinceEpoch =
         std::chrono::steady_clock::now().time_since_epoch();
-    return kOriginMs + running.count();
+    return kOriginMs + sinceEpoch.count();
   }
 
  private:
-  // Zero stands for a time long past in many places, so that a machine that has just started must
-  // not begin there.
+  // Many places use 0 for a time in the distant past, so the clock of a machine that has just
+  // booted must not start near 0.
   static constexpr double kOriginMs = 1e9;
 };
 
-/// A clock for tests, which stands still until it is set.
+/// A clock for tests, which changes only when it is set.
 class ManualClock final : public Clock {
  public:
   double nowMs() const override { return nowMs_; }
@@ -51,21 +52,22 @@
   return now.count();
 }
 
-// Conversions between the program's milliseconds and the decision module's microseconds. No other
-// place converts.
-/// A span for the decision module, rounded to whole microseconds.
+// Conversions between milliseconds and the decision module's microseconds. All conversions are made
+// here.
+
+/// Converts a duration for the decision module, rounded to whole microseconds.
 inline routing::Duration toModule(double ms) {
   return routing::Duration(std::llround(ms * 1000));
 }
-/// A time of this process's Clock for the decision module.
+/// Converts a time of this process's Clock for the decision module.
 inline routing::Time toModuleTime(double ms) {
   return routing::Time(toModule(ms));
 }
-/// A span of the decision module in milliseconds.
-inline double toMs(routing::Duration span) {
-  return static_cast<double>(span.count()) / 1000;
+/// Converts a duration of the decision module to milliseconds.
+inline double toMs(routing::Duration duration) {
+  return static_cast<double>(duration.count()) / 1000;
 }
-/// A time of the decision module as one of this process's Clock.
+/// Converts a time of the decision module to one of this process's Clock.
 inline double toMs(routing::Time time) {
   return toMs(time.time_since_epoch());
 }
--- a/src/core/config_reader.h
+++ b/src/core/config_reader.h
@@ -1,4 +1,4 @@
-/// Reads a JSON configuration and names what is wrong by its path in the file, as in
+/// Reads a JSON configuration. Errors name the faulty value by its path in the file, as in
 /// "coordination.store.path is missing".
 #pragma once
 
@@ -16,7 +16,7 @@
 
 namespace inference_router::core {
 
-/// A configuration that cannot be used: where in the file, and why.
+/// An unusable configuration: the path of the faulty value and the reason.
 class ConfigError : public std::invalid_argument {
  public:
   /// The message is the path, the separator and the reason; an empty path reads "the file".
@@ -33,8 +33,8 @@
   std::string reason_;
 };
 
-/// One value of a configuration and its path. Does not own the value, which has to outlive it. All
-/// functions that read throw ConfigError.
+/// One value of a configuration and its path. Does not own the value, which has to outlive the
+/// reader. All functions that read throw ConfigError if the value is not of the expected form.
 class ConfigReader {
  public:
   explicit ConfigReader(const nlohmann::json& value, std::string path = "")
@@ -44,7 +44,7 @@
   const nlohmann::json& json() const { return *value_; }
   bool has(const std::string& name) const { return value_->is_object() && value_->contains(name); }
 
-  /// A member that has to be there.
+  /// A required member.
   ConfigReader at(const std::string& name) const {
     object();
     if (!value_->contains(name))
@@ -55,7 +55,7 @@
   ConfigReader at(std::size_t index) const {
     return ConfigReader((*value_)[index], path_ + "[" + std::to_string(index) + "]");
   }
-  /// The elements of a value that has to be an array.
+  /// The elements of this value, which has to be an array.
   std::vector<ConfigReader> list() const {
     if (!value_->is_array())
       fail("is not a list");
@@ -77,16 +77,16 @@
     try {
       checkType<Value>();
       return value_->get<Value>();
-    } catch (const nlohmann::json::exception& fault) {
-      fail(fault.what());
+    } catch (const nlohmann::json::exception& error) {
+      fail(error.what());
     }
   }
-  /// A member, or the default if it is not there.
+  /// An optional member, or the default if it is missing.
   template <class Value>
   Value value(const std::string& name, Value defaultValue) const {
     return has(name) ? at(name).as<Value>() : defaultValue;
   }
-  /// A member that has to be finite and above 0, or the default if it is not there.
+  /// An optional member that has to be finite and above 0, or the default if it is missing.
   double above0(const std::string& name, double defaultValue) const {
     const double number = value(name, defaultValue);
     if (!(number > 0) || !std::isfinite(number))
@@ -94,7 +94,7 @@
     return number;
   }
 
-  /// Rejects members of other names, which are most often misspelt.
+  /// Rejects members with any other name, which are usually misspelt.
   void only(std::initializer_list<const char*> names) const {
     object();
     for (const auto& [name, member] : value_->items())
@@ -111,8 +111,8 @@
     const auto text = as<std::string>();
     try {
       return parse(text);
-    } catch (const std::invalid_argument& fault) {
-      throw ConfigError(path_, fault.what(), ": ");
+    } catch (const std::invalid_argument& error) {
+      throw ConfigError(path_, error.what(), ": ");
     }
   }
 
--- a/src/core/decision_loop.cpp
+++ b/src/core/decision_loop.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// The request that an event may have completed; null if it completes none.
+// The request that an event may have completed; null if the event completes none.
 const RequestId* completedBy(const Event& event) {
   if (const auto* ended = std::get_if<AttemptEnded>(&event))
     return &ended->request;
@@ -40,7 +40,7 @@
   eventObservers_.push_back(std::move(observer));
 }
 
-// Events that come up while actions are carried out wait in line.
+// Events that are posted while actions are executed are queued.
 void DecisionLoop::post(Event event) {
   events_.push_back(std::move(event));
   if (running_)
@@ -66,7 +66,7 @@
   for (const Action& action : actions_) {
     if (actionObserver_)
       actionObserver_(action);
-    callbacks_.carryOut(action);
+    callbacks_.execute(action);
   }
   callbacks_.onEventHandled();
 }
--- a/src/core/decision_loop.h
+++ b/src/core/decision_loop.h
@@ -1,5 +1,5 @@
-/// Feeds the decision module with events, one at a time and in the order they came, and passes on
-/// the actions that it answers with. Belongs to one thread.
+/// Passes events to the decision module, one at a time and in the order in which they were posted,
+/// and passes on the actions that it returns. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -14,13 +14,13 @@
 
 class DecisionLoop {
  public:
-  /// What the loop's owner does. All may post events.
+  /// Functions that the loop calls. Each of them may post events.
   struct Callbacks {
-    std::function<void(const routing::Action&)> carryOut;
-    /// All actions of one event are carried out.
+    std::function<void(const routing::Action&)> execute;
+    /// Called after all actions of one event have been executed.
     std::function<void()> onEventHandled;
-    /// The queue is empty. Names the requests that arrived, or whose attempts ended or that were
-    /// abandoned since it was last; some may be named more than once.
+    /// Called when the queue is empty, with the requests that arrived, were abandoned or had an
+    /// attempt end since the last call. A request may be listed more than once.
     std::function<void(const std::vector<routing::RequestId>&)> onIdle;
   };
 
@@ -31,19 +31,20 @@
   DecisionLoop(const DecisionLoop&) = delete;
   DecisionLoop& operator=(const DecisionLoop&) = delete;
 
-  /// Hands an event to the decision module: before this returns, or, from within a callback, once
-  /// the actions of the event under way are carried out.
+  /// Has the decision module handle an event: before this returns or, if called from within a
+  /// callback, after the actions of the current event.
   void post(routing::Event event);
   /// Whether an event is being handled.
   bool running() const { return running_; }
 
   void reconfigure(const routing::Settings& settings) { router_.reconfigure(settings); }
-  /// Whether the decision module ejected a listed instance by its own judgement.
+  /// Whether the decision module sends no requests to a listed instance for now, as the instance is
+  /// ejected or silent.
   bool isEjectedOrSilent(const routing::InstanceId& instance) const;
 
-  /// Sees every action before it is carried out. One observer at most.
+  /// Sets the observer that gets every action before it is executed. There is at most one.
   void onAction(std::function<void(const routing::Action&)> observer);
-  /// Sees every event before the decision module does. Any number of observers.
+  /// Adds an observer that gets every event before the decision module does.
   void onEvent(std::function<void(const routing::Event&)> observer);
 
  private:
--- a/src/core/dispatch_context.h
+++ b/src/core/dispatch_context.h
@@ -1,4 +1,5 @@
-/// What the units of the request dispatcher work on together: the tables, the rules and the ports.
+/// The state and services that the components of the request dispatcher share: tables, rules and
+/// ports.
 #pragma once
 
 #include <functional>
@@ -15,7 +16,7 @@
 
 namespace inference_router::core {
 
-/// Owned by the RequestDispatcher, which outlives the units that refer to it.
+/// Owned by the RequestDispatcher together with the components that refer to it.
 struct DispatchContext {
   const Clock& clock;
   TimerQueue& timers;
--- a/src/core/endpoint_registry.cpp
+++ b/src/core/endpoint_registry.cpp
@@ -19,7 +19,7 @@
   if (update.form == EndpointListForm::kFailed)
     return;
   if (update.form != EndpointListForm::kChanges)
-    markUnnamedRemoved(update.entries, nowMs);
+    markUnlistedRemoved(update.entries, nowMs);
   for (const EndpointRecord& record : update.entries)
     applyRecord(record, nowMs);
   forgetRemoved(nowMs);
@@ -30,19 +30,20 @@
   return found == endpoints_.end() ? nullptr : &found->second.facts;
 }
 
-// The drain grace runs from the first time that the list said so.
+// The drain grace period starts when the list first reports the instance as draining or removed.
 void EndpointRegistry::markDraining(Endpoint& endpoint, bool removed, double nowMs) {
   endpoint.removed = removed;
   if (!endpoint.facts.drainingSinceMs)
     endpoint.facts.drainingSinceMs = nowMs;
 }
 
-void EndpointRegistry::markUnnamedRemoved(const std::vector<EndpointRecord>& named, double nowMs) {
-  std::set<InstanceId> namedIds;
-  for (const EndpointRecord& record : named)
-    namedIds.insert(record.instance);
+void EndpointRegistry::markUnlistedRemoved(const std::vector<EndpointRecord>& listed,
+                                           double nowMs) {
+  std::set<InstanceId> listedIds;
+  for (const EndpointRecord& record : listed)
+    listedIds.insert(record.instance);
   for (auto& [instance, endpoint] : endpoints_)
-    if (namedIds.count(instance) == 0)
+    if (listedIds.count(instance) == 0)
       markDraining(endpoint, /*removed=*/true, nowMs);
 }
 
@@ -57,14 +58,14 @@
       record.kind.value < isPrefillKind_.size() && isPrefillKind_[record.kind.value];
 }
 
-// Guards the table against a fleet whose machines are replaced all day, each under an id of its
-// own. Past the drain grace nothing goes to a removed instance, nor to an unknown one.
+// Bounds the table in a fleet whose machines are replaced all day, each under a new id. After the
+// drain grace period nothing is sent to a removed instance, as nothing is sent to an unknown one.
 void EndpointRegistry::forgetRemoved(double nowMs) {
-  const double forgottenBeforeMs = nowMs - drainGraceMs_;
-  std::erase_if(endpoints_, [forgottenBeforeMs](const auto& entry) {
+  const double forgetBeforeMs = nowMs - drainGraceMs_;
+  std::erase_if(endpoints_, [forgetBeforeMs](const auto& entry) {
     const Endpoint& endpoint = entry.second;
     const std::optional<double>& since = endpoint.facts.drainingSinceMs;
-    return endpoint.removed && since && *since < forgottenBeforeMs;
+    return endpoint.removed && since && *since < forgetBeforeMs;
   });
 }
 
--- a/src/core/endpoint_registry.h
+++ b/src/core/endpoint_registry.h
@@ -1,4 +1,4 @@
-/// Keeps what the endpoint list last said of each instance. Belongs to one thread.
+/// The state of each instance according to the latest endpoint list updates. Not thread-safe.
 #pragma once
 
 #include <cstddef>
@@ -12,14 +12,14 @@
 
 class EndpointRegistry {
  public:
-  /// To be called before all else, and again with later settings.
+  /// Has to be called before any other function, and again when the settings change.
   void configure(const routing::Settings& settings);
 
-  /// Takes in an endpoint list update that came now. An update that failed changes nothing.
+  /// Applies an endpoint list update that was received at nowMs. A failed update changes nothing.
   void apply(const routing::EndpointListUpdate& update, double nowMs);
 
-  /// What is known of an instance; null if the list never named it, or it was removed so long ago
-  /// that nothing may go to it any more. Valid until the next apply().
+  /// What is known of an instance; null if it was never listed, or was removed so long ago that
+  /// nothing may be sent to it any more. Valid until the next apply().
   const InstanceFacts* find(const routing::InstanceId& instance) const;
   std::size_t size() const { return endpoints_.size(); }
 
@@ -30,7 +30,7 @@
   };
 
   static void markDraining(Endpoint& endpoint, bool removed, double nowMs);
-  void markUnnamedRemoved(const std::vector<routing::EndpointRecord>& named, double nowMs);
+  void markUnlistedRemoved(const std::vector<routing::EndpointRecord>& listed, double nowMs);
   void applyRecord(const routing::EndpointRecord& record, double nowMs);
   void forgetRemoved(double nowMs);
 
--- a/src/core/request_dispatcher.cpp
+++ b/src/core/request_dispatcher.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-// How long past deadline and grace the decision module may leave a request without an answer before
-// the core gives one.
+// How long after the deadline and the answer grace period the decision module may leave a request
+// without an answer before the dispatcher fails the request.
 constexpr double kOverdueToleranceMs = 10;
 
 }  // namespace
@@ -23,7 +23,7 @@
       loop_(settings,
             seed,
             clock,
-            {.carryOut = [this](const Action& action) { executor_.carryOut(action); },
+            {.execute = [this](const Action& action) { executor_.execute(action); },
              .onEventHandled = [this] { lifecycle_.cancelAbandoned(); },
              .onIdle =
                  [this](const std::vector<RequestId>& requests) {
@@ -67,13 +67,13 @@
   request.facts.deadlineMs = context_.nowMs() + toMs(arrival.timeLeft);
   request.overdue =
       context_.timers.schedule(request.facts.deadlineMs + answerGraceMs_ + kOverdueToleranceMs,
-                               [this, key] { answerOverdue(key); });
+                               [this, key] { failOverdue(key); });
   loop_.post(std::move(arrival));
   return key;
 }
 
-// Guards the one final answer against a decision module that forgets a request.
-void RequestDispatcher::answerOverdue(RequestKey key) {
+// Fails a request that the decision module has left without a final answer.
+void RequestDispatcher::failOverdue(RequestKey key) {
   RequestState* request = context_.requests.find(key);
   if (request == nullptr || !request->responseWriter || request->facts.streaming)
     return;
@@ -102,7 +102,7 @@
   loop_.post(ShutdownStarted{.grace = toModule(graceMs)});
 }
 
-// ---- From the instances' side
+// ---- From instances
 
 bool RequestDispatcher::needsNoHeldState(const RequestId& id) const {
   const RequestState* request = context_.requests.find(id);
@@ -122,7 +122,7 @@
   return responseWriter->write(part);
 }
 
-// The first part ties the request to this attempt; the stream of a later one is dropped.
+// The first attempt whose response begins becomes the request's stream; any other one is cancelled.
 bool RequestDispatcher::beginStream(AttemptKey key, std::string_view part) {
   AttemptState* attempt = context_.requests.findAttempt(key);
   RequestState* request = context_.requests.find(attempt->request);
@@ -135,17 +135,17 @@
   request->facts.streaming = true;
   request->stream = key;
   request->overdue.cancel();
-  // The part goes out before the decision module hears of it: a stream that it migrates at once
-  // would end its client's connection without any answer.
+  // The part is written before the decision module is notified: if the module migrated the stream
+  // at once, the client's connection would be closed without any response.
   const std::shared_ptr<ResponseWriter> responseWriter = request->responseWriter;
-  const bool more = responseWriter->write(part);
+  const bool clientReads = responseWriter->write(part);
   attempt = context_.requests.findAttempt(key);
   if (attempt != nullptr)
     loop_.post(StreamOpened{.request = context_.requests.find(attempt->request)->id,
                             .attempt = attempt->number,
                             .instance = attempt->instance,
                             .took = toModule(context_.nowMs() - attempt->startedMs)});
-  return more;
+  return clientReads;
 }
 
 void RequestDispatcher::attemptWritten(AttemptKey key) {
--- a/src/core/request_dispatcher.h
+++ b/src/core/request_dispatcher.h
@@ -1,6 +1,6 @@
-/// The core of the process, between clients, instances and the decision module: takes in requests,
-/// reports what happens to them as events, and carries out the decision module's actions. Belongs
-/// to one thread; knows no wire protocol.
+/// The core of the process, between clients, instances and the decision module: accepts requests,
+/// reports what happens to them as events, and executes the decision module's actions. Not
+/// thread-safe; independent of any wire protocol.
 #pragma once
 
 #include <cstdint>
@@ -32,75 +32,76 @@
 
   // ---- Setup
 
-  /// The client that carries attempts to instances; to be called before the first event. It has to
-  /// live as long as events come.
+  /// Sets the client that sends attempts to instances. Has to be called before the first event; the
+  /// client has to exist as long as events are reported.
   void connect(InstanceClient& client) { context_.instanceClient = &client; }
-  /// Receives log lines of the decision module and of the core.
+  /// Sets the function that receives the log lines of the decision module and of the core.
   void onLog(std::function<void(const std::string&)> log) { context_.log = std::move(log); }
   /// Writes a line to that log.
   void log(const std::string& text) { context_.log(text); }
-  /// Sees every action before it is carried out. One observer at most.
+  /// Sets the observer that gets every action before it is executed. There is at most one.
   void onAction(std::function<void(const routing::Action&)> observer) {
     loop_.onAction(std::move(observer));
   }
-  /// Sees every event before the decision module does. Any number of observers.
+  /// Adds an observer that gets every event before the decision module does.
   void onEvent(std::function<void(const routing::Event&)> observer) {
     loop_.onEvent(std::move(observer));
   }
-  /// Later settings. Classes, tenants and kinds keep their indices; more may follow them.
+  /// Replaces the settings. Classes, tenants and kinds keep their indices; new ones may be
+  /// appended.
   void reconfigure(const routing::Settings& settings);
 
   // ---- From clients
 
-  /// Takes in a request, which gets one final answer through the writer. Nothing if a request of
-  /// its id is still known: then the caller answers.
+  /// Accepts a request, which gets one final answer through the writer. Returns nothing if a
+  /// request with this id is still in the table; the caller has to answer then.
   std::optional<RequestKey> submit(routing::Arrival arrival,
                                    std::shared_ptr<const Payload> payload,
                                    std::shared_ptr<ResponseWriter> responseWriter);
   void clientDisconnected(RequestKey key) { lifecycle_.clientDisconnected(key); }
-  /// The client reads again, after ResponseWriter::write() asked to wait.
+  /// The client can take more of the stream, after ResponseWriter::write() returned false.
   void clientReady(RequestKey key);
 
   // ---- From discovery and operators
 
   void list(routing::EndpointListUpdate update) override;
-  /// This process ends, and is killed no sooner than this from now.
+  /// This process is shutting down, and will not be killed before graceMs have passed.
   void beginShutdown(double graceMs);
 
-  // ---- From the instances' side
+  // ---- From instances
 
-  /// Whether an attempt may go out now; to be asked again just before the first byte of one that
-  /// had to wait.
+  /// Whether an attempt may be sent now. Has to be checked again right before the first byte of an
+  /// attempt that had to wait.
   bool maySend(AttemptKey key) { return guard_.maySend(key); }
   /// Whether the attempt's client is connected and its deadline has not passed.
   bool attemptIsWanted(AttemptKey key) { return guard_.attemptIsWanted(key); }
   /// Whether an instance may be asked for a reservation now.
   bool mayReserve(const routing::InstanceId& instance) const { return guard_.mayReserve(instance); }
-  /// Whether nothing that instances hold for a request can be of use to it any more: it streams, or
-  /// is over.
+  /// Whether a request has no more use for anything that instances hold for it, as it is streaming
+  /// or has ended.
   bool needsNoHeldState(const routing::RequestId& id) const;
-  /// A part of an attempt's response has come. False if its client reads too slowly: then the
-  /// caller waits for InstanceClient::resume().
+  /// A part of an attempt's response has arrived. Returns false if the client reads too slowly: the
+  /// caller then has to wait for InstanceClient::resume().
   bool responseReceived(AttemptKey key, std::string_view part);
-  /// The attempt's last byte is out.
+  /// The last byte of the attempt was written to its connection.
   void attemptWritten(AttemptKey key);
-  /// The attempt is over, be it answered or failed. Does nothing for one that ended before.
+  /// The attempt was answered or has failed. Does nothing if it has ended already.
   void attemptEnded(AttemptKey key, const AttemptResult& result) {
     lifecycle_.endAttempt(key, result);
   }
-  /// An instance answered a reservation that was made beside a prefill. Does nothing once the
-  /// prefill has ended, as the answer comes too late to mean anything.
+  /// An instance answered the reservation request that accompanies a prefill. Does nothing once the
+  /// prefill has ended, as the answer is then too late to be used.
   void reservationAnswered(AttemptKey prefill, const routing::InstanceId& instance, bool granted);
   void healthCheckEnded(const routing::InstanceId& instance, double tookMs, bool healthy);
 
-  // ---- Streams that pass from one process of this router to the next
+  // ---- Hand-over of streams between processes of this router
 
   std::vector<RequestKey> streams() const { return migration_.streams(); }
   std::optional<OpenStream> streamOf(RequestKey key) const { return migration_.streamOf(key); }
-  /// Another process has the request: no answer and no attempt of it is here any more.
+  /// Another process has taken over the request: drops it here without an answer.
   void handedOver(RequestKey key) { migration_.handedOver(key); }
-  /// Goes on with a stream that another process began. Nothing if a request of its id is known
-  /// here.
+  /// Takes over a stream that another process began. Returns nothing if a request with its id is in
+  /// the table.
   std::optional<OpenStream> adopt(const routing::Arrival& arrival,
                                   const routing::InstanceId& instance,
                                   std::shared_ptr<ResponseWriter> responseWriter) {
@@ -110,21 +111,22 @@
   // ---- For operators
 
   std::size_t instancesKnown() const { return context_.endpoints.size(); }
-  /// How many requests are owed an answer or the rest of it.
+  /// How many requests are waiting for their answer or for the rest of it.
   std::size_t openRequests() const { return lifecycle_.openRequests(); }
   /// How many attempts are in flight at an instance.
   std::size_t attemptsInFlightAt(const routing::InstanceId& instance) const {
     return context_.requests.attemptsInFlightAt(instance);
   }
   const RequestMetrics& metrics() const { return context_.metrics; }
-  /// Whether the decision module ejected a listed instance by its own judgement.
+  /// Whether the decision module sends no requests to a listed instance for now, as the instance is
+  /// ejected or silent.
   bool isEjectedOrSilent(const routing::InstanceId& instance) const {
     return loop_.isEjectedOrSilent(instance);
   }
 
  private:
   void configure(const routing::Settings& settings);
-  void answerOverdue(RequestKey key);
+  void failOverdue(RequestKey key);
   bool beginStream(AttemptKey key, std::string_view part);
 
   DispatchContext context_;
--- a/src/core/request_guard.cpp
+++ b/src/core/request_guard.cpp
@@ -52,7 +52,7 @@
   report(context_.permits.checkRejection(request.facts), request);
 }
 
-// Faults of this program: logged with the request's history, so that they can be traced.
+// A violation is a fault of this program, so it is logged with the request's history.
 void RequestGuard::report(const std::vector<Violation>& violations,
                           const RequestState& request) const {
   for (const Violation violation : violations) {
--- a/src/core/request_guard.h
+++ b/src/core/request_guard.h
@@ -1,5 +1,5 @@
-/// Applies the RequestPermits to the requests, attempts and instances in the tables: asked before a
-/// message goes out, and told of what did go out.
+/// Applies the RequestPermits to the requests, attempts and instances in the tables: decides
+/// whether a message may be sent, and checks the messages that were sent.
 #pragma once
 
 #include <vector>
@@ -14,18 +14,19 @@
   RequestGuard(DispatchContext& context, RequestLifecycle& lifecycle)
       : context_(context), lifecycle_(lifecycle) {}
 
-  /// Whether an attempt may go out now. Denials are counted by reason.
+  /// Whether an attempt may be sent now. Denials are counted by reason.
   bool maySend(AttemptKey key);
   /// Whether an instance may be asked for a reservation now.
   bool mayReserve(const routing::InstanceId& instance) const;
   /// Whether the attempt's client is connected and its deadline has not passed.
   bool attemptIsWanted(AttemptKey key);
 
-  /// Counts and logs the rules that an attempt breaks which begins now.
+  /// Counts and logs the rules that the start of a new attempt violates.
   void checkAttempt(const RequestState& request) const;
-  /// Counts and logs the rules that an attempt breaks whose last byte has gone out now.
+  /// Counts and logs the rules that an attempt to the instance violates whose last byte was just
+  /// written.
   void checkWritten(const RequestState& request, const routing::InstanceId& instance) const;
-  /// Counts and logs the rules that a rejection of the request breaks.
+  /// Counts and logs the rules that a rejection of the request violates.
   void checkRejection(const RequestState& request) const;
 
  private:
--- a/src/core/request_lifecycle.cpp
+++ b/src/core/request_lifecycle.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::string_view kCounterPrefix = "attempts.";
 
-// The counter of an outcome; what follows kCounterPrefix stands in the log.
+// The counter of an outcome. The part after kCounterPrefix is also used in log lines.
 const char* counterOf(AttemptOutcome outcome) {
   switch (outcome) {
     case AttemptOutcome::kServed:
@@ -42,9 +42,9 @@
   return instance->isPrefill ? "_reading" : "_answering";
 }
 
-// Whether the connection was closed from this side while the instance may still work on it. An
-// answer that cannot be read is closed as well.
-bool closedFromHere(const RequestState& request, AttemptOutcome outcome) {
+// Whether the router closed the connection while the instance may still be processing the attempt.
+// A connection with an unreadable answer is closed as well.
+bool closedByRouter(const RequestState& request, AttemptOutcome outcome) {
   switch (outcome) {
     case AttemptOutcome::kCancelled:
     case AttemptOutcome::kTimeout:
@@ -113,7 +113,7 @@
       abortAttempt(attempt, AttemptOutcome::kCancelled);
 }
 
-// While the decision module handles an event, its actions may still name the request.
+// While the decision module handles an event, its actions may still refer to the request.
 void RequestLifecycle::removeIfComplete(RequestKey key) {
   const RequestState* request = context_.requests.find(key);
   if (request == nullptr || request->responseWriter || request->attemptsInFlight != 0 ||
@@ -141,7 +141,7 @@
   return false;
 }
 
-// The attempt is removed here and only here, so that it cannot end a second time.
+// Attempts are removed only here, so that none can end twice.
 void RequestLifecycle::endAttempt(AttemptKey key, const AttemptResult& result) {
   AttemptState* attempt = context_.requests.findAttempt(key);
   if (attempt == nullptr)
@@ -175,7 +175,7 @@
   const char* counter = counterOf(result.outcome);
   ++context_.counters[counter];
   request.lastEndedMs = context_.nowMs();
-  if (closedFromHere(request, result.outcome))
+  if (closedByRouter(request, result.outcome))
     request.lastClosedMs = context_.nowMs();
   request.lastOutcome = counter + kCounterPrefix.size();
   request.lastInstanceRole = roleOf(context_.endpoints.find(attempt.instance));
--- a/src/core/request_lifecycle.h
+++ b/src/core/request_lifecycle.h
@@ -1,6 +1,6 @@
-/// Begins and ends requests and attempts, and nothing else does. Holds two invariants whatever the
-/// decision module, clients and instances do: a request gets one final answer, and each
-/// DispatchAttempt gets one AttemptEnded.
+/// The only component that begins and ends requests and ends attempts. Maintains two invariants
+/// whatever the decision module, clients and instances do: a request gets one final answer, and
+/// each DispatchAttempt gets one AttemptEnded.
 #pragma once
 
 #include <cstddef>
@@ -17,17 +17,18 @@
  public:
   RequestLifecycle(DispatchContext& context, DecisionLoop& loop) : context_(context), loop_(loop) {}
 
-  /// To be called before all else, and again with later settings.
+  /// Has to be called before any other function, and again when the settings change.
   void configure(const routing::Settings& settings) { classes_ = settings.classes; }
 
-  /// Adds a request that is owed an answer. No request of its id may be in the table.
+  /// Adds a request that has to be answered. The table must not contain a request with its id.
   RequestKey beginRequest(const routing::Arrival& arrival,
                           std::shared_ptr<const Payload> payload,
                           std::shared_ptr<ResponseWriter> responseWriter);
-  /// Ends the request for its client. Whoever gets the writer is the only one to use it from now
-  /// on, and gives the final answer.
+  /// Ends the request for its client. The caller gets the only reference to the writer and has to
+  /// give the final answer, if there is one.
   std::shared_ptr<ResponseWriter> concludeRequest(RequestState& request, RequestOutcome outcome);
-  /// Tells the decision module that nobody waits for a concluded request, and cancels its attempts.
+  /// Reports to the decision module that a concluded request was abandoned, and has its attempts
+  /// cancelled.
   void abandonRequest(RequestKey key);
   /// Cancels the attempts of all requests that were abandoned since the last call, whether or not
   /// the decision module may cancel.
@@ -36,17 +37,16 @@
   void removeIfComplete(RequestKey key);
 
   void clientDisconnected(RequestKey key);
-  /// Whether the request's client is connected, as its machine has said up to this moment. Its
-  /// close may have come while the handler of it still waits for its turn: then the request ends
-  /// here.
+  /// Whether the request's client is connected, checked on its connection now. The client's close
+  /// may have arrived although its handler has not run yet: the request is then ended here.
   bool clientPresent(RequestKey key);
 
-  /// Ends an attempt that its instance has answered, or that has failed.
+  /// Ends an attempt that was answered or has failed.
   void endAttempt(AttemptKey key, const AttemptResult& result);
   /// Closes the connection of an attempt and ends it.
   void abortAttempt(AttemptKey key, routing::AttemptOutcome outcome);
 
-  /// How many requests are owed an answer or the rest of it.
+  /// How many requests are waiting for their answer or for the rest of it.
   std::size_t openRequests() const { return openRequests_; }
 
  private:
--- a/src/core/request_metrics.h
+++ b/src/core/request_metrics.h
@@ -1,6 +1,6 @@
-/// Request metrics by class, as /metrics and OTLP report them. Counted where requests begin and end
-/// and nowhere else, so that at every moment
-/// received = ok + shed + errors + abandoned + handedOver + open. Belongs to one thread.
+/// Request metrics by class, as reported by /metrics and OTLP. Counted only where requests begin
+/// and end, so that at every moment received = ok + shed + errors + abandoned + handedOver + open.
+/// Not thread-safe.
 #pragma once
 
 #include <cstddef>
@@ -15,7 +15,7 @@
   kShed,        ///< rejected; it has not run
   kError,       ///< failed, or its stream broke off
   kAbandoned,   ///< its client disconnected
-  kHandedOver,  ///< another process of this router goes on with it
+  kHandedOver,  ///< another process of this router has taken it over
 };
 
 /// The totals of one class since the start of the process.
@@ -26,10 +26,10 @@
   std::uint64_t open = 0;        ///< begun and not ended
 };
 
-/// Counts requests by class index. An index beyond ensureClasses() is counted nowhere.
+/// Counts requests by class index. An index beyond ensureClasses() is ignored.
 class RequestMetrics {
  public:
-  /// Makes room for so many classes. Classes are only ever added: their indices stay.
+  /// Grows the table to this many classes. Classes are never removed, so their indices stay valid.
   void ensureClasses(std::size_t count) {
     if (count > byClass_.size())
       byClass_.resize(count);
--- a/src/core/request_permits.cpp
+++ b/src/core/request_permits.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-// The share of the drain grace in which attempts begin. The rest is for what happens between permit
-// and last byte: connecting, and a busy core.
+// The share of the drain grace period in which attempts may begin. The rest covers the time between
+// the permit and the last byte: connecting, and delays on a busy core.
 constexpr double kUsableDrainGraceShare = 0.8;
 
 }  // namespace
--- a/src/core/request_permits.h
+++ b/src/core/request_permits.h
@@ -1,5 +1,5 @@
-/// Decides what may happen now for a request, by the facts that the core has, each answer with its
-/// reason; and checks what does happen against the rules of the protocol. All attempts,
+/// Decides whether an attempt or a reservation may be sent for a request and gives the reason if
+/// not; and checks attempts and rejections against the rules of the protocol. All attempts,
 /// reservations and rejections of the core are checked here. No I/O; all times are of core::Clock,
 /// in milliseconds.
 #pragma once
@@ -14,51 +14,52 @@
 
 namespace inference_router::core {
 
-/// Whether something may happen now, or why not.
+/// Whether a message may be sent now, or why not.
 enum class Permit {
   kAllowed,
-  kUnknownInstance,  ///< the endpoint list does not name it
-  kDrained,          ///< its drain grace has almost passed
-  kRetryWindowOver,  ///< the window in which this request may be repeated has passed
+  kUnknownInstance,  ///< the instance is not in the endpoint list
+  kDrained,          ///< the drain grace period of the instance has almost passed
+  kRetryWindowOver,  ///< the window in which the request may be repeated has passed
   kClientGone,
   kDeadlineOver,
-  kAnswered,  ///< its final answer is given
+  kAnswered,  ///< the final answer was given
   kStreaming,
 };
-/// The name that counters carry.
+/// The name that is used in counters.
 const char* nameOf(Permit permit);
 
-/// A rule of the protocol that was broken although the permits allowed it: a fault of this program.
+/// A violated rule of the protocol. The permits should have prevented it, so it is a fault of this
+/// program.
 enum class Violation {
-  kRepeatedEffect,         ///< an attempt, though an earlier one may have run and its class
-                           ///< forbids a repeat
-  kUnexpectedHedge,        ///< an attempt, though another one is in flight and hedged requests are
-                           ///< not allowed
-  kRejectedAfterEffect,    ///< a rejection, though an attempt may have run and its class forbids a
-                           ///< repeat
-  kRejectedDuringAttempt,  ///< a rejection, though an attempt is in flight
+  kRepeatedEffect,       ///< an attempt although an earlier one may have run and the class forbids
+                         ///< repeats
+  kUnexpectedHedge,      ///< an attempt although another one is in flight and hedged requests are
+                         ///< not allowed
+  kRejectedAfterEffect,  ///< a rejection although an attempt may have run and the class forbids
+                         ///< repeats
+  kRejectedDuringAttempt,  ///< a rejection although an attempt is in flight
   kSentAfterDeadline,
   kSentToDrained,
   kCount,
 };
-/// The name that counters and log lines carry.
+/// The name that is used in counters and log lines.
 const char* nameOf(Violation violation);
 
-/// What the endpoint list last said of an instance.
+/// The state of an instance according to the endpoint list.
 struct InstanceFacts {
   bool listed = false;
-  bool isPrefill = false;                 ///< attempts there have no effect
-  std::optional<double> drainingSinceMs;  ///< when the list first said that it drains or is removed
+  bool isPrefill = false;                 ///< attempts at a prefill instance have no effect
+  std::optional<double> drainingSinceMs;  ///< when first listed as draining or removed
 };
 
-/// One attempt of a request, for its rules and for the log.
+/// One attempt of a request, as needed by the rules and for the log.
 struct AttemptHistory {
   std::string instance;
   bool isPrefill = false;
   double sentMs = 0;
   bool inFlight = true;
   const char* outcome = "out";
-  bool mayHaveRun = true;  ///< no outcome has proved that it never ran
+  bool mayHaveRun = true;  ///< false once its outcome proves that it never ran
 };
 
 /// What the core knows of a request.
@@ -67,7 +68,7 @@
   bool deduplicatedEverywhere = false;  ///< every instance recognises a repeat of this request
   double dedupWindowMs = 0;             ///< of a deduplicated class
   bool answered =
-      false;  ///< its final answer is given, or its client is known to have disconnected
+      false;  ///< the final answer was given, or the client is known to have disconnected
   bool streaming = false;
   double deadlineMs = 0;
   std::vector<AttemptHistory> attempts;
@@ -78,17 +79,17 @@
   bool anyInFlight() const;
 };
 
-/// The rules, under the site's settings.
+/// The rules, with the limits of the settings.
 class RequestPermits {
  public:
-  /// To be called before all else, and again with later settings.
+  /// Has to be called before any other function, and again when the settings change.
   void configure(double drainGraceMs, bool hedgedRequests);
 
-  /// Whether an attempt or a reservation may go to an instance.
+  /// Whether an attempt or a reservation may be sent to an instance.
   Permit toInstance(const InstanceFacts* instance, double nowMs) const;
-  /// Whether an attempt may go out for the request: retryWindowEndMs ends the time for
-  /// repeats. Whether its
-  /// client is there is asked of its connection, and only if nothing else forbids the attempt.
+  /// Whether an attempt may be sent for the request. Repeats are allowed until retryWindowEndMs.
+  /// clientPresent() checks the client's connection and is called only if nothing else forbids the
+  /// attempt.
   template <typename ClientPresent>
   Permit attempt(const RequestFacts& request,
                  const InstanceFacts* instance,
@@ -109,13 +110,14 @@
     return clientPresent() ? Permit::kAllowed : Permit::kClientGone;
   }
 
-  /// The rules that an attempt breaks which begins now; the request's history does not hold it yet.
+  /// The rules that the start of a new attempt violates. The request's history must not contain the
+  /// attempt yet.
   std::vector<Violation> checkAttempt(const RequestFacts& request) const;
-  /// The rules that an attempt breaks whose last byte has gone out now.
+  /// The rules that an attempt violates whose last byte was written at nowMs.
   std::vector<Violation> checkWritten(const RequestFacts& request,
                                       const InstanceFacts* instance,
                                       double nowMs) const;
-  /// The rules that a rejection breaks, which says that the request has not run.
+  /// The rules that a rejection violates, as it states that the request has not run.
   std::vector<Violation> checkRejection(const RequestFacts& request) const;
 
  private:
--- a/src/core/request_table.h
+++ b/src/core/request_table.h
@@ -1,5 +1,5 @@
-/// The state of all requests and attempts that the process knows, by key and by request id. Belongs
-/// to one thread.
+/// The state of all requests and attempts of the process, by key and by request id. Not
+/// thread-safe.
 #pragma once
 
 #include <cstddef>
@@ -19,35 +19,35 @@
 /// One attempt in flight. Times are of core::Clock.
 struct AttemptState {
   RequestKey request;
-  int number = 0;  ///< among the attempts of its request, from 0
+  int number = 0;  ///< index among the attempts of its request
   routing::InstanceId instance;
   double startedMs = 0;
-  routing::Time retryWindowEnd = routing::Time::max();  ///< nothing of it goes out from then on
-  bool streaming = false;                               ///< the first part of its response has come
+  routing::Time retryWindowEnd = routing::Time::max();  ///< not sent from then on
+  bool streaming = false;                               ///< its response has begun
   Timer timeout;
 };
 
-/// One request, until it is answered and none of its attempts is in flight.
+/// One request, kept until it is answered and none of its attempts is in flight.
 struct RequestState {
   routing::RequestId id;
   routing::Arrival arrival;
   std::size_t cls = 0;  ///< index of its class in the settings
   std::shared_ptr<const Payload> payload;
-  /// Null once the final answer is given or the client has disconnected.
+  /// Null once the final answer was given or the client has disconnected.
   std::shared_ptr<ResponseWriter> responseWriter;
-  std::vector<AttemptKey> attempts;  ///< by number; those that have ended too
+  std::vector<AttemptKey> attempts;  ///< by number, including those that have ended
   std::size_t attemptsInFlight = 0;
   RequestFacts facts;
-  double lastClosedMs = 0;  ///< when this side last closed the connection of an attempt
+  double lastClosedMs = 0;  ///< when the router last closed the connection of an attempt
   double lastEndedMs = 0;   ///< when an attempt last ended
-  AttemptKey stream;        ///< the attempt whose response the client gets
-  /// Of the attempt that ended last, as parts of a counter's name.
+  AttemptKey stream;        ///< the attempt whose response is streamed to the client
+  /// Outcome and instance role of the attempt that ended last, as parts of a counter's name.
   const char* lastOutcome = "nothing_sent";
   const char* lastInstanceRole = "";
-  Timer overdue;  ///< fires when the decision module left the request without an answer
+  Timer overdue;  ///< fires if the decision module leaves the request without an answer
 };
 
-/// Owns the states. Pointers are valid until the next add of the same kind.
+/// Owns the states. Pointers are valid until the next request or attempt, respectively, is added.
 class RequestTable {
  public:
   bool contains(const routing::RequestId& id) const { return keys_.count(id) != 0; }
@@ -65,7 +65,7 @@
   AttemptKey addAttempt(AttemptState attempt);
   AttemptState* findAttempt(AttemptKey key) { return attempts_.find(key); }
   const AttemptState* findAttempt(AttemptKey key) const { return attempts_.find(key); }
-  /// Removes an attempt that has ended. Its key stays in its request's list.
+  /// Removes an attempt that has ended. Its key stays in the list of its request.
   void removeAttempt(AttemptKey key);
   std::size_t attemptsInFlightAt(const routing::InstanceId& instance) const;
 
--- a/src/core/slot_table.h
+++ b/src/core/slot_table.h
@@ -1,5 +1,5 @@
-/// A table of numbered slots that are used again. A key names slot and generation, so that a stale
-/// key finds nothing instead of the slot's present value. Belongs to one thread.
+/// A table of reusable slots. A key consists of a slot and its generation, so that a stale key
+/// finds nothing rather than the slot's current value. Not thread-safe.
 #pragma once
 
 #include <cstddef>
@@ -10,7 +10,7 @@
 
 namespace inference_router::core {
 
-/// Names one value of a SlotTable. A default-constructed key names none.
+/// Identifies one value of a SlotTable. A default-constructed key identifies none.
 struct SlotKey {
   std::uint32_t slot = UINT32_MAX;
   std::uint32_t generation = 0;
@@ -43,7 +43,7 @@
 
   const Value* find(SlotKey key) const { return const_cast<SlotTable*>(this)->find(key); }
 
-  /// Destroys the value and frees its slot. False if the key names none.
+  /// Destroys the value and frees its slot. False if there is no such value.
   bool remove(SlotKey key) {
     if (find(key) == nullptr)
       return false;
--- a/src/core/stream_migration.cpp
+++ b/src/core/stream_migration.cpp
@@ -8,8 +8,9 @@
 
 namespace {
 
-// A stream that is to be broken off is checked this often until what has come of it is passed on. A
-// client that reads slowly may keep that from happening, and for no longer than all checks.
+// Before a stream is aborted, it is checked at this interval until everything that has arrived is
+// passed on to its client. A slow client can delay the abort for at most kMaxUnreadChecks
+// intervals.
 constexpr double kUnreadCheckIntervalMs = 5;
 constexpr int kMaxUnreadChecks = 20;
 
@@ -71,20 +72,21 @@
 void StreamMigration::migrate(const MigrateStream& action) {
   const RequestState* request = context_.requests.find(action.request);
   if (request != nullptr && request->facts.streaming)
-    breakOffOnceRead(request->stream, kMaxUnreadChecks);
+    abortOnceRead(request->stream, kMaxUnreadChecks);
 }
 
-// Guards a stream that its instance has finished: what has come is passed on first, and with it
-// perhaps the end.
-void StreamMigration::breakOffOnceRead(AttemptKey key, int checksLeft) {
+// What has arrived is passed on first, as it may contain the end of a stream that the instance has
+// finished.
+void StreamMigration::abortOnceRead(AttemptKey key, int remainingChecks) {
   const AttemptState* attempt = context_.requests.findAttempt(key);
   if (attempt == nullptr)
     return;
   const RequestState* request = context_.requests.find(attempt->request);
-  if (request->responseWriter && checksLeft > 0 &&
+  if (request->responseWriter && remainingChecks > 0 &&
       context_.instanceClient->hasUnreadResponse(key)) {
-    context_.timers.runAt(context_.nowMs() + kUnreadCheckIntervalMs,
-                          [this, key, checksLeft] { breakOffOnceRead(key, checksLeft - 1); });
+    context_.timers.runAt(context_.nowMs() + kUnreadCheckIntervalMs, [this, key, remainingChecks] {
+      abortOnceRead(key, remainingChecks - 1);
+    });
     return;
   }
   lifecycle_.abortAttempt(key, AttemptOutcome::kConnectionLost);
--- a/src/core/stream_migration.h
+++ b/src/core/stream_migration.h
@@ -1,5 +1,5 @@
-/// Streams that go on elsewhere: in the process that replaces this one, which adopts them, or at
-/// another router, to which a client comes back when its stream breaks off.
+/// Moves streams elsewhere: to the process that replaces this one, which adopts them, or to another
+/// router, to which a client reconnects when its stream is aborted.
 #pragma once
 
 #include <memory>
@@ -26,22 +26,23 @@
   StreamMigration(DispatchContext& context, DecisionLoop& loop, RequestLifecycle& lifecycle)
       : context_(context), loop_(loop), lifecycle_(lifecycle) {}
 
-  /// All requests that can be handed over now.
+  /// All requests whose streams can be handed over now.
   std::vector<RequestKey> streams() const;
   /// The stream of a request; nothing if the request cannot be handed over now.
   std::optional<OpenStream> streamOf(RequestKey key) const;
-  /// Ends a request here that another process goes on with: its client gets nothing from here.
+  /// Ends a request that another process has taken over, without an answer from this process.
   void handedOver(RequestKey key);
-  /// Takes over a stream that another process began. Nothing if a request of its id is known here.
+  /// Takes over a stream that another process began. Nothing if a request with its id is in the
+  /// table.
   std::optional<OpenStream> adopt(const routing::Arrival& arrival,
                                   const routing::InstanceId& instance,
                                   std::shared_ptr<ResponseWriter> responseWriter);
 
-  /// Breaks off a stream, so that its client comes back through another router.
+  /// Aborts a stream, so that its client reconnects through another router.
   void migrate(const routing::MigrateStream& action);
 
  private:
-  void breakOffOnceRead(AttemptKey key, int checksLeft);
+  void abortOnceRead(AttemptKey key, int remainingChecks);
 
   DispatchContext& context_;
   DecisionLoop& loop_;
--- a/src/core/timer_queue.h
+++ b/src/core/timer_queue.h
@@ -1,6 +1,6 @@
-/// All timers of the process in one ordered structure. Whoever runs the process arms one system
-/// timer for nextMs() and calls runDue() when it fires; tests set the clock and call runDue()
-/// themselves. Belongs to one thread.
+/// All timers of the process in one ordered queue. The owner of the event loop arms one system
+/// timer for next() and calls runDue() when it fires; tests set the clock and call runDue()
+/// themselves. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 
 class TimerQueue;
 
-/// Owns one scheduled task: cancels it when destroyed or assigned to. May outlive its queue.
+/// Handle of one scheduled task: cancels it when destroyed or assigned to. May outlive its queue.
 class Timer {
  public:
   Timer() = default;
@@ -32,13 +32,13 @@
   Timer(const Timer&) = delete;
   Timer& operator=(const Timer&) = delete;
 
-  /// The task will not run. Does nothing if it has begun, was cancelled or was never scheduled.
+  /// Cancels the task. Does nothing if it has begun, was cancelled or was never scheduled.
   void cancel() {
     if (const auto tasks = key_ ? tasks_.lock() : nullptr)
       tasks->erase(*key_);
     key_.reset();
   }
-  /// Whether the task is still to run; false from the moment in which it begins.
+  /// Whether the task is still scheduled; false as soon as it begins.
   bool armed() const {
     const auto tasks = key_ ? tasks_.lock() : nullptr;
     return tasks != nullptr && tasks->count(*key_) != 0;
@@ -55,7 +55,7 @@
   std::optional<Key> key_;
 };
 
-/// The ordered structure. Tasks that are due at the same time run in the order of their addition.
+/// The queue. Tasks that are due at the same time run in the order in which they were added.
 class TimerQueue {
  public:
   using Task = std::function<void()>;
@@ -64,12 +64,12 @@
   TimerQueue(const TimerQueue&) = delete;
   TimerQueue& operator=(const TimerQueue&) = delete;
 
-  /// Runs the task at this time of the process's monotonic clock, in milliseconds, unless the
-  /// returned handle is destroyed before.
+  /// Runs the task at this time of the monotonic clock, in milliseconds, unless the returned handle
+  /// is destroyed before.
   [[nodiscard]] Timer schedule(double atMs, Task task) {
     return Timer(tasks_, add(atMs, std::move(task)));
   }
-  /// The same without a handle: the task runs in any case, as long as the queue lives.
+  /// Like schedule(), but without a handle: the task cannot be cancelled.
   void runAt(double atMs, Task task) { add(atMs, std::move(task)); }
 
   /// The time of the first task; nothing if there is none.
@@ -77,8 +77,8 @@
     return tasks_->empty() ? std::nullopt : std::optional(tasks_->begin()->first.first);
   }
 
-  /// Runs all tasks that are due. One that is added meanwhile waits for the next call, even if it
-  /// is due: no loop of timers can starve the sockets.
+  /// Runs all tasks that are due. A task that is added meanwhile waits for the next call, even if
+  /// it is due, so that timers that reschedule themselves cannot starve the sockets.
   void runDue(double nowMs) {
     const std::uint64_t lastAdded = added_;
     auto next = tasks_->begin();
@@ -97,8 +97,8 @@
     }
   }
 
-  /// Calls the task whenever a new timer comes before all others, so that the system timer can be
-  /// set again.
+  /// Sets a task that is called whenever a new timer is due before all others, so that the system
+  /// timer can be rearmed.
   void onEarlier(Task task) { onEarlier_ = std::move(task); }
 
  private:
