--- a/src/upstream/attempt_call.cpp
+++ b/src/upstream/attempt_call.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-constexpr double kTransmissionMs = 75;      // for what was written to be read by its instance
-constexpr double kLastChunkLimitMs = 1000;  // to follow the event that ends a stream
-// Without an event on a stream that has begun: its client may be left waiting 5 s. Slow instances
-// send every few seconds at worst.
+constexpr double kTransmissionMs = 75;      // until the instance has read what was written
+constexpr double kLastChunkLimitMs = 1000;  // from the last event of a stream to its last chunk
+// Time without an event after which a stream counts as stalled. Clients may be left waiting for at
+// most 5 s; slow instances send an event every few seconds at worst.
 constexpr double kStallLimitMs = 4200;
-constexpr int kMinPartsOfStream = 2;  // a single part may be an answer that is no stream
+constexpr int kMinPartsOfStream = 2;  // a single part may be an answer that is not a stream
 
 constexpr unsigned kServedStatus = 200;
 constexpr unsigned kPrefilledStatus = 202;
@@ -69,13 +69,13 @@
     reserveAt_ = instance;
 }
 
-// ---- Of the request
+// ---- Request
 
 bool HttpInstanceClient::AttemptCall::ready() {
   return client_.dispatcher_.maySend(key_);
 }
 
-// Rounded down: the instance is given no more time than the client has left.
+// Rounded down, so that the instance does not get more time than the client has left.
 net::Fields HttpInstanceClient::AttemptCall::fieldsAsWritten() {
   const double leftMs = std::max(0.0, std::floor(deadlineMs_ - nowMs()));
   return {{client_.protocol_.budgetHeader, std::to_string(static_cast<long>(leftMs))}};
@@ -84,32 +84,32 @@
 void HttpInstanceClient::AttemptCall::written() {
   writtenMs_ = nowMs();
   if (!isPrefill_)
-    scheduleReleaseBeside();
+    scheduleReleaseDuringAttempt();
   client_.dispatcher_.attemptWritten(key_);
   if (reserveAt_)
     client_.reservations_.reserve(request_, key_, *std::exchange(reserveAt_, std::nullopt));
 }
 
-// Guards the KV cache that a decode instance is to take: an attempt that was sent to an instance
-// which no longer reads this connection, or that was answered with a piece of no stream, has taken
-// nothing, and the time of what is held goes on. Where it did arrive, the release takes nothing
-// from it.
-void HttpInstanceClient::AttemptCall::scheduleReleaseBeside() {
+// An attempt whose instance no longer reads the connection, or sends only one part that may not
+// belong to a stream, may not have fetched the KV cache, which then stays held beyond its time
+// limit. So it is released while the attempt is in flight. If the attempt did arrive, the release
+// does not affect it.
+void HttpInstanceClient::AttemptCall::scheduleReleaseDuringAttempt() {
   releaseTimer_ = client_.services_.timers.schedule(acceptedByMs(), [this] {
     if (partsWithEvents_ < kMinPartsOfStream)
-      client_.releases_.releaseBeside(request_);
+      client_.releases_.releaseDuringAttempt(request_);
   });
 }
 
-// By when the instance has taken what is held for the request. The time of that goes on since the
-// last attempt ended, however late this one was written; but it has a moment to arrive, as a
-// release that overtook it would take its KV cache.
+// When the instance should have fetched what is held for the request. The time limit of the held
+// state counts from the end of the last attempt, however late this one was written. The attempt
+// still gets kTransmissionMs to arrive, as a release that overtook it would free its KV cache.
 double HttpInstanceClient::AttemptCall::acceptedByMs() const {
   const double heldSinceMs = lastAttemptEndedMs_ > 0 ? lastAttemptEndedMs_ : writtenMs_;
   return std::max(heldSinceMs + client_.releaseLimitMs_, writtenMs_ + kTransmissionMs);
 }
 
-// ---- Of the response
+// ---- Response
 
 void HttpInstanceClient::AttemptCall::head(const net::ResponseHead& head) {
   status_ = head.result_int();
@@ -130,13 +130,13 @@
   if (events_.finished() && !lastChunkTimer_.armed())
     limitLastChunk();
   if (events->empty())
-    return true;  // part of an event is no sign of life to the client
+    return true;  // an incomplete event is not passed on, so it does not count as progress
   streaming_ = true;
   ++partsWithEvents_;
   restartStallTimer();
   if (client_.dispatcher_.responseReceived(key_, *events))
     return true;
-  stallTimer_.cancel();  // a slow client holds the stream back, not its instance
+  stallTimer_.cancel();  // the client is slow, not the instance
   return false;
 }
 
@@ -145,7 +145,7 @@
       client_.services_.timers.schedule(nowMs() + kLastChunkLimitMs, [this] { call_->garbled(); });
 }
 
-// Guards a client against an instance that goes silent in the middle of its response.
+// Ends the attempt if the instance stops sending in the middle of its response.
 void HttpInstanceClient::AttemptCall::restartStallTimer() {
   stallTimer_.cancel();
   if (!streaming_ || call_->state() == net::Call::State::kOver)
@@ -158,7 +158,7 @@
   });
 }
 
-// A last chunk ahead of the event that ends a stream is none of a complete stream.
+// A body that ends before the last event of its stream is incomplete.
 void HttpInstanceClient::AttemptCall::done() {
   if (status_ == kServedStatus && !events_.finished())
     return failed(net::CallFailure::kGarbled);
@@ -166,10 +166,10 @@
 }
 
 void HttpInstanceClient::AttemptCall::failed(net::CallFailure why) {
-  // Any instance may send a spoilt answer now and then: it runs, and is not to be ejected as one
-  // that is lost. The request may have run, as after any error. A head comes with the first token:
-  // a decode instance that sent one, however spoilt, had fetched the KV cache, and the next would
-  // have to process the whole prompt itself.
+  // Any instance may send a malformed answer now and then. It is running and must not be ejected as
+  // unreachable. The request may have run, as after any error. A head is sent with the first token,
+  // so a decode instance that sent a head, even a malformed one, had fetched the KV cache, and the
+  // next instance would have to process the whole prompt itself.
   if (why == net::CallFailure::kGarbled) {
     ++client_.services_.counters["answers.garbled"];
     return end({.outcome = outcomeOf(why), .kvCacheLost = true});
@@ -177,7 +177,7 @@
   InstanceDirectory& directory = client_.services_.directory;
   if (why != net::CallFailure::kWithdrawn)
     directory.recordFailure(instance_, nowMs());
-  // After a reset the other idle connections to that instance are as dead as this one was.
+  // After a reset the other idle connections to that instance are assumed to be dead, too.
   if (why == net::CallFailure::kReset)
     if (const InstanceEndpoint* endpoint = directory.find(instance_))
       client_.services_.pool.dropIdle(endpoint->address);
@@ -189,9 +189,9 @@
     return {.outcome = AttemptOutcome::kServed, .cachedTokens = usage_.cachedTokens()};
   if (status_ == kPrefilledStatus)
     return {.outcome = AttemptOutcome::kPrefilled, .cachedTokens = usage_.cachedTokens()};
-  // Guards against a late second answer to the request before, which would be taken for a proof
-  // that this one never ran: nothing in an answer names its request, so it proves that on a fresh
-  // connection alone.
+  // A second, late answer to the previous request on the connection could be mistaken for a proof
+  // that this request never ran, as answers do not identify their request. So a rejection is a
+  // proof only on a fresh connection.
   const bool doubtful = !freshConnection_;
   if (rejected_ && status_ == kCacheLostStatus)
     return {.outcome = AttemptOutcome::kRejected, .kvCacheLost = true, .doubtful = doubtful};
@@ -204,7 +204,7 @@
   lastChunkTimer_.cancel();
   stallTimer_.cancel();
   releaseTimer_.cancel();
-  // The client's entry may be the last that owns this.
+  // The client's entry may hold the last reference to this object.
   HttpInstanceClient& client = client_;
   const core::AttemptKey key = key_;
   const bool isPrefill = isPrefill_;
--- a/src/upstream/attempt_call.h
+++ b/src/upstream/attempt_call.h
@@ -16,15 +16,16 @@
 
 namespace inference_router::upstream {
 
-/// Reports what happens to the attempt to the RequestDispatcher. Owned by its client while the
-/// attempt is in flight, and by its call while that runs.
+/// Reports the progress of the attempt to the RequestDispatcher. Owned by its client while the
+/// attempt is in flight, and by its call while that is in progress.
 class HttpInstanceClient::AttemptCall final : public net::CallSink {
  public:
   AttemptCall(HttpInstanceClient& client, const core::Dispatch& dispatch);
 
-  /// The call that this is the sink of; to be set before anything happens to it.
+  /// Sets the call whose events this sink receives. Has to be called before the first event.
   void setCall(std::shared_ptr<net::Call> call) { call_ = std::move(call); }
-  /// Goes on with a stream that another process began, whose head and first events were passed on.
+  /// Continues a stream that another process began, whose head and first events were passed on
+  /// there.
   void adopt(const std::string& incompleteEvent);
 
   core::AttemptKey key() const { return key_; }
@@ -32,19 +33,19 @@
   net::Call& call() { return *call_; }
   bool isPrefill() const { return isPrefill_; }
   bool isWritten() const { return writtenMs_ < HUGE_VAL; }
-  /// Whether the event that ends a stream has come.
+  /// Whether the last event of the stream has arrived.
   bool finished() const { return events_.finished(); }
-  /// The part of an event that has come, while it is not complete.
+  /// The part of an incomplete event that has arrived.
   const std::string& incompleteEvent() const { return events_.incompleteEvent(); }
 
-  /// From when on a release beside the attempt cannot take what the attempt goes on with. A prefill
-  /// that is not written yet has nothing, however long its connection takes to come up; a decode
-  /// attempt needs the KV cache that waits for it.
+  /// From when on a release of the request does not affect this attempt. A prefill that is not
+  /// written yet holds nothing, however long its connection takes to be established; a decode
+  /// attempt needs the KV cache until it has fetched it.
   double releaseAllowedFromMs() const;
-  /// Reserves capacity at a decode instance right after the last byte of this prefill: before it
-  /// the instance knows of no prefill.
+  /// Reserves capacity at a decode instance right after the last byte of this prefill was written:
+  /// before that, the instance does not know of the prefill.
   void reserveOnceWritten(const routing::InstanceId& instance);
-  /// Ends the attempt if nothing comes on its stream for too long from now on.
+  /// Restarts the timer that ends the attempt if its stream stalls.
   void restartStallTimer();
 
   bool ready() override;
@@ -56,7 +57,7 @@
   void failed(net::CallFailure why) override;
 
  private:
-  void scheduleReleaseBeside();
+  void scheduleReleaseDuringAttempt();
   double acceptedByMs() const;
   void limitLastChunk();
   core::AttemptResult result() const;
@@ -68,15 +69,15 @@
   routing::RequestId request_;
   routing::InstanceId instance_;
   std::shared_ptr<net::Call> call_;
-  std::optional<routing::InstanceId> reserveAt_;  // once this is written
+  std::optional<routing::InstanceId> reserveAt_;  // once the prefill is written
   UsageReader usage_;
   EventStreamFilter events_;
   core::Timer lastChunkTimer_;
   core::Timer stallTimer_;
   core::Timer releaseTimer_;
-  double deadlineMs_;            // its response is waited for until then
-  double lastAttemptEndedMs_;    // of its request; 0: there was none
-  double writtenMs_ = HUGE_VAL;  // when its last byte was
+  double deadlineMs_;            // the response has to arrive before
+  double lastAttemptEndedMs_;    // when an attempt of the request last ended; 0: none has
+  double writtenMs_ = HUGE_VAL;  // when the last byte was written
   int partsWithEvents_ = 0;
   unsigned status_ = 0;
   bool isPrefill_;
--- a/src/upstream/event_stream_filter.h
+++ b/src/upstream/event_stream_filter.h
@@ -1,6 +1,6 @@
-/// Passes on whole server-sent events only, and detects at once what is no event stream: the first
-/// event of an attempt ties its request to it, so half an event, noise or a chunk of a wrong size
-/// must not pass.
+/// Passes on complete server-sent events only, and detects at once a response that is not an event
+/// stream. The first event of an attempt commits its request to that attempt, so incomplete events,
+/// invalid bytes and chunks of a wrong size must not be passed on.
 #pragma once
 
 #include <array>
@@ -13,16 +13,16 @@
 
 class EventStreamFilter {
  public:
-  /// Of an event in bytes: as large as a body may be.
+  /// The maximum size of one event, as large as a request body may be.
   static constexpr std::size_t kMaxEventBytes = std::size_t{256} * 1024;
 
-  /// Adds a part of a response and returns the events that are complete by now and were not
-  /// returned before. Nothing if this is no event stream, or an event is too large.
+  /// Adds a part of a response and returns the events that it completes. Returns nothing if this is
+  /// not an event stream or an event is too large.
   std::optional<std::string> push(std::string_view part) {
     buffer_ += part;
     for (std::size_t lineEnd = buffer_.find('\n', lineBegin_); lineEnd != std::string::npos;
          lineEnd = buffer_.find('\n', lineBegin_)) {
-      if (!takeLine(lineEnd))
+      if (!consumeLine(lineEnd))
         return std::nullopt;
     }
     if (!isField(std::string_view(buffer_).substr(lineBegin_), /*complete=*/false))
@@ -36,14 +36,14 @@
     return events;
   }
 
-  /// The part of an event that has come, while it is not complete.
+  /// The part of an incomplete event that has arrived.
   const std::string& incompleteEvent() const { return buffer_; }
-  /// Whether the event that ends a stream has come.
+  /// Whether the last event of the stream has arrived.
   bool finished() const { return finished_; }
 
  private:
-  // False if the line that ends there is none of an event stream.
-  bool takeLine(std::size_t lineEnd) {
+  // Consumes the line that ends there. False if it does not belong to an event stream.
+  bool consumeLine(std::size_t lineEnd) {
     std::string_view line(buffer_.data() + lineBegin_, lineEnd - lineBegin_);
     if (!line.empty() && line.back() == '\r')
       line.remove_suffix(1);
@@ -57,7 +57,7 @@
     return true;
   }
 
-  // Whether the line is a field, a comment or empty, or, if it is not complete, may become that.
+  // Whether the line is a field, a comment or empty, or can still become one if it is incomplete.
   static bool isField(std::string_view line, bool complete) {
     if (line.empty() || line.front() == ':' || (!complete && line == "\r"))
       return true;
@@ -72,8 +72,8 @@
   }
 
   std::string buffer_;
-  std::size_t lineBegin_ = 0;  // of the line that is not complete
-  std::size_t eventsEnd_ = 0;  // of the events that are complete
+  std::size_t lineBegin_ = 0;  // of the incomplete line
+  std::size_t eventsEnd_ = 0;  // of the complete events
   bool finished_ = false;
 };
 
--- a/src/upstream/http_instance_client.cpp
+++ b/src/upstream/http_instance_client.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr double kHealthCheckLimitMs = 1000;
+constexpr double kHealthCheckTimeoutMs = 1000;
 constexpr unsigned kHealthyStatus = 200;
 
 }  // namespace
@@ -77,7 +77,7 @@
   dispatcher_.connect(*this);
 }
 
-// A call and its sink hold each other while it runs.
+// Calls and their sinks refer to each other until the call is over.
 HttpInstanceClient::~HttpInstanceClient() {
   for (const auto& [slot, attempt] : attempts_)
     attempt->call().abandon();
@@ -97,7 +97,7 @@
   return found == attempts_.end() || found->second->key() != key ? nullptr : found->second;
 }
 
-// Nothing if no attempt of the request is in flight; with several, that of the last.
+// The latest time among the request's attempts in flight; nothing if there are none.
 std::optional<double> HttpInstanceClient::releaseAllowedFromMs(const RequestId& request) const {
   std::optional<double> latestMs;
   bool prefillWritten = false;
@@ -112,7 +112,7 @@
   return latestMs;
 }
 
-// No id in the head: a call that carries one could be taken for an attempt.
+// The head has no id header, as the instance could take a call with one for an attempt.
 std::string HttpInstanceClient::reservationHead(const std::string& method,
                                                 const RequestId& request,
                                                 const InstanceEndpoint& endpoint) const {
@@ -168,7 +168,7 @@
   attempt->call().resume();
 }
 
-// One whose last event has come is over within a moment, too.
+// An attempt whose last event has arrived is about to end, so it counts as unread, too.
 bool HttpInstanceClient::hasUnreadResponse(core::AttemptKey key) const {
   const auto attempt = findAttempt(key);
   return attempt && (attempt->finished() || attempt->call().hasUnread());
@@ -222,7 +222,7 @@
 
 // ---- Reservations, releases and health checks
 
-// A release that is still under way would release the new reservation as well.
+// Waits for the current round of a release, which would release the new reservation as well.
 void HttpInstanceClient::reserve(const RequestId& request,
                                  core::AttemptKey prefill,
                                  const InstanceId& instance) {
@@ -243,7 +243,7 @@
     return sink->end(false);
   TimedCallSink::start(services_, endpoint->address,
                        head("GET", protocol_.healthPath, *endpoint, {}), sink,
-                       net::ConnectionPool::Urgency::kInTurn, kHealthCheckLimitMs);
+                       net::ConnectionPool::Urgency::kInTurn, kHealthCheckTimeoutMs);
 }
 
 }  // namespace inference_router::upstream
--- a/src/upstream/http_instance_client.h
+++ b/src/upstream/http_instance_client.h
@@ -1,5 +1,5 @@
-/// Carries attempts, reservations, releases and health checks to the instances over HTTP. Both
-/// fronts use it; an InstanceProtocol holds what they name differently. Belongs to one thread.
+/// Sends attempts, reservations, releases and health checks to the instances over HTTP. Used by
+/// both frontends, whose protocols differ by the names in InstanceProtocol. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -21,36 +21,36 @@
 
 namespace inference_router::upstream {
 
-/// The names that instances give to what they are sent and send.
+/// The header names and paths that the instances use.
 struct InstanceProtocol {
   std::string idHeader;
-  std::string budgetHeader;     ///< how long the client waits, in milliseconds
-  std::string rejectedHeader;   ///< marks an answer that proves that the request never ran
-  std::string reservationPath;  ///< of reservations and releases, with the slash before the id
+  std::string budgetHeader;     ///< the remaining time of the client, in milliseconds
+  std::string rejectedHeader;   ///< marks an answer that proves that the request has not run
+  std::string reservationPath;  ///< of reservations and releases, including the slash before the id
   std::string healthPath;
-  net::Fields extraFields;  ///< on every message
+  net::Fields extraFields;  ///< added to every message
 };
 
-/// What is forwarded unchanged to whichever instance gets the request.
+/// The parts of a request that are forwarded unchanged to any instance.
 struct ForwardedRequest final : core::Payload {
   std::string method;
   std::string target;
   std::string contentType;
-  net::Fields forwardedFields;  ///< further headers of the client's, as they came
+  net::Fields forwardedFields;  ///< other headers of the client, unchanged
   std::shared_ptr<const std::string> body;
 };
 
 class HttpInstanceClient final : public core::InstanceClient {
  public:
-  /// Connects itself to the dispatcher. All that it refers to has to outlive it. releaseLimitMs:
-  /// within which everything that instances hold has to be released.
+  /// Connects itself to the dispatcher. Everything that it refers to has to outlive it.
+  /// releaseLimitMs is the time within which everything that instances hold has to be released.
   HttpInstanceClient(InstanceProtocol protocol,
                      core::RequestDispatcher& dispatcher,
                      const CallServices& services,
                      double releaseLimitMs);
   ~HttpInstanceClient() override;
 
-  /// Later settings, which hold for what begins from now on.
+  /// Replaces the settings for everything that begins from now on.
   void reconfigure(InstanceProtocol protocol, double releaseLimitMs);
 
   void start(const core::Dispatch& dispatch) override;
@@ -63,25 +63,25 @@
   void release(const routing::RequestId& request) override;
   void checkHealth(const routing::InstanceId& instance) override;
 
-  /// A stream under way, as it is handed over from one process to another.
+  /// The state of an open stream, as handed over from one process to another.
   struct TransferState {
     net::Call::TransferState call;
-    std::string event;  ///< the part of one that has come
+    std::string event;  ///< the part of an incomplete event that has arrived
   };
-  /// Stops reading. onPaused is called once transferState() can be asked for; if the stream is not
-  /// handed over then, unpause() has to follow.
+  /// Stops reading. onPaused is called once transferState() is available; if the stream is not
+  /// handed over then, unpause() has to be called.
   void pause(core::AttemptKey key, std::function<void()> onPaused);
   void unpause(core::AttemptKey key);
-  /// Nothing if the stream cannot be handed over, or is over within a moment.
+  /// Nothing if the stream cannot be handed over or is about to end.
   std::optional<TransferState> transferState(core::AttemptKey key);
-  /// Goes on with a stream that another process began. False if that is not possible.
+  /// Continues a stream that another process began. False if that is not possible.
   bool adopt(core::AttemptKey key,
              const routing::RequestId& request,
              const routing::InstanceId& instance,
              const net::Endpoint& address,
              const TransferState& state);
 
-  /// How many releases, and reservations that may yet be granted, are in flight.
+  /// How many releases, and reservations that may still be granted, are in flight.
   std::size_t releasing() const { return releases_.inFlight(); }
 
  private:
--- a/src/upstream/instance_directory.h
+++ b/src/upstream/instance_directory.h
@@ -1,5 +1,5 @@
-/// Where the instances are, whether they are listed, and when they last answered. Belongs to one
-/// thread.
+/// The addresses of the instances, their listed states, and when they last answered. Not
+/// thread-safe.
 #pragma once
 
 #include <map>
@@ -9,13 +9,13 @@
 
 namespace inference_router::upstream {
 
-/// What is known of one instance. Times are of core::Clock, in milliseconds; 0: never.
+/// What is known of one instance. Times are of core::Clock, in milliseconds; 0 means never.
 struct InstanceEndpoint {
   net::Endpoint address;
   routing::EndpointState state = routing::EndpointState::kActive;
   double startedMs = 0;
-  double lastAnswerMs = 0;   ///< when it last answered anything
-  double lastFailureMs = 0;  ///< when it last could not be reached or did not answer
+  double lastAnswerMs = 0;   ///< when it last sent any answer
+  double lastFailureMs = 0;  ///< when it was last unreachable or did not answer
 };
 
 class InstanceDirectory {
@@ -27,20 +27,20 @@
   }
   std::map<routing::InstanceId, InstanceEndpoint>& all() { return endpoints_; }
 
-  /// The instance has answered something.
+  /// Records that the instance has sent any answer.
   void recordAnswer(const routing::InstanceId& instance, double nowMs) {
     if (InstanceEndpoint* endpoint = find(instance))
       endpoint->lastAnswerMs = nowMs;
   }
-  /// The instance could not be reached or did not answer.
+  /// Records that the instance was unreachable or did not answer.
   void recordFailure(const routing::InstanceId& instance, double nowMs) {
     if (InstanceEndpoint* endpoint = find(instance))
       endpoint->lastFailureMs = nowMs;
   }
 
-  /// Takes in an endpoint list; a complete one names every instance that there is. Idle connections
-  /// to an instance that restarted, moved or was removed are closed: they would only end as resets,
-  /// after which a request may have run for all that is known. Removed instances are forgotten.
+  /// Applies an endpoint list; a complete one contains all instances. Closes idle connections to
+  /// instances that restarted, moved or were removed: they would only be reset when used, and after
+  /// a reset it is unknown whether the request has run. Removed instances are forgotten.
   void update(const std::map<routing::InstanceId, InstanceEndpoint>& listed,
               bool complete,
               net::ConnectionPool& pool);
--- a/src/upstream/owed_release_calls.cpp
+++ b/src/upstream/owed_release_calls.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-// For one call to an instance that is silent. Then another connection is tried: this one may be the
-// only thing that is.
-constexpr double kAnswerLimitMs = 500;
-constexpr double kMinPauseMs = 10;
+// For one call. After that another connection is tried, as only this connection may be silent
+// rather than its instance.
+constexpr double kAnswerTimeoutMs = 500;
+constexpr double kMinIntervalMs = 10;
 constexpr unsigned kAcceptedStatus = 204;
 
 bool isRemoved(const InstanceEndpoint* endpoint) {
@@ -46,7 +46,7 @@
 OwedReleaseCalls::OwedReleaseCalls(const CallServices& services, double releaseLimitMs, Head head)
     : services_(services), head_(std::move(head)), owed_(releaseLimitMs / 2) {}
 
-// A call and its sink hold each other while it runs.
+// Calls and their sinks refer to each other until the call is over.
 OwedReleaseCalls::~OwedReleaseCalls() {
   for (const auto& [number, call] : calls_)
     call->abandon();
@@ -62,7 +62,7 @@
   sendDue();
 }
 
-// An instance that was removed or has restarted holds nothing of before.
+// An instance that was removed or has restarted no longer holds anything from before.
 void OwedReleaseCalls::forgetReplaced() {
   std::erase_if(startedMs_, [this](const auto& entry) {
     const auto& [instance, startedMs] = entry;
@@ -75,7 +75,7 @@
 }
 
 void OwedReleaseCalls::sendDue() {
-  next_.cancel();
+  nextTimer_.cancel();
   forgetReplaced();
   for (const auto& release : owed_.due(services_.clock.nowMs()))
     send(release);
@@ -83,12 +83,12 @@
 }
 
 void OwedReleaseCalls::scheduleNext() {
-  next_.cancel();
+  nextTimer_.cancel();
   const std::optional<double> dueMs = owed_.nextMs();
   if (!dueMs)
     return;
-  const double atMs = std::max(*dueMs, services_.clock.nowMs() + kMinPauseMs);
-  next_ = services_.timers.schedule(atMs, [this] { sendDue(); });
+  const double atMs = std::max(*dueMs, services_.clock.nowMs() + kMinIntervalMs);
+  nextTimer_ = services_.timers.schedule(atMs, [this] { sendDue(); });
 }
 
 void OwedReleaseCalls::send(const OwedReleases::Release& release) {
@@ -97,7 +97,7 @@
   const auto sink = std::make_shared<Sink>(*this, number, release);
   const auto call =
       TimedCallSink::start(services_, endpoint.address, head_(release.request, endpoint), sink,
-                           net::ConnectionPool::Urgency::kFirst, kAnswerLimitMs);
+                           net::ConnectionPool::Urgency::kFirst, kAnswerTimeoutMs);
   if (call->state() != net::Call::State::kOver)
     calls_[number] = call;
 }
--- a/src/upstream/owed_release_calls.h
+++ b/src/upstream/owed_release_calls.h
@@ -1,5 +1,5 @@
-/// Carries the releases that are owed to single instances. When they are due is decided by
-/// OwedReleases. Belongs to one thread.
+/// Sends the releases that are owed to individual instances. OwedReleases decides when they are
+/// due. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -18,16 +18,16 @@
 
 class OwedReleaseCalls {
  public:
-  /// The head of the message that releases a request.
+  /// Returns the head of the message that releases a request.
   using Head = std::function<std::string(const routing::RequestId&, const InstanceEndpoint&)>;
 
-  /// releaseLimitMs: within which everything has to be released.
+  /// releaseLimitMs is the time within which everything has to be released.
   OwedReleaseCalls(const CallServices& services, double releaseLimitMs, Head head);
   ~OwedReleaseCalls();
   OwedReleaseCalls(const OwedReleaseCalls&) = delete;
   OwedReleaseCalls& operator=(const OwedReleaseCalls&) = delete;
 
-  /// A call for the request was written to the instance and given up without an answer.
+  /// Owes the instance a release: a call for the request was written to it and has timed out.
   void owe(const routing::InstanceId& instance, const routing::RequestId& request);
   void setReleaseLimit(double ms) { owed_.setInterval(ms / 2); }
 
@@ -44,10 +44,11 @@
   CallServices services_;
   Head head_;
   OwedReleases owed_;
-  /// When the instances that are owed any had started, as listed at the time.
+  /// Start times of the instances that are owed releases, as listed when the first of them was
+  /// owed.
   std::map<routing::InstanceId, double> startedMs_;
   std::map<CallNumber, std::shared_ptr<net::Call>> calls_;  // in flight
-  core::Timer next_;
+  core::Timer nextTimer_;
   CallNumber lastNumber_ = 0;
 };
 
--- a/src/upstream/owed_releases.cpp
+++ b/src/upstream/owed_releases.cpp
@@ -13,9 +13,9 @@
     dropOldest();
 }
 
-// How many more may be sent to the instance now.
+// How many more releases may be sent to the instance now.
 std::size_t OwedReleases::capacity(const Instance& instance) {
-  const std::size_t maxInFlight = instance.answers ? kMaxInFlight : 1;
+  const std::size_t maxInFlight = instance.responsive ? kMaxInFlight : 1;
   const auto isInFlight = [](const auto& entry) { return entry.second.inFlight; };
   const auto inFlight = static_cast<std::size_t>(
       std::count_if(instance.entries.begin(), instance.entries.end(), isInFlight));
@@ -26,12 +26,12 @@
   expire(nowMs);
   std::vector<Release> releases;
   for (auto& [id, instance] : instances_) {
-    std::size_t left = nowMs < instance.resumesMs ? 0 : capacity(instance);
+    std::size_t remaining = nowMs < instance.pausedUntilMs ? 0 : capacity(instance);
     for (auto& [request, entry] : instance.entries) {
-      if (left == 0 || entry.inFlight || nowMs < entry.dueMs)
+      if (remaining == 0 || entry.inFlight || nowMs < entry.dueMs)
         continue;
       entry.inFlight = true;
-      --left;
+      --remaining;
       releases.push_back({.instance = id, .request = request});
     }
   }
@@ -43,7 +43,7 @@
   if (found == instances_.end())
     return;
   Instance& instance = found->second;
-  instance.answers = true;
+  instance.responsive = true;
   const auto entry = instance.entries.find(release.request);
   if (entry == instance.entries.end() || !entry->second.inFlight)
     return;
@@ -61,8 +61,8 @@
   if (found == instances_.end())
     return;
   Instance& instance = found->second;
-  instance.answers = false;
-  instance.resumesMs = nowMs + kRetryDelayMs;
+  instance.responsive = false;
+  instance.pausedUntilMs = nowMs + kRetryDelayMs;
   const auto entry = instance.entries.find(release.request);
   if (entry == instance.entries.end())
     return;
@@ -76,7 +76,7 @@
     if (capacity(instance) == 0)
       continue;
     for (const auto& [request, entry] : instance.entries) {
-      const double dueMs = std::max(entry.dueMs, instance.resumesMs);
+      const double dueMs = std::max(entry.dueMs, instance.pausedUntilMs);
       if (!entry.inFlight)
         next = std::min(next.value_or(dueMs), dueMs);
     }
--- a/src/upstream/owed_releases.h
+++ b/src/upstream/owed_releases.h
@@ -1,5 +1,5 @@
-/// Releases that are owed to single instances: they got calls that were given up without an answer,
-/// and may still read them. No I/O; times in milliseconds.
+/// Releases that are owed to individual instances, which may still process a call after it timed
+/// out. No I/O; times in milliseconds.
 #pragma once
 
 #include <cstddef>
@@ -11,38 +11,40 @@
 
 namespace inference_router::upstream {
 
-/// What an instance has not read yet cannot be released: once it goes on, it may grant a
-/// reservation, or prefill, for a request that is long over. Such a release is owed to this very
-/// instance, until it has accepted two of them some time apart, as it may read its connections in
-/// any order. While it is silent, one call at a time waits for it.
+/// A call that an instance has not read yet cannot be undone by a release now: when the instance
+/// resumes, it may still grant a reservation or run a prefill for a request that ended long ago. So
+/// the release is owed to this instance until it has accepted two of them some time apart, as it
+/// may read its connections in any order. An unresponsive instance gets one call at a time.
 class OwedReleases {
  public:
-  static constexpr std::size_t kMaxOwed = 1'024;  ///< of all instances; then the oldest are dropped
-  static constexpr double kMaxAgeMs = 60'000;     ///< that a silent instance is waited for
-  static constexpr double kRetryDelayMs = 100;    ///< after a call that failed
-  static constexpr int kMinAcceptances = 2;       ///< of one release
-  static constexpr std::size_t kMaxInFlight = 8;  ///< at a time, to an instance that answers
+  static constexpr std::size_t kMaxOwed =
+      1'024;  ///< for all instances; beyond it the oldest are dropped
+  static constexpr double kMaxAgeMs = 60'000;     ///< after which a release is dropped
+  static constexpr double kRetryDelayMs = 100;    ///< after a failed call
+  static constexpr int kMinAcceptances = 2;       ///< of each release
+  static constexpr std::size_t kMaxInFlight = 8;  ///< calls to a responsive instance
 
-  /// Of what is held for a request, at one instance.
+  /// The release of everything that one instance holds for a request.
   struct Release {
     routing::InstanceId instance;
     routing::RequestId request;
   };
 
-  /// intervalMs: between two releases of the same request.
+  /// intervalMs is the time between two releases of the same request.
   explicit OwedReleases(double intervalMs) : intervalMs_(intervalMs) {}
   void setInterval(double ms) { intervalMs_ = ms; }
 
   /// Owes the instance the release of what it holds for a request.
   void owe(const routing::InstanceId& instance, const routing::RequestId& request, double nowMs);
-  /// The releases to send now. Each counts as in flight until it is accepted or has failed.
+  /// Returns the releases to send now. Each is in flight until it is reported as accepted or
+  /// failed.
   std::vector<Release> due(double nowMs);
   void accepted(const Release& release, double nowMs);
   void failed(const Release& release, double nowMs);
-  /// The instance was removed or has restarted, and holds nothing of before.
+  /// The instance was removed or has restarted, so it no longer holds anything from before.
   void forget(const routing::InstanceId& instance) { instances_.erase(instance); }
 
-  /// When due() has to be asked next; nothing if an answer has to come first.
+  /// When due() has to be called next; nothing if an answer has to arrive first.
   std::optional<double> nextMs() const;
   /// How many releases are owed.
   std::size_t size() const;
@@ -56,8 +58,8 @@
   };
   struct Instance {
     std::map<routing::RequestId, Entry> entries;
-    bool answers = false;  ///< since the last call that failed
-    double resumesMs = 0;  ///< nothing is sent before
+    bool responsive = false;   ///< has accepted a release since the last failed call
+    double pausedUntilMs = 0;  ///< nothing is sent before
   };
 
   static std::size_t capacity(const Instance& instance);
--- a/src/upstream/releases.cpp
+++ b/src/upstream/releases.cpp
@@ -12,12 +12,14 @@
 
 namespace {
 
-// For one call: a connection that comes up late, and the answer.
-constexpr double kAnswerLimitMs = 400;
-constexpr double kProtocolSlackMs = 350;  // that the protocol adds to the settings' time limit
-constexpr double kMinPauseMs = 20;        // also after no instance could be asked
-// Calls of all releases together: where no instance answers, many releases with many calls each
-// would fill the queue for connections. Beyond it each release still asks one at a time.
+// For one call, including a connection that is established late.
+constexpr double kAnswerTimeoutMs = 400;
+constexpr double kProtocolSlackMs =
+    350;                               // added by the protocol to the release limit of the settings
+constexpr double kMinIntervalMs = 20;  // also applies if no instance could be called
+// Limits the calls of all releases together: if no instance answered, many releases with many calls
+// each would fill the queue for connections. Beyond the limit each release makes one call at a
+// time.
 constexpr std::size_t kMaxCallsInFlight = 128;
 constexpr unsigned kAcceptedStatus = 204;
 
@@ -61,14 +63,14 @@
                    double releaseLimitMs,
                    Head head,
                    AllowedFromMs allowedFromMs,
-                   Report report)
+                   Log log)
     : services_(services),
       releaseLimitMs_(releaseLimitMs),
       head_(std::move(head)),
       allowedFromMs_(std::move(allowedFromMs)),
-      report_(std::move(report)) {}
+      log_(std::move(log)) {}
 
-// A call and its sink hold each other while it runs.
+// Calls and their sinks refer to each other until the call is over.
 Releases::~Releases() {
   for (const auto& [request, state] : releases_)
     for (const auto& [number, call] : state.calls)
@@ -78,10 +80,10 @@
 void Releases::release(const RequestId& request) {
   const double nowMs = services_.clock.nowMs();
   auto [found, isNew] = releases_.try_emplace(request, nowMs, releaseLimitMs_);
-  Releasing& state = found->second;
+  ReleaseProgress& state = found->second;
   if (!isNew) {
     state.attemptStarted = false;
-    // Between two rounds nothing is in flight, so that the next one can begin at once.
+    // Between two rounds nothing is in flight, so the next one can begin at once.
     if (state.retry.betweenRounds())
       state.retry.restart(nowMs);
     else
@@ -90,10 +92,10 @@
   advance(request);
 }
 
-void Releases::releaseBeside(const RequestId& request) {
+void Releases::releaseDuringAttempt(const RequestId& request) {
   const double nowMs = services_.clock.nowMs();
   auto [found, isNew] = releases_.try_emplace(request, nowMs, releaseLimitMs_);
-  Releasing& state = found->second;
+  ReleaseProgress& state = found->second;
   if (isNew) {
     state.retry.delayRoundUntil(nowMs);
     state.attemptStarted = true;
@@ -114,7 +116,7 @@
 void Releases::runAfterRound(const RequestId& request, std::function<void()> task) {
   const auto found = releases_.find(request);
   if (found != releases_.end() && !found->second.retry.betweenRounds())
-    found->second.afterRound.push_back(std::move(task));
+    found->second.tasksAfterRound.push_back(std::move(task));
   else
     task();
 }
@@ -133,15 +135,16 @@
   advance(request);
 }
 
-// First an instance that did not fail lately; of those, one with a connection at hand; of those,
-// one that did not accept the last round, as what was taken for its answer may have been a late one
-// to an earlier call; then the one that answered last.
-const InstanceId* Releases::bestInstance(const Releasing& state) const {
+// Prefers, in this order: an instance that has answered since its last failure; one with an idle
+// connection; one that did not accept the last round, as that answer may have been a late one to an
+// earlier call; the one that answered last.
+const InstanceId* Releases::bestInstance(const ReleaseProgress& state) const {
   using Rank = std::tuple<bool, bool, bool, double>;
   const InstanceId* best = nullptr;
   Rank bestRank;
   for (const auto& [instance, endpoint] : services_.directory.all()) {
-    if (state.asked.count(instance) != 0 || endpoint.state == routing::EndpointState::kRemoved)
+    if (state.calledInstances.count(instance) != 0 ||
+        endpoint.state == routing::EndpointState::kRemoved)
       continue;
     const Rank rank{endpoint.lastAnswerMs >= endpoint.lastFailureMs,
                     services_.pool.hasIdle(endpoint.address), instance != state.lastAcceptedBy,
@@ -154,9 +157,9 @@
   return best;
 }
 
-// When the next round may begin; never if it would take what the request goes on with.
+// When the next round may begin; nothing if it might release what the request still needs.
 std::optional<double> Releases::nextRoundMs(const RequestId& request,
-                                            const Releasing& state) const {
+                                            const ReleaseProgress& state) const {
   const double dueMs = state.retry.nextMs();
   const auto allowedFromMs = allowedFromMs_(request);
   if (allowedFromMs)
@@ -164,14 +167,15 @@
   return state.attemptStarted ? std::nullopt : std::optional(dueMs);
 }
 
-// The one place in which a release moves on: asks more instances, begins its next round, or ends.
+// Performs the next step of a release: calls more instances, begins the next round, or ends the
+// release.
 void Releases::advance(const RequestId& request) {
   const auto found = releases_.find(request);
   if (found == releases_.end())
     return;
-  Releasing& state = found->second;
+  ReleaseProgress& state = found->second;
   const double nowMs = services_.clock.nowMs();
-  state.next.cancel();
+  state.nextTimer.cancel();
   double nextMs = nowMs;
   if (state.retry.betweenRounds()) {
     const auto roundMs = nextRoundMs(request, state);
@@ -189,17 +193,17 @@
       ++services_.counters["releases.given_up"];
     return finish(request);
   }
-  const bool allAsked = !askDue(request, state);
+  const bool allCalled = !sendDueCalls(request, state);
   if (services_.directory.all().empty())
-    return finish(request);  // no instances, so nothing is held anywhere
-  if (allAsked && state.calls.empty())
-    state.asked.clear();  // one that could not be reached may be back after a pause
-  nextMs = std::max({nextMs, state.retry.nextMs(), nowMs + kMinPauseMs});
-  state.next = services_.timers.schedule(nextMs, [this, request] { advance(request); });
+    return finish(request);  // without instances nothing is held
+  if (allCalled && state.calls.empty())
+    state.calledInstances.clear();  // an unreachable instance may be back by the next call
+  nextMs = std::max({nextMs, state.retry.nextMs(), nowMs + kMinIntervalMs});
+  state.nextTimer = services_.timers.schedule(nextMs, [this, request] { advance(request); });
 }
 
-// Asks as many instances as are due; false if there are not that many.
-bool Releases::askDue(const RequestId& request, Releasing& state) {
+// Calls as many instances as are due. False if there are not that many.
+bool Releases::sendDueCalls(const RequestId& request, ReleaseProgress& state) {
   std::size_t due = state.retry.due(services_.clock.nowMs(), state.calls.size());
   if (callsInFlight_ >= kMaxCallsInFlight)
     due = std::min<std::size_t>(due, state.calls.empty() ? 1 : 0);
@@ -207,57 +211,59 @@
     const InstanceId* const instance = bestInstance(state);
     if (instance == nullptr)
       return false;
-    ask(request, state, InstanceId(*instance));
+    sendCall(request, state, InstanceId(*instance));
   }
   return true;
 }
 
-void Releases::ask(const RequestId& request, Releasing& state, const InstanceId& instance) {
+void Releases::sendCall(const RequestId& request,
+                        ReleaseProgress& state,
+                        const InstanceId& instance) {
   const CallNumber number = ++lastNumber_;
   const InstanceEndpoint& endpoint = *services_.directory.find(instance);
-  state.asked.insert(instance);
+  state.calledInstances.insert(instance);
   ++services_.counters["releases.tried"];
   ++callsInFlight_;
   const auto sink = std::make_shared<Sink>(*this, request, instance, number);
   state.calls[number] =
       TimedCallSink::start(services_, endpoint.address, head_(request, endpoint), sink,
-                           net::ConnectionPool::Urgency::kFirst, kAnswerLimitMs);
+                           net::ConnectionPool::Urgency::kFirst, kAnswerTimeoutMs);
 }
 
 void Releases::answered(const RequestId& request,
                         CallNumber number,
-                        const InstanceId& by,
+                        const InstanceId& instance,
                         bool accepted) {
   --callsInFlight_;
   const auto found = releases_.find(request);
   if (found == releases_.end())
     return;
-  Releasing& state = found->second;
+  ReleaseProgress& state = found->second;
   state.calls.erase(number);
   const double nowMs = services_.clock.nowMs();
-  if (!accepted || number < state.firstOfRound) {
-    // The last one asked has failed: no use waiting for the next wave.
+  if (!accepted || number < state.firstCallOfRound) {
+    // The last call in flight has failed, so there is no point in waiting for the next wave.
     if (state.calls.empty() && !state.retry.betweenRounds())
       state.retry.callFailed(nowMs);
     return advance(request);
   }
   checkReleaseTime(request, state);
   abandonUnwritten(state);
-  state.asked.clear();
-  state.lastAcceptedBy = by;
-  state.firstOfRound = lastNumber_ + 1;
+  state.calledInstances.clear();
+  state.lastAcceptedBy = instance;
+  state.firstCallOfRound = lastNumber_ + 1;
   if (std::exchange(state.requestedAgain, false))
     state.retry.restart(nowMs);
   else
     state.retry.accepted(nowMs, pendingReservations_.count(request) != 0);
-  for (const auto& task : std::exchange(state.afterRound, {}))
+  for (const auto& task : std::exchange(state.tasksAfterRound, {}))
     task();
   advance(request);
 }
 
-// The protocol's limit on what is held, as far as this process can see it: until an instance
-// accepted a release that was due.
-void Releases::checkReleaseTime(const RequestId& request, Releasing& state) {
+// Checks the protocol's time limit for held state, as far as this process can observe it: from when
+// the release is due until an instance accepts it.
+void Releases::checkReleaseTime(const RequestId& request, ReleaseProgress& state) {
   if (std::exchange(state.accepted, true))
     return;
   const double tookMs = services_.clock.nowMs() - state.requestedMs;
@@ -265,13 +271,13 @@
     return;
   const bool violated = tookMs > releaseLimitMs_ + kProtocolSlackMs;
   ++services_.counters[violated ? "invariants.violated.held" : "releases.late"];
-  report_((violated ? "invariant violated: held by request " : "release accepted late: request ") +
-          request.value + ", after " + std::to_string(std::lround(tookMs)) + " ms");
+  log_((violated ? "invariant violated: held by request " : "release accepted late: request ") +
+       request.value + ", after " + std::to_string(std::lround(tookMs)) + " ms");
 }
 
-// No other instance needs to be reached. What is written already stays: its answer gives the
-// connection back.
-void Releases::abandonUnwritten(Releasing& state) {
+// Abandons the calls that are not needed any more. A call that is written already is kept, as its
+// answer makes the connection reusable.
+void Releases::abandonUnwritten(ReleaseProgress& state) {
   std::erase_if(state.calls, [this](const auto& entry) {
     const net::Call::State callState = entry.second->state();
     if (callState != net::Call::State::kWaiting && callState != net::Call::State::kConnecting)
@@ -286,11 +292,11 @@
   const auto found = releases_.find(request);
   if (found == releases_.end())
     return;
-  Releasing state = std::move(found->second);
+  ReleaseProgress state = std::move(found->second);
   releases_.erase(found);
-  state.next.cancel();
+  state.nextTimer.cancel();
   abandonUnwritten(state);
-  for (const auto& task : state.afterRound)
+  for (const auto& task : state.tasksAfterRound)
     task();
 }
 
--- a/src/upstream/releases.h
+++ b/src/upstream/releases.h
@@ -1,6 +1,6 @@
-/// Carries releases to the instances: everything that any instance holds for a request is released,
-/// and whatever was in flight when that was decided. When to ask how many instances is decided by
-/// ReleaseRetry; which ones, here. Belongs to one thread.
+/// Sends releases to the instances. A release covers everything that any instance holds for a
+/// request, including the results of what was in flight when it was decided. ReleaseRetry decides
+/// when and how many instances are called; this class selects them. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -22,88 +22,89 @@
 
 class Releases {
  public:
-  /// The head of the message that releases a request.
+  /// Returns the head of the message that releases a request.
   using Head = std::function<std::string(const routing::RequestId&, const InstanceEndpoint&)>;
-  /// While an attempt of the request is in flight: from when on a release takes nothing from it.
+  /// Returns from when on a release does not affect the request's attempts in flight; nothing if
+  /// there are none.
   using AllowedFromMs = std::function<std::optional<double>(const routing::RequestId&)>;
-  /// Receives lines for the log.
-  using Report = std::function<void(const std::string&)>;
+  /// Receives log lines.
+  using Log = std::function<void(const std::string&)>;
 
-  /// releaseLimitMs: within which everything has to be released.
+  /// releaseLimitMs is the time within which everything has to be released.
   Releases(const CallServices& services,
            double releaseLimitMs,
            Head head,
            AllowedFromMs allowedFromMs,
-           Report report);
+           Log log);
   ~Releases();
   Releases(const Releases&) = delete;
   Releases& operator=(const Releases&) = delete;
 
-  /// Releases all that is held for the request.
+  /// Releases everything that is held for the request.
   void release(const routing::RequestId& request);
-  /// The same while an attempt is in flight of which nothing shows yet that it has reached its
-  /// instance: if it has, the instances skip what it waits for.
-  void releaseBeside(const routing::RequestId& request);
-  /// An attempt of the request starts. What was left may have been missed, and nothing tells
-  /// whether the attempt will reach its instance and take it: further rounds wait until its bytes
-  /// have been out for the time that a prefill usually takes, so that they take nothing from it.
-  /// Once it has ended without a new release, they are off.
+  /// The same while an attempt is in flight that may not have reached its instance. If it has, the
+  /// instances do not release what the attempt needs.
+  void releaseDuringAttempt(const routing::RequestId& request);
+  /// An attempt of the request starts. Earlier rounds may have missed held state, and it is unknown
+  /// whether the attempt will reach its instance and use that state. So further rounds wait until
+  /// the time that a prefill usually takes has passed since the attempt was written, in order not
+  /// to affect it. Once the attempt has ended without a new release, they are cancelled.
   void attemptStarted(const routing::RequestId& request);
-  /// Runs a task that makes an instance hold something for the request: at once if no round of a
-  /// release is under way, else after it, as it would release that too.
+  /// Runs a task that makes an instance hold something for the request. If a round of a release is
+  /// in progress, the task runs after it, as the round would release that, too.
   void runAfterRound(const routing::RequestId& request, std::function<void()> task);
-  /// A call for a reservation is on its way to an instance.
+  /// A reservation call is in flight to an instance.
   void reservationSent(const routing::RequestId& request) { ++pendingReservations_[request]; }
-  /// A call for a reservation was answered or has failed. A release that was asked for in between
-  /// may have arrived before it.
+  /// A reservation call was answered or has failed. A release that was requested in between may
+  /// have overtaken it.
   void reservationSettled(const routing::RequestId& request);
   void setReleaseLimit(double ms) { releaseLimitMs_ = ms; }
 
-  /// How many releases, and calls for reservations that may yet be granted, are in flight: the
-  /// program waits for both before it ends.
+  /// How many releases, and reservation calls that may still be granted, are in flight. The program
+  /// waits for both before it exits.
   std::size_t inFlight() const { return releases_.size() + pendingReservations_.size(); }
 
  private:
   class Sink;
   using CallNumber = std::uint64_t;
-  struct Releasing {
-    Releasing(double nowMs, double releaseLimitMs)
+  struct ReleaseProgress {
+    ReleaseProgress(double nowMs, double releaseLimitMs)
         : retry(nowMs, releaseLimitMs), requestedMs(nowMs) {}
     ReleaseRetry retry;
     std::map<CallNumber, std::shared_ptr<net::Call>> calls;  // in flight
-    std::set<routing::InstanceId> asked;                     // since all instances were asked once
-    CallNumber firstOfRound = 0;         // an answer to an earlier call proves nothing
-    routing::InstanceId lastAcceptedBy;  // the next round asks another, if it can
-    double requestedMs = 0;              // since when what is held has to be released
+    std::set<routing::InstanceId> calledInstances;           // since all instances were called once
+    CallNumber firstCallOfRound = 0;                         // answers to earlier calls are ignored
+    routing::InstanceId lastAcceptedBy;  // the next round prefers another instance
+    double requestedMs = 0;              // since when the held state has to be released
     bool accepted = false;               // by any instance
-    bool requestedAgain = false;         // within a round, which may have come too early
-    bool attemptStarted = false;         // since the release was asked for
-    std::vector<std::function<void()>> afterRound;
-    core::Timer next;
+    bool requestedAgain = false;         // during a round, which may have been too early
+    bool attemptStarted = false;         // since the release was requested
+    std::vector<std::function<void()>> tasksAfterRound;
+    core::Timer nextTimer;
   };
 
   void advance(const routing::RequestId& request);
-  bool askDue(const routing::RequestId& request, Releasing& state);
-  void ask(const routing::RequestId& request,
-           Releasing& state,
-           const routing::InstanceId& instance);
+  bool sendDueCalls(const routing::RequestId& request, ReleaseProgress& state);
+  void sendCall(const routing::RequestId& request,
+                ReleaseProgress& state,
+                const routing::InstanceId& instance);
   void answered(const routing::RequestId& request,
                 CallNumber number,
-                const routing::InstanceId& by,
+                const routing::InstanceId& instance,
                 bool accepted);
-  void checkReleaseTime(const routing::RequestId& request, Releasing& state);
-  void abandonUnwritten(Releasing& state);
+  void checkReleaseTime(const routing::RequestId& request, ReleaseProgress& state);
+  void abandonUnwritten(ReleaseProgress& state);
   void finish(const routing::RequestId& request);
   std::optional<double> nextRoundMs(const routing::RequestId& request,
-                                    const Releasing& state) const;
-  const routing::InstanceId* bestInstance(const Releasing& state) const;
+                                    const ReleaseProgress& state) const;
+  const routing::InstanceId* bestInstance(const ReleaseProgress& state) const;
 
   CallServices services_;
   double releaseLimitMs_;
   Head head_;
   AllowedFromMs allowedFromMs_;
-  Report report_;
-  std::map<routing::RequestId, Releasing> releases_;
+  Log log_;
+  std::map<routing::RequestId, ReleaseProgress> releases_;
   std::map<routing::RequestId, int> pendingReservations_;
   CallNumber lastNumber_ = 0;
   std::size_t callsInFlight_ = 0;  // of all releases
--- a/src/upstream/reservation_lease.h
+++ b/src/upstream/reservation_lease.h
@@ -1,33 +1,34 @@
-/// The reservation that a decode instance holds for a request whose prefill is in flight, as a
-/// lease that expires unless it is renewed. No I/O; times in milliseconds.
+/// The reservation that a decode instance holds for a request whose prefill is in flight, treated
+/// as a lease that expires unless it is renewed. No I/O; times in milliseconds.
 #pragma once
 
 #include <optional>
 
 namespace inference_router::upstream {
 
-/// A granted reservation says that its instance holds capacity. It proves nothing about the
-/// prefill, whose bytes may never be read, or whose answer may be lost; and a reservation without
-/// an attempt in flight has to be released in time. So a grant counts from the moment it was asked
-/// for, and the reservation is renewed before that time is over: the answer says whether the
-/// instance knows of the prefill. What is refused, unknown or unanswered then is released.
+/// A granted reservation means that its instance holds capacity. It proves nothing about the
+/// prefill: its bytes may never be read, or its answer may be lost, and a reservation without an
+/// attempt in flight has to be released in time. So a grant is valid for a limited time from its
+/// request on, and is renewed before that time ends: the answer shows whether the instance knows of
+/// the prefill. If the renewal is refused, unknown or unanswered, the reservation is released.
 class ReservationLease {
  public:
-  /// What the instance said to a call for it; kNone: nothing in time.
+  /// The instance's answer to a reservation call; kNone: no answer in time.
   enum class Answer { kGranted, kRefused, kUnknown, kNone };
-  /// What is to be done now.
+  /// The step to perform now.
   enum class Step { kNone, kRenew, kRelease };
 
-  /// The protocol allows 300 ms over the settings' time limit. A renewal goes out late in them:
-  /// each one costs its instance work, and most prefills end before it is due.
+  /// The protocol allows 300 ms beyond the release limit of the settings. A renewal is sent late in
+  /// that period, as each one costs its instance work and most prefills end before it is due.
   static constexpr double kRenewalDelayMs = 200;
-  /// A grant comes at once; "not known" comes 300 ms late.
+  /// A grant is answered at once, an unknown prefill after 300 ms.
   static constexpr double kRenewalAnswerMs = 80;
 
-  /// releaseLimitMs: within which what no attempt covers has to be released.
+  /// releaseLimitMs is the time within which state that belongs to no attempt in flight has to be
+  /// released.
   explicit ReservationLease(double releaseLimitMs) : releaseLimitMs_(releaseLimitMs) {}
 
-  /// A call for it has been written, the first one or a renewal.
+  /// A reservation call was written, the first one or a renewal.
   void requested(double nowMs) {
     renewMs_ = nowMs + releaseLimitMs_ + kRenewalDelayMs;
     if (state_ != State::kNotRequested)
@@ -39,9 +40,9 @@
   void requestFailed() {
     state_ = state_ == State::kNotRequested ? State::kOver : State::kDoubtful;
   }
-  /// The renewal that due() asked for is on its way.
+  /// The renewal that due() requested is being sent.
   void renewing() { state_ = State::kRenewing; }
-  /// The call is answered, or will not be.
+  /// The call was answered, or has failed without an answer.
   void answered(Answer answer) {
     if (answer == Answer::kGranted)
       return grant();
@@ -50,15 +51,16 @@
     else if (answer != Answer::kRefused || state_ == State::kRenewing)
       state_ = State::kDoubtful;
   }
-  /// From now on the request's next attempt, or its release, covers what is granted already.
+  /// The prefill has ended. The request's next attempt, or its release, takes over a granted
+  /// reservation.
   void prefillEnded() {
     prefillEnded_ = true;
     if (state_ == State::kGranted || state_ == State::kReleased)
       state_ = State::kOver;
   }
-  /// The release that due() asked for is on its way. A prefill in flight may run all the same,
-  /// unknown to the instance that was asked, and leave its KV cache without an answer: hence a
-  /// further release in each limit.
+  /// The release that due() requested is being sent. A prefill in flight may still run without
+  /// being known to the decode instance, and leave its KV cache behind without an answer. Hence
+  /// another release follows after each release limit.
   void releasing(double nowMs) {
     state_ = prefillEnded_ ? State::kOver : State::kReleased;
     releaseMs_ = nowMs + releaseLimitMs_;
@@ -71,7 +73,7 @@
       return Step::kRelease;
     return state_ == State::kGranted && nowMs >= renewMs_ ? Step::kRenew : Step::kNone;
   }
-  /// When due() has to be asked next.
+  /// When due() has to be called next.
   std::optional<double> nextMs() const {
     if (state_ == State::kGranted)
       return renewMs_;
@@ -79,20 +81,20 @@
       return releaseMs_;
     return std::nullopt;
   }
-  /// Until when nothing has to be released beside the prefill on account of this reservation; 0 if
-  /// it has.
+  /// Until when this reservation requires no release while the prefill is in flight; 0 if it
+  /// requires one.
   double coversUntilMs() const {
     const bool covers =
         state_ == State::kRequested || state_ == State::kGranted || state_ == State::kRenewing;
     return covers ? releaseMs_ : 0;
   }
-  /// Nothing more is to be done for it.
+  /// Whether no further step is needed.
   bool over() const { return state_ == State::kOver; }
 
  private:
   enum class State { kNotRequested, kRequested, kGranted, kRenewing, kDoubtful, kReleased, kOver };
 
-  // A renewal that gets no answer in its time is released by the limit that held as it became due.
+  // A renewal that is not answered in time is released at the limit set here.
   void grant() {
     releaseMs_ = renewMs_ + kRenewalAnswerMs;
     state_ = prefillEnded_ ? State::kOver : State::kGranted;
--- a/src/upstream/reservations.cpp
+++ b/src/upstream/reservations.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr double kAnswerLimitMs = 1000;  // an instance answers within 0.3 s, or is silent
+constexpr double kAnswerTimeoutMs = 1000;  // a responsive instance answers within 0.3 s
 constexpr unsigned kGrantedStatus = 200;
 constexpr unsigned kUnavailableStatus = 404;
 constexpr unsigned kRefusedStatus = 409;
@@ -27,13 +27,13 @@
 
 }  // namespace
 
-// One call, the first or a renewal.
+// One reservation call, the first one or a renewal.
 class Reservations::Sink final : public TimedCallSink {
  public:
   Sink(Reservations& owner, Number number, InstanceId instance)
       : owner_(owner), number_(number), instance_(std::move(instance)) {}
 
-  bool ready() override { return owner_.wanted(number_); }
+  bool ready() override { return owner_.isNeeded(number_); }
   void written() override {
     written_ = true;
     owner_.written(number_);
@@ -71,7 +71,7 @@
       head_(std::move(head)),
       prefillInFlight_(std::move(prefillInFlight)) {}
 
-// A call and its sink hold each other while it runs.
+// Calls and their sinks refer to each other until the call is over.
 Reservations::~Reservations() {
   for (auto& [number, reservation] : reservations_)
     if (reservation.call)
@@ -100,15 +100,15 @@
   releases_.reservationSent(reservation.request);
   reservation.sink = sink;
   const auto call =
-      TimedCallSink::start(services_, endpoint->address, head, sink, urgency, kAnswerLimitMs);
+      TimedCallSink::start(services_, endpoint->address, head, sink, urgency, kAnswerTimeoutMs);
   const auto found = reservations_.find(number);
   if (found != reservations_.end() && found->second.sink == sink)
     found->second.call = call;
 }
 
-// After its prefill has ended, or its client has disconnected, a reservation would only be held for
-// nothing.
-bool Reservations::wanted(Number number) const {
+// Whether the reservation is still needed: not after its prefill has ended or its client has
+// disconnected.
+bool Reservations::isNeeded(Number number) const {
   const auto found = reservations_.find(number);
   if (found == reservations_.end())
     return false;
@@ -139,10 +139,11 @@
   const ReservationLease::Answer answer = answerOf(status);
   reservation.lease.answered(answer);
   callEnded(number);
-  // A grant that comes once the request streams, or is over, is taken by nobody.
+  // A reservation that is granted after the request began to stream or ended is not used by any
+  // attempt.
   if (answer == ReservationLease::Answer::kGranted && dispatcher_.needsNoHeldState(request))
     releases_.release(request);
-  // Nothing is reported on an unknown answer: there may be a reservation.
+  // An unknown answer is not reported, as the instance may hold a reservation.
   if (answer == ReservationLease::Answer::kGranted && !renewed)
     dispatcher_.reservationAnswered(prefill, instance, true);
   if (answer == ReservationLease::Answer::kRefused)
@@ -158,8 +159,8 @@
   callEnded(number);
 }
 
-// The instance may still read the call once it goes on: the release of what it grants then is owed
-// to it.
+// A stopped instance may still read the call when it resumes, so it is owed a release of the
+// reservation that it may then grant.
 void Reservations::timedOut(Number number, bool written) {
   const Reservation& reservation = reservations_.at(number);
   if (written)
@@ -177,13 +178,13 @@
   advance(number);
 }
 
-// The one place in which a reservation moves on: is renewed, is released, or ends.
+// Performs the next step of a reservation: renews it, releases it, or ends it.
 void Reservations::advance(Number number) {
   const auto found = reservations_.find(number);
   if (found == reservations_.end())
     return;
   Reservation& reservation = found->second;
-  reservation.next.cancel();
+  reservation.nextTimer.cancel();
   const double nowMs = services_.clock.nowMs();
   switch (reservation.lease.due(nowMs)) {
     case ReservationLease::Step::kRelease:
@@ -203,11 +204,11 @@
     return;
   }
   if (const auto dueMs = reservation.lease.nextMs())
-    reservation.next = services_.timers.schedule(*dueMs, [this, number] { advance(number); });
+    reservation.nextTimer = services_.timers.schedule(*dueMs, [this, number] { advance(number); });
 }
 
-// The reservation may be held, and its prefill may never have reached its instance: nothing tells
-// of either, and while no attempt is in flight at an instance the time of what is held goes on.
+// The reservation may be held although its prefill never reached its instance, and neither is known
+// here. Without an attempt in flight at an instance, held state has to be released in time.
 void Reservations::release(Reservation& reservation) {
   ++services_.counters["places.doubtful"];
   if (!std::exchange(reservation.logged, true))
@@ -215,14 +216,14 @@
   if (dispatcher_.needsNoHeldState(reservation.request))
     releases_.release(reservation.request);
   else
-    releases_.releaseBeside(reservation.request);
+    releases_.releaseDuringAttempt(reservation.request);
 }
 
 void Reservations::logDoubt(const Reservation& reservation) const {
-  const long askedMsAgo = std::lround(services_.clock.nowMs() - reservation.requestedMs);
+  const long requestedMsAgo = std::lround(services_.clock.nowMs() - reservation.requestedMs);
   dispatcher_.log("reservation in doubt: request " + reservation.request.value + " at " +
-                  reservation.instance.value + ", asked " + std::to_string(askedMsAgo) + " ms ago" +
-                  (reservation.renewed ? ", granted before" : ""));
+                  reservation.instance.value + ", asked " + std::to_string(requestedMsAgo) +
+                  " ms ago" + (reservation.renewed ? ", granted before" : ""));
 }
 
 void Reservations::prefillEnded(core::AttemptKey prefill) {
--- a/src/upstream/reservations.h
+++ b/src/upstream/reservations.h
@@ -1,6 +1,5 @@
-/// Carries the calls for reservations at decode instances, and renews what was granted while the
-/// prefill is in flight. When to renew and when to release is decided by ReservationLease. Belongs
-/// to one thread.
+/// Requests reservations at decode instances, and renews them while the prefill is in flight.
+/// ReservationLease decides when to renew and when to release. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -23,11 +22,11 @@
 
 class Reservations {
  public:
-  /// The head of the message that asks for a reservation.
+  /// Returns the head of the message that requests a reservation.
   using Head = std::function<std::string(const routing::RequestId&, const InstanceEndpoint&)>;
   using PrefillInFlight = std::function<bool(core::AttemptKey)>;
 
-  /// releaseLimitMs: within which everything has to be released.
+  /// releaseLimitMs is the time within which everything has to be released.
   Reservations(const CallServices& services,
                core::RequestDispatcher& dispatcher,
                Releases& releases,
@@ -39,13 +38,13 @@
   Reservations(const Reservations&) = delete;
   Reservations& operator=(const Reservations&) = delete;
 
-  /// Asks an instance for a reservation for the request whose prefill has just been written.
+  /// Requests a reservation at an instance for a request whose prefill has just been written.
   void reserve(const routing::RequestId& request,
                core::AttemptKey prefill,
                const routing::InstanceId& instance);
   void prefillEnded(core::AttemptKey prefill);
-  /// Until when a release beside the request's prefill could take a reservation that it waits for;
-  /// 0 if there is none.
+  /// Until when a release during the request's prefill could affect a reservation that the request
+  /// needs; 0 if there is none.
   double coversUntilMs(const routing::RequestId& request) const;
   void setReleaseLimit(double ms) { releaseLimitMs_ = ms; }
 
@@ -67,14 +66,14 @@
     ReservationLease lease;
     double requestedMs = 0;  // when the last call was written
     bool renewed = false;
-    bool logged = false;         // as one in doubt
+    bool logged = false;         // as being in doubt
     std::shared_ptr<Sink> sink;  // of the call in flight
     std::shared_ptr<net::Call> call;
-    core::Timer next;
+    core::Timer nextTimer;
   };
 
   void send(Number number);
-  bool wanted(Number number) const;
+  bool isNeeded(Number number) const;
   void written(Number number);
   void answered(Number number, unsigned status);
   void unanswered(Number number, bool written);
--- a/src/upstream/timed_call_sink.h
+++ b/src/upstream/timed_call_sink.h
@@ -1,4 +1,4 @@
-/// A call to an instance that is given up after a time limit.
+/// Calls to instances with a timeout.
 #pragma once
 
 #include <memory>
@@ -13,7 +13,7 @@
 
 namespace inference_router::upstream {
 
-/// What calls to instances need. Does not own what it refers to.
+/// The services that calls to instances use. Does not own them.
 struct CallServices {
   net::ConnectionPool& pool;
   InstanceDirectory& directory;
@@ -22,34 +22,35 @@
   core::Counters& counters;
 };
 
-/// Base of the sinks of such calls. The call owns its sink until it is over, and the timer goes
-/// with the sink.
+/// Base class of the sinks of such calls. A call owns its sink until it is over, and the sink owns
+/// the timer.
 class TimedCallSink : public net::CallSink, public std::enable_shared_from_this<TimedCallSink> {
  public:
-  /// Sends a message without a body. If the call is not over after limitMs, it is abandoned and the
-  /// sink gets timedOut(). The sink may get done() or failed() before this returns.
+  /// Sends a message without a body. If the call is not over after timeoutMs, it is abandoned and
+  /// timedOut() of the sink is called. done() or failed() may be called before this returns.
   static std::shared_ptr<net::Call> start(const CallServices& services,
                                           const net::Endpoint& address,
                                           std::string head,
                                           const std::shared_ptr<TimedCallSink>& sink,
                                           net::ConnectionPool::Urgency urgency,
-                                          double limitMs) {
+                                          double timeoutMs) {
     std::shared_ptr<net::Call> call =
         services.pool.call(address, std::move(head), /*body=*/nullptr, sink, urgency);
     if (call->state() == net::Call::State::kOver)
       return call;
-    TimedCallSink* const timed = sink.get();  // owns the timer, so that it cannot fire later
-    sink->limit_ = services.timers.schedule(services.clock.nowMs() + limitMs,
-                                            [timed, call] { timed->giveUp(*call); });
+    TimedCallSink* const timedSink =
+        sink.get();  // owns the timer, so it exists when the timer fires
+    sink->timeoutTimer_ = services.timers.schedule(
+        services.clock.nowMs() + timeoutMs, [timedSink, call] { timedSink->timeOut(*call); });
     return call;
   }
 
  protected:
-  /// The time limit has passed and the call is abandoned.
+  /// Called after the timeout has passed and the call was abandoned.
   virtual void timedOut() = 0;
 
  private:
-  void giveUp(net::Call& call) {
+  void timeOut(net::Call& call) {
     if (call.state() == net::Call::State::kOver)
       return;
     const auto self = shared_from_this();  // abandon() releases the call's reference
@@ -57,7 +58,7 @@
     timedOut();
   }
 
-  core::Timer limit_;
+  core::Timer timeoutTimer_;
 };
 
 }  // namespace inference_router::upstream
--- a/src/upstream/usage_reader.h
+++ b/src/upstream/usage_reader.h
@@ -1,5 +1,5 @@
-/// Finds in an instance's response how many tokens of the prompt it had cached, without keeping or
-/// parsing the stream.
+/// Extracts from an instance's response how many tokens of the prompt were cached, without storing
+/// or parsing the whole stream.
 #pragma once
 
 #include <cctype>
@@ -18,8 +18,8 @@
       tail_.erase(0, tail_.size() - kTailBytes);
   }
 
-  /// The value of the last "cached_tokens" field; 0 if there is none. The field stands in the final
-  /// events.
+  /// The value of the last "cached_tokens" field; 0 if there is none. Instances send the field with
+  /// the last events.
   double cachedTokens() const {
     constexpr std::string_view kField = "\"cached_tokens\":";
     const std::size_t field = tail_.rfind(kField);
@@ -39,7 +39,7 @@
  private:
   static constexpr std::size_t kTailBytes = 1024;
 
-  std::string tail_;  // of the response; at most twice kTailBytes
+  std::string tail_;  // end of the response, at most twice kTailBytes
 };
 
 }  // namespace inference_router::upstream
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -1,4 +1,5 @@
-// Two events that cross, each pair forced on real sockets: what docs/design/crossings.md lists.
+// Race conditions between two events, each forced on real sockets. docs/design/crossings.md lists
+// them.
 #include "support/router_fixture.h"
 #include "upstream/release_retry.h"
 
@@ -8,17 +9,15 @@
 using namespace std::chrono_literals;
 using State = net::ClientConnection::State;
 
-// ---- What is held for a request
-// --------------------------------------------------------------------
+// ---- State that instances hold for a request
 
-TEST(ReleaseRetry, AsksTwiceAsManyEachTimeAndASecondTimeOnceAnswered) {
+TEST(ReleaseRetry, DoublesEachWaveAndRunsASecondRound) {
   upstream::ReleaseRetry retry(1'000, 300);
-  std::size_t out = 0;
-  std::vector<std::size_t> asked;
-  for (double now = 1'000; now < 1'200; now += upstream::ReleaseRetry::kWaveMs)
-    asked.push_back(retry.due(now, out)), out += asked.back();
-  EXPECT_EQ(asked,
-            (std::vector<std::size_t>{1, 2, 4, 8, 1}));  // sixteen without an answer at the most
+  std::size_t inFlight = 0;
+  std::vector<std::size_t> waves;
+  for (double nowMs = 1'000; nowMs < 1'200; nowMs += upstream::ReleaseRetry::kWaveIntervalMs)
+    waves.push_back(retry.due(nowMs, inFlight)), inFlight += waves.back();
+  EXPECT_EQ(waves, (std::vector<std::size_t>{1, 2, 4, 8, 1}));  // at most 16 unanswered calls
   retry.accepted(1'200, false);
   EXPECT_TRUE(retry.betweenRounds());
   retry.beginRound(1'300);
@@ -33,9 +32,9 @@
   EXPECT_TRUE(unanswered.over(upstream::ReleaseRetry::kGiveUpMs));
 }
 
-// While something may yet come to be held there is another round; what is decided during one makes
-// it too early.
-TEST(ReleaseRetry, GoesOnWhileSomethingIsOpen) {
+// As long as a reservation may still be granted there is another round. If it is granted or refused
+// during a round, that round may have been too early and another one follows.
+TEST(ReleaseRetry, AddsRoundsWhileAReservationIsOpen) {
   upstream::ReleaseRetry retry(0, 300);
   for (int i = 0; i < 5; ++i) {
     retry.beginRound(i * 150);
@@ -46,57 +45,61 @@
   retry.reservationSettled(751);
   retry.accepted(752, false);
   EXPECT_FALSE(retry.complete());
-  retry.reservationSettled(760);  // put off for this alone
+  retry.reservationSettled(760);  // the round was delayed only for the reservation
   EXPECT_EQ(retry.nextMs(), 760);
   retry.beginRound(760);
   retry.accepted(761, false);
   EXPECT_TRUE(retry.complete());
 }
 
-constexpr double kSettleMs = 150;  // half of the site's releaseMs
+constexpr double kRoundIntervalMs = 150;  // half of releaseMs in the settings
 
-struct Held : RouterFixture {
-  explicit Held(const std::vector<Kind>& kinds = kSplit) : RouterFixture(kinds, false) {}
-  // A request whose read is out; its place is asked for, and answered where instances answer that.
-  std::shared_ptr<Reply> reading(const std::string& id = "a") {
+struct HeldStateFixture : RouterFixture {
+  explicit HeldStateFixture(const std::vector<Kind>& kinds = kSplit)
+      : RouterFixture(kinds, false) {}
+  // Sends a request and waits until its prefill and its reservation request have arrived.
+  std::shared_ptr<Reply> startPrefill(const std::string& id = "a") {
     for (auto& [name, instance] : instances)
       instance->script = leaveUnanswered;
     const auto reply = post("/v1/chat/completions", platformFields(id), "{}");
-    EXPECT_TRUE(until([&] { return chats() == 1 && places(id) == 1; }));
+    EXPECT_TRUE(until([&] { return chats() == 1 && reservationRequests(id) == 1; }));
     return reply;
   }
-  // One that is served while the call for its place has no answer.
-  std::shared_ptr<Reply> servedWithItsPlaceOut() {
+  // Has a request served while its reservation request is unanswered.
+  std::shared_ptr<Reply> serveWithPendingReservation() {
     for (auto& [name, instance] : instances)
       instance->answersReservations = false;
-    const auto reply = reading();
+    const auto reply = startPrefill();
     for (auto& [name, instance] : instances)
       instance->script = streamFullAnswer;
     for (const auto& [name, instance] : instances)
-      for (const auto& taken : instance->received)
-        if (taken->target == "/v1/chat/completions")
-          answerPrefill(*instance, *taken);
+      for (const auto& request : instance->received)
+        if (request->target == "/v1/chat/completions")
+          answerPrefill(*instance, *request);
     finished(reply);
     return reply;
   }
-  int places(const std::string& id) const { return all("POST", "/bootstrap/rooms/" + id); }
-  int releases(const std::string& id = "a") const {
-    return all("DELETE", "/bootstrap/rooms/" + id);
+  int reservationRequests(const std::string& id) const {
+    return countRequests("POST", "/bootstrap/rooms/" + id);
   }
-  int all(const std::string& method, const std::string& target) const {
+  int releaseRequests(const std::string& id = "a") const {
+    return countRequests("DELETE", "/bootstrap/rooms/" + id);
+  }
+  int countRequests(const std::string& method, const std::string& target) const {
     int found = 0;
     for (const auto& [name, instance] : instances)
       found += instance->count(method, target);
     return found;
   }
-  StandInInstance::ReceivedRequest& placeCall() {
+  StandInInstance::ReceivedRequest& reservationCall() {
     for (const auto& [name, instance] : instances)
-      for (const auto& taken : instance->received)
-        if (taken->method == "POST" && taken->target.rfind("/bootstrap/", 0) == 0)
-          return *taken;
-    throw std::logic_error("no place was asked for");
+      for (const auto& request : instance->received)
+        if (request->method == "POST" && request->target.rfind("/bootstrap/", 0) == 0)
+          return *request;
+    throw std::logic_error("no reservation was requested");
   }
-  void settle() {  // lets what is under way on the sockets arrive
+  // Runs the event loop until what is in flight on the sockets has arrived.
+  void settle() {
     for (int i = 0; i < 20; ++i) {
       io.restart();
       io.poll();
@@ -105,319 +108,326 @@
   }
 };
 
-// Guards against a zone that is cut off: the instances heard last are all silent, and asked one
-// after another they used up the time of what was held. With ten silent of eleven the one that
-// hears is reached within 0.3 s.
-TEST(Releases, ReachTheOneInstanceThatHearsAmongManySilentOnesInTime) {
+// Guards against a zone that is cut off: the instances that answered last are all silent, and
+// calling them one after another took longer than state may be held. With ten silent instances out
+// of eleven the responsive one is reached within 0.3 s.
+TEST(Releases, ReachOneResponsiveInstanceAmongManySilentOnesInTime) {
   std::vector<RouterFixture::Kind> kinds{{"r1", "read", 0}};
   for (int i = 0; i < 10; ++i)
     kinds.push_back({"w" + std::to_string(i), "write", 0});
-  Held held(kinds);
-  held.reading();
+  HeldStateFixture fixture(kinds);
+  fixture.startPrefill();
   StandInInstance* last = nullptr;
-  for (auto& [name, instance] : held.instances) {
+  for (auto& [name, instance] : fixture.instances) {
     instance->answersReleases = false;
     if (instance->received.empty())
-      last = instance.get();  // no connection leads there yet: the last choice
+      last = instance.get();  // without a connection, so it is called last
   }
   last->answersReleases = true;
-  held.lastCall->abandon();
-  ASSERT_TRUE(held.until([&] { return held.releases() == 1; }));
-  for (int waves = 0; waves < 4 && last->count("DELETE", "/") == 0; ++waves) {
-    held.pass(upstream::ReleaseRetry::kWaveMs);
-    held.settle();
+  fixture.lastCall->abandon();
+  ASSERT_TRUE(fixture.until([&] { return fixture.releaseRequests() == 1; }));
+  for (int wave = 0; wave < 4 && last->count("DELETE", "/") == 0; ++wave) {
+    fixture.pass(upstream::ReleaseRetry::kWaveIntervalMs);
+    fixture.settle();
   }
   EXPECT_GE(last->count("DELETE", "/bootstrap/rooms/a"), 1);
 }
 
-// The read's close and the release travel on different connections: a read that ended between them
-// left a state.
-TEST(Releases, AreAskedASecondTimeForWhatWasUnderWay) {
-  Held held;
-  held.reading();
-  held.lastCall->abandon();
-  ASSERT_TRUE(held.until([&] { return held.releases() >= 1; }));
-  held.settle();
-  const int first = held.releases();
-  held.pass(kSettleMs + 1);
-  ASSERT_TRUE(held.until([&] { return held.releases() == first + 1; }));
-  ASSERT_TRUE(held.until([&] { return held.server->instanceClient.releasing() == 0; }));
+// The close of a prefill and the release travel on different connections. A prefill that ends
+// between them leaves a KV cache behind, so a second release follows.
+TEST(Releases, AreRepeatedForPrefillThatEndsBetweenCloseAndRelease) {
+  HeldStateFixture fixture;
+  fixture.startPrefill();
+  fixture.lastCall->abandon();
+  ASSERT_TRUE(fixture.until([&] { return fixture.releaseRequests() >= 1; }));
+  fixture.settle();
+  const int first = fixture.releaseRequests();
+  fixture.pass(kRoundIntervalMs + 1);
+  ASSERT_TRUE(fixture.until([&] { return fixture.releaseRequests() == first + 1; }));
+  ASSERT_TRUE(fixture.until([&] { return fixture.server->instanceClient.releasing() == 0; }));
 }
 
-// The answer to a call for a place is spoilt and never ends, or never comes: the place may be held
-// from the first moment on, and its time passes whatever becomes of the call.
-TEST(Releases, AreAskedAgainWithinTheTimeWhileACallForAPlaceHasNoAnswer) {
-  Held held;
-  for (auto& [name, instance] : held.instances)
+// The answer to a reservation request is incomplete or missing. The reservation may be held from
+// the start, and its time limit runs whatever happens to the call.
+TEST(Releases, AreRepeatedInTimeWhileReservationRequestIsUnanswered) {
+  HeldStateFixture fixture;
+  for (auto& [name, instance] : fixture.instances)
     instance->answersReservations = false;
-  held.reading();
-  held.lastCall->abandon();
-  ASSERT_TRUE(held.until([&] { return held.releases() >= 1; }));
-  held.settle();
-  for (int round = 1; round <= 4; ++round) {  // 600 ms: 650 are allowed
-    const int before = held.releases();
-    held.pass(kSettleMs + 1);
-    held.settle();
-    EXPECT_EQ(held.releases(), before + 1) << round;
+  fixture.startPrefill();
+  fixture.lastCall->abandon();
+  ASSERT_TRUE(fixture.until([&] { return fixture.releaseRequests() >= 1; }));
+  fixture.settle();
+  for (int round = 1; round <= 4; ++round) {  // 600 ms; the limit is 650 ms
+    const int before = fixture.releaseRequests();
+    fixture.pass(kRoundIntervalMs + 1);
+    fixture.settle();
+    EXPECT_EQ(fixture.releaseRequests(), before + 1) << round;
   }
-  held.placeCall().connection->answer(409, {}, "");
-  held.settle();
-  held.pass(kSettleMs + 1);
-  ASSERT_TRUE(held.until([&] { return held.server->instanceClient.releasing() == 0; }));
+  fixture.reservationCall().connection->answer(409, {}, "");
+  fixture.settle();
+  fixture.pass(kRoundIntervalMs + 1);
+  ASSERT_TRUE(fixture.until([&] { return fixture.server->instanceClient.releasing() == 0; }));
 }
 
-// What is taken for an answer to a release may be a late one to an earlier call on its connection:
-// another instance takes the second round, and no other status than a release's own counts.
-TEST(Releases, AreTakenByTwoInstancesAndAnsweredBy204Alone) {
-  Held held;
-  held.reading();
-  std::vector<std::string> takers;
-  const auto another = [&] {  // runs until one more has come, and notes who took it
-    return held.until([&] {
-      for (const auto& [name, instance] : held.instances)
+// An answer to a release may be a late answer to an earlier call on its connection. So another
+// instance gets the second round, and only status 204 counts as acceptance.
+TEST(Releases, GoToTwoInstancesAndAreAcceptedOnlyWithStatus204) {
+  HeldStateFixture fixture;
+  fixture.startPrefill();
+  std::vector<std::string> receivers;
+  const auto nextReleaseArrives = [&] {  // and records its receiver
+    return fixture.until([&] {
+      for (const auto& [name, instance] : fixture.instances)
         if (instance->count("DELETE", "/bootstrap/rooms/a") >
-            std::count(takers.begin(), takers.end(), name))
-          return takers.push_back(name), true;
+            std::count(receivers.begin(), receivers.end(), name))
+          return receivers.push_back(name), true;
       return false;
     });
   };
-  for (auto& [name, instance] : held.instances)
+  for (auto& [name, instance] : fixture.instances)
     instance->answersReleases = false;
-  held.lastCall->abandon();
-  ASSERT_TRUE(another());
-  for (auto& [name, instance] : held.instances)
+  fixture.lastCall->abandon();
+  ASSERT_TRUE(nextReleaseArrives());
+  for (auto& [name, instance] : fixture.instances)
     instance->answersReleases = true;
-  for (const auto& taken : held.instances.at(takers[0])->received)
-    if (taken->method == "DELETE")
-      taken->connection->answer(202, {}, "{\"cached_tokens\":4}");
-  ASSERT_TRUE(another()) << "a read's answer is none";
-  held.settle();
-  held.pass(kSettleMs + 1);
-  ASSERT_TRUE(another());
-  EXPECT_NE(takers[2], takers[1]);
+  for (const auto& request : fixture.instances.at(receivers[0])->received)
+    if (request->method == "DELETE")
+      request->connection->answer(202, {}, "{\"cached_tokens\":4}");
+  ASSERT_TRUE(nextReleaseArrives()) << "the answer to a prefill is not an acceptance";
+  fixture.settle();
+  fixture.pass(kRoundIntervalMs + 1);
+  ASSERT_TRUE(nextReleaseArrives());
+  EXPECT_NE(receivers[2], receivers[1]);
 }
 
-// A call for a place that the release has overtaken: its answer, or its end without one, brings
-// another.
-TEST(Releases, FollowACallForAPlaceThatTheyOvertook) {
+// A release has overtaken a reservation request. Another release follows once that request is
+// answered or has failed.
+TEST(Releases, FollowReservationRequestThatTheyOvertook) {
   for (const bool answered : {true, false}) {
-    Held held;
-    for (auto& [name, instance] : held.instances)
+    HeldStateFixture fixture;
+    for (auto& [name, instance] : fixture.instances)
       instance->answersReservations = false;
-    held.reading();
-    held.lastCall->abandon();
-    ASSERT_TRUE(held.until([&] { return held.releases() >= 1; }));
-    held.pass(kSettleMs + 1);
-    held.settle();
-    const int before = held.releases();
-    EXPECT_GT(held.server->instanceClient.releasing(), 0U) << "the place may still come to be held";
+    fixture.startPrefill();
+    fixture.lastCall->abandon();
+    ASSERT_TRUE(fixture.until([&] { return fixture.releaseRequests() >= 1; }));
+    fixture.pass(kRoundIntervalMs + 1);
+    fixture.settle();
+    const int before = fixture.releaseRequests();
+    EXPECT_GT(fixture.server->instanceClient.releasing(), 0U)
+        << "the reservation may still be granted";
     if (answered)
-      held.placeCall().connection->answer(204, {}, "");
+      fixture.reservationCall().connection->answer(204, {}, "");
     else
-      held.pass(1'001);
-    ASSERT_TRUE(held.until([&] { return held.releases() > before; })) << answered;
+      fixture.pass(1'001);
+    ASSERT_TRUE(fixture.until([&] { return fixture.releaseRequests() > before; })) << answered;
   }
 }
 
-// The same where nothing was to be released at first: the request is served, and its place call was
-// late.
-TEST(Releases, FollowADoubtfulPlaceOfARequestThatIsServed) {
-  Held held;
-  const auto reply = held.servedWithItsPlaceOut();
+// The same without an earlier release: the request is served before its reservation request is
+// answered.
+TEST(Releases, FollowUnknownReservationAnswerAfterRequestIsServed) {
+  HeldStateFixture fixture;
+  const auto reply = fixture.serveWithPendingReservation();
   ASSERT_TRUE(reply->complete);
-  EXPECT_EQ(held.releases(), 0);
-  held.placeCall().connection->answer(204, {}, "");
-  ASSERT_TRUE(held.until([&] { return held.releases() == 1; }));
+  EXPECT_EQ(fixture.releaseRequests(), 0);
+  fixture.reservationCall().connection->answer(204, {}, "");
+  ASSERT_TRUE(fixture.until([&] { return fixture.releaseRequests() == 1; }));
 }
 
-// The same with a grant that comes so late: its instance was stopped, and the first event had
-// released the rest.
-TEST(Releases, FollowAReservationThatIsGrantedOnceItsRequestIsServed) {
-  Held held;
-  const auto reply = held.servedWithItsPlaceOut();
+// The same with a late grant: the instance was stopped meanwhile, and the first event of the stream
+// had released everything else.
+TEST(Releases, FollowReservationGrantedAfterRequestIsServed) {
+  HeldStateFixture fixture;
+  const auto reply = fixture.serveWithPendingReservation();
   ASSERT_TRUE(reply->complete);
-  EXPECT_EQ(held.releases(), 0);
-  held.placeCall().connection->answer(200, {}, "");
-  ASSERT_TRUE(held.until([&] { return held.releases() == 1; }));
+  EXPECT_EQ(fixture.releaseRequests(), 0);
+  fixture.reservationCall().connection->answer(200, {}, "");
+  ASSERT_TRUE(fixture.until([&] { return fixture.releaseRequests() == 1; }));
 }
 
-// A read that never reached its prefill instance, as that no longer reads the connection: no
-// instance counts an attempt, and the place that was asked for with it is held, though nothing says
-// so. One that is said to be held has its read out.
-TEST(Releases, GoOutBesideAReadWhosePlaceIsInDoubt) {
+// A prefill never reached its instance, as that no longer reads the connection. No instance counts
+// an attempt, but the reservation that was requested with it may be held without an answer. A
+// granted reservation means that the prefill has arrived.
+TEST(Releases, AreSentDuringPrefillWhoseReservationIsInDoubt) {
   for (const int answer : {0, 204, 200, 409}) {
-    Held held;
-    for (auto& [name, instance] : held.instances)
+    HeldStateFixture fixture;
+    for (auto& [name, instance] : fixture.instances)
       instance->answersReservations = false;
-    held.reading();
+    fixture.startPrefill();
     if (answer != 0)
-      held.placeCall().connection->answer(answer, {}, "");
-    held.settle();
-    const int asked = held.places("a");  // after a 409 another decode instance is
-    held.pass(299);
-    held.settle();
-    EXPECT_EQ(held.releases(), 0) << answer;
-    held.pass(2);
-    held.settle();
-    EXPECT_EQ(held.releases(), answer == 200 ? 0 : 1) << answer << ", places asked " << asked;
+      fixture.reservationCall().connection->answer(answer, {}, "");
+    fixture.settle();
+    const int reservations =
+        fixture.reservationRequests("a");  // 409 makes the router try another instance
+    fixture.pass(299);
+    fixture.settle();
+    EXPECT_EQ(fixture.releaseRequests(), 0) << answer;
+    fixture.pass(2);
+    fixture.settle();
+    EXPECT_EQ(fixture.releaseRequests(), answer == 200 ? 0 : 1)
+        << answer << ", reservations requested " << reservations;
   }
 }
 
-// A decode instance that does not read its connection any more, or sends one piece in place of a
-// stream: the state is still held, and its time passes although an attempt is out.
-TEST(Releases, GoOutBesideAWriteThatShowsNoSignOfHavingTakenTheState) {
+// A decode instance does not read its connection any more, or sends a single part that may not
+// belong to a stream. The KV cache is still held, and its time limit runs although an attempt is in
+// flight.
+TEST(Releases, AreSentDuringDecodeThatMayNotHaveFetchedTheKvCache) {
   for (const int parts : {0, 1, 2}) {
-    Held held;
-    for (auto& [name, instance] : held.instances)
+    HeldStateFixture fixture;
+    for (auto& [name, instance] : fixture.instances)
       instance->script = name[0] == 'r' ? answerPrefill : leaveUnanswered;
-    held.post("/v1/chat/completions", platformFields("a"), "{}");
-    StandInInstance::ReceivedRequest* write = nullptr;
-    ASSERT_TRUE(held.until([&] {
-      for (const auto& [name, instance] : held.instances)
-        for (const auto& taken : instance->received)
-          if (name[0] == 'w' && taken->target == "/v1/chat/completions")
-            write = taken.get();
-      return write != nullptr;
+    fixture.post("/v1/chat/completions", platformFields("a"), "{}");
+    StandInInstance::ReceivedRequest* decode = nullptr;
+    ASSERT_TRUE(fixture.until([&] {
+      for (const auto& [name, instance] : fixture.instances)
+        for (const auto& request : instance->received)
+          if (name[0] == 'w' && request->target == "/v1/chat/completions")
+            decode = request.get();
+      return decode != nullptr;
     }));
-    held.settle();
+    fixture.settle();
     if (parts > 0)
-      beginOnly(*held.instances.at("w1"), *write);
-    held.settle();
+      beginOnly(*fixture.instances.at("w1"), *decode);
+    fixture.settle();
     if (parts > 1)
-      write->connection->pass(eventOf("more"));
-    held.settle();
-    held.pass(299);
-    held.settle();
-    EXPECT_EQ(held.releases(), 0);
-    held.pass(2);
-    held.settle();
-    EXPECT_EQ(held.releases(), parts < 2 ? 1 : 0) << parts;
+      decode->connection->pass(eventOf("more"));
+    fixture.settle();
+    fixture.pass(299);
+    fixture.settle();
+    EXPECT_EQ(fixture.releaseRequests(), 0);
+    fixture.pass(2);
+    fixture.settle();
+    EXPECT_EQ(fixture.releaseRequests(), parts < 2 ? 1 : 0) << parts;
   }
 }
 
-// The first round passed as the close of its attempt was under way, and the next attempt goes to an
-// instance that is silent: what the first left is let go of within the time all the same, once a
-// read would be over. One whose place is held is known to be out, and keeps it.
-TEST(Releases, GoOnBesideAnAttemptThatShowsNoSign) {
-  for (const bool shown : {false, true}) {
-    Held held;
-    for (auto& [name, instance] : held.instances)
-      instance->answersReservations = shown;
-    int reads = 0;
+// The first round ran while the close of its attempt was in flight, and the next attempt goes to a
+// silent instance. What the first attempt left is still released in time, once a prefill would have
+// ended. If the reservation was granted, the second prefill is known to run, and nothing is
+// released.
+TEST(Releases, ContinueDuringAttemptThatMayNotHaveArrived) {
+  for (const bool granted : {false, true}) {
+    HeldStateFixture fixture;
+    for (auto& [name, instance] : fixture.instances)
+      instance->answersReservations = granted;
+    int prefills = 0;
     for (const char* reader : {"r1", "r2"})
-      held.instances.at(reader)->script = [&](StandInInstance&,
-                                              StandInInstance::ReceivedRequest& taken) {
-        if (reads++ == 0)
-          taken.connection->answer(500, {}, "");
+      fixture.instances.at(reader)->script = [&](StandInInstance&,
+                                                 StandInInstance::ReceivedRequest& request) {
+        if (prefills++ == 0)
+          request.connection->answer(500, {}, "");
       };
-    held.post("/v1/chat/completions", platformFields("a"), "{}");
-    ASSERT_TRUE(held.until([&] { return reads == 1 && held.releases() >= 1; }));
-    held.pass(10);  // the first one's close goes ahead of the second
-    ASSERT_TRUE(held.until([&] { return reads == 2; }));
-    held.settle();
-    const int before = held.releases();
-    held.pass(299);
-    held.settle();
-    EXPECT_EQ(held.releases(), before) << "a read may be under way";
-    held.pass(40);
-    held.settle();
-    EXPECT_EQ(held.releases(), before + (shown ? 0 : 1));
+    fixture.post("/v1/chat/completions", platformFields("a"), "{}");
+    ASSERT_TRUE(fixture.until([&] { return prefills == 1 && fixture.releaseRequests() >= 1; }));
+    fixture.pass(10);  // the close of the first attempt has to arrive before the second
+    ASSERT_TRUE(fixture.until([&] { return prefills == 2; }));
+    fixture.settle();
+    const int before = fixture.releaseRequests();
+    fixture.pass(299);
+    fixture.settle();
+    EXPECT_EQ(fixture.releaseRequests(), before) << "a prefill may be running";
+    fixture.pass(40);
+    fixture.settle();
+    EXPECT_EQ(fixture.releaseRequests(), before + (granted ? 0 : 1));
   }
 }
 
-// The same while the next read waits for a connection that does not come up: no attempt is out, so
-// the time of what the first left goes on.
-TEST(Releases, GoOnWhileTheNextReadWaitsForItsConnection) {
-  Held held;
-  // Its queue is full, so that a further connection is neither taken nor refused.
-  boost::asio::ip::tcp::acceptor full(held.io, anyPort());
+// The same while the next prefill waits for a connection that is not established: no attempt is in
+// flight, so the time limit of what the first attempt left keeps running.
+TEST(Releases, ContinueWhileNextPrefillWaitsForItsConnection) {
+  HeldStateFixture fixture;
+  // The accept queue is full, so another connection is neither accepted nor refused.
+  boost::asio::ip::tcp::acceptor full(fixture.io, anyPort());
   full.listen(0);
-  RawPeer filling(held.io);
+  RawPeer filling(fixture.io);
   filling.connect(full.local_endpoint());
   for (const auto& [name, other] : {std::pair("r1", "r2"), std::pair("r2", "r1")})
-    held.instances.at(name)->script =
-        [&held, &full, other = other](StandInInstance&, StandInInstance::ReceivedRequest& taken) {
-          held.server->directory.find({other})->address = full.local_endpoint();
-          taken.connection->answer(500, {}, "");
-        };
-  held.post("/v1/chat/completions", platformFields("a"), "{}");
-  ASSERT_TRUE(held.until(
-      [&] { return held.server->counters["attempts.sent"] == 2 && held.releases() >= 1; }));
-  held.settle();
-  const int before = held.releases();
-  held.pass(kSettleMs + 1);
-  held.settle();
-  EXPECT_EQ(held.releases(), before + 1);
+    fixture.instances.at(name)->script = [&fixture, &full, other = other](
+                                             StandInInstance&,
+                                             StandInInstance::ReceivedRequest& request) {
+      fixture.server->directory.find({other})->address = full.local_endpoint();
+      request.connection->answer(500, {}, "");
+    };
+  fixture.post("/v1/chat/completions", platformFields("a"), "{}");
+  ASSERT_TRUE(fixture.until([&] {
+    return fixture.server->counters["attempts.sent"] == 2 && fixture.releaseRequests() >= 1;
+  }));
+  fixture.settle();
+  const int before = fixture.releaseRequests();
+  fixture.pass(kRoundIntervalMs + 1);
+  fixture.settle();
+  EXPECT_EQ(fixture.releaseRequests(), before + 1);
 }
 
-// A read that ends well needs what it left: the rounds of an earlier release are off.
-TEST(Releases, TakeNothingFromAnAttemptThatEndedWell) {
-  Held held;
-  int reads = 0;
-  for (auto& [name, instance] : held.instances)
+// A successful prefill leaves a KV cache that the request needs, so further rounds of an earlier
+// release are cancelled.
+TEST(Releases, StopAfterSuccessfulPrefill) {
+  HeldStateFixture fixture;
+  int prefills = 0;
+  for (auto& [name, instance] : fixture.instances)
     instance->script = beginOnly;
   for (const char* reader : {"r1", "r2"})
-    held.instances.at(reader)->script = [&](StandInInstance& instance,
-                                            StandInInstance::ReceivedRequest& taken) {
-      if (reads++ == 0)
-        taken.connection->answer(500, {}, "");
+    fixture.instances.at(reader)->script = [&](StandInInstance& instance,
+                                               StandInInstance::ReceivedRequest& request) {
+      if (prefills++ == 0)
+        request.connection->answer(500, {}, "");
       else
-        answerPrefill(instance, taken);
+        answerPrefill(instance, request);
     };
-  held.post("/v1/chat/completions", platformFields("a"), "{}");
-  ASSERT_TRUE(held.until([&] { return reads == 1 && held.releases() >= 1; }));
-  held.pass(10);  // the first one's close goes ahead of the second
-  ASSERT_TRUE(held.until([&] { return held.streaming() != nullptr; }));
-  EXPECT_EQ(held.releases(), 1);
+  fixture.post("/v1/chat/completions", platformFields("a"), "{}");
+  ASSERT_TRUE(fixture.until([&] { return prefills == 1 && fixture.releaseRequests() >= 1; }));
+  fixture.pass(10);  // the close of the first attempt has to arrive before the second
+  ASSERT_TRUE(fixture.until([&] { return fixture.streaming() != nullptr; }));
+  EXPECT_EQ(fixture.releaseRequests(), 1);
 }
 
-// The holder has left the list: any other passes the release on.
-TEST(Releases, ReachAnotherInstanceIfTheHolderHasLeftTheList) {
-  Held held;
-  held.reading();
-  for (auto& [name, instance] : held.instances)
+// The holder has been removed from the list: any other instance forwards the release to it.
+TEST(Releases, GoToAnotherInstanceIfHolderIsNoLongerListed) {
+  HeldStateFixture fixture;
+  fixture.startPrefill();
+  for (auto& [name, instance] : fixture.instances)
     if (!instance->received.empty())
-      held.server->directory.find({name})->state = routing::EndpointState::kRemoved;
-  held.lastCall->abandon();
-  ASSERT_TRUE(held.until([&] { return held.releases() >= 1; }));
-  for (const auto& [name, instance] : held.instances)
+      fixture.server->directory.find({name})->state = routing::EndpointState::kRemoved;
+  fixture.lastCall->abandon();
+  ASSERT_TRUE(fixture.until([&] { return fixture.releaseRequests() >= 1; }));
+  for (const auto& [name, instance] : fixture.instances)
     EXPECT_TRUE(instance->count("DELETE", "/") == 0 ||
-                held.server->directory.find({name})->state != routing::EndpointState::kRemoved);
+                fixture.server->directory.find({name})->state != routing::EndpointState::kRemoved);
 }
 
-// SIGTERM: the program ends no sooner than a call for a place is decided, and what came of it let
-// go.
-TEST(Releases, KeepTheProgramWhileAPlaceIsOut) {
-  Held held;
-  held.servedWithItsPlaceOut();
-  held.settle();
-  EXPECT_GT(held.server->instanceClient.releasing(), 0U);
-  held.placeCall().connection->answer(409, {}, "");
-  ASSERT_TRUE(held.until([&] { return held.server->instanceClient.releasing() == 0; }));
+// On SIGTERM the program does not exit before a reservation request is answered and its result is
+// released.
+TEST(Releases, KeepProgramRunningWhileReservationRequestIsPending) {
+  HeldStateFixture fixture;
+  fixture.serveWithPendingReservation();
+  fixture.settle();
+  EXPECT_GT(fixture.server->instanceClient.releasing(), 0U);
+  fixture.reservationCall().connection->answer(409, {}, "");
+  ASSERT_TRUE(fixture.until([&] { return fixture.server->instanceClient.releasing() == 0; }));
 }
 
-// What is held for it is let go of although attempts have every connection that the pool may have.
-TEST(Releases, FindAConnectionWhereAttemptsHaveTakenAllOthers) {
-  Held held;
-  for (auto& [name, instance] : held.instances)
+// Releases are sent although attempts use every other connection that the pool may open.
+TEST(Releases, GetAConnectionWhileAttemptsUseAllOthers) {
+  HeldStateFixture fixture;
+  for (auto& [name, instance] : fixture.instances)
     instance->script = leaveUnanswered;
-  held.reading("first");
-  held.server->pool.setMaxConnections(16);
+  fixture.startPrefill("first");
+  fixture.server->pool.setMaxConnections(16);
   std::vector<std::shared_ptr<Reply>> others;
   for (int i = 0; i < 20; ++i)
     others.push_back(
-        held.post("/v1/chat/completions", platformFields("n" + std::to_string(i)), "{}"));
-  ASSERT_TRUE(held.until([&] { return held.server->counters["calls.waited"] > 0; }));
-  held.settle();
-  EXPECT_EQ(held.server->pool.size(), 15U);  // of sixteen one is kept
-  held.server->instanceClient.release({"x"});
-  ASSERT_TRUE(held.until([&] { return held.releases("x") == 1; }));
+        fixture.post("/v1/chat/completions", platformFields("n" + std::to_string(i)), "{}"));
+  ASSERT_TRUE(fixture.until([&] { return fixture.server->counters["calls.waited"] > 0; }));
+  fixture.settle();
+  EXPECT_EQ(fixture.server->pool.size(), 15U);  // one of sixteen is reserved for releases
+  fixture.server->instanceClient.release({"x"});
+  ASSERT_TRUE(fixture.until([&] { return fixture.releaseRequests("x") == 1; }));
 }
 
 // ---- Calls that wait for a connection
-// --------------------------------------------------------------
 
-TEST(Pool, ACallThatGetsNoConnectionWithinTheTimeOfADialIsWithdrawn) {
+TEST(ConnectionPool, WithdrawsCallThatGetsNoConnectionWithinConnectTimeout) {
   NetworkFixture stage;
   RawPeer peer(stage.io);
   net::ConnectionPool pool(stage.io, stage.clock, stage.timers, stage.counters,
@@ -439,103 +449,103 @@
   EXPECT_EQ(pool.size(), 0U);
 }
 
-// ---- Clients that have gone
-// ------------------------------------------------------------------------
+// ---- Disconnected clients
 
-// The client's close is in this machine's hands, and its handler has not run when the next send is
+// The client's close has reached the kernel, but its handler has not run when the next attempt is
 // decided.
-TEST(GoneClients, GetNoFurtherAttemptInTheTurnOfTheLoopInWhichTheyLeave) {
+TEST(DisconnectedClient, GetsNoAttemptInTheLoopIterationOfItsDisconnect) {
   for (const bool reset : {false, true}) {
-    RouterFixture site(kSplit, false);
-    for (auto& [name, instance] : site.instances)
+    RouterFixture fixture(kSplit, false);
+    for (auto& [name, instance] : fixture.instances)
       instance->script = leaveUnanswered;
-    RawPeer client(site.io);
-    client.connect(site.listener->address());
+    RawPeer client(fixture.io);
+    client.connect(fixture.listener->address());
     client.write(messageText("POST /v1/chat/completions HTTP/1.1", platformFields("a"), "{}"));
-    ASSERT_TRUE(site.until([&] { return site.chats() == 1; }));
-    StandInInstance::ReceivedRequest* read = nullptr;
-    for (const auto& [name, instance] : site.instances)
-      for (const auto& taken : instance->received)
-        if (taken->target == "/v1/chat/completions")
-          read = taken.get();
-    ASSERT_NE(read, nullptr);
+    ASSERT_TRUE(fixture.until([&] { return fixture.chats() == 1; }));
+    StandInInstance::ReceivedRequest* prefill = nullptr;
+    for (const auto& [name, instance] : fixture.instances)
+      for (const auto& request : instance->received)
+        if (request->target == "/v1/chat/completions")
+          prefill = request.get();
+    ASSERT_NE(prefill, nullptr);
     if (reset)
       client.reset();
     else
       client.close();
-    // The loop hears of neither; the read's end comes straight from the core.
+    // The event loop runs neither handler; the end of the prefill is reported directly to the core.
     const auto attempt = core::AttemptKey{0, 1};
-    site.server->dispatcher.attemptEnded(attempt, {routing::AttemptOutcome::kPrefilled});
-    EXPECT_EQ(site.server->counters["requests.client_gone"], 1U);
-    EXPECT_EQ(site.server->counters["attempts.not_sent"], 1U);
-    ASSERT_TRUE(site.until([&] { return site.server->dispatcher.openRequests() == 0; }));
-    EXPECT_EQ(site.chats(), 1);
+    fixture.server->dispatcher.attemptEnded(attempt, {routing::AttemptOutcome::kPrefilled});
+    EXPECT_EQ(fixture.server->counters["requests.client_gone"], 1U);
+    EXPECT_EQ(fixture.server->counters["attempts.not_sent"], 1U);
+    ASSERT_TRUE(fixture.until([&] { return fixture.server->dispatcher.openRequests() == 0; }));
+    EXPECT_EQ(fixture.chats(), 1);
   }
 }
 
-// While a dial is under way: the connection comes up for a client that is no longer there.
-TEST(GoneClients, GetNoAttemptOnAConnectionThatComesUpAfterTheyLeft) {
-  RouterFixture site(kSplit, false);
-  RawPeer client(site.io);
-  client.connect(site.listener->address());
+// The client disconnects while the connection to the instance is being established.
+TEST(DisconnectedClient, GetsNoAttemptOnConnectionEstablishedLater) {
+  RouterFixture fixture(kSplit, false);
+  RawPeer client(fixture.io);
+  client.connect(fixture.listener->address());
   client.write(messageText("POST /v1/chat/completions HTTP/1.1", platformFields("a"), "{}"));
-  // Runs one handler at a time, until the attempt is decided and its dial has begun.
-  for (int i = 0; i < 10'000 && site.server->counters["attempts.sent"] == 0; ++i) {
-    site.io.restart();
-    site.io.poll_one();
+  // Runs one handler at a time until the attempt is decided and its connection is being
+  // established.
+  for (int i = 0; i < 10'000 && fixture.server->counters["attempts.sent"] == 0; ++i) {
+    fixture.io.restart();
+    fixture.io.poll_one();
   }
-  ASSERT_EQ(site.server->counters["attempts.sent"], 1U);
+  ASSERT_EQ(fixture.server->counters["attempts.sent"], 1U);
   client.close();
-  ASSERT_TRUE(site.until([&] { return site.server->counters["requests.client_gone"] == 1; }));
-  ASSERT_TRUE(site.until([&] { return site.server->dispatcher.openRequests() == 0; }));
-  EXPECT_EQ(site.chats(), 0);
+  ASSERT_TRUE(fixture.until([&] { return fixture.server->counters["requests.client_gone"] == 1; }));
+  ASSERT_TRUE(fixture.until([&] { return fixture.server->dispatcher.openRequests() == 0; }));
+  EXPECT_EQ(fixture.chats(), 0);
 }
 
-// Behind more requests than are kept ahead of their turn, a close no longer shows as readiness.
-TEST(GoneClients, AreNoticedBehindMoreThanIsReadAheadOfItsTurn) {
-  RouterFixture site(kSplit, false);
-  for (auto& [name, instance] : site.instances)
+// Behind more pipelined bytes than are read ahead, a close no longer makes the socket readable.
+TEST(DisconnectedClient, IsDetectedBehindMoreBytesThanAreReadAhead) {
+  RouterFixture fixture(kSplit, false);
+  for (auto& [name, instance] : fixture.instances)
     instance->script = leaveUnanswered;
-  RawPeer client(site.io);
-  client.connect(site.listener->address());
+  RawPeer client(fixture.io);
+  client.connect(fixture.listener->address());
   client.write(messageText("POST /v1/chat/completions HTTP/1.1", platformFields("a"), "{}"));
-  ASSERT_TRUE(site.until([&] { return site.chats() == 1; }));
+  ASSERT_TRUE(fixture.until([&] { return fixture.chats() == 1; }));
   client.write(std::string(64 * 1024, 'p'));
   for (int i = 0; i < 50; ++i) {
-    site.io.restart();
-    site.io.poll();
+    fixture.io.restart();
+    fixture.io.poll();
   }
   client.close();
-  for (int i = 0; i < 2 && site.server->counters["requests.client_gone"] == 0; ++i) {
-    site.pass(51);
-    site.io.restart();
-    site.io.poll();
+  for (int i = 0; i < 2 && fixture.server->counters["requests.client_gone"] == 0; ++i) {
+    fixture.pass(51);
+    fixture.io.restart();
+    fixture.io.poll();
   }
-  EXPECT_EQ(site.server->counters["requests.client_gone"], 1U);
+  EXPECT_EQ(fixture.server->counters["requests.client_gone"], 1U);
 }
 
-// ---- Other customers
-// ---------------------------------------------------------------------------------
+// ---- Forwarded headers
 
-// A class whose repeats are discarded is known to its instances by a header of the client's,
-// whatever its name.
-TEST(OtherCustomers, AClientsOwnHeadersReachTheInstanceAndThoseOfItsConnectionDoNot) {
-  RouterFixture site(kMixed, false);
+// Instances recognise requests of a deduplicated class by a header of the client, whatever its
+// name.
+TEST(ForwardedHeaders, ContainClientHeadersButNoConnectionHeaders) {
+  RouterFixture fixture(kMixed, false);
   auto fields = platformFields("a");
   fields.emplace_back("Some-Key", "k-77");
   fields.emplace_back("X-Again", "1");
   fields.emplace_back("Connection", "keep-alive");
   fields.emplace_back("Keep-Alive", "timeout=5");
-  site.finished(site.post("/v1/chat/completions", fields, "{}"));
-  const StandInInstance::ReceivedRequest* request = nullptr;
-  for (const auto& [name, instance] : site.instances)
-    for (const auto& taken : instance->received)
-      if (taken->id == "a" && taken->method == "POST" && taken->target == "/v1/chat/completions")
-        request = taken.get();
-  ASSERT_NE(request, nullptr);
+  fixture.finished(fixture.post("/v1/chat/completions", fields, "{}"));
+  const StandInInstance::ReceivedRequest* forwarded = nullptr;
+  for (const auto& [name, instance] : fixture.instances)
+    for (const auto& request : instance->received)
+      if (request->id == "a" && request->method == "POST" &&
+          request->target == "/v1/chat/completions")
+        forwarded = request.get();
+  ASSERT_NE(forwarded, nullptr);
   const auto values = [&](const std::string& name) {
     std::vector<std::string> found;
-    for (const auto& [key, value] : request->fields)
+    for (const auto& [key, value] : forwarded->fields)
       if (boost::beast::iequals(key, name))
         found.push_back(value);
     return found;
@@ -549,129 +559,129 @@
   EXPECT_TRUE(values("Keep-Alive").empty());
 }
 
-// ---- Closes of attempts against what follows them
-// --------------------------------------------------
+// ---- Closes of attempts and the messages that follow them
 
-// The close of an attempt that was called off and what follows it travel on different connections.
-// A refusal that overtakes it says that a repeat is harmless while the attempt is still open at its
-// instance; a send that does makes a second copy. The answer to a class that may run twice need not
-// wait.
-TEST(CalledOffAttempts, AreClosedBeforeTheirRequestIsRefused) {
+// The close of a cancelled attempt and the next message travel on different connections. A
+// rejection that overtakes the close states that a retry is safe while the attempt is still open at
+// its instance, and an attempt that overtakes it is a second copy. Rejections of idempotent
+// requests need not wait.
+TEST(CancelledAttempt, IsClosedBeforeItsRequestIsRejected) {
   for (const std::string cls : {"membership-changes", "member-questions"}) {
-    RouterFixture site(kSplit, false);
-    for (auto& [id, instance] : site.instances)
+    RouterFixture fixture(kSplit, false);
+    for (auto& [id, instance] : fixture.instances)
       instance->script = leaveUnanswered;
     net::Fields fields = platformFields("a");
     fields[1].second = cls;
-    const auto reply = site.post("/v1/x", fields, "{}");
-    ASSERT_TRUE(site.until([&] { return site.chats() == 1; }));
-    site.server->dispatcher.beginShutdown(1000);
-    site.pass(940);  // the last call
+    const auto reply = fixture.post("/v1/x", fields, "{}");
+    ASSERT_TRUE(fixture.until([&] { return fixture.chats() == 1; }));
+    fixture.server->dispatcher.beginShutdown(1000);
+    fixture.pass(940);  // the shutdown rejects what is left
     for (int i = 0; i < 20; ++i)
-      site.io.poll(), site.io.restart(), site.io.run_one_for(1ms);
-    EXPECT_EQ(reply->over, cls == "member-questions") << "nothing may overtake the close";
-    site.pass(10);
-    EXPECT_EQ(site.finished(reply)->status, 503U);
+      fixture.io.poll(), fixture.io.restart(), fixture.io.run_one_for(1ms);
+    EXPECT_EQ(reply->over, cls == "member-questions")
+        << "the rejection must not overtake the close";
+    fixture.pass(10);
+    EXPECT_EQ(fixture.finished(reply)->status, 503U);
   }
 }
 
-TEST(CalledOffAttempts, AreClosedBeforeTheirRequestIsSentAgain) {
-  RouterFixture site(kSplit, false);
-  auto settings = site.operatorFile.setup.settings;
+TEST(CancelledAttempt, IsClosedBeforeItsRequestIsRetried) {
+  RouterFixture fixture(kSplit, false);
+  auto settings = fixture.operatorFile.setup.settings;
   settings.classes[1].latencyObjective = 6s;
-  site.server->reconfigure(settings, frontend::platformProtocol());
-  for (auto& [id, instance] : site.instances)
+  fixture.server->reconfigure(settings, frontend::platformProtocol());
+  for (auto& [id, instance] : fixture.instances)
     instance->script = leaveUnanswered;
-  site.post("/v1/x", platformFields("a"), "{}");
-  ASSERT_TRUE(site.until([&] { return site.chats() == 1; }));
-  site.pass(3'700);  // of 6 s: the prefill instance is given up, and there is time for another
-  ASSERT_TRUE(site.until([&] { return site.server->counters["attempts.sent"] == 2; }));
+  fixture.post("/v1/x", platformFields("a"), "{}");
+  ASSERT_TRUE(fixture.until([&] { return fixture.chats() == 1; }));
+  fixture.pass(3'700);  // of 6 s: the prefill attempt times out, and there is time for another one
+  ASSERT_TRUE(fixture.until([&] { return fixture.server->counters["attempts.sent"] == 2; }));
   for (int i = 0; i < 20; ++i)
-    site.io.poll(), site.io.restart(), site.io.run_one_for(1ms);
-  EXPECT_EQ(site.chats(), 1);
-  site.pass(10);
-  EXPECT_TRUE(site.until([&] { return site.chats() == 2; }));
+    fixture.io.poll(), fixture.io.restart(), fixture.io.run_one_for(1ms);
+  EXPECT_EQ(fixture.chats(), 1);
+  fixture.pass(10);
+  EXPECT_TRUE(fixture.until([&] { return fixture.chats() == 2; }));
 }
 
-// ---- Second answers
-// --------------------------------------------------------------------------------
+// ---- Late answers to earlier requests
 
-// An instance refuses the request before once more, late, as the next is under way on that
-// connection and runs: to the wire it is the next one's answer. It proves nothing of a class that
-// must not run twice; of a safe one it is believed, and so is a refusal on a connection that
-// carried nothing before.
-TEST(SecondAnswers, ProveNothingAboutTheRequestThatIsUnderWay) {
-  const net::Fields refused{{"X-Rejected", "1"}};
+// An instance sends a second, late rejection of an earlier request while the next request is
+// running on the same connection, so it looks like the answer to that one. It proves nothing for an
+// at-most-once request. It is accepted for an idempotent request, and on a connection that carried
+// no request before.
+TEST(LateAnswer, ProvesNothingAboutTheNextRequestOnItsConnection) {
+  const net::Fields rejectedFields{{"X-Rejected", "1"}};
   for (const auto& [cls, used] : {std::pair{"membership-changes", true},
                                   {"member-questions", true},
                                   {"membership-changes", false}}) {
-    RouterFixture site({{"m1", "both", 0}, {"m2", "both", 0}}, false);
-    const auto ask = [&, cls = cls](const std::string& id) {
+    RouterFixture fixture({{"m1", "both", 0}, {"m2", "both", 0}}, false);
+    const auto statusOf = [&, cls = cls](const std::string& id) {
       net::Fields fields = platformFields(id);
       fields[1].second = cls;
-      return site.finished(site.post("/v1/x", fields, "{}"))->status;
+      return fixture.finished(fixture.post("/v1/x", fields, "{}"))->status;
     };
     if (used) {
-      EXPECT_EQ(ask("a"), 200U);
+      EXPECT_EQ(statusOf("a"), 200U);
     }
-    site.pass(5);  // the connection has rested
-    int refusals = 0;
-    for (auto& [id, instance] : site.instances)
-      instance->script = [&](StandInInstance& instance, StandInInstance::ReceivedRequest& taken) {
-        if (++refusals > 1)
-          return streamFullAnswer(instance, taken);
-        EXPECT_EQ(taken.connection, instance.received.front()->connection);
-        instance.received.front()->connection->answer(503, refused, "");
+    fixture.pass(5);  // the connection has been idle
+    int rejections = 0;
+    for (auto& [id, instance] : fixture.instances)
+      instance->script = [&](StandInInstance& instance, StandInInstance::ReceivedRequest& request) {
+        if (++rejections > 1)
+          return streamFullAnswer(instance, request);
+        EXPECT_EQ(request.connection, instance.received.front()->connection);
+        instance.received.front()->connection->answer(503, rejectedFields, "");
       };
-    const bool proof = !used || cls == std::string("member-questions");
-    EXPECT_EQ(ask("b"), proof ? 200U : 502U) << cls << used;
-    EXPECT_EQ(refusals, proof ? 2 : 1) << cls << used;
+    const bool provesNotRun = !used || cls == std::string("member-questions");
+    EXPECT_EQ(statusOf("b"), provesNotRun ? 200U : 502U) << cls << used;
+    EXPECT_EQ(rejections, provesNotRun ? 2 : 1) << cls << used;
   }
 }
 
-// A repeat of a keyed class waits for a connection until its window, counted from the attempt that
-// may have run, is over: the instance would not know it for a repeat any more.
-TEST(KeyedClasses, SendNoRepeatThatWaitedUntilTheirWindowWasOver) {
-  for (const double waited : {150.0, 210.0}) {
-    RouterFixture site({{"m1", "both", 0}, {"m2", "both", 0}}, false);
-    auto settings = site.operatorFile.setup.settings;
+// A retry of a deduplicated request waits for a connection until the deduplication window, counted
+// from the attempt that may have run, has passed. The instance would no longer recognise it as a
+// repeat.
+TEST(DeduplicatedRequest, IsNotRetriedAfterItsWindow) {
+  for (const double waitMs : {150.0, 210.0}) {
+    RouterFixture fixture({{"m1", "both", 0}, {"m2", "both", 0}}, false);
+    auto settings = fixture.operatorFile.setup.settings;
     settings.classes[1].effect = routing::Effect::kDeduplicated;
     settings.classes[1].dedupScope = routing::DedupScope::kAll;
     settings.classes[1].dedupWindow = std::chrono::milliseconds(200);
-    site.server->reconfigure(settings, frontend::platformProtocol());
-    for (auto& [id, instance] : site.instances)
-      instance->script = [&](StandInInstance& instance, StandInInstance::ReceivedRequest& taken) {
-        if (site.chats() > 2)
-          streamFullAnswer(instance, taken);
+    fixture.server->reconfigure(settings, frontend::platformProtocol());
+    for (auto& [id, instance] : fixture.instances)
+      instance->script = [&](StandInInstance& instance, StandInInstance::ReceivedRequest& request) {
+        if (fixture.chats() > 2)
+          streamFullAnswer(instance, request);
       };
-    site.post("/v1/x", platformFields("other"), "{}");  // keeps one of two connections
-    ASSERT_TRUE(site.until([&] { return site.chats() == 1; }));
-    const auto reply = site.post("/v1/x", platformFields("a"), "{}");
-    ASSERT_TRUE(site.until([&] { return site.chats() == 2; }));
-    site.server->pool.setMaxConnections(1);
-    for (const auto& [id, instance] : site.instances)
-      for (const auto& taken : instance->received)
-        if (taken->id == "a")
-          taken->connection->abortResponse();
-    ASSERT_TRUE(site.until([&] { return site.server->counters["calls.waited"] == 2; }))
-        << "and its release";
-    site.pass(waited);
-    site.server->pool.setMaxConnections(2);
-    EXPECT_EQ(site.finished(reply)->status, waited < 200 ? 200U : 503U);
-    EXPECT_EQ(site.chats(), waited < 200 ? 3 : 2);
+    fixture.post("/v1/x", platformFields("other"), "{}");  // occupies one of two connections
+    ASSERT_TRUE(fixture.until([&] { return fixture.chats() == 1; }));
+    const auto reply = fixture.post("/v1/x", platformFields("a"), "{}");
+    ASSERT_TRUE(fixture.until([&] { return fixture.chats() == 2; }));
+    fixture.server->pool.setMaxConnections(1);
+    for (const auto& [id, instance] : fixture.instances)
+      for (const auto& request : instance->received)
+        if (request->id == "a")
+          request->connection->abortResponse();
+    ASSERT_TRUE(fixture.until([&] { return fixture.server->counters["calls.waited"] == 2; }))
+        << "the retry and the release";
+    fixture.pass(waitMs);
+    fixture.server->pool.setMaxConnections(2);
+    EXPECT_EQ(fixture.finished(reply)->status, waitMs < 200 ? 200U : 503U);
+    EXPECT_EQ(fixture.chats(), waitMs < 200 ? 3 : 2);
   }
 }
 
-// ---- Closes against what still arrives
-// -------------------------------------------------------------
+// ---- Closes while bytes still arrive
 
-struct Door : NetworkFixture, net::RequestHandler {
+// A listener whose requests the test answers.
+struct ListenerFixture : NetworkFixture, net::RequestHandler {
   net::Listener listener{io, anyPort(), 3, *this, clock, timers, counters};
-  std::vector<std::shared_ptr<net::ClientConnection>> asked;
+  std::vector<std::shared_ptr<net::ClientConnection>> requests;
   void request(const std::shared_ptr<net::ClientConnection>& connection,
                net::HttpRequest&&,
                double) override {
-    asked.push_back(connection);
+    requests.push_back(connection);
   }
   void disconnected(net::ClientConnection&) override {}
   void writable(net::ClientConnection&) override {}
@@ -680,47 +690,47 @@
   }
 };
 
-const std::string kAsk = "POST /v1 HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc";
+const std::string kRequest = "POST /v1 HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc";
 
-// A close over unread bytes resets the connection and takes the answer with it: the client, which
-// has not read it yet, would get nothing.
-TEST(Closes, LeaveTheLastAnswerWithAClientThatSendsMoreMeanwhile) {
-  Door door;
-  RawPeer client(door.io);
-  client.closes = false;
-  client.connect(door.listener.address());
+// Closing a socket with unread bytes resets the connection and discards the answer that the client
+// has not read yet.
+TEST(ListenerClose, DeliversLastAnswerToClientThatSendsMore) {
+  ListenerFixture fixture;
+  RawPeer client(fixture.io);
+  client.closesAfterPeer = false;
+  client.connect(fixture.listener.address());
   client.write("POST /v1 HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: 3\r\n\r\nabc");
-  ASSERT_TRUE(door.until([&] { return door.asked.size() == 1; }));
-  client.write(kAsk);  // stands unread in this machine
-  door.asked[0]->answer(200, {}, "whole");
+  ASSERT_TRUE(fixture.until([&] { return fixture.requests.size() == 1; }));
+  client.write(kRequest);  // not read by the listener
+  fixture.requests[0]->answer(200, {}, "whole");
   for (int i = 0; i < 50; ++i) {
-    door.io.restart();
-    door.io.poll();
+    fixture.io.restart();
+    fixture.io.poll();
     client.write("more");
   }
-  ASSERT_TRUE(door.until([&] { return client.ended(); }));
+  ASSERT_TRUE(fixture.until([&] { return client.ended(); }));
   EXPECT_NE(client.seen.find("whole"), std::string::npos);
-  EXPECT_EQ(door.asked.size(), 1U) << "nothing that comes after the end is a request";
-  EXPECT_EQ(door.listener.size(), 1U) << "it is read on until the client closes";
-  door.pass(501);  // and no longer than this
-  EXPECT_EQ(door.listener.size(), 0U);
+  EXPECT_EQ(fixture.requests.size(), 1U) << "nothing after the last request is handled";
+  EXPECT_EQ(fixture.listener.size(), 1U) << "the connection is read until the client closes";
+  fixture.pass(501);  // the time limit for that
+  EXPECT_EQ(fixture.listener.size(), 0U);
 }
 
-// The request is in this machine when the idle connection's time is up: it is served, not cut off.
-TEST(Closes, ServeARequestThatArrivedAsTheTimeOfItsRestingConnectionEnded) {
-  Door door;
-  RawPeer client(door.io);
-  client.connect(door.listener.address());
-  client.write(kAsk);
-  ASSERT_TRUE(door.until([&] { return door.asked.size() == 1; }));
-  door.asked[0]->answer(200, {}, "one");
-  ASSERT_TRUE(door.until([&] { return door.asked[0]->state() == State::kIdle; }));
-  client.write(kAsk);  // the loop has not seen it
-  door.pass(5'001);
-  ASSERT_TRUE(door.until([&] { return door.asked.size() == 2; }));
-  door.asked[1]->answer(200, {}, "two");
-  ASSERT_TRUE(
-      door.until([&] { return !client.ended() && client.seen.find("two") != std::string::npos; }));
+// The request has reached the kernel when the idle timeout of its connection fires: it is served.
+TEST(ListenerClose, ServesRequestThatArrivedBeforeIdleTimeoutFired) {
+  ListenerFixture fixture;
+  RawPeer client(fixture.io);
+  client.connect(fixture.listener.address());
+  client.write(kRequest);
+  ASSERT_TRUE(fixture.until([&] { return fixture.requests.size() == 1; }));
+  fixture.requests[0]->answer(200, {}, "one");
+  ASSERT_TRUE(fixture.until([&] { return fixture.requests[0]->state() == State::kIdle; }));
+  client.write(kRequest);  // not yet seen by the event loop
+  fixture.pass(5'001);
+  ASSERT_TRUE(fixture.until([&] { return fixture.requests.size() == 2; }));
+  fixture.requests[1]->answer(200, {}, "two");
+  ASSERT_TRUE(fixture.until(
+      [&] { return !client.ended() && client.seen.find("two") != std::string::npos; }));
 }
 
 }  // namespace
