--- a/tests/client_departure_test.cpp
+++ b/tests/client_departure_test.cpp
@@ -1,7 +1,7 @@
-// A client that leaves: nothing begins for it any more, neither an attempt nor a reservation,
-// wherever its request waits at that moment. Each case on real sockets and through both fronts,
-// once with the loop told of the close before time goes on, and once with the close only in the
-// system's hands.
+// After a client disconnects, no attempt and no reservation begins for it, wherever its request
+// waits at that moment. Each case runs on real sockets and through both frontends, once with the
+// close detected by the event loop before anything else happens, and once with the close known only
+// to the kernel.
 #include "app/handover.h"
 #include "support/router_fixture.h"
 #include "support/temporary_directory.h"
@@ -9,70 +9,74 @@
 namespace inference_router {
 namespace {
 
-enum class Leaving { kClose, kHalfClose, kReset };
+// How the client disconnects.
+enum class Disconnect { kClose, kHalfClose, kReset };
 
-struct Case {
+struct DisconnectCase {
   bool openai;
-  Leaving how;
-  bool told;  // the loop runs between the close and what comes next
+  Disconnect kind;
+  bool detected;  // the event loop handles the close before the test goes on
 };
 
-std::string nameOf(const testing::TestParamInfo<Case>& info) {
-  constexpr std::array kHow{"Close", "HalfClose", "Reset"};
+std::string nameOf(const testing::TestParamInfo<DisconnectCase>& info) {
+  constexpr std::array kKinds{"Close", "HalfClose", "Reset"};
   return std::string(info.param.openai ? "ChatApi" : "Platform") +
-         kHow.at(static_cast<std::size_t>(info.param.how)) + (info.param.told ? "Told" : "Untold");
+         kKinds.at(static_cast<std::size_t>(info.param.kind)) +
+         (info.param.detected ? "Detected" : "Undetected");
 }
 
-std::vector<Case> allCases() {
-  std::vector<Case> all;
+std::vector<DisconnectCase> allCases() {
+  std::vector<DisconnectCase> cases;
   for (const bool openai : {false, true})
-    for (const Leaving how : {Leaving::kClose, Leaving::kHalfClose, Leaving::kReset})
-      for (const bool told : {false, true})
-        all.push_back({openai, how, told});
-  return all;
+    for (const Disconnect kind : {Disconnect::kClose, Disconnect::kHalfClose, Disconnect::kReset})
+      for (const bool detected : {false, true})
+        cases.push_back({openai, kind, detected});
+  return cases;
 }
 
-std::string requestText(bool openai, const std::string& id, const std::string& filling = "") {
+std::string requestText(bool openai, const std::string& id, const std::string& padding = "") {
   if (!openai) {
     net::Fields fields = platformFields(id);
     fields.emplace_back("Host", "x");
-    return messageText("POST /v1/chat/completions HTTP/1.1", std::move(fields), "{}" + filling);
+    return messageText("POST /v1/chat/completions HTTP/1.1", std::move(fields), "{}" + padding);
   }
   const json body{{"model", "change"},
-                  {"messages", {{{"role", "user"}, {"content", "When do you open?" + filling}}}}};
+                  {"messages", {{{"role", "user"}, {"content", "When do you open?" + padding}}}}};
   return messageText("POST /v1/chat/completions HTTP/1.1",
                      {{"Host", "x"}, {"Authorization", "Bearer k"}}, body.dump());
 }
 
-// One client on a bare socket, and a site whose instances answer only what the test says.
-struct Departure : RouterFixture {
-  Departure(const std::vector<Kind>& kinds, bool openai)
+// One client on a raw socket, and a router whose instances answer only when the test makes them.
+struct DisconnectFixture : RouterFixture {
+  DisconnectFixture(const std::vector<Kind>& kinds, bool openai)
       : RouterFixture(kinds, openai), openai(openai) {
     for (auto& [id, instance] : instances)
       instance->script = leaveUnanswered;
     client.connect(listener->address());
   }
-  void ask(const std::string& filling = "") { client.write(requestText(openai, "a", filling)); }
-  void askUntilTaken() {
-    ask();
+  void sendRequest(const std::string& padding = "") {
+    client.write(requestText(openai, "a", padding));
+  }
+  void sendRequestAndAwaitReceipt() {
+    sendRequest();
     EXPECT_TRUE(until([&] { return server->counters["requests.taken"] == 1; }));
   }
-  void leave(Leaving how) {
-    if (how == Leaving::kClose)
+  void disconnect(Disconnect kind) {
+    if (kind == Disconnect::kClose)
       client.close();
-    if (how == Leaving::kHalfClose)
+    if (kind == Disconnect::kHalfClose)
       client.endSending();
-    if (how == Leaving::kReset)
+    if (kind == Disconnect::kReset)
       client.reset();
   }
-  void leave(const Case& by) {
-    leave(by.how);
-    if (!by.told)
+  void disconnect(const DisconnectCase& disconnectCase) {
+    disconnect(disconnectCase.kind);
+    if (!disconnectCase.detected)
       return;
     EXPECT_TRUE(until([&] { return server->counters["requests.client_gone"] == 1; }));
   }
-  // Lets all that may still happen happen, to well past the client's time.
-  void unpause() {
+  // Runs everything that may still happen, until well after the client's deadline.
+  void runPastDeadline() {
     for (int i = 0; i < 30; ++i) {
       pass(i < 15 ? 10 : 500);
       settle();
@@ -86,19 +90,19 @@
     }
   }
   int reservations() const {
-    int all = 0;
+    int total = 0;
     for (const auto& [id, instance] : instances)
-      all += instance->count("POST", "/bootstrap/");
-    return all;
+      total += instance->count("POST", "/bootstrap/");
+    return total;
   }
   StandInInstance::ReceivedRequest& onlyChat() {
     for (const auto& [id, instance] : instances)
-      for (const auto& taken : instance->received)
-        if (taken->target == "/v1/chat/completions")
-          return *taken;
+      for (const auto& request : instance->received)
+        if (request->target == "/v1/chat/completions")
+          return *request;
     throw std::logic_error("no attempt has arrived");
   }
-  void expectGone(int chatsBefore, int reservationsBefore = 0) {
+  void expectDisconnected(int chatsBefore, int reservationsBefore = 0) {
     EXPECT_EQ(chats(), chatsBefore);
     EXPECT_EQ(reservations(), reservationsBefore);
     EXPECT_EQ(server->counters["requests.client_gone"], 1U);
@@ -109,308 +113,310 @@
   RawPeer client{io};
 };
 
-class AClientThatLeft : public testing::TestWithParam<Case> {};
-INSTANTIATE_TEST_SUITE_P(All, AClientThatLeft, testing::ValuesIn(allCases()), nameOf);
+class DisconnectedClient : public testing::TestWithParam<DisconnectCase> {};
+INSTANTIATE_TEST_SUITE_P(All, DisconnectedClient, testing::ValuesIn(allCases()), nameOf);
 
-// Without an instance a request waits in the module; one comes up for a client that is no longer
-// there.
-TEST_P(AClientThatLeft, GetsNoAttemptOutOfTheModulesQueue) {
-  Departure site(kSplit, GetParam().openai);
-  routing::EndpointListUpdate none = site.operatorFile.instances;
+// Without an instance a request waits in the decision module. An instance is listed after the
+// client has disconnected.
+TEST_P(DisconnectedClient, GetsNoAttemptFromDecisionModuleQueue) {
+  DisconnectFixture fixture(kSplit, GetParam().openai);
+  routing::EndpointListUpdate none = fixture.operatorFile.instances;
   none.form = routing::EndpointListForm::kFull;
   none.entries.clear();
-  site.server->dispatcher.list(none);
-  site.pass(1'100);  // past the grace of a drain
-  site.askUntilTaken();
-  site.settle();
-  site.leave(GetParam());
-  routing::EndpointListUpdate all = site.operatorFile.instances;
+  fixture.server->dispatcher.list(none);
+  fixture.pass(1'100);  // longer than the drain grace period
+  fixture.sendRequestAndAwaitReceipt();
+  fixture.settle();
+  fixture.disconnect(GetParam());
+  routing::EndpointListUpdate all = fixture.operatorFile.instances;
   all.version = none.version + 1;
-  site.server->dispatcher.list(all);
-  site.unpause();
-  site.expectGone(0);
+  fixture.server->dispatcher.list(all);
+  fixture.runPastDeadline();
+  fixture.expectDisconnected(0);
 }
 
-TEST_P(AClientThatLeft, GetsNoAttemptFromTheLineForAConnection) {
-  Departure site(kSplit, GetParam().openai);
-  site.server->pool.setMaxConnections(0);
-  site.askUntilTaken();
-  ASSERT_EQ(site.server->counters["calls.waited"], 1U);
-  site.leave(GetParam());
-  site.server->pool.setMaxConnections(100);
-  site.unpause();
-  site.expectGone(0);
+TEST_P(DisconnectedClient, GetsNoAttemptAfterWaitingForConnection) {
+  DisconnectFixture fixture(kSplit, GetParam().openai);
+  fixture.server->pool.setMaxConnections(0);
+  fixture.sendRequestAndAwaitReceipt();
+  ASSERT_EQ(fixture.server->counters["calls.waited"], 1U);
+  fixture.disconnect(GetParam());
+  fixture.server->pool.setMaxConnections(100);
+  fixture.runPastDeadline();
+  fixture.expectDisconnected(0);
 }
 
-// The same with a connection at hand, so that the request would be written in the turn in which one
-// is free.
-TEST_P(AClientThatLeft, GetsNoAttemptOnAConnectionThatFallsFree) {
-  Departure site({{"m1", "both", 0}}, GetParam().openai);
-  site.server->pool.setMaxConnections(1);
-  RawPeer other(site.io);
-  other.connect(site.listener->address());
-  other.write(requestText(site.openai, "other"));
-  ASSERT_TRUE(site.until([&] { return site.chats() == 1; }));
-  site.ask();
-  ASSERT_TRUE(site.until([&] { return site.server->counters["calls.waited"] == 1; }));
-  site.leave(GetParam());
-  streamFullAnswer(*site.instances["m1"], site.onlyChat());
-  site.unpause();
-  site.expectGone(1);
+// The same with an open connection, on which the request would be written as soon as it is free.
+TEST_P(DisconnectedClient, GetsNoAttemptOnConnectionThatBecomesFree) {
+  DisconnectFixture fixture({{"m1", "both", 0}}, GetParam().openai);
+  fixture.server->pool.setMaxConnections(1);
+  RawPeer other(fixture.io);
+  other.connect(fixture.listener->address());
+  other.write(requestText(fixture.openai, "other"));
+  ASSERT_TRUE(fixture.until([&] { return fixture.chats() == 1; }));
+  fixture.sendRequest();
+  ASSERT_TRUE(fixture.until([&] { return fixture.server->counters["calls.waited"] == 1; }));
+  fixture.disconnect(GetParam());
+  streamFullAnswer(*fixture.instances["m1"], fixture.onlyChat());
+  fixture.runPastDeadline();
+  fixture.expectDisconnected(1);
 }
 
-TEST_P(AClientThatLeft, GetsNoAttemptWhoseDialComesUp) {
-  Departure site(kSplit, GetParam().openai);
-  site.ask();
-  for (int i = 0; i < 10'000 && site.server->counters["attempts.sent"] == 0; ++i) {
-    site.io.restart();
-    site.io.poll_one();
+TEST_P(DisconnectedClient, GetsNoAttemptOnNewConnection) {
+  DisconnectFixture fixture(kSplit, GetParam().openai);
+  fixture.sendRequest();
+  for (int i = 0; i < 10'000 && fixture.server->counters["attempts.sent"] == 0; ++i) {
+    fixture.io.restart();
+    fixture.io.poll_one();
   }
-  ASSERT_EQ(site.server->counters["attempts.sent"], 1U);
-  site.leave(GetParam());
-  site.unpause();
-  site.expectGone(0);
+  ASSERT_EQ(fixture.server->counters["attempts.sent"], 1U);
+  fixture.disconnect(GetParam());
+  fixture.runPastDeadline();
+  fixture.expectDisconnected(0);
 }
 
-// The second attempt waits until the close of the first has surely arrived.
-TEST_P(AClientThatLeft, GetsNoAttemptAfterThePauseThatFollowsAClose) {
-  Departure site(kSplit, GetParam().openai);
-  auto settings = site.operatorFile.setup.settings;
+// The second attempt waits until the close of the first one has arrived for sure.
+TEST_P(DisconnectedClient, GetsNoAttemptAfterDelayThatFollowsAClose) {
+  DisconnectFixture fixture(kSplit, GetParam().openai);
+  auto settings = fixture.operatorFile.setup.settings;
   settings.classes[1].latencyObjective = std::chrono::seconds(6);
-  site.server->reconfigure(settings, site.openai ? frontend::openaiProtocol(site.operatorFile)
-                                                 : frontend::platformProtocol());
-  site.askUntilTaken();
-  ASSERT_TRUE(site.until([&] { return site.chats() == 1; }));
-  site.pass(3'700);  // the prefill instance is given up
-  ASSERT_EQ(site.server->counters["attempts.sent"], 2U);
-  site.leave(GetParam());
-  const int reservations = site.reservations();
-  site.unpause();
-  site.expectGone(1, reservations);
+  fixture.server->reconfigure(settings, fixture.openai
+                                            ? frontend::openaiProtocol(fixture.operatorFile)
+                                            : frontend::platformProtocol());
+  fixture.sendRequestAndAwaitReceipt();
+  ASSERT_TRUE(fixture.until([&] { return fixture.chats() == 1; }));
+  fixture.pass(3'700);  // the prefill attempt times out
+  ASSERT_EQ(fixture.server->counters["attempts.sent"], 2U);
+  fixture.disconnect(GetParam());
+  const int reservations = fixture.reservations();
+  fixture.runPastDeadline();
+  fixture.expectDisconnected(1, reservations);
 }
 
-TEST_P(AClientThatLeft, GetsNoWriteAfterItsRead) {
-  Departure site(kSplit, GetParam().openai);
-  site.askUntilTaken();
-  ASSERT_TRUE(site.until([&] { return site.chats() == 1 && site.reservations() == 1; }));
-  site.settle();
-  site.leave(GetParam());
-  answerPrefill(*site.instances["r1"], site.onlyChat());
-  site.unpause();
-  site.expectGone(1, 1);
+TEST_P(DisconnectedClient, GetsNoDecodeAfterPrefill) {
+  DisconnectFixture fixture(kSplit, GetParam().openai);
+  fixture.sendRequestAndAwaitReceipt();
+  ASSERT_TRUE(fixture.until([&] { return fixture.chats() == 1 && fixture.reservations() == 1; }));
+  fixture.settle();
+  fixture.disconnect(GetParam());
+  answerPrefill(*fixture.instances["r1"], fixture.onlyChat());
+  fixture.runPastDeadline();
+  fixture.expectDisconnected(1, 1);
 }
 
-// Its instance has refused it, and what comes next is decided after it left.
-TEST_P(AClientThatLeft, GetsNoRetry) {
-  Departure site({{"m1", "both", 0}, {"m2", "both", 0}}, GetParam().openai);
-  site.askUntilTaken();
-  ASSERT_TRUE(site.until([&] { return site.chats() == 1; }));
-  site.leave(GetParam().how);
-  site.onlyChat().connection->answer(503, {{"X-Rejected", "1"}}, "");
-  site.unpause();
-  site.expectGone(1);
+// The instance rejects the request after the client has disconnected.
+TEST_P(DisconnectedClient, GetsNoRetry) {
+  DisconnectFixture fixture({{"m1", "both", 0}, {"m2", "both", 0}}, GetParam().openai);
+  fixture.sendRequestAndAwaitReceipt();
+  ASSERT_TRUE(fixture.until([&] { return fixture.chats() == 1; }));
+  fixture.disconnect(GetParam().kind);
+  fixture.onlyChat().connection->answer(503, {{"X-Rejected", "1"}}, "");
+  fixture.runPastDeadline();
+  fixture.expectDisconnected(1);
 }
 
-// The only instance has refused it, and it waits for the next try.
-TEST_P(AClientThatLeft, GetsNoRetryAfterABackoff) {
-  Departure site({{"m1", "both", 0}}, GetParam().openai);
-  site.askUntilTaken();
-  ASSERT_TRUE(site.until([&] { return site.chats() == 1; }));
-  site.onlyChat().connection->answer(503, {{"X-Rejected", "1"}}, "");
-  ASSERT_TRUE(site.until([&] { return site.server->counters["attempts.turned_away"] == 1; }));
-  ASSERT_EQ(site.server->dispatcher.openRequests(), 1U);
-  ASSERT_EQ(site.server->counters["attempts.sent"], 1U);
-  site.leave(GetParam());
-  site.unpause();
-  site.expectGone(1);
+// The only instance has rejected the request, which waits for its next attempt.
+TEST_P(DisconnectedClient, GetsNoRetryAfterABackoff) {
+  DisconnectFixture fixture({{"m1", "both", 0}}, GetParam().openai);
+  fixture.sendRequestAndAwaitReceipt();
+  ASSERT_TRUE(fixture.until([&] { return fixture.chats() == 1; }));
+  fixture.onlyChat().connection->answer(503, {{"X-Rejected", "1"}}, "");
+  ASSERT_TRUE(fixture.until([&] { return fixture.server->counters["attempts.turned_away"] == 1; }));
+  ASSERT_EQ(fixture.server->dispatcher.openRequests(), 1U);
+  ASSERT_EQ(fixture.server->counters["attempts.sent"], 1U);
+  fixture.disconnect(GetParam());
+  fixture.runPastDeadline();
+  fixture.expectDisconnected(1);
 }
 
-// The reservation is decided, and waits for a connection.
-TEST_P(AClientThatLeft, GetsNoReservation) {
-  Departure site(kSplit, GetParam().openai);
-  site.server->pool.setMaxConnections(1);
-  site.askUntilTaken();
-  ASSERT_TRUE(site.until([&] { return site.server->counters["calls.waited"] == 1; }));
-  EXPECT_EQ(site.reservations(), 0);
-  site.leave(GetParam());
-  site.server->pool.setMaxConnections(100);
-  site.unpause();
-  EXPECT_EQ(site.reservations(), 0);
-  EXPECT_EQ(site.server->dispatcher.openRequests(), 0U);
+// The reservation is decided and waits for a connection.
+TEST_P(DisconnectedClient, GetsNoReservation) {
+  DisconnectFixture fixture(kSplit, GetParam().openai);
+  fixture.server->pool.setMaxConnections(1);
+  fixture.sendRequestAndAwaitReceipt();
+  ASSERT_TRUE(fixture.until([&] { return fixture.server->counters["calls.waited"] == 1; }));
+  EXPECT_EQ(fixture.reservations(), 0);
+  fixture.disconnect(GetParam());
+  fixture.server->pool.setMaxConnections(100);
+  fixture.runPastDeadline();
+  EXPECT_EQ(fixture.reservations(), 0);
+  EXPECT_EQ(fixture.server->dispatcher.openRequests(), 0U);
 }
 
-// Its read has just gone out, and the reservation would follow at once on a connection at hand.
-TEST_P(AClientThatLeft, GetsNoReservationAsItsReadGoesOut) {
-  Departure site({{"r1", "read", 0}, {"w1", "write", 0}}, GetParam().openai);
-  site.instances["r1"]->script = answerPrefill;
-  site.instances["w1"]->script = streamFullAnswer;
-  RawPeer other(site.io);
-  other.connect(site.listener->address());
-  other.write(requestText(site.openai, "other"));
-  ASSERT_TRUE(site.until([&] { return site.server->counters["requests.served"] == 1; }));
-  site.settle();
-  site.pass(5);  // the connections have rested
-  const int reservations = site.reservations();
-  ASSERT_EQ(site.server->counters["attempts.sent"], 2U);
-  site.ask();
-  for (int i = 0; i < 10'000 && site.server->counters["attempts.sent"] == 2; ++i) {
-    site.io.restart();
-    site.io.poll_one();
+// The prefill has just been written, and the reservation request would follow at once on an idle
+// connection.
+TEST_P(DisconnectedClient, GetsNoReservationRightAfterPrefillIsWritten) {
+  DisconnectFixture fixture({{"r1", "read", 0}, {"w1", "write", 0}}, GetParam().openai);
+  fixture.instances["r1"]->script = answerPrefill;
+  fixture.instances["w1"]->script = streamFullAnswer;
+  RawPeer other(fixture.io);
+  other.connect(fixture.listener->address());
+  other.write(requestText(fixture.openai, "other"));
+  ASSERT_TRUE(fixture.until([&] { return fixture.server->counters["requests.served"] == 1; }));
+  fixture.settle();
+  fixture.pass(5);  // the connections have been idle
+  const int reservations = fixture.reservations();
+  ASSERT_EQ(fixture.server->counters["attempts.sent"], 2U);
+  fixture.sendRequest();
+  for (int i = 0; i < 10'000 && fixture.server->counters["attempts.sent"] == 2; ++i) {
+    fixture.io.restart();
+    fixture.io.poll_one();
   }
-  ASSERT_EQ(site.server->counters["attempts.sent"], 3U);
-  site.leave(GetParam().how);
-  site.unpause();
-  EXPECT_EQ(site.reservations(), reservations);
-  EXPECT_EQ(site.server->dispatcher.openRequests(), 0U);
+  ASSERT_EQ(fixture.server->counters["attempts.sent"], 3U);
+  fixture.disconnect(GetParam().kind);
+  fixture.runPastDeadline();
+  EXPECT_EQ(fixture.reservations(), reservations);
+  EXPECT_EQ(fixture.server->dispatcher.openRequests(), 0U);
 }
 
-// It wrote and left before the loop ran at all: its request is read, and nothing is sent on.
-TEST_P(AClientThatLeft, GetsNoFirstAttemptIfItsCloseCameWithItsRequest) {
-  Departure site(kSplit, GetParam().openai);
-  site.ask();
-  site.leave(GetParam().how);
-  site.unpause();
-  EXPECT_EQ(site.chats(), 0);
-  EXPECT_EQ(site.server->dispatcher.openRequests(), 0U);
+// The client sends its request and disconnects before the event loop runs: the request is read, but
+// not forwarded.
+TEST_P(DisconnectedClient, GetsNoAttemptIfCloseArrivesWithRequest) {
+  DisconnectFixture fixture(kSplit, GetParam().openai);
+  fixture.sendRequest();
+  fixture.disconnect(GetParam().kind);
+  fixture.runPastDeadline();
+  EXPECT_EQ(fixture.chats(), 0);
+  EXPECT_EQ(fixture.server->dispatcher.openRequests(), 0U);
 }
 
-TEST_P(AClientThatLeft, GetsNothingForHalfARequest) {
-  Departure site(kSplit, GetParam().openai);
-  const std::string text = requestText(site.openai, "a");
-  site.client.write(text.substr(0, text.size() - 1));
-  if (GetParam().told)
-    site.settle();
-  site.leave(GetParam().how);
-  site.unpause();
-  EXPECT_EQ(site.chats(), 0);
-  EXPECT_EQ(site.server->counters["requests.taken"], 0U);
+TEST_P(DisconnectedClient, GetsNothingForIncompleteRequest) {
+  DisconnectFixture fixture(kSplit, GetParam().openai);
+  const std::string text = requestText(fixture.openai, "a");
+  fixture.client.write(text.substr(0, text.size() - 1));
+  if (GetParam().detected)
+    fixture.settle();
+  fixture.disconnect(GetParam().kind);
+  fixture.runPastDeadline();
+  EXPECT_EQ(fixture.chats(), 0);
+  EXPECT_EQ(fixture.server->counters["requests.taken"], 0U);
 }
 
-// Its next request stands behind the first, and the close behind that.
-TEST_P(AClientThatLeft, GetsNothingForARequestAheadOfItsTurn) {
-  Departure site({{"m1", "both", 0}}, GetParam().openai);
-  site.client.write(requestText(site.openai, "a") + requestText(site.openai, "b"));
-  ASSERT_TRUE(site.until([&] { return site.chats() == 1; }));
-  if (GetParam().told)
-    site.settle();
-  site.leave(GetParam().how);
-  streamFullAnswer(*site.instances["m1"], site.onlyChat());
-  site.unpause();
-  EXPECT_EQ(site.chats(), 1);
-  EXPECT_EQ(site.server->dispatcher.openRequests(), 0U);
+// A second request is pipelined behind the first one, and the close follows.
+TEST_P(DisconnectedClient, GetsNothingForPipelinedRequest) {
+  DisconnectFixture fixture({{"m1", "both", 0}}, GetParam().openai);
+  fixture.client.write(requestText(fixture.openai, "a") + requestText(fixture.openai, "b"));
+  ASSERT_TRUE(fixture.until([&] { return fixture.chats() == 1; }));
+  if (GetParam().detected)
+    fixture.settle();
+  fixture.disconnect(GetParam().kind);
+  streamFullAnswer(*fixture.instances["m1"], fixture.onlyChat());
+  fixture.runPastDeadline();
+  EXPECT_EQ(fixture.chats(), 1);
+  EXPECT_EQ(fixture.server->dispatcher.openRequests(), 0U);
 }
 
-// The largest request that is taken stands behind the first, and in pieces more than the system
-// keeps. The close is behind it, and noticed within 0.1 s.
-TEST_P(AClientThatLeft, IsNoticedBehindTheLargestRequestAheadOfItsTurn) {
-  Departure site(kSplit, GetParam().openai);
-  site.askUntilTaken();
-  ASSERT_TRUE(site.until([&] { return site.chats() == 1; }));
-  site.client.writeLater(requestText(site.openai, "b", std::string(250 * 1024, 'p')));
-  ASSERT_TRUE(site.until([&] { return site.client.wroteAll(); }));
-  site.leave(GetParam().how);
+// A request of the maximum size is pipelined behind the first one, in more pieces than the kernel
+// buffers. The close behind it is detected within 0.1 s.
+TEST_P(DisconnectedClient, IsDetectedBehindLargestPipelinedRequest) {
+  DisconnectFixture fixture(kSplit, GetParam().openai);
+  fixture.sendRequestAndAwaitReceipt();
+  ASSERT_TRUE(fixture.until([&] { return fixture.chats() == 1; }));
+  fixture.client.writeLater(requestText(fixture.openai, "b", std::string(250 * 1024, 'p')));
+  ASSERT_TRUE(fixture.until([&] { return fixture.client.wroteAll(); }));
+  fixture.disconnect(GetParam().kind);
   for (int i = 0; i < 10; ++i) {
-    site.pass(9);
-    site.settle();
+    fixture.pass(9);
+    fixture.settle();
   }
-  EXPECT_EQ(site.server->counters["requests.client_gone"], 1U);
-  EXPECT_EQ(site.server->dispatcher.openRequests(), 0U);
+  EXPECT_EQ(fixture.server->counters["requests.client_gone"], 1U);
+  EXPECT_EQ(fixture.server->dispatcher.openRequests(), 0U);
 }
 
-// More than is kept is read and dropped by the clock: a close behind it comes through.
-TEST_P(AClientThatLeft, IsNoticedBehindMoreThanIsKeptAheadOfItsTurn) {
+// Bytes beyond the read-ahead limit are read and discarded at intervals, so a close behind them is
+// detected.
+TEST_P(DisconnectedClient, IsDetectedBehindMoreBytesThanAreReadAhead) {
   for (const std::size_t bytes : {300 * 1024, 4 * 1024 * 1024}) {
-    Departure site(kSplit, GetParam().openai);
-    site.askUntilTaken();
-    ASSERT_TRUE(site.until([&] { return site.chats() == 1; }));
-    site.client.writeLater(std::string(bytes, 'p'));
-    ASSERT_TRUE(site.until([&] {
-      site.pass(1);
-      return site.client.wroteAll();
+    DisconnectFixture fixture(kSplit, GetParam().openai);
+    fixture.sendRequestAndAwaitReceipt();
+    ASSERT_TRUE(fixture.until([&] { return fixture.chats() == 1; }));
+    fixture.client.writeLater(std::string(bytes, 'p'));
+    ASSERT_TRUE(fixture.until([&] {
+      fixture.pass(1);
+      return fixture.client.wroteAll();
     }));
-    site.leave(GetParam().how);
+    fixture.disconnect(GetParam().kind);
     for (int i = 0; i < 10; ++i) {
-      site.pass(9);
-      site.settle();
+      fixture.pass(9);
+      fixture.settle();
     }
-    EXPECT_EQ(site.server->counters["requests.client_gone"], 1U);
-    answerPrefill(*site.instances["r1"], site.onlyChat());
-    site.unpause();
-    EXPECT_EQ(site.chats(), 1);
-    EXPECT_EQ(site.server->dispatcher.openRequests(), 0U);
+    EXPECT_EQ(fixture.server->counters["requests.client_gone"], 1U);
+    answerPrefill(*fixture.instances["r1"], fixture.onlyChat());
+    fixture.runPastDeadline();
+    EXPECT_EQ(fixture.chats(), 1);
+    EXPECT_EQ(fixture.server->dispatcher.openRequests(), 0U);
   }
 }
 
-// Who is there and has sent too much ahead gets its answers, and a refusal for the request that was
-// cut off.
-TEST(AClientThatSendsTooMuchAhead, GetsAnAnswerToEachRequestThatWasRead) {
-  Departure site({{"m1", "both", 0}}, false);
-  site.instances["m1"]->script = streamFullAnswer;
-  site.server->pool.setMaxConnections(0);
-  site.client.writeLater(requestText(false, "a") + requestText(false, "b") +
-                         requestText(false, "c", std::string(255 * 1024, 'p')) +
-                         requestText(false, "d", std::string(255 * 1024, 'p')));
-  ASSERT_TRUE(site.until([&] {
-    site.pass(1);
-    return site.client.wroteAll();
+// A connected client that has pipelined too many bytes gets its answers, and a rejection of the
+// request that was discarded in part.
+TEST(ClientBeyondReadAheadLimit, GetsAnswerToEachRequestThatWasRead) {
+  DisconnectFixture fixture({{"m1", "both", 0}}, false);
+  fixture.instances["m1"]->script = streamFullAnswer;
+  fixture.server->pool.setMaxConnections(0);
+  fixture.client.writeLater(requestText(false, "a") + requestText(false, "b") +
+                            requestText(false, "c", std::string(255 * 1024, 'p')) +
+                            requestText(false, "d", std::string(255 * 1024, 'p')));
+  ASSERT_TRUE(fixture.until([&] {
+    fixture.pass(1);
+    return fixture.client.wroteAll();
   }));
   for (int i = 0; i < 10; ++i) {
-    site.pass(9);
-    site.settle();
+    fixture.pass(9);
+    fixture.settle();
   }
-  site.server->pool.setMaxConnections(100);
-  ASSERT_TRUE(site.until([&] { return site.client.ended(); }));
-  EXPECT_EQ(site.chats(), 3);
-  std::vector<std::size_t> at;
-  for (std::size_t i = site.client.seen.find("HTTP/1.1 "); i != std::string::npos;
-       i = site.client.seen.find("HTTP/1.1 ", i + 1))
-    at.push_back(i);
-  ASSERT_EQ(at.size(), 4U);
+  fixture.server->pool.setMaxConnections(100);
+  ASSERT_TRUE(fixture.until([&] { return fixture.client.ended(); }));
+  EXPECT_EQ(fixture.chats(), 3);
+  std::vector<std::size_t> positions;
+  for (std::size_t i = fixture.client.seen.find("HTTP/1.1 "); i != std::string::npos;
+       i = fixture.client.seen.find("HTTP/1.1 ", i + 1))
+    positions.push_back(i);
+  ASSERT_EQ(positions.size(), 4U);
   for (std::size_t i = 0; i < 3; ++i)
-    EXPECT_EQ(site.client.seen.substr(at[i] + 9, 3), "200") << i;
-  EXPECT_EQ(site.client.seen.substr(at[3] + 9, 3), "503");
+    EXPECT_EQ(fixture.client.seen.substr(positions[i] + 9, 3), "200") << i;
+  EXPECT_EQ(fixture.client.seen.substr(positions[3] + 9, 3), "503");
 }
 
-// ---- A stream that passes to another process
-// -------------------------------------------------------
+// ---- A stream that is handed over to another process
 
-// The client leaves while its stream is between two processes, with its next request sent ahead.
-// The one that takes it over sends nothing on, whether the stream ends first or goes on.
-TEST(AHandedOverClientThatLeft, GetsNothingForItsNextRequest) {
+// The client disconnects while its stream is handed over, with another request pipelined. The
+// process that takes over the stream forwards nothing, whether the stream ends first or continues.
+TEST(HandedOverDisconnectedClient, GetsNothingForPipelinedRequest) {
   for (const bool ended : {false, true}) {
-    for (const Leaving how : {Leaving::kClose, Leaving::kHalfClose, Leaving::kReset}) {
-      SCOPED_TRACE(std::to_string(ended) + std::to_string(static_cast<int>(how)));
-      TemporaryDirectory folder;
-      Departure site({{"m1", "both", 0}}, false), next({{"m1", "both", 0}}, false);
-      site.instances["m1"]->script = beginOnly;
-      site.ask();
-      ASSERT_TRUE(
-          site.until([&] { return site.streaming() != nullptr && site.client.hasBytes(); }));
-      site.client.write(requestText(false, "b"));
-      site.settle();
-      app::Handover takes(*next.server, *next.front, *next.listener);
+    for (const Disconnect kind : {Disconnect::kClose, Disconnect::kHalfClose, Disconnect::kReset}) {
+      SCOPED_TRACE(std::to_string(ended) + std::to_string(static_cast<int>(kind)));
+      TemporaryDirectory directory;
+      DisconnectFixture fixture({{"m1", "both", 0}}, false), next({{"m1", "both", 0}}, false);
+      fixture.instances["m1"]->script = beginOnly;
+      fixture.sendRequest();
+      ASSERT_TRUE(fixture.until(
+          [&] { return fixture.streaming() != nullptr && fixture.client.hasBytes(); }));
+      fixture.client.write(requestText(false, "b"));
+      fixture.settle();
+      app::Handover receivingHandover(*next.server, *next.front, *next.listener);
       net::DescriptorReceiver receiver(
-          next.io, folder.path, "in",
-          [&](net::ReceivedMessage passed) { takes.receive(std::move(passed)); });
-      app::Handover handover(*site.server, *site.front, *site.listener);
-      handover.begin(folder.path, "in");
-      for (int i = 0; i < 20 && site.server->counters["streams.handed_over"] == 0; ++i) {
-        site.pass(10);
-        site.settle();
+          next.io, directory.path, "in",
+          [&](net::ReceivedMessage message) { receivingHandover.receive(std::move(message)); });
+      app::Handover handover(*fixture.server, *fixture.front, *fixture.listener);
+      handover.begin(directory.path, "in");
+      for (int i = 0; i < 20 && fixture.server->counters["streams.handed_over"] == 0; ++i) {
+        fixture.pass(10);
+        fixture.settle();
       }
-      ASSERT_EQ(site.server->counters["streams.handed_over"], 1U);
-      site.leave(how);
+      ASSERT_EQ(fixture.server->counters["streams.handed_over"], 1U);
+      fixture.disconnect(kind);
       if (ended) {
-        site.onlyChat().connection->pass(kLastEvents);
-        site.onlyChat().connection->endStream();
-        site.settle();
+        fixture.onlyChat().connection->pass(kLastEvents);
+        fixture.onlyChat().connection->endStream();
+        fixture.settle();
       }
       ASSERT_TRUE(next.until([&] { return next.server->counters["streams.taken_over"] == 1; }));
-      next.unpause();
-      site.unpause();
+      next.runPastDeadline();
+      fixture.runPastDeadline();
       EXPECT_EQ(next.server->dispatcher.openRequests(), 0U);
       EXPECT_EQ(next.chats(), 0);
-      EXPECT_EQ(site.chats(), 1);
+      EXPECT_EQ(fixture.chats(), 1);
     }
   }
 }
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -1,5 +1,5 @@
-// The core alone: tables, deadlines, and the router between a real module and instances that the
-// test plays.
+// The core by itself: tables, timers, the configuration reader, and the request dispatcher between
+// the real decision module and simulated clients and instances.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -15,7 +15,7 @@
 
 using namespace inference_router::routing;
 
-TEST(SlotTable, AKeyThatWasKeptTooLongFindsNothing) {
+TEST(SlotTable, StaleKeyFindsNothing) {
   SlotTable<int> slots;
   const SlotKey first = slots.add(1);
   ASSERT_TRUE(slots.remove(first));
@@ -26,24 +26,24 @@
   EXPECT_FALSE(slots.remove(first));
 }
 
-TEST(TimerQueue, RunsInOrderWhatIsDueAgainstAModel) {
+TEST(TimerQueue, RunsDueTasksInOrderLikeAModel) {
   std::mt19937 random(11);
   TimerQueue timers;
   std::map<std::pair<double, int>, Timer> model;  // by time, then order of addition
   std::vector<int> ran, expected;
-  double now = 0;
+  double nowMs = 0;
   for (int step = 0; step < 3000; ++step) {
     if (random() % 3 != 0) {
-      const double dueMs = now + static_cast<double>(random() % 50);
+      const double dueMs = nowMs + static_cast<double>(random() % 50);
       model[{dueMs, step}] = timers.schedule(dueMs, [&ran, step] { ran.push_back(step); });
     } else if (random() % 2 == 0 && !model.empty()) {
       const auto cancelled = std::next(model.begin(), random() % model.size());
       cancelled->second.cancel();
       model.erase(cancelled);
     } else {
-      now += random() % 20;
-      timers.runDue(now);
-      while (!model.empty() && model.begin()->first.first <= now) {
+      nowMs += random() % 20;
+      timers.runDue(nowMs);
+      while (!model.empty() && model.begin()->first.first <= nowMs) {
         EXPECT_FALSE(model.begin()->second.armed());
         expected.push_back(model.begin()->first.second);
         model.erase(model.begin());
@@ -54,7 +54,7 @@
   }
 }
 
-TEST(TimerQueue, WhatIsAddedWhileItRunsWaitsForTheNextRun) {
+TEST(TimerQueue, TaskAddedDuringRunWaitsForNextRun) {
   TimerQueue timers;
   int ran = 0;
   std::function<void()> reschedule = [&] {
@@ -66,7 +66,7 @@
   EXPECT_EQ(ran, 1);
 }
 
-TEST(Timer, RunsItsTaskOnceAndIsDisarmedFromTheMomentItBegins) {
+TEST(Timer, RunsTaskOnceAndIsDisarmedWhenItBegins) {
   TimerQueue timers;
   int ran = 0;
   bool armedWithin = true;
@@ -86,7 +86,7 @@
   EXPECT_FALSE(timer.armed());
 }
 
-TEST(Timer, CancelsAsItIsDestroyedAssignedToOrCancelled) {
+TEST(Timer, CancelsTaskWhenDestroyedAssignedToOrCancelled) {
   TimerQueue timers;
   std::string ran;
   {
@@ -103,7 +103,7 @@
   EXPECT_FALSE(timers.next().has_value());
 }
 
-TEST(Timer, PassesItsTaskOnAsItIsMoved) {
+TEST(Timer, MoveTransfersTask) {
   TimerQueue timers;
   int ran = 0;
   Timer second;
@@ -118,7 +118,7 @@
   EXPECT_FALSE(third.armed());
 }
 
-TEST(Timer, MayOutliveItsQueue) {
+TEST(Timer, MayOutliveQueue) {
   int ran = 0;
   Timer timer;
   {
@@ -130,7 +130,7 @@
   EXPECT_EQ(ran, 0);
 }
 
-TEST(ConfigReader, ErrorsNameThePathAndTheReason) {
+TEST(ConfigReader, ErrorsContainPathAndReason) {
   const nlohmann::json file = {{"store", {{"path", 5}, {"ports", {1, -2}}}}};
   const ConfigReader store = ConfigReader(file).at("store");
   const auto errorOf = [](const auto& read) {
@@ -152,27 +152,29 @@
   EXPECT_EQ(errorOf([&] { ConfigReader(file).list(); }), "|is not a list|the file is not a list");
 }
 
+// A client that counts the calls of its response writer.
 struct FakeClient final : ResponseWriter {
-  int refused = 0, failed = 0, ended = 0, broke = 0;
-  bool late = false;
+  int rejected = 0, failed = 0, ended = 0, aborted = 0;
+  bool pastDeadline = false;
   std::string text;
-  void reject(const Rejection& refusal) override {
-    ++refused;
-    late = refusal.pastDeadline;
+  void reject(const Rejection& rejection) override {
+    ++rejected;
+    pastDeadline = rejection.pastDeadline;
   }
   void fail(const Failure& failure) override {
     ++failed;
-    late = failure.pastDeadline;
+    pastDeadline = failure.pastDeadline;
   }
   bool write(std::string_view part) override {
     text += part;
     return true;
   }
   void end() override { ++ended; }
-  void abort() override { ++broke; }
-  int finals() const { return refused + failed + ended + broke; }
+  void abort() override { ++aborted; }
+  int finalCalls() const { return rejected + failed + ended + aborted; }
 };
 
+// Instances that record what is sent to them.
 struct FakeInstances final : InstanceClient {
   std::vector<Dispatch> inFlight;
   int started = 0, abandoned = 0, reservations = 0;
@@ -181,30 +183,33 @@
     ++started;
     inFlight.push_back(dispatch);
   }
-  void abandon(AttemptKey key) override { abandoned += drop(key); }
+  void abandon(AttemptKey key) override { abandoned += remove(key); }
   void resume(AttemptKey) override {}
-  bool hasUnread = false;  // more of a response has come than was passed on
+  bool hasUnread = false;  // a part of a response has arrived and is not passed on yet
   bool hasUnreadResponse(AttemptKey) const override { return hasUnread; }
   void reserve(const RequestId&, AttemptKey, const InstanceId&) override { ++reservations; }
   void release(const RequestId& request) override { released.push_back(request); }
   void checkHealth(const InstanceId&) override {}
-  int drop(AttemptKey key) {
+  // Returns how many attempts with this key were in flight.
+  int remove(AttemptKey key) {
     return static_cast<int>(
-        std::erase_if(inFlight, [&](const Dispatch& d) { return d.attempt == key; }));
+        std::erase_if(inFlight, [&](const Dispatch& dispatch) { return dispatch.attempt == key; }));
   }
 };
 
+// A request dispatcher with the real decision module, one prefill and one decode instance.
 struct DispatcherHarness {
   explicit DispatcherHarness(Settings settings = plainSettings())
       : dispatcher(settings, 7, clock, timers, counters) {
     dispatcher.connect(instances);
-    dispatcher.onAction(
-        [this](const Action& action) { sends += std::holds_alternative<DispatchAttempt>(action); });
+    dispatcher.onAction([this](const Action& action) {
+      attemptsSent += std::holds_alternative<DispatchAttempt>(action);
+    });
   }
-  void list(EndpointState writer = EndpointState::kActive) {
-    EndpointRecord two = endpoint("writer", kDecode);
-    two.state = writer;
-    dispatcher.list({++version, EndpointListForm::kFull, {endpoint("reader", kPrefill), two}});
+  void list(EndpointState decodeState = EndpointState::kActive) {
+    EndpointRecord decode = endpoint("writer", kDecode);
+    decode.state = decodeState;
+    dispatcher.list({++version, EndpointListForm::kFull, {endpoint("reader", kPrefill), decode}});
   }
   std::shared_ptr<FakeClient> submit(const std::string& id) {
     const auto client = std::make_shared<FakeClient>();
@@ -214,9 +219,10 @@
     keys[id] = *key;
     return client;
   }
+  // Ends the latest attempt.
   void end(AttemptOutcome outcome) {
     const Dispatch dispatch = instances.inFlight.back();
-    instances.drop(dispatch.attempt);
+    instances.remove(dispatch.attempt);
     dispatcher.attemptEnded(dispatch.attempt, {outcome});
   }
   void advance(double ms) {
@@ -231,10 +237,10 @@
   RequestDispatcher dispatcher;
   std::map<std::string, RequestKey> keys;
   std::uint64_t version = 0;
-  int sends = 0;
+  int attemptsSent = 0;
 };
 
-TEST(RequestDispatcher, ServesThroughReaderAndWriterWithOneFinalAnswer) {
+TEST(RequestDispatcher, ServesThroughPrefillAndDecodeWithOneFinalAnswer) {
   DispatcherHarness harness;
   harness.list();
   const auto client = harness.submit("a");
@@ -247,26 +253,26 @@
   EXPECT_EQ(client->text, "onetwo");
   harness.end(AttemptOutcome::kServed);
   EXPECT_EQ(client->ended, 1);
-  EXPECT_EQ(client->finals(), 1);
+  EXPECT_EQ(client->finalCalls(), 1);
   EXPECT_EQ(harness.dispatcher.openRequests(), 0U);
 }
 
-TEST(RequestDispatcher, AStreamThatBreaksEndsTheRequestAndIsNotSentAgain) {
+TEST(RequestDispatcher, BrokenStreamEndsRequestWithoutRetry) {
   DispatcherHarness harness;
   harness.list();
   const auto client = harness.submit("a");
   harness.end(AttemptOutcome::kPrefilled);
   harness.dispatcher.responseReceived(harness.instances.inFlight.back().attempt, "one");
   harness.end(AttemptOutcome::kConnectionLost);
-  EXPECT_EQ(client->broke, 1);
+  EXPECT_EQ(client->aborted, 1);
   harness.advance(10'000);
-  EXPECT_EQ(client->finals(), 1);
-  EXPECT_EQ(harness.sends, 2);
+  EXPECT_EQ(client->finalCalls(), 1);
+  EXPECT_EQ(harness.attemptsSent, 2);
 }
 
-// A stream that opens when all others have been handed over moves too, but not before its first
-// event is out.
-TEST(RequestDispatcher, AStreamThatMovesAtOnceHasPassedItsFirstEvent) {
+// A stream that opens late in the shutdown, when all others have been migrated, is migrated at
+// once, but not before its first event has been passed on.
+TEST(RequestDispatcher, StreamMigratedAtOncePassesItsFirstEvent) {
   Settings settings = plainSettings();
   settings.streamResumption = true;
   DispatcherHarness harness(settings);
@@ -274,16 +280,16 @@
   const auto client = harness.submit("a");
   harness.end(AttemptOutcome::kPrefilled);
   harness.dispatcher.beginShutdown(1000);
-  harness.clock.advance(910);  // late in the grace, and no timer has fired yet
+  harness.clock.advance(910);  // late in the grace period, and no timer has fired yet
   harness.dispatcher.responseReceived(harness.instances.inFlight.back().attempt, "one");
   EXPECT_EQ(client->text, "one");
-  EXPECT_EQ(client->broke, 1);
-  EXPECT_EQ(client->finals(), 1);
+  EXPECT_EQ(client->aborted, 1);
+  EXPECT_EQ(client->finalCalls(), 1);
 }
 
-// A stream whose end has come already, and is not passed on yet as it is to move, is passed on to
-// its end. One whose client does not read holds up the move for a tenth of a second and no longer.
-TEST(RequestDispatcher, AStreamThatIsToMovePassesOnFirstWhatHasCome) {
+// Before a stream is migrated, what has arrived is passed on, to its end if that has arrived. A
+// client that does not read delays the migration by 0.1 s at most.
+TEST(RequestDispatcher, MigrationFirstPassesOnWhatHasArrived) {
   for (const bool finishes : {true, false}) {
     Settings settings = plainSettings();
     settings.streamResumption = true;
@@ -296,7 +302,7 @@
     harness.clock.advance(910);
     harness.dispatcher.responseReceived(harness.instances.inFlight.back().attempt, "one");
     harness.advance(6);
-    EXPECT_EQ(client->finals(), 0);
+    EXPECT_EQ(client->finalCalls(), 0);
     if (finishes) {
       harness.dispatcher.responseReceived(harness.instances.inFlight.back().attempt, "two");
       harness.end(AttemptOutcome::kServed);
@@ -304,22 +310,22 @@
     for (int i = 0; i < 20; ++i)
       harness.advance(6);
     EXPECT_EQ(client->ended, finishes ? 1 : 0);
-    EXPECT_EQ(client->broke, finishes ? 0 : 1);
+    EXPECT_EQ(client->aborted, finishes ? 0 : 1);
   }
 }
 
-TEST(RequestDispatcher, AClientThatGoesTakesItsAttemptsAndWhatIsHeldWithIt) {
+TEST(RequestDispatcher, ClientDisconnectCancelsAttemptsAndReleasesHeldState) {
   DispatcherHarness harness;
   harness.list();
   const auto client = harness.submit("a");
   harness.dispatcher.clientDisconnected(harness.keys["a"]);
   EXPECT_TRUE(harness.instances.inFlight.empty());
   EXPECT_FALSE(harness.instances.released.empty());
-  EXPECT_EQ(client->finals(), 0);
+  EXPECT_EQ(client->finalCalls(), 0);
   EXPECT_EQ(harness.dispatcher.openRequests(), 0U);
 }
 
-TEST(RequestDispatcher, AnIdThatIsUnderWayIsNotTakenTwice) {
+TEST(RequestDispatcher, RejectsIdThatIsInFlight) {
   DispatcherHarness harness;
   harness.list();
   ASSERT_NE(harness.submit("a"), nullptr);
@@ -327,7 +333,7 @@
   EXPECT_EQ(harness.dispatcher.openRequests(), 1U);
 }
 
-TEST(RequestDispatcher, ASendThatWaitedIsCheckedForDrainAndDeadline) {
+TEST(RequestDispatcher, DelayedAttemptIsCheckedForDrainAndDeadline) {
   Settings settings = plainSettings();
   settings.limits.cancel = false;
   DispatcherHarness harness(settings);
@@ -349,7 +355,7 @@
   EXPECT_FALSE(harness.dispatcher.maySend(key));
 }
 
-TEST(RequestDispatcher, AnAttemptPastItsTimeIsAbandonedAndTheClientToldThatItWasLate) {
+TEST(RequestDispatcher, AttemptPastDeadlineIsAbandonedAndFailureReportsDeadline) {
   Settings settings = plainSettings();
   settings.classes[0].effect = Effect::kAtMostOnce;
   DispatcherHarness harness(settings);
@@ -358,16 +364,13 @@
   harness.end(AttemptOutcome::kPrefilled);
   harness.advance(6000);
   EXPECT_EQ(client->failed, 1);
-  EXPECT_TRUE(client->late);
+  EXPECT_TRUE(client->pastDeadline);
   EXPECT_EQ(harness.instances.abandoned, 1);
 }
 
-// Whatever comes in whatever order: one final answer for each client that stays, none for one that
-// is gone, and one end for every send. A request that must not run twice, under every order of
-// outcomes and troubles up to four: what its instances saw is held against what its client is told.
-// An attempt at a decode instance that ended without a proof may have run, and so may one that was
-// let go of while it was out.
-struct AtMostOnce final : InstanceClient {
+// Checks the attempts of an at-most-once request. An attempt at a decode instance may have run if
+// it ended without a proof of the contrary or was abandoned while it was in flight.
+struct AtMostOnceChecker final : InstanceClient {
   std::map<std::uint32_t, Dispatch> inFlight;
   std::string violations;
   bool mayHaveRun = false;
@@ -379,7 +382,7 @@
     if (mayHaveRun)
       violations += "sent after an attempt that may have run; ";
     if (!inFlight.empty())
-      violations += "a second copy; ";
+      violations += "two attempts in flight; ";
     inFlight[dispatch.attempt.slot] = dispatch;
   }
   void abandon(AttemptKey key) override {
@@ -389,14 +392,15 @@
     mayHaveRun = mayHaveRun || isDecode(found->second);
     inFlight.erase(found);
   }
-  void ends(RequestDispatcher& dispatcher, AttemptOutcome outcome) {
+  // Ends the attempt in flight, if there is one.
+  void end(RequestDispatcher& dispatcher, AttemptOutcome outcome) {
     if (inFlight.empty())
       return;
     const Dispatch dispatch = inFlight.begin()->second;
-    const bool proof = outcome == AttemptOutcome::kRejected ||
-                       outcome == AttemptOutcome::kConnectFailed ||
-                       outcome == AttemptOutcome::kNotSent || outcome == AttemptOutcome::kPrefilled;
-    mayHaveRun = mayHaveRun || (isDecode(dispatch) && !proof);
+    const bool provesNotRun =
+        outcome == AttemptOutcome::kRejected || outcome == AttemptOutcome::kConnectFailed ||
+        outcome == AttemptOutcome::kNotSent || outcome == AttemptOutcome::kPrefilled;
+    mayHaveRun = mayHaveRun || (isDecode(dispatch) && !provesNotRun);
     inFlight.erase(inFlight.begin());
     dispatcher.attemptEnded(dispatch.attempt, {outcome});
   }
@@ -407,13 +411,15 @@
   void checkHealth(const InstanceId&) override {}
 };
 
-TEST(ARequestThatMustNotRunTwice, IsNeitherRefusedNorSentAgainOnceItMayHaveRun) {
+// Runs every sequence of four steps: outcomes of attempts, passing time, shutdown, a disconnect, a
+// response, and drained instances.
+TEST(AtMostOnceRequest, IsNeitherRejectedNorRetriedOnceItMayHaveRun) {
   constexpr std::array kOutcomes{AttemptOutcome::kPrefilled,     AttemptOutcome::kError,
                                  AttemptOutcome::kRejected,      AttemptOutcome::kTimeout,
                                  AttemptOutcome::kConnectFailed, AttemptOutcome::kConnectionLost,
                                  AttemptOutcome::kNotSent};
-  constexpr std::size_t kOthers = 7, kStepKinds = kOutcomes.size() + kOthers, kLength = 4;
-  std::size_t sequences = 1, refused = 0, failed = 0;
+  constexpr std::size_t kOtherSteps = 7, kStepKinds = kOutcomes.size() + kOtherSteps, kLength = 4;
+  std::size_t sequences = 1, rejected = 0, failed = 0;
   for (std::size_t i = 0; i < kLength; ++i)
     sequences *= kStepKinds;
   for (std::size_t sequence = 0; sequence < sequences; ++sequence) {
@@ -424,7 +430,7 @@
     ManualClock clock;
     TimerQueue timers;
     Counters counters;
-    AtMostOnce instances;
+    AtMostOnceChecker instances;
     RequestDispatcher dispatcher(settings, 7, clock, timers, counters);
     dispatcher.connect(instances);
     std::uint64_t version = 0;
@@ -438,19 +444,19 @@
     arrival.resumed = sequence % 3 == 0;
     const auto key = dispatcher.submit(arrival, std::make_shared<Payload>(), client);
     std::string stepsTaken;
-    bool refusedInOrder = true;
-    std::size_t rest = sequence;
-    for (std::size_t i = 0; i < kLength; ++i, rest /= kStepKinds) {
-      const std::size_t step = rest % kStepKinds;
+    bool rejectionsAllowed = true;
+    std::size_t remaining = sequence;
+    for (std::size_t i = 0; i < kLength; ++i, remaining /= kStepKinds) {
+      const std::size_t step = remaining % kStepKinds;
       stepsTaken += std::to_string(step) + " ";
-      const bool ranBefore = instances.mayHaveRun;
-      const int refusedBefore = client->refused;
+      const bool mayHaveRunBefore = instances.mayHaveRun;
+      const int rejectedBefore = client->rejected;
       const auto advance = [&](double ms) {
         clock.advance(ms);
         timers.runDue(clock.nowMs());
       };
       if (step < kOutcomes.size())
-        instances.ends(dispatcher, kOutcomes[step]);
+        instances.end(dispatcher, kOutcomes[step]);
       else if (step == kOutcomes.size())
         advance(20);
       else if (step == kOutcomes.size() + 1)
@@ -463,37 +469,37 @@
         if (!instances.inFlight.empty())
           dispatcher.responseReceived(instances.inFlight.begin()->second.attempt, "event");
       } else {
-        EndpointRecord gone = endpoint(step == kOutcomes.size() + 5 ? "w1" : "r1",
-                                       step == kOutcomes.size() + 5 ? kDecode : kPrefill);
-        gone.state = EndpointState::kDraining;
-        list(EndpointListForm::kChanges, {gone});
+        EndpointRecord draining = endpoint(step == kOutcomes.size() + 5 ? "w1" : "r1",
+                                           step == kOutcomes.size() + 5 ? kDecode : kPrefill);
+        draining.state = EndpointState::kDraining;
+        list(EndpointListForm::kChanges, {draining});
       }
-      // Refused by what came before this step, or by the step itself.
-      if (client->refused > refusedBefore && (ranBefore || instances.mayHaveRun))
-        refusedInOrder = false;
+      // The rejection is wrong whether the attempt may have run before this step or in it.
+      if (client->rejected > rejectedBefore && (mayHaveRunBefore || instances.mayHaveRun))
+        rejectionsAllowed = false;
     }
     ASSERT_EQ(instances.violations, "") << stepsTaken;
-    ASSERT_TRUE(refusedInOrder) << stepsTaken;
-    ASSERT_LE(client->finals(), 1) << stepsTaken;
-    refused += client->refused > 0;
+    ASSERT_TRUE(rejectionsAllowed) << stepsTaken;
+    ASSERT_LE(client->finalCalls(), 1) << stepsTaken;
+    rejected += client->rejected > 0;
     failed += client->failed > 0;
   }
-  EXPECT_GT(refused, 0U);
+  EXPECT_GT(rejected, 0U);
   EXPECT_GT(failed, 0U);
 }
 
-// Operators see of each refusal what was known of its last attempt, and whether that was at an
-// instance that only reads.
-TEST(RequestDispatcher, CountsRefusalsByWhatWasKnownOfTheLastAttempt) {
+// Counters of rejections show the outcome of the last attempt and whether it went to a prefill
+// instance.
+TEST(RequestDispatcher, CountsRejectionsByOutcomeOfLastAttempt) {
   DispatcherHarness harness;
-  const auto none = harness.submit("nothing sent");  // no instance at all
+  const auto unsent = harness.submit("nothing sent");  // there is no instance
   harness.advance(10'000);
   harness.list();
-  const auto read = harness.submit("read");
-  while (read->finals() == 0 && !harness.instances.inFlight.empty())
+  const auto prefill = harness.submit("read");
+  while (prefill->finalCalls() == 0 && !harness.instances.inFlight.empty())
     harness.end(AttemptOutcome::kError);
   harness.advance(10'000);
-  ASSERT_EQ(read->refused, 1);
+  ASSERT_EQ(prefill->rejected, 1);
   std::uint64_t sum = 0;
   for (const auto& [name, value] : harness.counters.all())
     if (name.rfind("requests.refused_after.", 0) == 0)
@@ -502,7 +508,9 @@
   EXPECT_EQ(harness.counters["requests.refused_after.error_reading"], 1U);
 }
 
-TEST(RequestDispatcher, KeepsItsInvariantsWhateverHappens) {
+// One final answer for each client that stays connected, none for one that has disconnected, and
+// one end for every attempt.
+TEST(RequestDispatcher, KeepsInvariantsUnderRandomEvents) {
   constexpr AttemptOutcome kOutcomes[] = {
       AttemptOutcome::kServed,        AttemptOutcome::kError,     AttemptOutcome::kRejected,
       AttemptOutcome::kConnectFailed, AttemptOutcome::kPrefilled, AttemptOutcome::kConnectionLost,
@@ -516,21 +524,21 @@
     DispatcherHarness harness(settings);
     harness.list();
     std::map<std::string, std::shared_ptr<FakeClient>> clients;
-    std::map<std::string, int> goneWith;
+    std::map<std::string, int> finalCallsAtDisconnect;
     for (int step = 0; step < 400; ++step) {
-      const unsigned what = random() % 10;
-      if (what < 2) {
+      const unsigned action = random() % 10;
+      if (action < 2) {
         const std::string id = "r" + std::to_string(step);
         clients[id] = harness.submit(id);
-      } else if (what == 2 && !clients.empty()) {
+      } else if (action == 2 && !clients.empty()) {
         const auto& [id, client] = *std::next(clients.begin(), random() % clients.size());
-        if (goneWith.count(id) == 0) {
-          goneWith[id] = client->finals();
+        if (finalCallsAtDisconnect.count(id) == 0) {
+          finalCallsAtDisconnect[id] = client->finalCalls();
           harness.dispatcher.clientDisconnected(harness.keys[id]);
         }
-      } else if (what == 3) {
+      } else if (action == 3) {
         harness.list(random() % 4 == 0 ? EndpointState::kDraining : EndpointState::kActive);
-      } else if (what < 6) {
+      } else if (action < 6) {
         harness.advance(static_cast<double>(random() % 400));
       } else if (!harness.instances.inFlight.empty()) {
         const Dispatch dispatch =
@@ -542,14 +550,14 @@
           AttemptOutcome outcome = kOutcomes[random() % std::size(kOutcomes)];
           if (isDecode == (outcome == AttemptOutcome::kPrefilled))
             outcome = isDecode ? AttemptOutcome::kServed : AttemptOutcome::kPrefilled;
-          harness.instances.drop(dispatch.attempt);
+          harness.instances.remove(dispatch.attempt);
           harness.dispatcher.attemptEnded(dispatch.attempt, {outcome});
           harness.dispatcher.attemptEnded(dispatch.attempt,
-                                          {outcome});  // a second end must change nothing
+                                          {outcome});  // the second end must have no effect
         }
       }
       for (const auto& [id, client] : clients)
-        ASSERT_LE(client->finals(), 1) << id;
+        ASSERT_LE(client->finalCalls(), 1) << id;
     }
     while (!harness.instances.inFlight.empty())
       harness.end(AttemptOutcome::kConnectionLost);
@@ -570,8 +578,10 @@
     EXPECT_EQ(metrics.shed, harness.counters["requests.refused"]);
     EXPECT_EQ(metrics.abandoned, harness.counters["requests.client_gone"]);
     for (const auto& [id, client] : clients) {
-      const auto gone = goneWith.find(id);
-      EXPECT_EQ(client->finals(), gone == goneWith.end() ? 1 : gone->second) << id;
+      const auto disconnected = finalCallsAtDisconnect.find(id);
+      EXPECT_EQ(client->finalCalls(),
+                disconnected == finalCallsAtDisconnect.end() ? 1 : disconnected->second)
+          << id;
     }
   }
 }
--- a/tests/final_answer_test.cpp
+++ b/tests/final_answer_test.cpp
@@ -1,5 +1,4 @@
-// One final answer for each request, in its time, whatever instances, other clients and discovery
-// do.
+// Each request gets one final answer in time, whatever instances, other clients and discovery do.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -14,46 +13,44 @@
 
 using State = net::ClientConnection::State;
 
-constexpr double kDeadlineMs = 6'000;      // as platformFields() says it
-constexpr double kSlackMs = 500;           // beyond it an answer is late
-constexpr double kSilentStreamMs = 5'000;  // that a client may be left waiting in a stream
+constexpr double kDeadlineMs = 6'000;      // set by platformFields()
+constexpr double kSlackMs = 500;           // after the deadline, until an answer counts as late
+constexpr double kSilentStreamMs = 5'000;  // longest silence that a client may see in a stream
 const std::string kStreamHead =
     "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 // ---- Instances that misbehave
-// ------------------------------------------------------------------------
 
-// An instance at the level of bytes: each connection gets a beginning once its request has come,
-// and then the same piece again and again, as fast as it is taken or once in every so many
-// milliseconds.
-class BrokenInstance {
+// An instance that writes raw bytes. After a request arrives on a connection, it writes a prefix
+// and then the same bytes repeatedly, as fast as possible or at an interval.
+class MisbehavingInstance {
  public:
-  struct Way {
-    std::string name, begins, goesOn;
-    double everyMs;  // 0: as fast as it is taken
+  struct Behavior {
+    std::string name, prefix, repeated;
+    double intervalMs;  // 0: as fast as possible
   };
 
-  BrokenInstance(RouterFixture& site, Way way)
-      : site_(site), way_(std::move(way)), acceptor_(io_, anyPort()) {
+  MisbehavingInstance(RouterFixture& fixture, Behavior behavior)
+      : fixture_(fixture), behavior_(std::move(behavior)), acceptor_(io_, anyPort()) {
     accept();
   }
-  // So much of its work, that of the site included, as one turn may take: a flood never comes to
-  // rest.
-  void turn() {
+  // Runs a bounded number of handlers of this instance and of the router, as a flood never becomes
+  // idle.
+  void runSteps() {
     for (int i = 0; i < kSteps; ++i) {
       io_.restart();
-      site_.io.restart();
-      const std::size_t own = io_.poll_one(), others = site_.io.poll_one();
-      if (own + others == 0)
+      fixture_.io.restart();
+      const std::size_t handled = io_.poll_one(), handledByRouter = fixture_.io.poll_one();
+      if (handled + handledByRouter == 0)
         return;
     }
   }
-  bool until(const std::function<bool()>& met) {
+  bool until(const std::function<bool()>& condition) {
     const auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(20);
-    while (!met()) {
+    while (!condition()) {
       if (std::chrono::steady_clock::now() > limit)
         return false;
-      turn();
+      runSteps();
     }
     return true;
   }
@@ -62,10 +59,10 @@
 
  private:
   struct Peer {
-    explicit Peer(tcp::socket taken) : socket(std::move(taken)) {}
+    explicit Peer(tcp::socket accepted) : socket(std::move(accepted)) {}
     tcp::socket socket;
-    std::array<char, 4096> read{};
-    std::string out;
+    std::array<char, 4096> input{};
+    std::string output;
   };
 
   void accept() {
@@ -78,43 +75,44 @@
     });
   }
   void serve(const std::shared_ptr<Peer>& peer) {
-    peer->socket.async_read_some(boost::asio::buffer(peer->read),
+    peer->socket.async_read_some(boost::asio::buffer(peer->input),
                                  [this, peer](const boost::system::error_code& error, std::size_t) {
                                    if (error)
                                      return;
                                    ++requests_;
-                                   write(peer, way_.begins);
+                                   write(peer, behavior_.prefix);
                                  });
   }
   void write(const std::shared_ptr<Peer>& peer, const std::string& bytes) {
-    peer->out = bytes;
-    boost::asio::async_write(peer->socket, boost::asio::buffer(peer->out),
+    peer->output = bytes;
+    boost::asio::async_write(peer->socket, boost::asio::buffer(peer->output),
                              [this, peer](const boost::system::error_code& error, std::size_t) {
-                               if (error || way_.goesOn.empty())
+                               if (error || behavior_.repeated.empty())
                                  return;
-                               if (way_.everyMs == 0)
-                                 return write(peer, way_.goesOn);
-                               site_.server->timers.runAt(site_.clock.nowMs() + way_.everyMs,
-                                                          [this, weak = std::weak_ptr(peer)] {
-                                                            if (const auto open = weak.lock())
-                                                              write(open, way_.goesOn);
-                                                          });
+                               if (behavior_.intervalMs == 0)
+                                 return write(peer, behavior_.repeated);
+                               fixture_.server->timers.runAt(
+                                   fixture_.clock.nowMs() + behavior_.intervalMs,
+                                   [this, weak = std::weak_ptr(peer)] {
+                                     if (const auto connected = weak.lock())
+                                       write(connected, behavior_.repeated);
+                                   });
                              });
   }
 
   static constexpr int kSteps = 400;
 
   boost::asio::io_context io_;
-  RouterFixture& site_;
-  Way way_;
+  RouterFixture& fixture_;
+  Behavior behavior_;
   std::vector<std::shared_ptr<Peer>> peers_;
   tcp::acceptor acceptor_;
   std::size_t requests_ = 0;
 };
 
-std::vector<BrokenInstance::Way> ways() {
+std::vector<MisbehavingInstance::Behavior> misbehaviors() {
   const auto chunk = [](const std::string& part) { return net::chunkOf(part); };
-  const std::string begun = kStreamHead + chunk(eventOf("first"));
+  const std::string streamBegin = kStreamHead + chunk(eventOf("first"));
   std::string events;
   for (int i = 0; i < 200; ++i)
     events += eventOf("flood");
@@ -127,179 +125,180 @@
           {"a first event without end", kStreamHead,
            chunk(std::string("data:") + std::string(4000, 'x')), 0},
           {"a slow first event without end", kStreamHead + chunk("data: "), chunk("x"), 500},
-          {"a later event without end", begun + chunk("data: "), chunk(std::string(4000, 'x')), 0},
-          {"a slow later event without end", begun + chunk("data: "), chunk("x"), 500},
-          {"silence within a stream", begun, "", 0},
-          {"silence within an event", begun + chunk("data: {"), "", 0},
-          {"silence within a chunk", begun + "ff\r\ndata: ", "", 0},
+          {"a later event without end", streamBegin + chunk("data: "),
+           chunk(std::string(4000, 'x')), 0},
+          {"a slow later event without end", streamBegin + chunk("data: "), chunk("x"), 500},
+          {"silence within a stream", streamBegin, "", 0},
+          {"silence within an event", streamBegin + chunk("data: {"), "", 0},
+          {"silence within a chunk", streamBegin + "ff\r\ndata: ", "", 0},
           {"noise", "\x01\x02\x03\r\n\r\n", "noise", 0},
-          {"noise within a stream", begun + chunk("noise"), chunk("noise"), 0},
-          {"events without end", begun, chunk(events), 0},
-          {"events behind the last one", begun + chunk(kLastEvents), chunk(events), 0}};
+          {"noise within a stream", streamBegin + chunk("noise"), chunk("noise"), 0},
+          {"events without end", streamBegin, chunk(events), 0},
+          {"events behind the last one", streamBegin + chunk(kLastEvents), chunk(events), 0}};
 }
 
-// A lone instance misbehaves; one client more than the other asks while it does.
-TEST(FinalAnswers, ComeInTimeFromInstancesThatMisbehave) {
-  for (const auto& way : ways()) {
-    SCOPED_TRACE(way.name);
-    RouterFixture site({{"m1", "both", 0}}, false);
-    BrokenInstance broken(site, way);
-    site.server->directory.find({"m1"})->address = broken.address();
-    const auto reply = site.post("/v1/x", platformFields("a"), "{}");
-    const auto other = site.post("/v1/x", platformFields("b"), "{}");
-    std::optional<double> begunMs;
+// The only instance misbehaves while it has requests of two clients.
+TEST(FinalAnswer, ArrivesInTimeFromMisbehavingInstance) {
+  for (const auto& behavior : misbehaviors()) {
+    SCOPED_TRACE(behavior.name);
+    RouterFixture fixture({{"m1", "both", 0}}, false);
+    MisbehavingInstance misbehaving(fixture, behavior);
+    fixture.server->directory.find({"m1"})->address = misbehaving.address();
+    const auto reply = fixture.post("/v1/x", platformFields("a"), "{}");
+    const auto other = fixture.post("/v1/x", platformFields("b"), "{}");
+    std::optional<double> streamBeganMs;
     const auto allOver = [&] { return reply->over && other->over; };
     for (double ms = 0; ms < kDeadlineMs + kSilentStreamMs && !allOver(); ms += 20) {
-      site.pass(20);
-      site.instanceDeadlines.runDue(site.clock.nowMs());
-      broken.turn();
-      for (const auto& one : {reply, other}) {
-        if (!one->text.empty() && !begunMs)
-          begunMs = ms;
-        if (one->over)
+      fixture.pass(20);
+      fixture.instanceDeadlines.runDue(fixture.clock.nowMs());
+      misbehaving.runSteps();
+      for (const auto& sent : {reply, other}) {
+        if (!sent->text.empty() && !streamBeganMs)
+          streamBeganMs = ms;
+        if (sent->over)
           continue;
-        EXPECT_LT(ms, one->status == 200 ? begunMs.value_or(ms) + kSilentStreamMs
-                                         : kDeadlineMs + kSlackMs);
+        EXPECT_LT(ms, sent->status == 200 ? streamBeganMs.value_or(ms) + kSilentStreamMs
+                                          : kDeadlineMs + kSlackMs);
       }
     }
-    ASSERT_TRUE(broken.until(allOver));
-    EXPECT_GT(broken.requests(), 0U);
-    // A whole answer: an error, or a stream that broke off in the end.
-    for (const auto& one : {reply, other})
-      EXPECT_TRUE(one->complete ? one->status >= 500 : one->status == 200);
-    EXPECT_EQ(site.server->counters["requests.overdue"], 0U);
-    EXPECT_EQ(site.server->dispatcher.openRequests(), 0U);
+    ASSERT_TRUE(misbehaving.until(allOver));
+    EXPECT_GT(misbehaving.requests(), 0U);
+    // Either a complete error response, or a stream that ended incomplete.
+    for (const auto& sent : {reply, other})
+      EXPECT_TRUE(sent->complete ? sent->status >= 500 : sent->status == 200);
+    EXPECT_EQ(fixture.server->counters["requests.overdue"], 0U);
+    EXPECT_EQ(fixture.server->dispatcher.openRequests(), 0U);
   }
 }
 
-// Most of the instances misbehave, and the others serve what can be served.
-TEST(FinalAnswers, AreServedBySoundInstancesBesideOnesThatMisbehave) {
-  for (const auto& way : ways()) {
-    SCOPED_TRACE(way.name);
-    RouterFixture site(kMixed, false);
-    BrokenInstance broken(site, way);
-    site.server->directory.find({"m1"})->address = broken.address();
-    site.server->directory.find({"m2"})->address = broken.address();
+// Two of three instances misbehave, and the third one serves requests.
+TEST(FinalAnswer, ComesFromHealthyInstanceBesideMisbehavingOnes) {
+  for (const auto& behavior : misbehaviors()) {
+    SCOPED_TRACE(behavior.name);
+    RouterFixture fixture(kMixed, false);
+    MisbehavingInstance misbehaving(fixture, behavior);
+    fixture.server->directory.find({"m1"})->address = misbehaving.address();
+    fixture.server->directory.find({"m2"})->address = misbehaving.address();
     std::vector<std::shared_ptr<Reply>> replies;
     for (int i = 0; i < 6; ++i) {
       net::Fields fields = platformFields("id" + std::to_string(i));
-      fields[1].second = "member-questions";  // may be sent again
+      fields[1].second = "member-questions";  // idempotent, so it may be retried
       fields[3].second = "session" + std::to_string(i);
-      replies.push_back(site.post("/v1/x", fields, "{}"));
+      replies.push_back(fixture.post("/v1/x", fields, "{}"));
     }
-    const auto over = [&] {
+    const auto allOver = [&] {
       return std::all_of(replies.begin(), replies.end(),
                          [](const auto& reply) { return reply->over; });
     };
-    for (double ms = 0; ms < kDeadlineMs + kSlackMs && !over(); ms += 20) {
-      site.pass(20);
-      site.instanceDeadlines.runDue(site.clock.nowMs());
-      broken.turn();
+    for (double ms = 0; ms < kDeadlineMs + kSlackMs && !allOver(); ms += 20) {
+      fixture.pass(20);
+      fixture.instanceDeadlines.runDue(fixture.clock.nowMs());
+      misbehaving.runSteps();
     }
-    EXPECT_TRUE(over());
+    EXPECT_TRUE(allOver());
     EXPECT_TRUE(std::any_of(replies.begin(), replies.end(), [](const auto& reply) {
       return reply->complete && reply->status == 200;
     }));
-    EXPECT_EQ(site.server->counters["requests.overdue"], 0U);
+    EXPECT_EQ(fixture.server->counters["requests.overdue"], 0U);
   }
 }
 
 // ---- Clients that stall or flood
-// -------------------------------------------------------------------------
 
-std::string ask(const std::string& id) {
+std::string requestText(const std::string& id) {
   net::Fields fields = platformFields(id);
   fields.emplace_back("Host", "x");
   return messageText("POST /v1/chat/completions HTTP/1.1", fields, "{}");
 }
 
-TEST(OtherClients, WhoReadNothingHoldNoInstanceForLongerThanTheLimitAndBuffersStayBounded) {
-  RouterFixture site({{"m1", "both", 0}}, false);
-  site.instances["m1"]->script = beginOnly;
-  RawPeer stalled(site.io);
-  stalled.connect(site.listener->address());
-  stalled.write(ask("stalled"));
-  ASSERT_TRUE(site.until([&] { return site.streaming() != nullptr; }));
-  const auto instance = site.streaming()->connection;
+TEST(StalledClient, IsDroppedAtTheTimeLimitAndBuffersStayBounded) {
+  RouterFixture fixture({{"m1", "both", 0}}, false);
+  fixture.instances["m1"]->script = beginOnly;
+  RawPeer stalled(fixture.io);
+  stalled.connect(fixture.listener->address());
+  stalled.write(requestText("stalled"));
+  ASSERT_TRUE(fixture.until([&] { return fixture.streaming() != nullptr; }));
+  const auto instance = fixture.streaming()->connection;
   const std::string event = eventOf(std::string(60'000, 'x'));
-  const auto turn = [&] {
+  const auto runHandlers = [&] {
     for (int i = 0; i < 20; ++i) {
-      site.io.restart();
-      site.io.poll();
+      fixture.io.restart();
+      fixture.io.poll();
     }
   };
-  int sent = 0;  // until every buffer on the way is full
+  int sent = 0;  // until all buffers between instance and client are full
   for (; sent < 2'000 && instance->pass(event); ++sent)
-    turn();
+    runHandlers();
   EXPECT_LT(sent, 2'000);
-  // Others are served beside it, on the same instance, in their time.
-  site.instances["m1"]->script = streamFullAnswer;
-  const auto served = site.finished(site.post("/v1/x", platformFields("b"), "{}"));
+  // Other requests to the same instance are served in time.
+  fixture.instances["m1"]->script = streamFullAnswer;
+  const auto served = fixture.finished(fixture.post("/v1/x", platformFields("b"), "{}"));
   EXPECT_TRUE(served->complete);
   EXPECT_EQ(served->status, 200U);
-  site.pass(29'000);
-  turn();
+  fixture.pass(29'000);
+  runHandlers();
   EXPECT_EQ(instance->state(), State::kStreaming);
-  site.pass(1'100);
-  EXPECT_TRUE(site.until([&] { return site.instances["m1"]->received.front()->disconnected; }));
-  EXPECT_EQ(site.server->counters["requests.client_gone"], 1U);
+  fixture.pass(1'100);
+  EXPECT_TRUE(
+      fixture.until([&] { return fixture.instances["m1"]->received.front()->disconnected; }));
+  EXPECT_EQ(fixture.server->counters["requests.client_gone"], 1U);
 }
 
-// The stalled one has the only connection there may be: the other is told within the time of its
-// request.
-TEST(OtherClients, WhoReadNothingLeaveNobodyWithoutAnAnswer) {
-  RouterFixture site({{"m1", "both", 0}}, false);
-  site.server->pool.setMaxConnections(1);
-  site.instances["m1"]->script = beginOnly;
-  RawPeer stalled(site.io);
-  stalled.connect(site.listener->address());
-  stalled.write(ask("stalled"));
-  ASSERT_TRUE(site.until([&] { return site.streaming() != nullptr; }));
-  const auto reply = site.post("/v1/x", platformFields("b"), "{}");
+// The stalled client's attempt occupies the only connection, so the other client is rejected by its
+// deadline.
+TEST(StalledClient, DoesNotLeaveOtherClientWithoutAnswer) {
+  RouterFixture fixture({{"m1", "both", 0}}, false);
+  fixture.server->pool.setMaxConnections(1);
+  fixture.instances["m1"]->script = beginOnly;
+  RawPeer stalled(fixture.io);
+  stalled.connect(fixture.listener->address());
+  stalled.write(requestText("stalled"));
+  ASSERT_TRUE(fixture.until([&] { return fixture.streaming() != nullptr; }));
+  const auto reply = fixture.post("/v1/x", platformFields("b"), "{}");
   for (double ms = 0; ms < kDeadlineMs + kSlackMs && !reply->over; ms += 20) {
-    site.pass(20);
-    site.io.restart();
-    site.io.poll();
+    fixture.pass(20);
+    fixture.io.restart();
+    fixture.io.poll();
   }
   ASSERT_TRUE(reply->over);
   EXPECT_TRUE(reply->complete);
   EXPECT_EQ(reply->status, 503U);
 }
 
-// The loop takes one request of a connection at a time, however many stand behind it.
-TEST(OtherClients, WhoFloodTakeTheirTurn) {
-  RouterFixture site(kMixed, false);
+// The event loop handles one request of a connection at a time, however many are pipelined behind
+// it.
+TEST(FloodingClient, DoesNotDelayOtherClients) {
+  RouterFixture fixture(kMixed, false);
   std::string flood;
   constexpr int kRequests = 20'000;
   for (int i = 0; i < kRequests; ++i)
     flood += "GET /nothing HTTP/1.1\r\nHost: x\r\n\r\n";
-  RawPeer floods(site.io);
-  floods.connect(site.listener->address());
+  RawPeer flooding(fixture.io);
+  flooding.connect(fixture.listener->address());
   std::thread writer([&] {
     try {
-      floods.write(flood);
+      flooding.write(flood);
     } catch (const boost::system::system_error&) {
     }
   });
-  ASSERT_TRUE(site.until([&] { return site.server->counters["clients.rejected"] > 100; }));
-  const auto before = site.server->counters["clients.rejected"];
-  const auto reply = site.finished(site.post("/v1/x", platformFields("b"), "{}"));
+  ASSERT_TRUE(fixture.until([&] { return fixture.server->counters["clients.rejected"] > 100; }));
+  const auto before = fixture.server->counters["clients.rejected"];
+  const auto reply = fixture.finished(fixture.post("/v1/x", platformFields("b"), "{}"));
   EXPECT_TRUE(reply->complete);
   EXPECT_EQ(reply->status, 200U);
-  EXPECT_LT(site.server->counters["clients.rejected"] - before, 2'000U);
-  site.until([&] {
-    floods.ended();
-    return site.server->counters["clients.rejected"] >= kRequests;
+  EXPECT_LT(fixture.server->counters["clients.rejected"] - before, 2'000U);
+  fixture.until([&] {
+    flooding.ended();
+    return fixture.server->counters["clients.rejected"] >= kRequests;
   });
-  floods.close();
+  flooding.close();
   writer.join();
 }
 
 // ---- Discovery
-// ---------------------------------------------------------------------------------------------
 
-struct WatchedSite : RouterFixture {
-  WatchedSite()
+struct DiscoveryFixture : RouterFixture {
+  DiscoveryFixture()
       : RouterFixture(kMixed, false),
         discovery(server->io,
                   clock,
@@ -313,13 +312,13 @@
   frontend::Discovery discovery;
 };
 
-TEST(DiscoveryTrouble, LeavesEachRequestItsAnswer) {
+TEST(Discovery, MisbehavingDiscoveryLeavesRequestsServed) {
   const std::string head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
   const std::string delta = R"({"revision":5,"complete":false,"members":[]})";
   std::string deltas;
   for (int i = 0; i < 300; ++i)
     deltas += delta + "\n";
-  const std::vector<BrokenInstance::Way> troubles{
+  const std::vector<MisbehavingInstance::Behavior> discoveryMisbehaviors{
       {"a watch that is silent", "", "", 0},
       {"changes without end", head, net::chunkOf(deltas), 0},
       {"a line without end", head + net::chunkOf("{"), net::chunkOf(std::string(4000, ' ')), 0},
@@ -327,15 +326,15 @@
       {"no lists at all", head, net::chunkOf("noise\n"), 0},
       {"a head without end", "HTTP/1.1 200 OK\r\n", "A: " + std::string(500, 'a') + "\r\n", 0},
       {"interim answers without end", "", "HTTP/1.1 102 Processing\r\n\r\n", 0}};
-  for (const auto& trouble : troubles) {
-    SCOPED_TRACE(trouble.name);
-    WatchedSite site;
-    BrokenInstance agent(site, trouble);
-    site.discovery.watch(agent.address());
+  for (const auto& behavior : discoveryMisbehaviors) {
+    SCOPED_TRACE(behavior.name);
+    DiscoveryFixture fixture;
+    MisbehavingInstance agent(fixture, behavior);
+    fixture.discovery.watch(agent.address());
     ASSERT_TRUE(agent.until([&] { return agent.requests() > 0; }));
     for (int i = 0; i < 5; ++i) {
-      site.pass(300);
-      const auto reply = site.post("/v1/x", platformFields("id" + std::to_string(i)), "{}");
+      fixture.pass(300);
+      const auto reply = fixture.post("/v1/x", platformFields("id" + std::to_string(i)), "{}");
       ASSERT_TRUE(agent.until([&] { return reply->over; }));
       EXPECT_TRUE(reply->complete);
       EXPECT_EQ(reply->status, 200U);
@@ -343,13 +342,13 @@
   }
 }
 
-TEST(DiscoveryTrouble, ADeadDiscoveryLeavesTheListAsItIs) {
-  WatchedSite site;
-  site.discovery.watch({boost::asio::ip::make_address("127.0.0.1"), 9});
+TEST(Discovery, UnreachableDiscoveryKeepsInstanceList) {
+  DiscoveryFixture fixture;
+  fixture.discovery.watch({boost::asio::ip::make_address("127.0.0.1"), 9});
   for (int i = 0; i < 20; ++i) {
-    site.pass(1'000);
+    fixture.pass(1'000);
     const auto reply =
-        site.finished(site.post("/v1/x", platformFields("id" + std::to_string(i)), "{}"));
+        fixture.finished(fixture.post("/v1/x", platformFields("id" + std::to_string(i)), "{}"));
     EXPECT_EQ(reply->status, 200U);
   }
 }
--- a/tests/held_state_test.cpp
+++ b/tests/held_state_test.cpp
@@ -1,5 +1,5 @@
-// The units that decide what has to be renewed and released, against a model of instances that lose
-// and delay prefills, calls for reservations and answers.
+// ReservationLease and OwedReleases against a model in which prefills, reservation requests and
+// answers are lost or delayed.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -18,109 +18,114 @@
 using Answer = ReservationLease::Answer;
 using Step = ReservationLease::Step;
 
-constexpr double kWithinMs = 300;
-constexpr double kLimitMs = 650;  // of the protocol: 300 of the settings, 300 more, and 50
+constexpr double kReleaseLimitMs = 300;
+// The protocol's limit: the release limit of the settings, 300 ms more, and 50 ms of tolerance.
+constexpr double kMaxHeldMs = 650;
 constexpr double kStepMs = 5;
-constexpr double kCalledOffMs = 2'500;  // by the module, which releases what is held
-constexpr double kUnknownMs = 300;
+constexpr double kCancelledMs = 2'500;  // when the decision module cancels and releases everything
+constexpr double kUnknownAnswerDelayMs = 300;
 
-// A prefill and the reservation that was asked along with it, as they fare on the network.
-struct Course {
+// What happens on the network to a prefill and to the reservation that is requested with it.
+struct Scenario {
   bool prefillArrives = true;
-  double prefillMs = 100;  // that it takes
+  double prefillMs = 100;  // duration
   bool prefillAnswerLost = false;
-  bool grantsWithoutPrefill = false;  // a decode instance takes the prefill's bytes for the prefill
-  double wayMs = 1;                   // of each message
-  std::set<int> lostCalls, lostAnswers;  // calls for the reservation, from 0
+  bool grantsWithoutPrefill =
+      false;             // the decode instance also grants if the prefill never arrives
+  double latencyMs = 1;  // of each message
+  std::set<int> lostCalls, lostAnswers;  // indices of reservation requests
 };
 
-// What the two instances hold, and since when no attempt covers it.
+// What the two instances hold, and for how long without an attempt in flight.
 class Instances {
  public:
-  explicit Instances(const Course& course) : course_(course) {}
+  explicit Instances(const Scenario& scenario) : scenario_(scenario) {}
 
   bool prefillRuns(double nowMs) const {
-    return course_.prefillArrives && nowMs < course_.prefillMs;
+    return scenario_.prefillArrives && nowMs < scenario_.prefillMs;
   }
   bool prefillAnswered(double nowMs) const {
-    return course_.prefillArrives && !course_.prefillAnswerLost &&
-           nowMs >= course_.prefillMs + course_.wayMs;
+    return scenario_.prefillArrives && !scenario_.prefillAnswerLost &&
+           nowMs >= scenario_.prefillMs + scenario_.latencyMs;
   }
   Answer reserve(double nowMs) {
     reserved_ = true;
-    sinceMs_ = nowMs;
-    const bool known = prefillRuns(nowMs) || (course_.grantsWithoutPrefill &&
-                                              (!course_.prefillArrives || prefillRuns(nowMs)));
+    heldSinceMs_ = nowMs;
+    const bool known = prefillRuns(nowMs) || (scenario_.grantsWithoutPrefill &&
+                                              (!scenario_.prefillArrives || prefillRuns(nowMs)));
     return known ? Answer::kGranted : Answer::kUnknown;
   }
-  void release() { reserved_ = stateHeld_ = false; }
-  void pass(double nowMs) {
-    if (course_.prefillArrives && !ended_ && nowMs >= course_.prefillMs) {
-      ended_ = stateHeld_ = true;
-      sinceMs_ = nowMs;
+  void release() { reserved_ = kvCacheHeld_ = false; }
+  void advance(double nowMs) {
+    if (scenario_.prefillArrives && !prefillEnded_ && nowMs >= scenario_.prefillMs) {
+      prefillEnded_ = kvCacheHeld_ = true;
+      heldSinceMs_ = nowMs;
     }
-    const bool uncovered = (reserved_ || stateHeld_) && !prefillRuns(nowMs);
-    if (uncovered)
-      longestMs_ = std::max(longestMs_, nowMs - sinceMs_);
+    const bool withoutAttempt = (reserved_ || kvCacheHeld_) && !prefillRuns(nowMs);
+    if (withoutAttempt)
+      maxHeldMs_ = std::max(maxHeldMs_, nowMs - heldSinceMs_);
   }
-  double longestMs() const { return longestMs_; }
+  double maxHeldMs() const { return maxHeldMs_; }
 
  private:
-  const Course& course_;
-  bool reserved_ = false, stateHeld_ = false, ended_ = false;
-  double sinceMs_ = 0, longestMs_ = 0;
+  const Scenario& scenario_;
+  bool reserved_ = false, kvCacheHeld_ = false, prefillEnded_ = false;
+  double heldSinceMs_ = 0, maxHeldMs_ = 0;
 };
 
-// For how long anything is held at most while no attempt is out, where a router follows the
-// lease.
+// The longest time for which anything is held without an attempt in flight, if the router follows
+// the lease.
 template <typename Lease>
-double longestHeldMs(const Course& course) {
-  // A call on its way to the instance, or the answer to it.
+double simulateMaxHeldMs(const Scenario& scenario) {
+  // A reservation request in flight to the instance, or the answer to it.
   struct Message {
-    bool underWay = false, isAnswer = false;
+    bool inFlight = false, isAnswer = false;
     double atMs = 0;
     Answer answer = Answer::kNone;
   };
-  Instances instances(course);
-  Lease lease(kWithinMs);
+  Instances instances(scenario);
+  Lease lease(kReleaseLimitMs);
   int calls = 0;
   Message message;
   double releaseMs = HUGE_VAL;
-  const auto ask = [&](double nowMs) {
+  const auto requestReservation = [&](double nowMs) {
     lease.requested(nowMs);
-    message = {.underWay = course.lostCalls.count(calls++) == 0, .atMs = nowMs + course.wayMs};
+    message = {.inFlight = scenario.lostCalls.count(calls++) == 0,
+               .atMs = nowMs + scenario.latencyMs};
   };
-  ask(0);
-  for (double now = 0; now < kCalledOffMs && !instances.prefillAnswered(now); now += kStepMs) {
-    instances.pass(now);
-    if (now >= releaseMs) {
+  requestReservation(0);
+  for (double nowMs = 0; nowMs < kCancelledMs && !instances.prefillAnswered(nowMs);
+       nowMs += kStepMs) {
+    instances.advance(nowMs);
+    if (nowMs >= releaseMs) {
       releaseMs = HUGE_VAL;
       instances.release();
     }
-    if (message.underWay && now >= message.atMs) {
-      message.underWay = !message.isAnswer && course.lostAnswers.count(calls - 1) == 0;
+    if (message.inFlight && nowMs >= message.atMs) {
+      message.inFlight = !message.isAnswer && scenario.lostAnswers.count(calls - 1) == 0;
       if (message.isAnswer) {
         lease.answered(message.answer);
       } else {
         message.isAnswer = true;
-        message.answer = instances.reserve(now);
-        message.atMs = now + course.wayMs + (message.answer == Answer::kUnknown ? kUnknownMs : 0);
+        message.answer = instances.reserve(nowMs);
+        message.atMs = nowMs + scenario.latencyMs +
+                       (message.answer == Answer::kUnknown ? kUnknownAnswerDelayMs : 0);
       }
     }
-    const Step step = lease.due(now);
+    const Step step = lease.due(nowMs);
     if (step == Step::kRelease) {
-      lease.releasing(now);
-      releaseMs = now + course.wayMs;
+      lease.releasing(nowMs);
+      releaseMs = nowMs + scenario.latencyMs;
     } else if (step == Step::kRenew) {
       lease.renewing();
-      ask(now);
+      requestReservation(nowMs);
     }
   }
-  return instances.longestMs();
+  return instances.maxHeldMs();
 }
 
-// Takes a grant for a proof that the prefill is out, as the program did before the lease.
-class TrustingLease : public ReservationLease {
+// Treats a grant as a proof that the prefill is running, and so never renews it.
+class NeverRenewedLease : public ReservationLease {
  public:
   using ReservationLease::ReservationLease;
   Step due(double nowMs) const {
@@ -129,43 +134,43 @@
   }
 };
 
-std::set<int> drawNumbers() {
+std::set<int> drawIndices() {
   const auto drawn = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 8));
   return {drawn.begin(), drawn.end()};
 }
 
-Course drawCourse() {
-  Course course;
-  course.prefillArrives = *rc::gen::arbitrary<bool>();
-  course.prefillMs = *rc::gen::inRange(0, 2'000);
-  course.prefillAnswerLost = *rc::gen::arbitrary<bool>();
-  course.grantsWithoutPrefill = *rc::gen::arbitrary<bool>();
-  course.wayMs = *rc::gen::inRange(0, 30);
-  course.lostCalls = drawNumbers();
-  course.lostAnswers = drawNumbers();
-  return course;
+Scenario drawScenario() {
+  Scenario scenario;
+  scenario.prefillArrives = *rc::gen::arbitrary<bool>();
+  scenario.prefillMs = *rc::gen::inRange(0, 2'000);
+  scenario.prefillAnswerLost = *rc::gen::arbitrary<bool>();
+  scenario.grantsWithoutPrefill = *rc::gen::arbitrary<bool>();
+  scenario.latencyMs = *rc::gen::inRange(0, 30);
+  scenario.lostCalls = drawIndices();
+  scenario.lostAnswers = drawIndices();
+  return scenario;
 }
 
-RC_GTEST_PROP(ReservationLease, HoldsNothingTooLongWhateverIsLost, ()) {
-  RC_ASSERT(longestHeldMs<ReservationLease>(drawCourse()) <= kLimitMs);
+RC_GTEST_PROP(ReservationLease, NothingIsHeldTooLongWhateverIsLost, ()) {
+  RC_ASSERT(simulateMaxHeldMs<ReservationLease>(drawScenario()) <= kMaxHeldMs);
 }
 
-// Guards the property above: a model in which the program of before broke no rule would show
-// nothing.
-TEST(ReservationLease, ThatIsNeverRenewedBreaksTheRule) {
-  Course unread;
-  unread.prefillArrives = false;
-  unread.grantsWithoutPrefill = true;
-  EXPECT_GT(longestHeldMs<TrustingLease>(unread), kLimitMs);
-  EXPECT_LE(longestHeldMs<ReservationLease>(unread), kLimitMs);
-  Course unanswered;
-  unanswered.prefillAnswerLost = true;
-  EXPECT_GT(longestHeldMs<TrustingLease>(unanswered), kLimitMs);
-  EXPECT_LE(longestHeldMs<ReservationLease>(unanswered), kLimitMs);
+// Checks that the model of the property above detects the fault: without renewals, state is held
+// too long.
+TEST(ReservationLease, WithoutRenewalStateIsHeldTooLong) {
+  Scenario lostPrefill;
+  lostPrefill.prefillArrives = false;
+  lostPrefill.grantsWithoutPrefill = true;
+  EXPECT_GT(simulateMaxHeldMs<NeverRenewedLease>(lostPrefill), kMaxHeldMs);
+  EXPECT_LE(simulateMaxHeldMs<ReservationLease>(lostPrefill), kMaxHeldMs);
+  Scenario lostAnswer;
+  lostAnswer.prefillAnswerLost = true;
+  EXPECT_GT(simulateMaxHeldMs<NeverRenewedLease>(lostAnswer), kMaxHeldMs);
+  EXPECT_LE(simulateMaxHeldMs<ReservationLease>(lostAnswer), kMaxHeldMs);
 }
 
-TEST(ReservationLease, OfAShortPrefillIsAskedForOnce) {
-  ReservationLease lease(kWithinMs);
+TEST(ReservationLease, IsNotRenewedForShortPrefill) {
+  ReservationLease lease(kReleaseLimitMs);
   lease.requested(0);
   lease.answered(Answer::kGranted);
   EXPECT_EQ(lease.due(400), Step::kNone);
@@ -174,17 +179,17 @@
   EXPECT_EQ(lease.due(10'000), Step::kNone);
 }
 
-TEST(ReservationLease, ThatIsRefusedAtOnceNeedsNoRelease) {
-  ReservationLease lease(kWithinMs);
+TEST(ReservationLease, NeedsNoReleaseIfRefusedAtOnce) {
+  ReservationLease lease(kReleaseLimitMs);
   lease.requested(0);
   lease.answered(Answer::kRefused);
   EXPECT_TRUE(lease.over());
   EXPECT_EQ(lease.due(10'000), Step::kNone);
 }
 
-// The instance may have given the old reservation up for the new one, or not.
-TEST(ReservationLease, WhoseRenewalIsRefusedIsReleased) {
-  ReservationLease lease(kWithinMs);
+// When an instance refuses a renewal, it may or may not have dropped the old reservation.
+TEST(ReservationLease, IsReleasedIfRenewalIsRefused) {
+  ReservationLease lease(kReleaseLimitMs);
   lease.requested(0);
   lease.answered(Answer::kGranted);
   ASSERT_EQ(lease.due(*lease.nextMs()), Step::kRenew);
@@ -194,18 +199,17 @@
   EXPECT_EQ(lease.due(0), Step::kRelease);
 }
 
-TEST(ReservationLease, ThatIsGrantedLateCoversThePrefillAgain) {
-  ReservationLease lease(kWithinMs);
+TEST(ReservationLease, CoversPrefillAgainAfterLateGrant) {
+  ReservationLease lease(kReleaseLimitMs);
   lease.requested(0);
-  ASSERT_EQ(lease.due(kWithinMs), Step::kRelease);
-  lease.releasing(kWithinMs);
+  ASSERT_EQ(lease.due(kReleaseLimitMs), Step::kRelease);
+  lease.releasing(kReleaseLimitMs);
   EXPECT_EQ(lease.coversUntilMs(), 0);
   lease.answered(Answer::kGranted);
-  EXPECT_GT(lease.coversUntilMs(), kWithinMs);
+  EXPECT_GT(lease.coversUntilMs(), kReleaseLimitMs);
 }
 
 // ---- Releases owed to one instance
-// -------------------------------------------------------------------
 
 const routing::InstanceId kInstance{"s-1"};
 
@@ -213,8 +217,8 @@
   return {"r-" + std::to_string(number)};
 }
 
-TEST(OwedReleases, WaitAtASilentInstanceOneAtATime) {
-  OwedReleases owed(kWithinMs / 2);
+TEST(OwedReleases, AreSentOneAtATimeToSilentInstance) {
+  OwedReleases owed(kReleaseLimitMs / 2);
   for (int i = 0; i < 5; ++i)
     owed.owe(kInstance, requestOf(i), 0);
   const auto first = owed.due(0);
@@ -225,28 +229,28 @@
   EXPECT_EQ(owed.due(1'000 + OwedReleases::kRetryDelayMs).size(), 1U);
 }
 
-// An instance that goes on may read the release before the call that it is owed for.
-TEST(OwedReleases, AreAcceptedTwiceSomeTimeApart) {
-  OwedReleases owed(kWithinMs / 2);
+// An instance that resumes may read the release before the call for which the release is owed.
+TEST(OwedReleases, EndAfterTwoAcceptancesSomeTimeApart) {
+  OwedReleases owed(kReleaseLimitMs / 2);
   owed.owe(kInstance, requestOf(1), 0);
   owed.owe(kInstance, requestOf(2), 0);
-  const auto waited = owed.due(0);
-  owed.accepted(waited.front(), 100);
-  const auto other = owed.due(100);
-  ASSERT_EQ(other.size(), 1U);
-  EXPECT_NE(other.front().request, waited.front().request);
-  owed.accepted(other.front(), 110);
+  const auto first = owed.due(0);
+  owed.accepted(first.front(), 100);
+  const auto second = owed.due(100);
+  ASSERT_EQ(second.size(), 1U);
+  EXPECT_NE(second.front().request, first.front().request);
+  owed.accepted(second.front(), 110);
   EXPECT_TRUE(owed.due(240).empty());
-  const auto again = owed.due(260);
-  ASSERT_EQ(again.size(), 2U);
-  for (const auto& release : again)
+  const auto repeated = owed.due(260);
+  ASSERT_EQ(repeated.size(), 2U);
+  for (const auto& release : repeated)
     owed.accepted(release, 261);
   EXPECT_EQ(owed.size(), 0U);
   EXPECT_FALSE(owed.nextMs());
 }
 
-TEST(OwedReleases, AreForgottenWithTheirInstanceAndAfterATime) {
-  OwedReleases owed(kWithinMs / 2);
+TEST(OwedReleases, AreDroppedWithTheirInstanceAndAtMaxAge) {
+  OwedReleases owed(kReleaseLimitMs / 2);
   owed.owe(kInstance, requestOf(1), 0);
   owed.forget(kInstance);
   EXPECT_EQ(owed.size(), 0U);
@@ -255,34 +259,34 @@
   EXPECT_EQ(owed.size(), 0U);
 }
 
-// Whatever answers and failures come: the table is bounded, an instance gets a bounded number of
-// calls at a time, and once it answers nothing stays owed.
-RC_GTEST_PROP(OwedReleases, AreBoundedAndEnd, ()) {
-  OwedReleases owed(kWithinMs / 2);
-  std::vector<OwedReleases::Release> out;
-  double now = 0;
+// Under any sequence of acceptances and failures the table is bounded, and once the instances
+// answer nothing stays owed.
+RC_GTEST_PROP(OwedReleases, AreBoundedAndEndOnceInstancesAnswer, ()) {
+  OwedReleases owed(kReleaseLimitMs / 2);
+  std::vector<OwedReleases::Release> inFlight;
+  double nowMs = 0;
   const auto steps = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 4));
   for (const int step : steps) {
-    now += 60;
+    nowMs += 60;
     if (step == 0)
       owed.owe({"s-" + std::to_string(*rc::gen::inRange(0, 3))},
-               requestOf(*rc::gen::inRange(0, 2'000)), now);
-    for (auto& release : owed.due(now))
-      out.push_back(std::move(release));
-    if (!out.empty() && step == 1)
-      owed.accepted(out.back(), now);
-    if (!out.empty() && step == 2)
-      owed.failed(out.back(), now);
-    if (!out.empty() && (step == 1 || step == 2))
-      out.pop_back();
+               requestOf(*rc::gen::inRange(0, 2'000)), nowMs);
+    for (auto& release : owed.due(nowMs))
+      inFlight.push_back(std::move(release));
+    if (!inFlight.empty() && step == 1)
+      owed.accepted(inFlight.back(), nowMs);
+    if (!inFlight.empty() && step == 2)
+      owed.failed(inFlight.back(), nowMs);
+    if (!inFlight.empty() && (step == 1 || step == 2))
+      inFlight.pop_back();
     RC_ASSERT(owed.size() <= OwedReleases::kMaxOwed);
   }
-  for (int rounds = 0; owed.size() > 0 && rounds < 20'000; ++rounds) {
-    now += 60;
-    for (auto& release : owed.due(now))
-      out.push_back(std::move(release));
-    for (const auto& release : std::exchange(out, {}))
-      owed.accepted(release, now);
+  for (int round = 0; owed.size() > 0 && round < 20'000; ++round) {
+    nowMs += 60;
+    for (auto& release : owed.due(nowMs))
+      inFlight.push_back(std::move(release));
+    for (const auto& release : std::exchange(inFlight, {}))
+      owed.accepted(release, nowMs);
   }
   RC_ASSERT(owed.size() == 0U);
 }
--- a/tests/instance_deadline_test.cpp
+++ b/tests/instance_deadline_test.cpp
@@ -1,5 +1,6 @@
-// The time that an attempt tells its instance: no more than the client has left when the head is
-// written, whatever the attempt waited for before, and whenever the client's time began.
+// The time budget that an attempt sends to its instance is at most the time that the client has
+// left when the head is written, whatever the attempt waited for and whenever the client's deadline
+// began.
 #include <algorithm>
 #include <thread>
 
@@ -12,8 +13,8 @@
 
 using namespace std::chrono_literals;
 
-// The class has as long as the client of the platform's front says.
-constexpr double kClientMs = 6'000;
+// The deadline of the class, which is the same as that of a platform client.
+constexpr double kDeadlineMs = 6'000;
 constexpr double kSlackMs = 150;
 
 std::string requestText(bool openai, const std::string& id) {
@@ -28,16 +29,17 @@
                      {{"Host", "x"}, {"Authorization", "Bearer desk"}}, body.dump());
 }
 
-struct TimerQueue : RouterFixture {
-  explicit TimerQueue(bool openai, const std::vector<Kind>& kinds = {{"m1", "both", 0}})
+// One client on a raw socket, and a router whose instances answer only when the test makes them.
+struct BudgetFixture : RouterFixture {
+  explicit BudgetFixture(bool openai, const std::vector<Kind>& kinds = {{"m1", "both", 0}})
       : RouterFixture(kinds, openai), openai(openai) {
     for (auto& [id, instance] : instances)
       instance->script = leaveUnanswered;
     client.connect(listener->address());
   }
-  void ask(const std::string& id = "a") {
+  void sendRequest(const std::string& id = "a") {
     client.write(requestText(openai, id));
-    askedMs = clock.nowMs();
+    sentMs = clock.nowMs();
   }
   void settle() {
     for (int i = 0; i < 10; ++i) {
@@ -46,149 +48,152 @@
       io.run_one_for(1ms);
     }
   }
-  // Of all attempts that have arrived, in their order at each instance.
+  // The budgets of all attempts that have arrived, in order of arrival at each instance.
   std::vector<double> budgets() const {
-    std::vector<double> told;
+    std::vector<double> found;
     for (const auto& [id, instance] : instances)
-      for (const auto& taken : instance->received)
-        if (taken->target == "/v1/chat/completions")
-          told.push_back(std::stod(taken->budget));
-    return told;
+      for (const auto& request : instance->received)
+        if (request->target == "/v1/chat/completions")
+          found.push_back(std::stod(request->budget));
+    return found;
   }
-  double leftMs() const { return askedMs + kClientMs - clock.nowMs(); }
+  double leftMs() const { return sentMs + kDeadlineMs - clock.nowMs(); }
 
   bool openai;
   RawPeer client{io};
-  double askedMs = 0;
+  double sentMs = 0;
 };
 
-class ABudget : public testing::TestWithParam<bool> {};
-INSTANTIATE_TEST_SUITE_P(Fronts, ABudget, testing::Bool(), [](const auto& info) {
+class Budget : public testing::TestWithParam<bool> {};
+INSTANTIATE_TEST_SUITE_P(Fronts, Budget, testing::Bool(), [](const auto& info) {
   return info.param ? "ChatApi" : "Platform";
 });
 
-TEST_P(ABudget, IsWhatTheClientHasLeftRoundedDown) {
-  TimerQueue site(GetParam());
-  site.server->pool.setMaxConnections(0);
-  site.ask();
-  ASSERT_TRUE(site.until([&] { return site.server->counters["calls.waited"] == 1; }));
-  site.pass(0.4);
-  site.server->pool.setMaxConnections(1);
-  ASSERT_TRUE(site.until([&] { return site.chats() == 1; }));
-  EXPECT_EQ(site.budgets()[0], kClientMs - 1);
+TEST_P(Budget, IsRemainingTimeOfClientRoundedDown) {
+  BudgetFixture fixture(GetParam());
+  fixture.server->pool.setMaxConnections(0);
+  fixture.sendRequest();
+  ASSERT_TRUE(fixture.until([&] { return fixture.server->counters["calls.waited"] == 1; }));
+  fixture.pass(0.4);
+  fixture.server->pool.setMaxConnections(1);
+  ASSERT_TRUE(fixture.until([&] { return fixture.chats() == 1; }));
+  EXPECT_EQ(fixture.budgets()[0], kDeadlineMs - 1);
 }
 
-TEST_P(ABudget, IsLessByTheTimeOfADial) {
-  TimerQueue site(GetParam());
-  site.ask();
-  for (int i = 0; i < 10'000 && site.server->counters["attempts.sent"] == 0; ++i) {
-    site.io.restart();
-    site.io.poll_one();
+TEST_P(Budget, IsReducedByConnectTime) {
+  BudgetFixture fixture(GetParam());
+  fixture.sendRequest();
+  for (int i = 0; i < 10'000 && fixture.server->counters["attempts.sent"] == 0; ++i) {
+    fixture.io.restart();
+    fixture.io.poll_one();
   }
-  site.pass(249);
-  ASSERT_TRUE(site.until([&] { return site.chats() == 1; }));
-  EXPECT_EQ(site.budgets()[0], kClientMs - 249);
+  fixture.pass(249);
+  ASSERT_TRUE(fixture.until([&] { return fixture.chats() == 1; }));
+  EXPECT_EQ(fixture.budgets()[0], kDeadlineMs - 249);
 }
 
-TEST_P(ABudget, IsLessByTheWaitForAConnection) {
-  TimerQueue site(GetParam());
-  site.server->pool.setMaxConnections(0);
-  site.ask();
-  ASSERT_TRUE(site.until([&] { return site.server->counters["calls.waited"] == 1; }));
-  site.pass(249);
-  site.server->pool.setMaxConnections(1);
-  ASSERT_TRUE(site.until([&] { return site.chats() == 1; }));
-  EXPECT_EQ(site.budgets()[0], kClientMs - 249);
+TEST_P(Budget, IsReducedByWaitForConnection) {
+  BudgetFixture fixture(GetParam());
+  fixture.server->pool.setMaxConnections(0);
+  fixture.sendRequest();
+  ASSERT_TRUE(fixture.until([&] { return fixture.server->counters["calls.waited"] == 1; }));
+  fixture.pass(249);
+  fixture.server->pool.setMaxConnections(1);
+  ASSERT_TRUE(fixture.until([&] { return fixture.chats() == 1; }));
+  EXPECT_EQ(fixture.budgets()[0], kDeadlineMs - 249);
 }
 
-// What the second attempt tells its instance if its pause and its dial took so long.
-double toldAfterAPauseOf(double ms, bool openai) {
-  TimerQueue site(openai, kSplit);
-  auto settings = site.operatorFile.setup.settings;
+// The budget of the second attempt if it was delayed by this long after the close of the first one.
+double budgetAfterDelay(double delayMs, bool openai) {
+  BudgetFixture fixture(openai, kSplit);
+  auto settings = fixture.operatorFile.setup.settings;
   settings.classes[1].latencyObjective = 6s;
-  site.server->reconfigure(settings, openai ? frontend::openaiProtocol(site.operatorFile)
-                                            : frontend::platformProtocol());
-  site.ask();
-  EXPECT_TRUE(site.until([&] { return site.chats() == 1; }));
-  site.pass(3'700);
-  EXPECT_EQ(site.server->counters["attempts.sent"], 2U);
-  site.pass(ms);
-  EXPECT_TRUE(site.until([&] { return site.chats() == 2; }));
-  const std::vector<double> told = site.budgets();
-  return *std::min_element(told.begin(), told.end());
+  fixture.server->reconfigure(settings, openai ? frontend::openaiProtocol(fixture.operatorFile)
+                                               : frontend::platformProtocol());
+  fixture.sendRequest();
+  EXPECT_TRUE(fixture.until([&] { return fixture.chats() == 1; }));
+  fixture.pass(3'700);
+  EXPECT_EQ(fixture.server->counters["attempts.sent"], 2U);
+  fixture.pass(delayMs);
+  EXPECT_TRUE(fixture.until([&] { return fixture.chats() == 2; }));
+  const std::vector<double> budgets = fixture.budgets();
+  return *std::min_element(budgets.begin(), budgets.end());
 }
 
-TEST_P(ABudget, IsLessByThePauseAfterAClose) {
-  EXPECT_EQ(toldAfterAPauseOf(240, GetParam()), toldAfterAPauseOf(10, GetParam()) - 230);
+TEST_P(Budget, IsReducedByDelayAfterClose) {
+  EXPECT_EQ(budgetAfterDelay(240, GetParam()), budgetAfterDelay(10, GetParam()) - 230);
 }
 
-// A request that stood behind another one has had that time already, as its client sent it before.
-TEST_P(ABudget, IsLessByTheTimeBehindAnEarlierRequest) {
-  TimerQueue site(GetParam());
-  site.ask("a");
-  ASSERT_TRUE(site.until([&] { return site.chats() == 1; }));
-  site.pass(1'000);
-  site.ask("b");
-  site.settle();
-  site.pass(2'000);
-  site.client.write(requestText(site.openai, "c"));
-  site.settle();
-  site.pass(500);
+// The time during which a request was pipelined behind another one counts, as its client had sent
+// it before.
+TEST_P(Budget, IsReducedByTimeBehindEarlierRequest) {
+  BudgetFixture fixture(GetParam());
+  fixture.sendRequest("a");
+  ASSERT_TRUE(fixture.until([&] { return fixture.chats() == 1; }));
+  fixture.pass(1'000);
+  fixture.sendRequest("b");
+  fixture.settle();
+  fixture.pass(2'000);
+  fixture.client.write(requestText(fixture.openai, "c"));
+  fixture.settle();
+  fixture.pass(500);
   for (int i = 0; i < 2; ++i) {
     const auto answered = static_cast<std::size_t>(i);
-    streamFullAnswer(*site.instances["m1"], *site.instances["m1"]->received.at(answered));
-    ASSERT_TRUE(site.until([&] { return site.chats() == i + 2; }));
+    streamFullAnswer(*fixture.instances["m1"], *fixture.instances["m1"]->received.at(answered));
+    ASSERT_TRUE(fixture.until([&] { return fixture.chats() == i + 2; }));
   }
-  EXPECT_EQ(site.budgets(), (std::vector<double>{kClientMs, kClientMs - 2'500, kClientMs - 500}));
+  EXPECT_EQ(fixture.budgets(),
+            (std::vector<double>{kDeadlineMs, kDeadlineMs - 2'500, kDeadlineMs - 500}));
 }
 
-// Nothing read the request for a while: its connection stood in the queue, or the process was
-// stopped. The system alone knows since when, by its own clock.
-TEST_P(ABudget, IsLessByTheTimeForWhichItsRequestStoodUnread) {
-  TimerQueue site(GetParam());
-  site.ask();
+// A request was not read for a while, as its connection was in the accept queue or the process was
+// stopped. Only the kernel knows when the request arrived, by its own clock.
+TEST_P(Budget, IsReducedByTimeForWhichRequestWasUnread) {
+  BudgetFixture fixture(GetParam());
+  fixture.sendRequest();
   std::this_thread::sleep_for(400ms);
-  ASSERT_TRUE(site.until([&] { return site.chats() == 1; }));
-  EXPECT_LE(site.budgets()[0], kClientMs - 400 + kSlackMs);
-  EXPECT_GE(site.budgets()[0], kClientMs - 5'000);
+  ASSERT_TRUE(fixture.until([&] { return fixture.chats() == 1; }));
+  EXPECT_LE(fixture.budgets()[0], kDeadlineMs - 400 + kSlackMs);
+  EXPECT_GE(fixture.budgets()[0], kDeadlineMs - 5'000);
 }
 
-// A process takes a stream over, and with it the next request, which had waited for a while.
-TEST(ABudget, IsLessByTheTimeBehindAStreamThatWasHandedOver) {
-  TemporaryDirectory folder;
-  TimerQueue site(false), next(false);
-  site.instances["m1"]->script = beginOnly;
-  site.ask("a");
-  ASSERT_TRUE(site.until([&] { return site.streaming() != nullptr && site.client.hasBytes(); }));
-  site.ask("b");
-  site.settle();
-  site.pass(2'000);
+// A process takes over a stream together with the next request of its client, which had waited for
+// a while.
+TEST(Budget, IsReducedByTimeBehindHandedOverStream) {
+  TemporaryDirectory directory;
+  BudgetFixture fixture(false), next(false);
+  fixture.instances["m1"]->script = beginOnly;
+  fixture.sendRequest("a");
+  ASSERT_TRUE(
+      fixture.until([&] { return fixture.streaming() != nullptr && fixture.client.hasBytes(); }));
+  fixture.sendRequest("b");
+  fixture.settle();
+  fixture.pass(2'000);
   next.pass(2'000);
-  app::Handover takes(*next.server, *next.front, *next.listener);
-  net::DescriptorReceiver receiver(next.io, folder.path, "in", [&](net::ReceivedMessage passed) {
-    takes.receive(std::move(passed));
-  });
-  app::Handover handover(*site.server, *site.front, *site.listener);
-  handover.begin(folder.path, "in");
-  for (int i = 0; i < 20 && site.server->counters["streams.handed_over"] == 0; ++i) {
-    site.pass(0);
-    site.settle();
+  app::Handover receivingHandover(*next.server, *next.front, *next.listener);
+  net::DescriptorReceiver receiver(
+      next.io, directory.path, "in",
+      [&](net::ReceivedMessage message) { receivingHandover.receive(std::move(message)); });
+  app::Handover handover(*fixture.server, *fixture.front, *fixture.listener);
+  handover.begin(directory.path, "in");
+  for (int i = 0; i < 20 && fixture.server->counters["streams.handed_over"] == 0; ++i) {
+    fixture.pass(0);
+    fixture.settle();
   }
   ASSERT_TRUE(next.until([&] { return next.server->counters["streams.taken_over"] == 1; }));
   next.pass(1'000);
-  site.streaming()->connection->pass(kLastEvents);
-  for (const auto& taken : site.instances["m1"]->received)
-    taken->connection->endStream();
-  site.settle();
+  fixture.streaming()->connection->pass(kLastEvents);
+  for (const auto& request : fixture.instances["m1"]->received)
+    request->connection->endStream();
+  fixture.settle();
   ASSERT_TRUE(next.until([&] { return next.chats() == 1; }));
-  EXPECT_EQ(next.budgets()[0], kClientMs - 3'000);
+  EXPECT_EQ(next.budgets()[0], kDeadlineMs - 3'000);
 }
 
-// ---- A write that stops midway
-// -----------------------------------------------------------------------
+// ---- A write that stalls
 
-struct Writes : NetworkFixture {
-  static constexpr std::size_t kMore = 64 << 20;  // than the system takes at once
+struct WriteFixture : NetworkFixture {
+  static constexpr std::size_t kLargeBytes = 64 << 20;  // more than the kernel buffers
   net::ConnectionPool pool{io, clock, timers, counters, {4, 250, 18'000, 1 << 20}};
   RawPeer instance{io};
   std::shared_ptr<Reply> reply = std::make_shared<Reply>();
@@ -204,51 +209,51 @@
   }
 };
 
-// Its instance would run it with a time that is long over: it is given up before, and has never
-// run.
-TEST(AWriteThatStopsMidway, IsGivenUpWithinTheSlackOfItsBudget) {
-  Writes writes;
-  writes.begin(Writes::kMore);
-  EXPECT_FALSE(writes.reply->wasWritten);
-  writes.pass(99);
-  writes.io.restart();
-  writes.io.poll();
-  EXPECT_FALSE(writes.reply->over);
-  for (int i = 0; i < 5 && !writes.reply->over; ++i) {
-    writes.pass(10);
-    writes.io.restart();
-    writes.io.poll();
+// The instance would run the request with a budget that no longer applies, so the attempt is
+// abandoned before it is complete and has not run.
+TEST(StalledWrite, IsAbandonedWithinSlackOfBudget) {
+  WriteFixture fixture;
+  fixture.begin(WriteFixture::kLargeBytes);
+  EXPECT_FALSE(fixture.reply->wasWritten);
+  fixture.pass(99);
+  fixture.io.restart();
+  fixture.io.poll();
+  EXPECT_FALSE(fixture.reply->over);
+  for (int i = 0; i < 5 && !fixture.reply->over; ++i) {
+    fixture.pass(10);
+    fixture.io.restart();
+    fixture.io.poll();
   }
-  EXPECT_EQ(writes.reply->failure, net::CallFailure::kNoConnection);
-  EXPECT_FALSE(writes.reply->wasWritten);
-  EXPECT_EQ(writes.pool.size(), 0U);
+  EXPECT_EQ(fixture.reply->failure, net::CallFailure::kNoConnection);
+  EXPECT_FALSE(fixture.reply->wasWritten);
+  EXPECT_EQ(fixture.pool.size(), 0U);
 }
 
-// The last byte is out, and the loop comes to hear of it late: it may run, and is not said never to
-// have.
-TEST(AWriteThatStopsMidway, IsNotOneThatIsWholeWhenItsTimeIsUp) {
-  NetworkFixture stage;
-  net::ConnectionPool pool(stage.io, stage.clock, stage.timers, stage.counters,
+// The last byte is written, but the event loop learns of it only after the time limit. The request
+// may run, so it must not be reported as not sent.
+TEST(StalledWrite, IsNotReportedForCompleteWriteAtTheTimeLimit) {
+  NetworkFixture fixture;
+  net::ConnectionPool pool(fixture.io, fixture.clock, fixture.timers, fixture.counters,
                            {4, 250, 18'000, 1 << 20});
-  RawPeer instance(stage.io);
+  RawPeer instance(fixture.io);
   const auto first = std::make_shared<Reply>(), reply = std::make_shared<Reply>();
   const std::string head = "POST / HTTP/1.1\r\nContent-Length: 2\r\n\r\n";
   pool.call(instance.address(), head, std::make_shared<const std::string>("ab"), first);
   instance.accept();
-  ASSERT_TRUE(stage.until([&] { return first->wasWritten; }));
+  ASSERT_TRUE(fixture.until([&] { return first->wasWritten; }));
   instance.readSome();
   instance.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
-  ASSERT_TRUE(stage.until([&] { return first->complete; }));
-  stage.pass(5);
+  ASSERT_TRUE(fixture.until([&] { return first->complete; }));
+  fixture.pass(5);
   pool.call(instance.address(), head, std::make_shared<const std::string>("ab"),
             reply);  // written at once
-  stage.pass(101);
-  stage.pass(11);
-  ASSERT_TRUE(stage.until([&] { return reply->wasWritten; }));
+  fixture.pass(101);
+  fixture.pass(11);
+  ASSERT_TRUE(fixture.until([&] { return reply->wasWritten; }));
   EXPECT_FALSE(reply->over);
   EXPECT_EQ(instance.readSome(), head + "ab");
   instance.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
-  ASSERT_TRUE(stage.until([&] { return reply->complete; }));
+  ASSERT_TRUE(fixture.until([&] { return reply->complete; }));
 }
 
 }  // namespace
--- a/tests/request_permits_test.cpp
+++ b/tests/request_permits_test.cpp
@@ -1,4 +1,4 @@
-// What may happen for a request and why not, and the rules that are checked as it happens.
+// The permits for attempts with their reasons, and the checks of the protocol's rules.
 #include "core/request_permits.h"
 
 #include <gtest/gtest.h>
@@ -8,21 +8,22 @@
 
 using routing::Effect;
 
-constexpr double kNow = 10'000, kGraceMs = 1'000;
+constexpr double kNowMs = 10'000, kGraceMs = 1'000;
 
-struct Case {
-  Case() {
+// One request and one instance, for which every permit is given.
+struct PermitCase {
+  PermitCase() {
     permits.configure(kGraceMs, /*hedgedRequests=*/false);
-    request.deadlineMs = kNow + 1'000;
+    request.deadlineMs = kNowMs + 1'000;
     instance.listed = true;
   }
   Permit attempt() const {
-    return permits.attempt(request, &instance, retryWindowEndMs, kNow,
+    return permits.attempt(request, &instance, retryWindowEndMs, kNowMs,
                            [this] { return clientPresent; });
   }
-  AttemptHistory& earlier(bool mayHaveRun, bool inFlight = false) {
+  AttemptHistory& addEarlierAttempt(bool mayHaveRun, bool inFlight = false) {
     request.attempts.push_back({.instance = "i",
-                                .sentMs = kNow - 100,
+                                .sentMs = kNowMs - 100,
                                 .inFlight = inFlight,
                                 .outcome = "reset",
                                 .mayHaveRun = mayHaveRun});
@@ -31,75 +32,75 @@
   RequestPermits permits;
   RequestFacts request;
   InstanceFacts instance;
-  double retryWindowEndMs = kNow + 1;
+  double retryWindowEndMs = kNowMs + 1;
   bool clientPresent = true;
 };
 
-TEST(Permits, EachReasonForbidsAnAttemptByItself) {
-  EXPECT_EQ(Case().attempt(), Permit::kAllowed);
-  Case one;
-  one.instance.listed = false;
-  EXPECT_EQ(one.attempt(), Permit::kUnknownInstance);
-  Case drained;
-  drained.instance.drainingSinceMs = kNow - kGraceMs;
+TEST(RequestPermits, EachReasonAloneForbidsAnAttempt) {
+  EXPECT_EQ(PermitCase().attempt(), Permit::kAllowed);
+  PermitCase unlisted;
+  unlisted.instance.listed = false;
+  EXPECT_EQ(unlisted.attempt(), Permit::kUnknownInstance);
+  PermitCase drained;
+  drained.instance.drainingSinceMs = kNowMs - kGraceMs;
   EXPECT_EQ(drained.attempt(), Permit::kDrained);
-  drained.instance.drainingSinceMs = kNow - kGraceMs / 2;
+  drained.instance.drainingSinceMs = kNowMs - kGraceMs / 2;
   EXPECT_EQ(drained.attempt(), Permit::kAllowed);
-  Case late;
-  late.retryWindowEndMs = kNow;
-  EXPECT_EQ(late.attempt(), Permit::kRetryWindowOver);
-  Case answered;
+  PermitCase windowOver;
+  windowOver.retryWindowEndMs = kNowMs;
+  EXPECT_EQ(windowOver.attempt(), Permit::kRetryWindowOver);
+  PermitCase answered;
   answered.request.answered = true;
   EXPECT_EQ(answered.attempt(), Permit::kAnswered);
-  Case streaming;
+  PermitCase streaming;
   streaming.request.streaming = true;
   EXPECT_EQ(streaming.attempt(), Permit::kStreaming);
-  Case over;
-  over.request.deadlineMs = kNow;
-  EXPECT_EQ(over.attempt(), Permit::kDeadlineOver);
-  Case gone;
-  gone.clientPresent = false;
-  EXPECT_EQ(gone.attempt(), Permit::kClientGone);
+  PermitCase pastDeadline;
+  pastDeadline.request.deadlineMs = kNowMs;
+  EXPECT_EQ(pastDeadline.attempt(), Permit::kDeadlineOver);
+  PermitCase disconnected;
+  disconnected.clientPresent = false;
+  EXPECT_EQ(disconnected.attempt(), Permit::kClientGone);
 }
 
-TEST(Invariants, AnEffectIsNotRepeatedOrRejectedWhereItMayHaveRun) {
+TEST(RequestPermits, DetectsRepeatOrRejectionAfterRequestMayHaveRun) {
   for (const Effect effect : {Effect::kIdempotent, Effect::kDeduplicated, Effect::kAtMostOnce}) {
     SCOPED_TRACE(static_cast<int>(effect));
     for (const bool mayHaveRun : {false, true}) {
-      Case one;
-      one.request.effect = effect;
-      one.request.dedupWindowMs = 50;
-      one.earlier(mayHaveRun);
-      EXPECT_EQ(one.permits.checkAttempt(one.request).empty(),
+      PermitCase repeat;
+      repeat.request.effect = effect;
+      repeat.request.dedupWindowMs = 50;
+      repeat.addEarlierAttempt(mayHaveRun);
+      EXPECT_EQ(repeat.permits.checkAttempt(repeat.request).empty(),
                 !(mayHaveRun && effect == Effect::kAtMostOnce));
-      EXPECT_EQ(one.permits.checkRejection(one.request).empty(),
+      EXPECT_EQ(repeat.permits.checkRejection(repeat.request).empty(),
                 !(mayHaveRun && effect != Effect::kIdempotent));
-      EXPECT_EQ(one.permits.checkWritten(one.request, &one.instance, kNow).empty(),
+      EXPECT_EQ(repeat.permits.checkWritten(repeat.request, &repeat.instance, kNowMs).empty(),
                 !(mayHaveRun && effect == Effect::kDeduplicated));
     }
   }
-  Case prefill;
+  PermitCase prefill;
   prefill.request.effect = Effect::kAtMostOnce;
-  prefill.earlier(true).isPrefill = true;
+  prefill.addEarlierAttempt(true).isPrefill = true;
   EXPECT_TRUE(prefill.permits.checkAttempt(prefill.request).empty());
 }
 
-TEST(Invariants, AHedgeADrainAndADeadlineAreDetected) {
-  Case one;
-  one.earlier(false, /*inFlight=*/true);
-  EXPECT_EQ(one.permits.checkAttempt(one.request), std::vector{Violation::kUnexpectedHedge});
-  one.request.effect = Effect::kAtMostOnce;
-  EXPECT_EQ(one.permits.checkRejection(one.request),
+TEST(RequestPermits, DetectsHedgeDrainedInstanceAndPassedDeadline) {
+  PermitCase hedged;
+  hedged.addEarlierAttempt(false, /*inFlight=*/true);
+  EXPECT_EQ(hedged.permits.checkAttempt(hedged.request), std::vector{Violation::kUnexpectedHedge});
+  hedged.request.effect = Effect::kAtMostOnce;
+  EXPECT_EQ(hedged.permits.checkRejection(hedged.request),
             std::vector{Violation::kRejectedDuringAttempt});
-  Case late;
-  late.request.deadlineMs = kNow - 1;
-  EXPECT_EQ(late.permits.checkWritten(late.request, &late.instance, kNow),
+  PermitCase pastDeadline;
+  pastDeadline.request.deadlineMs = kNowMs - 1;
+  EXPECT_EQ(pastDeadline.permits.checkWritten(pastDeadline.request, &pastDeadline.instance, kNowMs),
             std::vector{Violation::kSentAfterDeadline});
-  Case drained;
-  drained.instance.drainingSinceMs = kNow - kGraceMs - 1;
-  EXPECT_EQ(drained.permits.checkWritten(drained.request, &drained.instance, kNow),
+  PermitCase drained;
+  drained.instance.drainingSinceMs = kNowMs - kGraceMs - 1;
+  EXPECT_EQ(drained.permits.checkWritten(drained.request, &drained.instance, kNowMs),
             std::vector{Violation::kSentToDrained});
-  EXPECT_EQ(drained.permits.checkWritten(drained.request, nullptr, kNow),
+  EXPECT_EQ(drained.permits.checkWritten(drained.request, nullptr, kNowMs),
             std::vector{Violation::kSentToDrained});
 }
 
--- a/tests/support/network_fixture.h
+++ b/tests/support/network_fixture.h
@@ -113,9 +113,9 @@
   void write(const std::string& bytes) { boost::asio::write(socket_, boost::asio::buffer(bytes)); }
   // Writes asynchronously, as fast as the other side reads, while the event loop runs.
   void writeLater(std::string bytes) {
-    later_ = std::move(bytes);
+    pendingBytes_ = std::move(bytes);
     boost::asio::async_write(
-        socket_, boost::asio::buffer(later_),
+        socket_, boost::asio::buffer(pendingBytes_),
         [this](const boost::system::error_code& error, std::size_t) { wroteAll_ = !error; });
   }
   bool wroteAll() const { return wroteAll_; }
@@ -162,7 +162,7 @@
   boost::asio::io_context& io_;
   tcp::acceptor acceptor_;
   tcp::socket socket_;
-  std::string later_;
+  std::string pendingBytes_;
   bool wroteAll_ = false;
 };
 
@@ -172,7 +172,7 @@
   struct ReceivedRequest {
     std::shared_ptr<net::ClientConnection> connection;
     std::string method, target, body, id;
-    std::string budget = {};  // X-Budget-Ms, as it came
+    std::string budget = {};  // the X-Budget-Ms header, unparsed
     bool disconnected = false;
     std::vector<std::pair<std::string, std::string>> fields = {};
   };
--- a/tests/unanswered_requests_test.cpp
+++ b/tests/unanswered_requests_test.cpp
@@ -1,5 +1,5 @@
-// What has been read from a client gets an answer, and what will not be answered is not read:
-// closes of all kinds against requests that are standing, arriving, or half there.
+// A request that was read gets an answer, and a request that will not be answered is not read:
+// connections are closed in every way while requests are unread, arriving or incomplete.
 #include <gtest/gtest.h>
 #include <sys/ioctl.h>
 #include <sys/socket.h>
@@ -28,11 +28,10 @@
 const std::string kHalf = kRequest.substr(0, 30);
 
 // ---- Reading one request
-// -----------------------------------------------------------------------------
 
-struct Pair {
-  Pair() { EXPECT_EQ(::socketpair(AF_UNIX, SOCK_STREAM, 0, ends.data()), 0); }
-  ~Pair() {
+struct SocketPair {
+  SocketPair() { EXPECT_EQ(::socketpair(AF_UNIX, SOCK_STREAM, 0, ends.data()), 0); }
+  ~SocketPair() {
     for (const int end : ends)
       ::close(end);
   }
@@ -47,7 +46,7 @@
   std::array<int, 2> ends{};
 };
 
-TEST(RequestReader, TakesNothingOfWhatStandsBehindARequestHoweverItArrives) {
+TEST(RequestReader, LeavesNextRequestUnreadHoweverBytesArrive) {
   const std::string chunked =
       "POST /v1 HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: "
       "chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n";
@@ -55,71 +54,72 @@
     for (std::size_t cut = 0; cut <= request.size() + kRequest.size(); ++cut) {
       SCOPED_TRACE(cut);
       const std::string all = request + kRequest;
-      Pair pair;
+      SocketPair sockets;
       RequestReader reader;
       boost::system::error_code error;
-      const auto take = [&] {
+      const auto readRequest = [&] {
         reader.begin();
-        auto progress = reader.read(pair.ends[1], error);
-        while (progress == RequestReader::Progress::kPart && pair.unread() > 0)
-          progress = reader.read(pair.ends[1], error);
+        auto progress = reader.read(sockets.ends[1], error);
+        while (progress == RequestReader::Progress::kPart && sockets.unread() > 0)
+          progress = reader.read(sockets.ends[1], error);
         return progress;
       };
-      pair.write(all.substr(0, cut));
-      auto progress = take();
+      sockets.write(all.substr(0, cut));
+      auto progress = readRequest();
       if (progress != RequestReader::Progress::kWhole) {
-        pair.write(all.substr(cut));
+        sockets.write(all.substr(cut));
         while (progress != RequestReader::Progress::kWhole)
-          progress = reader.read(pair.ends[1], error);
-        ASSERT_EQ(pair.unread(), static_cast<int>(kRequest.size()));
+          progress = reader.read(sockets.ends[1], error);
+        ASSERT_EQ(sockets.unread(), static_cast<int>(kRequest.size()));
       } else {
-        ASSERT_EQ(pair.unread(), static_cast<int>(cut - request.size()));
-        pair.write(all.substr(cut));
+        ASSERT_EQ(sockets.unread(), static_cast<int>(cut - request.size()));
+        sockets.write(all.substr(cut));
       }
       EXPECT_TRUE(reader.carried().empty());
       EXPECT_EQ(reader.release().body(), "abc");
-      ASSERT_EQ(take(), RequestReader::Progress::kWhole);
+      ASSERT_EQ(readRequest(), RequestReader::Progress::kWhole);
       EXPECT_EQ(reader.release().body(), "abc");
-      EXPECT_EQ(pair.unread(), 0);
+      EXPECT_EQ(sockets.unread(), 0);
     }
   }
 }
 
-TEST(RequestReader, TakesWhatAnotherProcessHadReadBeforeWhatStandsInTheSocket) {
-  Pair pair;
+TEST(RequestReader, ReadsBytesCarriedOverBeforeBytesOfTheSocket) {
+  SocketPair sockets;
   RequestReader reader;
   boost::system::error_code error;
   reader.carry(kRequest + kHalf);
-  pair.write(kRequest.substr(kHalf.size()) + kRequest);
+  sockets.write(kRequest.substr(kHalf.size()) + kRequest);
   for (int i = 0; i < 3; ++i) {
     reader.begin();
-    ASSERT_EQ(reader.read(pair.ends[1], error), RequestReader::Progress::kWhole) << i;
+    ASSERT_EQ(reader.read(sockets.ends[1], error), RequestReader::Progress::kWhole) << i;
     EXPECT_EQ(reader.release().body(), "abc");
   }
-  EXPECT_EQ(pair.unread(), 0);
+  EXPECT_EQ(sockets.unread(), 0);
 }
 
-// ---- The cap, idle closes, pipelines
-// ---------------------------------------------------------------
+// ---- Connection limit, idle timeouts, pipelining
 
-struct Service : NetworkFixture, net::RequestHandler {
-  explicit Service(std::size_t cap, admission::AdmissionController* gate = nullptr)
+// A listener whose requests the test answers, or which answers them itself.
+struct ListenerFixture : NetworkFixture, net::RequestHandler {
+  explicit ListenerFixture(std::size_t maxConnections,
+                           admission::AdmissionController* controller = nullptr)
       : listener(io,
                  anyPort(),
-                 cap,
+                 maxConnections,
                  *this,
                  clock,
                  timers,
                  counters,
                  {.sharedPort = false,
                   .open = true,
-                  .admissionController = gate,
+                  .admissionController = controller,
                   .descriptorBudget = nullptr}) {}
   void request(const std::shared_ptr<ClientConnection>& connection,
                net::HttpRequest&&,
                double) override {
-    asked.push_back(connection);
-    if (answers)
+    requests.push_back(connection);
+    if (answersRequests)
       connection->answer(200, {}, "served");
   }
   void disconnected(ClientConnection&) override {}
@@ -127,26 +127,26 @@
   void reject(ClientConnection& connection, unsigned status, std::string_view why) override {
     connection.answer(status, {}, why);
   }
-  std::unique_ptr<RawPeer> client(const std::string& says = "") {
+  std::unique_ptr<RawPeer> client(const std::string& bytes = "") {
     auto peer = std::make_unique<RawPeer>(io);
     peer->connect(listener.address());
-    if (!says.empty())
-      peer->write(says);
+    if (!bytes.empty())
+      peer->write(bytes);
     return peer;
   }
-  // A client whose connection rests after an answer.
-  std::unique_ptr<RawPeer> resting() {
-    const std::size_t before = asked.size();
+  // A client whose connection is idle after an answer.
+  std::unique_ptr<RawPeer> idleClient() {
+    const std::size_t before = requests.size();
     auto peer = client(kRequest);
-    EXPECT_TRUE(until([&] { return asked.size() == before + 1; }));
-    if (!answers)
-      asked.back()->answer(200, {}, "served");
-    EXPECT_TRUE(
-        until([&] { return asked.back()->state() == State::kIdle && sees(*peer, "served"); }));
+    EXPECT_TRUE(until([&] { return requests.size() == before + 1; }));
+    if (!answersRequests)
+      requests.back()->answer(200, {}, "served");
+    EXPECT_TRUE(until(
+        [&] { return requests.back()->state() == State::kIdle && hasReceived(*peer, "served"); }));
     peer->seen.clear();
     return peer;
   }
-  bool sees(RawPeer& peer, const std::string& text) {
+  bool hasReceived(RawPeer& peer, const std::string& text) {
     peer.ended();
     return peer.seen.find(text) != std::string::npos;
   }
@@ -154,186 +154,187 @@
     return until([&] { return peer.ended(); }) && peer.seen.rfind("HTTP/1.1 " + status, 0) == 0;
   }
 
-  std::vector<std::shared_ptr<ClientConnection>> asked;
-  bool answers = false;
+  std::vector<std::shared_ptr<ClientConnection>> requests;
+  bool answersRequests = false;
   net::Listener listener;
 };
 
-TEST(AtTheCap, HalfARequestThatHasToMakeRoomGetsAnAnswer) {
-  Service service(1);
-  const auto slow = service.client(kHalf);
-  ASSERT_TRUE(service.until([&] { return service.listener.size() == 1; }));
-  service.io.poll();
-  service.pass(150);
-  const auto next = service.client(kRequest);
-  ASSERT_TRUE(service.until([&] {
-    service.pass(20);
-    return service.asked.size() == 1;
+TEST(ConnectionLimit, EvictedIncompleteRequestGetsAnAnswer) {
+  ListenerFixture fixture(1);
+  const auto slow = fixture.client(kHalf);
+  ASSERT_TRUE(fixture.until([&] { return fixture.listener.size() == 1; }));
+  fixture.io.poll();
+  fixture.pass(150);
+  const auto next = fixture.client(kRequest);
+  ASSERT_TRUE(fixture.until([&] {
+    fixture.pass(20);
+    return fixture.requests.size() == 1;
   }));
-  EXPECT_TRUE(service.answered(*slow, "503")) << slow->seen;
+  EXPECT_TRUE(fixture.answered(*slow, "503")) << slow->seen;
 }
 
-TEST(AtTheCap, ARequestThatStandsOnAnIdleConnectionIsServedAndNotCutOff) {
-  Service service(2);
-  const auto client = service.resting();
-  client->write(kRequest);  // the loop has not seen it
-  service.listener.setMaxConnections(0);
-  EXPECT_EQ(service.listener.size(), 1U);
-  ASSERT_TRUE(service.until([&] { return service.asked.size() == 2; }));
-  service.asked[1]->answer(200, {}, "second");
-  EXPECT_TRUE(service.until([&] { return service.sees(*client, "second"); }));
+TEST(ConnectionLimit, UnreadRequestOnIdleConnectionIsServed) {
+  ListenerFixture fixture(2);
+  const auto client = fixture.idleClient();
+  client->write(kRequest);  // not yet seen by the event loop
+  fixture.listener.setMaxConnections(0);
+  EXPECT_EQ(fixture.listener.size(), 1U);
+  ASSERT_TRUE(fixture.until([&] { return fixture.requests.size() == 2; }));
+  fixture.requests[1]->answer(200, {}, "second");
+  EXPECT_TRUE(fixture.until([&] { return fixture.hasReceived(*client, "second"); }));
 }
 
-// In the turn of the loop in which a request arrives and another client needs room.
-TEST(AtTheCap, ARequestThatArrivesInTheTurnInWhichRoomIsNeededIsServed) {
+// A request arrives in the event loop iteration in which another client needs a connection.
+TEST(ConnectionLimit, RequestArrivingWhileConnectionIsNeededIsServed) {
   for (int round = 0; round < 20; ++round) {
-    Service service(1);
-    const auto client = service.resting();
-    const auto next = service.client(kRequest);
+    ListenerFixture fixture(1);
+    const auto client = fixture.idleClient();
+    const auto next = fixture.client(kRequest);
     client->write(kRequest);
-    ASSERT_TRUE(service.until([&] { return service.asked.size() == 2; })) << round;
+    ASSERT_TRUE(fixture.until([&] { return fixture.requests.size() == 2; })) << round;
     EXPECT_FALSE(client->ended()) << round;
-    service.asked[1]->answer(200, {}, "second");
-    ASSERT_TRUE(service.until([&] { return service.sees(*client, "second"); })) << round;
-    service.answers = true;
-    EXPECT_TRUE(service.until([&] {
-      service.pass(20);
-      return service.sees(*next, "served");
+    fixture.requests[1]->answer(200, {}, "second");
+    ASSERT_TRUE(fixture.until([&] { return fixture.hasReceived(*client, "second"); })) << round;
+    fixture.answersRequests = true;
+    EXPECT_TRUE(fixture.until([&] {
+      fixture.pass(20);
+      return fixture.hasReceived(*next, "served");
     })) << round;
   }
 }
 
-TEST(FirstRequests, AreServedIfTheyStandInTheSocketAsTheirTimeEnds) {
-  Service service(3);
-  const auto client = service.client();
-  ASSERT_TRUE(service.until([&] { return service.listener.size() == 1; }));
-  service.pass(1'990);
-  client->write(kRequest);  // the loop has not seen it
-  service.pass(11);
-  ASSERT_TRUE(service.until([&] { return service.asked.size() == 1; }));
-  service.asked[0]->answer(200, {}, "served");
-  EXPECT_TRUE(service.until([&] { return service.sees(*client, "served"); }));
+TEST(FirstRequest, IsServedIfUnreadInSocketAtItsTimeout) {
+  ListenerFixture fixture(3);
+  const auto client = fixture.client();
+  ASSERT_TRUE(fixture.until([&] { return fixture.listener.size() == 1; }));
+  fixture.pass(1'990);
+  client->write(kRequest);  // not yet seen by the event loop
+  fixture.pass(11);
+  ASSERT_TRUE(fixture.until([&] { return fixture.requests.size() == 1; }));
+  fixture.requests[0]->answer(200, {}, "served");
+  EXPECT_TRUE(fixture.until([&] { return fixture.hasReceived(*client, "served"); }));
 }
 
-TEST(FirstRequests, ThatBeginAsTheirTimeEndsHaveLittleMoreAndThenAnAnswer) {
-  Service service(3);
-  const auto client = service.client();
-  ASSERT_TRUE(service.until([&] { return service.listener.size() == 1; }));
-  service.pass(1'990);
+TEST(FirstRequest, ThatBeginsAtItsTimeoutGetsExtraTimeAndThenAnAnswer) {
+  ListenerFixture fixture(3);
+  const auto client = fixture.client();
+  ASSERT_TRUE(fixture.until([&] { return fixture.listener.size() == 1; }));
+  fixture.pass(1'990);
   client->write(kHalf);
-  service.pass(11);
-  service.io.poll();
-  service.pass(501);
-  EXPECT_TRUE(service.answered(*client, "408")) << client->seen;
+  fixture.pass(11);
+  fixture.io.poll();
+  fixture.pass(501);
+  EXPECT_TRUE(fixture.answered(*client, "408")) << client->seen;
 }
 
-TEST(Pipelines, AreServedToTheirEndAsTheDoorCloses) {
-  for (const bool late : {false, true}) {
-    SCOPED_TRACE(late);
-    Service service(3);
+TEST(PipelinedRequests, AreAllServedAfterListenerCloses) {
+  for (const bool afterClose : {false, true}) {
+    SCOPED_TRACE(afterClose);
+    ListenerFixture fixture(3);
     bool done = false;
-    const auto client = service.client(late ? kRequest : kRequest + kRequest + kRequest);
-    ASSERT_TRUE(service.until([&] { return service.asked.size() == 1; }));
-    service.listener.drain(0, [&] { done = true; });
-    if (late)
-      client->write(kRequest + kRequest);  // behind the close, ahead of the answer
+    const auto client = fixture.client(afterClose ? kRequest : kRequest + kRequest + kRequest);
+    ASSERT_TRUE(fixture.until([&] { return fixture.requests.size() == 1; }));
+    fixture.listener.drain(0, [&] { done = true; });
+    if (afterClose)
+      client->write(kRequest + kRequest);  // after the close, before the answer
     for (std::size_t i = 0; i < 3; ++i) {
-      ASSERT_TRUE(service.until([&] { return service.asked.size() == i + 1; })) << i;
-      service.asked[i]->answer(200, {}, "answer" + std::to_string(i));
+      ASSERT_TRUE(fixture.until([&] { return fixture.requests.size() == i + 1; })) << i;
+      fixture.requests[i]->answer(200, {}, "answer" + std::to_string(i));
       if (i < 2) {
         EXPECT_EQ(client->seen.find("Connection: close"), std::string::npos);
       }
     }
-    ASSERT_TRUE(service.until([&] { return client->ended(); }));
+    ASSERT_TRUE(fixture.until([&] { return client->ended(); }));
     EXPECT_NE(client->seen.find("answer2"), std::string::npos) << client->seen;
     EXPECT_NE(client->seen.find("Connection: close"), std::string::npos);
-    EXPECT_TRUE(service.until([&] { return done; }));
+    EXPECT_TRUE(fixture.until([&] { return done; }));
   }
 }
 
-TEST(Pipelines, BehindAStreamAreServedAsTheDoorCloses) {
-  Service service(3);
-  const auto client = service.client(kRequest + kRequest);
-  ASSERT_TRUE(service.until([&] { return service.asked.size() == 1; }));
-  service.asked[0]->beginStream({});
-  service.listener.drain(0, [] {});
-  service.asked[0]->pass("event");
-  service.asked[0]->endStream();
-  ASSERT_TRUE(service.until([&] { return service.asked.size() == 2; }));
-  service.asked[1]->answer(200, {}, "second");
-  EXPECT_TRUE(service.until([&] { return client->ended(); }));
+TEST(PipelinedRequests, BehindStreamAreServedAfterListenerCloses) {
+  ListenerFixture fixture(3);
+  const auto client = fixture.client(kRequest + kRequest);
+  ASSERT_TRUE(fixture.until([&] { return fixture.requests.size() == 1; }));
+  fixture.requests[0]->beginStream({});
+  fixture.listener.drain(0, [] {});
+  fixture.requests[0]->pass("event");
+  fixture.requests[0]->endStream();
+  ASSERT_TRUE(fixture.until([&] { return fixture.requests.size() == 2; }));
+  fixture.requests[1]->answer(200, {}, "second");
+  EXPECT_TRUE(fixture.until([&] { return client->ended(); }));
   EXPECT_NE(client->seen.find("second"), std::string::npos) << client->seen;
 }
 
-TEST(Pipelines, WithoutEndDoNotKeepAProcessThatIsToEnd) {
-  Service service(3);
-  service.answers = true;
+TEST(PipelinedRequests, EndlessPipelineDoesNotPreventShutdown) {
+  ListenerFixture fixture(3);
+  fixture.answersRequests = true;
   bool done = false;
-  const auto client = service.client();
-  ASSERT_TRUE(service.until([&] { return service.listener.size() == 1; }));
-  service.listener.drain(0, [&] { done = true; });
-  EXPECT_TRUE(service.until([&] {
+  const auto client = fixture.client();
+  ASSERT_TRUE(fixture.until([&] { return fixture.listener.size() == 1; }));
+  fixture.listener.drain(0, [&] { done = true; });
+  EXPECT_TRUE(fixture.until([&] {
     if (!client->ended())
       client->write(kRequest + kRequest + kRequest + kRequest);
     return client->ended();
   }));
-  service.pass(501);
-  EXPECT_TRUE(service.until([&] { return done; }));
-  EXPECT_LT(service.asked.size(), 100U);
+  fixture.pass(501);
+  EXPECT_TRUE(fixture.until([&] { return done; }));
+  EXPECT_LT(fixture.requests.size(), 100U);
 }
 
-// A stream that breaks off ends its connection: what stands behind it is not read before that is
-// known.
-TEST(Pipelines, AreNotReadWhileTheAnswerAheadOfThemIsUnderWay) {
-  Service service(3);
-  const auto client = service.client(kRequest + kRequest);
-  ASSERT_TRUE(service.until([&] { return service.asked.size() == 1; }));
-  service.asked[0]->beginStream({});
-  service.asked[0]->pass("event");
-  ASSERT_TRUE(service.until(
-      [&] { return service.sees(*client, "event") && service.asked[0]->transferState(); }));
+// An aborted stream ends its connection, so requests behind a stream are not read while its outcome
+// is unknown.
+TEST(PipelinedRequests, AreNotReadWhileEarlierResponseIsInProgress) {
+  ListenerFixture fixture(3);
+  const auto client = fixture.client(kRequest + kRequest);
+  ASSERT_TRUE(fixture.until([&] { return fixture.requests.size() == 1; }));
+  fixture.requests[0]->beginStream({});
+  fixture.requests[0]->pass("event");
+  ASSERT_TRUE(fixture.until([&] {
+    return fixture.hasReceived(*client, "event") && fixture.requests[0]->transferState();
+  }));
   for (int i = 0; i < 3; ++i) {
-    service.pass(51);
-    service.io.poll();
+    fixture.pass(51);
+    fixture.io.poll();
   }
-  const auto rest = service.asked[0]->transferState();
+  const auto state = fixture.requests[0]->transferState();
   int unread = 0;
-  ASSERT_EQ(::ioctl(rest->descriptor, FIONREAD, &unread), 0);
+  ASSERT_EQ(::ioctl(state->descriptor, FIONREAD, &unread), 0);
   EXPECT_EQ(unread, static_cast<int>(kRequest.size()));
-  EXPECT_TRUE(rest->ahead.empty());
-  service.asked[0]->abortResponse();
-  EXPECT_TRUE(service.until([&] { return client->ended(); }));
-  EXPECT_EQ(service.asked.size(), 1U);
+  EXPECT_TRUE(state->ahead.empty());
+  fixture.requests[0]->abortResponse();
+  EXPECT_TRUE(fixture.until([&] { return client->ended(); }));
+  EXPECT_EQ(fixture.requests.size(), 1U);
 }
 
-// More is sent ahead than is kept, with a request whose rest is not sent at its end.
-TEST(Pipelines, EachRequestThatWasReadAndNotKeptIsRefused) {
-  Service service(3);
+// The client pipelines more bytes than are read ahead, the last of them an incomplete request.
+TEST(PipelinedRequests, EachDiscardedRequestIsRejected) {
+  ListenerFixture fixture(3);
   const std::string large =
       "POST /v1 HTTP/1.1\r\nHost: x\r\nContent-Length: 200000\r\n\r\n" + std::string(200'000, 'p');
-  const auto client = service.client(kRequest);
-  ASSERT_TRUE(service.until([&] { return service.asked.size() == 1; }));
+  const auto client = fixture.client(kRequest);
+  ASSERT_TRUE(fixture.until([&] { return fixture.requests.size() == 1; }));
   client->writeLater(large + large + kRequest + kRequest + kHalf);
-  ASSERT_TRUE(service.until([&] {
-    service.pass(1);
+  ASSERT_TRUE(fixture.until([&] {
+    fixture.pass(1);
     return client->wroteAll();
   }));
   for (int i = 0; i < 10; ++i) {
-    service.pass(21);
-    service.io.poll();
+    fixture.pass(21);
+    fixture.io.poll();
   }
-  service.answers = true;
-  service.asked[0]->answer(200, {}, "served");
-  ASSERT_TRUE(service.until([&] { return client->ended(); }));
+  fixture.answersRequests = true;
+  fixture.requests[0]->answer(200, {}, "served");
+  ASSERT_TRUE(fixture.until([&] { return client->ended(); }));
   std::string statuses;
   for (auto at = client->seen.find("HTTP/1.1 "); at != std::string::npos;
        at = client->seen.find("HTTP/1.1 ", at + 1))
     statuses += client->seen.substr(at + 9, 3) + " ";
   EXPECT_EQ(statuses, "200 200 503 503 503 503 ");
-  EXPECT_EQ(service.asked.size(), 2U);
+  EXPECT_EQ(fixture.requests.size(), 2U);
 }
 
-TEST(ShedRequests, AreCountedHoweverTheirBytesArrive) {
+TEST(ShedRequests, AreCountedHoweverBytesArrive) {
   const std::string all = kRequest + kRequest + kHalf;
   for (std::size_t cut = 0; cut <= all.size(); ++cut) {
     net::ShedRequests shed;
@@ -347,7 +348,7 @@
   }
 }
 
-TEST(ShedRequests, TakeWhatCannotBeReadForOne) {
+TEST(ShedRequests, CountUnreadableBytesAsOneRequest) {
   net::ShedRequests shed;
   shed.read(kRequest + "no request\r\n\r\n");
   shed.read(kRequest);
@@ -355,7 +356,6 @@
 }
 
 // ---- Admission
-// -------------------------------------------------------------------------------------
 
 admission::Rules rules(std::size_t total, std::size_t perAddress) {
   admission::Rules rules;
@@ -365,65 +365,65 @@
   return rules;
 }
 
-TEST(Admission, EveryoneWhoIsTurnedAwayReadsWhy) {
-  admission::AdmissionController gate(rules(100, 1));
-  Service service(100, &gate);
-  const auto first = service.client(kRequest);
-  ASSERT_TRUE(service.until([&] { return service.asked.size() == 1; }));
+TEST(Admission, EachRejectedClientGetsAnAnswer) {
+  admission::AdmissionController controller(rules(100, 1));
+  ListenerFixture fixture(100, &controller);
+  const auto first = fixture.client(kRequest);
+  ASSERT_TRUE(fixture.until([&] { return fixture.requests.size() == 1; }));
   std::vector<std::unique_ptr<RawPeer>> others;
   for (int i = 0; i < 60; ++i)
-    others.push_back(service.client(kRequest));
-  for (auto& one : others)
-    EXPECT_TRUE(service.answered(*one, "429")) << one->seen;
-  EXPECT_EQ(service.asked.size(), 1U);
+    others.push_back(fixture.client(kRequest));
+  for (auto& other : others)
+    EXPECT_TRUE(fixture.answered(*other, "429")) << other->seen;
+  EXPECT_EQ(fixture.requests.size(), 1U);
 }
 
-TEST(Admission, WhoHasToGiveWayWithARequestOrPartOfOneGetsAnAnswer) {
-  for (const bool half : {false, true}) {
-    SCOPED_TRACE(half);
-    admission::AdmissionController gate(rules(1, 10));
-    Service service(100, &gate);
+TEST(Admission, EvictedClientWithCompleteOrIncompleteRequestGetsAnAnswer) {
+  for (const bool incomplete : {false, true}) {
+    SCOPED_TRACE(incomplete);
+    admission::AdmissionController controller(rules(1, 10));
+    ListenerFixture fixture(100, &controller);
     std::unique_ptr<RawPeer> client;
-    if (half) {
-      client = service.client(kHalf);
-      ASSERT_TRUE(service.until([&] { return service.listener.size() == 1; }));
-      service.io.poll();
+    if (incomplete) {
+      client = fixture.client(kHalf);
+      ASSERT_TRUE(fixture.until([&] { return fixture.listener.size() == 1; }));
+      fixture.io.poll();
     } else {
-      client = service.resting();
+      client = fixture.idleClient();
     }
-    service.pass(150);
-    if (!half)
-      client->write(kRequest);  // the loop has not seen it
-    service.listener.close({1});
-    EXPECT_TRUE(service.answered(*client, "503")) << client->seen;
+    fixture.pass(150);
+    if (!incomplete)
+      client->write(kRequest);  // not yet seen by the event loop
+    fixture.listener.close({1});
+    EXPECT_TRUE(fixture.answered(*client, "503")) << client->seen;
   }
 }
 
-// ---- The door
-// --------------------------------------------------------------------------------------
+// ---- Closing the listening socket
 
-TEST(TheDoor, WhoStandsInTheQueueAtTheCapIsToldAsItCloses) {
-  Service service(1);
-  const auto first = service.client(kRequest);
-  ASSERT_TRUE(service.until([&] { return service.asked.size() == 1; }));
+TEST(ListenerShutdown, ClientsInAcceptQueueAtConnectionLimitGetAnAnswer) {
+  ListenerFixture fixture(1);
+  const auto first = fixture.client(kRequest);
+  ASSERT_TRUE(fixture.until([&] { return fixture.requests.size() == 1; }));
   std::vector<std::unique_ptr<RawPeer>> queue;
   for (int i = 0; i < 5; ++i)
-    queue.push_back(service.client(kRequest));
-  service.listener.drain(0, [] {});
-  for (auto& one : queue)
-    EXPECT_TRUE(service.answered(*one, "503")) << one->seen;
-  service.asked[0]->answer(200, {}, "served");
-  EXPECT_TRUE(service.answered(*first, "200")) << first->seen;
+    queue.push_back(fixture.client(kRequest));
+  fixture.listener.drain(0, [] {});
+  for (auto& queued : queue)
+    EXPECT_TRUE(fixture.answered(*queued, "503")) << queued->seen;
+  fixture.requests[0]->answer(200, {}, "served");
+  EXPECT_TRUE(fixture.answered(*first, "200")) << first->seen;
 }
 
-// A blocking client of its own thread: connects, asks and reads one answer, again and again.
-class Hammer {
+// Blocking clients in threads of their own. Each repeatedly connects, sends a request and reads one
+// answer.
+class LoadClient {
  public:
-  explicit Hammer(const net::Endpoint& to, std::string request) : request_(std::move(request)) {
+  explicit LoadClient(const net::Endpoint& to, std::string request) : request_(std::move(request)) {
     for (auto& thread : threads_)
       thread = std::thread([this, to] { run(to); });
   }
-  ~Hammer() { stop(); }
+  ~LoadClient() { stop(); }
   void stop() {
     stopped_ = true;
     for (auto& thread : threads_)
@@ -437,10 +437,10 @@
   void run(const net::Endpoint& to) {
     while (!stopped_) {
       const int client = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-      const timeval limit{5, 0};
-      ::setsockopt(client, SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof limit);
-      const timeval dial{0, 50'000};
-      ::setsockopt(client, SOL_SOCKET, SO_SNDTIMEO, &dial, sizeof dial);
+      const timeval answerTimeout{5, 0};
+      ::setsockopt(client, SOL_SOCKET, SO_RCVTIMEO, &answerTimeout, sizeof answerTimeout);
+      const timeval connectTimeout{0, 50'000};
+      ::setsockopt(client, SOL_SOCKET, SO_SNDTIMEO, &connectTimeout, sizeof connectTimeout);
       if (::connect(client, to.data(), static_cast<socklen_t>(to.size())) == 0) {
         ++connected_;
         std::array<char, 64> answer{};
@@ -458,45 +458,46 @@
   std::array<std::thread, 3> threads_;
 };
 
-// The moment between the last look at the accept queue and the close of the listening socket.
-TEST(TheDoor, NobodyWhoseConnectionCameUpIsLeftWithoutAnAnswerAsItCloses) {
+// Guards against connections that are established between the last check of the accept queue and
+// the close of the listening socket.
+TEST(ListenerShutdown, EveryEstablishedConnectionGetsAnAnswer) {
   int connected = 0;
   for (int round = 0; round < 60; ++round) {
-    Service service(1000);
-    service.answers = true;
-    Hammer hammer(service.listener.address(), kRequest);
-    ASSERT_TRUE(service.until([&] { return hammer.connected() >= 20; }));
+    ListenerFixture fixture(1000);
+    fixture.answersRequests = true;
+    LoadClient load(fixture.listener.address(), kRequest);
+    ASSERT_TRUE(fixture.until([&] { return load.connected() >= 20; }));
     bool done = false;
-    service.listener.drain(10, [&] { done = true; });
-    service.pass(6);
-    service.io.run_for(std::chrono::milliseconds(2));
-    ASSERT_TRUE(service.until([&] {
-      service.pass(50);
+    fixture.listener.drain(10, [&] { done = true; });
+    fixture.pass(6);
+    fixture.io.run_for(std::chrono::milliseconds(2));
+    ASSERT_TRUE(fixture.until([&] {
+      fixture.pass(50);
       return done;
     }));
-    hammer.stop();
-    connected += hammer.connected();
-    ASSERT_EQ(hammer.unanswered(), 0) << "round " << round << ", of " << connected;
+    load.stop();
+    connected += load.connected();
+    ASSERT_EQ(load.unanswered(), 0) << "round " << round << ", of " << connected;
   }
 }
 
 // ---- The program
-// -----------------------------------------------------------------------------------
 
-struct SmallSite : NetworkFixture {
-  TemporaryDirectory folder;
+// The program as a process of its own, its configuration file and one instance.
+struct ProgramFixture : NetworkFixture {
+  TemporaryDirectory directory;
   StandInInstance instance{io, clock, timers};
-  net::Endpoint listen = freePort(), door = freePort();
+  net::Endpoint listen = freePort(), adminAddress = freePort();
   Programs programs;
 
-  SmallSite() {
+  ProgramFixture() {
     instance.script = streamFullAnswer;
-    writeFile(listen);
+    writeConfig(listen);
   }
-  void writeFile(const net::Endpoint& at) const {
-    std::ofstream(folder.path + "/site.json") << json{
+  void writeConfig(const net::Endpoint& at) const {
+    std::ofstream(directory.path + "/site.json") << json{
         {"listen", textOf(at)},
-        {"admin_addr", textOf(door)},
+        {"admin_addr", textOf(adminAddress)},
         {"keys", {{{"key", "k"}, {"tenant", "club"}}}},
         {"models", {{"m", "member-questions"}}},
         {"boxes",
@@ -504,11 +505,12 @@
         {"settings", siteSettings()}}.dump();
   }
   pid_t start() {
-    const pid_t process = programs.start({"serve", "--operator", folder.path + "/site.json"}, {});
-    EXPECT_TRUE(until([&] { return callAdmin(io, door, "readyz").rfind("ok", 0) == 0; }));
+    const pid_t process =
+        programs.start({"serve", "--operator", directory.path + "/site.json"}, {});
+    EXPECT_TRUE(until([&] { return callAdmin(io, adminAddress, "readyz").rfind("ok", 0) == 0; }));
     return process;
   }
-  static std::string ask() {
+  static std::string requestText() {
     const std::string body = R"({"model":"m","messages":[{"role":"user","content":"hi"}]})";
     return messageText("POST /v1/chat/completions HTTP/1.1",
                        {{"Host", "x"}, {"Authorization", "Bearer k"}}, body);
@@ -518,101 +520,98 @@
   }
 };
 
-TEST(Program, LeavesNoNewConnectionWithoutAnAnswerAroundASigterm) {
-  SmallSite site;
+TEST(Program, AnswersEveryNewConnectionAroundSigterm) {
+  ProgramFixture fixture;
   for (int round = 0; round < 3; ++round) {
-    const pid_t process = site.start();
-    Hammer hammer(site.listen, SmallSite::ask());
-    ASSERT_TRUE(site.until([&] { return hammer.connected() >= 50; }));
+    const pid_t process = fixture.start();
+    LoadClient load(fixture.listen, ProgramFixture::requestText());
+    ASSERT_TRUE(fixture.until([&] { return load.connected() >= 50; }));
     ::kill(process, SIGTERM);
-    ASSERT_TRUE(site.ended(process));
-    hammer.stop();
-    EXPECT_EQ(hammer.unanswered(), 0) << "of " << hammer.connected();
+    ASSERT_TRUE(fixture.ended(process));
+    load.stop();
+    EXPECT_EQ(load.unanswered(), 0) << "of " << load.connected();
   }
 }
 
-// Another address in the file changes nothing before the next start: nobody's connection closes for
-// it.
-TEST(Program, KeepsItsAddressAndItsClientsOverASighupThatNamesAnother) {
-  SmallSite site;
-  const pid_t process = site.start();
-  RawPeer client(site.io), half(site.io);
-  client.connect(site.listen);
-  half.connect(site.listen);
-  half.write(SmallSite::ask().substr(0, 40));
-  const auto served = [&](RawPeer& peer, const std::string& says) {
+// A changed listen address takes effect only at the next start, and no connection is closed for it.
+TEST(Program, KeepsAddressAndClientsAfterSighupWithAnotherAddress) {
+  ProgramFixture fixture;
+  const pid_t process = fixture.start();
+  RawPeer client(fixture.io), half(fixture.io);
+  client.connect(fixture.listen);
+  half.connect(fixture.listen);
+  half.write(ProgramFixture::requestText().substr(0, 40));
+  const auto served = [&](RawPeer& peer, const std::string& bytes) {
     peer.seen.clear();
-    peer.write(says);
-    return site.until(
+    peer.write(bytes);
+    return fixture.until(
         [&] { return !peer.ended() && peer.seen.find("chat.completion") != std::string::npos; });
   };
-  ASSERT_TRUE(served(client, SmallSite::ask()));
-  site.writeFile(freePort());
+  ASSERT_TRUE(served(client, ProgramFixture::requestText()));
+  fixture.writeConfig(freePort());
   ::kill(process, SIGHUP);
-  EXPECT_TRUE(served(half, SmallSite::ask().substr(40)));
-  EXPECT_TRUE(served(client, SmallSite::ask()));
-  RawPeer late(site.io);
-  late.connect(site.listen);
-  EXPECT_TRUE(served(late, SmallSite::ask()));
+  EXPECT_TRUE(served(half, ProgramFixture::requestText().substr(40)));
+  EXPECT_TRUE(served(client, ProgramFixture::requestText()));
+  RawPeer late(fixture.io);
+  late.connect(fixture.listen);
+  EXPECT_TRUE(served(late, ProgramFixture::requestText()));
 }
 
-// Each request is written behind the one before it without waiting, as the operators send everybody
-// away.
-TEST(Program, ServesAPipelineToItsEndWhileItIsEvacuated) {
-  SmallSite site;
-  const pid_t process = site.start();
-  RawPeer client(site.io);
-  client.connect(site.listen);
+// All requests are pipelined, and an operator evacuates the router meanwhile.
+TEST(Program, ServesAllPipelinedRequestsWhileEvacuated) {
+  ProgramFixture fixture;
+  const pid_t process = fixture.start();
+  RawPeer client(fixture.io);
+  client.connect(fixture.listen);
   constexpr int kRequests = 5;
   for (int i = 0; i < kRequests; ++i)
-    client.write(SmallSite::ask());
-  EXPECT_EQ(callAdmin(site.io, site.door, "evacuate").rfind("ok", 0), 0U);
-  ASSERT_TRUE(site.until([&] { return client.ended(); }));
+    client.write(ProgramFixture::requestText());
+  EXPECT_EQ(callAdmin(fixture.io, fixture.adminAddress, "evacuate").rfind("ok", 0), 0U);
+  ASSERT_TRUE(fixture.until([&] { return client.ended(); }));
   int answers = 0;
   for (std::size_t at = client.seen.find("HTTP/1.1 200"); at != std::string::npos;
        at = client.seen.find("HTTP/1.1 200", at + 1))
     ++answers;
   EXPECT_EQ(answers, kRequests) << client.seen;
   ::kill(process, SIGTERM);
-  EXPECT_TRUE(site.ended(process));
+  EXPECT_TRUE(fixture.ended(process));
 }
 
-// ---- A successor
-// -----------------------------------------------------------------------------------
+// ---- Hand-over to another process
 
-TEST(HandedConnections, CarryTheRequestThatStandsBehindTheirStream) {
+TEST(HandedOverConnection, CarriesTheRequestPipelinedBehindItsStream) {
   RouterFixture before(kMixed, false), after(kMixed, false);
   for (auto& [id, instance] : before.instances)
     instance->script = beginOnly;
-  const auto ask = [](const std::string& id) {
+  const auto requestText = [](const std::string& id) {
     net::Fields fields = platformFields(id);
     fields.emplace_back("Host", "x");
     return messageText("POST /v1/chat/completions HTTP/1.1", fields, "{}");
   };
   RawPeer client(before.io);
   client.connect(before.listener->address());
-  client.write(ask("first"));
+  client.write(requestText("first"));
   ASSERT_TRUE(before.until([&] {
     client.ended();
     return before.streaming() != nullptr && client.seen.find("first") != std::string::npos;
   }));
-  client.write(ask("second"));
-  TemporaryDirectory folder;
-  app::Handover takes(*after.server, *after.front, *after.listener);
-  net::DescriptorReceiver receiver(after.io, folder.path, "in", [&](net::ReceivedMessage passed) {
-    takes.receive(std::move(passed));
-  });
+  client.write(requestText("second"));
+  TemporaryDirectory directory;
+  app::Handover receivingHandover(*after.server, *after.front, *after.listener);
+  net::DescriptorReceiver receiver(
+      after.io, directory.path, "in",
+      [&](net::ReceivedMessage message) { receivingHandover.receive(std::move(message)); });
   app::Handover handover(*before.server, *before.front, *before.listener);
-  handover.begin(folder.path, "in");
+  handover.begin(directory.path, "in");
   ASSERT_TRUE(before.until([&] {
     before.pass(10);
     return before.server->counters["streams.handed_over"] == 1;
   }));
   ASSERT_TRUE(after.until([&] { return after.server->counters["streams.taken_over"] == 1; }));
   for (auto& [id, instance] : before.instances)
-    for (auto& taken : instance->received) {
-      taken->connection->pass(kLastEvents);
-      taken->connection->endStream();
+    for (auto& request : instance->received) {
+      request->connection->pass(kLastEvents);
+      request->connection->endStream();
     }
   ASSERT_TRUE(after.until([&] {
     before.io.poll();
