--- a/src/core/request_metrics.h
+++ b/src/core/request_metrics.h
@@ -1,6 +1,6 @@
-/// Request metrics by class, as /metrics and OTLP report them. Counted where requests begin and end
-/// and nowhere else, so that at every moment
-/// taken = ok + shed + errors + abandoned + handedOver + open. Belongs to one thread.
+/// Request metrics by class, as reported by /metrics and OTLP. Counted only where requests begin
+/// and end, so that at every moment received = ok + shed + errors + abandoned + handedOver + open.
+/// Not thread-safe.
 #pragma once
 
 #include <cstddef>
@@ -15,21 +15,21 @@
   kShed,        ///< rejected; it has not run
   kError,       ///< failed, or its stream broke off
   kAbandoned,   ///< its client disconnected
-  kHandedOver,  ///< another process of this router goes on with it
+  kHandedOver,  ///< another process of this router has taken it over
 };
 
 /// The totals of one class since the start of the process.
 struct ClassMetrics {
-  std::uint64_t taken = 0, ok = 0, shed = 0, errors = 0, abandoned = 0;
+  std::uint64_t received = 0, ok = 0, shed = 0, errors = 0, abandoned = 0;
   std::uint64_t handedOver = 0;  ///< to the process that replaces this one
-  std::uint64_t tries = 0;       ///< attempts whose last byte was written to an instance
+  std::uint64_t attempts = 0;    ///< attempts whose last byte was written to an instance
   std::uint64_t open = 0;        ///< begun and not ended
 };
 
-/// Counts requests by class index. An index beyond ensureClasses() is counted nowhere.
+/// Counts requests by class index. An index beyond ensureClasses() is ignored.
 class RequestMetrics {
  public:
-  /// Makes room for so many classes. Classes are only ever added: their indices stay.
+  /// Grows the table to this many classes. Classes are never removed, so their indices stay valid.
   void ensureClasses(std::size_t count) {
     if (count > byClass_.size())
       byClass_.resize(count);
@@ -40,12 +40,12 @@
   void requestBegan(std::size_t cls) {
     if (cls >= byClass_.size())
       return;
-    ++byClass_[cls].taken;
+    ++byClass_[cls].received;
     ++byClass_[cls].open;
   }
   void attemptWritten(std::size_t cls) {
     if (cls < byClass_.size())
-      ++byClass_[cls].tries;
+      ++byClass_[cls].attempts;
   }
   void requestEnded(std::size_t cls, RequestOutcome outcome) {
     if (cls >= byClass_.size())
--- a/src/upstream/http_instance_client.cpp
+++ b/src/upstream/http_instance_client.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr double kHealthCheckLimitMs = 1000;
+constexpr double kHealthCheckTimeoutMs = 1000;
 constexpr unsigned kHealthyStatus = 200;
 
 }  // namespace
@@ -58,7 +58,7 @@
             return reservationHead("DELETE", request, endpoint);
           },
           [this](const RequestId& request) { return releaseAllowedFromMs(request); },
-          [&dispatcher](const std::string& line) { dispatcher.note(line); }),
+          [&dispatcher](const std::string& line) { dispatcher.log(line); }),
       owed_(services,
             releaseLimitMs,
             [this](const RequestId& request, const InstanceEndpoint& endpoint) {
@@ -77,7 +77,7 @@
   dispatcher_.connect(*this);
 }
 
-// A call and its sink hold each other while it runs.
+// Calls and their sinks refer to each other until the call is over.
 HttpInstanceClient::~HttpInstanceClient() {
   for (const auto& [slot, attempt] : attempts_)
     attempt->call().abandon();
@@ -97,7 +97,7 @@
   return found == attempts_.end() || found->second->key() != key ? nullptr : found->second;
 }
 
-// Nothing if no attempt of the request is in flight; with several, that of the last.
+// The latest time among the request's attempts in flight; nothing if there are none.
 std::optional<double> HttpInstanceClient::releaseAllowedFromMs(const RequestId& request) const {
   std::optional<double> latestMs;
   bool prefillWritten = false;
@@ -112,11 +112,12 @@
   return latestMs;
 }
 
-// No id in the head: a call that carries one could be taken for an attempt.
+// The head has no id header, as the instance could take a call with one for an attempt.
 std::string HttpInstanceClient::reservationHead(const std::string& method,
                                                 const RequestId& request,
                                                 const InstanceEndpoint& endpoint) const {
-  return head(method, protocol_.roomsPath + request.value, endpoint, {{"Content-Length", "0"}});
+  return head(method, protocol_.reservationPath + request.value, endpoint,
+              {{"Content-Length", "0"}});
 }
 
 std::string HttpInstanceClient::head(const std::string& method,
@@ -125,7 +126,7 @@
                                      net::Fields fields) const {
   fields.insert(fields.begin(), {"Host", endpoint.address.address().to_string() + ":" +
                                              std::to_string(endpoint.address.port())});
-  fields.insert(fields.end(), protocol_.extra.begin(), protocol_.extra.end());
+  fields.insert(fields.end(), protocol_.extraFields.begin(), protocol_.extraFields.end());
   return net::headText(method + " " + target + " HTTP/1.1", fields);
 }
 
@@ -140,7 +141,7 @@
                      {"Content-Length", std::to_string(forwarded.body->size())}};
   if (!forwarded.contentType.empty())
     fields.emplace_back("Content-Type", forwarded.contentType);
-  fields.insert(fields.end(), forwarded.passed.begin(), forwarded.passed.end());
+  fields.insert(fields.end(), forwarded.forwardedFields.begin(), forwarded.forwardedFields.end());
   releases_.attemptStarted(dispatch.request);
   const auto attempt = std::make_shared<AttemptCall>(*this, dispatch);
   attempts_[dispatch.attempt.slot] = attempt;
@@ -167,7 +168,7 @@
   attempt->call().resume();
 }
 
-// One whose last event has come is over within a moment, too.
+// An attempt whose last event has arrived is about to end, so it counts as unread, too.
 bool HttpInstanceClient::hasUnreadResponse(core::AttemptKey key) const {
   const auto attempt = findAttempt(key);
   return attempt && (attempt->finished() || attempt->call().hasUnread());
@@ -221,7 +222,7 @@
 
 // ---- Reservations, releases and health checks
 
-// A release that is still under way would release the new reservation as well.
+// Waits for the current round of a release, which would release the new reservation as well.
 void HttpInstanceClient::reserve(const RequestId& request,
                                  core::AttemptKey prefill,
                                  const InstanceId& instance) {
@@ -242,7 +243,7 @@
     return sink->end(false);
   TimedCallSink::start(services_, endpoint->address,
                        head("GET", protocol_.healthPath, *endpoint, {}), sink,
-                       net::ConnectionPool::Urgency::kInTurn, kHealthCheckLimitMs);
+                       net::ConnectionPool::Urgency::kInTurn, kHealthCheckTimeoutMs);
 }
 
 }  // namespace inference_router::upstream
