--- a/example/example_instance.cpp
+++ b/example/example_instance.cpp
@@ -19,7 +19,7 @@
 constexpr double kWordIntervalMs = 150;
 constexpr const char* kWords[] = {"The", " club", " opens", " at", " seven", "."};
 
-json chunkOf(const std::string& model, json delta, json finish) {
+json encodeChunk(const std::string& model, json delta, json finish) {
   return {{"id", "chatcmpl-example"},
           {"object", "chat.completion.chunk"},
           {"created", 0},
@@ -58,22 +58,22 @@
     if (connection->state() != net::ClientConnection::State::kStreaming)
       return;
     if (index < std::size(kWords)) {
-      sendChunk(*connection, chunkOf(model, {{"content", kWords[index]}}, nullptr));
+      sendChunk(*connection, encodeChunk(model, {{"content", kWords[index]}}, nullptr));
       timers_.runAt(clock_.nowMs() + kWordIntervalMs,
                     [this, connection, model, index] { word(connection, model, index + 1); });
       return;
     }
-    sendChunk(*connection, chunkOf(model, json::object(), "stop"));
+    sendChunk(*connection, encodeChunk(model, json::object(), "stop"));
     sendChunk(*connection,
               {{"id", "chatcmpl-example"},
                {"object", "chat.completion.chunk"},
                {"choices", json::array()},
                {"usage", {{"prompt_tokens", 8}, {"completion_tokens", std::size(kWords)}}}});
-    connection->pass("data: [DONE]\n\n");
+    connection->writeChunk("data: [DONE]\n\n");
     connection->endStream();
   }
   static void sendChunk(net::ClientConnection& connection, const json& chunk) {
-    connection.pass("data: " + chunk.dump() + "\n\n");
+    connection.writeChunk("data: " + chunk.dump() + "\n\n");
   }
 
   std::string name_;
@@ -95,7 +95,7 @@
     core::Counters counters;
     const net::Loop loop(io, clock, timers);
     ExampleInstance instance(argv[1], clock, timers);
-    net::Listener listener(io, net::endpointOf(argv[1]), 100, instance, clock, timers, counters);
+    net::Listener listener(io, net::parseEndpoint(argv[1]), 100, instance, clock, timers, counters);
     boost::asio::signal_set signals(io, SIGTERM, SIGINT);
     signals.async_wait([&](const boost::system::error_code&, int) { io.stop(); });
     std::cout << argv[1] << ": listens" << std::endl;
--- a/soak/discovery_agent.cpp
+++ b/soak/discovery_agent.cpp
@@ -25,7 +25,7 @@
 
 void Agent::beat() {
   for (const auto& watch : watches_)
-    watch->pass("\n");
+    watch->writeChunk("\n");
   environment_.after(kHeartbeatMs, [this] { beat(); });
 }
 
@@ -37,7 +37,7 @@
     return;
   }
   connection->beginStream({});
-  connection->pass(whole_);
+  connection->writeChunk(whole_);
   watches_.insert(connection);
 }
 
@@ -56,7 +56,7 @@
   if (changes.empty())
     return;
   for (const auto& watch : watches_)
-    watch->pass(changes);
+    watch->writeChunk(changes);
 }
 
 void Agent::down(double forMs) {
@@ -67,7 +67,7 @@
     down_ = false;
     for (const auto& connection : std::exchange(waiting_, {})) {
       connection->beginStream({});
-      connection->pass(whole_);
+      connection->writeChunk(whole_);
       watches_.insert(connection);
     }
   });
--- a/soak/instance.cpp
+++ b/soak/instance.cpp
@@ -194,7 +194,7 @@
     return;
   if (silenceOf(connection.get()) != Silence::kNone)
     return;
-  connection->pass(left > 0 ? kEvent : kLastEvents);
+  connection->writeChunk(left > 0 ? kEvent : kLastEvents);
   if (left == 0) {
     end(connection.get());
     return connection->endStream();
--- a/src/app/config.cpp
+++ b/src/app/config.cpp
@@ -60,12 +60,12 @@
 Config parseConfig(const json& file, const Environment& environment) {
   Config config;
   config.name = valueOf(file, environment, "GW_NAME", "name");
-  config.listen = net::endpointOf(valueOf(file, environment, "GW_LISTEN", "listen"));
-  config.discovery = net::endpointOf(valueOf(file, environment, "GW_DISCOVERY", "discovery"));
+  config.listen = net::parseEndpoint(valueOf(file, environment, "GW_LISTEN", "listen"));
+  config.discovery = net::parseEndpoint(valueOf(file, environment, "GW_DISCOVERY", "discovery"));
   if (file.contains("discovery"))
-    config.discoveryInFile = net::endpointOf(file.at("discovery").get<std::string>());
+    config.discoveryInFile = net::parseEndpoint(file.at("discovery").get<std::string>());
   if (file.contains("admin_addr") || environment.count("GW_ADMIN_ADDR") != 0)
-    config.admin = net::endpointOf(valueOf(file, environment, "GW_ADMIN_ADDR", "admin_addr"));
+    config.admin = net::parseEndpoint(valueOf(file, environment, "GW_ADMIN_ADDR", "admin_addr"));
   if (const auto folder = environment.find("TMPDIR"); folder != environment.end())
     config.sharedFolder = folder->second;
   config.seed = parseSeed(file);
--- a/src/app/handed_stream.cpp
+++ b/src/app/handed_stream.cpp
@@ -33,11 +33,11 @@
                     {"address", stream.address.address().to_string() + ":" +
                                     std::to_string(stream.address.port())},
                     {"unread", binary(stream.instanceTransfer.call.unread)},
-                    {"chunk", stream.instanceTransfer.call.chunkLeft},
+                    {"chunk", stream.instanceTransfer.call.chunkRemaining},
                     {"box_keeps", stream.instanceTransfer.call.keepAlive},
                     {"event", binary(stream.instanceTransfer.event)},
-                    {"ahead", binary(stream.client.ahead)},
-                    {"ahead_came", stream.client.aheadCameMs},
+                    {"ahead", binary(stream.client.pipelinedInput)},
+                    {"ahead_came", stream.client.pipelinedSinceMs},
                     {"client_keeps", stream.client.keepAlive}};
   const auto packed = json::to_msgpack(fields);
   return {packed.begin(), packed.end()};
@@ -56,13 +56,13 @@
   stream.arrival.prefixTokens = fields.at("shared").get<double>();
   stream.arrival.maxTokens = fields.at("most").get<double>();
   stream.instance = {bytesOf(fields.at("engine"))};
-  stream.address = net::endpointOf(fields.at("address").get<std::string>());
+  stream.address = net::parseEndpoint(fields.at("address").get<std::string>());
   stream.instanceTransfer.call.unread = bytesOf(fields.at("unread"));
-  stream.instanceTransfer.call.chunkLeft = fields.at("chunk").get<std::uint64_t>();
+  stream.instanceTransfer.call.chunkRemaining = fields.at("chunk").get<std::uint64_t>();
   stream.instanceTransfer.call.keepAlive = fields.at("box_keeps").get<bool>();
   stream.instanceTransfer.event = bytesOf(fields.at("event"));
-  stream.client.ahead = bytesOf(fields.at("ahead"));
-  stream.client.aheadCameMs = fields.value("ahead_came", 0.0);  // absent in earlier versions
+  stream.client.pipelinedInput = bytesOf(fields.at("ahead"));
+  stream.client.pipelinedSinceMs = fields.value("ahead_came", 0.0);  // absent in earlier versions
   stream.client.keepAlive = fields.at("client_keeps").get<bool>();
   return stream;
 }
--- a/src/app/serving.cpp
+++ b/src/app/serving.cpp
@@ -53,9 +53,10 @@
     return nullptr;
   auto endpoint = std::make_unique<net::LineServer>(
       server.io, *address,
-      net::LineServer::LaterAnswer([&api](std::string_view line, net::LineServer::Reply reply) {
-        control::executeAsync(api, line, std::move(reply));
-      }),
+      net::LineServer::AsyncHandler(
+          [&api](std::string_view line, net::LineServer::ReplyCallback reply) {
+            control::executeAsync(api, line, std::move(reply));
+          }),
       server.clock, server.timers, server.counters,
       net::LineServer::Limits{.lineBytes = control::kMaxMaintenanceLineBytes});
   endpoint->accountTo(server.descriptorBudget);
--- a/src/coordination/setup.cpp
+++ b/src/coordination/setup.cpp
@@ -46,7 +46,7 @@
   EtcdConfig config;
   for (const core::ConfigReader& endpoint : store.at("endpoints").list()) {
     config.endpoints.push_back(
-        endpoint.read([](const std::string& text) { return net::endpointOf(text); }));
+        endpoint.read([](const std::string& text) { return net::parseEndpoint(text); }));
   }
   if (config.endpoints.empty())
     store.at("endpoints").fail("names no address");
--- a/src/frontend/openai/chat_response_writer.cpp
+++ b/src/frontend/openai/chat_response_writer.cpp
@@ -156,7 +156,7 @@
                               {"Cache-Control", "no-cache"},
                               {"X-Request-Id", id_}});
   begun_ = true;
-  return connection_->pass(event);
+  return connection_->writeChunk(event);
 }
 
 void ChatResponseWriter::answerCompletion() {
--- a/src/frontend/openai/operator_file.cpp
+++ b/src/frontend/openai/operator_file.cpp
@@ -67,7 +67,7 @@
 }
 
 net::Endpoint addressAt(const core::ConfigReader& field) {
-  return field.read([](const std::string& text) { return net::endpointOf(text); });
+  return field.read([](const std::string& text) { return net::parseEndpoint(text); });
 }
 
 void readInstances(const core::ConfigReader& file, OperatorFile& to) {
--- a/src/frontend/platform/endpoint_list.cpp
+++ b/src/frontend/platform/endpoint_list.cpp
@@ -28,7 +28,7 @@
     return;
   const routing::InstanceId id{member.at("id").get<std::string>()};
   upstream::InstanceEndpoint endpoint;
-  endpoint.address = net::endpointOf(member.at("host_port").get<std::string>());
+  endpoint.address = net::parseEndpoint(member.at("host_port").get<std::string>());
   endpoint.state = endpointStateOf(member.at("phase").get<std::string>());
   endpoint.startedMs = member.value("up_since_ms", 0.0);
   to.update.entries.push_back({
--- a/src/frontend/platform/platform_front.cpp
+++ b/src/frontend/platform/platform_front.cpp
@@ -44,7 +44,7 @@
 
   bool pass(std::string_view part) override {
     begin();
-    return connection_->pass(part);
+    return connection_->writeChunk(part);
   }
 
   void end() override {
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -109,7 +109,7 @@
     throw optionError("otlp-interval", "--otlp-interval is 0.1 or more");
   telemetry.trace = values["trace"].as<bool>();
   if (values.count("otlp") != 0)
-    telemetry.collector = net::endpointOf(values["otlp"].as<std::string>());
+    telemetry.collector = net::parseEndpoint(values["otlp"].as<std::string>());
   return telemetry;
 }
 
@@ -222,7 +222,7 @@
   if (values["json"].as<bool>())
     line += " json";
   const std::string answer =
-      app::callAdmin(net::endpointOf(values["door"].as<std::string>()), line);
+      app::callAdmin(net::parseEndpoint(values["door"].as<std::string>()), line);
   const bool failed = answer.rfind("fail", 0) == 0;
   (failed ? std::cerr : std::cout) << withoutEndMark(answer);
   return failed ? kExitFailure : 0;
--- a/src/net/call.cpp
+++ b/src/net/call.cpp
@@ -136,7 +136,7 @@
   const auto self = shared_from_this();
   if (parser_.isMidPiece(connection_->buffer))
     stalledTimer_ = pool_.timers_.schedule(pool_.clock_.nowMs() + kStalledMs,
-                                           [self] { self->fail(CallFailure::kGarbled); });
+                                           [self] { self->fail(CallFailure::kInvalidResponse); });
   const auto connection = connection_;  // lives as long as the operation on it
   connection->socket.async_read_some(
       connection->buffer.prepare(kReadSize),
@@ -148,7 +148,7 @@
 void Call::received(const boost::system::error_code& error, std::size_t bytes) {
   reading_ = false;
   stalledTimer_.cancel();
-  if (state_ == State::kOver)
+  if (state_ == State::kFinished)
     return;
   if (error == boost::asio::error::operation_aborted && onPaused_)
     return read();
@@ -186,12 +186,12 @@
   if (const int interim = parser_.interimResponses() - interimBefore; interim > 0)
     pool_.counters_["answers.interim"] += static_cast<std::uint64_t>(interim);
   if (!valid)
-    return fail(CallFailure::kGarbled);
+    return fail(CallFailure::kInvalidResponse);
   if (parser_.hasHead() && !headPassed_) {
     headPassed_ = true;
     state_ = State::kBody;
     sink->head(parser_.head());
-    if (state_ == State::kOver)
+    if (state_ == State::kFinished)
       return;
   }
   if (headPassed_ && !passBody())
@@ -207,7 +207,7 @@
   const std::string part = parser_.takeBody();
   if (!part.empty() && !sink->body(part))
     paused_ = true;
-  return state_ != State::kOver;
+  return state_ != State::kFinished;
 }
 
 void Call::complete() {
@@ -276,7 +276,7 @@
 void Call::adopt(std::shared_ptr<Connection> connection, const TransferState& state) {
   connection_ = std::move(connection);
   state_ = State::kBody;
-  parser_.restore(state.chunkLeft, state.keepAlive);
+  parser_.restore(state.chunkRemaining, state.keepAlive);
   headPassed_ = true;
   auto& buffer = connection_->buffer;
   buffer.commit(boost::asio::buffer_copy(buffer.prepare(state.unread.size()),
@@ -286,7 +286,7 @@
 // ---- End
 
 void Call::fail(CallFailure why) {
-  if (state_ == State::kOver)
+  if (state_ == State::kFinished)
     return;
   constexpr std::array kWhy{"no connection", "reset", "garbled", "withdrawn"};
   trace(kWhy.at(static_cast<std::size_t>(why)));
@@ -298,7 +298,7 @@
 }
 
 void Call::abandon() {
-  if (state_ == State::kOver)
+  if (state_ == State::kFinished)
     return;
   trace("abandoned");
   const auto connection = std::exchange(connection_, nullptr);
@@ -308,7 +308,7 @@
 }
 
 std::shared_ptr<CallSink> Call::finish() {
-  state_ = State::kOver;
+  state_ = State::kFinished;
   startTimer_.cancel();
   writeTimer_.cancel();
   stalledTimer_.cancel();
--- a/src/net/call.h
+++ b/src/net/call.h
@@ -23,7 +23,7 @@
 class Call final : public std::enable_shared_from_this<Call> {
  public:
   /// kWaiting: for a connection. kHead and kBody: what of the response is expected next.
-  enum class State { kWaiting, kConnecting, kWriting, kHead, kBody, kOver };
+  enum class State { kWaiting, kConnecting, kWriting, kHead, kBody, kFinished };
 
   Call(ConnectionPool& pool,
        Endpoint to,
@@ -43,13 +43,13 @@
   /// Reads on after CallSink::body() returned false.
   void resume();
   /// The sink cannot read the body.
-  void garbled() { fail(CallFailure::kGarbled); }
+  void failInvalidResponse() { fail(CallFailure::kInvalidResponse); }
 
   /// A response in flight, as it passes from one process to another.
   struct TransferState {
     int descriptor = -1;
-    std::string unread;           ///< come, and not parsed yet
-    std::uint64_t chunkLeft = 0;  ///< bytes of the current chunk
+    std::string unread;                ///< come, and not parsed yet
+    std::uint64_t chunkRemaining = 0;  ///< bytes of the current chunk
     bool keepAlive = true;
   };
   /// Reads no more; onPaused is called once no operation is in progress, and never if the call ends
--- a/src/net/call_sink.h
+++ b/src/net/call_sink.h
@@ -15,7 +15,7 @@
   /// Broken after the request was written.
   kReset,
   /// What came after the request was written cannot be read, or stops midway.
-  kGarbled,
+  kInvalidResponse,
   /// Nothing was sent and the instance has no part in it: the sink took the call back, or this
   /// machine had no connection to give.
   kWithdrawn
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -96,7 +96,7 @@
   owner_.requestStarted(*this);
   keepAlive_ = state.keepAlive;
   state_ = State::kStreaming;
-  input_.adopt(state.ahead, state.aheadCameMs);
+  input_.adopt(state.pipelinedInput, state.pipelinedSinceMs);
   peerWatch_.start(shared_from_this());
 }
 
@@ -138,7 +138,7 @@
     return refuseInput(error);
   if (state_ == State::kIdle)
     startRequest();
-  if (progress == RequestReader::Progress::kWhole)
+  if (progress == RequestReader::Progress::kComplete)
     takeRequest();
   else
     awaitInput();
@@ -209,7 +209,7 @@
     return closeGracefully();
   input_.countAnswered();
   startRequest();
-  if (progress == RequestReader::Progress::kWhole)
+  if (progress == RequestReader::Progress::kComplete)
     takeRequest();
   else if (progress == RequestReader::Progress::kFailed)
     refuseInput(error);
@@ -271,10 +271,10 @@
   write(headText("HTTP/1.1 200 OK", fields));
 }
 
-bool ClientConnection::pass(std::string_view part) {
+bool ClientConnection::writeChunk(std::string_view part) {
   if (state_ != State::kStreaming || part.empty())
     return true;
-  write(chunkOf(part));
+  write(encodeChunk(part));
   blocked_ = state_ == State::kStreaming && output_.pendingBytes() > kMaxPendingBytes;
   return !blocked_;
 }
--- a/src/net/client_connection.h
+++ b/src/net/client_connection.h
@@ -63,7 +63,7 @@
   void answer(unsigned status, Fields fields, std::string_view body);
   void beginStream(Fields fields);
   /// Writes a part of the stream. False: enough is pending, until RequestHandler::writable().
-  bool pass(std::string_view part);
+  bool writeChunk(std::string_view part);
   void endStream();
   /// Closes without a last chunk, once what was passed is out.
   void abortResponse();
@@ -87,9 +87,10 @@
   /// A stream in flight, as it passes from one process to another.
   struct TransferState {
     int descriptor = -1;
-    std::string ahead;       ///< bytes of later requests that were read; mostly none, as they stand
-                             ///< unread until their turn
-    double aheadCameMs = 0;  ///< when their first byte came, read or not; 0: unknown, or no bytes
+    std::string pipelinedInput;  ///< bytes of later requests that were read; mostly none, as they
+                                 ///< stand unread until their turn
+    double pipelinedSinceMs =
+        0;  ///< when their first byte came, read or not; 0: unknown, or no bytes
     bool keepAlive = true;
   };
   /// Nothing while anything waits to be written.
--- a/src/net/client_input.cpp
+++ b/src/net/client_input.cpp
@@ -58,7 +58,7 @@
 }
 
 bool ClientInput::noteArrivals() {
-  const std::size_t bytes = reader_.size() + reader_.carried().size() + unreadSize();
+  const std::size_t bytes = reader_.size() + reader_.buffered().size() + unreadSize();
   if (bytes <= arrivals_.bytes())
     return false;
   const double agoMs = lastArrivalAgoMs(descriptor());
@@ -70,7 +70,7 @@
 // ---- The socket's state
 
 bool ClientInput::hasUnread() const {
-  if (reader_.standing() > 0)
+  if (reader_.peekedBytes() > 0)
     return unreadSize() > 0;
   std::array<char, 1> byte{};
   const IoStatus seen = peek(descriptor(), byte).status;
@@ -80,7 +80,7 @@
 // Of what comes next, without bytes that are read already.
 std::size_t ClientInput::unreadSize() const {
   const std::size_t inSocket = unreadBytes(descriptor());
-  return inSocket - std::min(inSocket, reader_.standing());
+  return inSocket - std::min(inSocket, reader_.peekedBytes());
 }
 
 bool ClientInput::hasNextRequest() const {
@@ -112,13 +112,13 @@
 // ---- Reading ahead
 
 bool ClientInput::mustReadAhead() const {
-  return shed_ || reader_.carried().size() + unreadSize() >= readAheadThreshold_;
+  return shed_ || reader_.buffered().size() + unreadSize() >= readAheadThreshold_;
 }
 
 ClientInput::ReadAhead ClientInput::readAhead(bool keep) {
   if (readAheadAllowance_ == 0)
     return ReadAhead::kPause;
-  if (!reader_.takeStanding(descriptor()))
+  if (!reader_.consumePeeked(descriptor()))
     return ReadAhead::kPause;
   std::array<char, kReadSize> bytes;
   const std::size_t size = std::min(bytes.size(), readAheadAllowance_);
@@ -140,22 +140,22 @@
 void ClientInput::keepOrShed(std::string_view bytes) {
   if (shed_)
     return shed_->read(bytes);
-  const std::size_t capacity = kMaxKeptBytes - std::min(kMaxKeptBytes, reader_.carried().size());
-  reader_.carry(bytes.substr(0, capacity));
+  const std::size_t capacity = kMaxKeptBytes - std::min(kMaxKeptBytes, reader_.buffered().size());
+  reader_.appendBuffered(bytes.substr(0, capacity));
   if (bytes.size() <= capacity)
     return;
   shed_.emplace();
-  shed_->read(reader_.carried());
+  shed_->read(reader_.buffered());
   shed_->read(bytes.substr(capacity));
 }
 
 RequestReader::Progress ClientInput::readKept(boost::system::error_code& error) {
-  return reader_.readCarried(error);
+  return reader_.readBuffered(error);
 }
 
 void ClientInput::dropKept() {
   arrivals_ = {};
-  reader_.dropCarried();
+  reader_.dropBuffered();
   reader_.begin();
 }
 
@@ -163,14 +163,14 @@
 
 // Bytes that are read and still stand in the socket would be read a second time there.
 bool ClientInput::prepareTransfer() {
-  if (shed_ || !reader_.takeStanding(descriptor()))
+  if (shed_ || !reader_.consumePeeked(descriptor()))
     return false;
   noteArrivals();
   return true;
 }
 
 void ClientInput::adopt(std::string_view kept, double sinceMs) {
-  reader_.carry(kept);
+  reader_.appendBuffered(kept);
   reserveBuffer();
   if (sinceMs > 0)
     arrivals_.add(kept.size() + unreadBytes(descriptor()), sinceMs);
--- a/src/net/client_input.h
+++ b/src/net/client_input.h
@@ -43,7 +43,7 @@
   /// look one may be there: a connection is not closed over it.
   bool hasUnread() const;
   /// Whether bytes were read before their turn and wait for it.
-  bool hasKept() const { return !reader_.carried().empty(); }
+  bool hasKept() const { return !reader_.buffered().empty(); }
   /// Whether another request, or a part of one, has come behind the one taken last.
   bool hasNextRequest() const;
   /// Whether the client has neither closed nor broken the connection, up to this moment.
@@ -71,7 +71,7 @@
   bool hasShed() const { return shed_.has_value(); }
   /// Requests of a connection with shed ones that have no answer yet.
   std::size_t unansweredRequests() const { return shed_->unanswered(); }
-  bool shedEndsMidRequest() const { return shed_->endsMidway(); }
+  bool shedEndsMidRequest() const { return shed_->endsMidRequest(); }
   void countAnswered() { shed_->answered(); }
   /// Reads the next request from the kept bytes alone.
   RequestReader::Progress readKept(boost::system::error_code& error);
@@ -81,7 +81,7 @@
 
   /// Whether the connection's input can be taken up elsewhere; brings the arrival times up to date.
   bool prepareTransfer();
-  const std::string& kept() const { return reader_.carried(); }
+  const std::string& kept() const { return reader_.buffered(); }
   /// When the first byte of a request to come arrived; 0 if there is none.
   double keptSinceMs() const { return arrivals_.empty() ? 0 : arrivals_.firstMs(); }
   /// Takes up another process's input. sinceMs: as keptSinceMs() said there.
--- a/src/net/endpoint.cpp
+++ b/src/net/endpoint.cpp
@@ -4,7 +4,7 @@
 
 namespace inference_router::net {
 
-Endpoint endpointOf(const std::string& hostPort) {
+Endpoint parseEndpoint(const std::string& hostPort) {
   const std::size_t colon = hostPort.rfind(':');
   std::uint16_t port = 0;
   boost::system::error_code error;
--- a/src/net/endpoint.h
+++ b/src/net/endpoint.h
@@ -17,6 +17,6 @@
 };
 
 /// "host:port" with a numeric host; throws AddressError.
-Endpoint endpointOf(const std::string& hostPort);
+Endpoint parseEndpoint(const std::string& hostPort);
 
 }  // namespace inference_router::net
--- a/src/net/line_server.cpp
+++ b/src/net/line_server.cpp
@@ -116,7 +116,7 @@
 
 LineServer::LineServer(boost::asio::io_context& io,
                        const boost::asio::ip::tcp::endpoint& address,
-                       LaterAnswer answer,
+                       AsyncHandler answer,
                        const core::Clock& clock,
                        core::TimerQueue& timers,
                        core::Counters& counters,
--- a/src/net/line_server.h
+++ b/src/net/line_server.h
@@ -27,39 +27,39 @@
   };
   /// The line without its end to the text that goes back. A line over the limit is handed over cut,
   /// one byte longer than the limit, so that whoever answers can say so.
-  using Answer = std::function<std::string(std::string_view line)>;
+  using Handler = std::function<std::string(std::string_view line)>;
   /// The same where the answer comes later, once. A caller that is gone by then hears nothing.
-  using Reply = std::function<void(std::string text)>;
-  using LaterAnswer = std::function<void(std::string_view line, Reply reply)>;
+  using ReplyCallback = std::function<void(std::string text)>;
+  using AsyncHandler = std::function<void(std::string_view line, ReplyCallback reply)>;
 
   /// Throws boost::system::system_error if the address cannot be listened on.
   LineServer(boost::asio::io_context& io,
              const boost::asio::ip::tcp::endpoint& address,
-             LaterAnswer answer,
+             AsyncHandler answer,
              const core::Clock& clock,
              core::TimerQueue& timers,
              core::Counters& counters,
              Limits limits);
   LineServer(boost::asio::io_context& io,
              const boost::asio::ip::tcp::endpoint& address,
-             Answer answer,
+             Handler answer,
              const core::Clock& clock,
              core::TimerQueue& timers,
              core::Counters& counters,
              Limits limits)
-      : LineServer(
-            io,
-            address,
-            LaterAnswer([answer = std::move(answer)](std::string_view line, const Reply& reply) {
-              reply(answer(line));
-            }),
-            clock,
-            timers,
-            counters,
-            limits) {}
+      : LineServer(io,
+                   address,
+                   AsyncHandler([answer = std::move(answer)](std::string_view line,
+                                                             const ReplyCallback& reply) {
+                     reply(answer(line));
+                   }),
+                   clock,
+                   timers,
+                   counters,
+                   limits) {}
   LineServer(boost::asio::io_context& io,
              const boost::asio::ip::tcp::endpoint& address,
-             Answer answer,
+             Handler answer,
              const core::Clock& clock,
              core::TimerQueue& timers,
              core::Counters& counters)
@@ -82,7 +82,7 @@
 
   boost::asio::io_context& io_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  LaterAnswer answer_;
+  AsyncHandler answer_;
   const core::Clock& clock_;
   core::TimerQueue& timers_;
   core::Counters& counters_;
--- a/src/net/message.cpp
+++ b/src/net/message.cpp
@@ -39,7 +39,7 @@
   return head;
 }
 
-std::string chunkOf(std::string_view part) {
+std::string encodeChunk(std::string_view part) {
   std::array<char, 16> size{};
   const auto written = std::to_chars(size.data(), size.data() + size.size(), part.size(), 16);
   std::string chunk(size.data(), written.ptr);
--- a/src/net/pool.cpp
+++ b/src/net/pool.cpp
@@ -37,7 +37,7 @@
                                            std::shared_ptr<CallSink> sink,
                                            Urgency urgency,
                                            double afterMs) {
-  const bool urgent = urgency == Urgency::kFirst;
+  const bool urgent = urgency == Urgency::kUrgent;
   auto call =
       std::make_shared<Call>(*this, to, std::move(head), std::move(body), std::move(sink), urgent);
   if (clock_.nowMs() >= afterMs)
@@ -65,7 +65,7 @@
     call->start(std::move(connection), /*isNew=*/false);
     return true;
   }
-  const Urgency urgency = call->urgent_ ? Urgency::kFirst : Urgency::kInTurn;
+  const Urgency urgency = call->urgent_ ? Urgency::kUrgent : Urgency::kNormal;
   if (!hasCapacity(urgency) && !idle_.empty())
     closeOldestIdle();
   if (!hasCapacity(urgency))
@@ -82,7 +82,7 @@
 }
 
 bool ConnectionPool::hasCapacity(Urgency urgency) const {
-  const std::size_t reserved = urgency == Urgency::kFirst ? 0 : reservedForUrgent();
+  const std::size_t reserved = urgency == Urgency::kUrgent ? 0 : reservedForUrgent();
   return openConnections_ + reserved < limits_.maxConnections &&
          (descriptorBudget_ == nullptr || descriptorBudget_->may(account_));
 }
--- a/src/net/pool.h
+++ b/src/net/pool.h
@@ -40,7 +40,7 @@
   ~ConnectionPool();
 
   /// kFirst: goes ahead of all that wait for a connection, and may use the reserve.
-  enum class Urgency { kInTurn, kFirst };
+  enum class Urgency { kNormal, kUrgent };
   /// Begins a call; it does not queue for a connection before afterMs of the clock. One that has
   /// not got a connection within the connect timeout is withdrawn: to whoever counts when it was
   /// sent, waiting here is the same as a connection attempt that hangs.
@@ -48,7 +48,7 @@
                              std::string head,
                              std::shared_ptr<const std::string> body,
                              std::shared_ptr<CallSink> sink,
-                             Urgency urgency = Urgency::kInTurn,
+                             Urgency urgency = Urgency::kNormal,
                              double afterMs = 0);
   /// Takes up what another process left off and owns the descriptor from now on, also if it cannot
   /// be used: nothing then. The call goes on with unpause().
--- a/src/net/request_handler.h
+++ b/src/net/request_handler.h
@@ -21,7 +21,7 @@
                        double arrivedMs) = 0;
   /// The client closed, or its connection broke, before the answer was complete.
   virtual void disconnected(ClientConnection& connection) = 0;
-  /// The connection takes more of a stream, after pass() returned false.
+  /// The connection takes more of a stream, after writeChunk() returned false.
   virtual void writable(ClientConnection& connection) = 0;
   /// Answers what cannot be understood as a request; the connection closes after the answer.
   virtual void reject(ClientConnection& connection, unsigned status, std::string_view why) = 0;
--- a/src/net/request_reader.cpp
+++ b/src/net/request_reader.cpp
@@ -30,7 +30,7 @@
 // Looks at what has come first, and takes out of the kernel what turned out to be of this request.
 // What was looked at counts as read from then on, also if taking it out fails.
 RequestReader::Progress RequestReader::read(int descriptor, boost::system::error_code& error) {
-  takeStanding(descriptor);
+  consumePeeked(descriptor);
   std::array<char, kReadSize> bytes;
   const IoResult seen = peek(descriptor, bytes);
   if (seen.status == IoStatus::kNoResources)
@@ -41,23 +41,24 @@
     error.assign(seen.error, boost::system::system_category());
   if (error)
     return Progress::kFailed;
-  const std::size_t known = std::min(standing_, seen.bytes);
+  const std::size_t known = std::min(peekedBytes_, seen.bytes);
   const std::size_t newBytes = seen.bytes - known;
   input_.append(bytes.data() + known, newBytes);
   if (input_.empty())
     return Progress::kNothing;
   const Progress progress = parse(error);
-  const std::size_t behind = progress == Progress::kWhole ? std::min(input_.size(), newBytes) : 0;
+  const std::size_t behind =
+      progress == Progress::kComplete ? std::min(input_.size(), newBytes) : 0;
   input_.resize(input_.size() - behind);
-  standing_ += newBytes - behind;
-  takeStanding(descriptor);
+  peekedBytes_ += newBytes - behind;
+  consumePeeked(descriptor);
   return progress;
 }
 
-bool RequestReader::takeStanding(int descriptor) {
-  if (standing_ > 0)
-    standing_ -= discard(descriptor, standing_).bytes;
-  return standing_ == 0;
+bool RequestReader::consumePeeked(int descriptor) {
+  if (peekedBytes_ > 0)
+    peekedBytes_ -= discard(descriptor, peekedBytes_).bytes;
+  return peekedBytes_ == 0;
 }
 
 RequestReader::Progress RequestReader::parse(boost::system::error_code& error) {
@@ -77,7 +78,7 @@
   }
   input_.erase(0, parsed);
   size_ += parsed;
-  return parser_->is_done() ? Progress::kWhole : Progress::kPart;
+  return parser_->is_done() ? Progress::kComplete : Progress::kIncomplete;
 }
 
 }  // namespace inference_router::net
--- a/src/net/request_reader.h
+++ b/src/net/request_reader.h
@@ -21,8 +21,8 @@
  public:
   enum class Progress {
     kNothing,      ///< nothing has come
-    kPart,         ///< the request has begun and is not whole
-    kWhole,        ///< release() gives it
+    kIncomplete,   ///< the request has begun and is not whole
+    kComplete,     ///< release() gives it
     kFailed,       ///< the connection has ended, or what came is no request: the error says which
     kNoResources,  ///< this machine could not look; the same call may succeed later
   };
@@ -32,30 +32,30 @@
   /// Reads what has come of the request; never blocks.
   Progress read(int descriptor, boost::system::error_code& error);
   /// The same for carried bytes alone: the socket is not looked at.
-  Progress readCarried(boost::system::error_code& error) { return parse(error); }
+  Progress readBuffered(boost::system::error_code& error) { return parse(error); }
   /// The request, once it is complete.
   HttpRequest release() { return parser_->release(); }
   bool keepAlive() const { return parser_->keep_alive(); }
   /// Bytes of the request that are read so far.
   std::size_t size() const { return size_; }
   /// Bytes that are read and could not be taken out of the kernel yet.
-  std::size_t standing() const { return standing_; }
+  std::size_t peekedBytes() const { return peekedBytes_; }
   /// Takes them out; false while some are left.
-  bool takeStanding(int descriptor);
+  bool consumePeeked(int descriptor);
 
   /// Bytes that were read before their request's turn, here or by the process that passed the
   /// connection on; they come before those of the socket.
-  void carry(std::string_view bytes) { input_ += bytes; }
+  void appendBuffered(std::string_view bytes) { input_ += bytes; }
   /// Drops them.
-  void dropCarried() { input_.clear(); }
-  const std::string& carried() const { return input_; }
+  void dropBuffered() { input_.clear(); }
+  const std::string& buffered() const { return input_; }
 
  private:
   Progress parse(boost::system::error_code& error);
 
   std::optional<boost::beast::http::request_parser<boost::beast::http::string_body>> parser_;
   std::size_t size_ = 0;
-  std::size_t standing_ = 0;
+  std::size_t peekedBytes_ = 0;
   std::string input_;  // read, and not parsed: a head or a chunk's size line that is not whole yet
 };
 
--- a/src/net/shed_requests.cpp
+++ b/src/net/shed_requests.cpp
@@ -5,19 +5,19 @@
 void ShedRequests::read(std::string_view bytes) {
   if (unreadable_)
     return;
-  reader_.carry(bytes);
-  while (!reader_.carried().empty()) {
+  reader_.appendBuffered(bytes);
+  while (!reader_.buffered().empty()) {
     if (!midway_) {
       reader_.begin();
       midway_ = true;
       ++begun_;
     }
     boost::system::error_code error;
-    const RequestReader::Progress progress = reader_.readCarried(error);
+    const RequestReader::Progress progress = reader_.readBuffered(error);
     unreadable_ = progress == RequestReader::Progress::kFailed;
     if (unreadable_)
-      return reader_.dropCarried();
-    if (progress == RequestReader::Progress::kPart)
+      return reader_.dropBuffered();
+    if (progress == RequestReader::Progress::kIncomplete)
       return;
     midway_ = false;
   }
--- a/src/net/shed_requests.h
+++ b/src/net/shed_requests.h
@@ -20,7 +20,7 @@
 
   std::size_t unanswered() const { return begun_ - answered_; }
   /// Whether the last request is incomplete.
-  bool endsMidway() const { return midway_; }
+  bool endsMidRequest() const { return midway_; }
 
  private:
   RequestReader reader_;
--- a/src/upstream/attempt_call.cpp
+++ b/src/upstream/attempt_call.cpp
@@ -29,7 +29,7 @@
       return AttemptOutcome::kConnectFailed;
     case net::CallFailure::kReset:
       return AttemptOutcome::kConnectionLost;
-    case net::CallFailure::kGarbled:
+    case net::CallFailure::kInvalidResponse:
       return AttemptOutcome::kError;
     case net::CallFailure::kWithdrawn:
       break;
@@ -124,7 +124,7 @@
     return true;
   const std::optional<std::string> events = events_.push(part);
   if (!events) {
-    call_->garbled();
+    call_->failInvalidResponse();
     return true;
   }
   if (events_.finished() && !lastChunkTimer_.armed())
@@ -141,14 +141,14 @@
 }
 
 void HttpInstanceClient::AttemptCall::limitLastChunk() {
-  lastChunkTimer_ =
-      client_.services_.timers.schedule(nowMs() + kLastChunkLimitMs, [this] { call_->garbled(); });
+  lastChunkTimer_ = client_.services_.timers.schedule(nowMs() + kLastChunkLimitMs,
+                                                      [this] { call_->failInvalidResponse(); });
 }
 
 // Guards a client against an instance that goes silent in the middle of its response.
 void HttpInstanceClient::AttemptCall::restartStallTimer() {
   stallTimer_.cancel();
-  if (!streaming_ || call_->state() == net::Call::State::kOver)
+  if (!streaming_ || call_->state() == net::Call::State::kFinished)
     return;
   stallTimer_ = client_.services_.timers.schedule(nowMs() + kStallLimitMs, [this] {
     ++client_.services_.counters["attempts.stalled"];
@@ -161,7 +161,7 @@
 // A last chunk ahead of the event that ends a stream is none of a complete stream.
 void HttpInstanceClient::AttemptCall::done() {
   if (status_ == kServedStatus && !events_.finished())
-    return failed(net::CallFailure::kGarbled);
+    return failed(net::CallFailure::kInvalidResponse);
   end(result());
 }
 
@@ -170,7 +170,7 @@
   // that is lost. The request may have run, as after any error. A head comes with the first token:
   // a decode instance that sent one, however spoilt, had fetched the KV cache, and the next would
   // have to process the whole prompt itself.
-  if (why == net::CallFailure::kGarbled) {
+  if (why == net::CallFailure::kInvalidResponse) {
     ++client_.services_.counters["answers.garbled"];
     return end({.outcome = outcomeOf(why), .kvCacheLost = true});
   }
--- a/src/upstream/http_instance_client.cpp
+++ b/src/upstream/http_instance_client.cpp
@@ -146,7 +146,7 @@
   attempts_[dispatch.attempt.slot] = attempt;
   attempt->setCall(services_.pool.call(
       endpoint->address, head(forwarded.method, forwarded.target, *endpoint, std::move(fields)),
-      forwarded.body, attempt, net::ConnectionPool::Urgency::kInTurn, dispatch.notBeforeMs));
+      forwarded.body, attempt, net::ConnectionPool::Urgency::kNormal, dispatch.notBeforeMs));
 }
 
 void HttpInstanceClient::abandon(core::AttemptKey key) {
@@ -242,7 +242,7 @@
     return sink->end(false);
   TimedCallSink::start(services_, endpoint->address,
                        head("GET", protocol_.healthPath, *endpoint, {}), sink,
-                       net::ConnectionPool::Urgency::kInTurn, kHealthCheckLimitMs);
+                       net::ConnectionPool::Urgency::kNormal, kHealthCheckLimitMs);
 }
 
 }  // namespace inference_router::upstream
--- a/src/upstream/owed_release_calls.cpp
+++ b/src/upstream/owed_release_calls.cpp
@@ -97,8 +97,8 @@
   const auto sink = std::make_shared<Sink>(*this, number, release);
   const auto call =
       TimedCallSink::start(services_, endpoint.address, head_(release.request, endpoint), sink,
-                           net::ConnectionPool::Urgency::kFirst, kAnswerLimitMs);
-  if (call->state() != net::Call::State::kOver)
+                           net::ConnectionPool::Urgency::kUrgent, kAnswerLimitMs);
+  if (call->state() != net::Call::State::kFinished)
     calls_[number] = call;
 }
 
--- a/src/upstream/releases.cpp
+++ b/src/upstream/releases.cpp
@@ -220,7 +220,7 @@
   const auto sink = std::make_shared<Sink>(*this, request, instance, number);
   state.calls[number] =
       TimedCallSink::start(services_, endpoint.address, head_(request, endpoint), sink,
-                           net::ConnectionPool::Urgency::kFirst, kAnswerLimitMs);
+                           net::ConnectionPool::Urgency::kUrgent, kAnswerLimitMs);
 }
 
 void Releases::answered(const RequestId& request,
--- a/src/upstream/reservations.cpp
+++ b/src/upstream/reservations.cpp
@@ -93,8 +93,8 @@
   const InstanceEndpoint* endpoint = services_.directory.find(reservation.instance);
   if (endpoint == nullptr)
     return unanswered(number, /*written=*/false);
-  const auto urgency = reservation.renewed ? net::ConnectionPool::Urgency::kFirst
-                                           : net::ConnectionPool::Urgency::kInTurn;
+  const auto urgency = reservation.renewed ? net::ConnectionPool::Urgency::kUrgent
+                                           : net::ConnectionPool::Urgency::kNormal;
   const std::string head = head_(reservation.request, *endpoint);
   const auto sink = std::make_shared<Sink>(*this, number, reservation.instance);
   releases_.reservationSent(reservation.request);
--- a/src/upstream/timed_call_sink.h
+++ b/src/upstream/timed_call_sink.h
@@ -36,7 +36,7 @@
                                           double limitMs) {
     std::shared_ptr<net::Call> call =
         services.pool.call(address, std::move(head), /*body=*/nullptr, sink, urgency);
-    if (call->state() == net::Call::State::kOver)
+    if (call->state() == net::Call::State::kFinished)
       return call;
     TimedCallSink* const timed = sink.get();  // owns the timer, so that it cannot fire later
     sink->limit_ = services.timers.schedule(services.clock.nowMs() + limitMs,
@@ -50,7 +50,7 @@
 
  private:
   void giveUp(net::Call& call) {
-    if (call.state() == net::Call::State::kOver)
+    if (call.state() == net::Call::State::kFinished)
       return;
     const auto self = shared_from_this();  // abandon() releases the call's reference
     call.abandon();
--- a/tests/bounds_test.cpp
+++ b/tests/bounds_test.cpp
@@ -79,7 +79,7 @@
   std::vector<std::unique_ptr<SharedNode>> nodes;
   DigestTask task(
       {"digest", 1000, 300}, [&] { return config; }, [&] { return 1.7e12 + now; });
-  const Held each = heldBy([&] {
+  const HeapUse each = measureHeapUse([&] {
     for (std::size_t i = 0; i < conductors; ++i)
       nodes.push_back(std::make_unique<SharedNode>(
           config, conductorName(i), [&] { return ++drawn; }, now));
@@ -128,13 +128,14 @@
     texts += document.value.size();
   EXPECT_LE(texts, kMaxPartsBytes + kMaxDocumentBytes);
   const auto began = std::chrono::steady_clock::now();
-  const Held holder = heldBy(digest);
+  const HeapUse holder = measureHeapUse(digest);
   const std::chrono::duration<double, std::milli> took = std::chrono::steady_clock::now() - began;
   std::cout << conductors << " conductors, " << instances << " instances: " << texts / conductors
             << " bytes of text a conductor, digest " << view.documents.at(kDigestKey).value.size()
-            << ", the holder at most " << holder.most / conductors << " a conductor more, a node "
-            << each.after / conductors << "; a digest took " << took.count() << " ms\n";
-  EXPECT_LE(texts + holder.most, kMemory / 2);
+            << ", the holder at most " << holder.peakBytes / conductors
+            << " a conductor more, a node " << each.retainedBytes / conductors << "; a digest took "
+            << took.count() << " ms\n";
+  EXPECT_LE(texts + holder.peakBytes, kMemory / 2);
   const auto read = decodeDigest(view.documents.at(kDigestKey).value).digest;
   ASSERT_TRUE(read);
   EXPECT_EQ(read->heard.size(), conductors);
@@ -245,10 +246,10 @@
     list.entries.push_back(entryOf(instanceName(i)));
     all.insert(instanceName(i));
   }
-  const Held held =
-      heldBy([&] { EXPECT_EQ(members.applyUpdate(list, 0).entries.size(), instances); });
-  std::cout << held.after / instances << " bytes an instance in the membership\n";
-  EXPECT_LE(held.after / instances, 1024u);
+  const HeapUse held =
+      measureHeapUse([&] { EXPECT_EQ(members.applyUpdate(list, 0).entries.size(), instances); });
+  std::cout << held.retainedBytes / instances << " bytes an instance in the membership\n";
+  EXPECT_LE(held.retainedBytes / instances, 1024u);
   other.applyUpdate(list, 0);
   fleet::Drains drains;
   for (const std::string& id : all) {
@@ -284,10 +285,10 @@
     for (std::size_t i = 0; i < instances; ++i)
       list.entries.push_back(entryOf(std::to_string(turn) + instanceName(i), turn * instances + i));
     actions.clear();
-    const Held held = heldBy([&] { router.handle(now, std::move(list), actions); });
-    most = std::max(most, held.after);
+    const HeapUse held = measureHeapUse([&] { router.handle(now, std::move(list), actions); });
+    most = std::max(most, held.retainedBytes);
     if (turn == 0)
-      first = held.after;
+      first = held.retainedBytes;
     if (turn == 3)
       most = 0;  // the table has its size by then
   }
--- a/tests/client_departure_test.cpp
+++ b/tests/client_departure_test.cpp
@@ -400,7 +400,7 @@
       ASSERT_EQ(site.server->counters["streams.handed_over"], 1U);
       site.leave(how);
       if (ended) {
-        site.onlyChat().connection->pass(kLastEvents);
+        site.onlyChat().connection->writeChunk(kLastEvents);
         site.onlyChat().connection->endStream();
         site.settle();
       }
--- a/tests/coordination_test.cpp
+++ b/tests/coordination_test.cpp
@@ -394,12 +394,12 @@
 TEST(DoorForFleetTasks, AnswersWhenTheStoreHas) {
   Stage stage;
   Talker service;
-  net::LineServer door(
-      stage.io, anyPort(),
-      net::LineServer::LaterAnswer([&](std::string_view line, net::LineServer::Reply reply) {
-        control::executeAsync(service, line, std::move(reply));
-      }),
-      stage.clock, stage.timers, stage.counters, net::LineServer::Limits{});
+  net::LineServer door(stage.io, anyPort(),
+                       net::LineServer::AsyncHandler(
+                           [&](std::string_view line, net::LineServer::ReplyCallback reply) {
+                             control::executeAsync(service, line, std::move(reply));
+                           }),
+                       stage.clock, stage.timers, stage.counters, net::LineServer::Limits{});
   EXPECT_EQ(callAdmin(stage.io, door.address(), "leases"), "lease t\neof\n");
   EXPECT_EQ(callAdmin(stage.io, door.address(), "maintenance"), "plan none\neof\n");
   EXPECT_EQ(callAdmin(stage.io, door.address(), "leases all").substr(0, 4), "fail");
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -284,7 +284,7 @@
       beginOnly(*held.instances.at("w1"), *write);
     held.settle();
     if (parts > 1)
-      write->connection->pass(eventOf("more"));
+      write->connection->writeChunk(eventOf("more"));
     held.settle();
     held.pass(299);
     held.settle();
--- a/tests/final_answer_test.cpp
+++ b/tests/final_answer_test.cpp
@@ -113,7 +113,7 @@
 };
 
 std::vector<BrokenInstance::Way> ways() {
-  const auto chunk = [](const std::string& part) { return net::chunkOf(part); };
+  const auto chunk = [](const std::string& part) { return net::encodeChunk(part); };
   const std::string begun = kStreamHead + chunk(eventOf("first"));
   std::string events;
   for (int i = 0; i < 200; ++i)
@@ -229,7 +229,7 @@
     }
   };
   int sent = 0;  // until every buffer on the way is full
-  for (; sent < 2'000 && instance->pass(event); ++sent)
+  for (; sent < 2'000 && instance->writeChunk(event); ++sent)
     turn();
   EXPECT_LT(sent, 2'000);
   // Others are served beside it, on the same instance, in their time.
@@ -321,10 +321,11 @@
     deltas += delta + "\n";
   const std::vector<BrokenInstance::Way> troubles{
       {"a watch that is silent", "", "", 0},
-      {"changes without end", head, net::chunkOf(deltas), 0},
-      {"a line without end", head + net::chunkOf("{"), net::chunkOf(std::string(4000, ' ')), 0},
-      {"empty lines without end", head, net::chunkOf(std::string(4000, '\n')), 0},
-      {"no lists at all", head, net::chunkOf("noise\n"), 0},
+      {"changes without end", head, net::encodeChunk(deltas), 0},
+      {"a line without end", head + net::encodeChunk("{"), net::encodeChunk(std::string(4000, ' ')),
+       0},
+      {"empty lines without end", head, net::encodeChunk(std::string(4000, '\n')), 0},
+      {"no lists at all", head, net::encodeChunk("noise\n"), 0},
       {"a head without end", "HTTP/1.1 200 OK\r\n", "A: " + std::string(500, 'a') + "\r\n", 0},
       {"interim answers without end", "", "HTTP/1.1 102 Processing\r\n\r\n", 0}};
   for (const auto& trouble : troubles) {
--- a/tests/flood_test.cpp
+++ b/tests/flood_test.cpp
@@ -240,7 +240,7 @@
     ASSERT_TRUE(house.until([&] { return house.asked.size() == 5; }));
     for (const auto& connection : house.asked) {
       connection->beginStream({});
-      connection->pass("event");
+      connection->writeChunk("event");
     }
     for (int i = 0; i < 8; ++i) {  // connected in the kernel; the process has yet to accept them
       late.push_back(std::make_unique<Terminal>(house, "127.2.1." + std::to_string(1 + i)));
@@ -259,7 +259,7 @@
              streams.size() + late.size();
     });
     for (const auto& connection : house.asked)
-      connection->pass("more");
+      connection->writeChunk("more");
     const bool alive = house.until([&] {
       return std::all_of(streams.begin(), streams.end(),
                          [](auto& one) { return one->has("more"); });
@@ -302,7 +302,7 @@
     if (!hold)
       return streamWhole(at, taken);
     taken.connection->beginStream({{"Content-Type", "text/event-stream"}});
-    taken.connection->pass(eventOf("first"));
+    taken.connection->writeChunk(eventOf("first"));
     held.push_back(&taken);
   };
   const net::Endpoint listen = freePort(), door = freePort();
@@ -346,7 +346,7 @@
     for (StandInInstance::Taken* taken :
          held)  // a stream that brings nothing for long counts as broken
       if (!taken->gone)
-        taken->connection->pass(eventOf("more"));
+        taken->connection->writeChunk(eventOf("more"));
     stage.io.poll();
   };
   const auto knownIsServed = [&](int n) {
@@ -400,7 +400,7 @@
   for (StandInInstance::Taken* taken : held) {
     if (taken->gone)
       continue;  // one of the flood, which has left
-    taken->connection->pass(kLastEvents);
+    taken->connection->writeChunk(kLastEvents);
     taken->connection->endStream();
   }
   for (auto& stream : streams) {
--- a/tests/fronts_test.cpp
+++ b/tests/fronts_test.cpp
@@ -141,7 +141,7 @@
         if (++asked > 1)
           return streamWhole(self, taken);
         taken.connection->beginStream({});
-        taken.connection->pass(spoilt);
+        taken.connection->writeChunk(spoilt);
         taken.connection->endStream();
       };
     net::Fields fields = platformFields("safe");
@@ -155,12 +155,12 @@
   for (auto& [id, instance] : site.instances)
     instance->script = [](StandInInstance&, StandInInstance::Taken& taken) {
       taken.connection->beginStream({});
-      taken.connection->pass(eventOf("Hel") + "dat");
+      taken.connection->writeChunk(eventOf("Hel") + "dat");
     };
   const auto reply = site.post("/v1/x", platformFields("late"), "{}");
   ASSERT_TRUE(site.until([&] { return !reply->text.empty(); }));
   EXPECT_EQ(reply->text, eventOf("Hel"));
-  site.streaming()->connection->pass("zz\r\n");
+  site.streaming()->connection->writeChunk("zz\r\n");
   EXPECT_EQ(site.finished(reply)->failure, net::CallFailure::kReset);  // without the last chunk
   EXPECT_EQ(site.chats(), 1);
 }
@@ -179,7 +179,7 @@
       if (order.size() > 2)
         return streamWhole(self, taken);
       taken.connection->beginStream({});
-      taken.connection->pass("noise");
+      taken.connection->writeChunk("noise");
       taken.connection->endStream();
     };
   net::Fields fields = platformFields("safe");
@@ -199,7 +199,7 @@
   ASSERT_TRUE(site.until([&] { return reply->text == eventOf("first"); }));
   site.pass(3'500);
   EXPECT_FALSE(reply->over);
-  site.streaming()->connection->pass(eventOf("more"));
+  site.streaming()->connection->writeChunk(eventOf("more"));
   ASSERT_TRUE(site.until([&] { return reply->text == eventOf("first") + eventOf("more"); }));
   site.pass(3'500);
   EXPECT_EQ(site.server->counters["attempts.stalled"], 0U);
@@ -215,7 +215,7 @@
   for (auto& [id, instance] : site.instances)
     instance->script = [](StandInInstance&, StandInInstance::Taken& taken) {
       taken.connection->beginStream({});
-      taken.connection->pass(kLastEvents);
+      taken.connection->writeChunk(kLastEvents);
     };
   const auto reply = site.post("/v1/x", platformFields("a"), "{}");
   ASSERT_TRUE(site.until([&] { return reply->text == kLastEvents; }));
@@ -424,7 +424,7 @@
   int sent = 0;
   // The instance is held once every buffer on the way is full; without that the program would hold
   // all of it.
-  while (sent < 2000 && instance->pass(event)) {
+  while (sent < 2000 && instance->writeChunk(event)) {
     ++sent;
     for (int i = 0; i < 20; ++i) {
       site.io.restart();
@@ -432,7 +432,7 @@
     }
   }
   EXPECT_LT(sent, 2000);
-  instance->pass(kLastEvents);
+  instance->writeChunk(kLastEvents);
   instance->endStream();
   ASSERT_TRUE(site.until(
       [&] { return client.ended() || client.seen.find("[DONE]") != std::string::npos; }));
@@ -455,7 +455,7 @@
   site.pass(1000);
   const auto instance = site.streaming()->connection;
   EXPECT_FALSE(done);
-  instance->pass(kLastEvents);
+  instance->writeChunk(kLastEvents);
   instance->endStream();
   EXPECT_TRUE(site.finished(reply)->whole);
   EXPECT_TRUE(site.until([&] { return done; }));
@@ -607,8 +607,8 @@
   EXPECT_NE(agent.readSome().find("GET /api/targets?watch=1&after=41 "), std::string::npos);
   const std::string line = listOf(43, false, "leaving");
   agent.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
-              net::chunkOf(line.substr(0, 30)));
-  agent.write(net::chunkOf(line.substr(30) + "\n"));
+              net::encodeChunk(line.substr(0, 30)));
+  agent.write(net::encodeChunk(line.substr(30) + "\n"));
   ASSERT_TRUE(watching.until([&] { return watching.counters["discovery.lists"] == 2; }));
   EXPECT_EQ(watching.directory.find({"a"})->state, routing::EndpointState::kDraining);
   agent.reset();
@@ -633,21 +633,21 @@
   };
   watching.discovery.watch(before.address());
   opened(before);
-  before.write(head + net::chunkOf(listOf(41, true, "active")));
+  before.write(head + net::encodeChunk(listOf(41, true, "active")));
   ASSERT_TRUE(watching.until([&] { return watching.counters["discovery.lists"] == 1; }));
   watching.discovery.watch(silent.address());
   opened(silent);
   watching.discovery.watch(after.address());  // once more, before the first has said a word
   EXPECT_NE(opened(after).find("after=0 "), std::string::npos);  // another address, other numbers
   ASSERT_TRUE(watching.until([&] { return silent.ended(); }));
-  before.write(net::chunkOf(listOf(42, false, "leaving")));  // the old one still counts
+  before.write(net::encodeChunk(listOf(42, false, "leaving")));  // the old one still counts
   ASSERT_TRUE(watching.until([&] { return watching.counters["discovery.lists"] == 2; }));
   EXPECT_EQ(watching.directory.find({"a"})->state, routing::EndpointState::kDraining);
   EXPECT_FALSE(before.ended());
   watching.pass(1001);  // not a word: asked again, well before 4 s
   watching.pass(151);
   opened(after);
-  after.write(head + net::chunkOf(listOf(7, true, "active")));
+  after.write(head + net::encodeChunk(listOf(7, true, "active")));
   ASSERT_TRUE(
       watching.until([&] { return watching.counters["discovery.lists"] == 3 && before.ended(); }));
   EXPECT_EQ(watching.directory.find({"a"})->state, routing::EndpointState::kActive);
@@ -669,13 +669,13 @@
   agent.accept();
   ASSERT_TRUE(watching.until([&] { return agent.hasBytes(); }));
   agent.readSome();
-  agent.write(head + net::chunkOf(listOf(41, true, "active")));
+  agent.write(head + net::encodeChunk(listOf(41, true, "active")));
   ASSERT_TRUE(lists(1));
   watching.pass(2601);
   watching.pass(151);  // the next is on its way, and nobody takes it in
   ASSERT_TRUE(watching.until([&] { return watching.counters["discovery.watches"] == 2; }));
   EXPECT_FALSE(agent.ended());
-  agent.write(net::chunkOf(listOf(42, false, "leaving")));
+  agent.write(net::encodeChunk(listOf(42, false, "leaving")));
   ASSERT_TRUE(lists(2));
   EXPECT_EQ(watching.directory.find({"a"})->state, routing::EndpointState::kDraining);
   watching.pass(1001);  // the one beside it was left when the first went on
@@ -702,7 +702,7 @@
                            listOf(43, false, "active") + "  \n" + pretty(44, false, "leaving");
   agent.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
   for (std::size_t at = 0; at < text.size(); at += 37)
-    agent.write(net::chunkOf(text.substr(at, 37)));
+    agent.write(net::encodeChunk(text.substr(at, 37)));
   ASSERT_TRUE(watching.until([&] { return watching.counters["discovery.lists"] == 4; }));
   EXPECT_EQ(watching.directory.find({"a"})->state, routing::EndpointState::kDraining);
   EXPECT_EQ(watching.counters["discovery.malformed"], 0U);
@@ -718,10 +718,10 @@
   agent.accept();
   ASSERT_TRUE(watching.until([&] { return agent.hasBytes(); }));
   agent.readSome();
-  agent.write(head + net::chunkOf(listOf(41, true, "active")));
+  agent.write(head + net::encodeChunk(listOf(41, true, "active")));
   ASSERT_TRUE(watching.until([&] { return watching.counters["discovery.lists"] == 1; }));
-  agent.write(
-      net::chunkOf(listOf(42, false, "leaving").substr(0, 40)));  // half a line, and then nothing
+  agent.write(net::encodeChunk(
+      listOf(42, false, "leaving").substr(0, 40)));  // half a line, and then nothing
   for (int i = 0; i < 20; ++i) {
     watching.io.restart();
     watching.io.run_one_for(std::chrono::milliseconds(1));
@@ -734,7 +734,7 @@
   agent.accept();  // the old one is left open: only the other side has ended it
   ASSERT_TRUE(watching.until([&] { return agent.hasBytes(); }));
   EXPECT_NE(agent.readSome().find("after=41 "), std::string::npos);
-  agent.write(head + net::chunkOf(listOf(42, false, "leaving")));
+  agent.write(head + net::encodeChunk(listOf(42, false, "leaving")));
   ASSERT_TRUE(watching.until([&] { return watching.counters["discovery.lists"] == 2; }));
   EXPECT_EQ(watching.directory.find({"a"})->state, routing::EndpointState::kDraining);
   EXPECT_LE(passed,
@@ -754,10 +754,10 @@
   ASSERT_TRUE(watching.until([&] { return agent.hasBytes(); }));
   agent.readSome();
   agent.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
-              net::chunkOf(listOf(43, true, "active") + listOf(41, true, "leaving")));
+              net::encodeChunk(listOf(43, true, "active") + listOf(41, true, "leaving")));
   ASSERT_TRUE(lists(2));
   EXPECT_EQ(watching.directory.find({"a"})->state, routing::EndpointState::kDraining);
-  agent.write(net::chunkOf(listOf(40, false, "active")));
+  agent.write(net::encodeChunk(listOf(40, false, "active")));
   ASSERT_TRUE(lists(3));
   EXPECT_EQ(watching.directory.find({"a"})->state, routing::EndpointState::kActive);
   EXPECT_TRUE(watching.dispatcher.mayReserve({"a"}));
@@ -787,7 +787,7 @@
     agent.readSome();
     agent.write(
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
-        net::chunkOf(
+        net::encodeChunk(
             lineOf(42, false, {memberOf(2, "leaving", 1002, 0), memberOf(3, "active", 1003, 0)}) +
             "\n"));
     ASSERT_TRUE(lists(known ? 2 : 1));
@@ -796,7 +796,7 @@
     EXPECT_EQ(watching.directory.find({"b2"})->state, routing::EndpointState::kDraining);
     EXPECT_EQ(watching.dispatcher.instancesKnown(), known ? 3U : 2U);
     agent.write(
-        net::chunkOf(lineOf(42, true, json::array({memberOf(2, "active", 1002, 0)})) + "\n"));
+        net::encodeChunk(lineOf(42, true, json::array({memberOf(2, "active", 1002, 0)})) + "\n"));
     ASSERT_TRUE(lists(known ? 3 : 2));
     EXPECT_EQ(watching.directory.all().size(), 1U);
     EXPECT_FALSE(watching.dispatcher.mayReserve({"b9"}));
@@ -825,7 +825,7 @@
   ASSERT_TRUE(watching.until([&] { return agent.hasBytes(); }));
   agent.readSome();
   agent.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
-              net::chunkOf(listOf(41, true, "active")));
+              net::encodeChunk(listOf(41, true, "active")));
   ASSERT_TRUE(watching.until([&] { return watching.counters["discovery.lists"] == 1; }));
   std::vector<std::unique_ptr<RawPeer>> idle;
   for (std::size_t i = 0; i < 2 * limits.clients(); ++i) {
@@ -841,7 +841,7 @@
   for (std::size_t i = 0; i < limits.instances(); ++i) {
     replies.push_back(std::make_shared<Reply>());
     calls.push_back(watching.pool.call(silent.address(), "GET / HTTP/1.1\r\n\r\n", nullptr,
-                                       replies.back(), net::ConnectionPool::Urgency::kFirst));
+                                       replies.back(), net::ConnectionPool::Urgency::kUrgent));
   }
   ASSERT_TRUE(watching.until([&] {
     return std::all_of(replies.begin(), replies.end(),
@@ -937,7 +937,7 @@
           json::parse(lineOf(static_cast<int>(++lists), whole, members)).dump(indented ? 4 : -1) +
           "\n";
       for (std::size_t at = 0, size = 1; at < text.size(); at += size, size = size * 7 % 4099 + 1) {
-        agent.write(net::chunkOf(text.substr(at, size)));
+        agent.write(net::encodeChunk(text.substr(at, size)));
         watching.io.poll();
       }
       ASSERT_TRUE(watching.until([&] { return watching.counters["discovery.lists"] == lists; }));
@@ -949,12 +949,12 @@
       if (i % 2 == 1)
         gone.push_back(memberOf(i, "left", 1000 + i, 0));
     }
-    const Held held = heldBy([&] { tell(true, all); });
+    const HeapUse held = measureHeapUse([&] { tell(true, all); });
     ASSERT_EQ(watching.directory.all().size(), static_cast<std::size_t>(kInstances));
-    std::cout << held.after / kInstances << " bytes an instance listed, at most " << held.most
-              << " while it is read\n";
-    EXPECT_LE(held.after / kInstances, 4096U);
-    EXPECT_LE(held.most, 192U << 20U >> 4U);
+    std::cout << held.retainedBytes / kInstances << " bytes an instance listed, at most "
+              << held.peakBytes << " while it is read\n";
+    EXPECT_LE(held.retainedBytes / kInstances, 4096U);
+    EXPECT_LE(held.peakBytes, 192U << 20U >> 4U);
     tell(false, leaving);
     for (const auto& [id, instance] : watching.directory.all())
       ASSERT_EQ(instance.state, routing::EndpointState::kDraining) << id.value;
--- a/tests/instance_deadline_test.cpp
+++ b/tests/instance_deadline_test.cpp
@@ -176,7 +176,7 @@
   }
   ASSERT_TRUE(next.until([&] { return next.server->counters["streams.taken_over"] == 1; }));
   next.pass(1'000);
-  site.streaming()->connection->pass(kLastEvents);
+  site.streaming()->connection->writeChunk(kLastEvents);
   for (const auto& taken : site.instances["m1"]->taken)
     taken->connection->endStream();
   site.settle();
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -75,7 +75,7 @@
 
 TEST(PoolCalls, AnAnswerThatIsNotHttpIsAReset) {
   Calls calls;
-  EXPECT_EQ(calls.served("220 mail ready\r\n\r\n")->failure, CallFailure::kGarbled);
+  EXPECT_EQ(calls.served("220 mail ready\r\n\r\n")->failure, CallFailure::kInvalidResponse);
   EXPECT_EQ(calls.pool.size(), 0U);
 }
 
@@ -87,7 +87,7 @@
         "HTTP/1.1 200 OK\r\n" + std::string(40'000, 'p'), head + "zz\r\nabc\r\n",
         head + "2\r\nabcdefghi\r\n", head + "c0000000\r\nabc"}) {
     const auto reply = calls.served(answer.c_str());
-    EXPECT_EQ(reply->failure, CallFailure::kGarbled) << answer.substr(0, 60);
+    EXPECT_EQ(reply->failure, CallFailure::kInvalidResponse) << answer.substr(0, 60);
     EXPECT_TRUE(reply->text.empty());
     EXPECT_EQ(calls.pool.size(), 0U);
   }
@@ -108,7 +108,7 @@
     ASSERT_TRUE(calls.until([&] { return calls.timers.next() != seen; })) << answer;
     calls.io.poll();
     calls.pass(801);
-    EXPECT_EQ(reply->failure, CallFailure::kGarbled) << answer;
+    EXPECT_EQ(reply->failure, CallFailure::kInvalidResponse) << answer;
   }
   const auto between = calls.written();  // between two chunks a stream may take its time
   calls.peer.accept();
@@ -375,7 +375,7 @@
   peer.write(kPost);
   ASSERT_TRUE(server.until([&] { return server.asked.size() == 1; }));
   server.asked[0].first->beginStream({});
-  server.asked[0].first->pass(std::string(64 << 20, 'x'));  // more than the kernel takes
+  server.asked[0].first->writeChunk(std::string(64 << 20, 'x'));  // more than the kernel takes
   server.io.poll();
   server.asked[0].first->abortResponse();
   EXPECT_EQ(server.listener.size(), 1U);
@@ -420,7 +420,7 @@
   peer.write(kPost);
   ASSERT_TRUE(server.until([&] { return !server.asked.empty(); }));
   server.asked[0].first->beginStream({});
-  server.asked[0].first->pass("data: x\n\n");
+  server.asked[0].first->writeChunk("data: x\n\n");
   server.asked[0].first->abortResponse();
   const std::string seen = server.lastSeen(peer);
   EXPECT_NE(seen.find("9\r\ndata: x\n\n\r\n"), std::string::npos);
@@ -499,7 +499,7 @@
           [&] { return !peer->ended() && peer->seen.find("whole") != std::string::npos; }));
     } else {
       connection->beginStream({});
-      connection->pass("part");
+      connection->writeChunk("part");
       ASSERT_EQ(connection->state(), ClientConnection::State::kStreaming);
       if (act == 1)
         connection->abortResponse();
--- a/tests/ops_test.cpp
+++ b/tests/ops_test.cpp
@@ -299,12 +299,13 @@
     }
   } planned;
   Stage stage;
-  net::LineServer door(
-      stage.io, anyPort(),
-      net::LineServer::LaterAnswer([&](std::string_view line, net::LineServer::Reply reply) {
-        control::executeAsync(planned, line, std::move(reply));
-      }),
-      stage.clock, stage.timers, stage.counters, {32, control::kMaxMaintenanceLineBytes, 10'000});
+  net::LineServer door(stage.io, anyPort(),
+                       net::LineServer::AsyncHandler(
+                           [&](std::string_view line, net::LineServer::ReplyCallback reply) {
+                             control::executeAsync(planned, line, std::move(reply));
+                           }),
+                       stage.clock, stage.timers, stage.counters,
+                       {32, control::kMaxMaintenanceLineBytes, 10'000});
   const auto answerTo = [&](const std::string& line) {
     RawPeer peer(stage.io);
     peer.connect(door.address());
@@ -392,7 +393,7 @@
   stage.pass(250);
   ASSERT_TRUE(stage.until([&] { return idle.ended(); }));
   EXPECT_FALSE(running.ended());
-  stage.asked[1]->pass("events");
+  stage.asked[1]->writeChunk("events");
   stage.asked[1]->endStream();
   ASSERT_TRUE(stage.until([&] { return running.ended() && stage.listener.size() == 0; }));
   EXPECT_NE(running.seen.find("0\r\n\r\n"), std::string::npos);
--- a/tests/shared_processes_test.cpp
+++ b/tests/shared_processes_test.cpp
@@ -61,8 +61,8 @@
         made.push_back({text.substr(0, text.find(' ')), body["model"],
                         text.substr(text.find(' ') + 1, 8), prompt + answer});
         taken.connection->beginStream({{"Content-Type", "text/event-stream"}});
-        taken.connection->pass(eventOf("yes"));
-        taken.connection->pass(
+        taken.connection->writeChunk(eventOf("yes"));
+        taken.connection->writeChunk(
             "data: "
             "{\"id\":\"c\",\"choices\":[{\"index\":0,\"delta\":{},\"finish_reason\":\"stop\"}]}\n\n"
             "data: {\"id\":\"c\",\"choices\":[],\"usage\":{\"prompt_tokens\":" +
--- a/tests/support/live_bytes.h
+++ b/tests/support/live_bytes.h
@@ -11,17 +11,17 @@
 
 namespace inference_router {
 
-inline std::size_t liveBytes = 0, mostBytes = 0;
+inline std::size_t liveBytes = 0, peakLiveBytes = 0;
 
 // How much more is held at the end of what is done, and at the most meanwhile.
-struct Held {
-  std::size_t after, most;
+struct HeapUse {
+  std::size_t retainedBytes, peakBytes;
 };
 template <class Do>
-Held heldBy(const Do& what) {
-  const std::size_t before = mostBytes = liveBytes;
+HeapUse measureHeapUse(const Do& what) {
+  const std::size_t before = peakLiveBytes = liveBytes;
   what();
-  return {liveBytes > before ? liveBytes - before : 0, mostBytes - before};
+  return {liveBytes > before ? liveBytes - before : 0, peakLiveBytes - before};
 }
 
 }  // namespace inference_router
@@ -31,7 +31,8 @@
   if (at == nullptr)
     throw std::bad_alloc();
   inference_router::liveBytes += malloc_usable_size(at);
-  inference_router::mostBytes = std::max(inference_router::mostBytes, inference_router::liveBytes);
+  inference_router::peakLiveBytes =
+      std::max(inference_router::peakLiveBytes, inference_router::liveBytes);
   return at;
 }
 void operator delete(void* at) noexcept {
--- a/tests/support/platform.h
+++ b/tests/support/platform.h
@@ -18,13 +18,13 @@
                net::HttpRequest&&,
                double) override {
     connection->beginStream({});
-    connection->pass(line);
+    connection->writeChunk(line);
     watches.push_back(connection);
   }
   // To all that watch, in their open answers.
   void tell(const std::string& text) {
     for (const auto& watch : watches)
-      watch->pass(text);
+      watch->writeChunk(text);
   }
   void disconnected(net::ClientConnection&) override {}
   void writable(net::ClientConnection&) override {}
--- a/tests/support/site.h
+++ b/tests/support/site.h
@@ -138,7 +138,7 @@
 // A script that begins a stream and leaves the rest to the test.
 inline void beginOnly(StandInInstance&, StandInInstance::Taken& taken) {
   taken.connection->beginStream({});
-  taken.connection->pass(eventOf("first"));
+  taken.connection->writeChunk(eventOf("first"));
 }
 inline void leaveSilent(StandInInstance&, StandInInstance::Taken&) {}
 
--- a/tests/support/stage.h
+++ b/tests/support/stage.h
@@ -236,8 +236,8 @@
 
 inline void streamWhole(StandInInstance&, StandInInstance::Taken& taken) {
   taken.connection->beginStream({{"Content-Type", "text/event-stream"}});
-  taken.connection->pass(eventOf("Hel") + eventOf("lo"));
-  taken.connection->pass(kLastEvents);
+  taken.connection->writeChunk(eventOf("Hel") + eventOf("lo"));
+  taken.connection->writeChunk(kLastEvents);
   taken.connection->endStream();
 }
 inline void answerRead(StandInInstance&, StandInInstance::Taken& taken) {
--- a/tests/unanswered_requests_test.cpp
+++ b/tests/unanswered_requests_test.cpp
@@ -61,24 +61,24 @@
       const auto take = [&] {
         reader.begin();
         auto progress = reader.read(pair.ends[1], error);
-        while (progress == RequestReader::Progress::kPart && pair.unread() > 0)
+        while (progress == RequestReader::Progress::kIncomplete && pair.unread() > 0)
           progress = reader.read(pair.ends[1], error);
         return progress;
       };
       pair.write(all.substr(0, cut));
       auto progress = take();
-      if (progress != RequestReader::Progress::kWhole) {
+      if (progress != RequestReader::Progress::kComplete) {
         pair.write(all.substr(cut));
-        while (progress != RequestReader::Progress::kWhole)
+        while (progress != RequestReader::Progress::kComplete)
           progress = reader.read(pair.ends[1], error);
         ASSERT_EQ(pair.unread(), static_cast<int>(kRequest.size()));
       } else {
         ASSERT_EQ(pair.unread(), static_cast<int>(cut - request.size()));
         pair.write(all.substr(cut));
       }
-      EXPECT_TRUE(reader.carried().empty());
+      EXPECT_TRUE(reader.buffered().empty());
       EXPECT_EQ(reader.release().body(), "abc");
-      ASSERT_EQ(take(), RequestReader::Progress::kWhole);
+      ASSERT_EQ(take(), RequestReader::Progress::kComplete);
       EXPECT_EQ(reader.release().body(), "abc");
       EXPECT_EQ(pair.unread(), 0);
     }
@@ -89,11 +89,11 @@
   Pair pair;
   RequestReader reader;
   boost::system::error_code error;
-  reader.carry(kRequest + kHalf);
+  reader.appendBuffered(kRequest + kHalf);
   pair.write(kRequest.substr(kHalf.size()) + kRequest);
   for (int i = 0; i < 3; ++i) {
     reader.begin();
-    ASSERT_EQ(reader.read(pair.ends[1], error), RequestReader::Progress::kWhole) << i;
+    ASSERT_EQ(reader.read(pair.ends[1], error), RequestReader::Progress::kComplete) << i;
     EXPECT_EQ(reader.release().body(), "abc");
   }
   EXPECT_EQ(pair.unread(), 0);
@@ -257,7 +257,7 @@
   ASSERT_TRUE(service.until([&] { return service.asked.size() == 1; }));
   service.asked[0]->beginStream({});
   service.listener.drain(0, [] {});
-  service.asked[0]->pass("event");
+  service.asked[0]->writeChunk("event");
   service.asked[0]->endStream();
   ASSERT_TRUE(service.until([&] { return service.asked.size() == 2; }));
   service.asked[1]->answer(200, {}, "second");
@@ -289,7 +289,7 @@
   const auto client = service.client(kRequest + kRequest);
   ASSERT_TRUE(service.until([&] { return service.asked.size() == 1; }));
   service.asked[0]->beginStream({});
-  service.asked[0]->pass("event");
+  service.asked[0]->writeChunk("event");
   ASSERT_TRUE(service.until(
       [&] { return service.sees(*client, "event") && service.asked[0]->transferState(); }));
   for (int i = 0; i < 3; ++i) {
@@ -300,7 +300,7 @@
   int unread = 0;
   ASSERT_EQ(::ioctl(rest->descriptor, FIONREAD, &unread), 0);
   EXPECT_EQ(unread, static_cast<int>(kRequest.size()));
-  EXPECT_TRUE(rest->ahead.empty());
+  EXPECT_TRUE(rest->pipelinedInput.empty());
   service.asked[0]->abortResponse();
   EXPECT_TRUE(service.until([&] { return client->ended(); }));
   EXPECT_EQ(service.asked.size(), 1U);
@@ -340,10 +340,10 @@
     shed.read(all.substr(0, cut));
     shed.read(all.substr(cut));
     EXPECT_EQ(shed.unanswered(), 3U) << cut;
-    EXPECT_TRUE(shed.endsMidway());
+    EXPECT_TRUE(shed.endsMidRequest());
     shed.read(kRequest.substr(kHalf.size()));
     EXPECT_EQ(shed.unanswered(), 3U) << cut;
-    EXPECT_FALSE(shed.endsMidway());
+    EXPECT_FALSE(shed.endsMidRequest());
   }
 }
 
@@ -611,7 +611,7 @@
   ASSERT_TRUE(after.until([&] { return after.server->counters["streams.taken_over"] == 1; }));
   for (auto& [id, instance] : before.instances)
     for (auto& taken : instance->taken) {
-      taken->connection->pass(kLastEvents);
+      taken->connection->writeChunk(kLastEvents);
       taken->connection->endStream();
     }
   ASSERT_TRUE(after.until([&] {
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -93,18 +93,18 @@
   stream.instance = {"box"};
   stream.address = net::Endpoint(boost::asio::ip::make_address("127.0.0.1"), 9001);
   stream.instanceTransfer.call.unread = std::string("\r\n3\r\n\0\xfe", 7);
-  stream.instanceTransfer.call.chunkLeft = 17;
+  stream.instanceTransfer.call.chunkRemaining = 17;
   stream.instanceTransfer.event = "data: \xe2\x82";  // half a character
-  stream.client.ahead = "POST";
+  stream.client.pipelinedInput = "POST";
   stream.client.keepAlive = true;
   const std::string text = app::encode(stream);
   const app::HandedStream back = app::decodeHandedStream(text);
   EXPECT_EQ(back.arrival.session, stream.arrival.session);
   EXPECT_EQ(back.arrival.tenant, stream.arrival.tenant);
   EXPECT_EQ(back.instanceTransfer.call.unread, stream.instanceTransfer.call.unread);
-  EXPECT_EQ(back.instanceTransfer.call.chunkLeft, 17U);
+  EXPECT_EQ(back.instanceTransfer.call.chunkRemaining, 17U);
   EXPECT_EQ(back.instanceTransfer.event, stream.instanceTransfer.event);
-  EXPECT_EQ(back.client.ahead, "POST");
+  EXPECT_EQ(back.client.pipelinedInput, "POST");
   EXPECT_EQ(back.address, stream.address);
   for (std::size_t cut = 0; cut < text.size(); ++cut)
     EXPECT_THROW(app::decodeHandedStream(text.substr(0, cut)), std::exception);
@@ -172,7 +172,7 @@
     for (const auto& [id, instance] : instances)
       for (const auto& taken : instance->taken)
         if (!std::exchange(taken->gone, true)) {
-          taken->connection->pass(eventOf("second") + kLastEvents);
+          taken->connection->writeChunk(eventOf("second") + kLastEvents);
           taken->connection->endStream();
         }
   }
@@ -253,7 +253,7 @@
       if (!hold)
         return streamWhole(at, taken);
       taken.connection->beginStream({{"Content-Type", "text/event-stream"}});
-      taken.connection->pass(eventOf("first"));
+      taken.connection->writeChunk(eventOf("first"));
       held.push_back(&taken);
     };
   const net::Endpoint oldDoor = freePort(), newDoor = freePort();
@@ -310,8 +310,8 @@
   EXPECT_NE(platform.call(newDoor, "telemetry").find("app_active 6\n"), std::string::npos);
   for (std::size_t i = 0; i < kStreams; ++i) {
     EXPECT_FALSE(held[i]->gone);
-    held[i]->connection->pass(eventOf("second"));
-    held[i]->connection->pass(kLastEvents);
+    held[i]->connection->writeChunk(eventOf("second"));
+    held[i]->connection->writeChunk(kLastEvents);
     held[i]->connection->endStream();
     ASSERT_TRUE(platform.until([&] { return streams[i]->ended() || whole(streams[i]->seen); }));
     EXPECT_TRUE(whole(streams[i]->seen)) << streams[i]->seen;
@@ -360,7 +360,7 @@
   for (StandInInstance* instance : {&platform.instance, &platform.other})
     instance->script = [&](StandInInstance&, StandInInstance::Taken& taken) {
       taken.connection->beginStream({{"Content-Type", "text/event-stream"}});
-      taken.connection->pass(eventOf("first"));
+      taken.connection->writeChunk(eventOf("first"));
       held = &taken;
     };
   nlohmann::json file;
@@ -397,7 +397,7 @@
   ASSERT_EQ(platform.call(door, "readyz"), "fail not yet\n");
   ASSERT_NE(held, nullptr);
   EXPECT_FALSE(held->gone);
-  held->connection->pass(eventOf("second") + kLastEvents);
+  held->connection->writeChunk(eventOf("second") + kLastEvents);
   held->connection->endStream();
   ASSERT_TRUE(platform.until([&] { return client.ended(); }));
   EXPECT_TRUE(whole(client.seen)) << client.seen;
@@ -413,7 +413,7 @@
   for (StandInInstance* instance : {&platform.instance, &platform.other})
     instance->script = [&](StandInInstance&, StandInInstance::Taken& taken) {
       taken.connection->beginStream({{"Content-Type", "text/event-stream"}});
-      taken.connection->pass(eventOf("first"));
+      taken.connection->writeChunk(eventOf("first"));
       held.push_back(&taken);
     };
   const net::Endpoint oldDoor = freePort(), newDoor = freePort();
@@ -438,7 +438,7 @@
   platform.programs.kill(fresh);
   for (StandInInstance::Taken* taken : held) {
     EXPECT_FALSE(taken->gone);
-    taken->connection->pass(eventOf("second") + kLastEvents);
+    taken->connection->writeChunk(eventOf("second") + kLastEvents);
     taken->connection->endStream();
   }
   for (const auto& client : clients) {
