--- a/src/net/arrival_times.h
+++ b/src/net/arrival_times.h
@@ -16,10 +16,10 @@
   void add(std::size_t bytes, double atMs) {
     if (bytes == 0)
       return;
-    if (!pieces_.empty() && atMs < pieces_.back().atMs + kMergeMs)
-      pieces_.back().bytes += bytes;
+    if (!segments_.empty() && atMs < segments_.back().atMs + kMergeWindowMs)
+      segments_.back().bytes += bytes;
     else
-      pieces_.push_back({bytes, atMs});
+      segments_.push_back({bytes, atMs});
     bytes_ += bytes;
   }
 
@@ -28,26 +28,26 @@
     bytes = std::min(bytes, bytes_);
     bytes_ -= bytes;
     while (bytes > 0) {
-      const std::size_t part = std::min(bytes, pieces_.front().bytes);
-      pieces_.front().bytes -= part;
-      bytes -= part;
-      if (pieces_.front().bytes == 0)
-        pieces_.pop_front();
+      const std::size_t removed = std::min(bytes, segments_.front().bytes);
+      segments_.front().bytes -= removed;
+      bytes -= removed;
+      if (segments_.front().bytes == 0)
+        segments_.pop_front();
     }
   }
 
-  bool empty() const { return pieces_.empty(); }
+  bool empty() const { return segments_.empty(); }
   std::size_t bytes() const { return bytes_; }
   /// Of the first byte; there has to be one.
-  double firstMs() const { return pieces_.front().atMs; }
+  double firstMs() const { return segments_.front().atMs; }
 
  private:
-  static constexpr double kMergeMs = 20;
-  struct Piece {
+  static constexpr double kMergeWindowMs = 20;
+  struct Segment {
     std::size_t bytes;
     double atMs;
   };
-  std::deque<Piece> pieces_;
+  std::deque<Segment> segments_;
   std::size_t bytes_ = 0;
 };
 
--- a/src/net/call.cpp
+++ b/src/net/call.cpp
@@ -14,22 +14,22 @@
 constexpr std::size_t kReadSize = std::size_t{16} * 1024;
 // A head or chunk comes at once or in quick pieces: one that stops midway this long has a wrong
 // size.
-constexpr double kStalledMs = 800;
+constexpr double kStallTimeoutMs = 800;
 // For a request's last byte to follow its first. Its head tells how long its client waits as of
 // that moment, and a peer that does not read the rest would run it with that time long gone.
-constexpr double kWriteMs = 100;
-constexpr std::size_t kTracedHeadBytes = 160;  // with the request's id in it
+constexpr double kWriteTimeoutMs = 100;
+constexpr std::size_t kMaxTracedHeadBytes = 160;  // with the request's id in it
 
 }  // namespace
 
 Call::Call(ConnectionPool& pool,
-           Endpoint to,
+           Endpoint endpoint,
            std::string head,
            std::shared_ptr<const std::string> body,
            std::shared_ptr<CallSink> sink,
            bool urgent)
     : pool_(pool),
-      to_(std::move(to)),
+      endpoint_(std::move(endpoint)),
       head_(std::move(head)),
       body_(std::move(body)),
       sink_(std::move(sink)),
@@ -99,7 +99,7 @@
 
 void Call::sendRequest() {
   const auto self = shared_from_this();
-  writeTimer_ = pool_.timers_.schedule(pool_.clock_.nowMs() + kWriteMs, [self] {
+  writeTimer_ = pool_.timers_.schedule(pool_.clock_.nowMs() + kWriteTimeoutMs, [self] {
     if (const auto sending = self->sending_.lock())
       sending->cancel();
   });
@@ -134,9 +134,9 @@
     return std::exchange(onPaused_, nullptr)();
   reading_ = true;
   const auto self = shared_from_this();
-  if (parser_.isMidPiece(connection_->buffer))
-    stalledTimer_ = pool_.timers_.schedule(pool_.clock_.nowMs() + kStalledMs,
-                                           [self] { self->fail(CallFailure::kInvalidResponse); });
+  if (parser_.isMidElement(connection_->buffer))
+    stallTimer_ = pool_.timers_.schedule(pool_.clock_.nowMs() + kStallTimeoutMs,
+                                         [self] { self->fail(CallFailure::kInvalidResponse); });
   const auto connection = connection_;  // lives as long as the operation on it
   connection->socket.async_read_some(
       connection->buffer.prepare(kReadSize),
@@ -147,7 +147,7 @@
 
 void Call::received(const boost::system::error_code& error, std::size_t bytes) {
   reading_ = false;
-  stalledTimer_.cancel();
+  stallTimer_.cancel();
   if (state_ == State::kFinished)
     return;
   if (error == boost::asio::error::operation_aborted && onPaused_)
@@ -187,14 +187,14 @@
     pool_.counters_["answers.interim"] += static_cast<std::uint64_t>(interim);
   if (!valid)
     return fail(CallFailure::kInvalidResponse);
-  if (parser_.hasHead() && !headPassed_) {
-    headPassed_ = true;
+  if (parser_.hasHead() && !headDelivered_) {
+    headDelivered_ = true;
     state_ = State::kBody;
     sink->head(parser_.head());
     if (state_ == State::kFinished)
       return;
   }
-  if (headPassed_ && !passBody())
+  if (headDelivered_ && !deliverBody())
     return;
   if (parser_.isComplete())
     return complete();
@@ -202,10 +202,10 @@
 }
 
 // False if the sink has ended the call.
-bool Call::passBody() {
+bool Call::deliverBody() {
   const auto sink = sink_;
-  const std::string part = parser_.takeBody();
-  if (!part.empty() && !sink->body(part))
+  const std::string bytes = parser_.takeBody();
+  if (!bytes.empty() && !sink->body(bytes))
     paused_ = true;
   return state_ != State::kFinished;
 }
@@ -234,9 +234,9 @@
   if (!connection_)
     return false;
   std::array<char, 1> byte{};
-  const IoStatus seen = peek(connection_->socket.native_handle(), byte).status;
-  return seen == IoStatus::kDone ||
-         seen == IoStatus::kNoResources;  // it may have, where nobody can look
+  const IoStatus peeked = peek(connection_->socket.native_handle(), byte).status;
+  return peeked == IoStatus::kDone ||
+         peeked == IoStatus::kNoResources;  // it may have, where nobody can look
 }
 
 // ---- Transfer to another process
@@ -277,7 +277,7 @@
   connection_ = std::move(connection);
   state_ = State::kBody;
   parser_.restore(state.chunkRemaining, state.keepAlive);
-  headPassed_ = true;
+  headDelivered_ = true;
   auto& buffer = connection_->buffer;
   buffer.commit(boost::asio::buffer_copy(buffer.prepare(state.unread.size()),
                                          boost::asio::buffer(state.unread)));
@@ -285,16 +285,16 @@
 
 // ---- End
 
-void Call::fail(CallFailure why) {
+void Call::fail(CallFailure failure) {
   if (state_ == State::kFinished)
     return;
-  constexpr std::array kWhy{"no connection", "reset", "garbled", "withdrawn"};
-  trace(kWhy.at(static_cast<std::size_t>(why)));
+  constexpr std::array kFailureNames{"no connection", "reset", "garbled", "withdrawn"};
+  trace(kFailureNames.at(static_cast<std::size_t>(failure)));
   const auto connection = std::exchange(connection_, nullptr);
   const auto sink = finish();
   if (connection)
     pool_.close(connection);
-  sink->failed(why);
+  sink->failed(failure);
 }
 
 void Call::abandon() {
@@ -311,7 +311,7 @@
   state_ = State::kFinished;
   startTimer_.cancel();
   writeTimer_.cancel();
-  stalledTimer_.cancel();
+  stallTimer_.cancel();
   readRetryTimer_.cancel();
   if (const auto connecting = connecting_.lock())
     connecting->cancel();
@@ -324,7 +324,7 @@
   std::string line = "connection=" + (connection_ ? std::to_string(connection_->number) : "none") +
                      " call=" + (connection_ ? std::to_string(connection_->calls) : "0") + " " +
                      event + (status != 0 ? " " + std::to_string(status) : "") + ": " +
-                     head_.substr(0, kTracedHeadBytes);
+                     head_.substr(0, kMaxTracedHeadBytes);
   std::replace_if(
       line.begin(), line.end(), [](char c) { return c == '\r' || c == '\n'; }, ' ');
   pool_.trace_(line);
--- a/src/net/call.h
+++ b/src/net/call.h
@@ -26,7 +26,7 @@
   enum class State { kWaiting, kConnecting, kWriting, kHead, kBody, kFinished };
 
   Call(ConnectionPool& pool,
-       Endpoint to,
+       Endpoint endpoint,
        std::string head,
        std::shared_ptr<const std::string> body,
        std::shared_ptr<CallSink> sink,
@@ -75,15 +75,15 @@
   void received(const boost::system::error_code& error, std::size_t bytes);
   void retryRead();
   void parse();
-  bool passBody();
+  bool deliverBody();
   void complete();
   void withdraw();
-  void fail(CallFailure why);
+  void fail(CallFailure failure);
   std::shared_ptr<CallSink> finish();
   void trace(const char* event, int status = 0) const;
 
   ConnectionPool& pool_;
-  Endpoint to_;
+  Endpoint endpoint_;
   std::string head_;
   std::shared_ptr<const std::string> body_;
   std::shared_ptr<CallSink> sink_;
@@ -91,7 +91,7 @@
   ResponseParser parser_;
   core::Timer startTimer_;  // until its start, then in line, then while connecting
   core::Timer writeTimer_;
-  core::Timer stalledTimer_;
+  core::Timer stallTimer_;
   core::Timer readRetryTimer_;
   std::weak_ptr<ConnectOperation> connecting_;
   std::weak_ptr<SendOperation> sending_;
@@ -99,7 +99,7 @@
   State state_ = State::kWaiting;
   bool urgent_;
   bool paused_ = false;  // by the sink
-  bool headPassed_ = false;
+  bool headDelivered_ = false;
   bool reading_ = false;
   bool awaitsResources_ = false;  // before it reads again
 };
--- a/src/net/call_sink.h
+++ b/src/net/call_sink.h
@@ -38,7 +38,7 @@
   virtual bool body(std::string_view) { return true; }
   /// The response is complete.
   virtual void done() = 0;
-  virtual void failed(CallFailure why) = 0;
+  virtual void failed(CallFailure failure) = 0;
 };
 
 }  // namespace inference_router::net
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -16,13 +16,16 @@
 
 // A client that cannot ask is owed an error or a close within 3 s of connecting; with 60 MB to
 // send, 6 s.
-constexpr double kFirstRequestMs = 2'000;  // for the first request to arrive, from connecting
-constexpr double kNextRequestMs = 2'000;   // for a later one, from its first byte
-constexpr double kIdleMs = 5'000;       // between two requests: some clients keep theirs for good
-constexpr double kLastRequestMs = 500;  // for one that begins as its time ends or while draining
-constexpr double kMinAgeMs = 100;       // of a new connection, before it can be evicted
-constexpr double kMaxFlushMs = 2'000;   // for what was passed before an abort; 5 s are allowed
-constexpr double kEvictedRetryMs = 1'000;  // told to who is evicted
+constexpr double kFirstRequestTimeoutMs =
+    2'000;                                       // for the first request to arrive, from connecting
+constexpr double kNextRequestTimeoutMs = 2'000;  // for a later one, from its first byte
+constexpr double kIdleTimeoutMs = 5'000;  // between two requests: some clients keep theirs for good
+constexpr double kFinalRequestTimeoutMs =
+    500;                                   // for one that begins as its time ends or while draining
+constexpr double kMinEvictionAgeMs = 100;  // of a new connection, before it can be evicted
+constexpr double kAbortFlushTimeoutMs =
+    2'000;  // for what was passed before an abort; 5 s are allowed
+constexpr double kEvictionRetryAfterMs = 1'000;  // told to who is evicted
 constexpr std::size_t kMaxPendingBytes =
     std::size_t{64} * 1024;  // before the stream of a slow client pauses
 // Requests that stand in line on a connection as it is to close are served up to this number: a
@@ -58,7 +61,7 @@
 void ClientConnection::start() {
   boost::system::error_code ignored;
   socket_.set_option(boost::asio::ip::tcp::no_delay(true), ignored);
-  input_.reserveBuffer();
+  input_.reserveReceiveBuffer();
   connectedMs_ = clock_.nowMs();
   idleSinceMs_ = connectedMs_;
   read();
@@ -73,7 +76,8 @@
 std::optional<ClientConnection::TransferState> ClientConnection::transferState() {
   if (state_ != State::kStreaming || !output_.empty() || !input_.prepareTransfer())
     return std::nullopt;
-  return TransferState{socket_.native_handle(), input_.kept(), input_.keptSinceMs(), keepAlive_};
+  return TransferState{socket_.native_handle(), input_.buffered(), input_.bufferedSinceMs(),
+                       keepAlive_};
 }
 
 // Without a shutdown, which would end the connection for the other process as well.
@@ -106,9 +110,10 @@
   state_ = State::kIdle;
   input_.beginRequest();
   if (input_.hasShed())
-    return readKept();
-  setInputTimeout(hasRequested_ ? kIdleMs : kFirstRequestMs - (clock_.nowMs() - connectedMs_));
-  if (input_.hasKept())
+    return readBuffered();
+  setInputTimeout(hasRequested_ ? kIdleTimeoutMs
+                                : kFirstRequestTimeoutMs - (clock_.nowMs() - connectedMs_));
+  if (input_.hasBuffered())
     return onInput();
   awaitInput();
 }
@@ -139,7 +144,7 @@
   if (state_ == State::kIdle)
     startRequest();
   if (progress == RequestReader::Progress::kComplete)
-    takeRequest();
+    handleRequest();
   else
     awaitInput();
 }
@@ -156,9 +161,9 @@
   state_ = State::kReading;
   if (hasRequested_) {
     owner_.requestStarted(*this);
-    setInputTimeout(kNextRequestMs);
+    setInputTimeout(kNextRequestTimeoutMs);
   } else if (!inputTimer_.armed()) {
-    setInputTimeout(kLastRequestMs);
+    setInputTimeout(kFinalRequestTimeoutMs);
   }
 }
 
@@ -175,7 +180,7 @@
     closeUnlessUnread();
 }
 
-void ClientConnection::takeRequest() {
+void ClientConnection::handleRequest() {
   inputTimer_.cancel();
   HttpRequest request = input_.takeRequest();
   if (!hasUnambiguousLength(request))
@@ -200,17 +205,17 @@
   handler_.reject(*this, refusal->status, refusal->text);
 }
 
-// After a gap nothing that comes can be read: the requests that were kept whole are served in turn,
-// and those behind them refused.
-void ClientConnection::readKept() {
+// After a gap nothing that comes can be read: the requests that were buffered whole are served in
+// turn, and those behind them refused.
+void ClientConnection::readBuffered() {
   boost::system::error_code error;
-  const RequestReader::Progress progress = input_.readKept(error);
+  const RequestReader::Progress progress = input_.readBuffered(error);
   if (input_.unansweredRequests() == 0)
     return closeGracefully();
   input_.countAnswered();
   startRequest();
   if (progress == RequestReader::Progress::kComplete)
-    takeRequest();
+    handleRequest();
   else if (progress == RequestReader::Progress::kFailed)
     refuseInput(error);
   else
@@ -219,7 +224,7 @@
 
 void ClientConnection::refuseShed() {
   inputTimer_.cancel();
-  input_.dropKept();
+  input_.dropBuffered();
   keepAlive_ = input_.unansweredRequests() > 0;
   refusedInput_ = !keepAlive_ && input_.shedEndsMidRequest();
   state_ = State::kAnswering;
@@ -271,12 +276,12 @@
   write(headText("HTTP/1.1 200 OK", fields));
 }
 
-bool ClientConnection::writeChunk(std::string_view part) {
-  if (state_ != State::kStreaming || part.empty())
+bool ClientConnection::writeChunk(std::string_view data) {
+  if (state_ != State::kStreaming || data.empty())
     return true;
-  write(encodeChunk(part));
-  blocked_ = state_ == State::kStreaming && output_.pendingBytes() > kMaxPendingBytes;
-  return !blocked_;
+  write(encodeChunk(data));
+  awaitsWritable_ = state_ == State::kStreaming && output_.pendingBytes() > kMaxPendingBytes;
+  return !awaitsWritable_;
 }
 
 void ClientConnection::endStream() {
@@ -297,7 +302,8 @@
     return closeGracefully();
   // Nothing more comes, so what is left is one time limit's worth, however often some of it gets
   // through.
-  timers_.runAt(clock_.nowMs() + kMaxFlushMs, [self = shared_from_this()] { self->close(); });
+  timers_.runAt(clock_.nowMs() + kAbortFlushTimeoutMs,
+                [self = shared_from_this()] { self->close(); });
 }
 
 void ClientConnection::write(std::string_view bytes) {
@@ -315,7 +321,7 @@
     return;
   if (error)
     return close();
-  if (std::exchange(blocked_, false))
+  if (std::exchange(awaitsWritable_, false))
     handler_.writable(*this);
   flush();
   if (!output_.isWriting() && state_ == State::kFlushing)
@@ -342,7 +348,7 @@
   if (state_ != State::kIdle && state_ != State::kReading)
     return Evictability::kNone;
   if (!hasRequested_) {
-    const bool isNew = clock_.nowMs() - connectedMs_ < kMinAgeMs;
+    const bool isNew = clock_.nowMs() - connectedMs_ < kMinEvictionAgeMs;
     return isNew ? Evictability::kNone : Evictability::kNeverRequested;
   }
   return state_ == State::kIdle ? Evictability::kIdle : Evictability::kNone;
@@ -372,9 +378,9 @@
 // Guards a request, or what has been read of one, against a close without any answer.
 void ClientConnection::refuseAndClose() {
   const std::string response =
-      handler_.refusalResponse(503, "room is needed for other connections", kEvictedRetryMs);
+      handler_.refusalResponse(503, "room is needed for other connections", kEvictionRetryAfterMs);
   if (!sendLastAnswer(socket_.native_handle(), response))
-    owner_.answerCut();
+    owner_.answerTruncated();
   close();
 }
 
@@ -383,8 +389,8 @@
 void ClientConnection::closeIdle() {
   if (state_ != State::kIdle)
     return;
-  if (!hasRequested_ && clock_.nowMs() - connectedMs_ < kMinAgeMs)
-    return setInputTimeout(kLastRequestMs);
+  if (!hasRequested_ && clock_.nowMs() - connectedMs_ < kMinEvictionAgeMs)
+    return setInputTimeout(kFinalRequestTimeoutMs);
   closeUnlessUnread();
 }
 
@@ -406,14 +412,14 @@
 void ClientConnection::close() {
   if (state_ == State::kClosed)
     return;
-  const bool answerOwed = isAnswering() || (state_ == State::kFlushing && !lingeringClose_);
+  const bool answerPending = isAnswering() || (state_ == State::kFlushing && !lingeringClose_);
   state_ = State::kClosed;
   cancelTimers();
   boost::system::error_code ignored;
   socket_.shutdown(boost::asio::ip::tcp::socket::shutdown_both, ignored);
   socket_.close(ignored);
   const auto self = shared_from_this();
-  if (answerOwed)
+  if (answerPending)
     handler_.disconnected(*this);
   owner_.closed(self);
 }
--- a/src/net/client_connection.h
+++ b/src/net/client_connection.h
@@ -33,7 +33,7 @@
     /// Whether connections are to close after their answer.
     virtual bool draining() const = 0;
     /// An answer right before a close could not be written in full.
-    virtual void answerCut() {}
+    virtual void answerTruncated() {}
     virtual void requestStarted(ClientConnection&) {}
     virtual void requestFinished(ClientConnection&) {}
     /// A request carried this client's key.
@@ -63,7 +63,7 @@
   void answer(unsigned status, Fields fields, std::string_view body);
   void beginStream(Fields fields);
   /// Writes a part of the stream. False: enough is pending, until RequestHandler::writable().
-  bool writeChunk(std::string_view part);
+  bool writeChunk(std::string_view data);
   void endStream();
   /// Closes without a last chunk, once what was passed is out.
   void abortResponse();
@@ -106,9 +106,9 @@
   void onInput();
   void retryInput();
   void startRequest();
-  void takeRequest();
+  void handleRequest();
   void refuseInput(const boost::system::error_code& error);
-  void readKept();
+  void readBuffered();
   void refuseShed();
   void setInputTimeout(double afterMs);
   void inputTimedOut();
@@ -140,7 +140,7 @@
   double requestArrivedMs_ = 0;
   int servedWhileDraining_ = 0;
   bool keepAlive_ = true;
-  bool blocked_ = false;  // the handler waits for writable()
+  bool awaitsWritable_ = false;  // the handler waits for writable()
   bool hasRequested_ = false;
   bool refusedInput_ = false;  // what follows belongs to it
 };
--- a/src/net/client_input.cpp
+++ b/src/net/client_input.cpp
@@ -13,18 +13,18 @@
 namespace {
 
 // Bytes that stand unread behind a request whose answer is in progress, and as many of them as are
-// kept once more have come: one of the largest requests that is taken. A client's close shows
+// buffered once more have come: one of the largest requests that is taken. A client's close shows
 // behind unread bytes only while they have room here, and waits in the client's own system
 // otherwise: so there is room for twice as many, and from this number on they are read. Each
-// request that is read and not kept gets a refusal.
-constexpr std::size_t kMaxKeptBytes = kMaxHeadBytes + kMaxBodyBytes;
-constexpr std::size_t kReceiveBufferBytes = 2 * kMaxKeptBytes;
+// request that is read and not buffered gets a refusal.
+constexpr std::size_t kMaxBufferedBytes = kMaxHeadBytes + kMaxBodyBytes;
+constexpr std::size_t kReceiveBufferBytes = 2 * kMaxBufferedBytes;
 // A client that never stops sending must not have the loop to itself.
 constexpr std::size_t kMaxReadAheadBytes = std::size_t{2} * 1024 * 1024;  // until allowed again
 constexpr std::size_t kReadSize = std::size_t{64} * 1024;
 // Bytes that came so long ago stood unread meanwhile; below that it is the usual way of a message,
 // and the system's clock is coarse.
-constexpr double kMinUnreadMs = 100;
+constexpr double kMinUnreadAgeMs = 100;
 
 }  // namespace
 
@@ -36,13 +36,13 @@
 }
 
 // The system may grant less room than is asked for: then reading ahead begins the sooner.
-void ClientInput::reserveBuffer() {
+void ClientInput::reserveReceiveBuffer() {
   readAheadThreshold_ =
-      std::min(kMaxKeptBytes, reserveInput(descriptor(), kReceiveBufferBytes) / 2);
+      std::min(kMaxBufferedBytes, setReceiveBufferSize(descriptor(), kReceiveBufferBytes) / 2);
 }
 
 RequestReader::Progress ClientInput::readRequest(boost::system::error_code& error) {
-  noteArrivals();
+  recordArrivals();
   return reader_.read(descriptor(), error);
 }
 
@@ -57,13 +57,13 @@
   return arrivals_.empty() ? clock_.nowMs() : arrivals_.firstMs();
 }
 
-bool ClientInput::noteArrivals() {
+bool ClientInput::recordArrivals() {
   const std::size_t bytes = reader_.size() + reader_.buffered().size() + unreadSize();
   if (bytes <= arrivals_.bytes())
     return false;
-  const double agoMs = lastArrivalAgoMs(descriptor());
-  const double stoodMs = agoMs > kMinUnreadMs ? agoMs : 0;
-  arrivals_.add(bytes - arrivals_.bytes(), clock_.nowMs() - stoodMs);
+  const double agoMs = msSinceLastReceive(descriptor());
+  const double unreadMs = agoMs > kMinUnreadAgeMs ? agoMs : 0;
+  arrivals_.add(bytes - arrivals_.bytes(), clock_.nowMs() - unreadMs);
   return true;
 }
 
@@ -73,8 +73,8 @@
   if (reader_.peekedBytes() > 0)
     return unreadSize() > 0;
   std::array<char, 1> byte{};
-  const IoStatus seen = peek(descriptor(), byte).status;
-  return seen == IoStatus::kDone || seen == IoStatus::kNoResources;
+  const IoStatus peeked = peek(descriptor(), byte).status;
+  return peeked == IoStatus::kDone || peeked == IoStatus::kNoResources;
 }
 
 // Of what comes next, without bytes that are read already.
@@ -86,26 +86,26 @@
 bool ClientInput::hasNextRequest() const {
   if (shed_)
     return shed_->unanswered() > 0;
-  return hasKept() || hasUnread();
+  return hasBuffered() || hasUnread();
 }
 
 // The second question costs another call, and is needed only where bytes stand before an end.
 bool ClientInput::isPeerPresent() const {
   std::array<char, 1> byte{};
-  const IoStatus seen = peek(descriptor(), byte).status;
-  if (seen == IoStatus::kEnded || seen == IoStatus::kFailed)
+  const IoStatus peeked = peek(descriptor(), byte).status;
+  if (peeked == IoStatus::kEnded || peeked == IoStatus::kFailed)
     return false;
-  return seen == IoStatus::kWouldBlock || !hasPeerEnded(descriptor());
+  return peeked == IoStatus::kWouldBlock || !hasPeerClosed(descriptor());
 }
 
 void ClientInput::setWakeThreshold(std::size_t unread) {
   if (unread == wakeThreshold_)
     return;
   wakeThreshold_ = unread;
-  setReadableFrom(descriptor(), unread);
+  setReceiveLowWatermark(descriptor(), unread);
 }
 
-void ClientInput::wakeOnMore() {
+void ClientInput::wakeOnNextByte() {
   setWakeThreshold(mustReadAhead() ? 1 : unreadBytes(descriptor()) + 1);
 }
 
@@ -122,13 +122,13 @@
     return ReadAhead::kPause;
   std::array<char, kReadSize> bytes;
   const std::size_t size = std::min(bytes.size(), readAheadAllowance_);
-  const IoResult got = receive(descriptor(), std::span(bytes).first(size));
-  if (got.status == IoStatus::kNoResources)
+  const IoResult received = receive(descriptor(), std::span(bytes).first(size));
+  if (received.status == IoStatus::kNoResources)
     return ReadAhead::kPause;
-  if (got.status == IoStatus::kDone) {
-    readAheadAllowance_ -= got.bytes;
+  if (received.status == IoStatus::kDone) {
+    readAheadAllowance_ -= received.bytes;
     if (keep)
-      keepOrShed({bytes.data(), got.bytes});
+      bufferOrShed({bytes.data(), received.bytes});
   }
   return ReadAhead::kContinue;
 }
@@ -137,10 +137,11 @@
   readAheadAllowance_ = kMaxReadAheadBytes;
 }
 
-void ClientInput::keepOrShed(std::string_view bytes) {
+void ClientInput::bufferOrShed(std::string_view bytes) {
   if (shed_)
     return shed_->read(bytes);
-  const std::size_t capacity = kMaxKeptBytes - std::min(kMaxKeptBytes, reader_.buffered().size());
+  const std::size_t capacity =
+      kMaxBufferedBytes - std::min(kMaxBufferedBytes, reader_.buffered().size());
   reader_.appendBuffered(bytes.substr(0, capacity));
   if (bytes.size() <= capacity)
     return;
@@ -149,11 +150,11 @@
   shed_->read(bytes.substr(capacity));
 }
 
-RequestReader::Progress ClientInput::readKept(boost::system::error_code& error) {
+RequestReader::Progress ClientInput::readBuffered(boost::system::error_code& error) {
   return reader_.readBuffered(error);
 }
 
-void ClientInput::dropKept() {
+void ClientInput::dropBuffered() {
   arrivals_ = {};
   reader_.dropBuffered();
   reader_.begin();
@@ -165,15 +166,15 @@
 bool ClientInput::prepareTransfer() {
   if (shed_ || !reader_.consumePeeked(descriptor()))
     return false;
-  noteArrivals();
+  recordArrivals();
   return true;
 }
 
-void ClientInput::adopt(std::string_view kept, double sinceMs) {
-  reader_.appendBuffered(kept);
-  reserveBuffer();
+void ClientInput::adopt(std::string_view buffered, double sinceMs) {
+  reader_.appendBuffered(buffered);
+  reserveReceiveBuffer();
   if (sinceMs > 0)
-    arrivals_.add(kept.size() + unreadBytes(descriptor()), sinceMs);
+    arrivals_.add(buffered.size() + unreadBytes(descriptor()), sinceMs);
 }
 
 }  // namespace inference_router::net
--- a/src/net/client_input.h
+++ b/src/net/client_input.h
@@ -24,7 +24,7 @@
   // ---- The request being read ----
 
   /// Asks the system for a receive buffer in which requests that are sent ahead find room.
-  void reserveBuffer();
+  void reserveReceiveBuffer();
   void beginRequest() { reader_.begin(); }
   /// Reads what has come of the request.
   RequestReader::Progress readRequest(boost::system::error_code& error);
@@ -35,7 +35,7 @@
   /// Notes when the bytes came that are new since the last call. They may have stood in this
   /// machine, with its queue of connections full or this process stopped, and their client's time
   /// went on. Returns whether there are any.
-  bool noteArrivals();
+  bool recordArrivals();
 
   // ---- The socket's state ----
 
@@ -43,7 +43,7 @@
   /// look one may be there: a connection is not closed over it.
   bool hasUnread() const;
   /// Whether bytes were read before their turn and wait for it.
-  bool hasKept() const { return !reader_.buffered().empty(); }
+  bool hasBuffered() const { return !reader_.buffered().empty(); }
   /// Whether another request, or a part of one, has come behind the one taken last.
   bool hasNextRequest() const;
   /// Whether the client has neither closed nor broken the connection, up to this moment.
@@ -51,7 +51,7 @@
   /// The socket counts as readable only with so many bytes unread, or once its peer has ended.
   void setWakeThreshold(std::size_t unread);
   /// The same with the next byte that comes; with any byte while everything is read ahead.
-  void wakeOnMore();
+  void wakeOnNextByte();
   /// Somebody else may have set the socket's threshold.
   void forgetWakeThreshold() { wakeThreshold_ = 0; }
 
@@ -60,37 +60,37 @@
   /// Whether so much is unread that the system may have no room for a close behind it.
   bool mustReadAhead() const;
   enum class ReadAhead { kContinue, kPause };
-  /// Reads a part of what was sent ahead. Up to one request of the largest size is kept, and the
-  /// requests behind it are shed; with keep false all of it is dropped. kPause: not again before
-  /// allowReadAhead().
+  /// Reads a part of what was sent ahead. Up to one request of the largest size is buffered, and
+  /// the requests behind it are shed; with keep false all of it is dropped. kPause: not again
+  /// before allowReadAhead().
   ReadAhead readAhead(bool keep);
   void allowReadAhead();
 
-  // ---- Shed requests: more was sent ahead than is kept ----
+  // ---- Shed requests: more was sent ahead than is buffered ----
 
   bool hasShed() const { return shed_.has_value(); }
   /// Requests of a connection with shed ones that have no answer yet.
   std::size_t unansweredRequests() const { return shed_->unanswered(); }
   bool shedEndsMidRequest() const { return shed_->endsMidRequest(); }
-  void countAnswered() { shed_->answered(); }
-  /// Reads the next request from the kept bytes alone.
-  RequestReader::Progress readKept(boost::system::error_code& error);
-  void dropKept();
+  void countAnswered() { shed_->countAnswered(); }
+  /// Reads the next request from the buffered bytes alone.
+  RequestReader::Progress readBuffered(boost::system::error_code& error);
+  void dropBuffered();
 
   // ---- Transfer to another process ----
 
   /// Whether the connection's input can be taken up elsewhere; brings the arrival times up to date.
   bool prepareTransfer();
-  const std::string& kept() const { return reader_.buffered(); }
+  const std::string& buffered() const { return reader_.buffered(); }
   /// When the first byte of a request to come arrived; 0 if there is none.
-  double keptSinceMs() const { return arrivals_.empty() ? 0 : arrivals_.firstMs(); }
-  /// Takes up another process's input. sinceMs: as keptSinceMs() said there.
-  void adopt(std::string_view kept, double sinceMs);
+  double bufferedSinceMs() const { return arrivals_.empty() ? 0 : arrivals_.firstMs(); }
+  /// Takes up another process's input. sinceMs: as bufferedSinceMs() said there.
+  void adopt(std::string_view buffered, double sinceMs);
 
  private:
   int descriptor() const;
   std::size_t unreadSize() const;
-  void keepOrShed(std::string_view bytes);
+  void bufferOrShed(std::string_view bytes);
 
   boost::asio::ip::tcp::socket& socket_;
   const core::Clock& clock_;
--- a/src/net/connect_operation.cpp
+++ b/src/net/connect_operation.cpp
@@ -39,7 +39,7 @@
 void ConnectOperation::connect() {
   ++context_.counters["links.opened"];
   connection_->socket.async_connect(
-      connection_->to, [self = shared_from_this()](const boost::system::error_code& error) {
+      connection_->endpoint, [self = shared_from_this()](const boost::system::error_code& error) {
         self->connected(error);
       });
 }
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -21,7 +21,7 @@
 
   boost::asio::ip::tcp::socket socket;
   boost::beast::flat_buffer buffer;  ///< bytes that have come and are not parsed yet
-  Endpoint to;                       ///< the default endpoint once the pool has closed it
+  Endpoint endpoint;                 ///< the default endpoint once the pool has closed it
   core::Timer idleTimer;             ///< armed while it is idle: closes it
   double idleSinceMs = 0;
   std::uint64_t number = 0;  ///< of the pool's connections, from one
--- a/src/net/descriptor_transfer.cpp
+++ b/src/net/descriptor_transfer.cpp
@@ -19,7 +19,7 @@
 constexpr std::size_t kMaxDescriptorsPerMessage = 4;
 constexpr std::size_t kMaxPeers = 4;
 constexpr mode_t kOwnerOnly = 0600;
-constexpr std::chrono::milliseconds kRetryPause{20};  // after the system lacked resources
+constexpr std::chrono::milliseconds kRetryDelay{20};  // after the system lacked resources
 
 using ControlBuffer = std::array<char, CMSG_SPACE(sizeof(int) * kMaxDescriptorsPerMessage)>;
 
@@ -110,10 +110,10 @@
 
 ReceiveStatus receive(int socket, ReceivedMessage& received) {
   std::string bytes(DescriptorReceiver::kMaxMessageBytes, '\0');
-  iovec part{bytes.data(), bytes.size()};
+  iovec payload{bytes.data(), bytes.size()};
   alignas(cmsghdr) ControlBuffer control{};
   msghdr message{};
-  message.msg_iov = &part;
+  message.msg_iov = &payload;
   message.msg_iovlen = 1;
   message.msg_control = control.data();
   ssize_t count = 0;
@@ -137,7 +137,7 @@
 class DescriptorReceiver::Peer final : public std::enable_shared_from_this<Peer> {
  public:
   Peer(DescriptorReceiver& owner, FileDescriptor socket)
-      : owner_(&owner), socket_(owner.io_, socket.release()), readPause_(owner.io_) {}
+      : owner_(&owner), socket_(owner.io_, socket.release()), readRetryTimer_(owner.io_) {}
 
   void waitForMessage() {
     socket_.async_wait(boost::asio::posix::stream_descriptor::wait_read,
@@ -160,16 +160,16 @@
         case ReceiveStatus::kNothingYet:
           return waitForMessage();
         case ReceiveStatus::kNoResources:
-          return readAfterPause();
+          return retryReadLater();
         case ReceiveStatus::kClosed:
-          return leave();
+          return disconnect();
         case ReceiveStatus::kTruncated:
           continue;  // of no use; its descriptors close here
         case ReceiveStatus::kReceived:
           // First of all: the sender keeps the message until it is acknowledged, and for good if
           // the acknowledgement does not reach it.
           if (!acknowledge())
-            return leave();
+            return disconnect();
           owner_->onMessage_(std::move(message));
       }
     }
@@ -182,14 +182,14 @@
         return errno == EPIPE || errno == ECONNRESET;
     return true;
   }
-  void leave() {
+  void disconnect() {
     const auto self = shared_from_this();
     owner_->peers_.remove(self);
     close();
   }
-  void readAfterPause() {
-    readPause_.expires_after(kRetryPause);
-    readPause_.async_wait([self = shared_from_this()](const boost::system::error_code& error) {
+  void retryReadLater() {
+    readRetryTimer_.expires_after(kRetryDelay);
+    readRetryTimer_.async_wait([self = shared_from_this()](const boost::system::error_code& error) {
       if (!error && self->owner_ != nullptr)
         self->read();
     });
@@ -197,7 +197,7 @@
 
   DescriptorReceiver* owner_;  // null once closed
   boost::asio::posix::stream_descriptor socket_;
-  boost::asio::steady_timer readPause_;
+  boost::asio::steady_timer readRetryTimer_;
 };
 
 DescriptorReceiver::DescriptorReceiver(boost::asio::io_context& io,
@@ -209,7 +209,7 @@
       name_(std::move(name)),
       onMessage_(std::move(onMessage)),
       listener_(io),
-      acceptPause_(io) {
+      acceptRetryTimer_(io) {
   listen();
 }
 
@@ -247,7 +247,7 @@
   FileDescriptor socket(
       ::accept4(listener_.native_handle(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
   if (!socket && errno != EINTR && errno != EAGAIN && errno != ECONNABORTED)
-    return acceptAfterPause();
+    return retryAcceptLater();
   if (socket && peers_.size() < kMaxPeers && isSameUser(socket.get())) {
     peers_.push_back(std::make_shared<Peer>(*this, std::move(socket)));
     peers_.back()->waitForMessage();
@@ -256,9 +256,9 @@
 }
 
 // A listener that cannot accept stays readable: without a pause it would keep the loop busy.
-void DescriptorReceiver::acceptAfterPause() {
-  acceptPause_.expires_after(kRetryPause);
-  acceptPause_.async_wait([this](const boost::system::error_code& error) {
+void DescriptorReceiver::retryAcceptLater() {
+  acceptRetryTimer_.expires_after(kRetryDelay);
+  acceptRetryTimer_.async_wait([this](const boost::system::error_code& error) {
     if (!error)
       accept();
   });
@@ -278,10 +278,10 @@
   if (!isOpen() || bytes.size() > DescriptorReceiver::kMaxMessageBytes ||
       descriptors.size() > kMaxDescriptorsPerMessage)
     return Result::kBroken;
-  iovec part{const_cast<char*>(bytes.data()), bytes.size()};
+  iovec payload{const_cast<char*>(bytes.data()), bytes.size()};
   alignas(cmsghdr) ControlBuffer control{};
   msghdr message{};
-  message.msg_iov = &part;
+  message.msg_iov = &payload;
   message.msg_iovlen = 1;
   attach(descriptors, control, message);
   while (::sendmsg(socket_.get(), &message, MSG_DONTWAIT | MSG_NOSIGNAL) < 0) {
--- a/src/net/descriptor_transfer.h
+++ b/src/net/descriptor_transfer.h
@@ -48,14 +48,14 @@
   void listen();
   void accept();
   void acceptOne();
-  void acceptAfterPause();
+  void retryAcceptLater();
   std::string socketPath() const { return folder_ + "/" + name_; }
 
   boost::asio::io_context& io_;
   std::string folder_, name_;
   MessageHandler onMessage_;
   boost::asio::posix::stream_descriptor listener_;
-  boost::asio::steady_timer acceptPause_;
+  boost::asio::steady_timer acceptRetryTimer_;
   std::list<std::shared_ptr<Peer>> peers_;
 };
 
--- a/src/net/handshake_filter.cpp
+++ b/src/net/handshake_filter.cpp
@@ -8,7 +8,7 @@
 
 namespace inference_router::net {
 
-void dropNewHandshakes(int listening) {
+void dropNewHandshakes(int listeningDescriptor) {
   constexpr std::uint32_t kFlagsOffset = 13;  // in the TCP header
   constexpr std::uint32_t kSyn = 0x02;
   constexpr std::uint32_t kAck = 0x10;
@@ -20,7 +20,7 @@
       BPF_STMT(BPF_RET | BPF_K, UINT32_MAX),
   }};
   const sock_fprog filter{static_cast<unsigned short>(program.size()), program.data()};
-  ::setsockopt(listening, SOL_SOCKET, SO_ATTACH_FILTER, &filter, sizeof filter);
+  ::setsockopt(listeningDescriptor, SOL_SOCKET, SO_ATTACH_FILTER, &filter, sizeof filter);
 }
 
 }  // namespace inference_router::net
--- a/src/net/line_server.cpp
+++ b/src/net/line_server.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-constexpr double kAcceptPauseMs = 20;  // after accept failed, as when descriptors ran out
+constexpr double kAcceptRetryDelayMs = 20;  // after accept failed, as when descriptors ran out
 constexpr std::size_t kReadSize = 512;
 
 }  // namespace
 
-class LineServer::Caller final : public std::enable_shared_from_this<Caller> {
+class LineServer::Session final : public std::enable_shared_from_this<Session> {
  public:
-  Caller(LineServer& server, boost::asio::ip::tcp::socket socket)
+  Session(LineServer& server, boost::asio::ip::tcp::socket socket)
       : server_(&server), socket_(std::move(socket)) {}
 
   void start() {
@@ -35,7 +35,7 @@
     socket_.close(ignored);
     if (server.descriptorBudget_ != nullptr)
       server.descriptorBudget_->give(admission::Account::kControl);
-    server.callers_.remove(shared_from_this());
+    server.sessions_.remove(shared_from_this());
   }
 
  private:
@@ -58,18 +58,18 @@
 
   // A line ends with its end, or with the caller's sending.
   void parse(bool ended, bool failed) {
-    const bool complete = cutLine() || (ended && !line_.empty());
+    const bool complete = extractLine() || (ended && !line_.empty());
     if (!complete && failed)
       return close();
     if (!complete)
       return read();
     if (!line_.empty() && line_.back() == '\r')
       line_.pop_back();
-    answer(ended);
+    handleLine(ended);
   }
 
   // Whether the line's end, or more than a line may have, has come; what is beyond is dropped.
-  bool cutLine() {
+  bool extractLine() {
     const std::size_t end = line_.find('\n');
     const std::size_t overLimit = server_->limits_.lineBytes + 1;
     if (end == std::string::npos && line_.size() <= overLimit)
@@ -78,10 +78,10 @@
     return true;
   }
 
-  void answer(bool ended) {
+  void handleLine(bool ended) {
     answered_ = true;
     ++server_->counters_["door.calls"];
-    server_->answer_(line_, [weak = weak_from_this(), ended](std::string text) {
+    server_->handler_(line_, [weak = weak_from_this(), ended](std::string text) {
       const auto self = weak.lock();
       if (self && self->server_ != nullptr)
         self->write(std::move(text), ended);
@@ -89,10 +89,10 @@
   }
 
   void write(std::string text, bool ended) {
-    text_ = std::move(text);
+    reply_ = std::move(text);
     const auto self = shared_from_this();
     SendOperation::start(
-        {self, &socket_}, text_, {}, [self, ended](const boost::system::error_code& error) {
+        {self, &socket_}, reply_, {}, [self, ended](const boost::system::error_code& error) {
           if (self->server_ == nullptr)
             return;
           if (error || ended)
@@ -109,21 +109,21 @@
   boost::asio::ip::tcp::socket socket_;
   std::array<char, kReadSize> received_{};
   std::string line_;
-  std::string text_;
+  std::string reply_;
   core::Timer timer_;
   bool answered_ = false;
 };
 
 LineServer::LineServer(boost::asio::io_context& io,
                        const boost::asio::ip::tcp::endpoint& address,
-                       AsyncHandler answer,
+                       AsyncHandler handler,
                        const core::Clock& clock,
                        core::TimerQueue& timers,
                        core::Counters& counters,
                        Limits limits)
     : io_(io),
       acceptor_(io, address, /*reuse_addr=*/true),
-      answer_(std::move(answer)),
+      handler_(std::move(handler)),
       clock_(clock),
       timers_(timers),
       counters_(counters),
@@ -133,8 +133,8 @@
 }
 
 LineServer::~LineServer() {
-  while (!callers_.empty())
-    callers_.front()->close();
+  while (!sessions_.empty())
+    sessions_.front()->close();
 }
 
 void LineServer::accept() {
@@ -150,7 +150,8 @@
   const bool lacksResources =
       next.status == AcceptStatus::kNoDescriptors || next.status == AcceptStatus::kNoResources;
   if (lacksResources) {
-    pauseTimer_ = timers_.schedule(clock_.nowMs() + kAcceptPauseMs, [this] { accept(); });
+    acceptRetryTimer_ =
+        timers_.schedule(clock_.nowMs() + kAcceptRetryDelayMs, [this] { accept(); });
     return;
   }
   if (next.status == AcceptStatus::kAccepted)
@@ -163,14 +164,14 @@
   if (assign(socket, acceptor_.local_endpoint().protocol(), descriptor))
     return;
   // Callers that never finish hold up nobody: the first of them goes.
-  if (callers_.size() >= limits_.connections) {
+  if (sessions_.size() >= limits_.connections) {
     ++counters_["door.made_room"];
-    callers_.front()->close();
+    sessions_.front()->close();
   }
   if (descriptorBudget_ != nullptr)
     descriptorBudget_->force(admission::Account::kControl);
-  callers_.push_back(std::make_shared<Caller>(*this, std::move(socket)));
-  callers_.back()->start();
+  sessions_.push_back(std::make_shared<Session>(*this, std::move(socket)));
+  sessions_.back()->start();
 }
 
 }  // namespace inference_router::net
--- a/src/net/line_server.h
+++ b/src/net/line_server.h
@@ -35,23 +35,23 @@
   /// Throws boost::system::system_error if the address cannot be listened on.
   LineServer(boost::asio::io_context& io,
              const boost::asio::ip::tcp::endpoint& address,
-             AsyncHandler answer,
+             AsyncHandler handler,
              const core::Clock& clock,
              core::TimerQueue& timers,
              core::Counters& counters,
              Limits limits);
   LineServer(boost::asio::io_context& io,
              const boost::asio::ip::tcp::endpoint& address,
-             Handler answer,
+             Handler handler,
              const core::Clock& clock,
              core::TimerQueue& timers,
              core::Counters& counters,
              Limits limits)
       : LineServer(io,
                    address,
-                   AsyncHandler([answer = std::move(answer)](std::string_view line,
-                                                             const ReplyCallback& reply) {
-                     reply(answer(line));
+                   AsyncHandler([handler = std::move(handler)](std::string_view line,
+                                                               const ReplyCallback& reply) {
+                     reply(handler(line));
                    }),
                    clock,
                    timers,
@@ -59,22 +59,22 @@
                    limits) {}
   LineServer(boost::asio::io_context& io,
              const boost::asio::ip::tcp::endpoint& address,
-             Handler answer,
+             Handler handler,
              const core::Clock& clock,
              core::TimerQueue& timers,
              core::Counters& counters)
-      : LineServer(io, address, std::move(answer), clock, timers, counters, Limits{}) {}
+      : LineServer(io, address, std::move(handler), clock, timers, counters, Limits{}) {}
   ~LineServer();
 
   boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
-  std::size_t size() const { return callers_.size(); }
+  std::size_t size() const { return sessions_.size(); }
   /// Where its descriptors are accounted for; those open already are not.
   void accountTo(admission::DescriptorBudget& descriptorBudget) {
     descriptorBudget_ = &descriptorBudget;
   }
 
  private:
-  class Caller;
+  class Session;
 
   void accept();
   void acceptOne();
@@ -82,13 +82,13 @@
 
   boost::asio::io_context& io_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  AsyncHandler answer_;
+  AsyncHandler handler_;
   const core::Clock& clock_;
   core::TimerQueue& timers_;
   core::Counters& counters_;
   Limits limits_;
-  std::list<std::shared_ptr<Caller>> callers_;  // in the order they came
-  core::Timer pauseTimer_;
+  std::list<std::shared_ptr<Session>> sessions_;  // in the order they came
+  core::Timer acceptRetryTimer_;
   admission::DescriptorBudget* descriptorBudget_ = nullptr;
 };
 
--- a/src/net/lingering_close.cpp
+++ b/src/net/lingering_close.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr double kLingerMs = 500;  // for a client to close, once it has been told of the end
+constexpr double kLingerTimeoutMs = 500;  // for a client to close, once it has been told of the end
 constexpr std::size_t kMaxDiscardedBytes = std::size_t{256} * 1024;  // until then
 constexpr std::size_t kReadSize = std::size_t{8} * 1024;
 
@@ -19,14 +19,14 @@
                            core::TimerQueue& timers) {
   boost::system::error_code ignored;
   socket_.shutdown(boost::asio::ip::tcp::socket::shutdown_send, ignored);
-  timer_ = timers.schedule(clock.nowMs() + kLingerMs, [this, owner] { onDone_(); });
+  timer_ = timers.schedule(clock.nowMs() + kLingerTimeoutMs, [this, owner] { onDone_(); });
   awaitInput(owner);
 }
 
 void LingeringClose::awaitInput(const std::shared_ptr<void>& owner) {
   socket_.async_wait(boost::asio::ip::tcp::socket::wait_read,
                      [this, owner](const boost::system::error_code& error) {
-                       if (!ended_)
+                       if (!cancelled_)
                          onInput(owner, /*failed=*/static_cast<bool>(error));
                      });
 }
@@ -44,14 +44,14 @@
 // True once the client has ended, or has sent too much.
 bool LingeringClose::discardInput() {
   std::array<char, kReadSize> dropped;
-  const IoResult got = receive(socket_.native_handle(), dropped);
-  discardedBytes_ += got.bytes;
-  return got.status == IoStatus::kEnded || got.status == IoStatus::kFailed ||
+  const IoResult received = receive(socket_.native_handle(), dropped);
+  discardedBytes_ += received.bytes;
+  return received.status == IoStatus::kEnded || received.status == IoStatus::kFailed ||
          discardedBytes_ > kMaxDiscardedBytes;
 }
 
 void LingeringClose::cancel() {
-  ended_ = true;
+  cancelled_ = true;
   timer_.cancel();
 }
 
--- a/src/net/lingering_close.h
+++ b/src/net/lingering_close.h
@@ -44,7 +44,7 @@
   std::function<void()> onDone_;
   core::Timer timer_;
   std::size_t discardedBytes_ = 0;
-  bool ended_ = false;
+  bool cancelled_ = false;
 };
 
 }  // namespace inference_router::net
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -12,11 +12,12 @@
 
 namespace {
 
-constexpr double kAcceptPauseMs = 20;   // after accept failed, as when descriptors ran out
-constexpr double kHandshakeMs = 5;      // for handshakes in progress as no further ones are taken
-constexpr int kMaxAcceptsPerTurn = 64;  // of the loop
-constexpr int kMaxAbortedInRow = 16;    // that have gone before they were accepted
-constexpr double kMaxQueueMs = 3'000;   // for a closing listener to empty its accept queue
+constexpr double kAcceptRetryDelayMs = 20;  // after accept failed, as when descriptors ran out
+constexpr double kHandshakeGraceMs =
+    5;  // for handshakes in progress as no further ones are accepted
+constexpr int kMaxAcceptsPerTurn = 64;      // of the loop
+constexpr int kMaxAbortedInRow = 16;        // that have gone before they were accepted
+constexpr double kMaxQueueDrainMs = 3'000;  // for a closing listener to empty its accept queue
 // After an evacuation the front layer learns within 0.1 s that it is to stop and sends for 0.2 s
 // more: idle connections are left until then, and looked at again as others fall idle.
 constexpr double kFirstSweepMs = 400;
@@ -24,10 +25,11 @@
 
 admission::Address addressOf(const boost::asio::ip::tcp::endpoint& peer) {
   admission::Address address;
-  const auto six = peer.address().is_v6() ? peer.address().to_v6()
-                                          : boost::asio::ip::make_address_v6(
-                                                boost::asio::ip::v4_mapped, peer.address().to_v4());
-  const auto bytes = six.to_bytes();
+  const auto addressV6 =
+      peer.address().is_v6()
+          ? peer.address().to_v6()
+          : boost::asio::ip::make_address_v6(boost::asio::ip::v4_mapped, peer.address().to_v4());
+  const auto bytes = addressV6.to_bytes();
   std::copy(bytes.begin(), bytes.end(), address.bytes.begin());
   return address;
 }
@@ -100,13 +102,13 @@
 
 // closed() accepts again, and so does time, which makes more connections evictable.
 void Listener::acceptLater() {
-  timers_.runAt(clock_.nowMs() + kAcceptPauseMs, [this] { accept(); });
+  timers_.runAt(clock_.nowMs() + kAcceptRetryDelayMs, [this] { accept(); });
 }
 
 // What one turn admits is bounded, so that a flood of connections does not have the loop to itself.
 void Listener::acceptReady() {
   int aborted = 0;
-  for (int taken = 0; taken < kMaxAcceptsPerTurn && isOpen() && hasCapacity(); ++taken) {
+  for (int accepted = 0; accepted < kMaxAcceptsPerTurn && isOpen() && hasCapacity(); ++accepted) {
     const AcceptResult next = acceptNext(acceptor_.native_handle());
     if (next.status == AcceptStatus::kNoneWaiting)
       break;
@@ -124,17 +126,17 @@
 }
 
 // All causes pass with time. Never a busy loop.
-void Listener::pauseAccepting(AcceptStatus why) {
+void Listener::pauseAccepting(AcceptStatus status) {
   if (closed_)
     return;
   ++counters_["clients.accept_failed"];
-  if (why == AcceptStatus::kNoDescriptors) {
+  if (status == AcceptStatus::kNoDescriptors) {
     if (descriptorBudget_ != nullptr)
       descriptorBudget_->ranOut(clock_.nowMs());
-    refusals_.refuseOnSpare(acceptor_.native_handle());
+    refusals_.refuseWithSpareDescriptor(acceptor_.native_handle());
   }
   accepting_ = true;  // until then no other path tries
-  timers_.runAt(clock_.nowMs() + kAcceptPauseMs, [this] {
+  timers_.runAt(clock_.nowMs() + kAcceptRetryDelayMs, [this] {
     accepting_ = false;
     accept();
   });
@@ -293,11 +295,11 @@
 void Listener::drain(double acceptForMs, std::function<void()> done) {
   if (draining_)
     return;
-  done_ = std::move(done);
+  onDrained_ = std::move(done);
   draining_ = true;
   if (acceptForMs <= 0)
     return stopListening();
-  timers_.runAt(clock_.nowMs() + std::max(0.0, acceptForMs - kHandshakeMs), [this] {
+  timers_.runAt(clock_.nowMs() + std::max(0.0, acceptForMs - kHandshakeGraceMs), [this] {
     if (isOpen())
       dropNewHandshakes(acceptor_.native_handle());
   });
@@ -308,9 +310,9 @@
   if (isOpen()) {
     dropNewHandshakes(acceptor_.native_handle());
     const double now = clock_.nowMs();
-    if (!closesByMs_)
-      closesByMs_ = now + kMaxQueueMs;
-    if (!emptyAcceptQueue() && now < *closesByMs_) {
+    if (!closeDeadlineMs_)
+      closeDeadlineMs_ = now + kMaxQueueDrainMs;
+    if (!emptyAcceptQueue() && now < *closeDeadlineMs_) {
       timers_.runAt(now + kResourceRetryMs, [this] { stopListening(); });
       return;
     }
@@ -340,7 +342,7 @@
         ++aborted;
         break;
       case AcceptStatus::kNoDescriptors:
-        while (refusals_.refuseOnSpare(acceptor_.native_handle())) {
+        while (refusals_.refuseWithSpareDescriptor(acceptor_.native_handle())) {
         }
         return false;
       case AcceptStatus::kNoResources:
@@ -352,9 +354,9 @@
 }
 
 void Listener::finishIfDone() {
-  if (!closed_ || !connections_.empty() || !done_)
+  if (!closed_ || !connections_.empty() || !onDrained_)
     return;
-  boost::asio::post(io_, std::exchange(done_, nullptr));
+  boost::asio::post(io_, std::exchange(onDrained_, nullptr));
 }
 
 }  // namespace inference_router::net
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -81,7 +81,7 @@
 
   void closed(const std::shared_ptr<ClientConnection>& connection) override;
   bool draining() const override { return closed_ || evacuated_; }
-  void answerCut() override { ++counters_["answers.cut"]; }
+  void answerTruncated() override { ++counters_["answers.cut"]; }
   void requestStarted(ClientConnection& connection) override;
   void requestFinished(ClientConnection& connection) override;
   void identified(ClientConnection& connection, const std::string& keyName) override;
@@ -90,7 +90,7 @@
   void accept();
   void acceptReady();
   void acceptLater();
-  void pauseAccepting(AcceptStatus why);
+  void pauseAccepting(AcceptStatus status);
   bool hasCapacity() const;
   void admitDescriptor(int descriptor);
   void admitOrRefuse(boost::asio::ip::tcp::socket socket);
@@ -118,8 +118,8 @@
   std::map<admission::ConnectionId, std::weak_ptr<ClientConnection>> admitted_;
   RefusalSender refusals_;
   core::Timer sweepTimer_;
-  std::function<void()> done_;
-  std::optional<double> closesByMs_;  // whether or not its accept queue is empty by then
+  std::function<void()> onDrained_;
+  std::optional<double> closeDeadlineMs_;  // whether or not its accept queue is empty by then
   bool opened_ = false;
   bool accepting_ = false;  // an operation or a pause is pending
   bool draining_ = false;
--- a/src/net/message.cpp
+++ b/src/net/message.cpp
@@ -39,12 +39,12 @@
   return head;
 }
 
-std::string encodeChunk(std::string_view part) {
+std::string encodeChunk(std::string_view data) {
   std::array<char, 16> size{};
-  const auto written = std::to_chars(size.data(), size.data() + size.size(), part.size(), 16);
+  const auto written = std::to_chars(size.data(), size.data() + size.size(), data.size(), 16);
   std::string chunk(size.data(), written.ptr);
   chunk += "\r\n";
-  chunk += part;
+  chunk += data;
   chunk += "\r\n";
   return chunk;
 }
--- a/src/net/message.h
+++ b/src/net/message.h
@@ -23,7 +23,7 @@
 std::string withFields(std::string head, const Fields& fields);
 
 /// One chunk of a chunked body.
-std::string encodeChunk(std::string_view part);
+std::string encodeChunk(std::string_view data);
 /// Ends a chunked body.
 inline constexpr std::string_view kLastChunk = "0\r\n\r\n";
 
--- a/src/net/peer_watch.cpp
+++ b/src/net/peer_watch.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-constexpr double kRetryMs = 20;  // between two looks at a client of whom no event tells
+constexpr double kRetryDelayMs = 20;  // between two looks at a client of whom no event tells
 
 }  // namespace
 
@@ -12,8 +12,8 @@
   if (pending_ || !callbacks_.isAnswering())
     return;
   pending_ = true;
-  input_.noteArrivals();
-  input_.wakeOnMore();
+  input_.recordArrivals();
+  input_.wakeOnNextByte();
   socket_.async_wait(boost::asio::ip::tcp::socket::wait_read,
                      [this, owner](const boost::system::error_code& error) {
                        pending_ = false;
@@ -24,8 +24,8 @@
 
 void PeerWatch::onEvent(const std::shared_ptr<void>& owner) {
   if (!input_.isPeerPresent())
-    return callbacks_.onGone();
-  const bool more = input_.noteArrivals();
+    return callbacks_.onDisconnected();
+  const bool more = input_.recordArrivals();
   if (input_.mustReadAhead())
     return readAhead(owner);
   if (more)
@@ -37,17 +37,17 @@
 }
 
 void PeerWatch::readAhead(const std::shared_ptr<void>& owner) {
-  if (input_.readAhead(callbacks_.keepsAhead()) == ClientInput::ReadAhead::kPause)
+  if (input_.readAhead(callbacks_.keepsReadAhead()) == ClientInput::ReadAhead::kPause)
     return startLater(owner);
   start(owner);
 }
 
 void PeerWatch::startLater(const std::shared_ptr<void>& owner) {
-  timer_ = timers_.schedule(clock_.nowMs() + kRetryMs, [this, owner] {
+  timer_ = timers_.schedule(clock_.nowMs() + kRetryDelayMs, [this, owner] {
     if (!callbacks_.isAnswering())
       return;
     if (!input_.isPeerPresent())
-      return callbacks_.onGone();
+      return callbacks_.onDisconnected();
     input_.allowReadAhead();
     start(owner);
   });
--- a/src/net/peer_watch.h
+++ b/src/net/peer_watch.h
@@ -17,9 +17,9 @@
 class PeerWatch {
  public:
   struct Callbacks {
-    std::function<bool()> isAnswering;  ///< else the watch ends by itself
-    std::function<bool()> keepsAhead;   ///< whether what is read ahead is to be served
-    std::function<void()> onGone;       ///< the client has closed or broken the connection
+    std::function<bool()> isAnswering;     ///< else the watch ends by itself
+    std::function<bool()> keepsReadAhead;  ///< whether what is read ahead is to be served
+    std::function<void()> onDisconnected;  ///< the client has closed or broken the connection
   };
 
   PeerWatch(boost::asio::ip::tcp::socket& socket,
--- a/src/net/pool.cpp
+++ b/src/net/pool.cpp
@@ -31,15 +31,15 @@
     connection->idleTimer.cancel();
 }
 
-std::shared_ptr<Call> ConnectionPool::call(const Endpoint& to,
+std::shared_ptr<Call> ConnectionPool::call(const Endpoint& endpoint,
                                            std::string head,
                                            std::shared_ptr<const std::string> body,
                                            std::shared_ptr<CallSink> sink,
                                            Urgency urgency,
                                            double afterMs) {
   const bool urgent = urgency == Urgency::kUrgent;
-  auto call =
-      std::make_shared<Call>(*this, to, std::move(head), std::move(body), std::move(sink), urgent);
+  auto call = std::make_shared<Call>(*this, endpoint, std::move(head), std::move(body),
+                                     std::move(sink), urgent);
   if (clock_.nowMs() >= afterMs)
     enqueue(call);
   else
@@ -61,7 +61,7 @@
 }
 
 bool ConnectionPool::tryStart(const std::shared_ptr<Call>& call) {
-  if (auto connection = takeIdle(call->to_)) {
+  if (auto connection = takeIdle(call->endpoint_)) {
     call->start(std::move(connection), /*isNew=*/false);
     return true;
   }
@@ -70,7 +70,7 @@
     closeOldestIdle();
   if (!hasCapacity(urgency))
     return false;
-  auto connection = newConnection(call->to_);
+  auto connection = newConnection(call->endpoint_);
   if (descriptorBudget_ != nullptr)
     descriptorBudget_->take(account_);
   call->start(std::move(connection), /*isNew=*/true);
@@ -87,34 +87,34 @@
          (descriptorBudget_ == nullptr || descriptorBudget_->may(account_));
 }
 
-std::shared_ptr<Connection> ConnectionPool::newConnection(const Endpoint& to) {
+std::shared_ptr<Connection> ConnectionPool::newConnection(const Endpoint& endpoint) {
   auto connection = std::make_shared<Connection>(io_);
-  connection->to = to;
-  connection->number = ++connectionsMade_;
+  connection->endpoint = endpoint;
+  connection->number = ++createdConnections_;
   ++openConnections_;
   return connection;
 }
 
-std::shared_ptr<Call> ConnectionPool::adopt(const Endpoint& from,
+std::shared_ptr<Call> ConnectionPool::adopt(const Endpoint& endpoint,
                                             const Call::TransferState& state,
                                             std::shared_ptr<CallSink> sink) {
   boost::asio::ip::tcp::socket socket(io_);
-  if (assign(socket, from.protocol(), state.descriptor))
+  if (assign(socket, endpoint.protocol(), state.descriptor))
     return nullptr;
-  auto connection = newConnection(from);
+  auto connection = newConnection(endpoint);
   connection->socket = std::move(socket);
   if (descriptorBudget_ != nullptr)
     descriptorBudget_->force(account_);
-  auto call = std::make_shared<Call>(*this, from, std::string(), nullptr, std::move(sink));
+  auto call = std::make_shared<Call>(*this, endpoint, std::string(), nullptr, std::move(sink));
   call->adopt(std::move(connection), state);
   return call;
 }
 
 // The one used last: it is the least likely to be closed, and the others can age and go.
-std::shared_ptr<Connection> ConnectionPool::takeIdle(const Endpoint& to) {
+std::shared_ptr<Connection> ConnectionPool::takeIdle(const Endpoint& endpoint) {
   for (auto it = idle_.end(); it != idle_.begin();) {
     --it;
-    if ((*it)->to != to || clock_.nowMs() < (*it)->idleSinceMs + kMinIdleMs)
+    if ((*it)->endpoint != endpoint || clock_.nowMs() < (*it)->idleSinceMs + kMinIdleMs)
       continue;
     auto connection = *it;
     it = idle_.erase(it);
@@ -130,9 +130,9 @@
   return nullptr;
 }
 
-bool ConnectionPool::hasIdle(const Endpoint& to) const {
+bool ConnectionPool::hasIdle(const Endpoint& endpoint) const {
   return std::any_of(idle_.begin(), idle_.end(),
-                     [&](const auto& connection) { return connection->to == to; });
+                     [&](const auto& connection) { return connection->endpoint == endpoint; });
 }
 
 void ConnectionPool::release(const std::shared_ptr<Connection>& connection) {
@@ -158,22 +158,22 @@
 }
 
 void ConnectionPool::close(const std::shared_ptr<Connection>& connection) {
-  if (connection->to == Endpoint())
+  if (connection->endpoint == Endpoint())
     return;  // closed before
   idle_.remove(connection);
   connection->idleTimer.cancel();
   boost::system::error_code ignored;
   connection->socket.close(ignored);
-  connection->to = Endpoint();
+  connection->endpoint = Endpoint();
   --openConnections_;
   if (descriptorBudget_ != nullptr)
     descriptorBudget_->give(account_);
   serveWaiting();
 }
 
-void ConnectionPool::dropIdle(const Endpoint& to) {
+void ConnectionPool::dropIdle(const Endpoint& endpoint) {
   for (const auto& connection : std::vector(idle_.begin(), idle_.end()))
-    if (connection->to == to)
+    if (connection->endpoint == endpoint)
       close(connection);
 }
 
@@ -186,11 +186,11 @@
 
 // Later, not from within whoever released a connection.
 void ConnectionPool::serveWaiting() {
-  if (serving_ || waiting_.empty())
+  if (serveScheduled_ || waiting_.empty())
     return;
-  serving_ = true;
+  serveScheduled_ = true;
   boost::asio::post(io_, [this] {
-    serving_ = false;
+    serveScheduled_ = false;
     while (!waiting_.empty()) {
       const auto call = waiting_.front();
       if (call->state() == Call::State::kWaiting && !tryStart(call))
--- a/src/net/pool.h
+++ b/src/net/pool.h
@@ -44,7 +44,7 @@
   /// Begins a call; it does not queue for a connection before afterMs of the clock. One that has
   /// not got a connection within the connect timeout is withdrawn: to whoever counts when it was
   /// sent, waiting here is the same as a connection attempt that hangs.
-  std::shared_ptr<Call> call(const Endpoint& to,
+  std::shared_ptr<Call> call(const Endpoint& endpoint,
                              std::string head,
                              std::shared_ptr<const std::string> body,
                              std::shared_ptr<CallSink> sink,
@@ -52,12 +52,12 @@
                              double afterMs = 0);
   /// Takes up what another process left off and owns the descriptor from now on, also if it cannot
   /// be used: nothing then. The call goes on with unpause().
-  std::shared_ptr<Call> adopt(const Endpoint& from,
+  std::shared_ptr<Call> adopt(const Endpoint& endpoint,
                               const Call::TransferState& state,
                               std::shared_ptr<CallSink> sink);
   /// Closes the idle connections to this endpoint.
-  void dropIdle(const Endpoint& to);
-  bool hasIdle(const Endpoint& to) const;
+  void dropIdle(const Endpoint& endpoint);
+  bool hasIdle(const Endpoint& endpoint) const;
   void setConnectTimeout(double ms) { limits_.connectTimeoutMs = ms; }
   /// Idle connections above the new limit close, busy ones finish their call first.
   void setMaxConnections(std::size_t connections);
@@ -78,8 +78,8 @@
   bool tryStart(const std::shared_ptr<Call>& call);
   std::size_t reservedForUrgent() const;
   bool hasCapacity(Urgency urgency) const;
-  std::shared_ptr<Connection> newConnection(const Endpoint& to);
-  std::shared_ptr<Connection> takeIdle(const Endpoint& to);
+  std::shared_ptr<Connection> newConnection(const Endpoint& endpoint);
+  std::shared_ptr<Connection> takeIdle(const Endpoint& endpoint);
   void release(const std::shared_ptr<Connection>& connection);
   void closeOldestIdle();
   void close(const std::shared_ptr<Connection>& connection);
@@ -95,9 +95,9 @@
   admission::DescriptorBudget* descriptorBudget_ = nullptr;
   admission::Account account_ = admission::Account::kInstances;
   std::function<void(const std::string&)> trace_;
-  std::uint64_t connectionsMade_ = 0;
+  std::uint64_t createdConnections_ = 0;
   std::size_t openConnections_ = 0;
-  bool serving_ = false;
+  bool serveScheduled_ = false;
 };
 
 }  // namespace inference_router::net
--- a/src/net/refusal_sender.cpp
+++ b/src/net/refusal_sender.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-constexpr double kRetryMs = 1'000;      // told to who is refused without a decision
-constexpr int kMaxRefusedOnSpare = 16;  // in one call
+constexpr double kRetryAfterMs = 1'000;  // told to who is refused without a decision
+constexpr int kMaxSpareRefusals = 16;    // in one call
 constexpr unsigned kTooManyRequests = 429;
 constexpr unsigned kServiceUnavailable = 503;
 
@@ -38,47 +38,48 @@
       statusFor(decision.reason), "too many connections: " + reason, decision.retryAfterMs);
   if (!pending_.reserve()) {
     ++counters_["admission.closed_at_once"];
-    return sendLast(socket.native_handle(), response);
+    return sendRefusal(socket.native_handle(), response);
   }
   if (sendAvailable(socket.native_handle(), response).status != IoStatus::kDone)
-    countCut();
+    countTruncated();
   pending_.add(std::move(socket));
 }
 
 void RefusalSender::refuseAtLimit(boost::asio::ip::tcp::socket& socket) {
   ++counters_["clients.turned_away"];
-  sendLast(socket.native_handle(),
-           handler_.refusalResponse(kServiceUnavailable, "too many connections", kRetryMs));
+  sendRefusal(socket.native_handle(),
+              handler_.refusalResponse(kServiceUnavailable, "too many connections", kRetryAfterMs));
 }
 
-bool RefusalSender::refuseOnSpare(int listening) {
+bool RefusalSender::refuseWithSpareDescriptor(int listeningDescriptor) {
   const std::string response = handler_.refusalResponse(
-      kServiceUnavailable, "no descriptor is left for another connection", kRetryMs);
-  for (int i = 0; i < kMaxRefusedOnSpare && spare_.hold(); ++i)
-    if (!refuseNextOnSpare(listening, response))
+      kServiceUnavailable, "no descriptor is left for another connection", kRetryAfterMs);
+  for (int i = 0; i < kMaxSpareRefusals && spare_.acquire(); ++i)
+    if (!refuseNextWithSpareDescriptor(listeningDescriptor, response))
       return false;
   return spare_.isHeld();
 }
 
 // The spare descriptor may not be had again at the moment in which it was given up.
-bool RefusalSender::refuseNextOnSpare(int listening, const std::string& response) {
-  spare_.giveUp();
-  const AcceptResult next = acceptNext(listening);
+bool RefusalSender::refuseNextWithSpareDescriptor(int listeningDescriptor,
+                                                  const std::string& response) {
+  spare_.release();
+  const AcceptResult next = acceptNext(listeningDescriptor);
   if (next.status == AcceptStatus::kAccepted) {
     ++counters_["admission.refused.descriptors"];
-    sendLast(next.descriptor, response);
+    sendRefusal(next.descriptor, response);
     ::close(next.descriptor);
   }
-  spare_.hold();
+  spare_.acquire();
   return next.status == AcceptStatus::kAccepted || next.status == AcceptStatus::kAborted;
 }
 
-void RefusalSender::sendLast(int descriptor, const std::string& response) {
+void RefusalSender::sendRefusal(int descriptor, const std::string& response) {
   if (!sendLastAnswer(descriptor, response))
-    countCut();
+    countTruncated();
 }
 
-void RefusalSender::countCut() {
+void RefusalSender::countTruncated() {
   ++counters_["answers.cut"];
 }
 
--- a/src/net/refusal_sender.h
+++ b/src/net/refusal_sender.h
@@ -30,14 +30,14 @@
   void refuseAtLimit(boost::asio::ip::tcp::socket& socket);
   /// Refuses clients that wait in the accept queue of a process without descriptors, so that none
   /// has to wait there. False once the queue is empty, or nobody can be taken out of it now.
-  bool refuseOnSpare(int listening);
+  bool refuseWithSpareDescriptor(int listeningDescriptor);
   /// Clients that are still reading why.
   std::size_t pending() const { return pending_.size(); }
 
  private:
-  bool refuseNextOnSpare(int listening, const std::string& response);
-  void sendLast(int descriptor, const std::string& response);
-  void countCut();
+  bool refuseNextWithSpareDescriptor(int listeningDescriptor, const std::string& response);
+  void sendRefusal(int descriptor, const std::string& response);
+  void countTruncated();
 
   const RequestHandler& handler_;
   core::Counters& counters_;
--- a/src/net/request_handler.h
+++ b/src/net/request_handler.h
@@ -24,10 +24,10 @@
   /// The connection takes more of a stream, after writeChunk() returned false.
   virtual void writable(ClientConnection& connection) = 0;
   /// Answers what cannot be understood as a request; the connection closes after the answer.
-  virtual void reject(ClientConnection& connection, unsigned status, std::string_view why) = 0;
+  virtual void reject(ClientConnection& connection, unsigned status, std::string_view reason) = 0;
   /// The complete response to a connection that is refused before its request was taken.
   virtual std::string refusalResponse(unsigned status,
-                                      std::string_view why,
+                                      std::string_view reason,
                                       double retryAfterMs) const;
 };
 
--- a/src/net/request_reader.cpp
+++ b/src/net/request_reader.cpp
@@ -32,25 +32,25 @@
 RequestReader::Progress RequestReader::read(int descriptor, boost::system::error_code& error) {
   consumePeeked(descriptor);
   std::array<char, kReadSize> bytes;
-  const IoResult seen = peek(descriptor, bytes);
-  if (seen.status == IoStatus::kNoResources)
+  const IoResult peeked = peek(descriptor, bytes);
+  if (peeked.status == IoStatus::kNoResources)
     return Progress::kNoResources;
-  if (seen.status == IoStatus::kEnded)
+  if (peeked.status == IoStatus::kEnded)
     error = boost::asio::error::eof;
-  if (seen.status == IoStatus::kFailed)
-    error.assign(seen.error, boost::system::system_category());
+  if (peeked.status == IoStatus::kFailed)
+    error.assign(peeked.error, boost::system::system_category());
   if (error)
     return Progress::kFailed;
-  const std::size_t known = std::min(peekedBytes_, seen.bytes);
-  const std::size_t newBytes = seen.bytes - known;
-  input_.append(bytes.data() + known, newBytes);
+  const std::size_t alreadyRead = std::min(peekedBytes_, peeked.bytes);
+  const std::size_t newBytes = peeked.bytes - alreadyRead;
+  input_.append(bytes.data() + alreadyRead, newBytes);
   if (input_.empty())
     return Progress::kNothing;
   const Progress progress = parse(error);
-  const std::size_t behind =
+  const std::size_t excessBytes =
       progress == Progress::kComplete ? std::min(input_.size(), newBytes) : 0;
-  input_.resize(input_.size() - behind);
-  peekedBytes_ += newBytes - behind;
+  input_.resize(input_.size() - excessBytes);
+  peekedBytes_ += newBytes - excessBytes;
   consumePeeked(descriptor);
   return progress;
 }
--- a/src/net/response_parser.cpp
+++ b/src/net/response_parser.cpp
@@ -67,14 +67,14 @@
 }
 
 std::string ResponseParser::takeBody() {
-  std::string part = std::exchange(parser_->get().body(), {});
+  std::string body = std::exchange(parser_->get().body(), {});
   if (isChunked())
-    receivedBytes_ += part.size();
-  return part;
+    receivedBytes_ += body.size();
+  return body;
 }
 
 // The parser leaves the end of a chunk's data to the next size line, so that alone is no piece.
-bool ResponseParser::isMidPiece(const boost::beast::flat_buffer& unparsed) const {
+bool ResponseParser::isMidElement(const boost::beast::flat_buffer& unparsed) const {
   const auto data = unparsed.data();
   const std::string_view unread(static_cast<const char*>(data.data()), data.size());
   if (!hasHead() || !isChunked())
@@ -88,17 +88,17 @@
   std::array<char, 24> size{};
   std::snprintf(size.data(), size.size(), "%llx",
                 static_cast<unsigned long long>(chunkRemaining) + 1);
-  const std::string before = std::string("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n") +
+  const std::string prefix = std::string("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n") +
                              (keepAlive ? "" : "Connection: close\r\n") + "\r\n" + size.data() +
                              "\r\nx";
   boost::system::error_code error;
-  for (std::string_view left = before; !left.empty() && !error;) {
-    const std::size_t used = parser_->put(boost::asio::buffer(left), error);
+  for (std::string_view remaining = prefix; !remaining.empty() && !error;) {
+    const std::size_t used = parser_->put(boost::asio::buffer(remaining), error);
     if (error == http::error::need_more)
       error = {};
     if (used == 0)
       break;
-    left.remove_prefix(used);
+    remaining.remove_prefix(used);
   }
   receivedBytes_ = parser_->get().body().size();
   parser_->get().body().clear();
--- a/src/net/response_parser.h
+++ b/src/net/response_parser.h
@@ -37,7 +37,7 @@
 
   /// Whether the response stops inside of something that is sent in one piece, with these bytes
   /// left unparsed.
-  bool isMidPiece(const boost::beast::flat_buffer& unparsed) const;
+  bool isMidElement(const boost::beast::flat_buffer& unparsed) const;
 
   /// Bytes of the current chunk that have not come yet.
   std::uint64_t chunkRemaining() const { return announcedBytes_ - receivedBytes_; }
--- a/src/net/send_operation.cpp
+++ b/src/net/send_operation.cpp
@@ -29,7 +29,7 @@
       first_(first),
       second_(second),
       done_(std::move(done)),
-      retry_(socket_->get_executor()) {}
+      retryTimer_(socket_->get_executor()) {}
 
 void SendOperation::proceed() {
   if (!done_)
@@ -37,9 +37,9 @@
   if (!socket_->is_open())
     return finish(boost::asio::error::operation_aborted);
   const IoResult result = sendAvailable(socket_->native_handle(), first_, second_);
-  const std::size_t ofFirst = std::min(first_.size(), result.bytes);
-  first_.remove_prefix(ofFirst);
-  second_.remove_prefix(result.bytes - ofFirst);
+  const std::size_t sentOfFirst = std::min(first_.size(), result.bytes);
+  first_.remove_prefix(sentOfFirst);
+  second_.remove_prefix(result.bytes - sentOfFirst);
   switch (result.status) {
     case IoStatus::kDone:
       return finish({});
@@ -55,7 +55,7 @@
 }
 
 void SendOperation::awaitWritable() {
-  waitsFor_ = boost::asio::error::operation_aborted;
+  pendingError_ = boost::asio::error::operation_aborted;
   socket_->async_wait(boost::asio::ip::tcp::socket::wait_write,
                       [self = shared_from_this()](const boost::system::error_code& error) {
                         if (error)
@@ -65,10 +65,10 @@
 }
 
 void SendOperation::awaitResources(int error) {
-  waitsFor_.assign(error, boost::system::system_category());
-  retry_.expires_after(std::chrono::duration_cast<std::chrono::steady_clock::duration>(
+  pendingError_.assign(error, boost::system::system_category());
+  retryTimer_.expires_after(std::chrono::duration_cast<std::chrono::steady_clock::duration>(
       std::chrono::duration<double, std::milli>(kResourceRetryMs)));
-  retry_.async_wait([self = shared_from_this()](const boost::system::error_code& failed) {
+  retryTimer_.async_wait([self = shared_from_this()](const boost::system::error_code& failed) {
     if (!failed)
       self->proceed();
   });
@@ -77,8 +77,8 @@
 void SendOperation::cancel() {
   if (!done_)
     return;
-  finish(waitsFor_);
-  retry_.cancel();
+  finish(pendingError_);
+  retryTimer_.cancel();
   boost::system::error_code ignored;
   socket_->cancel(ignored);
 }
--- a/src/net/send_operation.h
+++ b/src/net/send_operation.h
@@ -45,8 +45,8 @@
   std::string_view first_;
   std::string_view second_;
   Done done_;  // none once it is on its way to be called
-  boost::asio::steady_timer retry_;
-  boost::system::error_code waitsFor_;
+  boost::asio::steady_timer retryTimer_;
+  boost::system::error_code pendingError_;
 };
 
 }  // namespace inference_router::net
--- a/src/net/shed_requests.cpp
+++ b/src/net/shed_requests.cpp
@@ -7,10 +7,10 @@
     return;
   reader_.appendBuffered(bytes);
   while (!reader_.buffered().empty()) {
-    if (!midway_) {
+    if (!midRequest_) {
       reader_.begin();
-      midway_ = true;
-      ++begun_;
+      midRequest_ = true;
+      ++startedRequests_;
     }
     boost::system::error_code error;
     const RequestReader::Progress progress = reader_.readBuffered(error);
@@ -19,7 +19,7 @@
       return reader_.dropBuffered();
     if (progress == RequestReader::Progress::kIncomplete)
       return;
-    midway_ = false;
+    midRequest_ = false;
   }
 }
 
--- a/src/net/shed_requests.h
+++ b/src/net/shed_requests.h
@@ -16,17 +16,17 @@
   /// request counts as one, with all that follows.
   void read(std::string_view bytes);
   /// One more of them has its refusal.
-  void answered() { ++answered_; }
+  void countAnswered() { ++answeredRequests_; }
 
-  std::size_t unanswered() const { return begun_ - answered_; }
+  std::size_t unanswered() const { return startedRequests_ - answeredRequests_; }
   /// Whether the last request is incomplete.
-  bool endsMidRequest() const { return midway_; }
+  bool endsMidRequest() const { return midRequest_; }
 
  private:
   RequestReader reader_;
-  std::size_t begun_ = 0;
-  std::size_t answered_ = 0;
-  bool midway_ = false;
+  std::size_t startedRequests_ = 0;
+  std::size_t answeredRequests_ = 0;
+  bool midRequest_ = false;
   bool unreadable_ = false;
 };
 
--- a/src/net/socket_calls.cpp
+++ b/src/net/socket_calls.cpp
@@ -100,11 +100,11 @@
   std::array<char, kDiscardSize> dropped;
   std::size_t discarded = 0;
   while (discarded < bytes) {
-    const IoResult part =
+    const IoResult result =
         receive(descriptor, std::span(dropped).first(std::min(dropped.size(), bytes - discarded)));
-    if (part.status != IoStatus::kDone)
-      return {part.status, discarded, part.error};
-    discarded += part.bytes;
+    if (result.status != IoStatus::kDone)
+      return {result.status, discarded, result.error};
+    discarded += result.bytes;
   }
   return {IoStatus::kDone, discarded};
 }
@@ -134,7 +134,7 @@
   return {IoStatus::kDone, sent};
 }
 
-bool hasPeerEnded(int descriptor) {
+bool hasPeerClosed(int descriptor) {
   pollfd entry{descriptor, POLLRDHUP, 0};
   int ready = 0;
   do
@@ -143,9 +143,10 @@
   return ready > 0 && (entry.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
 
-AcceptResult acceptNext(int listening) {
+AcceptResult acceptNext(int listeningDescriptor) {
   while (true) {
-    const int descriptor = ::accept4(listening, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
+    const int descriptor =
+        ::accept4(listeningDescriptor, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (descriptor >= 0)
       return {AcceptStatus::kAccepted, descriptor};
     if (errno != EINTR)
--- a/src/net/socket_calls.h
+++ b/src/net/socket_calls.h
@@ -46,7 +46,7 @@
 IoResult sendAvailable(int descriptor, std::string_view first, std::string_view second = {});
 /// Whether the peer has ended its sending or the connection is broken, whatever stands unread
 /// before the end.
-bool hasPeerEnded(int descriptor);
+bool hasPeerClosed(int descriptor);
 
 enum class AcceptStatus {
   kAccepted,
@@ -62,7 +62,7 @@
 };
 
 /// Takes the connection in front of a listening socket's queue.
-AcceptResult acceptNext(int listening);
+AcceptResult acceptNext(int listeningDescriptor);
 
 /// Makes a socket of a descriptor. Closes the descriptor if that fails.
 boost::system::error_code assign(boost::asio::ip::tcp::socket& socket,
--- a/src/net/socket_input.cpp
+++ b/src/net/socket_input.cpp
@@ -11,7 +11,7 @@
 
 // The system counts its own bookkeeping in the size of a buffer: a half of it or more is left to
 // the bytes.
-constexpr int kBookkeepingShare = 2;
+constexpr int kKernelOverheadFactor = 2;
 
 }  // namespace
 
@@ -21,24 +21,24 @@
                                                                  : 0;
 }
 
-double lastArrivalAgoMs(int descriptor) {
+double msSinceLastReceive(int descriptor) {
   tcp_info info{};
   socklen_t size = sizeof info;
   const bool known = ::getsockopt(descriptor, IPPROTO_TCP, TCP_INFO, &info, &size) == 0;
   return known ? info.tcpi_last_data_recv : 0;
 }
 
-std::size_t reserveInput(int descriptor, std::size_t bytes) {
+std::size_t setReceiveBufferSize(int descriptor, std::size_t bytes) {
   const int requested = static_cast<int>(bytes);  // the system doubles it, for its bookkeeping
   ::setsockopt(descriptor, SOL_SOCKET, SO_RCVBUF, &requested, sizeof requested);
   int granted = 0;
   socklen_t size = sizeof granted;
   if (::getsockopt(descriptor, SOL_SOCKET, SO_RCVBUF, &granted, &size) != 0)
     return 0;
-  return static_cast<std::size_t>(granted / kBookkeepingShare);
+  return static_cast<std::size_t>(granted / kKernelOverheadFactor);
 }
 
-void setReadableFrom(int descriptor, std::size_t bytes) {
+void setReceiveLowWatermark(int descriptor, std::size_t bytes) {
   const int minBytes = static_cast<int>(bytes);
   ::setsockopt(descriptor, SOL_SOCKET, SO_RCVLOWAT, &minBytes, sizeof minBytes);
 }
--- a/src/net/socket_input.h
+++ b/src/net/socket_input.h
@@ -9,12 +9,12 @@
 std::size_t unreadBytes(int descriptor);
 
 /// How long ago the last bytes came; 0 if the system does not say.
-double lastArrivalAgoMs(int descriptor);
+double msSinceLastReceive(int descriptor);
 
 /// Asks for room for so many unread bytes and gives how many are sure to find it.
-std::size_t reserveInput(int descriptor, std::size_t bytes);
+std::size_t setReceiveBufferSize(int descriptor, std::size_t bytes);
 
 /// The socket counts as readable only with so many bytes unread, or once its peer has ended.
-void setReadableFrom(int descriptor, std::size_t bytes);
+void setReceiveLowWatermark(int descriptor, std::size_t bytes);
 
 }  // namespace inference_router::net
--- a/src/net/spare_descriptor.cpp
+++ b/src/net/spare_descriptor.cpp
@@ -7,13 +7,13 @@
 
 namespace inference_router::net {
 
-bool SpareDescriptor::hold() {
+bool SpareDescriptor::acquire() {
   if (!isHeld())
     descriptor_ = ::open("/dev/null", O_RDONLY | O_CLOEXEC);
   return isHeld();
 }
 
-void SpareDescriptor::giveUp() {
+void SpareDescriptor::release() {
   if (isHeld())
     ::close(std::exchange(descriptor_, -1));
 }
--- a/src/net/spare_descriptor.h
+++ b/src/net/spare_descriptor.h
@@ -5,15 +5,15 @@
 
 class SpareDescriptor {
  public:
-  SpareDescriptor() { hold(); }
-  ~SpareDescriptor() { giveUp(); }
+  SpareDescriptor() { acquire(); }
+  ~SpareDescriptor() { release(); }
   SpareDescriptor(const SpareDescriptor&) = delete;
   SpareDescriptor& operator=(const SpareDescriptor&) = delete;
 
   bool isHeld() const { return descriptor_ >= 0; }
   /// Takes it again; false if that cannot be done at this moment.
-  bool hold();
-  void giveUp();
+  bool acquire();
+  void release();
 
  private:
   int descriptor_ = -1;
