--- a/src/net/arrival_times.h
+++ b/src/net/arrival_times.h
@@ -1,5 +1,5 @@
-/// When the bytes that wait in a buffer came: a request's time counts from when its client sent it,
-/// however long it stood behind earlier ones.
+/// Arrival times of buffered bytes. A request's time counts from the arrival of its first byte,
+/// even if it waits behind earlier requests before it is read.
 #pragma once
 
 #include <algorithm>
@@ -8,11 +8,11 @@
 
 namespace inference_router::net {
 
-/// Times in milliseconds of the monotonic clock.
+/// A queue of byte counts with their arrival times, in milliseconds of the monotonic clock.
 class ArrivalTimes {
  public:
-  /// So many bytes more. What comes within a moment counts as come together, which bounds the
-  /// entries.
+  /// Appends bytes that arrived at atMs. Bytes that arrive within kMergeWindowMs share one entry,
+  /// which bounds the number of entries.
   void add(std::size_t bytes, double atMs) {
     if (bytes == 0)
       return;
@@ -23,7 +23,7 @@
     bytes_ += bytes;
   }
 
-  /// The first so many bytes have left the buffer.
+  /// Removes the first bytes, which have left the buffer.
   void remove(std::size_t bytes) {
     bytes = std::min(bytes, bytes_);
     bytes_ -= bytes;
@@ -38,7 +38,7 @@
 
   bool empty() const { return segments_.empty(); }
   std::size_t bytes() const { return bytes_; }
-  /// Of the first byte; there has to be one.
+  /// Arrival time of the first byte. Must not be empty.
   double firstMs() const { return segments_.front().atMs; }
 
  private:
--- a/src/net/call.cpp
+++ b/src/net/call.cpp
@@ -12,13 +12,13 @@
 namespace {
 
 constexpr std::size_t kReadSize = std::size_t{16} * 1024;
-// A head or chunk comes at once or in quick pieces: one that stops midway this long has a wrong
-// size.
+// The bytes of a head or chunk follow each other quickly. One that stops midway for this long has
+// announced a wrong size.
 constexpr double kStallTimeoutMs = 800;
-// For a request's last byte to follow its first. Its head tells how long its client waits as of
-// that moment, and a peer that does not read the rest would run it with that time long gone.
+// From the first byte of a request to its last. The head states the client's remaining time as of
+// its first byte; a peer that reads the rest much later would run the request after that time.
 constexpr double kWriteTimeoutMs = 100;
-constexpr std::size_t kMaxTracedHeadBytes = 160;  // with the request's id in it
+constexpr std::size_t kMaxTracedHeadBytes = 160;  // long enough to contain the request id
 
 }  // namespace
 
@@ -39,7 +39,7 @@
 // ---- Request
 
 void Call::start(std::shared_ptr<Connection> connection, bool isNew) {
-  startTimer_.cancel();  // of the time in line
+  startTimer_.cancel();  // limited the wait for a connection
   connection_ = std::move(connection);
   ++connection_->calls;
   if (isNew)
@@ -58,7 +58,8 @@
       [self](const boost::system::error_code& error) { self->connected(error); });
 }
 
-// What this machine could not begin counts as if the call had waited in line for a connection.
+// A connection attempt that failed on this machine is reported as if the call had only waited for a
+// connection: the instance is not at fault.
 void Call::connectTimedOut() {
   const auto connecting = connecting_.lock();
   const bool localFault = connecting && connecting->hadLocalFault();
@@ -74,8 +75,7 @@
   write();
 }
 
-// Time has passed if a connection had to be waited for: the sink looks at drains and deadlines once
-// more.
+// The call may have waited for a connection, so the sink checks drains and deadlines again.
 void Call::write() {
   state_ = State::kWriting;
   const auto sink = sink_;
@@ -109,8 +109,8 @@
       [self](const boost::system::error_code& error) { self->requestSent(error); });
 }
 
-// A write whose last byte was out by its time limit is complete, although this has still to run
-// then.
+// A write that sent its last byte within the time limit has succeeded, even if this handler runs
+// after the limit.
 void Call::requestSent(const boost::system::error_code& error) {
   if (state_ != State::kWriting)
     return;
@@ -137,7 +137,7 @@
   if (parser_.isMidElement(connection_->buffer))
     stallTimer_ = pool_.timers_.schedule(pool_.clock_.nowMs() + kStallTimeoutMs,
                                          [self] { self->fail(CallFailure::kInvalidResponse); });
-  const auto connection = connection_;  // lives as long as the operation on it
+  const auto connection = connection_;  // kept alive by the pending operation
   connection->socket.async_read_some(
       connection->buffer.prepare(kReadSize),
       [self, connection](const boost::system::error_code& error, std::size_t bytes) {
@@ -160,8 +160,9 @@
   parse();
 }
 
-// This machine lacked memory or buffers: what has come is still there. Asio takes a read that moved
-// nothing for a sign that nothing is there; readiness, asked for anew, tells it otherwise.
+// Reads again after this machine lacked memory or buffers; the received bytes are still in the
+// socket. Asio takes a read that returned nothing as a sign that the socket is empty, so readiness
+// is waited for again before the next read.
 void Call::retryRead() {
   awaitsResources_ = true;
   readRetryTimer_ =
@@ -201,7 +202,7 @@
   read();
 }
 
-// False if the sink has ended the call.
+// Returns false if the sink has ended the call.
 bool Call::deliverBody() {
   const auto sink = sink_;
   const std::string bytes = parser_.takeBody();
@@ -211,7 +212,7 @@
 }
 
 void Call::complete() {
-  // Guards the next request on this connection against a second response right behind this one.
+  // Unexpected bytes behind this response would be taken for the response to the next request.
   const bool reusable =
       parser_.keepAlive() && connection_->buffer.size() == 0 && connection_->isReusable();
   trace(reusable ? "answered" : "answered, not used again", parser_.status());
@@ -236,7 +237,7 @@
   std::array<char, 1> byte{};
   const IoStatus peeked = peek(connection_->socket.native_handle(), byte).status;
   return peeked == IoStatus::kDone ||
-         peeked == IoStatus::kNoResources;  // it may have, where nobody can look
+         peeked == IoStatus::kNoResources;  // unknown: there may be unread bytes
 }
 
 // ---- Transfer to another process
@@ -255,15 +256,15 @@
   onPaused_ = nullptr;
   if (state_ != State::kBody)
     return;
-  // Bytes that came with the descriptor may be all there is, so they are parsed before any more is
-  // waited for.
+  // Bytes handed over with the descriptor may complete the response, so they are parsed before more
+  // input is awaited.
   if (connection_->buffer.size() > 0 && !reading_)
     parse();
   else
     read();
 }
 
-// Only a chunked response says by itself where it ends, whoever reads it.
+// Only a chunked response marks its own end, so that another process can find it.
 std::optional<Call::TransferState> Call::transferState() const {
   if (state_ != State::kBody || reading_ || paused_ || !parser_.isChunked())
     return std::nullopt;
--- a/src/net/call.h
+++ b/src/net/call.h
@@ -1,5 +1,5 @@
-/// One request to an instance and its response. It takes its connection from a pool and gives it
-/// back; nothing is ever sent again by itself.
+/// One HTTP request to an instance and its response. The call takes a connection from a pool and
+/// returns it. It never resends a request.
 #pragma once
 
 #include <cstdint>
@@ -19,10 +19,11 @@
 
 class ConnectionPool;
 
-/// Made by ConnectionPool::call(). Lives until its end by itself, and belongs to the pool's thread.
+/// Created by ConnectionPool::call(). Keeps itself alive until it has ended. Confined to the pool's
+/// thread.
 class Call final : public std::enable_shared_from_this<Call> {
  public:
-  /// kWaiting: for a connection. kHead and kBody: what of the response is expected next.
+  /// kWaiting: queued for a connection. kHead and kBody: the expected part of the response.
   enum class State { kWaiting, kConnecting, kWriting, kHead, kBody, kFinished };
 
   Call(ConnectionPool& pool,
@@ -33,31 +34,32 @@
        bool urgent = false);
 
   State state() const { return state_; }
-  /// Closes the connection; the sink hears no more.
+  /// Closes the connection without any further call to the sink.
   void abandon();
-  /// Whether its connection carried nothing before: HTTP/1.1 does not tell whose response one on a
-  /// used one is.
+  /// Whether this is the first call on its connection. On a reused connection HTTP/1.1 cannot tell
+  /// which request a response belongs to.
   bool isFirstOnConnection() const { return connection_ && connection_->calls == 1; }
-  /// Whether something has come that the sink has not been given.
+  /// Whether the socket has bytes that the call has not read. True if the socket cannot be
+  /// examined.
   bool hasUnread() const;
-  /// Reads on after CallSink::body() returned false.
+  /// Continues reading after CallSink::body() returned false.
   void resume();
-  /// The sink cannot read the body.
+  /// Ends the call because the sink cannot parse the body.
   void failInvalidResponse() { fail(CallFailure::kInvalidResponse); }
 
-  /// A response in flight, as it passes from one process to another.
+  /// A response in flight that is handed over to another process.
   struct TransferState {
     int descriptor = -1;
-    std::string unread;                ///< come, and not parsed yet
-    std::uint64_t chunkRemaining = 0;  ///< bytes of the current chunk
+    std::string unread;                ///< received, and not parsed yet
+    std::uint64_t chunkRemaining = 0;  ///< missing bytes of the current chunk
     bool keepAlive = true;
   };
-  /// Reads no more; onPaused is called once no operation is in progress, and never if the call ends
-  /// before.
+  /// Stops reading. onPaused is called once no operation is in progress, and never if the call ends
+  /// first.
   void pause(std::function<void()> onPaused);
-  /// After pause(), as if nothing had been.
+  /// Continues reading after pause() or ConnectionPool::adopt().
   void unpause();
-  /// After pause(); nothing if the response cannot be taken up elsewhere.
+  /// The state to hand over after pause(); empty if another process cannot continue the response.
   std::optional<TransferState> transferState() const;
 
  private:
@@ -89,7 +91,7 @@
   std::shared_ptr<CallSink> sink_;
   std::shared_ptr<Connection> connection_;
   ResponseParser parser_;
-  core::Timer startTimer_;  // until its start, then in line, then while connecting
+  core::Timer startTimer_;  // delayed start, then wait for a connection, then connect timeout
   core::Timer writeTimer_;
   core::Timer stallTimer_;
   core::Timer readRetryTimer_;
@@ -101,7 +103,7 @@
   bool paused_ = false;  // by the sink
   bool headDelivered_ = false;
   bool reading_ = false;
-  bool awaitsResources_ = false;  // before it reads again
+  bool awaitsResources_ = false;  // a read retry is pending
 };
 
 }  // namespace inference_router::net
--- a/src/net/call_sink.h
+++ b/src/net/call_sink.h
@@ -1,4 +1,4 @@
-/// Who receives the response to a call, and the ways in which a call can fail.
+/// Receiver of the response to a call, and the ways in which a call can fail.
 #pragma once
 
 #include <string_view>
@@ -9,32 +9,33 @@
 namespace inference_router::net {
 
 enum class CallFailure {
-  /// Nothing of it can have run: the request's last byte was not written, and the instance or the
-  /// way to it is at fault.
+  /// The request cannot have been executed: its last byte was not written. The instance or the
+  /// network is at fault.
   kNoConnection,
-  /// Broken after the request was written.
+  /// The connection broke after the request was written.
   kReset,
-  /// What came after the request was written cannot be read, or stops midway.
+  /// The bytes received after the request was written are no valid response, or stop midway.
   kInvalidResponse,
-  /// Nothing was sent and the instance has no part in it: the sink took the call back, or this
-  /// machine had no connection to give.
+  /// Nothing was sent, and the instance is not at fault: the sink withdrew the call, or this
+  /// machine
+  /// had no connection available.
   kWithdrawn
 };
 
-/// Called in this order: ready, fieldsAsWritten, written, head, body..., then done or failed; never
-/// after Call::abandon(). All on the thread of the pool.
+/// Order of calls: ready, fieldsAsWritten, written, head, body (repeated), then done or failed. No
+/// call follows Call::abandon(). All calls are made on the pool's thread.
 class CallSink {
  public:
   virtual ~CallSink() = default;
-  /// A connection is there; false takes the call back.
+  /// A connection is available. Returning false withdraws the call.
   virtual bool ready() { return true; }
-  /// Further fields of the request's head whose values depend on when it goes out: asked for right
-  /// before its first byte is written.
+  /// Additional header fields whose values depend on the time of sending. Called right before the
+  /// request's first byte is written.
   virtual Fields fieldsAsWritten() { return {}; }
-  /// The request's last byte is out.
+  /// The request's last byte has been written.
   virtual void written() {}
   virtual void head(const ResponseHead&) {}
-  /// A part of the body. False: read no more until Call::resume().
+  /// Part of the body. Returning false stops reading until Call::resume().
   virtual bool body(std::string_view) { return true; }
   /// The response is complete.
   virtual void done() = 0;
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -14,22 +14,26 @@
 
 namespace {
 
-// A client that cannot ask is owed an error or a close within 3 s of connecting; with 60 MB to
-// send, 6 s.
-constexpr double kFirstRequestTimeoutMs =
-    2'000;                                       // for the first request to arrive, from connecting
-constexpr double kNextRequestTimeoutMs = 2'000;  // for a later one, from its first byte
-constexpr double kIdleTimeoutMs = 5'000;  // between two requests: some clients keep theirs for good
-constexpr double kFinalRequestTimeoutMs =
-    500;                                   // for one that begins as its time ends or while draining
-constexpr double kMinEvictionAgeMs = 100;  // of a new connection, before it can be evicted
-constexpr double kAbortFlushTimeoutMs =
-    2'000;  // for what was passed before an abort; 5 s are allowed
-constexpr double kEvictionRetryAfterMs = 1'000;  // told to who is evicted
-constexpr std::size_t kMaxPendingBytes =
-    std::size_t{64} * 1024;  // before the stream of a slow client pauses
-// Requests that stand in line on a connection as it is to close are served up to this number: a
-// client that never stops sending must not keep the process.
+// A client that sends no valid request must get an error or a close within 3 s of connecting, or
+// within 6 s if it sends 60 MB.
+// From connecting to the end of the first request.
+constexpr double kFirstRequestTimeoutMs = 2'000;
+// From the first to the last byte of a later request.
+constexpr double kNextRequestTimeoutMs = 2'000;
+// Between two requests: some clients never close their connection.
+constexpr double kIdleTimeoutMs = 5'000;
+// For a request that begins at a timeout or while draining.
+constexpr double kFinalRequestTimeoutMs = 500;
+// Age of a new connection before it can be evicted.
+constexpr double kMinEvictionAgeMs = 100;
+// For pending output after an abort; 5 s are allowed.
+constexpr double kAbortFlushTimeoutMs = 2'000;
+// Retry-After of evicted clients.
+constexpr double kEvictionRetryAfterMs = 1'000;
+// Pending output at which the stream to a slow client is paused.
+constexpr std::size_t kMaxPendingBytes = std::size_t{64} * 1024;
+// Pipelined requests that are still served on a connection that is to close. A client that never
+// stops sending must not keep the process alive.
 constexpr int kMaxServedWhileDraining = 64;
 
 }  // namespace
@@ -50,7 +54,7 @@
               timers,
               {[this](const boost::system::error_code& error) { written(error); },
                [this] { close(); }}),
-      // Behind a last answer there is no request any more.
+      // Requests behind a last answer are not served.
       peerWatch_(
           socket_,
           input_,
@@ -80,7 +84,7 @@
                        keepAlive_};
 }
 
-// Without a shutdown, which would end the connection for the other process as well.
+// Closes without a shutdown, which would end the connection for the other process as well.
 void ClientConnection::release() {
   if (state_ == State::kClosed)
     return;
@@ -118,8 +122,8 @@
   awaitInput();
 }
 
-// Only readiness is waited for: an operation that reads may have its bytes already when the
-// connection is closed, before its handler has run.
+// Waits for readiness instead of starting a read: a pending read may have consumed bytes when the
+// connection is closed before its handler runs.
 void ClientConnection::awaitInput() {
   input_.setWakeThreshold(1);
   const auto self = shared_from_this();
@@ -149,13 +153,13 @@
     awaitInput();
 }
 
-// Without readiness: the socket has it already.
+// Retries by timer, without waiting for readiness: the socket already has the input.
 void ClientConnection::retryInput() {
   timers_.runAt(clock_.nowMs() + kResourceRetryMs,
                 [self = shared_from_this()] { self->onInput(); });
 }
 
-// The time of a client's first request runs from connecting.
+// The timeout of a client's first request runs from connecting and is already set.
 void ClientConnection::startRequest() {
   requestArrivedMs_ = input_.firstByteMs();
   state_ = State::kReading;
@@ -172,7 +176,7 @@
                                  [self = shared_from_this()] { self->inputTimedOut(); });
 }
 
-// Half a request gets a 408; who has sent nothing gets a close.
+// An incomplete request gets a 408 response; an idle connection is closed.
 void ClientConnection::inputTimedOut() {
   if (state_ == State::kReading)
     return refuseInput(boost::asio::error::timed_out);
@@ -193,7 +197,8 @@
   peerWatch_.start(shared_from_this());
 }
 
-// A bad peer costs its own connection and nothing else: input that is no request gets a plain 4xx.
+// Answers input that is no valid request with a 4xx response and closes the connection. Other
+// connections are not affected.
 void ClientConnection::refuseInput(const boost::system::error_code& error) {
   inputTimer_.cancel();
   const std::optional<InputRefusal> refusal = refusalFor(error);
@@ -205,8 +210,8 @@
   handler_.reject(*this, refusal->status, refusal->text);
 }
 
-// After a gap nothing that comes can be read: the requests that were buffered whole are served in
-// turn, and those behind them refused.
+// Serves the requests that were buffered completely in order and refuses those behind them.
+// Shedding leaves a gap in the input, so nothing behind it can be parsed.
 void ClientConnection::readBuffered() {
   boost::system::error_code error;
   const RequestReader::Progress progress = input_.readBuffered(error);
@@ -237,8 +242,8 @@
 
 // ---- Answering
 
-// Whether the answer that is about to begin is the last on this connection. While it is to close,
-// requests that have come behind are served first.
+// Whether the answer that is about to begin is the last on this connection. While draining,
+// requests that have already been received are served first.
 bool ClientConnection::isLastAnswer() {
   if (!keepAlive_)
     return true;
@@ -291,8 +296,8 @@
   write(kLastChunk);
 }
 
-// What is written already goes out first; a client that takes none of it is cut by the time limit
-// of a write.
+// Output that is already pending is sent first, within a time limit for clients that read too
+// slowly.
 void ClientConnection::abortResponse() {
   if (state_ == State::kClosed)
     return;
@@ -300,8 +305,7 @@
   state_ = State::kFlushing;
   if (output_.empty())
     return closeGracefully();
-  // Nothing more comes, so what is left is one time limit's worth, however often some of it gets
-  // through.
+  // No more output is added, so a single time limit covers the rest, even if writes make progress.
   timers_.runAt(clock_.nowMs() + kAbortFlushTimeoutMs,
                 [self = shared_from_this()] { self->close(); });
 }
@@ -328,8 +332,8 @@
     answerFinished();
 }
 
-// The watch on the answered request must not take the next one's bytes for a close; it ends by
-// itself.
+// The peer watch of this request ends by itself, as the state is no longer answering: it must not
+// take the bytes of the next request for a close.
 void ClientConnection::answerFinished() {
   if (!keepAlive_)
     return closeGracefully();
@@ -354,8 +358,8 @@
   return state_ == State::kIdle ? Evictability::kIdle : Evictability::kNone;
 }
 
-// Capacity is needed now, so who is being waited for to close is closed at once, and so is who has
-// not requested anything yet.
+// Capacity is needed now, so connections in a lingering close and those without any request are
+// closed at once.
 bool ClientConnection::evictIfAllowed() {
   if (evictability() == Evictability::kNone || (state_ == State::kIdle && input_.hasUnread()))
     return false;
@@ -375,7 +379,7 @@
     close();
 }
 
-// Guards a request, or what has been read of one, against a close without any answer.
+// Sends a refusal before closing, so that a request, or a part of one, gets an answer.
 void ClientConnection::refuseAndClose() {
   const std::string response =
       handler_.refusalResponse(503, "room is needed for other connections", kEvictionRetryAfterMs);
@@ -384,8 +388,8 @@
   close();
 }
 
-// Guards a request against a close that crosses it: what has come is read first, and who connected
-// a moment ago connected in order to ask.
+// Avoids closing while a request is on its way: received bytes are read first, and a connection
+// that was opened a moment ago gets time to send its request.
 void ClientConnection::closeIdle() {
   if (state_ != State::kIdle)
     return;
--- a/src/net/client_connection.h
+++ b/src/net/client_connection.h
@@ -1,5 +1,5 @@
-/// One client's connection: reads a request at a time, carries its answer, notices when the client
-/// goes.
+/// One client's connection: reads one request at a time, writes its response and detects when the
+/// client disconnects.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -20,23 +20,23 @@
 
 namespace inference_router::net {
 
-/// Kept alive by its owner and by its pending operations. Belongs to one thread; the handler, the
+/// Kept alive by its owner and by its pending operations. Confined to one thread. The handler, the
 /// owner, the clock and the timers outlive it.
 class ClientConnection final : public std::enable_shared_from_this<ClientConnection> {
  public:
   enum class State { kIdle, kReading, kAnswering, kStreaming, kFlushing, kClosed };
 
-  /// What the listener wants to know.
+  /// Callbacks to the listener that owns the connection.
   struct Owner {
     virtual ~Owner() = default;
     virtual void closed(const std::shared_ptr<ClientConnection>& connection) = 0;
-    /// Whether connections are to close after their answer.
+    /// Whether connections are to be closed after their current answer.
     virtual bool draining() const = 0;
-    /// An answer right before a close could not be written in full.
+    /// The last answer before a close could not be written completely.
     virtual void answerTruncated() {}
     virtual void requestStarted(ClientConnection&) {}
     virtual void requestFinished(ClientConnection&) {}
-    /// A request carried this client's key.
+    /// A request was authenticated with the named key.
     virtual void identified(ClientConnection&, const std::string&) {}
   };
 
@@ -46,58 +46,59 @@
                    const core::Clock& clock,
                    core::TimerQueue& timers);
 
-  /// Given by the owner, for its own use.
+  /// Set and used by the owner.
   std::uint64_t admissionId = 0;
 
   void start();
   void identify(const std::string& keyName) { owner_.identified(*this, keyName); }
   State state() const { return state_; }
   double idleSinceMs() const { return idleSinceMs_; }
-  /// Whether the client is still there, by what its machine has said up to this moment: its close
-  /// may have come and its handler not have run yet, or stand behind requests that are not read
-  /// before their turn.
+  /// Whether the client has not closed the connection, as far as the kernel knows now. Detects a
+  /// close whose handler has not run yet, and one behind requests that have not been read.
   bool isPeerPresent() const;
 
   // ---- Answers ----
 
   void answer(unsigned status, Fields fields, std::string_view body);
   void beginStream(Fields fields);
-  /// Writes a part of the stream. False: enough is pending, until RequestHandler::writable().
+  /// Writes one chunk of the stream. Returns false if the caller is to pause until
+  /// RequestHandler::writable().
   bool writeChunk(std::string_view data);
   void endStream();
-  /// Closes without a last chunk, once what was passed is out.
+  /// Closes without a last chunk, once all pending output is sent.
   void abortResponse();
 
   // ---- Closing ----
 
-  /// Whether it may be closed in favour of another: no request of it is open. Those come first that
-  /// never sent a complete one, though each gets a moment for it.
+  /// Whether the connection may be closed in favour of another: it has no request in progress.
+  /// Connections that never sent a complete request are evicted first, but not right after
+  /// connecting.
   enum class Evictability { kNone, kIdle, kNeverRequested };
   Evictability evictability() const;
-  /// Closes what evictability() allowed; false if a request has come meanwhile. Part of a request
-  /// gets an answer.
+  /// Closes the connection if evictability() allows it; returns false if not, or if a request has
+  /// arrived meanwhile. An incomplete request gets a refusal.
   bool evictIfAllowed();
-  /// Closes unless a request is open. A request that has come, or part of one, gets an answer.
+  /// Closes unless a request is in progress. A received request, or a part of one, gets a refusal.
   void evict();
-  /// Closes between two requests, unless one has come already or may be about to.
+  /// Closes an idle connection, unless a request has been received or the connection is new.
   void closeIdle();
 
   // ---- Transfer to another process ----
 
-  /// A stream in flight, as it passes from one process to another.
+  /// A stream in flight that is handed over to another process.
   struct TransferState {
     int descriptor = -1;
-    std::string pipelinedInput;  ///< bytes of later requests that were read; mostly none, as they
-                                 ///< stand unread until their turn
-    double pipelinedSinceMs =
-        0;  ///< when their first byte came, read or not; 0: unknown, or no bytes
+    /// Bytes of later requests that were read ahead; usually none, as they stay in the kernel.
+    std::string pipelinedInput;
+    /// Arrival of the first byte of the next request, read or unread; 0: unknown, or no bytes.
+    double pipelinedSinceMs = 0;
     bool keepAlive = true;
   };
-  /// Nothing while anything waits to be written.
+  /// Empty unless a stream is in progress with no output pending.
   std::optional<TransferState> transferState();
-  /// Lets go of a connection that another process owns now.
+  /// Gives up a connection that another process owns now, without ending it.
   void release();
-  /// Takes up what another process left off, in place of start().
+  /// Continues the stream of another process; called instead of start().
   void adopt(const TransferState& state);
 
  private:
@@ -142,7 +143,7 @@
   bool keepAlive_ = true;
   bool awaitsWritable_ = false;  // the handler waits for writable()
   bool hasRequested_ = false;
-  bool refusedInput_ = false;  // what follows belongs to it
+  bool refusedInput_ = false;  // all further input belongs to the refused request
 };
 
 }  // namespace inference_router::net
--- a/src/net/client_input.cpp
+++ b/src/net/client_input.cpp
@@ -12,18 +12,17 @@
 
 namespace {
 
-// Bytes that stand unread behind a request whose answer is in progress, and as many of them as are
-// buffered once more have come: one of the largest requests that is taken. A client's close shows
-// behind unread bytes only while they have room here, and waits in the client's own system
-// otherwise: so there is room for twice as many, and from this number on they are read. Each
-// request that is read and not buffered gets a refusal.
+// Limit of unread bytes behind a request in progress, and of the bytes that are then read ahead and
+// buffered: one request of the maximum size. The kernel reports a client's close only if the unread
+// bytes before it fit into the receive buffer. The receive buffer is therefore twice as large, and
+// bytes are read ahead from this limit on. Requests that are read but not buffered are refused.
 constexpr std::size_t kMaxBufferedBytes = kMaxHeadBytes + kMaxBodyBytes;
 constexpr std::size_t kReceiveBufferBytes = 2 * kMaxBufferedBytes;
-// A client that never stops sending must not have the loop to itself.
-constexpr std::size_t kMaxReadAheadBytes = std::size_t{2} * 1024 * 1024;  // until allowed again
+// Bounds one turn, so that a client that never stops sending does not monopolize the event loop.
+constexpr std::size_t kMaxReadAheadBytes = std::size_t{2} * 1024 * 1024;  // per allowReadAhead()
 constexpr std::size_t kReadSize = std::size_t{64} * 1024;
-// Bytes that came so long ago stood unread meanwhile; below that it is the usual way of a message,
-// and the system's clock is coarse.
+// Bytes that arrived at least this long ago count from their arrival, other bytes from now: shorter
+// delays are normal, and the kernel's clock is coarse.
 constexpr double kMinUnreadAgeMs = 100;
 
 }  // namespace
@@ -35,7 +34,7 @@
   return socket_.native_handle();
 }
 
-// The system may grant less room than is asked for: then reading ahead begins the sooner.
+// If the kernel grants a smaller buffer than requested, reading ahead begins earlier.
 void ClientInput::reserveReceiveBuffer() {
   readAheadThreshold_ =
       std::min(kMaxBufferedBytes, setReceiveBufferSize(descriptor(), kReceiveBufferBytes) / 2);
@@ -77,7 +76,7 @@
   return peeked == IoStatus::kDone || peeked == IoStatus::kNoResources;
 }
 
-// Of what comes next, without bytes that are read already.
+// Unread bytes without those that were already parsed and are not yet removed from the socket.
 std::size_t ClientInput::unreadSize() const {
   const std::size_t inSocket = unreadBytes(descriptor());
   return inSocket - std::min(inSocket, reader_.peekedBytes());
@@ -89,7 +88,7 @@
   return hasBuffered() || hasUnread();
 }
 
-// The second question costs another call, and is needed only where bytes stand before an end.
+// The poll is a second system call and needed only if unread bytes precede a possible close.
 bool ClientInput::isPeerPresent() const {
   std::array<char, 1> byte{};
   const IoStatus peeked = peek(descriptor(), byte).status;
@@ -162,7 +161,7 @@
 
 // ---- Transfer to another process
 
-// Bytes that are read and still stand in the socket would be read a second time there.
+// The other process would read bytes a second time that were parsed and are still in the socket.
 bool ClientInput::prepareTransfer() {
   if (shed_ || !reader_.consumePeeked(descriptor()))
     return false;
--- a/src/net/client_input.h
+++ b/src/net/client_input.h
@@ -1,5 +1,5 @@
-/// The receiving side of a client's connection: the request that is being read, when its bytes
-/// came, and what the client has sent ahead of its turn.
+/// The receiving side of a client's connection: the request that is being read, the arrival times
+/// of its bytes, and requests that the client has pipelined.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -15,61 +15,62 @@
 
 namespace inference_router::net {
 
-/// Never blocks and waits for nothing: whoever owns the connection does. The socket and the clock
-/// outlive it.
+/// Never blocks and starts no asynchronous operation; the connection waits for readiness. The
+/// socket and the clock outlive it.
 class ClientInput {
  public:
   ClientInput(boost::asio::ip::tcp::socket& socket, const core::Clock& clock);
 
   // ---- The request being read ----
 
-  /// Asks the system for a receive buffer in which requests that are sent ahead find room.
+  /// Requests a kernel receive buffer that is large enough for pipelined requests.
   void reserveReceiveBuffer();
   void beginRequest() { reader_.begin(); }
-  /// Reads what has come of the request.
+  /// Reads the received bytes of the request.
   RequestReader::Progress readRequest(boost::system::error_code& error);
-  /// The complete request. Makes ready for the next.
+  /// Returns the complete request and prepares for the next one.
   HttpRequest takeRequest();
-  /// When the first byte that is not part of a taken request came; now if there is none.
+  /// Arrival time of the first byte behind the requests taken so far; now if there is none.
   double firstByteMs() const;
-  /// Notes when the bytes came that are new since the last call. They may have stood in this
-  /// machine, with its queue of connections full or this process stopped, and their client's time
-  /// went on. Returns whether there are any.
+  /// Records the arrival time of bytes that are new since the last call, and returns whether there
+  /// are any. They may have waited in the kernel while the accept queue was full or this process
+  /// was stopped; that wait counts as part of the request's time.
   bool recordArrivals();
 
   // ---- The socket's state ----
 
-  /// Whether a request, or a part of one, stands unread in the socket. Where this machine cannot
-  /// look one may be there: a connection is not closed over it.
+  /// Whether the socket has unread bytes of another request. True if the socket cannot be examined,
+  /// so that a connection with a possible request is not closed.
   bool hasUnread() const;
-  /// Whether bytes were read before their turn and wait for it.
+  /// Whether bytes of later requests are buffered.
   bool hasBuffered() const { return !reader_.buffered().empty(); }
-  /// Whether another request, or a part of one, has come behind the one taken last.
+  /// Whether another request, or a part of one, has arrived behind the one taken last.
   bool hasNextRequest() const;
-  /// Whether the client has neither closed nor broken the connection, up to this moment.
+  /// Whether the client has neither closed nor reset the connection so far.
   bool isPeerPresent() const;
-  /// The socket counts as readable only with so many bytes unread, or once its peer has ended.
+  /// Makes the socket readable only once this many bytes are unread, or the peer has closed.
   void setWakeThreshold(std::size_t unread);
-  /// The same with the next byte that comes; with any byte while everything is read ahead.
+  /// Makes the socket readable with the next byte that arrives, or with any unread byte while input
+  /// is being read ahead.
   void wakeOnNextByte();
-  /// Somebody else may have set the socket's threshold.
+  /// Marks the threshold as unknown: another process may have changed it.
   void forgetWakeThreshold() { wakeThreshold_ = 0; }
 
   // ---- Reading ahead ----
 
-  /// Whether so much is unread that the system may have no room for a close behind it.
+  /// Whether so much is unread that the kernel may not be able to report a close behind it.
   bool mustReadAhead() const;
   enum class ReadAhead { kContinue, kPause };
-  /// Reads a part of what was sent ahead. Up to one request of the largest size is buffered, and
-  /// the requests behind it are shed; with keep false all of it is dropped. kPause: not again
-  /// before allowReadAhead().
+  /// Reads some pipelined input. Up to one request of the maximum size is buffered, and the
+  /// requests behind it are shed; with keep false all of it is discarded. kPause: call
+  /// allowReadAhead() before the next attempt.
   ReadAhead readAhead(bool keep);
   void allowReadAhead();
 
-  // ---- Shed requests: more was sent ahead than is buffered ----
+  // ---- Shed requests: the client pipelined more than is buffered ----
 
   bool hasShed() const { return shed_.has_value(); }
-  /// Requests of a connection with shed ones that have no answer yet.
+  /// Requests that still need an answer; call only if hasShed().
   std::size_t unansweredRequests() const { return shed_->unanswered(); }
   bool shedEndsMidRequest() const { return shed_->endsMidRequest(); }
   void countAnswered() { shed_->countAnswered(); }
@@ -79,12 +80,12 @@
 
   // ---- Transfer to another process ----
 
-  /// Whether the connection's input can be taken up elsewhere; brings the arrival times up to date.
+  /// Updates the arrival times and returns whether another process can continue this input.
   bool prepareTransfer();
   const std::string& buffered() const { return reader_.buffered(); }
-  /// When the first byte of a request to come arrived; 0 if there is none.
+  /// Arrival time of the first byte of the next request; 0 if there is none.
   double bufferedSinceMs() const { return arrivals_.empty() ? 0 : arrivals_.firstMs(); }
-  /// Takes up another process's input. sinceMs: as bufferedSinceMs() said there.
+  /// Continues the input of another process. sinceMs: the value of bufferedSinceMs() there.
   void adopt(std::string_view buffered, double sinceMs);
 
  private:
@@ -95,11 +96,11 @@
   boost::asio::ip::tcp::socket& socket_;
   const core::Clock& clock_;
   RequestReader reader_;
-  ArrivalTimes arrivals_;  // of the bytes that are not a taken request, read or not
+  ArrivalTimes arrivals_;  // of bytes behind the requests taken so far, read or unread
   std::optional<ShedRequests> shed_;
-  std::size_t readAheadThreshold_ = 0;  // bytes that wait for their turn
+  std::size_t readAheadThreshold_ = 0;  // bytes behind the request in progress
   std::size_t readAheadAllowance_ = 0;
-  std::size_t wakeThreshold_ = 1;  // as the socket was told; 0: not known
+  std::size_t wakeThreshold_ = 1;  // current setting of the socket; 0: unknown
 };
 
 }  // namespace inference_router::net
--- a/src/net/connect_operation.cpp
+++ b/src/net/connect_operation.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// What became of a connect() that went on by itself.
+// The result of a connect() that completed asynchronously.
 boost::system::error_code pendingError(boost::asio::ip::tcp::socket& socket) {
   int pending = 0;
   socklen_t size = sizeof pending;
@@ -54,7 +54,7 @@
   std::exchange(done_, nullptr)(error);
 }
 
-// An interrupted connect() goes on by itself.
+// An interrupted connect() continues asynchronously; the socket becomes writable when it ends.
 void ConnectOperation::awaitInterrupted() {
   connection_->socket.async_wait(
       boost::asio::ip::tcp::socket::wait_write,
--- a/src/net/connect_operation.h
+++ b/src/net/connect_operation.h
@@ -1,5 +1,5 @@
-/// One attempt to open a connection. What this machine could not begin for lack of resources is
-/// tried again until the caller cancels; there is no time limit of its own.
+/// One attempt to open a connection. If this machine lacks resources to begin it, it is retried
+/// until the caller cancels. The operation has no timeout of its own.
 #pragma once
 
 #include <boost/system/error_code.hpp>
@@ -13,27 +13,27 @@
 
 namespace inference_router::net {
 
-/// Kept alive by its pending handler or timer. Belongs to the thread of the connection's socket.
+/// Kept alive by its pending handler or timer. Confined to the thread of the connection's socket.
 class ConnectOperation final : public std::enable_shared_from_this<ConnectOperation> {
  public:
   using Done = std::function<void(const boost::system::error_code&)>;
 
-  /// What an operation needs of the process; all outlive it.
+  /// Services that the operation uses; all outlive it.
   struct Context {
     const core::Clock& clock;
     core::TimerQueue& timers;
     core::Counters& counters;
   };
 
-  /// Connects to connection->to and calls done once, unless cancel() comes before. A fault of this
-  /// machine is never reported; see hadLocalFault().
+  /// Connects to connection->endpoint and calls done once, unless cancel() is called first. Faults
+  /// of this machine are retried and not reported to done; see hadLocalFault().
   static std::shared_ptr<ConnectOperation> start(std::shared_ptr<Connection> connection,
                                                  const Context& context,
                                                  Done done);
 
-  /// Done will not be called. The socket stays as it is.
+  /// Prevents the call of done. Leaves the socket as it is.
   void cancel();
-  /// Whether a fault of this machine has cost a part of the time.
+  /// Whether a fault of this machine has delayed the attempt.
   bool hadLocalFault() const { return hadLocalFault_; }
 
  private:
@@ -45,7 +45,7 @@
 
   std::shared_ptr<Connection> connection_;
   Context context_;
-  Done done_;  // none once it was called or cancelled
+  Done done_;  // empty once it was called or cancelled
   core::Timer retryTimer_;
   bool hadLocalFault_ = false;
 };
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -11,7 +11,8 @@
 
 namespace {
 
-// Whether bytes that were written still stand in this machine because the peer does not read them.
+// Whether written bytes are still in this machine's send buffer because the peer does not read
+// them.
 bool hasUnsent(int descriptor) {
   int unsent = 0;
   return ::ioctl(descriptor, SIOCOUTQNSD, &unsent) == 0 && unsent > 0;
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -1,4 +1,4 @@
-/// One TCP connection to an instance or another HTTP server, as the pool keeps it.
+/// One TCP connection of a pool to an instance or another HTTP server.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -11,21 +11,21 @@
 
 namespace inference_router::net {
 
-/// Owned by the pool while idle, and by the call that it carries otherwise.
+/// Owned by the pool while idle, otherwise by the call that uses it.
 struct Connection {
   explicit Connection(boost::asio::io_context& io) : socket(io) {}
 
-  /// Whether it can carry another request: nothing has come on it, not its end either, and what is
-  /// written on it goes out at once.
+  /// Whether the connection can take another request: no byte and no end of stream has been
+  /// received, and everything written has been sent.
   bool isReusable();
 
   boost::asio::ip::tcp::socket socket;
-  boost::beast::flat_buffer buffer;  ///< bytes that have come and are not parsed yet
+  boost::beast::flat_buffer buffer;  ///< received bytes that are not parsed yet
   Endpoint endpoint;                 ///< the default endpoint once the pool has closed it
-  core::Timer idleTimer;             ///< armed while it is idle: closes it
+  core::Timer idleTimer;             ///< closes the connection; armed while it is idle
   double idleSinceMs = 0;
-  std::uint64_t number = 0;  ///< of the pool's connections, from one
-  int calls = 0;             ///< that it has carried, the one in flight included
+  std::uint64_t number = 0;  ///< serial number within the pool, from 1
+  int calls = 0;             ///< calls on this connection, including the one in flight
 };
 
 }  // namespace inference_router::net
--- a/src/net/descriptor_transfer.cpp
+++ b/src/net/descriptor_transfer.cpp
@@ -23,8 +23,8 @@
 
 using ControlBuffer = std::array<char, CMSG_SPACE(sizeof(int) * kMaxDescriptorsPerMessage)>;
 
-/// The address of a socket in a folder. A socket's path is short while a folder's need not be, so
-/// the folder is named by a descriptor that stays open as long as the address.
+/// The address of a socket in a folder. The path of a Unix socket is limited in length, so the
+/// folder is referenced through /proc by a descriptor that stays open as long as the address.
 class SocketAddress {
  public:
   SocketAddress(const std::string& folder, const std::string& name)
@@ -164,10 +164,10 @@
         case ReceiveStatus::kClosed:
           return disconnect();
         case ReceiveStatus::kTruncated:
-          continue;  // of no use; its descriptors close here
+          continue;  // discarded; its descriptors are closed here
         case ReceiveStatus::kReceived:
-          // First of all: the sender keeps the message until it is acknowledged, and for good if
-          // the acknowledgement does not reach it.
+          // Acknowledge before handling: the sender stays responsible for the message until the
+          // acknowledgement, and for good if the acknowledgement does not reach it.
           if (!acknowledge())
             return disconnect();
           owner_->onMessage_(std::move(message));
@@ -175,7 +175,7 @@
     }
   }
 
-  // True also if the sender has ended: it keeps nothing then.
+  // Returns true also if the sender has exited: it then no longer holds the message.
   bool acknowledge() {
     while (::send(socket_.native_handle(), "", 1, MSG_DONTWAIT | MSG_NOSIGNAL) < 0)
       if (errno != EINTR)
@@ -225,7 +225,7 @@
   FileDescriptor socket = newSocket();
   if (!address.valid() || !socket)
     return;
-  ::unlink(socketPath().c_str());  // left behind by an earlier process with the same number
+  ::unlink(socketPath().c_str());  // left by an earlier process with the same id
   if (::bind(socket.get(), address.get(), SocketAddress::size()) != 0)
     return;
   ::chmod(socketPath().c_str(), kOwnerOnly);
@@ -255,7 +255,7 @@
   accept();
 }
 
-// A listener that cannot accept stays readable: without a pause it would keep the loop busy.
+// A listener that cannot accept stays readable, so an immediate retry would be a busy loop.
 void DescriptorReceiver::retryAcceptLater() {
   acceptRetryTimer_.expires_after(kRetryDelay);
   acceptRetryTimer_.async_wait([this](const boost::system::error_code& error) {
@@ -287,7 +287,8 @@
   while (::sendmsg(socket_.get(), &message, MSG_DONTWAIT | MSG_NOSIGNAL) < 0) {
     if (errno == EINTR)
       continue;
-    // ETOOMANYREFS: too many descriptors are under way; the receiver takes them as it gets to run.
+    // ETOOMANYREFS: too many descriptors are in flight; the limit clears as the receiver reads
+    // them.
     const bool full =
         errno == EAGAIN || errno == EWOULDBLOCK || errno == ENOBUFS || errno == ETOOMANYREFS;
     return full ? Result::kFull : Result::kBroken;  // earlier acknowledgements can still be read
@@ -304,7 +305,7 @@
       ++count;
     else if (received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK))
       break;
-    // A reset is reported once, and ahead of the acknowledgements that came before it.
+    // A reset is reported once, before the acknowledgements that were received ahead of it.
     else if (received == 0 || (errno != EINTR && errno != ECONNRESET))
       socket_ = FileDescriptor();
   }
--- a/src/net/descriptor_transfer.h
+++ b/src/net/descriptor_transfer.h
@@ -1,6 +1,6 @@
-/// Passes messages with file descriptors from one process to another of the same user, over a Unix
-/// socket that keeps message boundaries. Nothing here blocks. All objects belong to the thread that
-/// runs the io_context.
+/// Sends messages with file descriptors from one process to another of the same user, over a Unix
+/// socket that preserves message boundaries. Nothing here blocks. All objects are confined to the
+/// thread that runs the io_context.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,21 +17,21 @@
 
 namespace inference_router::net {
 
-/// One message with the descriptors that came with it.
+/// One message with its descriptors.
 struct ReceivedMessage {
   std::string bytes;
   std::vector<FileDescriptor> descriptors;
 };
 
-/// Listens on a Unix socket in a folder and acknowledges every message before its handler sees it.
+/// Listens on a Unix socket in a folder. Acknowledges every message before it calls the handler.
 class DescriptorReceiver {
  public:
-  /// Stays under what a Unix socket takes at once.
+  /// Below the largest message that a Unix socket accepts.
   static constexpr std::size_t kMaxMessageBytes = 160UL * 1024;
   using MessageHandler = std::function<void(ReceivedMessage)>;
 
-  /// Listens under this name in the folder. Check isOpen(): if the socket cannot be made there,
-  /// nobody can send anything here, and nothing else happens.
+  /// Listens under this name in the folder. If the socket cannot be created, isOpen() is false and
+  /// no messages are received.
   DescriptorReceiver(boost::asio::io_context& io,
                      std::string folder,
                      std::string name,
@@ -64,19 +64,19 @@
  public:
   enum class Result {
     kSent,
-    kFull,    ///< the receiver is behind: the same message may be sent later
+    kFull,    ///< the receiver has not read earlier messages: the same message may be sent later
     kBroken,  ///< the connection or the message cannot be used
   };
 
-  /// Connects at once. Check isOpen().
+  /// Connects at once; isOpen() is false if that fails.
   DescriptorSender(const std::string& folder, const std::string& name);
   bool isOpen() const { return static_cast<bool>(socket_); }
 
-  /// The receiver gets copies of the descriptors; the caller keeps its own.
+  /// Sends duplicates of the descriptors; the caller keeps its own.
   Result send(const std::string& bytes, const std::vector<int>& descriptors);
-  /// The number of messages, in the order in which they were sent, that were acknowledged since the
-  /// last call. If the sender is not open afterwards, the receiver has ended, and no message beyond
-  /// these was handled.
+  /// Returns how many further messages were acknowledged since the last call, in the order of
+  /// sending. If the sender is not open afterwards, the receiver has exited, and no later message
+  /// was handled.
   std::size_t takeAcknowledged();
 
  private:
--- a/src/net/endpoint.h
+++ b/src/net/endpoint.h
@@ -1,4 +1,4 @@
-/// An address and port, and the text that stands for one in configurations.
+/// An address and port, and parsing of its textual form.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -9,14 +9,14 @@
 
 using Endpoint = boost::asio::ip::tcp::endpoint;
 
-/// A text that is no numeric host and port.
+/// Thrown for a text that is not a numeric host and port.
 class AddressError : public std::invalid_argument {
  public:
   explicit AddressError(const std::string& hostPort)
       : std::invalid_argument("'" + hostPort + "' is not an address like 127.0.0.1:8000") {}
 };
 
-/// "host:port" with a numeric host; throws AddressError.
+/// Parses "host:port" with a numeric host; throws AddressError.
 Endpoint parseEndpoint(const std::string& hostPort);
 
 }  // namespace inference_router::net
--- a/src/net/file_descriptor.h
+++ b/src/net/file_descriptor.h
@@ -7,8 +7,8 @@
 
 namespace inference_router::net {
 
-/// Closes its descriptor when destroyed or assigned to, unless release() gave it away. Empty while
-/// the value is negative, so that the result of a failed system call can be held as it is.
+/// Closes its descriptor when destroyed or assigned to, unless release() was called. Empty while
+/// the value is negative, so that the result of a failed system call can be stored directly.
 class FileDescriptor {
  public:
   explicit FileDescriptor(int value = -1) : value_(value) {}
@@ -26,7 +26,7 @@
 
   explicit operator bool() const { return value_ >= 0; }
   int get() const { return value_; }
-  /// Gives the descriptor to the caller, who closes it from then on.
+  /// Transfers ownership of the descriptor to the caller.
   [[nodiscard]] int release() { return std::exchange(value_, -1); }
 
  private:
--- a/src/net/handshake_filter.h
+++ b/src/net/handshake_filter.h
@@ -1,10 +1,10 @@
-/// Refuses new connections to a listening socket without losing those on their way.
+/// Stops new connections to a listening socket without losing those that are being established.
 #pragma once
 
 namespace inference_router::net {
 
-/// Has the kernel drop further attempts to connect. Handshakes in progress go on, and what stands
-/// in the accept queue stays there.
+/// Makes the kernel drop further connection attempts. Handshakes in progress complete, and the
+/// accept queue is unchanged.
 void dropNewHandshakes(int listeningDescriptor);
 
 }  // namespace inference_router::net
--- a/src/net/input_refusal.h
+++ b/src/net/input_refusal.h
@@ -1,4 +1,4 @@
-/// The answers to input that is no request.
+/// Error responses to input that is not a valid request.
 #pragma once
 
 #include <boost/system/error_code.hpp>
@@ -12,8 +12,8 @@
   std::string_view text;
 };
 
-/// What a client is told whose input failed with this error; nothing if the connection itself has
-/// ended or failed.
+/// The refusal for input that failed with this error; empty if the connection itself has ended or
+/// failed.
 std::optional<InputRefusal> refusalFor(const boost::system::error_code& error);
 
 }  // namespace inference_router::net
--- a/src/net/line_server.cpp
+++ b/src/net/line_server.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-constexpr double kAcceptRetryDelayMs = 20;  // after accept failed, as when descriptors ran out
+// Delay after accept failed, for instance for lack of descriptors.
+constexpr double kAcceptRetryDelayMs = 20;
 constexpr std::size_t kReadSize = 512;
 
 }  // namespace
@@ -45,7 +46,7 @@
         [self = shared_from_this()](const boost::system::error_code& error, std::size_t count) {
           if (self->server_ == nullptr)
             return;
-          if (self->answered_) {  // only its end is waited for
+          if (self->answered_) {  // further input is ignored until the caller closes
             if (error)
               return self->close();
             return self->read();
@@ -56,7 +57,7 @@
         });
   }
 
-  // A line ends with its end, or with the caller's sending.
+  // A line ends with a newline, or when the caller shuts down sending.
   void parse(bool ended, bool failed) {
     const bool complete = extractLine() || (ended && !line_.empty());
     if (!complete && failed)
@@ -68,7 +69,7 @@
     handleLine(ended);
   }
 
-  // Whether the line's end, or more than a line may have, has come; what is beyond is dropped.
+  // Returns whether the line is complete or longer than the limit, and drops the bytes behind it.
   bool extractLine() {
     const std::size_t end = line_.find('\n');
     const std::size_t overLimit = server_->limits_.lineBytes + 1;
@@ -97,15 +98,15 @@
             return;
           if (error || ended)
             return self->close();
-          // Closing with input unread would reset the connection and take the answer from the
-          // caller's hands.
+          // Closing with unread input would reset the connection, and the caller could lose the
+          // reply.
           boost::system::error_code ignored;
           self->socket_.shutdown(boost::asio::ip::tcp::socket::shutdown_send, ignored);
           self->read();
         });
   }
 
-  LineServer* server_;  // none once closed
+  LineServer* server_;  // null once closed
   boost::asio::ip::tcp::socket socket_;
   std::array<char, kReadSize> received_{};
   std::string line_;
@@ -163,7 +164,7 @@
   boost::asio::ip::tcp::socket socket(io_);
   if (assign(socket, acceptor_.local_endpoint().protocol(), descriptor))
     return;
-  // Callers that never finish hold up nobody: the first of them goes.
+  // At the limit the oldest connection is closed, so that callers that never finish block nobody.
   if (sessions_.size() >= limits_.connections) {
     ++counters_["door.made_room"];
     sessions_.front()->close();
--- a/src/net/line_server.h
+++ b/src/net/line_server.h
@@ -1,5 +1,5 @@
-/// A server for calls of one line: each connection carries one, gets one text, and is closed. Knows
-/// no call.
+/// A server for one-line requests: each connection sends one line, gets one reply and is closed.
+/// The meaning of the lines is up to the handler.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,18 +17,18 @@
 
 namespace inference_router::net {
 
-/// Belongs to one thread.
+/// Confined to one thread.
 class LineServer {
  public:
   struct Limits {
-    std::size_t connections = 32;  ///< at a time; beyond it the oldest one closes
+    std::size_t connections = 32;  ///< open at a time; beyond it the oldest is closed
     std::size_t lineBytes = 1024;
-    double callMs = 10'000;  ///< for the line to arrive, and for the answer to be taken
+    double callMs = 10'000;  ///< time limit from connecting until the reply is sent
   };
-  /// The line without its end to the text that goes back. A line over the limit is handed over cut,
-  /// one byte longer than the limit, so that whoever answers can say so.
+  /// Returns the reply to a line, which is passed without its line end. A line over the limit is
+  /// passed truncated to one byte more than the limit, so that the handler can detect it.
   using Handler = std::function<std::string(std::string_view line)>;
-  /// The same where the answer comes later, once. A caller that is gone by then hears nothing.
+  /// Sends the reply of an asynchronous handler; call once. Ignored if the caller has disconnected.
   using ReplyCallback = std::function<void(std::string text)>;
   using AsyncHandler = std::function<void(std::string_view line, ReplyCallback reply)>;
 
@@ -68,7 +68,7 @@
 
   boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
   std::size_t size() const { return sessions_.size(); }
-  /// Where its descriptors are accounted for; those open already are not.
+  /// Sets the budget that counts this server's descriptors; those already open are not counted.
   void accountTo(admission::DescriptorBudget& descriptorBudget) {
     descriptorBudget_ = &descriptorBudget;
   }
@@ -87,7 +87,7 @@
   core::TimerQueue& timers_;
   core::Counters& counters_;
   Limits limits_;
-  std::list<std::shared_ptr<Session>> sessions_;  // in the order they came
+  std::list<std::shared_ptr<Session>> sessions_;  // oldest first
   core::Timer acceptRetryTimer_;
   admission::DescriptorBudget* descriptorBudget_ = nullptr;
 };
--- a/src/net/lingering_close.cpp
+++ b/src/net/lingering_close.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr double kLingerTimeoutMs = 500;  // for a client to close, once it has been told of the end
-constexpr std::size_t kMaxDiscardedBytes = std::size_t{256} * 1024;  // until then
+constexpr double kLingerTimeoutMs = 500;  // for the client to close after this side's shutdown
+constexpr std::size_t kMaxDiscardedBytes = std::size_t{256} * 1024;  // within that time
 constexpr std::size_t kReadSize = std::size_t{8} * 1024;
 
 }  // namespace
@@ -35,13 +35,13 @@
   if (failed)
     return onDone_();
   if (input_.hasUnread() && !discardsInput_)
-    return;  // another request: left unread until the time is over
+    return;  // another request: left unread until the timeout
   if (!discardsInput_ || discardInput())
     return onDone_();
   awaitInput(owner);
 }
 
-// True once the client has ended, or has sent too much.
+// Returns true once the client has closed, or has sent too much.
 bool LingeringClose::discardInput() {
   std::array<char, kReadSize> dropped;
   const IoResult received = receive(socket_.native_handle(), dropped);
--- a/src/net/lingering_close.h
+++ b/src/net/lingering_close.h
@@ -1,6 +1,6 @@
-/// The end of a client's connection from this side. Closing with input unread, or as input arrives,
-/// would reset it and take what was written last from the client's hands: so this side ends its
-/// sending and closes when the client has, within bounds. No request is read from then on.
+/// Closes a client's connection without losing output. Closing with unread or arriving input would
+/// reset the connection, and the client could lose the last bytes written. So this side shuts down
+/// sending and closes after the client has, within bounds. No request is read from then on.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -17,9 +17,9 @@
 /// A part of the connection that owns the socket and the input.
 class LingeringClose {
  public:
-  /// discardsInput: what follows belongs to input that was refused, and is read and dropped; else
-  /// another request is left unread until the time is over. onDone is called when the socket is to
-  /// be closed, at most once.
+  /// discardsInput: further input belongs to a refused request and is read and discarded; otherwise
+  /// another request is left unread until the timeout. onDone is called at most once, when the
+  /// socket is to be closed.
   LingeringClose(boost::asio::ip::tcp::socket& socket,
                  const ClientInput& input,
                  bool discardsInput,
@@ -30,7 +30,7 @@
   void start(const std::shared_ptr<void>& owner,
              const core::Clock& clock,
              core::TimerQueue& timers);
-  /// onDone will not be called.
+  /// Prevents the call of onDone.
   void cancel();
 
  private:
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -12,14 +12,14 @@
 
 namespace {
 
-constexpr double kAcceptRetryDelayMs = 20;  // after accept failed, as when descriptors ran out
-constexpr double kHandshakeGraceMs =
-    5;  // for handshakes in progress as no further ones are accepted
-constexpr int kMaxAcceptsPerTurn = 64;      // of the loop
-constexpr int kMaxAbortedInRow = 16;        // that have gone before they were accepted
+// Delay after accept failed, for instance for lack of descriptors.
+constexpr double kAcceptRetryDelayMs = 20;
+constexpr double kHandshakeGraceMs = 5;     // for handshakes in progress once new ones are dropped
+constexpr int kMaxAcceptsPerTurn = 64;      // per turn of the event loop
+constexpr int kMaxAbortedInRow = 16;        // connections that were reset before they were accepted
 constexpr double kMaxQueueDrainMs = 3'000;  // for a closing listener to empty its accept queue
-// After an evacuation the front layer learns within 0.1 s that it is to stop and sends for 0.2 s
-// more: idle connections are left until then, and looked at again as others fall idle.
+// After an evacuation the front layer is notified within 0.1 s and keeps sending for another 0.2 s.
+// Idle connections stay open until then; later sweeps close those that become idle.
 constexpr double kFirstSweepMs = 400;
 constexpr double kSweepIntervalMs = 200;
 
@@ -36,7 +36,7 @@
 
 }  // namespace
 
-// The process's services are passed one by one, as to every part that uses them.
+// The services are passed one by one, as in the other constructors that take them.
 // NOLINTNEXTLINE(readability-function-size)
 Listener::Listener(boost::asio::io_context& io,
                    const boost::asio::ip::tcp::endpoint& address,
@@ -79,8 +79,8 @@
 
 // ---- Accepting
 
-// With an admission controller nobody waits in the queue behind a flood: all are admitted or
-// refused.
+// With an admission controller no client waits in the accept queue behind a flood of connections:
+// each is admitted or refused.
 void Listener::accept() {
   if (accepting_ || !isOpen())
     return;
@@ -89,8 +89,8 @@
   if (!hasCapacity())
     return acceptLater();
   accepting_ = true;
-  // Readiness is waited for, and not a connection: an accept that meets one that has gone may leave
-  // others behind it in the queue, for which no further event comes.
+  // Waits for readiness instead of using async_accept, which may fail on an aborted connection and
+  // leave others behind it in the queue without a further event.
   acceptor_.async_wait(boost::asio::ip::tcp::acceptor::wait_read,
                        [this](const boost::system::error_code& error) {
                          if (error == boost::asio::error::operation_aborted)
@@ -100,12 +100,13 @@
                        });
 }
 
-// closed() accepts again, and so does time, which makes more connections evictable.
+// Besides closed(), a timer accepts again, because more connections become evictable with time.
 void Listener::acceptLater() {
   timers_.runAt(clock_.nowMs() + kAcceptRetryDelayMs, [this] { accept(); });
 }
 
-// What one turn admits is bounded, so that a flood of connections does not have the loop to itself.
+// The number of connections per turn is bounded, so that a flood does not monopolize the event
+// loop.
 void Listener::acceptReady() {
   int aborted = 0;
   for (int accepted = 0; accepted < kMaxAcceptsPerTurn && isOpen() && hasCapacity(); ++accepted) {
@@ -125,7 +126,7 @@
   return admissionController_ != nullptr || connections_.size() < maxConnections_;
 }
 
-// All causes pass with time. Never a busy loop.
+// All causes are temporary; the delay avoids a busy loop.
 void Listener::pauseAccepting(AcceptStatus status) {
   if (closed_)
     return;
@@ -135,7 +136,7 @@
       descriptorBudget_->ranOut(clock_.nowMs());
     refusals_.refuseWithSpareDescriptor(acceptor_.native_handle());
   }
-  accepting_ = true;  // until then no other path tries
+  accepting_ = true;  // prevents other accepts until then
   timers_.runAt(clock_.nowMs() + kAcceptRetryDelayMs, [this] {
     accepting_ = false;
     accept();
@@ -167,7 +168,7 @@
   boost::system::error_code error;
   const auto peer = socket.remote_endpoint(error);
   if (error)
-    return;  // it has gone already
+    return;  // the client has already disconnected
   const double now = clock_.nowMs();
   const auto level =
       descriptorBudget_ != nullptr ? descriptorBudget_->level(now) : admission::Level::kNormal;
@@ -200,7 +201,7 @@
 std::shared_ptr<ClientConnection> Listener::adopt(const ClientConnection::TransferState& state) {
   boost::asio::ip::tcp::socket socket(io_);
   if (assign(socket, protocol_, state.descriptor))
-    return nullptr;  // also once the listener is closed
+    return nullptr;  // also after the listener is closed
   ++counters_["clients.adopted"];
   auto connection = addConnection(std::move(socket), 0);
   connection->adopt(state);
@@ -209,8 +210,8 @@
 
 // ---- The connections
 
-// First who never sent a complete request, then who has been idle longest. Closing between requests
-// is allowed; one whose next request has come already stays.
+// Evicts a connection that never sent a complete request, or else the one that has been idle
+// longest. HTTP allows closing between requests; a connection whose next request has arrived stays.
 void Listener::evictOne() {
   std::vector<std::shared_ptr<ClientConnection>> candidates;
   for (const auto& connection : connections_)
@@ -269,7 +270,7 @@
   if (descriptorBudget_ != nullptr)
     descriptorBudget_->give(admission::Account::kClients);
   finishIfDone();
-  // Not from here: evictOne() closes connections while accept() runs.
+  // Posted rather than called: evictOne() closes connections while accept() runs.
   boost::asio::post(io_, [this] { accept(); });
 }
 
@@ -325,9 +326,8 @@
   finishIfDone();
 }
 
-// Guards clients whose connection stands in the accept queue: closing the listener would reset
-// them. Each is admitted, or told that there is no capacity. False if somebody may be left in it,
-// as this machine lacks resources.
+// Admits or refuses all clients in the accept queue, since closing the listener would reset their
+// connections. Returns false if some may be left because this machine lacks resources.
 bool Listener::emptyAcceptQueue() {
   int aborted = 0;
   while (aborted <= kMaxAbortedInRow) {
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -1,4 +1,4 @@
-/// Accepts the clients' connections up to a limit, and closes in order when the process ends.
+/// Accepts client connections up to a limit, and shuts down gracefully when the process exits.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -21,15 +21,15 @@
 
 namespace inference_router::net {
 
-/// Owns its connections. Belongs to one thread; all that it is given outlives it.
+/// Owns its connections. Confined to one thread. All constructor arguments outlive it.
 class Listener final : public ClientConnection::Owner {
  public:
   struct Options {
     bool sharedPort = false;  ///< another process may listen on the same address at the same time
-    bool open = true;         ///< at once; else nobody can connect before open()
-    /// Who may connect; none: everybody within the limit.
+    bool open = true;         ///< listen at once; otherwise clients can connect only after open()
+    /// Decides which clients may connect; null: all, up to the limit.
     admission::AdmissionController* admissionController = nullptr;
-    /// Of the process's descriptors; none: they are not accounted for.
+    /// Counts the descriptors of the process; null: they are not counted.
     admission::DescriptorBudget* descriptorBudget = nullptr;
   };
 
@@ -51,30 +51,32 @@
            core::Counters& counters)
       : Listener(io, address, maxConnections, handler, clock, timers, counters, Options{}) {}
 
-  /// Begins to listen; does nothing the second time, or after the end of a drain.
+  /// Starts to listen; no effect if already listening or after the end of a drain.
   void open();
   bool isOpen() const { return opened_ && !closed_; }
   boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
   std::size_t size() const { return connections_.size(); }
-  /// Refused clients that are still reading why.
+  /// Number of refused clients that are still reading the refusal.
   std::size_t pendingRefusals() const { return refusals_.pending(); }
 
-  /// Sends clients away and takes them back. Who still connects is served; every connection closes
-  /// after its answer, and the idle ones once the front layer has stopped sending.
+  /// evacuate() moves clients away, activate() takes them back. While evacuated, new connections
+  /// are still served, every connection closes after its answer, and idle connections are closed
+  /// once the front layer has stopped sending.
   void evacuate();
   void activate();
   bool evacuated() const { return evacuated_; }
 
-  /// Idle connections above the new limit are evicted, open requests end first.
+  /// Evicts idle connections above the new limit; requests in progress are completed first.
   void setMaxConnections(std::size_t connections);
-  /// Evicts those that a change of rules left no room for.
+  /// Evicts connections that exceed changed admission rules.
   void close(const std::vector<admission::ConnectionId>& ids);
 
-  /// A connection whose stream another process began; nothing if the descriptor cannot be used.
+  /// Continues a connection whose stream another process began; null if the descriptor cannot be
+  /// used.
   std::shared_ptr<ClientConnection> adopt(const ClientConnection::TransferState& state);
 
-  /// Goes on accepting and serving for so long, then closes; done is called when all clients are
-  /// gone.
+  /// Accepts and serves for acceptForMs more, then closes. done is called when all connections have
+  /// closed.
   void drain(double acceptForMs, std::function<void()> done);
 
   // ---- ClientConnection::Owner ----
@@ -119,9 +121,9 @@
   RefusalSender refusals_;
   core::Timer sweepTimer_;
   std::function<void()> onDrained_;
-  std::optional<double> closeDeadlineMs_;  // whether or not its accept queue is empty by then
+  std::optional<double> closeDeadlineMs_;  // even if the accept queue is not empty by then
   bool opened_ = false;
-  bool accepting_ = false;  // an operation or a pause is pending
+  bool accepting_ = false;  // an accept or a retry delay is pending
   bool draining_ = false;
   bool closed_ = false;
   bool evacuated_ = false;
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -16,7 +16,7 @@
   if (!next)
     return;
   const std::chrono::duration<double, std::milli> wait(std::max(0.0, *next - clock_.nowMs()));
-  // Setting the expiry cancels the wait before it, whose handler then finds an error and does
+  // Setting the expiry cancels the previous wait, whose handler then gets an error and does
   // nothing.
   timer_.expires_after(std::chrono::ceil<std::chrono::steady_clock::duration>(wait));
   timer_.async_wait([this](const boost::system::error_code& error) {
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -1,4 +1,4 @@
-/// Drives a timer queue from an io_context: one system timer, set to the earliest of all tasks.
+/// Drives a timer queue from an io_context with one system timer, set to the earliest task.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -9,7 +9,7 @@
 
 namespace inference_router::net {
 
-/// Works as long as it lives; the io_context, the clock and the timers outlive it.
+/// Runs until it is destroyed. The io_context, the clock and the timers outlive it.
 class Loop {
  public:
   Loop(boost::asio::io_context& io, const core::Clock& clock, core::TimerQueue& timers);
--- a/src/net/message.cpp
+++ b/src/net/message.cpp
@@ -4,7 +4,7 @@
 #include <charconv>
 #include <cmath>
 #include <ostream>
-// Boost 1.74 does not bring <ostream> itself.
+// Boost 1.74 does not include <ostream> itself.
 #include <boost/beast/http/status.hpp>
 
 namespace inference_router::net {
@@ -33,7 +33,7 @@
 }
 
 std::string withFields(std::string head, const Fields& fields) {
-  head.resize(head.size() - kLineEnd.size());  // of the empty line that ends it
+  head.resize(head.size() - kLineEnd.size());  // without the final empty line
   append(head, fields);
   head += kLineEnd;
   return head;
--- a/src/net/output_queue.h
+++ b/src/net/output_queue.h
@@ -1,4 +1,4 @@
-/// Bytes on their way to a client, in order and one write at a time.
+/// Output of a client connection: bytes are written in order, one write at a time.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -13,13 +13,13 @@
 
 namespace inference_router::net {
 
-/// A part of the connection that owns the socket.
+/// Owned by the connection that owns the socket.
 class OutputQueue {
  public:
   struct Callbacks {
-    /// A write has ended.
+    /// A write has finished or failed.
     std::function<void(const boost::system::error_code&)> onWritten;
-    /// The client has taken none of a write for too long.
+    /// A write has not finished within the time limit.
     std::function<void()> onTimeout;
   };
 
@@ -30,12 +30,12 @@
       : socket_(socket), clock_(clock), timers_(timers), callbacks_(std::move(callbacks)) {}
 
   void append(std::string_view bytes) { pending_ += bytes; }
-  /// Begins to write what is pending, unless a write is in progress. owner: the connection, kept
+  /// Starts to write the pending bytes, unless a write is in progress. owner: the connection, kept
   /// alive until the write has ended.
   void flush(const std::shared_ptr<void>& owner);
   bool isWriting() const { return isWriting_; }
   bool empty() const { return !isWriting_ && pending_.empty(); }
-  /// Bytes that no write has taken up yet.
+  /// Bytes that are not part of a write yet.
   std::size_t pendingBytes() const { return pending_.size(); }
   void cancelTimer() { timer_.cancel(); }
 
@@ -45,7 +45,7 @@
   core::TimerQueue& timers_;
   Callbacks callbacks_;
   std::string pending_;
-  std::string written_;  // of the write in progress
+  std::string written_;  // bytes of the write in progress
   core::Timer timer_;
   bool isWriting_ = false;
 };
--- a/src/net/peer_watch.cpp
+++ b/src/net/peer_watch.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-constexpr double kRetryDelayMs = 20;  // between two looks at a client of whom no event tells
+constexpr double kRetryDelayMs = 20;  // between two checks of a client that causes no event
 
 }  // namespace
 
@@ -30,8 +30,8 @@
     return readAhead(owner);
   if (more)
     return start(owner);
-  // The system is short of room and says so again and again, or another process that had the
-  // connection has set the socket anew.
+  // Readable without new bytes: the kernel is short of buffer space and keeps reporting it, or
+  // another process that had the connection has changed the socket's threshold.
   input_.forgetWakeThreshold();
   startLater(owner);
 }
--- a/src/net/peer_watch.h
+++ b/src/net/peer_watch.h
@@ -1,6 +1,6 @@
-/// Notices that a client goes while it is answered. Nothing is read then: bytes that are there
-/// belong to its next request and wait in the kernel, as the answer may turn out to be the last.
-/// The system tells of more bytes and of an end behind them.
+/// Detects that a client disconnects while its request is being answered. Nothing is read
+/// meanwhile: received bytes belong to the next request and stay in the kernel, as the current
+/// answer may turn out to be the last. The kernel reports more bytes, and a close behind them.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -13,12 +13,12 @@
 
 namespace inference_router::net {
 
-/// A part of the connection that owns the socket and the input.
+/// Owned by the connection that owns the socket and the input.
 class PeerWatch {
  public:
   struct Callbacks {
-    std::function<bool()> isAnswering;     ///< else the watch ends by itself
-    std::function<bool()> keepsReadAhead;  ///< whether what is read ahead is to be served
+    std::function<bool()> isAnswering;     ///< if false, the watch ends
+    std::function<bool()> keepsReadAhead;  ///< whether pipelined requests will be served
     std::function<void()> onDisconnected;  ///< the client has closed or broken the connection
   };
 
--- a/src/net/pool.cpp
+++ b/src/net/pool.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-// A connection is idle so long before its next request: bytes that do not belong to the response
-// just read come right behind it, and would be taken for the response to that request.
+// Minimum idle time before a connection is reused. Excess bytes after a response arrive right
+// behind it and would otherwise be taken for the response to the next request.
 constexpr double kMinIdleMs = 4;
-// One in so many connections is kept for urgent calls; none where there are too few to share.
+// One in this many connections is reserved for urgent calls; none if the pool is smaller than that.
 constexpr std::size_t kUrgentShare = 16;
 
 }  // namespace
@@ -55,7 +55,7 @@
   const auto position =
       call->urgent_ ? std::find_if(waiting_.begin(), waiting_.end(), isNotUrgent) : waiting_.end();
   waiting_.insert(position, call);
-  // The caller may take it out of the line before by abandon().
+  // The caller can remove the call from the queue earlier by abandon().
   call->startTimer_ = timers_.schedule(clock_.nowMs() + limits_.connectTimeoutMs,
                                        [call] { call->fail(CallFailure::kWithdrawn); });
 }
@@ -110,7 +110,8 @@
   return call;
 }
 
-// The one used last: it is the least likely to be closed, and the others can age and go.
+// Takes the most recently used connection: it is the least likely to have been closed by the peer,
+// and the others can reach their idle timeout.
 std::shared_ptr<Connection> ConnectionPool::takeIdle(const Endpoint& endpoint) {
   for (auto it = idle_.end(); it != idle_.begin();) {
     --it;
@@ -121,7 +122,7 @@
     connection->idleTimer.cancel();
     if (connection->isReusable()) {
       boost::system::error_code ignored;
-      connection->socket.cancel(ignored);  // the watch for its end
+      connection->socket.cancel(ignored);  // stops waiting for the peer's close
       return connection;
     }
     close(connection);
@@ -151,7 +152,7 @@
   serveWaiting();
 }
 
-// The list's own pointer goes as the connection leaves it.
+// Copies the pointer, because close() removes it from the list.
 void ConnectionPool::closeOldestIdle() {
   const std::shared_ptr<Connection> oldest = idle_.front();
   close(oldest);
@@ -159,7 +160,7 @@
 
 void ConnectionPool::close(const std::shared_ptr<Connection>& connection) {
   if (connection->endpoint == Endpoint())
-    return;  // closed before
+    return;  // already closed
   idle_.remove(connection);
   connection->idleTimer.cancel();
   boost::system::error_code ignored;
@@ -184,7 +185,7 @@
   serveWaiting();
 }
 
-// Later, not from within whoever released a connection.
+// Posted, so that no call starts within the caller that released a connection.
 void ConnectionPool::serveWaiting() {
   if (serveScheduled_ || waiting_.empty())
     return;
--- a/src/net/pool.h
+++ b/src/net/pool.h
@@ -1,5 +1,5 @@
-/// Connections to instances and other HTTP servers: bounded in number, kept alive between calls,
-/// and retired well before the other side would close them.
+/// Connection pool for instances and other HTTP servers. Connections are limited in number, kept
+/// alive between calls, and closed well before the peer's own idle timeout.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -21,15 +21,16 @@
 
 namespace inference_router::net {
 
-/// Hands its connections to calls, one call on a connection at a time. Belongs to one thread, and
+/// Assigns connections to calls, one call per connection at a time. Confined to one thread, and
 /// outlives its calls.
 class ConnectionPool {
  public:
   struct Limits {
-    std::size_t maxConnections;  ///< open at a time, idle ones counted
+    std::size_t maxConnections;  ///< open at a time, including idle ones
     double connectTimeoutMs;
-    double maxIdleMs;                             ///< for which a connection is kept unused
-    std::uint64_t maxResponseBytes = UINT64_MAX;  ///< of a body; also what a chunk may claim
+    double maxIdleMs;  ///< before an unused connection is closed
+    std::uint64_t maxResponseBytes =
+        UINT64_MAX;  ///< of a body, and the largest announced chunk size
   };
 
   ConnectionPool(boost::asio::io_context& io,
@@ -39,19 +40,19 @@
                  Limits limits);
   ~ConnectionPool();
 
-  /// kFirst: goes ahead of all that wait for a connection, and may use the reserve.
+  /// kUrgent: is queued before all normal calls and may use the reserved connections.
   enum class Urgency { kNormal, kUrgent };
-  /// Begins a call; it does not queue for a connection before afterMs of the clock. One that has
-  /// not got a connection within the connect timeout is withdrawn: to whoever counts when it was
-  /// sent, waiting here is the same as a connection attempt that hangs.
+  /// Starts a call; it does not queue for a connection before the clock reaches afterMs. A call
+  /// that gets no connection within the connect timeout is withdrawn: for its caller, waiting in
+  /// the queue is the same as a connection attempt that hangs.
   std::shared_ptr<Call> call(const Endpoint& endpoint,
                              std::string head,
                              std::shared_ptr<const std::string> body,
                              std::shared_ptr<CallSink> sink,
                              Urgency urgency = Urgency::kNormal,
                              double afterMs = 0);
-  /// Takes up what another process left off and owns the descriptor from now on, also if it cannot
-  /// be used: nothing then. The call goes on with unpause().
+  /// Continues a response that another process began to read. Takes ownership of the descriptor,
+  /// and returns null if it cannot be used. Reading starts with Call::unpause().
   std::shared_ptr<Call> adopt(const Endpoint& endpoint,
                               const Call::TransferState& state,
                               std::shared_ptr<CallSink> sink);
@@ -59,9 +60,9 @@
   void dropIdle(const Endpoint& endpoint);
   bool hasIdle(const Endpoint& endpoint) const;
   void setConnectTimeout(double ms) { limits_.connectTimeoutMs = ms; }
-  /// Idle connections above the new limit close, busy ones finish their call first.
+  /// Closes idle connections above the new limit; busy ones finish their call first.
   void setMaxConnections(std::size_t connections);
-  /// Where its descriptors are accounted for; what is open already is not.
+  /// Sets the budget that counts this pool's descriptors; those already open are not counted.
   void accountTo(admission::DescriptorBudget& descriptorBudget, admission::Account account) {
     descriptorBudget_ = &descriptorBudget;
     account_ = account;
@@ -90,8 +91,8 @@
   core::TimerQueue& timers_;
   core::Counters& counters_;
   Limits limits_;
-  IdleConnections idle_;                       // the one idle longest first
-  std::deque<std::shared_ptr<Call>> waiting_;  // the urgent ones first
+  IdleConnections idle_;                       // longest idle first
+  std::deque<std::shared_ptr<Call>> waiting_;  // urgent calls first
   admission::DescriptorBudget* descriptorBudget_ = nullptr;
   admission::Account account_ = admission::Account::kInstances;
   std::function<void(const std::string&)> trace_;
--- a/src/net/refusal_sender.cpp
+++ b/src/net/refusal_sender.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-constexpr double kRetryAfterMs = 1'000;  // told to who is refused without a decision
-constexpr int kMaxSpareRefusals = 16;    // in one call
+constexpr double kRetryAfterMs = 1'000;  // for clients refused without an admission decision
+constexpr int kMaxSpareRefusals = 16;    // per call
 constexpr unsigned kTooManyRequests = 429;
 constexpr unsigned kServiceUnavailable = 503;
 
@@ -60,7 +60,7 @@
   return spare_.isHeld();
 }
 
-// The spare descriptor may not be had again at the moment in which it was given up.
+// The spare descriptor may not be available again right after it was released.
 bool RefusalSender::refuseNextWithSpareDescriptor(int listeningDescriptor,
                                                   const std::string& response) {
   spare_.release();
--- a/src/net/refusal_sender.h
+++ b/src/net/refusal_sender.h
@@ -1,4 +1,4 @@
-/// Tells clients that they are refused, and why, before their request is read.
+/// Sends refusals with their reason to clients whose request has not been read.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -14,7 +14,7 @@
 
 namespace inference_router::net {
 
-/// Belongs to one listener and its thread.
+/// Owned by one listener and confined to its thread.
 class RefusalSender {
  public:
   RefusalSender(const RequestHandler& handler,
@@ -24,14 +24,16 @@
                 admission::DescriptorBudget* descriptorBudget)
       : handler_(handler), counters_(counters), pending_(clock, timers, descriptorBudget) {}
 
-  /// By the admission controller's decision. The client gets time to read it if there is capacity.
+  /// Refuses by a decision of the admission controller. The client gets time to read the refusal if
+  /// there is capacity for that.
   void refuse(boost::asio::ip::tcp::socket socket, const admission::Decision& decision);
-  /// The listener is at its limit, and closes the connection right behind the answer.
+  /// Refuses because the listener is at its limit. The listener closes the connection right after
+  /// it.
   void refuseAtLimit(boost::asio::ip::tcp::socket& socket);
-  /// Refuses clients that wait in the accept queue of a process without descriptors, so that none
-  /// has to wait there. False once the queue is empty, or nobody can be taken out of it now.
+  /// Refuses clients in the accept queue of a process without free descriptors, so that they need
+  /// not wait there. Returns false once the queue is empty, or if no client can be accepted now.
   bool refuseWithSpareDescriptor(int listeningDescriptor);
-  /// Clients that are still reading why.
+  /// Number of clients that are still reading their refusal.
   std::size_t pending() const { return pending_.size(); }
 
  private:
@@ -42,7 +44,7 @@
   const RequestHandler& handler_;
   core::Counters& counters_;
   RefusedConnections pending_;
-  SpareDescriptor spare_;  // given up for a moment when the system has no descriptor left
+  SpareDescriptor spare_;  // released briefly when no other descriptor is free
 };
 
 }  // namespace inference_router::net
--- a/src/net/refused_connections.cpp
+++ b/src/net/refused_connections.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxConnections = 16;  // beyond, they close right behind the refusal
+constexpr std::size_t kMaxConnections = 16;  // beyond it, connections close right after the refusal
 constexpr double kMaxOpenMs = 300;
 constexpr std::size_t kReadSize = 1024;
 
@@ -51,7 +51,7 @@
         });
   }
 
-  RefusedConnections* owner_;  // none once closed
+  RefusedConnections* owner_;  // null once closed
   boost::asio::ip::tcp::socket socket_;
   std::array<char, kReadSize> dropped_{};
   core::Timer timer_;
--- a/src/net/refused_connections.h
+++ b/src/net/refused_connections.h
@@ -1,5 +1,5 @@
-/// Connections of refused clients that still read why: closing at once, with the request unread,
-/// would reset the refusal out of their hands.
+/// Connections of refused clients that are still reading the refusal. Closing at once, with the
+/// request unread, would reset the connection, and the client could lose the refusal.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -13,10 +13,10 @@
 
 namespace inference_router::net {
 
-/// Bounded in number and time. Belongs to one thread, and closes all as it is destroyed.
+/// Bounded in number and time. Confined to one thread. Closes all connections when destroyed.
 class RefusedConnections {
  public:
-  /// descriptorBudget: none if descriptors are not accounted for.
+  /// descriptorBudget: null if descriptors are not counted.
   RefusedConnections(const core::Clock& clock,
                      core::TimerQueue& timers,
                      admission::DescriptorBudget* descriptorBudget)
@@ -25,10 +25,11 @@
   RefusedConnections(const RefusedConnections&) = delete;
   RefusedConnections& operator=(const RefusedConnections&) = delete;
 
-  /// Takes a descriptor for one more from the budget; false if there is no capacity for it.
+  /// Reserves capacity and a descriptor of the budget for one more connection; false if there is
+  /// none.
   bool reserve();
-  /// After reserve(): keeps the connection until its client closes or its time is over. Ends the
-  /// sending side.
+  /// After reserve(): shuts down sending, and closes the connection once the client closes or the
+  /// time limit is reached.
   void add(boost::asio::ip::tcp::socket socket);
   std::size_t size() const { return connections_.size(); }
 
--- a/src/net/request_handler.h
+++ b/src/net/request_handler.h
@@ -1,4 +1,4 @@
-/// What stands behind a listener: whoever takes the clients' requests and answers them.
+/// Interface of the component that answers the requests of a listener's clients.
 #pragma once
 
 #include <memory>
@@ -11,21 +11,22 @@
 
 class ClientConnection;
 
-/// All calls come on the listener's thread.
+/// All calls are made on the listener's thread.
 class RequestHandler {
  public:
   virtual ~RequestHandler() = default;
-  /// Answers through the connection, now or later. arrivedMs: when the request's first byte came.
+  /// Answers through the connection, at once or later. arrivedMs: arrival of the request's first
+  /// byte.
   virtual void request(const std::shared_ptr<ClientConnection>& connection,
                        HttpRequest&& request,
                        double arrivedMs) = 0;
-  /// The client closed, or its connection broke, before the answer was complete.
+  /// The client disconnected before the answer was complete.
   virtual void disconnected(ClientConnection& connection) = 0;
-  /// The connection takes more of a stream, after writeChunk() returned false.
+  /// The connection accepts more output after writeChunk() returned false.
   virtual void writable(ClientConnection& connection) = 0;
-  /// Answers what cannot be understood as a request; the connection closes after the answer.
+  /// Answers invalid input, or a request that was shed.
   virtual void reject(ClientConnection& connection, unsigned status, std::string_view reason) = 0;
-  /// The complete response to a connection that is refused before its request was taken.
+  /// The complete response to a client that is refused before its request was read.
   virtual std::string refusalResponse(unsigned status,
                                       std::string_view reason,
                                       double retryAfterMs) const;
--- a/src/net/request_reader.cpp
+++ b/src/net/request_reader.cpp
@@ -27,8 +27,8 @@
   parser_->header_limit(kMaxHeadBytes);
 }
 
-// Looks at what has come first, and takes out of the kernel what turned out to be of this request.
-// What was looked at counts as read from then on, also if taking it out fails.
+// Peeks at the received bytes, parses them, and removes only those of this request from the kernel.
+// Peeked bytes of the request count as read, even if removing them fails.
 RequestReader::Progress RequestReader::read(int descriptor, boost::system::error_code& error) {
   consumePeeked(descriptor);
   std::array<char, kReadSize> bytes;
--- a/src/net/response_parser.cpp
+++ b/src/net/response_parser.cpp
@@ -31,8 +31,8 @@
   parser_.emplace();
   parser_->eager(true);
   parser_->header_limit(kMaxHeadBytes);
-  // Never boost::none: with it Boost 1.74 fails a body of known length that comes apart from its
-  // head. A chunk that claims more than the limit is refused by its size line.
+  // Not boost::none: with it Boost 1.74 fails on a body of known length that arrives separately
+  // from its head. A chunk that exceeds the limit is rejected by its size line.
   parser_->body_limit(maxBodyBytes_);
   parser_->on_chunk_header(onChunkHeader_);
 }
@@ -57,7 +57,7 @@
   return true;
 }
 
-// Guards against 100, 102 or 103 ahead of a response being taken for it.
+// Skips interim responses (such as 100, 102 or 103), which must not be taken for the final one.
 bool ResponseParser::skipInterim() {
   if (!hasHead() || parser_->get().result_int() / kStatusesPerClass != kInterimClass)
     return false;
@@ -73,7 +73,8 @@
   return body;
 }
 
-// The parser leaves the end of a chunk's data to the next size line, so that alone is no piece.
+// The parser consumes the line end of a chunk's data with the next size line, so a line end alone
+// does not count as an incomplete element.
 bool ResponseParser::isMidElement(const boost::beast::flat_buffer& unparsed) const {
   const auto data = unparsed.data();
   const std::string_view unread(static_cast<const char*>(data.data()), data.size());
@@ -82,8 +83,8 @@
   return announcedBytes_ > receivedBytes_ || (!unread.empty() && unread != "\r\n");
 }
 
-// One byte more stands before the chunk's rest, since a parser within a chunk reads the end of the
-// last one first.
+// The restored chunk starts with one additional byte, since a parser that begins a chunk first
+// reads the line end of the previous one.
 void ResponseParser::restore(std::uint64_t chunkRemaining, bool keepAlive) {
   std::array<char, 24> size{};
   std::snprintf(size.data(), size.size(), "%llx",
--- a/src/net/send_operation.h
+++ b/src/net/send_operation.h
@@ -1,8 +1,8 @@
-/// One message on its way to a socket, written whole however little each call takes.
+/// Writes one message completely to a socket, even if single calls write only part of it.
 ///
-/// Asio's own write waits for the edge of a socket that has room again. After a short write the
-/// socket still has room, so that no edge comes. This one goes on until the socket takes no more
-/// and only then waits.
+/// After a short write, Asio's own write waits for an edge-triggered event. If the socket is still
+/// writable, that event never comes. This operation writes until the socket would block, and only
+/// then waits.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -19,16 +19,17 @@
  public:
   using Done = std::function<void(const boost::system::error_code&)>;
 
-  /// Begins to send both parts in order. The socket and the bytes stay alive until done is called,
-  /// once and never from within this call; what done captures lives as long.
+  /// Starts to send both parts in order. The caller keeps the socket and the bytes alive until done
+  /// is called; anything that done captures is kept alive as long. done is called once, and never
+  /// from within this call.
   static std::shared_ptr<SendOperation> start(std::shared_ptr<boost::asio::ip::tcp::socket> socket,
                                               std::string_view first,
                                               std::string_view second,
                                               Done done);
 
-  /// Ends the operation where it stands. It still succeeds if its last byte is out. The error says
-  /// what it waited for: operation_aborted for room in the socket, else the lack of this machine's
-  /// resources.
+  /// Ends the operation early. It still succeeds if its last byte has been written. Otherwise the
+  /// error is operation_aborted if it waited for the socket, or the error of the resource that this
+  /// machine lacked.
   void cancel();
 
  private:
@@ -44,7 +45,7 @@
   std::shared_ptr<boost::asio::ip::tcp::socket> socket_;
   std::string_view first_;
   std::string_view second_;
-  Done done_;  // none once it is on its way to be called
+  Done done_;  // empty once its call is posted
   boost::asio::steady_timer retryTimer_;
   boost::system::error_code pendingError_;
 };
--- a/src/net/shed_requests.h
+++ b/src/net/shed_requests.h
@@ -1,4 +1,4 @@
-/// The requests in bytes that were read of a connection and not kept: each of them is owed a
+/// Counts the requests in input of a connection that is read but not kept. Each of them must get a
 /// refusal.
 #pragma once
 
@@ -9,13 +9,13 @@
 
 namespace inference_router::net {
 
-/// Keeps no more of the bytes than the request that is incomplete.
+/// Stores only the bytes of the last, incomplete request.
 class ShedRequests {
  public:
-  /// The next bytes of the connection, from the beginning of a request on. What cannot be read as a
-  /// request counts as one, with all that follows.
+  /// Adds the next bytes of the connection; the first call starts at the beginning of a request.
+  /// Input that cannot be parsed counts as one request, together with everything behind it.
   void read(std::string_view bytes);
-  /// One more of them has its refusal.
+  /// One more request has been answered.
   void countAnswered() { ++answeredRequests_; }
 
   std::size_t unanswered() const { return startedRequests_ - answeredRequests_; }
--- a/src/net/socket_calls.cpp
+++ b/src/net/socket_calls.cpp
@@ -41,7 +41,7 @@
   switch (error) {
     case EAGAIN:
       return AcceptStatus::kNoneWaiting;
-    // Linux hands errors that are pending on the new connection to accept().
+    // Linux reports errors that are pending on the new connection through accept().
     case ECONNABORTED:
     case ENETDOWN:
     case EPROTO:
@@ -70,10 +70,10 @@
     case ENFILE:
     case ENOBUFS:
     case ENOMEM:
-    case ENOSPC:  // of watches, as a socket is registered with epoll
+    case ENOSPC:  // epoll watch limit
     case EADDRNOTAVAIL:
     case EADDRINUSE:
-    case EAGAIN:  // no entry is left in a table of the network's
+    case EAGAIN:  // the routing cache is full
     case ENETUNREACH:
     case ENETDOWN:
     case EACCES:
--- a/src/net/socket_calls.h
+++ b/src/net/socket_calls.h
@@ -1,7 +1,6 @@
-/// Non-blocking calls on sockets. Each repeats what a signal has interrupted, goes on after a short
-/// transfer, and tells apart by type what the caller has to tell apart: a socket that is not ready,
-/// a peer that has ended, a connection that is broken, and a machine that lacks resources for the
-/// moment.
+/// Non-blocking socket calls. They repeat calls that a signal interrupted, continue after short
+/// transfers, and report typed results: a socket that is not ready, a peer that has closed, a
+/// broken connection, or a temporary lack of resources on this machine.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -12,59 +11,59 @@
 
 namespace inference_router::net {
 
-/// Before a call that failed for lack of this machine's resources is tried again.
+/// Delay before a call that failed for lack of resources on this machine is retried.
 inline constexpr double kResourceRetryMs = 5;
 
 enum class IoStatus {
   kDone,         ///< bytes were moved
-  kWouldBlock,   ///< none can be moved before the socket is ready again
-  kEnded,        ///< the peer has ended its sending
+  kWouldBlock,   ///< no byte can be moved before the socket is ready again
+  kEnded,        ///< the peer has shut down sending
   kNoResources,  ///< this machine lacks memory or buffers; the same call may succeed later
   kFailed,       ///< the connection is broken
 };
 
 struct [[nodiscard]] IoResult {
   IoStatus status = IoStatus::kFailed;
-  std::size_t bytes = 0;  ///< that were moved, whatever the status is
+  std::size_t bytes = 0;  ///< bytes that were moved, whatever the status is
   int error = 0;          ///< errno of a failure
 };
 
-/// Whether an error is one of this machine, which proves that nothing was sent and says nothing of
-/// the peer.
+/// Whether the error is a fault of this machine. Such an error proves that the failed call sent
+/// nothing, and says nothing about the peer.
 bool isLocalFault(int error);
 bool isLocalFault(const boost::system::error_code& error);
 
-/// Copies bytes that have come without taking them out of the socket.
+/// Copies received bytes without removing them from the socket.
 IoResult peek(int descriptor, std::span<char> into);
-/// Takes bytes that have come, as many as one call gives.
+/// Reads the received bytes that one call returns.
 IoResult receive(int descriptor, std::span<char> into);
-/// Takes out and drops exactly so many bytes that are known to have come; fewer only with another
-/// status.
+/// Reads and discards this many bytes, which are known to have been received. Fewer are discarded
+/// only if the status is not kDone.
 IoResult discard(int descriptor, std::size_t bytes);
-/// Sends both parts in order until all is out or the socket takes no more. The status is kDone only
-/// if all is.
+/// Sends both parts in order until the socket would block. The status is kDone only if everything
+/// was sent.
 IoResult sendAvailable(int descriptor, std::string_view first, std::string_view second = {});
-/// Whether the peer has ended its sending or the connection is broken, whatever stands unread
-/// before the end.
+/// Whether the peer has shut down sending or the connection is broken, even if unread bytes precede
+/// the end.
 bool hasPeerClosed(int descriptor);
 
 enum class AcceptStatus {
   kAccepted,
   kNoneWaiting,
-  kAborted,        ///< the one in front has gone; others may wait behind it
-  kNoDescriptors,  ///< of this process or system; who waits stays in the queue
-  kNoResources,    ///< memory, buffers or anything else that may pass; who waits stays in the queue
+  kAborted,        ///< the first connection was aborted; others may wait behind it
+  kNoDescriptors,  ///< process or system limit; the connection stays in the queue
+  kNoResources,  ///< temporary lack of memory, buffers or others; the connection stays in the queue
 };
 
 struct [[nodiscard]] AcceptResult {
   AcceptStatus status = AcceptStatus::kNoneWaiting;
-  int descriptor = -1;  ///< the caller's to close
+  int descriptor = -1;  ///< owned by the caller
 };
 
-/// Takes the connection in front of a listening socket's queue.
+/// Accepts the first connection of a listening socket's queue.
 AcceptResult acceptNext(int listeningDescriptor);
 
-/// Makes a socket of a descriptor. Closes the descriptor if that fails.
+/// Assigns a descriptor to a socket object. Closes the descriptor if that fails.
 boost::system::error_code assign(boost::asio::ip::tcp::socket& socket,
                                  const boost::asio::ip::tcp& protocol,
                                  int descriptor);
--- a/src/net/socket_input.cpp
+++ b/src/net/socket_input.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-// The system counts its own bookkeeping in the size of a buffer: a half of it or more is left to
-// the bytes.
+// The kernel includes its own overhead in the size of a receive buffer; at least half of the buffer
+// is available for data.
 constexpr int kKernelOverheadFactor = 2;
 
 }  // namespace
@@ -29,7 +29,7 @@
 }
 
 std::size_t setReceiveBufferSize(int descriptor, std::size_t bytes) {
-  const int requested = static_cast<int>(bytes);  // the system doubles it, for its bookkeeping
+  const int requested = static_cast<int>(bytes);  // the kernel doubles it for its overhead
   ::setsockopt(descriptor, SOL_SOCKET, SO_RCVBUF, &requested, sizeof requested);
   int granted = 0;
   socklen_t size = sizeof granted;
--- a/src/net/socket_input.h
+++ b/src/net/socket_input.h
@@ -1,20 +1,20 @@
-/// What the system says of the bytes that stand unread in a connected TCP socket.
+/// Information and settings of the kernel's receive buffer of a connected TCP socket.
 #pragma once
 
 #include <cstddef>
 
 namespace inference_router::net {
 
-/// How many bytes stand unread; 0 if the system does not say.
+/// Number of unread bytes; 0 if unknown.
 std::size_t unreadBytes(int descriptor);
 
-/// How long ago the last bytes came; 0 if the system does not say.
+/// Milliseconds since the last bytes were received; 0 if unknown.
 double msSinceLastReceive(int descriptor);
 
-/// Asks for room for so many unread bytes and gives how many are sure to find it.
+/// Requests a receive buffer for this many unread bytes. Returns how many bytes are sure to fit.
 std::size_t setReceiveBufferSize(int descriptor, std::size_t bytes);
 
-/// The socket counts as readable only with so many bytes unread, or once its peer has ended.
+/// Makes the socket readable only once this many bytes are unread, or the peer has closed.
 void setReceiveLowWatermark(int descriptor, std::size_t bytes);
 
 }  // namespace inference_router::net
--- a/src/net/spare_descriptor.h
+++ b/src/net/spare_descriptor.h
@@ -1,4 +1,4 @@
-/// A descriptor that is held for nothing but to be given up when the system has no other left.
+/// A reserve descriptor that is held only to be released when no other descriptor is free.
 #pragma once
 
 namespace inference_router::net {
@@ -11,7 +11,7 @@
   SpareDescriptor& operator=(const SpareDescriptor&) = delete;
 
   bool isHeld() const { return descriptor_ >= 0; }
-  /// Takes it again; false if that cannot be done at this moment.
+  /// Opens the descriptor again; false if that is not possible now.
   bool acquire();
   void release();
 
