--- a/tests/flood_test.cpp
+++ b/tests/flood_test.cpp
@@ -1,4 +1,4 @@
-// The listener under floods of connections, and the program when it runs out of descriptors.
+// The listener under floods of connections, and while the process has no free descriptors.
 #include <gtest/gtest.h>
 #include <sys/resource.h>
 
@@ -18,35 +18,36 @@
 using nlohmann::json;
 
 // ---- The listener under floods
-// ---------------------------------------------------------------------
 
-struct House : Stage, net::RequestHandler {
-  explicit House(const json& change = {})
-      : ledger(DescriptorBudget::sharesOf(512)), gate(make(change)) {}
-  static Rules make(const json& change) {
+struct FloodFixture : Stage, net::RequestHandler {
+  explicit FloodFixture(const json& change = {})
+      : budget(DescriptorBudget::sharesOf(512)), controller(makeRules(change)) {}
+  static Rules makeRules(const json& change) {
     json text = file();
     if (!change.is_null())
       text.merge_patch(change);
     return rulesOf(text, {"desk"}, 200);
   }
-  DescriptorBudget ledger;
-  AdmissionController gate;
-  std::vector<std::shared_ptr<net::ClientConnection>> asked;
-  bool answers = true;
-  int left = 0;
+  DescriptorBudget budget;
+  AdmissionController controller;
+  std::vector<std::shared_ptr<net::ClientConnection>> connections;
+  bool answersRequests = true;
+  int disconnects = 0;
   void request(const std::shared_ptr<net::ClientConnection>& connection,
                net::HttpRequest&& request,
                double) override {
     if (request["X-Key"] == "desk")
       connection->identify("desk");
-    asked.push_back(connection);
-    if (answers)
+    connections.push_back(connection);
+    if (answersRequests)
       connection->answer(200, {}, "served");
   }
-  void disconnected(net::ClientConnection&) override { ++left; }
+  void disconnected(net::ClientConnection&) override { ++disconnects; }
   void writable(net::ClientConnection&) override {}
-  void reject(net::ClientConnection& connection, unsigned status, std::string_view why) override {
-    connection.answer(status, {}, why);
+  void reject(net::ClientConnection& connection,
+              unsigned status,
+              std::string_view reason) override {
+    connection.answer(status, {}, reason);
   }
   net::Listener listener{io,
                          anyPort(),
@@ -57,17 +58,17 @@
                          counters,
                          {.sharedPort = false,
                           .open = true,
-                          .admissionController = &gate,
-                          .descriptorBudget = &ledger}};
+                          .admissionController = &controller,
+                          .descriptorBudget = &budget}};
 };
 
-// A client at an address of its own within 127.0.0.0/8.
-struct Terminal {
-  Terminal(House& house, const std::string& from)
-      : Terminal(house.io, house.listener.address(), from) {}
-  Terminal(boost::asio::io_context& io, const net::Endpoint& to, const std::string& from)
+// A client with its own address within 127.0.0.0/8.
+struct Client {
+  Client(FloodFixture& fixture, const std::string& from)
+      : Client(fixture.io, fixture.listener.address(), from) {}
+  Client(boost::asio::io_context& io, const net::Endpoint& to, const std::string& from)
       : socket(io) {
-    boost::system::error_code ignored;  // a program that closes its door refuses
+    boost::system::error_code ignored;  // a program that is shutting down refuses connections
     socket.open(tcp::v4());
     socket.bind({boost::asio::ip::make_address(from), 0});
     socket.connect(to, ignored);
@@ -79,23 +80,25 @@
   }
   bool ended() {
     boost::system::error_code error;
-    std::array<char, 4096> part{};
+    std::array<char, 4096> buffer{};
     for (;;) {
-      const std::size_t count = socket.read_some(boost::asio::buffer(part), error);
+      const std::size_t count = socket.read_some(boost::asio::buffer(buffer), error);
       if (error == boost::asio::error::would_block)
         return false;
       if (error)
         return true;
-      seen.append(part.data(), count);
+      seen.append(buffer.data(), count);
     }
   }
-  bool has(const std::string& text) { return ended(), seen.find(text) != std::string::npos; }
-  bool whole() { return has("[DONE]") && has("\r\n0\r\n\r\n"); }
+  bool hasReceived(const std::string& text) {
+    return ended(), seen.find(text) != std::string::npos;
+  }
+  bool isComplete() { return hasReceived("[DONE]") && hasReceived("\r\n0\r\n\r\n"); }
   tcp::socket socket;
   std::string seen;
 };
 
-const std::string kAsk = "POST /v1 HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nhi";
+const std::string kRequest = "POST /v1 HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nhi";
 
 std::size_t openDescriptors() {
   std::size_t count = 0;
@@ -104,212 +107,215 @@
   return count;
 }
 
-TEST(Flood, TenThousandConnectionsOfOneAddressAndKnownClientsGoOnBeingServed) {
-  House house;
-  std::size_t served = 0, turnedAway = 0;
-  std::deque<std::unique_ptr<Terminal>> flood;
+TEST(Flood, KnownClientsAreServedWhileOneAddressOpensTenThousandConnections) {
+  FloodFixture fixture;
+  std::size_t served = 0, refused = 0;
+  std::deque<std::unique_ptr<Client>> flood;
   for (int i = 0; i < 10'000; ++i) {
-    flood.push_back(std::make_unique<Terminal>(house, "127.0.0.9"));
+    flood.push_back(std::make_unique<Client>(fixture, "127.0.0.9"));
     if (i % 3 == 0)
-      flood.back()->write(kAsk.substr(0, 20));  // half a request; the others say nothing
+      flood.back()->write(
+          kRequest.substr(0, 20));  // an incomplete request; the others send nothing
     if (flood.size() >= 100)
       flood.pop_front();
     if (i % 100 != 99)
       continue;
-    house.pass(10);
-    Terminal known(house, "127.0.1." + std::to_string(1 + i / 100));
-    known.write(kAsk);
-    ASSERT_TRUE(house.until([&] { return known.has("served"); })) << i;
+    fixture.pass(10);
+    Client known(fixture, "127.0.1." + std::to_string(1 + i / 100));
+    known.write(kRequest);
+    ASSERT_TRUE(fixture.until([&] { return known.hasReceived("served"); })) << i;
     ++served;
-    ASSERT_LE(house.gate.openFrom(at("127.0.0.9")), 10U);
-    ASSERT_LE(house.listener.pendingRefusals(), 16U);
-    ASSERT_LE(house.ledger.held(Account::kClients), house.ledger.shares().max[0]);
+    ASSERT_LE(fixture.controller.openFrom(at("127.0.0.9")), 10U);
+    ASSERT_LE(fixture.listener.pendingRefusals(), 16U);
+    ASSERT_LE(fixture.budget.held(Account::kClients), fixture.budget.shares().max[0]);
   }
   EXPECT_EQ(served, 100U);
   for (std::size_t i = 1; i < kReasons; ++i)
-    turnedAway += house.gate.refused(static_cast<Reason>(i));
-  EXPECT_GT(turnedAway, 9'500U);
-  EXPECT_EQ(house.gate.mostRefused().front().address, "127.0.0.9");
+    refused += fixture.controller.refused(static_cast<Reason>(i));
+  EXPECT_GT(refused, 9'500U);
+  EXPECT_EQ(fixture.controller.mostRefused().front().address, "127.0.0.9");
   flood.clear();
-  house.pass(3'000);
-  ASSERT_TRUE(house.until([&] { return house.gate.open() == 0; }));
-  EXPECT_EQ(house.ledger.held(Account::kClients), 0U);
+  fixture.pass(3'000);
+  ASSERT_TRUE(fixture.until([&] { return fixture.controller.open() == 0; }));
+  EXPECT_EQ(fixture.budget.held(Account::kClients), 0U);
 }
 
-// Refusals that are being read are no clients: they must not make the house look full to those it
-// is kept for.
-TEST(Flood, AFloodOfRefusalsTakesNothingFromKnownClients) {
-  House house(json{{"connections", {{"total", 200}, {"per_address", 1}}}});
-  std::vector<std::unique_ptr<Terminal>> flood;
+// Guards against counting clients that are still reading their refusal as open connections: the
+// limit would then appear to be reached for known clients.
+TEST(Flood, PendingRefusalsDoNotReduceTheCapacityOfKnownClients) {
+  FloodFixture fixture(json{{"connections", {{"total", 200}, {"per_address", 1}}}});
+  std::vector<std::unique_ptr<Client>> flood;
   for (int i = 0; i < 300; ++i)
-    flood.push_back(std::make_unique<Terminal>(house, "127.8.0." + std::to_string(1 + i % 179)));
-  house.io.poll();
-  ASSERT_GT(house.listener.pendingRefusals(), 10U);
-  EXPECT_EQ(house.ledger.held(Account::kClients), 179U);
+    flood.push_back(std::make_unique<Client>(fixture, "127.8.0." + std::to_string(1 + i % 179)));
+  fixture.io.poll();
+  ASSERT_GT(fixture.listener.pendingRefusals(), 10U);
+  EXPECT_EQ(fixture.budget.held(Account::kClients), 179U);
   for (int i = 1; i <= 20; ++i) {
-    Terminal known(house, "127.0.1." + std::to_string(i));
-    known.write(kAsk);
-    ASSERT_TRUE(house.until([&] { return known.has("served"); })) << i;
+    Client known(fixture, "127.0.1." + std::to_string(i));
+    known.write(kRequest);
+    ASSERT_TRUE(fixture.until([&] { return known.hasReceived("served"); })) << i;
   }
 }
 
-TEST(Flood, FromHundredsOfAddressesTheReserveIsKept) {
-  House house;
-  std::vector<std::unique_ptr<Terminal>> flood;
+TEST(Flood, ReserveForKnownClientsIsKeptUnderAFloodFromHundredsOfAddresses) {
+  FloodFixture fixture;
+  std::vector<std::unique_ptr<Client>> flood;
   for (int i = 0; i < 400; ++i) {
-    flood.push_back(std::make_unique<Terminal>(
-        house, "127.7." + std::to_string(i / 200) + "." + std::to_string(1 + i % 200)));
+    flood.push_back(std::make_unique<Client>(
+        fixture, "127.7." + std::to_string(i / 200) + "." + std::to_string(1 + i % 200)));
     if (i % 50 == 49)
-      house.io.poll();
+      fixture.io.poll();
   }
-  ASSERT_TRUE(house.until(
-      [&] { return house.gate.admitted() + house.gate.refused(Reason::kReserved) >= 400; }));
-  EXPECT_EQ(house.gate.unknown(), 80U);
+  ASSERT_TRUE(fixture.until([&] {
+    return fixture.controller.admitted() + fixture.controller.refused(Reason::kReserved) >= 400;
+  }));
+  EXPECT_EQ(fixture.controller.unknown(), 80U);
   for (int i = 1; i <= 20; ++i) {
-    Terminal known(house, "127.0.1." + std::to_string(i));
-    known.write(kAsk);
-    ASSERT_TRUE(house.until([&] { return known.has("served"); })) << i;
+    Client known(fixture, "127.0.1." + std::to_string(i));
+    known.write(kRequest);
+    ASSERT_TRUE(fixture.until([&] { return known.hasReceived("served"); })) << i;
   }
 }
 
-TEST(Flood, WhoIsTurnedAwayReadsWhyAndWhenToComeAgain) {
-  House house(json{{"connections", {{"per_address", 1}}}});
-  Terminal first(house, "127.0.0.9");
-  first.write(kAsk);
-  ASSERT_TRUE(house.until([&] { return first.has("served"); }));
-  Terminal second(house, "127.0.0.9");
-  second.write(kAsk);
-  ASSERT_TRUE(house.until([&] { return second.ended(); }));
+TEST(Flood, RefusalStatesTheStatusAndRetryAfter) {
+  FloodFixture fixture(json{{"connections", {{"per_address", 1}}}});
+  Client first(fixture, "127.0.0.9");
+  first.write(kRequest);
+  ASSERT_TRUE(fixture.until([&] { return first.hasReceived("served"); }));
+  Client second(fixture, "127.0.0.9");
+  second.write(kRequest);
+  ASSERT_TRUE(fixture.until([&] { return second.ended(); }));
   EXPECT_EQ(second.seen.rfind("HTTP/1.1 429 ", 0), 0U);
   EXPECT_NE(second.seen.find("Retry-After: 2"), std::string::npos);
-  EXPECT_EQ(house.asked.size(), 1U);
+  EXPECT_EQ(fixture.connections.size(), 1U);
 }
 
-TEST(Flood, EveryRequestThatWasTakenGetsItsAnswerWhoeverComes) {
-  House house;
-  house.answers = false;
-  std::vector<std::unique_ptr<Terminal>> asking;
+TEST(Flood, AcceptedRequestsAreAnsweredUnderAFlood) {
+  FloodFixture fixture;
+  fixture.answersRequests = false;
+  std::vector<std::unique_ptr<Client>> clients;
   for (int i = 0; i < 60; ++i) {
-    asking.push_back(std::make_unique<Terminal>(house, "127.3.0." + std::to_string(1 + i)));
-    asking.back()->write(kAsk + kAsk);  // the second waits its turn
+    clients.push_back(std::make_unique<Client>(fixture, "127.3.0." + std::to_string(1 + i)));
+    clients.back()->write(kRequest + kRequest);  // the second is served after the first
   }
-  ASSERT_TRUE(house.until([&] { return house.asked.size() == 60; }));
-  std::vector<std::unique_ptr<Terminal>> flood;
+  ASSERT_TRUE(fixture.until([&] { return fixture.connections.size() == 60; }));
+  std::vector<std::unique_ptr<Client>> flood;
   for (int i = 0; i < 300; ++i)
-    flood.push_back(std::make_unique<Terminal>(house, "127.4.0." + std::to_string(1 + i % 200)));
-  house.pass(500);
-  house.io.poll();
-  EXPECT_EQ(house.left, 0);
-  house.answers = true;
+    flood.push_back(std::make_unique<Client>(fixture, "127.4.0." + std::to_string(1 + i % 200)));
+  fixture.pass(500);
+  fixture.io.poll();
+  EXPECT_EQ(fixture.disconnects, 0);
+  fixture.answersRequests = true;
   for (std::size_t i = 0; i < 60; ++i)
-    house.asked[i]->answer(200, {}, "first");
-  for (auto& one : asking)
-    ASSERT_TRUE(house.until([&] { return one->has("first") && one->has("served"); }));
+    fixture.connections[i]->answer(200, {}, "first");
+  for (auto& client : clients)
+    ASSERT_TRUE(fixture.until(
+        [&] { return client->hasReceived("first") && client->hasReceived("served"); }));
 }
 
-TEST(Flood, AKeyMakesAConnectionKnownFromThenOn) {
-  House house(json{{"connections", {{"total", 30}}}});
-  Terminal desk(house, "127.5.0.1");
+TEST(Flood, ConnectionWithAValidKeyIsNotEvicted) {
+  FloodFixture fixture(json{{"connections", {{"total", 30}}}});
+  Client desk(fixture, "127.5.0.1");
   desk.write("POST /v1 HTTP/1.1\r\nHost: x\r\nX-Key: desk\r\nContent-Length: 2\r\n\r\nhi");
-  ASSERT_TRUE(house.until([&] { return desk.has("served"); }));
-  std::vector<std::unique_ptr<Terminal>> flood;
+  ASSERT_TRUE(fixture.until([&] { return desk.hasReceived("served"); }));
+  std::vector<std::unique_ptr<Client>> flood;
   for (int i = 0; i < 100; ++i) {
-    flood.push_back(std::make_unique<Terminal>(house, "127.6.0." + std::to_string(1 + i)));
-    house.pass(20);
-    house.io.poll();
+    flood.push_back(std::make_unique<Client>(fixture, "127.6.0." + std::to_string(1 + i)));
+    fixture.pass(20);
+    fixture.io.poll();
   }
   EXPECT_FALSE(desk.ended());
-  EXPECT_GT(house.gate.evicted(), 20U);
+  EXPECT_GT(fixture.controller.evicted(), 20U);
   desk.seen.clear();
-  desk.write(kAsk);
-  EXPECT_TRUE(house.until([&] { return desk.has("served"); }));
+  desk.write(kRequest);
+  EXPECT_TRUE(fixture.until([&] { return desk.hasReceived("served"); }));
 }
 
-// The limit of the process is lowered under way: streams go on, new clients are told, nothing
-// leaks, and it recovers.
-TEST(Descriptors, ExhaustionInMidStreamIsSurvivedWithoutARestart) {
+// Lowers the descriptor limit of the process while streams are in progress: the streams continue,
+// new clients are refused, no descriptor leaks, and new clients are served once the limit is back.
+TEST(Descriptors, StreamsContinueWhenDescriptorsRunOut) {
   const std::size_t before = openDescriptors();
   {
-    House house;
-    house.answers = false;
-    std::vector<std::unique_ptr<Terminal>> streams, late;
+    FloodFixture fixture;
+    fixture.answersRequests = false;
+    std::vector<std::unique_ptr<Client>> streams, late;
     for (int i = 0; i < 5; ++i) {
-      streams.push_back(std::make_unique<Terminal>(house, "127.2.0." + std::to_string(1 + i)));
-      streams.back()->write(kAsk);
+      streams.push_back(std::make_unique<Client>(fixture, "127.2.0." + std::to_string(1 + i)));
+      streams.back()->write(kRequest);
     }
-    ASSERT_TRUE(house.until([&] { return house.asked.size() == 5; }));
-    for (const auto& connection : house.asked) {
+    ASSERT_TRUE(fixture.until([&] { return fixture.connections.size() == 5; }));
+    for (const auto& connection : fixture.connections) {
       connection->beginStream({});
       connection->writeChunk("event");
     }
-    for (int i = 0; i < 8; ++i) {  // connected in the kernel; the process has yet to accept them
-      late.push_back(std::make_unique<Terminal>(house, "127.2.1." + std::to_string(1 + i)));
-      late.back()->write(kAsk);
+    for (int i = 0; i < 8; ++i) {  // connected in the kernel, and not accepted yet
+      late.push_back(std::make_unique<Client>(fixture, "127.2.1." + std::to_string(1 + i)));
+      late.back()->write(kRequest);
     }
-    rlimit was{};
-    ASSERT_EQ(::getrlimit(RLIMIT_NOFILE, &was), 0);
-    rlimit now = was;
-    now.rlim_cur =
-        openDescriptors() - 1;  // what stands counts the listing's own; not one more may be opened
-    ASSERT_EQ(::setrlimit(RLIMIT_NOFILE, &now), 0);
-    const bool told = house.until([&] {
-      house.pass(25);
-      return house.asked.size() +
+    rlimit previous{};
+    ASSERT_EQ(::getrlimit(RLIMIT_NOFILE, &previous), 0);
+    rlimit lowered = previous;
+    lowered.rlim_cur = openDescriptors() -
+                       1;  // the count includes the listing's own; no further one can be opened
+    ASSERT_EQ(::setrlimit(RLIMIT_NOFILE, &lowered), 0);
+    const bool allHandled = fixture.until([&] {
+      fixture.pass(25);
+      return fixture.connections.size() +
                  std::count_if(late.begin(), late.end(), [](auto& one) { return one->ended(); }) ==
              streams.size() + late.size();
     });
-    for (const auto& connection : house.asked)
+    for (const auto& connection : fixture.connections)
       connection->writeChunk("more");
-    const bool alive = house.until([&] {
+    const bool allStreamsAlive = fixture.until([&] {
       return std::all_of(streams.begin(), streams.end(),
-                         [](auto& one) { return one->has("more"); });
+                         [](auto& one) { return one->hasReceived("more"); });
     });
-    ::setrlimit(RLIMIT_NOFILE, &was);
-    EXPECT_TRUE(told);
-    EXPECT_TRUE(alive);
-    EXPECT_GT(house.counters["clients.accept_failed"], 0U);
-    EXPECT_EQ(house.ledger.level(house.clock.nowMs()), Level::kExhausted);
-    std::size_t refused = 0;  // one or two may have got the last descriptors there were
+    ::setrlimit(RLIMIT_NOFILE, &previous);
+    EXPECT_TRUE(allHandled);
+    EXPECT_TRUE(allStreamsAlive);
+    EXPECT_GT(fixture.counters["clients.accept_failed"], 0U);
+    EXPECT_EQ(fixture.budget.level(fixture.clock.nowMs()), Level::kExhausted);
+    std::size_t refused = 0;  // one or two may have got the last free descriptors
     for (const auto& one : late)
       refused += one->seen.rfind("HTTP/1.1 503 ", 0) == 0;
     EXPECT_GE(refused, late.size() - 2);
-    EXPECT_EQ(house.left, 0);
-    for (const auto& connection : house.asked)
+    EXPECT_EQ(fixture.disconnects, 0);
+    for (const auto& connection : fixture.connections)
       connection->endStream();
     for (auto& one : streams)
-      ASSERT_TRUE(house.until([&] { return one->has("\r\n0\r\n\r\n"); }));
-    house.pass(1'500);
-    house.answers = true;
-    Terminal after(house, "127.2.2.1");
-    after.write(kAsk);
-    EXPECT_TRUE(house.until([&] { return after.has("served"); }));
+      ASSERT_TRUE(fixture.until([&] { return one->hasReceived("\r\n0\r\n\r\n"); }));
+    fixture.pass(1'500);
+    fixture.answersRequests = true;
+    Client after(fixture, "127.2.2.1");
+    after.write(kRequest);
+    EXPECT_TRUE(fixture.until([&] { return after.hasReceived("served"); }));
   }
   EXPECT_EQ(openDescriptors(), before);
 }
 
-// The program in a flood that never stops: it takes other rules over, serves its known clients, and
-// ends in order with every stream whole.
-TEST(Flood, SighupAndSigtermMeanwhileCostNoKnownClientItsAnswer) {
+// The program under a continuous flood: it applies changed rules, serves its known clients, and
+// shuts down gracefully with every stream complete.
+TEST(Flood, KnownClientsAreServedThroughSighupAndSigterm) {
   Stage stage;
   Folder folder;
   Programs programs;
   StandInInstance instance(stage.io, stage.clock, stage.timers),
       drained(stage.io, stage.clock, stage.timers);
-  std::vector<StandInInstance::Taken*> held;
-  bool hold = false;
+  std::vector<StandInInstance::Taken*> openStreams;
+  bool keepStreamsOpen = false;
   drained.script = streamWhole;
-  instance.script = [&](StandInInstance& at, StandInInstance::Taken& taken) {
-    if (!hold)
-      return streamWhole(at, taken);
+  instance.script = [&](StandInInstance& self, StandInInstance::Taken& taken) {
+    if (!keepStreamsOpen)
+      return streamWhole(self, taken);
     taken.connection->beginStream({{"Content-Type", "text/event-stream"}});
     taken.connection->writeChunk(eventOf("first"));
-    held.push_back(&taken);
+    openStreams.push_back(&taken);
   };
-  const net::Endpoint listen = freePort(), door = freePort();
+  const net::Endpoint listen = freePort(), admin = freePort();
   const auto writeFile = [&](const json& change) {
     json text{
         {"listen", textOf(listen)},
-        {"admin_addr", textOf(door)},
+        {"admin_addr", textOf(admin)},
         {"sockets", 256},
         {"keys", {{{"key", "k"}, {"tenant", "club"}}}},
         {"models", {{"ask", "member-questions"}}},
@@ -327,85 +333,87 @@
   };
   writeFile(json::object());
   const pid_t program = programs.start({"serve", "--operator", folder.path + "/site.json"}, {});
-  ASSERT_TRUE(stage.until([&] { return callAdmin(stage.io, door, "readyz").rfind("ok", 0) == 0; }));
+  ASSERT_TRUE(
+      stage.until([&] { return callAdmin(stage.io, admin, "readyz").rfind("ok", 0) == 0; }));
 
   const std::string body =
       R"({"model":"ask","stream":true,"messages":[{"role":"user","content":"When?"}]})";
-  const std::string ask = messageText("POST /v1/chat/completions HTTP/1.1",
-                                      {{"Host", "x"}, {"Authorization", "Bearer k"}}, body);
-  std::deque<std::unique_ptr<Terminal>> flood;
-  int from = 0;
-  const auto storm = [&] {  // each call is some of it
+  const std::string request = messageText("POST /v1/chat/completions HTTP/1.1",
+                                          {{"Host", "x"}, {"Authorization", "Bearer k"}}, body);
+  std::deque<std::unique_ptr<Client>> flood;
+  int nextAddress = 0;
+  const auto floodMore = [&] {  // each call opens a few connections of the flood
     for (int i = 0; i < 8; ++i) {
-      flood.push_back(std::make_unique<Terminal>(stage.io, listen,
-                                                 "127.7.0." + std::to_string(1 + from++ % 20)));
-      flood.back()->write(from % 2 == 0 ? ask.substr(0, 30) : ask);
+      flood.push_back(std::make_unique<Client>(
+          stage.io, listen, "127.7.0." + std::to_string(1 + nextAddress++ % 20)));
+      flood.back()->write(nextAddress % 2 == 0 ? request.substr(0, 30) : request);
       if (flood.size() > 100)
         flood.pop_front();
     }
     for (StandInInstance::Taken* taken :
-         held)  // a stream that brings nothing for long counts as broken
+         openStreams)  // a stream without output for long counts as broken
       if (!taken->gone)
         taken->connection->writeChunk(eventOf("more"));
     stage.io.poll();
   };
   const auto knownIsServed = [&](int n) {
-    Terminal known(stage.io, listen, "127.0.1." + std::to_string(1 + n % 200));
-    known.write(ask);
+    Client known(stage.io, listen, "127.0.1." + std::to_string(1 + n % 200));
+    known.write(request);
     const bool served =
-        stage.until([&] { return known.whole() || known.ended(); }) && known.whole();
+        stage.until([&] { return known.isComplete() || known.ended(); }) && known.isComplete();
     if (!served)
       ADD_FAILURE() << known.seen;
     return served;
   };
   for (int i = 0; i < 10; ++i) {
-    storm();
+    floodMore();
     ASSERT_TRUE(knownIsServed(i)) << i;
   }
-  ASSERT_EQ(callAdmin(stage.io, door, "exclude m2").rfind("ok", 0), 0U);
-  const auto told = std::chrono::steady_clock::now();
-  for (int i = 20; std::chrono::steady_clock::now() - told < std::chrono::milliseconds(1'100);
+  ASSERT_EQ(callAdmin(stage.io, admin, "exclude m2").rfind("ok", 0), 0U);
+  const auto excludedAt = std::chrono::steady_clock::now();
+  for (int i = 20; std::chrono::steady_clock::now() - excludedAt < std::chrono::milliseconds(1'100);
        ++i) {
-    storm();
+    floodMore();
     ASSERT_TRUE(knownIsServed(i)) << i;
   }
-  const int beforeTheEnd = drained.chats();
-  hold = true;
-  std::vector<std::unique_ptr<Terminal>> streams;
+  const int chatsAfterExclusion = drained.chats();
+  keepStreamsOpen = true;
+  std::vector<std::unique_ptr<Client>> streams;
   for (int i = 0; i < 4; ++i) {
     streams.push_back(
-        std::make_unique<Terminal>(stage.io, listen, "127.0.1." + std::to_string(210 + i)));
-    streams.back()->write(ask);
+        std::make_unique<Client>(stage.io, listen, "127.0.1." + std::to_string(210 + i)));
+    streams.back()->write(request);
     ASSERT_TRUE(stage.until([&] {
       return streams.back()->ended() || streams.back()->seen.find("first") != std::string::npos;
     }));
   }
-  hold = false;
+  keepStreamsOpen = false;
   writeFile({{"admission", {{"connections", {{"total", 40}, {"per_address", 2}}}}}});
   ::kill(program, SIGHUP);
   ASSERT_TRUE(stage.until([&] {
-    storm();
-    return callAdmin(stage.io, door, "admission")
+    floodMore();
+    return callAdmin(stage.io, admin, "admission")
                .find("admission_refused_total{reason=\"address\"} 0\n") == std::string::npos;
   }));
   writeFile(
-      {{"admission", {{"connections", {{"total", 4000}}}}}});  // cannot be met: the old ones stay
+      {{"admission",
+        {{"connections", {{"total", 4000}}}}}});  // not satisfiable: previous rules stay in force
   ::kill(program, SIGHUP);
   for (int i = 0; i < 10; ++i) {
-    storm();
+    floodMore();
     ASSERT_TRUE(knownIsServed(100 + i)) << i;
   }
   ::kill(program, SIGTERM);
-  storm();
-  for (StandInInstance::Taken* taken : held) {
+  floodMore();
+  for (StandInInstance::Taken* taken : openStreams) {
     if (taken->gone)
-      continue;  // one of the flood, which has left
+      continue;  // a client of the flood that has disconnected
     taken->connection->writeChunk(kLastEvents);
     taken->connection->endStream();
   }
   for (auto& stream : streams) {
-    ASSERT_TRUE(stage.until([&] { return stream->whole() || stream->ended(); }));
-    EXPECT_TRUE(stream->whole()) << stream->seen;
+    ASSERT_TRUE(stage.until([&] { return stream->isComplete() || stream->ended(); }));
+    EXPECT_TRUE(stream->isComplete()) << stream->seen;
     EXPECT_EQ(stream->seen.find("HTTP/1.1", 10), std::string::npos) << "one answer each";
   }
   streams.clear();
@@ -413,8 +421,8 @@
   std::optional<int> status;
   ASSERT_TRUE(stage.until([&] { return status || (status = programs.ended(program)); }));
   EXPECT_EQ(status, 0);
-  // What the instances saw of it all: nothing twice, nothing without time left, nothing new where a
-  // drain was asked for.
+  // The instances must have seen no request twice, none without remaining time, and no new one
+  // after the exclusion.
   std::set<std::string> ids;
   for (const StandInInstance* one : {&instance, &drained})
     for (const auto& taken : one->taken) {
@@ -423,41 +431,42 @@
       EXPECT_TRUE(ids.insert(taken->id).second) << taken->id;
       EXPECT_GT(std::stol(taken->budget), 0);
     }
-  EXPECT_EQ(drained.chats(), beforeTheEnd);
+  EXPECT_EQ(drained.chats(), chatsAfterExclusion);
 }
 
-// On the platform a front brings all clients from few addresses: there is no gate, and nobody is
-// counted by address.
-TEST(WithoutAGate, AHundredConnectionsOfOneAddressAreServedAsBefore) {
+// On the platform all clients connect through a front layer with few addresses, so there is no
+// admission controller and no limit per address.
+TEST(FloodWithoutAdmissionController, HundredConnectionsOfOneAddressAreServed) {
   Stage stage;
-  struct Plain final : net::RequestHandler {
-    int asked = 0;
+  struct PlainHandler final : net::RequestHandler {
+    int requests = 0;
     void request(const std::shared_ptr<net::ClientConnection>& connection,
                  net::HttpRequest&&,
                  double) override {
-      ++asked;
+      ++requests;
       connection->answer(200, {}, "served");
     }
     void disconnected(net::ClientConnection&) override {}
     void writable(net::ClientConnection&) override {}
     void reject(net::ClientConnection&, unsigned, std::string_view) override {}
-  } plain;
-  DescriptorBudget ledger(DescriptorBudget::sharesOf(512));
-  net::Listener listener(stage.io, anyPort(), 216, plain, stage.clock, stage.timers, stage.counters,
+  } handler;
+  DescriptorBudget budget(DescriptorBudget::sharesOf(512));
+  net::Listener listener(stage.io, anyPort(), 216, handler, stage.clock, stage.timers,
+                         stage.counters,
                          {.sharedPort = false,
                           .open = true,
                           .admissionController = nullptr,
-                          .descriptorBudget = &ledger});
+                          .descriptorBudget = &budget});
   std::vector<std::unique_ptr<RawPeer>> peers;
   for (int i = 0; i < 100; ++i) {
     peers.push_back(std::make_unique<RawPeer>(stage.io));
     peers.back()->connect(listener.address());
-    peers.back()->write(kAsk);
+    peers.back()->write(kRequest);
   }
-  ASSERT_TRUE(stage.until([&] { return plain.asked == 100; }));
-  EXPECT_EQ(ledger.held(Account::kClients), 100U);
+  ASSERT_TRUE(stage.until([&] { return handler.requests == 100; }));
+  EXPECT_EQ(budget.held(Account::kClients), 100U);
   peers.clear();
-  ASSERT_TRUE(stage.until([&] { return ledger.held(Account::kClients) == 0; }));
+  ASSERT_TRUE(stage.until([&] { return budget.held(Account::kClients) == 0; }));
 }
 
 }  // namespace
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -1,5 +1,4 @@
-// The network code against peers on loopback: outcomes of calls, the pool, client connections, the
-// listener.
+// Calls, the connection pool, client connections and the listener against peers on loopback.
 #include <random>
 
 #include "net/client_connection.h"
@@ -10,258 +9,259 @@
 namespace inference_router::net {
 namespace {
 
-constexpr const char* kWhole = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+constexpr const char* kOkResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
-struct Calls : Stage {
+struct PoolFixture : Stage {
   RawPeer peer{io};
   ConnectionPool pool{io, clock, timers, counters, {2, 250, 18'000, 1 << 20}};
 
   std::shared_ptr<Call> call(const std::shared_ptr<Reply>& reply) {
     return pool.call(peer.address(), headText("GET / HTTP/1.1", {{"Host", "x"}}), nullptr, reply);
   }
-  std::shared_ptr<Reply> written() {
+  std::shared_ptr<Reply> startWrittenCall() {
     auto reply = std::make_shared<Reply>();
     call(reply);
     EXPECT_TRUE(until([&] { return reply->wasWritten; }));
     return reply;
   }
-  std::shared_ptr<Reply> served(const char* answer = kWhole) {
-    auto reply = written();
+  std::shared_ptr<Reply> completeCall(const char* response = kOkResponse) {
+    auto reply = startWrittenCall();
     peer.accept();
     peer.readSome();
-    peer.write(answer);
+    peer.write(response);
     EXPECT_TRUE(until([&] { return reply->over; }));
-    pass(5);  // a connection rests before its next request
+    pass(5);  // the minimum idle time before a connection is reused
     return reply;
   }
 };
 
-TEST(PoolCalls, ARefusedConnectionIsNoConnection) {
-  Calls calls;
-  calls.peer.stopListening();
+TEST(ConnectionPool, ReportsNoConnectionIfThePeerRefuses) {
+  PoolFixture fixture;
+  fixture.peer.stopListening();
   const auto reply = std::make_shared<Reply>();
-  const Endpoint closed = [&] {
-    RawPeer gone(calls.io);
-    return gone.address();
+  const Endpoint closedEndpoint = [&] {
+    RawPeer stopped(fixture.io);
+    return stopped.address();
   }();
-  calls.pool.call(closed, "GET / HTTP/1.1\r\n\r\n", nullptr, reply);
-  ASSERT_TRUE(calls.until([&] { return reply->over; }));
+  fixture.pool.call(closedEndpoint, "GET / HTTP/1.1\r\n\r\n", nullptr, reply);
+  ASSERT_TRUE(fixture.until([&] { return reply->over; }));
   EXPECT_EQ(reply->failure, CallFailure::kNoConnection);
-  EXPECT_EQ(calls.pool.size(), 0U);
+  EXPECT_EQ(fixture.pool.size(), 0U);
 }
 
-TEST(PoolCalls, ABreakAfterTheLastByteIsAReset) {
-  Calls calls;
-  const auto reply = calls.written();
-  calls.peer.accept();
-  calls.peer.reset();
-  ASSERT_TRUE(calls.until([&] { return reply->over; }));
+TEST(ConnectionPool, ReportsResetIfTheConnectionBreaksAfterTheRequestWasWritten) {
+  PoolFixture fixture;
+  const auto reply = fixture.startWrittenCall();
+  fixture.peer.accept();
+  fixture.peer.reset();
+  ASSERT_TRUE(fixture.until([&] { return reply->over; }));
   EXPECT_EQ(reply->failure, CallFailure::kReset);
 }
 
-TEST(PoolCalls, ABreakBeforeTheLastByteIsNoConnection) {
-  Calls calls;
+TEST(ConnectionPool, ReportsNoConnectionIfTheConnectionBreaksBeforeTheRequestWasWritten) {
+  PoolFixture fixture;
   const auto reply = std::make_shared<Reply>();
   const auto body =
       std::make_shared<const std::string>(64 << 20, 'x');  // more than the kernel buffers
-  calls.pool.call(calls.peer.address(), "POST / HTTP/1.1\r\n\r\n", body, reply);
-  calls.peer.accept();
-  ASSERT_TRUE(calls.until([&] { return calls.peer.hasBytes(); }));
-  calls.peer.reset();
-  ASSERT_TRUE(calls.until([&] { return reply->over; }));
+  fixture.pool.call(fixture.peer.address(), "POST / HTTP/1.1\r\n\r\n", body, reply);
+  fixture.peer.accept();
+  ASSERT_TRUE(fixture.until([&] { return fixture.peer.hasBytes(); }));
+  fixture.peer.reset();
+  ASSERT_TRUE(fixture.until([&] { return reply->over; }));
   EXPECT_FALSE(reply->wasWritten);
   EXPECT_EQ(reply->failure, CallFailure::kNoConnection);
 }
 
-TEST(PoolCalls, AnAnswerThatIsNotHttpIsAReset) {
-  Calls calls;
-  EXPECT_EQ(calls.served("220 mail ready\r\n\r\n")->failure, CallFailure::kInvalidResponse);
-  EXPECT_EQ(calls.pool.size(), 0U);
+TEST(ConnectionPool, ReportsInvalidResponseIfThePeerDoesNotSendHttp) {
+  PoolFixture fixture;
+  EXPECT_EQ(fixture.completeCall("220 mail ready\r\n\r\n")->failure, CallFailure::kInvalidResponse);
+  EXPECT_EQ(fixture.pool.size(), 0U);
 }
 
-TEST(PoolCalls, WhatCannotBeReadIsGarbledAndNothingMoreIsReadOfIt) {
-  Calls calls;
+TEST(ConnectionPool, FailsAndClosesOnMalformedResponses) {
+  PoolFixture fixture;
   const std::string head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
   for (const std::string& answer :
        {std::string("HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n"),
         "HTTP/1.1 200 OK\r\n" + std::string(40'000, 'p'), head + "zz\r\nabc\r\n",
         head + "2\r\nabcdefghi\r\n", head + "c0000000\r\nabc"}) {
-    const auto reply = calls.served(answer.c_str());
+    const auto reply = fixture.completeCall(answer.c_str());
     EXPECT_EQ(reply->failure, CallFailure::kInvalidResponse) << answer.substr(0, 60);
     EXPECT_TRUE(reply->text.empty());
-    EXPECT_EQ(calls.pool.size(), 0U);
+    EXPECT_EQ(fixture.pool.size(), 0U);
   }
 }
 
-// Guards against a chunk that claims more than follows, or a head without end: the connection stays
-// open.
-TEST(PoolCalls, AnAnswerThatStopsMidwayIsGarbledByTheClock) {
-  Calls calls;
+// Guards against a chunk that announces more bytes than follow, or an endless head, on a connection
+// that stays open.
+TEST(ConnectionPool, TimesOutResponsesThatStopMidway) {
+  PoolFixture fixture;
   const std::string head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
   for (const std::string& answer :
        {head.substr(0, 30), head + "5\r\nabc", head + "3\r\nabc\r\n7"}) {
-    const auto reply = calls.written();
-    calls.peer.accept();
-    calls.peer.readSome();
-    calls.peer.write(answer);
-    const auto seen = calls.timers.next();
-    ASSERT_TRUE(calls.until([&] { return calls.timers.next() != seen; })) << answer;
-    calls.io.poll();
-    calls.pass(801);
+    const auto reply = fixture.startWrittenCall();
+    fixture.peer.accept();
+    fixture.peer.readSome();
+    fixture.peer.write(answer);
+    const auto previousTimer = fixture.timers.next();
+    ASSERT_TRUE(fixture.until([&] { return fixture.timers.next() != previousTimer; })) << answer;
+    fixture.io.poll();
+    fixture.pass(801);
     EXPECT_EQ(reply->failure, CallFailure::kInvalidResponse) << answer;
   }
-  const auto between = calls.written();  // between two chunks a stream may take its time
-  calls.peer.accept();
-  calls.peer.readSome();
-  calls.peer.write(head + "3\r\nabc\r\n");
-  ASSERT_TRUE(calls.until([&] { return between->text == "abc"; }));
-  calls.pass(5'000);
-  EXPECT_FALSE(between->over);
+  const auto betweenChunks = fixture.startWrittenCall();  // between two chunks there is no timeout
+  fixture.peer.accept();
+  fixture.peer.readSome();
+  fixture.peer.write(head + "3\r\nabc\r\n");
+  ASSERT_TRUE(fixture.until([&] { return betweenChunks->text == "abc"; }));
+  fixture.pass(5'000);
+  EXPECT_FALSE(betweenChunks->over);
 }
 
-TEST(PoolCalls, InterimAnswersAheadAreNotTheAnswer) {
-  Calls calls;
-  const auto reply = calls.served(
+TEST(ConnectionPool, SkipsInterimResponses) {
+  PoolFixture fixture;
+  const auto reply = fixture.completeCall(
       "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"
       "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
   EXPECT_TRUE(reply->whole);
   EXPECT_EQ(reply->status, 200U);
   EXPECT_EQ(reply->text, "ok");
-  EXPECT_EQ(calls.counters["answers.interim"], 2U);
+  EXPECT_EQ(fixture.counters["answers.interim"], 2U);
 }
 
-TEST(PoolCalls, ASecondAnswerIsNeverTakenForThatOfTheNextRequest) {
-  Calls calls;
-  calls.served(
+TEST(ConnectionPool, NeverAssignsAnExcessResponseToTheNextRequest) {
+  PoolFixture fixture;
+  fixture.completeCall(
       "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-  EXPECT_EQ(calls.pool.size(), 0U);  // right behind
-  const auto first = calls.written();
-  calls.peer.accept();
-  calls.peer.readSome();
-  calls.peer.write(kWhole);
-  ASSERT_TRUE(calls.until([&] { return first->over; }));
-  calls.served();  // at once: not on a connection on which more may be under way
-  EXPECT_EQ(calls.counters["links.opened"], 3U);
+  EXPECT_EQ(fixture.pool.size(), 0U);  // the excess response was received together with the first
+  const auto first = fixture.startWrittenCall();
+  fixture.peer.accept();
+  fixture.peer.readSome();
+  fixture.peer.write(kOkResponse);
+  ASSERT_TRUE(fixture.until([&] { return first->over; }));
+  fixture.completeCall();  // before the minimum idle time: excess bytes may still be in flight
+  EXPECT_EQ(fixture.counters["links.opened"], 3U);
 }
 
-TEST(PoolCalls, AConnectionIsKeptUsedAgainAndRetiredByTheClock) {
-  Calls calls;
-  calls.served();
-  EXPECT_TRUE(calls.pool.hasIdle(calls.peer.address()));
-  const auto again = calls.written();  // on the same connection: nobody accepts
-  calls.peer.readSome();
-  calls.peer.write(kWhole);
-  ASSERT_TRUE(calls.until([&] { return again->over; }));
-  EXPECT_TRUE(again->whole);
-  EXPECT_EQ(calls.counters["links.opened"], 1U);
-  calls.pass(17'000);
-  EXPECT_EQ(calls.pool.size(), 1U);
-  calls.pass(2'000);
-  EXPECT_EQ(calls.pool.size(), 0U);
+TEST(ConnectionPool, ReusesIdleConnectionsAndClosesThemAfterTheIdleTimeout) {
+  PoolFixture fixture;
+  fixture.completeCall();
+  EXPECT_TRUE(fixture.pool.hasIdle(fixture.peer.address()));
+  const auto second =
+      fixture.startWrittenCall();  // on the same connection: the peer does not accept another
+  fixture.peer.readSome();
+  fixture.peer.write(kOkResponse);
+  ASSERT_TRUE(fixture.until([&] { return second->over; }));
+  EXPECT_TRUE(second->whole);
+  EXPECT_EQ(fixture.counters["links.opened"], 1U);
+  fixture.pass(17'000);
+  EXPECT_EQ(fixture.pool.size(), 1U);
+  fixture.pass(2'000);
+  EXPECT_EQ(fixture.pool.size(), 0U);
 }
 
-TEST(PoolCalls, AnIdleConnectionThatThePeerClosedIsNotUsed) {
-  Calls calls;
-  calls.served();
-  calls.peer.close();
-  ASSERT_TRUE(calls.until([&] { return calls.pool.size() == 0; }));
-  calls.served();
-  EXPECT_EQ(calls.counters["links.opened"], 2U);
+TEST(ConnectionPool, DoesNotReuseAConnectionThatThePeerClosed) {
+  PoolFixture fixture;
+  fixture.completeCall();
+  fixture.peer.close();
+  ASSERT_TRUE(fixture.until([&] { return fixture.pool.size() == 0; }));
+  fixture.completeCall();
+  EXPECT_EQ(fixture.counters["links.opened"], 2U);
 }
 
-TEST(PoolCalls, AtTheCapACallWaitsAndIsAskedAgainBeforeItIsWritten) {
-  Calls calls;
-  const auto first = calls.written();
-  calls.peer.accept();
-  const auto second = calls.written();
+TEST(ConnectionPool, QueuesCallsAtTheLimitAndChecksReadinessBeforeWriting) {
+  PoolFixture fixture;
+  const auto first = fixture.startWrittenCall();
+  fixture.peer.accept();
+  const auto second = fixture.startWrittenCall();
   const auto third = std::make_shared<Reply>(), fourth = std::make_shared<Reply>();
-  const auto waits = calls.call(third);
-  calls.call(fourth);
-  EXPECT_EQ(waits->state(), Call::State::kWaiting);
-  EXPECT_EQ(calls.pool.size(), 2U);
-  third->willing = false;  // as if a drain was told while it waited
-  calls.peer.readSome();
-  calls.peer.write(kWhole);
-  ASSERT_TRUE(calls.until([&] { return third->over && fourth->wasWritten; }));
+  const auto waitingCall = fixture.call(third);
+  fixture.call(fourth);
+  EXPECT_EQ(waitingCall->state(), Call::State::kWaiting);
+  EXPECT_EQ(fixture.pool.size(), 2U);
+  third->willing = false;  // as if a drain had begun while it waited
+  fixture.peer.readSome();
+  fixture.peer.write(kOkResponse);
+  ASSERT_TRUE(fixture.until([&] { return third->over && fourth->wasWritten; }));
   EXPECT_EQ(third->failure, CallFailure::kWithdrawn);
   EXPECT_FALSE(third->wasWritten);
   EXPECT_TRUE(first->whole);
-  EXPECT_LE(calls.pool.size(), 2U);
+  EXPECT_LE(fixture.pool.size(), 2U);
 }
 
-TEST(PoolCalls, ADialThatDoesNotComeUpInTimeIsNoConnection) {
-  Calls calls;
+TEST(ConnectionPool, ReportsNoConnectionAfterTheConnectTimeout) {
+  PoolFixture fixture;
   const auto reply = std::make_shared<Reply>();
-  const auto call = calls.call(reply);
+  const auto call = fixture.call(reply);
   ASSERT_EQ(call->state(), Call::State::kConnecting);
-  calls.pass(251);  // before any handler ran
+  fixture.pass(251);  // before any handler has run
   EXPECT_EQ(reply->failure, CallFailure::kNoConnection);
-  EXPECT_EQ(calls.pool.size(), 0U);
+  EXPECT_EQ(fixture.pool.size(), 0U);
 }
 
-// Random peers: each step has one outcome that follows from what the peer did, and nothing leaks.
-TEST(PoolCalls, EndAsTheModelSaysWhateverThePeerDoes) {
+// Random peer behaviour: each step must end as the peer's action implies, without a leaked
+// connection.
+TEST(ConnectionPool, MatchesTheModelUnderRandomPeerBehaviour) {
   std::mt19937 random(5);
-  Calls calls;
+  PoolFixture fixture;
   for (int step = 0; step < 300; ++step) {
     SCOPED_TRACE(step);
-    calls.pass(5);
-    const bool reused = calls.pool.hasIdle(calls.peer.address());
+    fixture.pass(5);
+    const bool reused = fixture.pool.hasIdle(fixture.peer.address());
     const auto reply = std::make_shared<Reply>();
-    const auto call = calls.call(reply);
-    ASSERT_TRUE(calls.until([&] { return reply->wasWritten; }));
+    const auto call = fixture.call(reply);
+    ASSERT_TRUE(fixture.until([&] { return reply->wasWritten; }));
     if (!reused)
-      calls.peer.accept();
-    calls.peer.readSome();
-    const unsigned act = random() % 6;
+      fixture.peer.accept();
+    fixture.peer.readSome();
+    const unsigned action = random() % 6;
     const bool chunked = random() % 2 == 0, keep = random() % 3 != 0;
     std::string answer = "HTTP/1.1 200 OK\r\n";
     if (!keep)
       answer += "Connection: close\r\n";
     answer += chunked ? "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"
                       : "Content-Length: 2\r\n\r\nok";
-    if (act == 0) {
+    if (action == 0) {
       call->abandon();
-      EXPECT_EQ(calls.pool.size(), 0U);
-      ASSERT_TRUE(calls.until([&] { return calls.peer.ended(); }));
+      EXPECT_EQ(fixture.pool.size(), 0U);
+      ASSERT_TRUE(fixture.until([&] { return fixture.peer.ended(); }));
       EXPECT_FALSE(reply->over);
-    } else if (act == 1) {
-      calls.peer.write(answer.substr(0, random() % (answer.size() - 1)) + "");
-      calls.peer.close();
-      ASSERT_TRUE(calls.until([&] { return reply->over; }));
+    } else if (action == 1) {
+      fixture.peer.write(answer.substr(0, random() % (answer.size() - 1)) + "");
+      fixture.peer.close();
+      ASSERT_TRUE(fixture.until([&] { return reply->over; }));
       EXPECT_EQ(reply->failure, CallFailure::kReset);
     } else {
       const std::size_t cut = random() % answer.size();
-      calls.peer.write(answer.substr(0, cut));
-      calls.io.poll();
-      calls.peer.write(answer.substr(cut));
-      ASSERT_TRUE(calls.until([&] { return reply->over; }));
+      fixture.peer.write(answer.substr(0, cut));
+      fixture.io.poll();
+      fixture.peer.write(answer.substr(cut));
+      ASSERT_TRUE(fixture.until([&] { return reply->over; }));
       EXPECT_TRUE(reply->whole);
       EXPECT_EQ(reply->text, "ok");
     }
-    EXPECT_EQ(calls.pool.size(), act > 1 && keep ? 1U : 0U);
+    EXPECT_EQ(fixture.pool.size(), action > 1 && keep ? 1U : 0U);
   }
 }
 
 // ---- Client connections
-// ----------------------------------------------------------------------------
 
-struct Server : Stage, RequestHandler {
+struct ServerFixture : Stage, RequestHandler {
   Listener listener{io, anyPort(), 3, *this, clock, timers, counters};
-  std::vector<std::pair<std::shared_ptr<ClientConnection>, HttpRequest>> asked;
-  int left = 0, drains = 0;
+  std::vector<std::pair<std::shared_ptr<ClientConnection>, HttpRequest>> requests;
+  int disconnects = 0, writableEvents = 0;
 
   void request(const std::shared_ptr<ClientConnection>& connection,
                HttpRequest&& request,
                double) override {
-    asked.emplace_back(connection, std::move(request));
+    requests.emplace_back(connection, std::move(request));
   }
-  void disconnected(ClientConnection&) override { ++left; }
-  void writable(ClientConnection&) override { ++drains; }
-  void reject(ClientConnection& connection, unsigned status, std::string_view why) override {
-    connection.answer(status, {}, why);
+  void disconnected(ClientConnection&) override { ++disconnects; }
+  void writable(ClientConnection&) override { ++writableEvents; }
+  void reject(ClientConnection& connection, unsigned status, std::string_view reason) override {
+    connection.answer(status, {}, reason);
   }
-  std::string lastSeen(RawPeer& peer) {
+  std::string readUntilClosed(RawPeer& peer) {
     EXPECT_TRUE(until([&] { return peer.ended(); }));
     return peer.seen;
   }
@@ -269,8 +269,8 @@
 
 const std::string kPost = "POST /v1 HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc";
 
-TEST(ClientConnections, BadInputGetsAPlainAnswerAndEndsOnlyItsOwnConnection) {
-  Server server;
+TEST(ClientConnection, AnswersInvalidInputAndClosesOnlyThatConnection) {
+  ServerFixture server;
   const std::map<std::string, std::string> cases{
       {"what is this\r\n\r\n", " 400 "},
       {"POST / HTTP/1.1\r\nContent-Length: 262145\r\n\r\n", " 413 "},
@@ -279,54 +279,55 @@
     RawPeer peer(server.io);
     peer.connect(server.listener.address());
     peer.write(input);
-    EXPECT_NE(server.lastSeen(peer).find("HTTP/1.1" + status), std::string::npos) << status;
+    EXPECT_NE(server.readUntilClosed(peer).find("HTTP/1.1" + status), std::string::npos) << status;
     peer.close();
   }
   RawPeer good(server.io);
   good.connect(server.listener.address());
   good.write(kPost);
-  ASSERT_TRUE(server.until([&] { return !server.asked.empty(); }));
-  EXPECT_EQ(server.asked.back().second.body(), "abc");
+  ASSERT_TRUE(server.until([&] { return !server.requests.empty(); }));
+  EXPECT_EQ(server.requests.back().second.body(), "abc");
 }
 
-TEST(ClientConnections, ARequestThatArrivesTooSlowlyGets408) {
-  Server server;
+TEST(ClientConnection, AnswersASlowRequestWith408) {
+  ServerFixture server;
   RawPeer peer(server.io);
   peer.connect(server.listener.address());
   peer.write(kPost.substr(0, 20));
-  // The time counts from connecting: a head that trickles in does not gain any.
+  // The timeout counts from connecting; slow progress does not extend it.
   ASSERT_TRUE(server.until([&] { return server.timers.next().has_value(); }));
   server.pass(1'900);
   peer.write(kPost.substr(20, 5));
   server.io.poll();
   server.pass(101);
-  EXPECT_NE(server.lastSeen(peer).find(" 408 "), std::string::npos);
+  EXPECT_NE(server.readUntilClosed(peer).find(" 408 "), std::string::npos);
 }
 
-TEST(ClientConnections, WhoSaysNothingOrStaysIdleIsClosed) {
-  Server server;
-  RawPeer silent(server.io), asker(server.io);
+TEST(ClientConnection, ClosesSilentAndIdleConnections) {
+  ServerFixture server;
+  RawPeer silent(server.io), active(server.io);
   silent.connect(server.listener.address());
-  asker.connect(server.listener.address());
-  asker.write(kPost);
+  active.connect(server.listener.address());
+  active.write(kPost);
   ASSERT_TRUE(
-      server.until([&] { return server.asked.size() == 1 && server.listener.size() == 2; }));
-  server.asked[0].first->answer(200, {}, "whole");
+      server.until([&] { return server.requests.size() == 1 && server.listener.size() == 2; }));
+  server.requests[0].first->answer(200, {}, "whole");
   ASSERT_TRUE(server.until(
-      [&] { return server.asked[0].first->state() == ClientConnection::State::kIdle; }));
+      [&] { return server.requests[0].first->state() == ClientConnection::State::kIdle; }));
   server.pass(2'001);
   ASSERT_TRUE(server.until([&] { return silent.ended(); }));
   EXPECT_TRUE(silent.seen.empty());
-  EXPECT_FALSE(asker.ended());
+  EXPECT_FALSE(active.ended());
   server.pass(3'001);
-  ASSERT_TRUE(server.until([&] { return asker.ended() && server.listener.size() == 0; }));
+  ASSERT_TRUE(server.until([&] { return active.ended() && server.listener.size() == 0; }));
 }
 
-// Guards against smuggling: a second request in what two readers take for different bodies.
-TEST(ClientConnections, ARequestWhoseLengthCanBeReadInTwoWaysIsRefusedWithAllBehindIt) {
-  Server server;
-  const std::string hidden = "0\r\n\r\n" + kPost;
-  const std::string length = "Content-Length: " + std::to_string(hidden.size()) + "\r\n";
+// Guards against request smuggling: a second request hidden in bytes that two parsers assign
+// to different bodies.
+TEST(ClientConnection, RefusesRequestsOfAmbiguousLengthAndEverythingBehindThem) {
+  ServerFixture server;
+  const std::string hiddenRequest = "0\r\n\r\n" + kPost;
+  const std::string length = "Content-Length: " + std::to_string(hiddenRequest.size()) + "\r\n";
   for (const std::string& fields :
        {length + "Transfer-Encoding: chunked\r\n", "Transfer-Encoding: chunked\r\n" + length,
         length + "Transfer-Encoding: identity\r\n", length + "Transfer-Encoding: xchunked\r\n",
@@ -336,99 +337,101 @@
         std::string("Content-Length: 99999999999999999999999\r\n")}) {
     RawPeer peer(server.io);
     peer.connect(server.listener.address());
-    peer.write("POST / HTTP/1.1\r\nHost: x\r\n" + fields + "\r\n" + hidden);
-    const std::string seen = server.lastSeen(peer);
+    peer.write("POST / HTTP/1.1\r\nHost: x\r\n" + fields + "\r\n" + hiddenRequest);
+    const std::string seen = server.readUntilClosed(peer);
     EXPECT_EQ(seen.rfind("HTTP/1.1 4", 0), 0U) << fields << seen;
-    EXPECT_TRUE(server.asked.empty()) << fields;
+    EXPECT_TRUE(server.requests.empty()) << fields;
   }
 }
 
-TEST(ClientConnections, ACloseBehindAPipelinedRequestIsNoticed) {
-  Server server;
+TEST(ClientConnection, DetectsACloseBehindAPipelinedRequest) {
+  ServerFixture server;
   RawPeer peer(server.io);
   peer.connect(server.listener.address());
   peer.write(kPost + kPost);
-  ASSERT_TRUE(server.until([&] { return server.asked.size() == 1; }));
+  ASSERT_TRUE(server.until([&] { return server.requests.size() == 1; }));
   peer.close();
-  ASSERT_TRUE(server.until([&] { return server.left == 1; }));
-  EXPECT_EQ(server.asked.size(), 1U);
+  ASSERT_TRUE(server.until([&] { return server.disconnects == 1; }));
+  EXPECT_EQ(server.requests.size(), 1U);
 }
 
-TEST(ClientConnections, PipelinedRequestsAreServedInTurn) {
-  Server server;
+TEST(ClientConnection, ServesPipelinedRequestsInOrder) {
+  ServerFixture server;
   RawPeer peer(server.io);
   peer.connect(server.listener.address());
   peer.write(kPost + kPost);
   for (std::size_t i = 0; i < 2; ++i) {
-    ASSERT_TRUE(server.until([&] { return server.asked.size() == i + 1; }));
-    EXPECT_EQ(server.asked[i].second.body(), "abc");
-    server.asked[i].first->answer(200, {}, "whole" + std::to_string(i));
+    ASSERT_TRUE(server.until([&] { return server.requests.size() == i + 1; }));
+    EXPECT_EQ(server.requests[i].second.body(), "abc");
+    server.requests[i].first->answer(200, {}, "whole" + std::to_string(i));
   }
   ASSERT_TRUE(
       server.until([&] { return !peer.ended() && peer.seen.find("whole1") != std::string::npos; }));
 }
 
-TEST(ClientConnections, ABreakWaitsNoLongerThanTwoSecondsForItsReader) {
-  Server server;
+TEST(ClientConnection, ClosesAnAbortedStreamAfterTwoSecondsIfTheClientDoesNotRead) {
+  ServerFixture server;
   RawPeer peer(server.io);
   peer.connect(server.listener.address());
   peer.write(kPost);
-  ASSERT_TRUE(server.until([&] { return server.asked.size() == 1; }));
-  server.asked[0].first->beginStream({});
-  server.asked[0].first->writeChunk(std::string(64 << 20, 'x'));  // more than the kernel takes
+  ASSERT_TRUE(server.until([&] { return server.requests.size() == 1; }));
+  server.requests[0].first->beginStream({});
+  server.requests[0].first->writeChunk(std::string(64 << 20, 'x'));  // more than the kernel buffers
   server.io.poll();
-  server.asked[0].first->abortResponse();
+  server.requests[0].first->abortResponse();
   EXPECT_EQ(server.listener.size(), 1U);
   server.pass(2'001);
   EXPECT_EQ(server.listener.size(), 0U);
 }
 
-// Guards usual clients against those that hold connections without asking.
-TEST(ClientConnections, AtTheCapWhoNeverAskedMakesRoomBeforeWhoIsIdle) {
-  Server server;
+// Guards normal clients against those that hold connections without sending a request.
+TEST(ClientConnection, EvictsConnectionsWithoutARequestBeforeIdleOnes) {
+  ServerFixture server;
   std::vector<std::unique_ptr<RawPeer>> peers;
-  const auto join = [&](const std::string& says) {
-    const auto before = server.counters["clients.accepted"];
+  const auto connect = [&](const std::string& input) {
+    const auto acceptedBefore = server.counters["clients.accepted"];
     peers.push_back(std::make_unique<RawPeer>(server.io));
     peers.back()->connect(server.listener.address());
-    if (!says.empty())
-      peers.back()->write(says);
-    ASSERT_TRUE(server.until([&] { return server.counters["clients.accepted"] == before + 1; }));
+    if (!input.empty())
+      peers.back()->write(input);
+    ASSERT_TRUE(
+        server.until([&] { return server.counters["clients.accepted"] == acceptedBefore + 1; }));
   };
-  join(kPost);
-  ASSERT_TRUE(server.until([&] { return server.asked.size() == 1; }));
-  server.asked[0].first->answer(200, {}, "whole");
+  connect(kPost);
+  ASSERT_TRUE(server.until([&] { return server.requests.size() == 1; }));
+  server.requests[0].first->answer(200, {}, "whole");
   ASSERT_TRUE(server.until(
-      [&] { return server.asked[0].first->state() == ClientConnection::State::kIdle; }));
-  join("");
-  join(kPost.substr(0, 9));
-  EXPECT_EQ(server.counters["clients.made_room"], 1U);  // the idle one: the others are too young
+      [&] { return server.requests[0].first->state() == ClientConnection::State::kIdle; }));
+  connect("");
+  connect(kPost.substr(0, 9));
+  EXPECT_EQ(server.counters["clients.made_room"],
+            1U);  // the idle connection: the others are too new
   ASSERT_TRUE(server.until([&] { return peers[0]->ended(); }));
   server.pass(150);
-  join(kPost);
-  join(kPost);
+  connect(kPost);
+  connect(kPost);
   ASSERT_TRUE(server.until(
-      [&] { return server.asked.size() == 3 && peers[1]->ended() && peers[2]->ended(); }));
+      [&] { return server.requests.size() == 3 && peers[1]->ended() && peers[2]->ended(); }));
   EXPECT_FALSE(peers[3]->ended());
   EXPECT_FALSE(peers[4]->ended());
 }
 
-TEST(ClientConnections, ABrokenStreamEndsWithoutTheLastChunk) {
-  Server server;
+TEST(ClientConnection, AbortsAStreamWithoutTheLastChunk) {
+  ServerFixture server;
   RawPeer peer(server.io);
   peer.connect(server.listener.address());
   peer.write(kPost);
-  ASSERT_TRUE(server.until([&] { return !server.asked.empty(); }));
-  server.asked[0].first->beginStream({});
-  server.asked[0].first->writeChunk("data: x\n\n");
-  server.asked[0].first->abortResponse();
-  const std::string seen = server.lastSeen(peer);
+  ASSERT_TRUE(server.until([&] { return !server.requests.empty(); }));
+  server.requests[0].first->beginStream({});
+  server.requests[0].first->writeChunk("data: x\n\n");
+  server.requests[0].first->abortResponse();
+  const std::string seen = server.readUntilClosed(peer);
   EXPECT_NE(seen.find("9\r\ndata: x\n\n\r\n"), std::string::npos);
   EXPECT_EQ(seen.find("0\r\n\r\n"), std::string::npos);
 }
 
-TEST(ClientConnections, AtTheCapTheLongestIdleMakesRoom) {
-  Server server;
+TEST(ClientConnection, EvictsTheLongestIdleConnectionAtTheLimit) {
+  ServerFixture server;
   std::vector<std::unique_ptr<RawPeer>> peers;
   for (int i = 0; i < 3; ++i) {
     peers.push_back(std::make_unique<RawPeer>(server.io));
@@ -441,35 +444,36 @@
   EXPECT_LE(server.listener.size(), 3U);
 }
 
-TEST(ClientConnections, ADrainServesWhatStillArrivesAndThenEnds) {
-  Server server;
+TEST(ClientConnection, DrainServesRequestsThatStillArriveAndThenCloses) {
+  ServerFixture server;
   RawPeer before(server.io), during(server.io);
   bool done = false;
   before.connect(server.listener.address());
   before.write(kPost);
-  ASSERT_TRUE(server.until([&] { return server.asked.size() == 1; }));
+  ASSERT_TRUE(server.until([&] { return server.requests.size() == 1; }));
   server.listener.drain(500, [&] { done = true; });
   server.pass(300);
   during.connect(server.listener.address());
   during.write(kPost);
-  ASSERT_TRUE(server.until([&] { return server.asked.size() == 2; }));
+  ASSERT_TRUE(server.until([&] { return server.requests.size() == 2; }));
   server.pass(300);
   RawPeer after(server.io);
   EXPECT_THROW(after.connect(server.listener.address()), boost::system::system_error);
-  for (auto& [connection, request] : server.asked)
+  for (auto& [connection, request] : server.requests)
     connection->answer(200, {}, "late but served");
-  EXPECT_NE(server.lastSeen(before).find("late but served"), std::string::npos);
-  EXPECT_NE(server.lastSeen(during).find("late but served"), std::string::npos);
+  EXPECT_NE(server.readUntilClosed(before).find("late but served"), std::string::npos);
+  EXPECT_NE(server.readUntilClosed(during).find("late but served"), std::string::npos);
   ASSERT_TRUE(server.until([&] { return done; }));
 }
 
-// One connection through random requests, answers, breaks and closes, beside a model of its states.
-TEST(ClientConnections, FollowTheModelOfTheirStates) {
+// Random requests, answers, aborts and closes on one connection, checked against a model of its
+// states.
+TEST(ClientConnection, MatchesTheStateModelUnderRandomBehaviour) {
   std::mt19937 random(23);
-  Server server;
+  ServerFixture server;
   std::unique_ptr<RawPeer> peer;
   bool open = false;
-  int left = 0;
+  int expectedDisconnects = 0;
   for (int step = 0; step < 300; ++step) {
     SCOPED_TRACE(step);
     if (!open) {
@@ -477,23 +481,23 @@
       peer->connect(server.listener.address());
       open = true;
     }
-    const std::size_t before = server.asked.size(), cut = random() % kPost.size();
+    const std::size_t requestsBefore = server.requests.size(), cut = random() % kPost.size();
     peer->write(kPost.substr(0, cut));
     server.io.poll();
-    if (random() % 8 == 0) {  // it goes before the request is whole: nobody hears of it
+    if (random() % 8 == 0) {  // the client closes before the request is complete
       peer->close();
       open = false;
       ASSERT_TRUE(server.until([&] { return server.listener.size() == 0; }));
-      ASSERT_EQ(server.asked.size(), before);
+      ASSERT_EQ(server.requests.size(), requestsBefore);
       continue;
     }
     peer->write(kPost.substr(cut));
-    ASSERT_TRUE(server.until([&] { return server.asked.size() == before + 1; }));
-    const auto connection = server.asked.back().first;
+    ASSERT_TRUE(server.until([&] { return server.requests.size() == requestsBefore + 1; }));
+    const auto connection = server.requests.back().first;
     ASSERT_EQ(connection->state(), ClientConnection::State::kAnswering);
-    const unsigned act = random() % 5;
+    const unsigned action = random() % 5;
     peer->seen.clear();
-    if (act == 0) {
+    if (action == 0) {
       connection->answer(200, {}, "whole");
       ASSERT_TRUE(server.until(
           [&] { return !peer->ended() && peer->seen.find("whole") != std::string::npos; }));
@@ -501,27 +505,27 @@
       connection->beginStream({});
       connection->writeChunk("part");
       ASSERT_EQ(connection->state(), ClientConnection::State::kStreaming);
-      if (act == 1)
+      if (action == 1)
         connection->abortResponse();
-      else if (act == 2)
+      else if (action == 2)
         peer->close();
       else
         connection->endStream();
-      if (act == 1) {
+      if (action == 1) {
         ASSERT_TRUE(server.until([&] { return peer->ended(); }));
       }
-      if (act > 2) {
+      if (action > 2) {
         ASSERT_TRUE(server.until(
             [&] { return !peer->ended() && peer->seen.find("0\r\n\r\n") != std::string::npos; }));
       }
     }
-    open = act != 1 && act != 2;
-    left += act == 2;  // whom this side breaks off has not left
+    open = action != 1 && action != 2;
+    expectedDisconnects += action == 2;  // an abort by this side is no client disconnect
     ASSERT_TRUE(server.until([&] {
       return connection->state() ==
              (open ? ClientConnection::State::kIdle : ClientConnection::State::kClosed);
     }));
-    ASSERT_EQ(server.left, left);
+    ASSERT_EQ(server.disconnects, expectedDisconnects);
     ASSERT_EQ(server.listener.size(), open ? 1U : 0U);
   }
 }
--- a/tests/network_faults_test.cpp
+++ b/tests/network_faults_test.cpp
@@ -1,5 +1,5 @@
-// The network code while system calls fail, are interrupted or move only a part, as Linux documents
-// them.
+// The network code while system calls fail, are interrupted or transfer only part of the data, as
+// documented for Linux.
 #include <fcntl.h>
 
 #include <array>
@@ -27,14 +27,14 @@
   return count;
 }
 
-// A listener whose handler answers each request at once.
-struct Door : Stage {
-  Door() {
+// A listener whose handler answers each request immediately.
+struct ServerFixture : Stage {
+  ServerFixture() {
     instance.script = [](StandInInstance&, StandInInstance::Taken& taken) {
       taken.connection->answer(200, {}, "whole");
     };
   }
-  std::unique_ptr<RawPeer> client() {
+  std::unique_ptr<RawPeer> connectClient() {
     auto peer = std::make_unique<RawPeer>(io);
     peer->connect(instance.address());
     return peer;
@@ -49,33 +49,31 @@
 };
 
 // ---- Requests
-// ----------------------------------------------------------------------------------------
 
-// What is read twice is run twice.
-TEST(RequestUnderFaults, IsTakenOnceWhileReadsAreInterruptedOrShort) {
+// A request that is read twice would be executed twice.
+TEST(RequestUnderFaults, IsReadOnceIfReadsAreInterruptedOrShort) {
   for (const int error : {EINTR, 0}) {
     SCOPED_TRACE(error);
-    Door door;
-    const auto client = door.client();
+    ServerFixture server;
+    const auto client = server.connectClient();
     const Faults faults({{.call = Call::kReceive, .error = error, .every = 2}});
     client->write(kRequest);
-    ASSERT_TRUE(door.answered(*client));
+    ASSERT_TRUE(server.answered(*client));
     for (int i = 0; i < 20; ++i)
-      door.io.poll();
+      server.io.poll();
     ASSERT_FALSE(client->ended()) << client->seen;
-    ASSERT_EQ(door.instance.chats(), 1);
+    ASSERT_EQ(server.instance.chats(), 1);
     client->write(kRequest);
-    ASSERT_TRUE(door.answered(*client, 2));
-    EXPECT_EQ(door.instance.chats(), 2);
+    ASSERT_TRUE(server.answered(*client, 2));
+    EXPECT_EQ(server.instance.chats(), 2);
     EXPECT_EQ(countOf(client->seen, "HTTP/1.1"), 2);
     EXPECT_TRUE(Faults::happened());
   }
 }
 
 // ---- The listener
-// ------------------------------------------------------------------------------------
 
-TEST(ListenerUnderFaults, WhoStandsInTheQueueAsTheDoorClosesIsServed) {
+TEST(ListenerUnderFaults, ServesTheAcceptQueueWhileClosing) {
   for (const int error : {ENOBUFS, ENOMEM, ECONNABORTED, EPROTO}) {
     SCOPED_TRACE(error);
     Stage stage;
@@ -103,36 +101,37 @@
   }
 }
 
-// An accept that meets a connection that has gone must not leave the next one in the queue.
-TEST(ListenerUnderFaults, WhoStandsBehindAnAbortedConnectionIsServed) {
-  Door door;
-  const auto client = door.client();
+// Guards against an accept that fails on an aborted connection and leaves the next one in the
+// queue.
+TEST(ListenerUnderFaults, ServesConnectionsBehindAnAbortedOne) {
+  ServerFixture server;
+  const auto client = server.connectClient();
   client->write(kRequest);
   const Faults faults({{.call = Call::kAccept, .error = ECONNABORTED, .every = 2}});
-  const auto second = door.client();
+  const auto second = server.connectClient();
   second->write(kRequest);
-  EXPECT_TRUE(door.answered(*client));
-  EXPECT_TRUE(door.answered(*second));
+  EXPECT_TRUE(server.answered(*client));
+  EXPECT_TRUE(server.answered(*second));
 }
 
-// Refused for lack of descriptors, clients are told so, also once the spare descriptor was lost for
-// a while.
-TEST(ListenerUnderFaults, TheSpareDescriptorComesBack) {
-  Door door;
-  const auto refusedUnder = [&](std::vector<Rule> rules) {
+// Clients that are refused for lack of descriptors get a refusal, even after the spare descriptor
+// was temporarily lost.
+TEST(ListenerUnderFaults, ReacquiresTheSpareDescriptor) {
+  ServerFixture server;
+  const auto isRefusedUnder = [&](std::vector<Rule> rules) {
     const Faults faults(std::move(rules));
-    const auto client = door.client();
-    return door.until([&] {
-      door.pass(20);
+    const auto client = server.connectClient();
+    return server.until([&] {
+      server.pass(20);
       return client->ended() || Faults::hits() > 40;
     }) && countOf(client->seen, "HTTP/1.1 503") == 1;
   };
   const Rule full{.call = Call::kAccept, .error = EMFILE, .every = 2};
-  refusedUnder({full, {.call = Call::kOpen, .error = ENFILE, .path = "/dev/null"}});
-  EXPECT_TRUE(refusedUnder({full}));
+  isRefusedUnder({full, {.call = Call::kOpen, .error = ENFILE, .path = "/dev/null"}});
+  EXPECT_TRUE(isRefusedUnder({full}));
 }
 
-TEST(ListenerUnderFaults, TheAdminEndpointAnswersWholeAndBehindAbortedConnections) {
+TEST(LineServerUnderFaults, SendsCompleteRepliesBehindAbortedConnections) {
   Stage stage;
   const std::string text(20'000, 'x');
   LineServer server(
@@ -152,24 +151,23 @@
 }
 
 // ---- Answers
-// -----------------------------------------------------------------------------------------
 
 const std::vector<Rule> kSendFaults{{.call = Call::kSend, .error = 0},
                                     {.call = Call::kSend, .error = EINTR, .every = 2},
                                     {.call = Call::kSend, .error = ENOBUFS, .every = 2}};
 
-TEST(AnswerUnderFaults, IsWholeHoweverLittleEachCallTakes) {
+TEST(AnswerUnderFaults, IsCompleteIfSendsAreShortOrFail) {
   for (const Rule& rule : kSendFaults) {
     SCOPED_TRACE(rule.error);
-    Door door;
+    ServerFixture server;
     const std::string body(200'000, 'y');
-    door.instance.script = [&](StandInInstance&, StandInInstance::Taken& taken) {
+    server.instance.script = [&](StandInInstance&, StandInInstance::Taken& taken) {
       taken.connection->answer(200, {}, body);
     };
-    const auto client = door.client();
+    const auto client = server.connectClient();
     client->write(kRequest);
     const Faults faults({rule});
-    EXPECT_TRUE(door.until([&] {
+    EXPECT_TRUE(server.until([&] {
       client->ended();
       return client->seen.size() > body.size();
     }));
@@ -177,8 +175,8 @@
   }
 }
 
-// The answer to who is sent away is not cut and not reset out of the client's hands.
-TEST(AnswerUnderFaults, WhoIsTurnedAwayReadsWhy) {
+// A refusal must not be truncated, nor lost by a connection reset.
+TEST(RefusalUnderFaults, ReachesTheClient) {
   for (const Rule& rule :
        {Rule{.call = Call::kSend, .error = EINTR, .every = 2}, Rule{.call = Call::kSend},
         Rule{.call = Call::kReceive, .error = EINTR, .every = 2}}) {
@@ -198,27 +196,26 @@
   }
 }
 
-// A look that was interrupted does not say that nothing is there.
-TEST(AnswerUnderFaults, AConnectionWithARequestInItIsNotClosedToMakeRoom) {
-  Door door;
-  const auto client = door.client();
+// An interrupted peek does not mean that there is no unread request.
+TEST(EvictionUnderFaults, SparesAConnectionWithAnUnreadRequest) {
+  ServerFixture server;
+  const auto client = server.connectClient();
   client->write(kRequest);
-  ASSERT_TRUE(door.answered(*client));
-  const std::shared_ptr<ClientConnection> connection = door.instance.taken.front()->connection;
-  ASSERT_TRUE(door.until([&] { return connection->state() == ClientConnection::State::kIdle; }));
+  ASSERT_TRUE(server.answered(*client));
+  const std::shared_ptr<ClientConnection> connection = server.instance.taken.front()->connection;
+  ASSERT_TRUE(server.until([&] { return connection->state() == ClientConnection::State::kIdle; }));
   client->write(kRequest);
   {
     const Faults faults({{.call = Call::kReceive, .error = EINTR, .every = 2}});
     for (int i = 0; i < 4; ++i)
       connection->evictIfAllowed();
   }
-  EXPECT_TRUE(door.answered(*client, 2));
+  EXPECT_TRUE(server.answered(*client, 2));
 }
 
 // ---- Calls to instances
-// ------------------------------------------------------------------------------
 
-struct Calls : Stage {
+struct PoolFixture : Stage {
   RawPeer peer{io};
   ConnectionPool pool{io, clock, timers, counters, {2, 250, 18'000, 1 << 20}};
   std::shared_ptr<Reply> reply = std::make_shared<Reply>();
@@ -227,73 +224,73 @@
   }
 };
 
-// Nothing went to the instance, and nothing is known of it.
-TEST(CallUnderFaults, AFaultOfThisMachineIsNoneOfTheInstance) {
+// Nothing was sent to the instance, and the fault says nothing about it.
+TEST(CallUnderFaults, DoesNotBlameTheInstanceForLocalFaults) {
   const std::array kFaults{Rule{.call = Call::kConnect, .error = EADDRNOTAVAIL},
                            Rule{.call = Call::kConnect, .error = ENETUNREACH},
                            Rule{.call = Call::kSocket, .error = ENOBUFS},
                            Rule{.call = Call::kSocket, .error = EMFILE}};
   for (const Rule& rule : kFaults) {
     SCOPED_TRACE(rule.error);
-    Calls passing;
+    PoolFixture temporary;
     {
       const Faults faults({rule});
-      passing.call();
-      passing.until([&] { return Faults::happened(); });
+      temporary.call();
+      temporary.until([&] { return Faults::happened(); });
       for (int i = 0; i < 5; ++i)
-        passing.io.poll();
+        temporary.io.poll();
     }
-    EXPECT_TRUE(passing.until([&] {
-      passing.pass(1);
-      return passing.reply->over || passing.reply->wasWritten;
+    EXPECT_TRUE(temporary.until([&] {
+      temporary.pass(1);
+      return temporary.reply->over || temporary.reply->wasWritten;
     }));
-    EXPECT_TRUE(passing.reply->wasWritten)
-        << "a fault that passes within the dial's time ended the call";
+    EXPECT_TRUE(temporary.reply->wasWritten)
+        << "a fault shorter than the connect timeout ended the call";
 
-    Calls lasting;
+    PoolFixture permanent;
     const Faults faults({rule});
-    lasting.call();
-    EXPECT_TRUE(lasting.until([&] {
-      lasting.pass(10);
-      return lasting.reply->over;
+    permanent.call();
+    EXPECT_TRUE(permanent.until([&] {
+      permanent.pass(10);
+      return permanent.reply->over;
     }));
-    EXPECT_EQ(lasting.reply->failure, CallFailure::kWithdrawn);
-    EXPECT_EQ(lasting.pool.size(), 0U);
+    EXPECT_EQ(permanent.reply->failure, CallFailure::kWithdrawn);
+    EXPECT_EQ(permanent.pool.size(), 0U);
   }
 }
 
-TEST(CallUnderFaults, GoesThroughWhateverIsInterruptedShortOrOutOfMemory) {
-  const std::vector<std::vector<Rule>> plans{
+TEST(CallUnderFaults, SucceedsIfSystemCallsAreInterruptedShortOrOutOfMemory) {
+  const std::vector<std::vector<Rule>> rulesPerCase{
       {{.call = Call::kConnect, .error = EINTR}},
       {kSendFaults[0]},
       {kSendFaults[1]},
       {kSendFaults[2]},
       {{.call = Call::kReceive, .error = ENOMEM, .every = 2}},
       {{.call = Call::kReceive, .error = EINTR, .every = 2}}};
-  for (std::size_t i = 0; i < plans.size(); ++i) {
+  for (std::size_t i = 0; i < rulesPerCase.size(); ++i) {
     SCOPED_TRACE(i);
-    Calls calls;
+    PoolFixture fixture;
     const auto body = std::make_shared<const std::string>(50'000, 'b');
     const std::string head = headText(
         "POST / HTTP/1.1", {{"Host", "x"}, {"Content-Length", std::to_string(body->size())}});
-    const Faults faults(plans[i]);
-    calls.pool.call(calls.peer.address(), head, body, calls.reply);
-    ASSERT_TRUE(calls.until([&] { return calls.reply->wasWritten || calls.reply->over; }));
-    ASSERT_FALSE(calls.reply->over);
+    const Faults faults(rulesPerCase[i]);
+    fixture.pool.call(fixture.peer.address(), head, body, fixture.reply);
+    ASSERT_TRUE(fixture.until([&] { return fixture.reply->wasWritten || fixture.reply->over; }));
+    ASSERT_FALSE(fixture.reply->over);
     const std::uint64_t hits = Faults::hits();
-    system_call_faults::clear();  // the peer's own calls block
-    calls.peer.accept();
-    std::string came;
-    while (came.size() < head.size() + body->size())
-      came += calls.peer.readSome();
-    EXPECT_EQ(came, head + *body);
-    calls.peer.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
-    system_call_faults::install(plans[i]);
-    EXPECT_TRUE(calls.until([&] {
-      calls.pass(1);
-      return calls.reply->over;
+    system_call_faults::clear();  // the peer uses blocking calls
+    fixture.peer.accept();
+    std::string received;
+    while (received.size() < head.size() + body->size())
+      received += fixture.peer.readSome();
+    EXPECT_EQ(received, head + *body);
+    fixture.peer.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
+    system_call_faults::install(rulesPerCase[i]);
+    EXPECT_TRUE(fixture.until([&] {
+      fixture.pass(1);
+      return fixture.reply->over;
     }));
-    EXPECT_TRUE(calls.reply->whole);
+    EXPECT_TRUE(fixture.reply->whole);
     EXPECT_GT(hits + Faults::hits(), 0U);
   }
 }
--- a/tests/support/faults.h
+++ b/tests/support/faults.h
@@ -1,4 +1,4 @@
-// System calls that fail while this lives, in the test's own process.
+// Injects system call faults into the test's own process for the lifetime of an object.
 #pragma once
 
 #include <cstdint>
--- a/tests/support/live_bytes.h
+++ b/tests/support/live_bytes.h
@@ -1,5 +1,5 @@
-// Counts what a test's process holds by new: for the one source file of a binary that includes
-// this.
+// Counts the heap memory that a test process allocates by operator new. Include it in only one
+// source file of a binary, since it replaces the global operators.
 #pragma once
 
 #include <malloc.h>
@@ -13,33 +13,33 @@
 
 inline std::size_t liveBytes = 0, peakLiveBytes = 0;
 
-// How much more is held at the end of what is done, and at the most meanwhile.
+// Additional heap memory after an action, and its maximum during the action.
 struct HeapUse {
   std::size_t retainedBytes, peakBytes;
 };
-template <class Do>
-HeapUse measureHeapUse(const Do& what) {
+template <class Action>
+HeapUse measureHeapUse(const Action& action) {
   const std::size_t before = peakLiveBytes = liveBytes;
-  what();
+  action();
   return {liveBytes > before ? liveBytes - before : 0, peakLiveBytes - before};
 }
 
 }  // namespace inference_router
 
 void* operator new(std::size_t size) {
-  void* at = std::malloc(size == 0 ? 1 : size);
-  if (at == nullptr)
+  void* pointer = std::malloc(size == 0 ? 1 : size);
+  if (pointer == nullptr)
     throw std::bad_alloc();
-  inference_router::liveBytes += malloc_usable_size(at);
+  inference_router::liveBytes += malloc_usable_size(pointer);
   inference_router::peakLiveBytes =
       std::max(inference_router::peakLiveBytes, inference_router::liveBytes);
-  return at;
+  return pointer;
 }
-void operator delete(void* at) noexcept {
-  if (at != nullptr)
-    inference_router::liveBytes -= malloc_usable_size(at);
-  std::free(at);
+void operator delete(void* pointer) noexcept {
+  if (pointer != nullptr)
+    inference_router::liveBytes -= malloc_usable_size(pointer);
+  std::free(pointer);
 }
-void operator delete(void* at, std::size_t) noexcept {
-  operator delete(at);
+void operator delete(void* pointer, std::size_t) noexcept {
+  operator delete(pointer);
 }
