--- a/src/net/arrival_times.h
+++ b/src/net/arrival_times.h
@@ -1,5 +1,5 @@
-/// When the bytes that wait in a buffer came: a request's time counts from when its client sent it,
-/// however long it stood behind earlier ones.
+/// Arrival times of buffered bytes. A request's time counts from the arrival of its first byte,
+/// even if it waits behind earlier requests before it is read.
 #pragma once
 
 #include <algorithm>
@@ -8,46 +8,46 @@
 
 namespace inference_router::net {
 
-/// Times in milliseconds of the monotonic clock.
+/// A queue of byte counts with their arrival times, in milliseconds of the monotonic clock.
 class ArrivalTimes {
  public:
-  /// So many bytes more. What comes within a moment counts as come together, which bounds the
-  /// entries.
+  /// Appends bytes that arrived at atMs. Bytes that arrive within kMergeWindowMs share one entry,
+  /// which bounds the number of entries.
   void add(std::size_t bytes, double atMs) {
     if (bytes == 0)
       return;
-    if (!pieces_.empty() && atMs < pieces_.back().atMs + kMergeMs)
-      pieces_.back().bytes += bytes;
+    if (!segments_.empty() && atMs < segments_.back().atMs + kMergeWindowMs)
+      segments_.back().bytes += bytes;
     else
-      pieces_.push_back({bytes, atMs});
+      segments_.push_back({bytes, atMs});
     bytes_ += bytes;
   }
 
-  /// The first so many bytes have left the buffer.
+  /// Removes the first bytes, which have left the buffer.
   void remove(std::size_t bytes) {
     bytes = std::min(bytes, bytes_);
     bytes_ -= bytes;
     while (bytes > 0) {
-      const std::size_t part = std::min(bytes, pieces_.front().bytes);
-      pieces_.front().bytes -= part;
-      bytes -= part;
-      if (pieces_.front().bytes == 0)
-        pieces_.pop_front();
+      const std::size_t removed = std::min(bytes, segments_.front().bytes);
+      segments_.front().bytes -= removed;
+      bytes -= removed;
+      if (segments_.front().bytes == 0)
+        segments_.pop_front();
     }
   }
 
-  bool empty() const { return pieces_.empty(); }
+  bool empty() const { return segments_.empty(); }
   std::size_t bytes() const { return bytes_; }
-  /// Of the first byte; there has to be one.
-  double firstMs() const { return pieces_.front().atMs; }
+  /// Arrival time of the first byte. Must not be empty.
+  double firstMs() const { return segments_.front().atMs; }
 
  private:
-  static constexpr double kMergeMs = 20;
-  struct Piece {
+  static constexpr double kMergeWindowMs = 20;
+  struct Segment {
     std::size_t bytes;
     double atMs;
   };
-  std::deque<Piece> pieces_;
+  std::deque<Segment> segments_;
   std::size_t bytes_ = 0;
 };
 
--- a/src/net/call.cpp
+++ b/src/net/call.cpp
@@ -12,24 +12,24 @@
 namespace {
 
 constexpr std::size_t kReadSize = std::size_t{16} * 1024;
-// A head or chunk comes at once or in quick pieces: one that stops midway this long has a wrong
-// size.
-constexpr double kStalledMs = 800;
-// For a request's last byte to follow its first. Its head tells how long its client waits as of
-// that moment, and a peer that does not read the rest would run it with that time long gone.
-constexpr double kWriteMs = 100;
-constexpr std::size_t kTracedHeadBytes = 160;  // with the request's id in it
+// The bytes of a head or chunk follow each other quickly. One that stops midway for this long has
+// announced a wrong size.
+constexpr double kStallTimeoutMs = 800;
+// From the first byte of a request to its last. The head states the client's remaining time as of
+// its first byte; a peer that reads the rest much later would run the request after that time.
+constexpr double kWriteTimeoutMs = 100;
+constexpr std::size_t kMaxTracedHeadBytes = 160;  // long enough to contain the request id
 
 }  // namespace
 
 Call::Call(ConnectionPool& pool,
-           Endpoint to,
+           Endpoint endpoint,
            std::string head,
            std::shared_ptr<const std::string> body,
            std::shared_ptr<CallSink> sink,
            bool urgent)
     : pool_(pool),
-      to_(std::move(to)),
+      endpoint_(std::move(endpoint)),
       head_(std::move(head)),
       body_(std::move(body)),
       sink_(std::move(sink)),
@@ -39,7 +39,7 @@
 // ---- Request
 
 void Call::start(std::shared_ptr<Connection> connection, bool isNew) {
-  startTimer_.cancel();  // of the time in line
+  startTimer_.cancel();  // limited the wait for a connection
   connection_ = std::move(connection);
   ++connection_->calls;
   if (isNew)
@@ -58,7 +58,8 @@
       [self](const boost::system::error_code& error) { self->connected(error); });
 }
 
-// What this machine could not begin counts as if the call had waited in line for a connection.
+// A connection attempt that failed on this machine is reported as if the call had only waited for a
+// connection: the instance is not at fault.
 void Call::connectTimedOut() {
   const auto connecting = connecting_.lock();
   const bool localFault = connecting && connecting->hadLocalFault();
@@ -74,8 +75,7 @@
   write();
 }
 
-// Time has passed if a connection had to be waited for: the sink looks at drains and deadlines once
-// more.
+// The call may have waited for a connection, so the sink checks drains and deadlines again.
 void Call::write() {
   state_ = State::kWriting;
   const auto sink = sink_;
@@ -99,7 +99,7 @@
 
 void Call::sendRequest() {
   const auto self = shared_from_this();
-  writeTimer_ = pool_.timers_.schedule(pool_.clock_.nowMs() + kWriteMs, [self] {
+  writeTimer_ = pool_.timers_.schedule(pool_.clock_.nowMs() + kWriteTimeoutMs, [self] {
     if (const auto sending = self->sending_.lock())
       sending->cancel();
   });
@@ -109,8 +109,8 @@
       [self](const boost::system::error_code& error) { self->requestSent(error); });
 }
 
-// A write whose last byte was out by its time limit is complete, although this has still to run
-// then.
+// A write that sent its last byte within the time limit has succeeded, even if this handler runs
+// after the limit.
 void Call::requestSent(const boost::system::error_code& error) {
   if (state_ != State::kWriting)
     return;
@@ -134,10 +134,10 @@
     return std::exchange(onPaused_, nullptr)();
   reading_ = true;
   const auto self = shared_from_this();
-  if (parser_.isMidPiece(connection_->buffer))
-    stalledTimer_ = pool_.timers_.schedule(pool_.clock_.nowMs() + kStalledMs,
-                                           [self] { self->fail(CallFailure::kGarbled); });
-  const auto connection = connection_;  // lives as long as the operation on it
+  if (parser_.isMidElement(connection_->buffer))
+    stallTimer_ = pool_.timers_.schedule(pool_.clock_.nowMs() + kStallTimeoutMs,
+                                         [self] { self->fail(CallFailure::kInvalidResponse); });
+  const auto connection = connection_;  // kept alive by the pending operation
   connection->socket.async_read_some(
       connection->buffer.prepare(kReadSize),
       [self, connection](const boost::system::error_code& error, std::size_t bytes) {
@@ -147,8 +147,8 @@
 
 void Call::received(const boost::system::error_code& error, std::size_t bytes) {
   reading_ = false;
-  stalledTimer_.cancel();
-  if (state_ == State::kOver)
+  stallTimer_.cancel();
+  if (state_ == State::kFinished)
     return;
   if (error == boost::asio::error::operation_aborted && onPaused_)
     return read();
@@ -160,8 +160,9 @@
   parse();
 }
 
-// This machine lacked memory or buffers: what has come is still there. Asio takes a read that moved
-// nothing for a sign that nothing is there; readiness, asked for anew, tells it otherwise.
+// Reads again after this machine lacked memory or buffers; the received bytes are still in the
+// socket. Asio takes a read that returned nothing as a sign that the socket is empty, so readiness
+// is waited for again before the next read.
 void Call::retryRead() {
   awaitsResources_ = true;
   readRetryTimer_ =
@@ -186,32 +187,32 @@
   if (const int interim = parser_.interimResponses() - interimBefore; interim > 0)
     pool_.counters_["answers.interim"] += static_cast<std::uint64_t>(interim);
   if (!valid)
-    return fail(CallFailure::kGarbled);
-  if (parser_.hasHead() && !headPassed_) {
-    headPassed_ = true;
+    return fail(CallFailure::kInvalidResponse);
+  if (parser_.hasHead() && !headDelivered_) {
+    headDelivered_ = true;
     state_ = State::kBody;
     sink->head(parser_.head());
-    if (state_ == State::kOver)
+    if (state_ == State::kFinished)
       return;
   }
-  if (headPassed_ && !passBody())
+  if (headDelivered_ && !deliverBody())
     return;
   if (parser_.isComplete())
     return complete();
   read();
 }
 
-// False if the sink has ended the call.
-bool Call::passBody() {
+// Returns false if the sink has ended the call.
+bool Call::deliverBody() {
   const auto sink = sink_;
-  const std::string part = parser_.takeBody();
-  if (!part.empty() && !sink->body(part))
+  const std::string bytes = parser_.takeBody();
+  if (!bytes.empty() && !sink->body(bytes))
     paused_ = true;
-  return state_ != State::kOver;
+  return state_ != State::kFinished;
 }
 
 void Call::complete() {
-  // Guards the next request on this connection against a second response right behind this one.
+  // Unexpected bytes behind this response would be taken for the response to the next request.
   const bool reusable =
       parser_.keepAlive() && connection_->buffer.size() == 0 && connection_->isReusable();
   trace(reusable ? "answered" : "answered, not used again", parser_.status());
@@ -234,9 +235,9 @@
   if (!connection_)
     return false;
   std::array<char, 1> byte{};
-  const IoStatus seen = peek(connection_->socket.native_handle(), byte).status;
-  return seen == IoStatus::kDone ||
-         seen == IoStatus::kNoResources;  // it may have, where nobody can look
+  const IoStatus peeked = peek(connection_->socket.native_handle(), byte).status;
+  return peeked == IoStatus::kDone ||
+         peeked == IoStatus::kNoResources;  // unknown: there may be unread bytes
 }
 
 // ---- Transfer to another process
@@ -255,15 +256,15 @@
   onPaused_ = nullptr;
   if (state_ != State::kBody)
     return;
-  // Bytes that came with the descriptor may be all there is, so they are parsed before any more is
-  // waited for.
+  // Bytes handed over with the descriptor may complete the response, so they are parsed before more
+  // input is awaited.
   if (connection_->buffer.size() > 0 && !reading_)
     parse();
   else
     read();
 }
 
-// Only a chunked response says by itself where it ends, whoever reads it.
+// Only a chunked response marks its own end, so that another process can find it.
 std::optional<Call::TransferState> Call::transferState() const {
   if (state_ != State::kBody || reading_ || paused_ || !parser_.isChunked())
     return std::nullopt;
@@ -276,8 +277,8 @@
 void Call::adopt(std::shared_ptr<Connection> connection, const TransferState& state) {
   connection_ = std::move(connection);
   state_ = State::kBody;
-  parser_.restore(state.chunkLeft, state.keepAlive);
-  headPassed_ = true;
+  parser_.restore(state.chunkRemaining, state.keepAlive);
+  headDelivered_ = true;
   auto& buffer = connection_->buffer;
   buffer.commit(boost::asio::buffer_copy(buffer.prepare(state.unread.size()),
                                          boost::asio::buffer(state.unread)));
@@ -285,20 +286,20 @@
 
 // ---- End
 
-void Call::fail(CallFailure why) {
-  if (state_ == State::kOver)
+void Call::fail(CallFailure failure) {
+  if (state_ == State::kFinished)
     return;
-  constexpr std::array kWhy{"no connection", "reset", "garbled", "withdrawn"};
-  trace(kWhy.at(static_cast<std::size_t>(why)));
+  constexpr std::array kFailureNames{"no connection", "reset", "garbled", "withdrawn"};
+  trace(kFailureNames.at(static_cast<std::size_t>(failure)));
   const auto connection = std::exchange(connection_, nullptr);
   const auto sink = finish();
   if (connection)
     pool_.close(connection);
-  sink->failed(why);
+  sink->failed(failure);
 }
 
 void Call::abandon() {
-  if (state_ == State::kOver)
+  if (state_ == State::kFinished)
     return;
   trace("abandoned");
   const auto connection = std::exchange(connection_, nullptr);
@@ -308,10 +309,10 @@
 }
 
 std::shared_ptr<CallSink> Call::finish() {
-  state_ = State::kOver;
+  state_ = State::kFinished;
   startTimer_.cancel();
   writeTimer_.cancel();
-  stalledTimer_.cancel();
+  stallTimer_.cancel();
   readRetryTimer_.cancel();
   if (const auto connecting = connecting_.lock())
     connecting->cancel();
@@ -324,7 +325,7 @@
   std::string line = "connection=" + (connection_ ? std::to_string(connection_->number) : "none") +
                      " call=" + (connection_ ? std::to_string(connection_->calls) : "0") + " " +
                      event + (status != 0 ? " " + std::to_string(status) : "") + ": " +
-                     head_.substr(0, kTracedHeadBytes);
+                     head_.substr(0, kMaxTracedHeadBytes);
   std::replace_if(
       line.begin(), line.end(), [](char c) { return c == '\r' || c == '\n'; }, ' ');
   pool_.trace_(line);
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -14,19 +14,26 @@
 
 namespace {
 
-// A client that cannot ask is owed an error or a close within 3 s of connecting; with 60 MB to
-// send, 6 s.
-constexpr double kFirstRequestMs = 2'000;  // for the first request to arrive, from connecting
-constexpr double kNextRequestMs = 2'000;   // for a later one, from its first byte
-constexpr double kIdleMs = 5'000;       // between two requests: some clients keep theirs for good
-constexpr double kLastRequestMs = 500;  // for one that begins as its time ends or while draining
-constexpr double kMinAgeMs = 100;       // of a new connection, before it can be evicted
-constexpr double kMaxFlushMs = 2'000;   // for what was passed before an abort; 5 s are allowed
-constexpr double kEvictedRetryMs = 1'000;  // told to who is evicted
-constexpr std::size_t kMaxPendingBytes =
-    std::size_t{64} * 1024;  // before the stream of a slow client pauses
-// Requests that stand in line on a connection as it is to close are served up to this number: a
-// client that never stops sending must not keep the process.
+// A client that sends no valid request must get an error or a close within 3 s of connecting, or
+// within 6 s if it sends 60 MB.
+// From connecting to the end of the first request.
+constexpr double kFirstRequestTimeoutMs = 2'000;
+// From the first to the last byte of a later request.
+constexpr double kNextRequestTimeoutMs = 2'000;
+// Between two requests: some clients never close their connection.
+constexpr double kIdleTimeoutMs = 5'000;
+// For a request that begins at a timeout or while draining.
+constexpr double kFinalRequestTimeoutMs = 500;
+// Age of a new connection before it can be evicted.
+constexpr double kMinEvictionAgeMs = 100;
+// For pending output after an abort; 5 s are allowed.
+constexpr double kAbortFlushTimeoutMs = 2'000;
+// Retry-After of evicted clients.
+constexpr double kEvictionRetryAfterMs = 1'000;
+// Pending output at which the stream to a slow client is paused.
+constexpr std::size_t kMaxPendingBytes = std::size_t{64} * 1024;
+// Pipelined requests that are still served on a connection that is to close. A client that never
+// stops sending must not keep the process alive.
 constexpr int kMaxServedWhileDraining = 64;
 
 }  // namespace
@@ -47,7 +54,7 @@
               timers,
               {[this](const boost::system::error_code& error) { written(error); },
                [this] { close(); }}),
-      // Behind a last answer there is no request any more.
+      // Requests behind a last answer are not served.
       peerWatch_(
           socket_,
           input_,
@@ -58,7 +65,7 @@
 void ClientConnection::start() {
   boost::system::error_code ignored;
   socket_.set_option(boost::asio::ip::tcp::no_delay(true), ignored);
-  input_.reserveBuffer();
+  input_.reserveReceiveBuffer();
   connectedMs_ = clock_.nowMs();
   idleSinceMs_ = connectedMs_;
   read();
@@ -73,10 +80,11 @@
 std::optional<ClientConnection::TransferState> ClientConnection::transferState() {
   if (state_ != State::kStreaming || !output_.empty() || !input_.prepareTransfer())
     return std::nullopt;
-  return TransferState{socket_.native_handle(), input_.kept(), input_.keptSinceMs(), keepAlive_};
+  return TransferState{socket_.native_handle(), input_.buffered(), input_.bufferedSinceMs(),
+                       keepAlive_};
 }
 
-// Without a shutdown, which would end the connection for the other process as well.
+// Closes without a shutdown, which would end the connection for the other process as well.
 void ClientConnection::release() {
   if (state_ == State::kClosed)
     return;
@@ -96,7 +104,7 @@
   owner_.requestStarted(*this);
   keepAlive_ = state.keepAlive;
   state_ = State::kStreaming;
-  input_.adopt(state.ahead, state.aheadCameMs);
+  input_.adopt(state.pipelinedInput, state.pipelinedSinceMs);
   peerWatch_.start(shared_from_this());
 }
 
@@ -106,15 +114,16 @@
   state_ = State::kIdle;
   input_.beginRequest();
   if (input_.hasShed())
-    return readKept();
-  setInputTimeout(hasRequested_ ? kIdleMs : kFirstRequestMs - (clock_.nowMs() - connectedMs_));
-  if (input_.hasKept())
+    return readBuffered();
+  setInputTimeout(hasRequested_ ? kIdleTimeoutMs
+                                : kFirstRequestTimeoutMs - (clock_.nowMs() - connectedMs_));
+  if (input_.hasBuffered())
     return onInput();
   awaitInput();
 }
 
-// Only readiness is waited for: an operation that reads may have its bytes already when the
-// connection is closed, before its handler has run.
+// Waits for readiness instead of starting a read: a pending read may have consumed bytes when the
+// connection is closed before its handler runs.
 void ClientConnection::awaitInput() {
   input_.setWakeThreshold(1);
   const auto self = shared_from_this();
@@ -138,27 +147,27 @@
     return refuseInput(error);
   if (state_ == State::kIdle)
     startRequest();
-  if (progress == RequestReader::Progress::kWhole)
-    takeRequest();
+  if (progress == RequestReader::Progress::kComplete)
+    handleRequest();
   else
     awaitInput();
 }
 
-// Without readiness: the socket has it already.
+// Retries by timer, without waiting for readiness: the socket already has the input.
 void ClientConnection::retryInput() {
   timers_.runAt(clock_.nowMs() + kResourceRetryMs,
                 [self = shared_from_this()] { self->onInput(); });
 }
 
-// The time of a client's first request runs from connecting.
+// The timeout of a client's first request runs from connecting and is already set.
 void ClientConnection::startRequest() {
   requestArrivedMs_ = input_.firstByteMs();
   state_ = State::kReading;
   if (hasRequested_) {
     owner_.requestStarted(*this);
-    setInputTimeout(kNextRequestMs);
+    setInputTimeout(kNextRequestTimeoutMs);
   } else if (!inputTimer_.armed()) {
-    setInputTimeout(kLastRequestMs);
+    setInputTimeout(kFinalRequestTimeoutMs);
   }
 }
 
@@ -167,7 +176,7 @@
                                  [self = shared_from_this()] { self->inputTimedOut(); });
 }
 
-// Half a request gets a 408; who has sent nothing gets a close.
+// An incomplete request gets a 408 response; an idle connection is closed.
 void ClientConnection::inputTimedOut() {
   if (state_ == State::kReading)
     return refuseInput(boost::asio::error::timed_out);
@@ -175,7 +184,7 @@
     closeUnlessUnread();
 }
 
-void ClientConnection::takeRequest() {
+void ClientConnection::handleRequest() {
   inputTimer_.cancel();
   HttpRequest request = input_.takeRequest();
   if (!hasUnambiguousLength(request))
@@ -188,7 +197,8 @@
   peerWatch_.start(shared_from_this());
 }
 
-// A bad peer costs its own connection and nothing else: input that is no request gets a plain 4xx.
+// Answers input that is no valid request with a 4xx response and closes the connection. Other
+// connections are not affected.
 void ClientConnection::refuseInput(const boost::system::error_code& error) {
   inputTimer_.cancel();
   const std::optional<InputRefusal> refusal = refusalFor(error);
@@ -200,17 +210,17 @@
   handler_.reject(*this, refusal->status, refusal->text);
 }
 
-// After a gap nothing that comes can be read: the requests that were kept whole are served in turn,
-// and those behind them refused.
-void ClientConnection::readKept() {
+// Serves the requests that were buffered completely in order and refuses those behind them.
+// Shedding leaves a gap in the input, so nothing behind it can be parsed.
+void ClientConnection::readBuffered() {
   boost::system::error_code error;
-  const RequestReader::Progress progress = input_.readKept(error);
+  const RequestReader::Progress progress = input_.readBuffered(error);
   if (input_.unansweredRequests() == 0)
     return closeGracefully();
   input_.countAnswered();
   startRequest();
-  if (progress == RequestReader::Progress::kWhole)
-    takeRequest();
+  if (progress == RequestReader::Progress::kComplete)
+    handleRequest();
   else if (progress == RequestReader::Progress::kFailed)
     refuseInput(error);
   else
@@ -219,7 +229,7 @@
 
 void ClientConnection::refuseShed() {
   inputTimer_.cancel();
-  input_.dropKept();
+  input_.dropBuffered();
   keepAlive_ = input_.unansweredRequests() > 0;
   refusedInput_ = !keepAlive_ && input_.shedEndsMidRequest();
   state_ = State::kAnswering;
@@ -232,8 +242,8 @@
 
 // ---- Answering
 
-// Whether the answer that is about to begin is the last on this connection. While it is to close,
-// requests that have come behind are served first.
+// Whether the answer that is about to begin is the last on this connection. While draining,
+// requests that have already been received are served first.
 bool ClientConnection::isLastAnswer() {
   if (!keepAlive_)
     return true;
@@ -271,12 +281,12 @@
   write(headText("HTTP/1.1 200 OK", fields));
 }
 
-bool ClientConnection::pass(std::string_view part) {
-  if (state_ != State::kStreaming || part.empty())
+bool ClientConnection::writeChunk(std::string_view data) {
+  if (state_ != State::kStreaming || data.empty())
     return true;
-  write(chunkOf(part));
-  blocked_ = state_ == State::kStreaming && output_.pendingBytes() > kMaxPendingBytes;
-  return !blocked_;
+  write(encodeChunk(data));
+  awaitsWritable_ = state_ == State::kStreaming && output_.pendingBytes() > kMaxPendingBytes;
+  return !awaitsWritable_;
 }
 
 void ClientConnection::endStream() {
@@ -286,8 +296,8 @@
   write(kLastChunk);
 }
 
-// What is written already goes out first; a client that takes none of it is cut by the time limit
-// of a write.
+// Output that is already pending is sent first, within a time limit for clients that read too
+// slowly.
 void ClientConnection::abortResponse() {
   if (state_ == State::kClosed)
     return;
@@ -295,9 +305,9 @@
   state_ = State::kFlushing;
   if (output_.empty())
     return closeGracefully();
-  // Nothing more comes, so what is left is one time limit's worth, however often some of it gets
-  // through.
-  timers_.runAt(clock_.nowMs() + kMaxFlushMs, [self = shared_from_this()] { self->close(); });
+  // No more output is added, so a single time limit covers the rest, even if writes make progress.
+  timers_.runAt(clock_.nowMs() + kAbortFlushTimeoutMs,
+                [self = shared_from_this()] { self->close(); });
 }
 
 void ClientConnection::write(std::string_view bytes) {
@@ -315,15 +325,15 @@
     return;
   if (error)
     return close();
-  if (std::exchange(blocked_, false))
+  if (std::exchange(awaitsWritable_, false))
     handler_.writable(*this);
   flush();
   if (!output_.isWriting() && state_ == State::kFlushing)
     answerFinished();
 }
 
-// The watch on the answered request must not take the next one's bytes for a close; it ends by
-// itself.
+// The peer watch of this request ends by itself, as the state is no longer answering: it must not
+// take the bytes of the next request for a close.
 void ClientConnection::answerFinished() {
   if (!keepAlive_)
     return closeGracefully();
@@ -342,14 +352,14 @@
   if (state_ != State::kIdle && state_ != State::kReading)
     return Evictability::kNone;
   if (!hasRequested_) {
-    const bool isNew = clock_.nowMs() - connectedMs_ < kMinAgeMs;
+    const bool isNew = clock_.nowMs() - connectedMs_ < kMinEvictionAgeMs;
     return isNew ? Evictability::kNone : Evictability::kNeverRequested;
   }
   return state_ == State::kIdle ? Evictability::kIdle : Evictability::kNone;
 }
 
-// Capacity is needed now, so who is being waited for to close is closed at once, and so is who has
-// not requested anything yet.
+// Capacity is needed now, so connections in a lingering close and those without any request are
+// closed at once.
 bool ClientConnection::evictIfAllowed() {
   if (evictability() == Evictability::kNone || (state_ == State::kIdle && input_.hasUnread()))
     return false;
@@ -369,22 +379,22 @@
     close();
 }
 
-// Guards a request, or what has been read of one, against a close without any answer.
+// Sends a refusal before closing, so that a request, or a part of one, gets an answer.
 void ClientConnection::refuseAndClose() {
   const std::string response =
-      handler_.refusalResponse(503, "room is needed for other connections", kEvictedRetryMs);
+      handler_.refusalResponse(503, "room is needed for other connections", kEvictionRetryAfterMs);
   if (!sendLastAnswer(socket_.native_handle(), response))
-    owner_.answerCut();
+    owner_.answerTruncated();
   close();
 }
 
-// Guards a request against a close that crosses it: what has come is read first, and who connected
-// a moment ago connected in order to ask.
+// Avoids closing while a request is on its way: received bytes are read first, and a connection
+// that was opened a moment ago gets time to send its request.
 void ClientConnection::closeIdle() {
   if (state_ != State::kIdle)
     return;
-  if (!hasRequested_ && clock_.nowMs() - connectedMs_ < kMinAgeMs)
-    return setInputTimeout(kLastRequestMs);
+  if (!hasRequested_ && clock_.nowMs() - connectedMs_ < kMinEvictionAgeMs)
+    return setInputTimeout(kFinalRequestTimeoutMs);
   closeUnlessUnread();
 }
 
@@ -406,14 +416,14 @@
 void ClientConnection::close() {
   if (state_ == State::kClosed)
     return;
-  const bool answerOwed = isAnswering() || (state_ == State::kFlushing && !lingeringClose_);
+  const bool answerPending = isAnswering() || (state_ == State::kFlushing && !lingeringClose_);
   state_ = State::kClosed;
   cancelTimers();
   boost::system::error_code ignored;
   socket_.shutdown(boost::asio::ip::tcp::socket::shutdown_both, ignored);
   socket_.close(ignored);
   const auto self = shared_from_this();
-  if (answerOwed)
+  if (answerPending)
     handler_.disconnected(*this);
   owner_.closed(self);
 }
--- a/src/net/client_input.cpp
+++ b/src/net/client_input.cpp
@@ -12,19 +12,18 @@
 
 namespace {
 
-// Bytes that stand unread behind a request whose answer is in progress, and as many of them as are
-// kept once more have come: one of the largest requests that is taken. A client's close shows
-// behind unread bytes only while they have room here, and waits in the client's own system
-// otherwise: so there is room for twice as many, and from this number on they are read. Each
-// request that is read and not kept gets a refusal.
-constexpr std::size_t kMaxKeptBytes = kMaxHeadBytes + kMaxBodyBytes;
-constexpr std::size_t kReceiveBufferBytes = 2 * kMaxKeptBytes;
-// A client that never stops sending must not have the loop to itself.
-constexpr std::size_t kMaxReadAheadBytes = std::size_t{2} * 1024 * 1024;  // until allowed again
+// Limit of unread bytes behind a request in progress, and of the bytes that are then read ahead and
+// buffered: one request of the maximum size. The kernel reports a client's close only if the unread
+// bytes before it fit into the receive buffer. The receive buffer is therefore twice as large, and
+// bytes are read ahead from this limit on. Requests that are read but not buffered are refused.
+constexpr std::size_t kMaxBufferedBytes = kMaxHeadBytes + kMaxBodyBytes;
+constexpr std::size_t kReceiveBufferBytes = 2 * kMaxBufferedBytes;
+// Bounds one turn, so that a client that never stops sending does not monopolize the event loop.
+constexpr std::size_t kMaxReadAheadBytes = std::size_t{2} * 1024 * 1024;  // per allowReadAhead()
 constexpr std::size_t kReadSize = std::size_t{64} * 1024;
-// Bytes that came so long ago stood unread meanwhile; below that it is the usual way of a message,
-// and the system's clock is coarse.
-constexpr double kMinUnreadMs = 100;
+// Bytes that arrived at least this long ago count from their arrival, other bytes from now: shorter
+// delays are normal, and the kernel's clock is coarse.
+constexpr double kMinUnreadAgeMs = 100;
 
 }  // namespace
 
@@ -35,14 +34,14 @@
   return socket_.native_handle();
 }
 
-// The system may grant less room than is asked for: then reading ahead begins the sooner.
-void ClientInput::reserveBuffer() {
+// If the kernel grants a smaller buffer than requested, reading ahead begins earlier.
+void ClientInput::reserveReceiveBuffer() {
   readAheadThreshold_ =
-      std::min(kMaxKeptBytes, reserveInput(descriptor(), kReceiveBufferBytes) / 2);
+      std::min(kMaxBufferedBytes, setReceiveBufferSize(descriptor(), kReceiveBufferBytes) / 2);
 }
 
 RequestReader::Progress ClientInput::readRequest(boost::system::error_code& error) {
-  noteArrivals();
+  recordArrivals();
   return reader_.read(descriptor(), error);
 }
 
@@ -57,78 +56,78 @@
   return arrivals_.empty() ? clock_.nowMs() : arrivals_.firstMs();
 }
 
-bool ClientInput::noteArrivals() {
-  const std::size_t bytes = reader_.size() + reader_.carried().size() + unreadSize();
+bool ClientInput::recordArrivals() {
+  const std::size_t bytes = reader_.size() + reader_.buffered().size() + unreadSize();
   if (bytes <= arrivals_.bytes())
     return false;
-  const double agoMs = lastArrivalAgoMs(descriptor());
-  const double stoodMs = agoMs > kMinUnreadMs ? agoMs : 0;
-  arrivals_.add(bytes - arrivals_.bytes(), clock_.nowMs() - stoodMs);
+  const double agoMs = msSinceLastReceive(descriptor());
+  const double unreadMs = agoMs > kMinUnreadAgeMs ? agoMs : 0;
+  arrivals_.add(bytes - arrivals_.bytes(), clock_.nowMs() - unreadMs);
   return true;
 }
 
 // ---- The socket's state
 
 bool ClientInput::hasUnread() const {
-  if (reader_.standing() > 0)
+  if (reader_.peekedBytes() > 0)
     return unreadSize() > 0;
   std::array<char, 1> byte{};
-  const IoStatus seen = peek(descriptor(), byte).status;
-  return seen == IoStatus::kDone || seen == IoStatus::kNoResources;
+  const IoStatus peeked = peek(descriptor(), byte).status;
+  return peeked == IoStatus::kDone || peeked == IoStatus::kNoResources;
 }
 
-// Of what comes next, without bytes that are read already.
+// Unread bytes without those that were already parsed and are not yet removed from the socket.
 std::size_t ClientInput::unreadSize() const {
   const std::size_t inSocket = unreadBytes(descriptor());
-  return inSocket - std::min(inSocket, reader_.standing());
+  return inSocket - std::min(inSocket, reader_.peekedBytes());
 }
 
 bool ClientInput::hasNextRequest() const {
   if (shed_)
     return shed_->unanswered() > 0;
-  return hasKept() || hasUnread();
+  return hasBuffered() || hasUnread();
 }
 
-// The second question costs another call, and is needed only where bytes stand before an end.
+// The poll is a second system call and needed only if unread bytes precede a possible close.
 bool ClientInput::isPeerPresent() const {
   std::array<char, 1> byte{};
-  const IoStatus seen = peek(descriptor(), byte).status;
-  if (seen == IoStatus::kEnded || seen == IoStatus::kFailed)
+  const IoStatus peeked = peek(descriptor(), byte).status;
+  if (peeked == IoStatus::kEnded || peeked == IoStatus::kFailed)
     return false;
-  return seen == IoStatus::kWouldBlock || !hasPeerEnded(descriptor());
+  return peeked == IoStatus::kWouldBlock || !hasPeerClosed(descriptor());
 }
 
 void ClientInput::setWakeThreshold(std::size_t unread) {
   if (unread == wakeThreshold_)
     return;
   wakeThreshold_ = unread;
-  setReadableFrom(descriptor(), unread);
+  setReceiveLowWatermark(descriptor(), unread);
 }
 
-void ClientInput::wakeOnMore() {
+void ClientInput::wakeOnNextByte() {
   setWakeThreshold(mustReadAhead() ? 1 : unreadBytes(descriptor()) + 1);
 }
 
 // ---- Reading ahead
 
 bool ClientInput::mustReadAhead() const {
-  return shed_ || reader_.carried().size() + unreadSize() >= readAheadThreshold_;
+  return shed_ || reader_.buffered().size() + unreadSize() >= readAheadThreshold_;
 }
 
 ClientInput::ReadAhead ClientInput::readAhead(bool keep) {
   if (readAheadAllowance_ == 0)
     return ReadAhead::kPause;
-  if (!reader_.takeStanding(descriptor()))
+  if (!reader_.consumePeeked(descriptor()))
     return ReadAhead::kPause;
   std::array<char, kReadSize> bytes;
   const std::size_t size = std::min(bytes.size(), readAheadAllowance_);
-  const IoResult got = receive(descriptor(), std::span(bytes).first(size));
-  if (got.status == IoStatus::kNoResources)
+  const IoResult received = receive(descriptor(), std::span(bytes).first(size));
+  if (received.status == IoStatus::kNoResources)
     return ReadAhead::kPause;
-  if (got.status == IoStatus::kDone) {
-    readAheadAllowance_ -= got.bytes;
+  if (received.status == IoStatus::kDone) {
+    readAheadAllowance_ -= received.bytes;
     if (keep)
-      keepOrShed({bytes.data(), got.bytes});
+      bufferOrShed({bytes.data(), received.bytes});
   }
   return ReadAhead::kContinue;
 }
@@ -137,43 +136,44 @@
   readAheadAllowance_ = kMaxReadAheadBytes;
 }
 
-void ClientInput::keepOrShed(std::string_view bytes) {
+void ClientInput::bufferOrShed(std::string_view bytes) {
   if (shed_)
     return shed_->read(bytes);
-  const std::size_t capacity = kMaxKeptBytes - std::min(kMaxKeptBytes, reader_.carried().size());
-  reader_.carry(bytes.substr(0, capacity));
+  const std::size_t capacity =
+      kMaxBufferedBytes - std::min(kMaxBufferedBytes, reader_.buffered().size());
+  reader_.appendBuffered(bytes.substr(0, capacity));
   if (bytes.size() <= capacity)
     return;
   shed_.emplace();
-  shed_->read(reader_.carried());
+  shed_->read(reader_.buffered());
   shed_->read(bytes.substr(capacity));
 }
 
-RequestReader::Progress ClientInput::readKept(boost::system::error_code& error) {
-  return reader_.readCarried(error);
+RequestReader::Progress ClientInput::readBuffered(boost::system::error_code& error) {
+  return reader_.readBuffered(error);
 }
 
-void ClientInput::dropKept() {
+void ClientInput::dropBuffered() {
   arrivals_ = {};
-  reader_.dropCarried();
+  reader_.dropBuffered();
   reader_.begin();
 }
 
 // ---- Transfer to another process
 
-// Bytes that are read and still stand in the socket would be read a second time there.
+// The other process would read bytes a second time that were parsed and are still in the socket.
 bool ClientInput::prepareTransfer() {
-  if (shed_ || !reader_.takeStanding(descriptor()))
+  if (shed_ || !reader_.consumePeeked(descriptor()))
     return false;
-  noteArrivals();
+  recordArrivals();
   return true;
 }
 
-void ClientInput::adopt(std::string_view kept, double sinceMs) {
-  reader_.carry(kept);
-  reserveBuffer();
+void ClientInput::adopt(std::string_view buffered, double sinceMs) {
+  reader_.appendBuffered(buffered);
+  reserveReceiveBuffer();
   if (sinceMs > 0)
-    arrivals_.add(kept.size() + unreadBytes(descriptor()), sinceMs);
+    arrivals_.add(buffered.size() + unreadBytes(descriptor()), sinceMs);
 }
 
 }  // namespace inference_router::net
--- a/src/net/descriptor_transfer.cpp
+++ b/src/net/descriptor_transfer.cpp
@@ -19,12 +19,12 @@
 constexpr std::size_t kMaxDescriptorsPerMessage = 4;
 constexpr std::size_t kMaxPeers = 4;
 constexpr mode_t kOwnerOnly = 0600;
-constexpr std::chrono::milliseconds kRetryPause{20};  // after the system lacked resources
+constexpr std::chrono::milliseconds kRetryDelay{20};  // after the system lacked resources
 
 using ControlBuffer = std::array<char, CMSG_SPACE(sizeof(int) * kMaxDescriptorsPerMessage)>;
 
-/// The address of a socket in a folder. A socket's path is short while a folder's need not be, so
-/// the folder is named by a descriptor that stays open as long as the address.
+/// The address of a socket in a folder. The path of a Unix socket is limited in length, so the
+/// folder is referenced through /proc by a descriptor that stays open as long as the address.
 class SocketAddress {
  public:
   SocketAddress(const std::string& folder, const std::string& name)
@@ -110,10 +110,10 @@
 
 ReceiveStatus receive(int socket, ReceivedMessage& received) {
   std::string bytes(DescriptorReceiver::kMaxMessageBytes, '\0');
-  iovec part{bytes.data(), bytes.size()};
+  iovec payload{bytes.data(), bytes.size()};
   alignas(cmsghdr) ControlBuffer control{};
   msghdr message{};
-  message.msg_iov = &part;
+  message.msg_iov = &payload;
   message.msg_iovlen = 1;
   message.msg_control = control.data();
   ssize_t count = 0;
@@ -137,7 +137,7 @@
 class DescriptorReceiver::Peer final : public std::enable_shared_from_this<Peer> {
  public:
   Peer(DescriptorReceiver& owner, FileDescriptor socket)
-      : owner_(&owner), socket_(owner.io_, socket.release()), readPause_(owner.io_) {}
+      : owner_(&owner), socket_(owner.io_, socket.release()), readRetryTimer_(owner.io_) {}
 
   void waitForMessage() {
     socket_.async_wait(boost::asio::posix::stream_descriptor::wait_read,
@@ -160,36 +160,36 @@
         case ReceiveStatus::kNothingYet:
           return waitForMessage();
         case ReceiveStatus::kNoResources:
-          return readAfterPause();
+          return retryReadLater();
         case ReceiveStatus::kClosed:
-          return leave();
+          return disconnect();
         case ReceiveStatus::kTruncated:
-          continue;  // of no use; its descriptors close here
+          continue;  // discarded; its descriptors are closed here
         case ReceiveStatus::kReceived:
-          // First of all: the sender keeps the message until it is acknowledged, and for good if
-          // the acknowledgement does not reach it.
+          // Acknowledge before handling: the sender stays responsible for the message until the
+          // acknowledgement, and for good if the acknowledgement does not reach it.
           if (!acknowledge())
-            return leave();
+            return disconnect();
           owner_->onMessage_(std::move(message));
       }
     }
   }
 
-  // True also if the sender has ended: it keeps nothing then.
+  // Returns true also if the sender has exited: it then no longer holds the message.
   bool acknowledge() {
     while (::send(socket_.native_handle(), "", 1, MSG_DONTWAIT | MSG_NOSIGNAL) < 0)
       if (errno != EINTR)
         return errno == EPIPE || errno == ECONNRESET;
     return true;
   }
-  void leave() {
+  void disconnect() {
     const auto self = shared_from_this();
     owner_->peers_.remove(self);
     close();
   }
-  void readAfterPause() {
-    readPause_.expires_after(kRetryPause);
-    readPause_.async_wait([self = shared_from_this()](const boost::system::error_code& error) {
+  void retryReadLater() {
+    readRetryTimer_.expires_after(kRetryDelay);
+    readRetryTimer_.async_wait([self = shared_from_this()](const boost::system::error_code& error) {
       if (!error && self->owner_ != nullptr)
         self->read();
     });
@@ -197,7 +197,7 @@
 
   DescriptorReceiver* owner_;  // null once closed
   boost::asio::posix::stream_descriptor socket_;
-  boost::asio::steady_timer readPause_;
+  boost::asio::steady_timer readRetryTimer_;
 };
 
 DescriptorReceiver::DescriptorReceiver(boost::asio::io_context& io,
@@ -209,7 +209,7 @@
       name_(std::move(name)),
       onMessage_(std::move(onMessage)),
       listener_(io),
-      acceptPause_(io) {
+      acceptRetryTimer_(io) {
   listen();
 }
 
@@ -225,7 +225,7 @@
   FileDescriptor socket = newSocket();
   if (!address.valid() || !socket)
     return;
-  ::unlink(socketPath().c_str());  // left behind by an earlier process with the same number
+  ::unlink(socketPath().c_str());  // left by an earlier process with the same id
   if (::bind(socket.get(), address.get(), SocketAddress::size()) != 0)
     return;
   ::chmod(socketPath().c_str(), kOwnerOnly);
@@ -247,7 +247,7 @@
   FileDescriptor socket(
       ::accept4(listener_.native_handle(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
   if (!socket && errno != EINTR && errno != EAGAIN && errno != ECONNABORTED)
-    return acceptAfterPause();
+    return retryAcceptLater();
   if (socket && peers_.size() < kMaxPeers && isSameUser(socket.get())) {
     peers_.push_back(std::make_shared<Peer>(*this, std::move(socket)));
     peers_.back()->waitForMessage();
@@ -255,10 +255,10 @@
   accept();
 }
 
-// A listener that cannot accept stays readable: without a pause it would keep the loop busy.
-void DescriptorReceiver::acceptAfterPause() {
-  acceptPause_.expires_after(kRetryPause);
-  acceptPause_.async_wait([this](const boost::system::error_code& error) {
+// A listener that cannot accept stays readable, so an immediate retry would be a busy loop.
+void DescriptorReceiver::retryAcceptLater() {
+  acceptRetryTimer_.expires_after(kRetryDelay);
+  acceptRetryTimer_.async_wait([this](const boost::system::error_code& error) {
     if (!error)
       accept();
   });
@@ -278,16 +278,17 @@
   if (!isOpen() || bytes.size() > DescriptorReceiver::kMaxMessageBytes ||
       descriptors.size() > kMaxDescriptorsPerMessage)
     return Result::kBroken;
-  iovec part{const_cast<char*>(bytes.data()), bytes.size()};
+  iovec payload{const_cast<char*>(bytes.data()), bytes.size()};
   alignas(cmsghdr) ControlBuffer control{};
   msghdr message{};
-  message.msg_iov = &part;
+  message.msg_iov = &payload;
   message.msg_iovlen = 1;
   attach(descriptors, control, message);
   while (::sendmsg(socket_.get(), &message, MSG_DONTWAIT | MSG_NOSIGNAL) < 0) {
     if (errno == EINTR)
       continue;
-    // ETOOMANYREFS: too many descriptors are under way; the receiver takes them as it gets to run.
+    // ETOOMANYREFS: too many descriptors are in flight; the limit clears as the receiver reads
+    // them.
     const bool full =
         errno == EAGAIN || errno == EWOULDBLOCK || errno == ENOBUFS || errno == ETOOMANYREFS;
     return full ? Result::kFull : Result::kBroken;  // earlier acknowledgements can still be read
@@ -304,7 +305,7 @@
       ++count;
     else if (received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK))
       break;
-    // A reset is reported once, and ahead of the acknowledgements that came before it.
+    // A reset is reported once, before the acknowledgements that were received ahead of it.
     else if (received == 0 || (errno != EINTR && errno != ECONNRESET))
       socket_ = FileDescriptor();
   }
--- a/src/net/lingering_close.cpp
+++ b/src/net/lingering_close.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr double kLingerMs = 500;  // for a client to close, once it has been told of the end
-constexpr std::size_t kMaxDiscardedBytes = std::size_t{256} * 1024;  // until then
+constexpr double kLingerTimeoutMs = 500;  // for the client to close after this side's shutdown
+constexpr std::size_t kMaxDiscardedBytes = std::size_t{256} * 1024;  // within that time
 constexpr std::size_t kReadSize = std::size_t{8} * 1024;
 
 }  // namespace
@@ -19,14 +19,14 @@
                            core::TimerQueue& timers) {
   boost::system::error_code ignored;
   socket_.shutdown(boost::asio::ip::tcp::socket::shutdown_send, ignored);
-  timer_ = timers.schedule(clock.nowMs() + kLingerMs, [this, owner] { onDone_(); });
+  timer_ = timers.schedule(clock.nowMs() + kLingerTimeoutMs, [this, owner] { onDone_(); });
   awaitInput(owner);
 }
 
 void LingeringClose::awaitInput(const std::shared_ptr<void>& owner) {
   socket_.async_wait(boost::asio::ip::tcp::socket::wait_read,
                      [this, owner](const boost::system::error_code& error) {
-                       if (!ended_)
+                       if (!cancelled_)
                          onInput(owner, /*failed=*/static_cast<bool>(error));
                      });
 }
@@ -35,23 +35,23 @@
   if (failed)
     return onDone_();
   if (input_.hasUnread() && !discardsInput_)
-    return;  // another request: left unread until the time is over
+    return;  // another request: left unread until the timeout
   if (!discardsInput_ || discardInput())
     return onDone_();
   awaitInput(owner);
 }
 
-// True once the client has ended, or has sent too much.
+// Returns true once the client has closed, or has sent too much.
 bool LingeringClose::discardInput() {
   std::array<char, kReadSize> dropped;
-  const IoResult got = receive(socket_.native_handle(), dropped);
-  discardedBytes_ += got.bytes;
-  return got.status == IoStatus::kEnded || got.status == IoStatus::kFailed ||
+  const IoResult received = receive(socket_.native_handle(), dropped);
+  discardedBytes_ += received.bytes;
+  return received.status == IoStatus::kEnded || received.status == IoStatus::kFailed ||
          discardedBytes_ > kMaxDiscardedBytes;
 }
 
 void LingeringClose::cancel() {
-  ended_ = true;
+  cancelled_ = true;
   timer_.cancel();
 }
 
--- a/src/net/message.cpp
+++ b/src/net/message.cpp
@@ -4,7 +4,7 @@
 #include <charconv>
 #include <cmath>
 #include <ostream>
-// Boost 1.74 does not bring <ostream> itself.
+// Boost 1.74 does not include <ostream> itself.
 #include <boost/beast/http/status.hpp>
 
 namespace inference_router::net {
@@ -33,18 +33,18 @@
 }
 
 std::string withFields(std::string head, const Fields& fields) {
-  head.resize(head.size() - kLineEnd.size());  // of the empty line that ends it
+  head.resize(head.size() - kLineEnd.size());  // without the final empty line
   append(head, fields);
   head += kLineEnd;
   return head;
 }
 
-std::string chunkOf(std::string_view part) {
+std::string encodeChunk(std::string_view data) {
   std::array<char, 16> size{};
-  const auto written = std::to_chars(size.data(), size.data() + size.size(), part.size(), 16);
+  const auto written = std::to_chars(size.data(), size.data() + size.size(), data.size(), 16);
   std::string chunk(size.data(), written.ptr);
   chunk += "\r\n";
-  chunk += part;
+  chunk += data;
   chunk += "\r\n";
   return chunk;
 }
--- a/src/net/pool.cpp
+++ b/src/net/pool.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-// A connection is idle so long before its next request: bytes that do not belong to the response
-// just read come right behind it, and would be taken for the response to that request.
+// Minimum idle time before a connection is reused. Excess bytes after a response arrive right
+// behind it and would otherwise be taken for the response to the next request.
 constexpr double kMinIdleMs = 4;
-// One in so many connections is kept for urgent calls; none where there are too few to share.
+// One in this many connections is reserved for urgent calls; none if the pool is smaller than that.
 constexpr std::size_t kUrgentShare = 16;
 
 }  // namespace
@@ -31,15 +31,15 @@
     connection->idleTimer.cancel();
 }
 
-std::shared_ptr<Call> ConnectionPool::call(const Endpoint& to,
+std::shared_ptr<Call> ConnectionPool::call(const Endpoint& endpoint,
                                            std::string head,
                                            std::shared_ptr<const std::string> body,
                                            std::shared_ptr<CallSink> sink,
                                            Urgency urgency,
                                            double afterMs) {
-  const bool urgent = urgency == Urgency::kFirst;
-  auto call =
-      std::make_shared<Call>(*this, to, std::move(head), std::move(body), std::move(sink), urgent);
+  const bool urgent = urgency == Urgency::kUrgent;
+  auto call = std::make_shared<Call>(*this, endpoint, std::move(head), std::move(body),
+                                     std::move(sink), urgent);
   if (clock_.nowMs() >= afterMs)
     enqueue(call);
   else
@@ -55,22 +55,22 @@
   const auto position =
       call->urgent_ ? std::find_if(waiting_.begin(), waiting_.end(), isNotUrgent) : waiting_.end();
   waiting_.insert(position, call);
-  // The caller may take it out of the line before by abandon().
+  // The caller can remove the call from the queue earlier by abandon().
   call->startTimer_ = timers_.schedule(clock_.nowMs() + limits_.connectTimeoutMs,
                                        [call] { call->fail(CallFailure::kWithdrawn); });
 }
 
 bool ConnectionPool::tryStart(const std::shared_ptr<Call>& call) {
-  if (auto connection = takeIdle(call->to_)) {
+  if (auto connection = takeIdle(call->endpoint_)) {
     call->start(std::move(connection), /*isNew=*/false);
     return true;
   }
-  const Urgency urgency = call->urgent_ ? Urgency::kFirst : Urgency::kInTurn;
+  const Urgency urgency = call->urgent_ ? Urgency::kUrgent : Urgency::kNormal;
   if (!hasCapacity(urgency) && !idle_.empty())
     closeOldestIdle();
   if (!hasCapacity(urgency))
     return false;
-  auto connection = newConnection(call->to_);
+  auto connection = newConnection(call->endpoint_);
   if (descriptorBudget_ != nullptr)
     descriptorBudget_->take(account_);
   call->start(std::move(connection), /*isNew=*/true);
@@ -82,46 +82,47 @@
 }
 
 bool ConnectionPool::hasCapacity(Urgency urgency) const {
-  const std::size_t reserved = urgency == Urgency::kFirst ? 0 : reservedForUrgent();
+  const std::size_t reserved = urgency == Urgency::kUrgent ? 0 : reservedForUrgent();
   return openConnections_ + reserved < limits_.maxConnections &&
          (descriptorBudget_ == nullptr || descriptorBudget_->may(account_));
 }
 
-std::shared_ptr<Connection> ConnectionPool::newConnection(const Endpoint& to) {
+std::shared_ptr<Connection> ConnectionPool::newConnection(const Endpoint& endpoint) {
   auto connection = std::make_shared<Connection>(io_);
-  connection->to = to;
-  connection->number = ++connectionsMade_;
+  connection->endpoint = endpoint;
+  connection->number = ++createdConnections_;
   ++openConnections_;
   return connection;
 }
 
-std::shared_ptr<Call> ConnectionPool::adopt(const Endpoint& from,
+std::shared_ptr<Call> ConnectionPool::adopt(const Endpoint& endpoint,
                                             const Call::TransferState& state,
                                             std::shared_ptr<CallSink> sink) {
   boost::asio::ip::tcp::socket socket(io_);
-  if (assign(socket, from.protocol(), state.descriptor))
+  if (assign(socket, endpoint.protocol(), state.descriptor))
     return nullptr;
-  auto connection = newConnection(from);
+  auto connection = newConnection(endpoint);
   connection->socket = std::move(socket);
   if (descriptorBudget_ != nullptr)
     descriptorBudget_->force(account_);
-  auto call = std::make_shared<Call>(*this, from, std::string(), nullptr, std::move(sink));
+  auto call = std::make_shared<Call>(*this, endpoint, std::string(), nullptr, std::move(sink));
   call->adopt(std::move(connection), state);
   return call;
 }
 
-// The one used last: it is the least likely to be closed, and the others can age and go.
-std::shared_ptr<Connection> ConnectionPool::takeIdle(const Endpoint& to) {
+// Takes the most recently used connection: it is the least likely to have been closed by the peer,
+// and the others can reach their idle timeout.
+std::shared_ptr<Connection> ConnectionPool::takeIdle(const Endpoint& endpoint) {
   for (auto it = idle_.end(); it != idle_.begin();) {
     --it;
-    if ((*it)->to != to || clock_.nowMs() < (*it)->idleSinceMs + kMinIdleMs)
+    if ((*it)->endpoint != endpoint || clock_.nowMs() < (*it)->idleSinceMs + kMinIdleMs)
       continue;
     auto connection = *it;
     it = idle_.erase(it);
     connection->idleTimer.cancel();
     if (connection->isReusable()) {
       boost::system::error_code ignored;
-      connection->socket.cancel(ignored);  // the watch for its end
+      connection->socket.cancel(ignored);  // stops waiting for the peer's close
       return connection;
     }
     close(connection);
@@ -130,9 +131,9 @@
   return nullptr;
 }
 
-bool ConnectionPool::hasIdle(const Endpoint& to) const {
+bool ConnectionPool::hasIdle(const Endpoint& endpoint) const {
   return std::any_of(idle_.begin(), idle_.end(),
-                     [&](const auto& connection) { return connection->to == to; });
+                     [&](const auto& connection) { return connection->endpoint == endpoint; });
 }
 
 void ConnectionPool::release(const std::shared_ptr<Connection>& connection) {
@@ -151,29 +152,29 @@
   serveWaiting();
 }
 
-// The list's own pointer goes as the connection leaves it.
+// Copies the pointer, because close() removes it from the list.
 void ConnectionPool::closeOldestIdle() {
   const std::shared_ptr<Connection> oldest = idle_.front();
   close(oldest);
 }
 
 void ConnectionPool::close(const std::shared_ptr<Connection>& connection) {
-  if (connection->to == Endpoint())
-    return;  // closed before
+  if (connection->endpoint == Endpoint())
+    return;  // already closed
   idle_.remove(connection);
   connection->idleTimer.cancel();
   boost::system::error_code ignored;
   connection->socket.close(ignored);
-  connection->to = Endpoint();
+  connection->endpoint = Endpoint();
   --openConnections_;
   if (descriptorBudget_ != nullptr)
     descriptorBudget_->give(account_);
   serveWaiting();
 }
 
-void ConnectionPool::dropIdle(const Endpoint& to) {
+void ConnectionPool::dropIdle(const Endpoint& endpoint) {
   for (const auto& connection : std::vector(idle_.begin(), idle_.end()))
-    if (connection->to == to)
+    if (connection->endpoint == endpoint)
       close(connection);
 }
 
@@ -184,13 +185,13 @@
   serveWaiting();
 }
 
-// Later, not from within whoever released a connection.
+// Posted, so that no call starts within the caller that released a connection.
 void ConnectionPool::serveWaiting() {
-  if (serving_ || waiting_.empty())
+  if (serveScheduled_ || waiting_.empty())
     return;
-  serving_ = true;
+  serveScheduled_ = true;
   boost::asio::post(io_, [this] {
-    serving_ = false;
+    serveScheduled_ = false;
     while (!waiting_.empty()) {
       const auto call = waiting_.front();
       if (call->state() == Call::State::kWaiting && !tryStart(call))
--- a/src/net/response_parser.cpp
+++ b/src/net/response_parser.cpp
@@ -31,8 +31,8 @@
   parser_.emplace();
   parser_->eager(true);
   parser_->header_limit(kMaxHeadBytes);
-  // Never boost::none: with it Boost 1.74 fails a body of known length that comes apart from its
-  // head. A chunk that claims more than the limit is refused by its size line.
+  // Not boost::none: with it Boost 1.74 fails on a body of known length that arrives separately
+  // from its head. A chunk that exceeds the limit is rejected by its size line.
   parser_->body_limit(maxBodyBytes_);
   parser_->on_chunk_header(onChunkHeader_);
 }
@@ -57,7 +57,7 @@
   return true;
 }
 
-// Guards against 100, 102 or 103 ahead of a response being taken for it.
+// Skips interim responses (such as 100, 102 or 103), which must not be taken for the final one.
 bool ResponseParser::skipInterim() {
   if (!hasHead() || parser_->get().result_int() / kStatusesPerClass != kInterimClass)
     return false;
@@ -67,14 +67,15 @@
 }
 
 std::string ResponseParser::takeBody() {
-  std::string part = std::exchange(parser_->get().body(), {});
+  std::string body = std::exchange(parser_->get().body(), {});
   if (isChunked())
-    receivedBytes_ += part.size();
-  return part;
+    receivedBytes_ += body.size();
+  return body;
 }
 
-// The parser leaves the end of a chunk's data to the next size line, so that alone is no piece.
-bool ResponseParser::isMidPiece(const boost::beast::flat_buffer& unparsed) const {
+// The parser consumes the line end of a chunk's data with the next size line, so a line end alone
+// does not count as an incomplete element.
+bool ResponseParser::isMidElement(const boost::beast::flat_buffer& unparsed) const {
   const auto data = unparsed.data();
   const std::string_view unread(static_cast<const char*>(data.data()), data.size());
   if (!hasHead() || !isChunked())
@@ -82,23 +83,23 @@
   return announcedBytes_ > receivedBytes_ || (!unread.empty() && unread != "\r\n");
 }
 
-// One byte more stands before the chunk's rest, since a parser within a chunk reads the end of the
-// last one first.
+// The restored chunk starts with one additional byte, since a parser that begins a chunk first
+// reads the line end of the previous one.
 void ResponseParser::restore(std::uint64_t chunkRemaining, bool keepAlive) {
   std::array<char, 24> size{};
   std::snprintf(size.data(), size.size(), "%llx",
                 static_cast<unsigned long long>(chunkRemaining) + 1);
-  const std::string before = std::string("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n") +
+  const std::string prefix = std::string("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n") +
                              (keepAlive ? "" : "Connection: close\r\n") + "\r\n" + size.data() +
                              "\r\nx";
   boost::system::error_code error;
-  for (std::string_view left = before; !left.empty() && !error;) {
-    const std::size_t used = parser_->put(boost::asio::buffer(left), error);
+  for (std::string_view remaining = prefix; !remaining.empty() && !error;) {
+    const std::size_t used = parser_->put(boost::asio::buffer(remaining), error);
     if (error == http::error::need_more)
       error = {};
     if (used == 0)
       break;
-    left.remove_prefix(used);
+    remaining.remove_prefix(used);
   }
   receivedBytes_ = parser_->get().body().size();
   parser_->get().body().clear();
--- a/src/net/spare_descriptor.h
+++ b/src/net/spare_descriptor.h
@@ -1,19 +1,19 @@
-/// A descriptor that is held for nothing but to be given up when the system has no other left.
+/// A reserve descriptor that is held only to be released when no other descriptor is free.
 #pragma once
 
 namespace inference_router::net {
 
 class SpareDescriptor {
  public:
-  SpareDescriptor() { hold(); }
-  ~SpareDescriptor() { giveUp(); }
+  SpareDescriptor() { acquire(); }
+  ~SpareDescriptor() { release(); }
   SpareDescriptor(const SpareDescriptor&) = delete;
   SpareDescriptor& operator=(const SpareDescriptor&) = delete;
 
   bool isHeld() const { return descriptor_ >= 0; }
-  /// Takes it again; false if that cannot be done at this moment.
-  bool hold();
-  void giveUp();
+  /// Opens the descriptor again; false if that is not possible now.
+  bool acquire();
+  void release();
 
  private:
   int descriptor_ = -1;
--- a/src/upstream/releases.cpp
+++ b/src/upstream/releases.cpp
@@ -227,7 +227,7 @@
   const auto sink = std::make_shared<Sink>(*this, request, instance, number);
   state.calls[number] =
       TimedCallSink::start(services_, endpoint.address, head_(request, endpoint), sink,
-                           net::ConnectionPool::Urgency::kFirst, kAnswerTimeoutMs);
+                           net::ConnectionPool::Urgency::kUrgent, kAnswerTimeoutMs);
 }
 
 void Releases::answered(const RequestId& request,
--- a/src/upstream/timed_call_sink.h
+++ b/src/upstream/timed_call_sink.h
@@ -36,7 +36,7 @@
                                           double timeoutMs) {
     std::shared_ptr<net::Call> call =
         services.pool.call(address, std::move(head), /*body=*/nullptr, sink, urgency);
-    if (call->state() == net::Call::State::kOver)
+    if (call->state() == net::Call::State::kFinished)
       return call;
     TimedCallSink* const timedSink =
         sink.get();  // owns the timer, so it exists when the timer fires
@@ -51,7 +51,7 @@
 
  private:
   void timeOut(net::Call& call) {
-    if (call.state() == net::Call::State::kOver)
+    if (call.state() == net::Call::State::kFinished)
       return;
     const auto self = shared_from_this();  // abandon() releases the call's reference
     call.abandon();
--- a/tests/client_departure_test.cpp
+++ b/tests/client_departure_test.cpp
@@ -407,7 +407,7 @@
       ASSERT_EQ(fixture.server->counters["streams.handed_over"], 1U);
       fixture.disconnect(kind);
       if (ended) {
-        fixture.onlyChat().connection->pass(kLastEvents);
+        fixture.onlyChat().connection->writeChunk(kLastEvents);
         fixture.onlyChat().connection->endStream();
         fixture.settle();
       }
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -291,7 +291,7 @@
       beginOnly(*fixture.instances.at("w1"), *decode);
     fixture.settle();
     if (parts > 1)
-      decode->connection->pass(eventOf("more"));
+      decode->connection->writeChunk(eventOf("more"));
     fixture.settle();
     fixture.pass(299);
     fixture.settle();
--- a/tests/final_answer_test.cpp
+++ b/tests/final_answer_test.cpp
@@ -111,7 +111,7 @@
 };
 
 std::vector<MisbehavingInstance::Behavior> misbehaviors() {
-  const auto chunk = [](const std::string& part) { return net::chunkOf(part); };
+  const auto chunk = [](const std::string& part) { return net::encodeChunk(part); };
   const std::string streamBegin = kStreamHead + chunk(eventOf("first"));
   std::string events;
   for (int i = 0; i < 200; ++i)
@@ -227,7 +227,7 @@
     }
   };
   int sent = 0;  // until all buffers between instance and client are full
-  for (; sent < 2'000 && instance->pass(event); ++sent)
+  for (; sent < 2'000 && instance->writeChunk(event); ++sent)
     runHandlers();
   EXPECT_LT(sent, 2'000);
   // Other requests to the same instance are served in time.
@@ -320,10 +320,11 @@
     deltas += delta + "\n";
   const std::vector<MisbehavingInstance::Behavior> discoveryMisbehaviors{
       {"a watch that is silent", "", "", 0},
-      {"changes without end", head, net::chunkOf(deltas), 0},
-      {"a line without end", head + net::chunkOf("{"), net::chunkOf(std::string(4000, ' ')), 0},
-      {"empty lines without end", head, net::chunkOf(std::string(4000, '\n')), 0},
-      {"no lists at all", head, net::chunkOf("noise\n"), 0},
+      {"changes without end", head, net::encodeChunk(deltas), 0},
+      {"a line without end", head + net::encodeChunk("{"), net::encodeChunk(std::string(4000, ' ')),
+       0},
+      {"empty lines without end", head, net::encodeChunk(std::string(4000, '\n')), 0},
+      {"no lists at all", head, net::encodeChunk("noise\n"), 0},
       {"a head without end", "HTTP/1.1 200 OK\r\n", "A: " + std::string(500, 'a') + "\r\n", 0},
       {"interim answers without end", "", "HTTP/1.1 102 Processing\r\n\r\n", 0}};
   for (const auto& behavior : discoveryMisbehaviors) {
--- a/tests/instance_deadline_test.cpp
+++ b/tests/instance_deadline_test.cpp
@@ -182,7 +182,7 @@
   }
   ASSERT_TRUE(next.until([&] { return next.server->counters["streams.taken_over"] == 1; }));
   next.pass(1'000);
-  fixture.streaming()->connection->pass(kLastEvents);
+  fixture.streaming()->connection->writeChunk(kLastEvents);
   for (const auto& request : fixture.instances["m1"]->received)
     request->connection->endStream();
   fixture.settle();
--- a/tests/support/network_fixture.h
+++ b/tests/support/network_fixture.h
@@ -249,8 +249,8 @@
 // A script that streams a complete response.
 inline void streamFullAnswer(StandInInstance&, StandInInstance::ReceivedRequest& request) {
   request.connection->beginStream({{"Content-Type", "text/event-stream"}});
-  request.connection->pass(eventOf("Hel") + eventOf("lo"));
-  request.connection->pass(kLastEvents);
+  request.connection->writeChunk(eventOf("Hel") + eventOf("lo"));
+  request.connection->writeChunk(kLastEvents);
   request.connection->endStream();
 }
 // A script that answers a prefill.
--- a/tests/support/router_fixture.h
+++ b/tests/support/router_fixture.h
@@ -150,7 +150,7 @@
 // A script that sends the first event of a stream and leaves the rest to the test.
 inline void beginOnly(StandInInstance&, StandInInstance::ReceivedRequest& request) {
   request.connection->beginStream({});
-  request.connection->pass(eventOf("first"));
+  request.connection->writeChunk(eventOf("first"));
 }
 // A script that sends nothing.
 inline void leaveUnanswered(StandInInstance&, StandInInstance::ReceivedRequest&) {}
--- a/tests/unanswered_requests_test.cpp
+++ b/tests/unanswered_requests_test.cpp
@@ -60,24 +60,24 @@
       const auto readRequest = [&] {
         reader.begin();
         auto progress = reader.read(sockets.ends[1], error);
-        while (progress == RequestReader::Progress::kPart && sockets.unread() > 0)
+        while (progress == RequestReader::Progress::kIncomplete && sockets.unread() > 0)
           progress = reader.read(sockets.ends[1], error);
         return progress;
       };
       sockets.write(all.substr(0, cut));
       auto progress = readRequest();
-      if (progress != RequestReader::Progress::kWhole) {
+      if (progress != RequestReader::Progress::kComplete) {
         sockets.write(all.substr(cut));
-        while (progress != RequestReader::Progress::kWhole)
+        while (progress != RequestReader::Progress::kComplete)
           progress = reader.read(sockets.ends[1], error);
         ASSERT_EQ(sockets.unread(), static_cast<int>(kRequest.size()));
       } else {
         ASSERT_EQ(sockets.unread(), static_cast<int>(cut - request.size()));
         sockets.write(all.substr(cut));
       }
-      EXPECT_TRUE(reader.carried().empty());
+      EXPECT_TRUE(reader.buffered().empty());
       EXPECT_EQ(reader.release().body(), "abc");
-      ASSERT_EQ(readRequest(), RequestReader::Progress::kWhole);
+      ASSERT_EQ(readRequest(), RequestReader::Progress::kComplete);
       EXPECT_EQ(reader.release().body(), "abc");
       EXPECT_EQ(sockets.unread(), 0);
     }
@@ -88,11 +88,11 @@
   SocketPair sockets;
   RequestReader reader;
   boost::system::error_code error;
-  reader.carry(kRequest + kHalf);
+  reader.appendBuffered(kRequest + kHalf);
   sockets.write(kRequest.substr(kHalf.size()) + kRequest);
   for (int i = 0; i < 3; ++i) {
     reader.begin();
-    ASSERT_EQ(reader.read(sockets.ends[1], error), RequestReader::Progress::kWhole) << i;
+    ASSERT_EQ(reader.read(sockets.ends[1], error), RequestReader::Progress::kComplete) << i;
     EXPECT_EQ(reader.release().body(), "abc");
   }
   EXPECT_EQ(sockets.unread(), 0);
@@ -257,7 +257,7 @@
   ASSERT_TRUE(fixture.until([&] { return fixture.requests.size() == 1; }));
   fixture.requests[0]->beginStream({});
   fixture.listener.drain(0, [] {});
-  fixture.requests[0]->pass("event");
+  fixture.requests[0]->writeChunk("event");
   fixture.requests[0]->endStream();
   ASSERT_TRUE(fixture.until([&] { return fixture.requests.size() == 2; }));
   fixture.requests[1]->answer(200, {}, "second");
@@ -289,7 +289,7 @@
   const auto client = fixture.client(kRequest + kRequest);
   ASSERT_TRUE(fixture.until([&] { return fixture.requests.size() == 1; }));
   fixture.requests[0]->beginStream({});
-  fixture.requests[0]->pass("event");
+  fixture.requests[0]->writeChunk("event");
   ASSERT_TRUE(fixture.until([&] {
     return fixture.hasReceived(*client, "event") && fixture.requests[0]->transferState();
   }));
@@ -301,7 +301,7 @@
   int unread = 0;
   ASSERT_EQ(::ioctl(state->descriptor, FIONREAD, &unread), 0);
   EXPECT_EQ(unread, static_cast<int>(kRequest.size()));
-  EXPECT_TRUE(state->ahead.empty());
+  EXPECT_TRUE(state->pipelinedInput.empty());
   fixture.requests[0]->abortResponse();
   EXPECT_TRUE(fixture.until([&] { return client->ended(); }));
   EXPECT_EQ(fixture.requests.size(), 1U);
@@ -341,10 +341,10 @@
     shed.read(all.substr(0, cut));
     shed.read(all.substr(cut));
     EXPECT_EQ(shed.unanswered(), 3U) << cut;
-    EXPECT_TRUE(shed.endsMidway());
+    EXPECT_TRUE(shed.endsMidRequest());
     shed.read(kRequest.substr(kHalf.size()));
     EXPECT_EQ(shed.unanswered(), 3U) << cut;
-    EXPECT_FALSE(shed.endsMidway());
+    EXPECT_FALSE(shed.endsMidRequest());
   }
 }
 
@@ -610,7 +610,7 @@
   ASSERT_TRUE(after.until([&] { return after.server->counters["streams.taken_over"] == 1; }));
   for (auto& [id, instance] : before.instances)
     for (auto& request : instance->received) {
-      request->connection->pass(kLastEvents);
+      request->connection->writeChunk(kLastEvents);
       request->connection->endStream();
     }
   ASSERT_TRUE(after.until([&] {
