--- a/src/app/coordinator.cpp
+++ b/src/app/coordinator.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-static_assert(control::kMaxMaintenanceLineBytes >= Plan::kMaxInstances * (Plan::kMaxWordBytes + 1));
+static_assert(control::kMaxMaintenanceLineBytes >= Plan::kMaxInstances * (Plan::kMaxNameBytes + 1));
 // To write a plan, if others write at the same time.
 constexpr int kMaxWriteAttempts = 3;
 // Between two looks whether all leases are released.
@@ -243,7 +243,7 @@
                             const std::string& outcome,
                             const CommitResponse& answer) {
   if (answer.status == CommitStatus::kDone) {
-    spdlog::info("maintenance: {} says: {}", change.command.by, outcome);
+    spdlog::info("maintenance: {} says: {}", change.command.operatorName, outcome);
     session_->runner.refresh();
     return change.onResult(
         {.ok = true, .message = outcome + ", revision " + std::to_string(answer.revision)});
--- a/src/app/maintenance_command.cpp
+++ b/src/app/maintenance_command.cpp
@@ -24,7 +24,7 @@
       {"pause", PlanCommand::Kind::kPause},
       {"resume", PlanCommand::Kind::kResume},
       {"cancel", PlanCommand::Kind::kCancel},
-      {"back", PlanCommand::Kind::kBack}};
+      {"back", PlanCommand::Kind::kConfirmReturn}};
   const auto kind = kKinds.find(name);
   if (kind == kKinds.end())
     throw std::invalid_argument(
@@ -75,7 +75,7 @@
   if (startsWith(argument, kHoldOption))
     command.holdMs = holdMsIn(argument.substr(kHoldOption.size()));
   else if (startsWith(argument, kByOption))
-    command.by = argument.substr(kByOption.size());
+    command.operatorName = argument.substr(kByOption.size());
   else if (startsWith(argument, kRevisionOption))
     command.expectedRevision = revisionIn(argument.substr(kRevisionOption.size()));
   else if (argument == "confirm")
@@ -95,7 +95,7 @@
       command.id = positional[0];
       command.instances = splitAtCommas(positional[1]);
       return;
-    case PlanCommand::Kind::kBack:
+    case PlanCommand::Kind::kConfirmReturn:
       if (positional.size() != 1)
         throw std::invalid_argument("back takes one box");
       command.instances = splitAtCommas(positional[0]);
@@ -112,7 +112,7 @@
   const std::string& name = arguments.front();
   PlanCommand command;
   command.kind = kindOf(name);
-  command.by = "operator";
+  command.operatorName = "operator";
   std::vector<std::string> positional;
   for (auto argument = arguments.begin() + 1; argument != arguments.end(); ++argument)
     if (!applyOption(*argument, command))
--- a/src/app/plan_follower.cpp
+++ b/src/app/plan_follower.cpp
@@ -38,7 +38,7 @@
 
 void PlanFollower::drainInstances() {
   const std::set<std::string> drained =
-      plan_ && !plan_->over() ? plan_->drained() : std::set<std::string>();
+      plan_ && !plan_->finished() ? plan_->drained() : std::set<std::string>();
   const auto update = server_.membership.setPlannedDrains(drained, server_.clock.nowMs());
   if (!update)
     return;
@@ -59,12 +59,13 @@
     return "plan none\n";
   const auto stored = view.documents.find(coordination::kPlanKey);
   const std::uint64_t revision = stored == view.documents.end() ? 0 : stored->second.revision;
-  std::string text = fmt::format("plan {} state={} by={} revision={} steps={} fence={}{}\n",
-                                 plan_->id, coordination::nameOf(plan_->state), plan_->by, revision,
-                                 plan_->steps, plan_->fence, storeRead ? "" : " as last heard");
+  std::string text =
+      fmt::format("plan {} state={} by={} revision={} steps={} fence={}{}\n", plan_->id,
+                  coordination::nameOf(plan_->state), plan_->startedBy, revision, plan_->steps,
+                  plan_->fence, storeRead ? "" : " as last heard");
   for (const coordination::PlanItem& item : plan_->items)
     text += fmt::format("item {} {} at_step={} why=\"{}\"\n", item.instance,
-                        coordination::nameOf(item.state), item.changed, item.why);
+                        coordination::nameOf(item.state), item.changedAtStep, item.reason);
   return text;
 }
 
--- a/src/coordination/cleanup.cpp
+++ b/src/coordination/cleanup.cpp
@@ -27,7 +27,7 @@
   if (key != kPlanKey)
     return std::nullopt;
   const auto plan = Plan::parse(document.value);
-  return plan && plan->over() ? std::optional(config_.planRetentionMs) : std::nullopt;
+  return plan && plan->finished() ? std::optional(config_.planRetentionMs) : std::nullopt;
 }
 
 }  // namespace inference_router::coordination
--- a/src/coordination/maintenance.cpp
+++ b/src/coordination/maintenance.cpp
@@ -20,8 +20,8 @@
 /// Returns the description of the change.
 std::string changeState(Plan& plan, PlanItem& item, ItemState state, const std::string& why = "") {
   item.state = state;
-  item.why = why;
-  item.changed = plan.steps + 1;
+  item.reason = why;
+  item.changedAtStep = plan.steps + 1;
   return "box " + item.instance + " is " + nameOf(state) + (why.empty() ? "" : ": " + why);
 }
 
@@ -100,7 +100,7 @@
 
 std::optional<Step> Maintenance::next(const View& view, std::uint64_t fence, double nowMs) {
   const auto stored = findPlan(view.documents);
-  if (!stored || stored->plan.over()) {
+  if (!stored || stored->plan.finished()) {
     trackPresencesOnly(view, nowMs);
     return std::nullopt;
   }
@@ -149,7 +149,7 @@
 std::string Maintenance::advanceItem(Plan& plan, PlanItem& item, const View& view, double nowMs) {
   const bool cancelled = plan.state == PlanState::kCancelled;
   const double sinceChangeMs =
-      ages_.unchangedMs(kItemAgePrefix + plan.id + "/" + item.instance, item.changed, nowMs);
+      ages_.unchangedMs(kItemAgePrefix + plan.id + "/" + item.instance, item.changedAtStep, nowMs);
   switch (item.state) {
     case ItemState::kDraining:
       if (cancelled)
@@ -160,7 +160,7 @@
     case ItemState::kOut:
       if (cancelled)
         return changeState(plan, item, ItemState::kWarming, "the plan was cancelled");
-      if (sinceChangeMs < plan.holdMs || (plan.confirm && !item.back))
+      if (sinceChangeMs < plan.holdMs || (plan.confirm && !item.returnConfirmed))
         return "";
       return changeState(plan, item, ItemState::kWarming);
     case ItemState::kWarming:
@@ -185,7 +185,7 @@
     if (!node || ages_.unchangedMs(key, document.revision, nowMs) >= config_.silentNodeMs)
       continue;
     anyAlive = true;
-    if (node->plan != plan.id || node->steps < item.changed)
+    if (node->plan != plan.id || node->steps < item.changedAtStep)
       return false;
     const auto open = node->open.find(item.instance);
     if (open != node->open.end() && open->second > 0)
--- a/src/coordination/plan.cpp
+++ b/src/coordination/plan.cpp
@@ -28,18 +28,18 @@
 json toJson(const PlanItem& item) {
   return {{"box", item.instance},
           {"state", nameOf(item.state)},
-          {"changed", item.changed},
-          {"back", item.back},
-          {"why", item.why}};
+          {"changed", item.changedAtStep},
+          {"back", item.returnConfirmed},
+          {"why", item.reason}};
 }
 
 PlanItem itemFrom(const json& value) {
   PlanItem item;
   item.instance = value.at("box").get<std::string>();
   item.state = stateFrom<ItemState>(kItemNames, value.at("state").get<std::string>());
-  item.changed = value.at("changed").get<std::uint64_t>();
-  item.back = value.at("back").get<bool>();
-  item.why = value.at("why").get<std::string>();
+  item.changedAtStep = value.at("changed").get<std::uint64_t>();
+  item.returnConfirmed = value.at("back").get<bool>();
+  item.reason = value.at("why").get<std::string>();
   return item;
 }
 
@@ -48,7 +48,7 @@
     throw std::invalid_argument("another form");
   Plan plan;
   plan.id = value.at("id").get<std::string>();
-  plan.by = value.at("by").get<std::string>();
+  plan.startedBy = value.at("by").get<std::string>();
   plan.state = stateFrom<PlanState>(kPlanNames, value.at("state").get<std::string>());
   plan.holdMs = value.at("hold_ms").get<double>();
   plan.confirm = value.at("confirm").get<bool>();
@@ -81,7 +81,7 @@
   return kItemNames[static_cast<std::size_t>(state)];
 }
 
-bool Plan::over() const {
+bool Plan::finished() const {
   return state == PlanState::kDone || (state == PlanState::kCancelled && drained().empty());
 }
 
@@ -104,7 +104,7 @@
   json itemList = json::array();
   for (const PlanItem& item : items)
     itemList.push_back(toJson(item));
-  return json{{"form", kForm},          {"id", id},          {"by", by},
+  return json{{"form", kForm},          {"id", id},          {"by", startedBy},
               {"state", nameOf(state)}, {"hold_ms", holdMs}, {"confirm", confirm},
               {"steps", steps},         {"fence", fence},    {"started_ms", startedMs},
               {"items", itemList}}
--- a/src/coordination/plan.h
+++ b/src/coordination/plan.h
@@ -35,21 +35,21 @@
   std::string instance;
   ItemState state = ItemState::kWaiting;
   /// The number of the plan's step in which the state was reached.
-  std::uint64_t changed = 0;
+  std::uint64_t changedAtStep = 0;
   /// An operator has confirmed that the work on it is done.
-  bool back = false;
+  bool returnConfirmed = false;
   /// Why it is in this state, where that needs saying.
-  std::string why;
+  std::string reason;
   bool operator==(const PlanItem&) const = default;
 };
 
 struct Plan {
   static constexpr std::size_t kMaxInstances = kMaxFleetInstances;
   /// Of the plan's id and of the operator's name.
-  static constexpr std::size_t kMaxWordBytes = 128;
+  static constexpr std::size_t kMaxNameBytes = 128;
 
   std::string id;
-  std::string by;  ///< The operator who started it.
+  std::string startedBy;  ///< The operator who started it.
   PlanState state = PlanState::kRunning;
   double holdMs = 0;        ///< For which each instance stays out at least.
   bool confirm = false;     ///< Each instance stays out until an operator confirms its return.
@@ -60,7 +60,7 @@
   bool operator==(const Plan&) const = default;
 
   /// Done, or cancelled with all instances back.
-  bool over() const;
+  bool finished() const;
   /// The instances that get no new requests by this plan.
   std::set<std::string> drained() const;
   /// The instance's item; nullptr if the plan has none.
--- a/src/coordination/plan_commands.cpp
+++ b/src/coordination/plan_commands.cpp
@@ -14,16 +14,16 @@
 
 /// Why no plan can be started by this command; empty if one can.
 std::string startError(const PlanCommand& command, const std::optional<StoredPlan>& stored) {
-  if (stored && !stored->plan.over())
-    return "plan " + stored->plan.id + " of " + stored->plan.by + " is " +
+  if (stored && !stored->plan.finished())
+    return "plan " + stored->plan.id + " of " + stored->plan.startedBy + " is " +
            nameOf(stored->plan.state) + " (revision " + std::to_string(stored->revision) +
            "): cancel it first";
   if (command.instances.empty())
     return "a plan names at least one box";
   if (command.instances.size() > Plan::kMaxInstances)
     return "a plan has at most " + std::to_string(Plan::kMaxInstances) + " boxes";
-  if (command.id.empty() || command.id.size() > Plan::kMaxWordBytes ||
-      command.by.size() > Plan::kMaxWordBytes)
+  if (command.id.empty() || command.id.size() > Plan::kMaxNameBytes ||
+      command.operatorName.size() > Plan::kMaxNameBytes)
     return "a plan has an id of 1 to 128 bytes";
   if (stored && stored->plan.id == command.id)
     return "a plan " + command.id + " has been before: give another id";
@@ -39,7 +39,7 @@
     return rejected(std::move(error));
   Plan plan;
   plan.id = command.id;
-  plan.by = command.by;
+  plan.startedBy = command.operatorName;
   plan.holdMs = command.holdMs;
   plan.confirm = command.confirm;
   plan.startedMs = unixMs;
@@ -73,9 +73,9 @@
   if (item->state != ItemState::kOut)
     return rejected("box " + item->instance + " is " + nameOf(item->state) + ", not out");
   const std::string confirmation = "box " + item->instance + " comes back";
-  if (item->back)
+  if (item->returnConfirmed)
     return {"", std::nullopt, confirmation};
-  item->back = true;
+  item->returnConfirmed = true;
   return {"", Write{kPlanKey, stored.revision, plan.serialize()}, confirmation};
 }
 
@@ -98,7 +98,7 @@
                     ") cannot be read by this program");
   if (command.kind == PlanCommand::Kind::kStart)
     return start(command, stored, revision, instances, unixMs);
-  if (!stored || stored->plan.over())
+  if (!stored || stored->plan.finished())
     return rejected("no plan is under way");
   const std::string plan = "plan " + stored->plan.id;
   switch (command.kind) {
--- a/src/coordination/plan_commands.h
+++ b/src/coordination/plan_commands.h
@@ -13,9 +13,9 @@
 namespace inference_router::coordination {
 
 struct PlanCommand {
-  enum class Kind { kStart, kPause, kResume, kCancel, kBack };
+  enum class Kind { kStart, kPause, kResume, kCancel, kConfirmReturn };
   Kind kind = Kind::kStart;
-  std::string by;                      ///< The operator's name.
+  std::string operatorName;            ///< The operator's name.
   std::string id;                      ///< Start: the plan's id.
   std::vector<std::string> instances;  ///< Start, and back with one instance.
   double holdMs = 0;
--- a/tests/bounds_test.cpp
+++ b/tests/bounds_test.cpp
@@ -196,7 +196,7 @@
 TEST_P(Fleet, TakesEveryInstanceOutByOnePlan) {
   const FleetInstances fleet = instancesOf(instances);
   PlanCommand command;
-  command.id = std::string(Plan::kMaxWordBytes, 'p');
+  command.id = std::string(Plan::kMaxNameBytes, 'p');
   for (const auto& [id, instance] : fleet)
     command.instances.push_back(id);
   View view;
--- a/tests/coordination_test.cpp
+++ b/tests/coordination_test.cpp
@@ -72,7 +72,7 @@
     PlanCommand command;
     command.id = id;
     command.instances = std::move(names);
-    command.by = "anna";
+    command.operatorName = "anna";
     return say(command);
   }
   PlanDecision say(PlanCommand::Kind kind, std::vector<std::string> names = {}) {
@@ -180,13 +180,13 @@
   command.confirm = true;
   ASSERT_EQ(site.say(command).error, "");
   site.step();
-  EXPECT_NE(site.say(PlanCommand::Kind::kBack, {"r1"}).error, "") << "it is not out yet";
+  EXPECT_NE(site.say(PlanCommand::Kind::kConfirmReturn, {"r1"}).error, "") << "it is not out yet";
   site.node("c1");
   site.step();
   site.now += 60'000;
   EXPECT_FALSE(site.step());
   ASSERT_EQ(site.say(PlanCommand::Kind::kPause).error, "");
-  ASSERT_EQ(site.say(PlanCommand::Kind::kBack, {"r1"}).error, "");
+  ASSERT_EQ(site.say(PlanCommand::Kind::kConfirmReturn, {"r1"}).error, "");
   EXPECT_TRUE(site.step());
   EXPECT_EQ(site.states(), "r1:warming r2:waiting ");
   EXPECT_FALSE(site.step());  // seen now, and warm after its time
@@ -200,7 +200,7 @@
   EXPECT_NE(site.say(PlanCommand::Kind::kResume).error, "");
   EXPECT_TRUE(site.step());
   EXPECT_EQ(site.states(), "r1:done r2:warming ");
-  EXPECT_TRUE(site.plan().over());
+  EXPECT_TRUE(site.plan().finished());
   EXPECT_FALSE(site.step());
 }
 
@@ -450,7 +450,7 @@
     std::vector<Event> all;
     for (const auto& part : parts)
       all.insert(all.end(), part.begin(), part.end());
-    return brokenIn(all, "x/").size();
+    return findViolations(all, "x/").size();
   };
   const Event begun = plan(0, 0, {{"a", "waiting"}, {"b", "waiting"}}),
               first = plan(1, 1, {{"a", "draining"}, {"b", "waiting"}});
--- a/tests/fleet_processes_test.cpp
+++ b/tests/fleet_processes_test.cpp
@@ -8,7 +8,7 @@
 #include <iostream>
 #include <random>
 
-#include "support/conductors.h"
+#include "support/router_fleet.h"
 
 namespace inference_router {
 namespace {
@@ -19,47 +19,47 @@
     return std::uniform_real_distribution<>(least, most)(random);
   };
   // The holder as often as anybody else together: it is the one that matters.
-  RouterFleet::Node* who = random() % 2 == 0 ? fleet.byName(fleet.holder()) : nullptr;
+  RouterFleet::Node* who = random() % 2 == 0 ? fleet.byName(fleet.leaseHolder()) : nullptr;
   if (who == nullptr)
-    who = fleet.all[random() % fleet.all.size()].get();
+    who = fleet.nodes[random() % fleet.nodes.size()].get();
   const double length = draw(0.2, 2) * kLeaseMs;
-  using Mode = FaultLayer::Mode;
+  using Mode = FaultProxy::Mode;
   const auto link = [&](Mode mode) {
-    who->link->set(mode);
-    fleet.rest(length);
-    who->link->set(Mode::kPass);
+    who->proxy->setMode(mode);
+    fleet.runFor(length);
+    who->proxy->setMode(Mode::kPass);
   };
   switch (random() % 10) {
     case 0:
-      return link(Mode::kCut);
+      return link(Mode::kReset);
     case 1:
-      return link(Mode::kDeafUp);
+      return link(Mode::kDropRequests);
     case 2:
-      return link(Mode::kDeafDown);
+      return link(Mode::kDropResponses);
     case 3:
-      return link(Mode::kHold);
+      return link(Mode::kHoldRequests);
     case 4:
-      return who->link->reset();
+      return who->proxy->reset();
     case 5:
       fleet.signal(*who, SIGSTOP);
-      fleet.rest(length + kLeaseMs);
+      fleet.runFor(length + kLeaseMs);
       return fleet.signal(*who, SIGCONT);
     case 6:
       fleet.kill(*who);
-      fleet.rest(length);
+      fleet.runFor(length);
       return fleet.start(*who);
     case 7:
       fleet.store.noLeader = true;
-      fleet.rest(length + kLeaseMs);
+      fleet.runFor(length + kLeaseMs);
       return fleet.store.newLeader();
     case 8:
       fleet.store.loseAnswer = [&random](const json&) { return random() % 3 == 0; };
-      fleet.rest(length);
+      fleet.runFor(length);
       fleet.store.loseAnswer = nullptr;
       return;
     default:
       fleet.store.slowMs = draw(20, 300);
-      fleet.rest(length);
+      fleet.runFor(length);
       fleet.store.slowMs = 0;
   }
 }
@@ -71,18 +71,19 @@
   std::cout << count << " conductors, seed " << seed << "\n";
   std::mt19937 random(seed);
   RouterFleet fleet(count, {"box-1", "box-2", "box-3"});
-  ASSERT_TRUE(fleet.say("maintenance start june box-1,box-2,box-3 hold=2")) << fleet.logs();
-  for (int i = 0; i < 8 && !fleet.done("june"); ++i)
+  ASSERT_TRUE(fleet.runAdminCommand("maintenance start june box-1,box-2,box-3 hold=2"))
+      << fleet.logs();
+  for (int i = 0; i < 8 && !fleet.planDone("june"); ++i)
     trouble(fleet, random);
   // A wave: most of them at once.
-  for (std::size_t i = 0; i + 1 < fleet.all.size(); ++i)
-    fleet.kill(*fleet.all[i]);
-  for (std::size_t i = 0; i + 1 < fleet.all.size(); ++i)
-    fleet.start(*fleet.all[i]);
-  EXPECT_TRUE(waitFor(fleet.io, 60, [&] { return fleet.done("june"); }))
+  for (std::size_t i = 0; i + 1 < fleet.nodes.size(); ++i)
+    fleet.kill(*fleet.nodes[i]);
+  for (std::size_t i = 0; i + 1 < fleet.nodes.size(); ++i)
+    fleet.start(*fleet.nodes[i]);
+  EXPECT_TRUE(waitFor(fleet.io, 60, [&] { return fleet.planDone("june"); }))
       << fleet.plan().dump() << "\n"
       << fleet.logs();
-  fleet.check();
+  fleet.expectNoViolations();
   std::cout << "fence " << fleet.store.value(kPrefix + "fence/maintenance").value_or("-")
             << ", revision " << fleet.store.revision() << "\n";
 }
@@ -96,10 +97,10 @@
 // on their way. Its lease goes to another, which has nothing to do; then the step arrives.
 std::vector<std::string> stepThatArrivesLate(const std::string& program, std::string& log) {
   RouterFleet fleet(3, {"box-1", "box-2"}, program);
-  EXPECT_TRUE(waitFor(fleet.io, 60, [&] { return !fleet.holder().empty(); }));
+  EXPECT_TRUE(waitFor(fleet.io, 60, [&] { return !fleet.leaseHolder().empty(); }));
   const auto watch = [&](RouterFleet::Node& one) {
     // A change of the plan by its holder; what an operator says of it goes by another router.
-    one.link->holdWhen = [](const std::string& bytes) {
+    one.proxy->holdWhen = [](const std::string& bytes) {
       const std::size_t from = bytes.find("request_put");
       const std::size_t body = bytes.find("\r\n\r\n");
       if (from == std::string::npos || body == std::string::npos)
@@ -116,13 +117,13 @@
       return false;
     };
   };
-  for (auto& one : fleet.all)
+  for (auto& one : fleet.nodes)
     watch(*one);
-  EXPECT_TRUE(fleet.say("maintenance start june box-1 confirm"));
+  EXPECT_TRUE(fleet.runAdminCommand("maintenance start june box-1 confirm"));
   RouterFleet::Node* held = nullptr;
   EXPECT_TRUE(waitFor(fleet.io, 60, [&] {
-    for (auto& one : fleet.all)
-      if (one->link->mode() == FaultLayer::Mode::kHold)
+    for (auto& one : fleet.nodes)
+      if (one->proxy->mode() == FaultProxy::Mode::kHoldRequests)
         held = one.get();
     return held != nullptr;
   }));
@@ -131,24 +132,25 @@
   fleet.signal(*held, SIGSTOP);
   // Whoever is next is paused by an operator's word before it begins an instance, so that the plan
   // stays as it was seen.
-  for (auto& one : fleet.all)
+  for (auto& one : fleet.nodes)
     if (one.get() != held)
-      one->link->set(FaultLayer::Mode::kCut);
-  fleet.rest(1.5 * kLeaseMs);
-  for (auto& one : fleet.all)
-    one->link->holdWhen = nullptr;
+      one->proxy->setMode(FaultProxy::Mode::kReset);
+  fleet.runFor(1.5 * kLeaseMs);
+  for (auto& one : fleet.nodes)
+    one->proxy->holdWhen = nullptr;
   // The next holder may read the plan and take the lease, but its own steps are held back in turn.
-  for (auto& one : fleet.all)
+  for (auto& one : fleet.nodes)
     if (one.get() != held) {
       watch(*one);
-      one->link->set(FaultLayer::Mode::kPass);
+      one->proxy->setMode(FaultProxy::Mode::kPass);
     }
-  EXPECT_TRUE(waitFor(fleet.io, 60,
-                      [&] { return !fleet.holder().empty() && fleet.holder() != held->name; }));
-  held->link->release();  // the store reads what was on its way
+  EXPECT_TRUE(waitFor(fleet.io, 60, [&] {
+    return !fleet.leaseHolder().empty() && fleet.leaseHolder() != held->name;
+  }));
+  held->proxy->release();  // the store reads what was on its way
   waitFor(fleet.io, 1, [&] { return fleet.plan()["steps"] != 0; });
   log = fleet.logs();
-  return brokenIn(fleet.store.history(), kPrefix);
+  return findViolations(fleet.store.history(), kPrefix);
 }
 
 TEST(AStoppedHolder, FindsItsStepRefusedWhenItArrivesLate) {
@@ -167,16 +169,16 @@
 // SIGTERM gives the lease away in order.
 TEST(ManyConductorsWithClients, KeepDrainsAndHandOverInOrder) {
   RouterFleet fleet(3, {"box-1", "box-2"});
-  ASSERT_TRUE(fleet.say("readyz"));
+  ASSERT_TRUE(fleet.runAdminCommand("readyz"));
   std::size_t asked = 0;
   std::map<std::size_t, std::unique_ptr<RawPeer>> clients;
   const auto ask = [&] {
-    for (std::size_t i = 0; i < fleet.all.size(); ++i) {
-      if (fleet.all[i]->process <= 0)
+    for (std::size_t i = 0; i < fleet.nodes.size(); ++i) {
+      if (fleet.nodes[i]->process <= 0)
         continue;
       auto client = std::make_unique<RawPeer>(fleet.io);
       try {
-        client->connect(fleet.all[i]->listen);
+        client->connect(fleet.nodes[i]->listen);
         client->write(
             messageText("POST /v1/chat/completions HTTP/1.1",
                         {{"Authorization", "Bearer k"}, {"Connection", "close"}},
@@ -188,7 +190,7 @@
     }
     std::erase_if(clients, [](auto& entry) { return entry.second->ended(); });
   };
-  ASSERT_TRUE(fleet.say("maintenance start june box-1 confirm")) << fleet.logs();
+  ASSERT_TRUE(fleet.runAdminCommand("maintenance start june box-1 confirm")) << fleet.logs();
   const auto state = [&](const std::string& instance) -> std::string {
     const json now = fleet.plan();
     for (const json& item : now.value("items", json::array()))
@@ -199,7 +201,7 @@
   ASSERT_TRUE(waitFor(fleet.io, 60,
                       [&] {
                         ask();
-                        fleet.rest(20);
+                        fleet.runFor(20);
                         return state("box-1") == "out";
                       }))
       << fleet.plan().dump() << fleet.store.value(kPrefix + "doc/node/c1").value_or("")
@@ -208,12 +210,12 @@
   // Out means that every router has said that it heard of the drain, and that nothing of it is
   // open there.
   const double out = fleet.clock.nowMs();
-  RouterFleet::Node* first = fleet.byName(fleet.holder());
+  RouterFleet::Node* first = fleet.byName(fleet.leaseHolder());
   ASSERT_NE(first, nullptr);
   const std::string firstName = first->name;
   for (double until = out + 2500; fleet.clock.nowMs() < until;) {
     ask();
-    fleet.rest(20);
+    fleet.runFor(20);
   }
   fleet.signal(*first, SIGTERM);
   int status = -1;
@@ -221,10 +223,11 @@
       fleet.io, 30, [&] { return ::waitpid(first->process, &status, WNOHANG) == first->process; }));
   first->process = -1;
   EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 0);
-  ASSERT_TRUE(waitFor(fleet.io, 60,
-                      [&] { return !fleet.holder().empty() && fleet.holder() != firstName; }));
-  ASSERT_TRUE(fleet.say("maintenance back box-1"));
-  ASSERT_TRUE(waitFor(fleet.io, 60, [&] { return fleet.done("june"); })) << fleet.logs();
+  ASSERT_TRUE(waitFor(fleet.io, 60, [&] {
+    return !fleet.leaseHolder().empty() && fleet.leaseHolder() != firstName;
+  }));
+  ASSERT_TRUE(fleet.runAdminCommand("maintenance back box-1"));
+  ASSERT_TRUE(waitFor(fleet.io, 60, [&] { return fleet.planDone("june"); })) << fleet.logs();
   std::size_t late = 0, elsewhere = 0;
   double back = 0;
   for (const auto& event : fleet.store.history())
@@ -242,12 +245,12 @@
     released = released || (event.key == kPrefix + "lease/maintenance" &&
                             event.kind == EtcdStandIn::Event::Kind::kDeleted);
   EXPECT_TRUE(released) << "given back, and not left to lapse";
-  fleet.check();
+  fleet.expectNoViolations();
 }
 
 // What the router itself says of the maintenance's lease.
 json leaseOf(RouterFleet& fleet, RouterFleet::Node& one) {
-  std::string text = callAdmin(fleet.io, one.door, "leases json");
+  std::string text = callAdmin(fleet.io, one.adminAddress, "leases json");
   const std::size_t end = text.rfind("eof\n");
   if (end == std::string::npos)
     return json{{"state", "none"}, {"holder", ""}, {"fence", 0}};
@@ -267,7 +270,7 @@
   ASSERT_TRUE(fleet.allReady()) << fleet.logs();
   RouterFleet::Node* holder = nullptr;
   const auto held = [&] {
-    for (auto& one : fleet.all)
+    for (auto& one : fleet.nodes)
       if (leaseOf(fleet, *one)["state"] == "holding")
         holder = one.get();
     return holder != nullptr;
@@ -290,17 +293,17 @@
   };
   // Until each that held it has stopped by itself.
   ASSERT_TRUE(waitFor(fleet.io, 60, [&] {
-    for (auto& one : fleet.all)
+    for (auto& one : fleet.nodes)
       ask(*one);
-    fleet.rest(100);
+    fleet.runFor(100);
     return leaseOf(fleet, *holder)["state"] != "holding" &&
            leaseOf(fleet, *holder)["state"] != "doubtful";
   }));
-  for (auto& one : fleet.all) {
+  for (auto& one : fleet.nodes) {
     EXPECT_NE(leaseOf(fleet, *one)["state"], "holding");
     ask(*one);
   }
-  EXPECT_GT(answered, fleet.all.size());
+  EXPECT_GT(answered, fleet.nodes.size());
   ASSERT_EQ(sqlite3_exec(blocker.get(), "ROLLBACK", nullptr, nullptr, nullptr), SQLITE_OK);
   blocker = nullptr;
   holder = nullptr;
@@ -312,13 +315,13 @@
 // used leaves all.
 TEST(ConductorsOnOneMachine, ChangeTheirStoreUnderWay) {
   RouterFleet fleet(1, {"box-1"}, INFERENCE_ROUTER_PROGRAM, /*sqlite=*/true);
-  RouterFleet::Node& one = *fleet.all[0];
+  RouterFleet::Node& one = *fleet.nodes[0];
   const auto holds = [&] { return leaseOf(fleet, one)["state"] == "holding"; };
   ASSERT_TRUE(waitFor(fleet.io, 60, holds)) << fleet.logs();
   const auto rewrite = [&](const std::function<void(json&)>& change) {
-    json file = fleet.fileOf(one);
+    json file = fleet.configOf(one);
     change(file["coordination"]);
-    std::ofstream(one.file) << file.dump();
+    std::ofstream(one.configPath) << file.dump();
     fleet.signal(one, SIGHUP);
   };
   rewrite([](json& part) { part["lease_s"] = 0.1; });
@@ -329,7 +332,8 @@
   const std::string second = fleet.folder.path + "/second.db";
   rewrite([&](json& part) { part["store"]["path"] = second; });
   ASSERT_TRUE(waitFor(fleet.io, 60, [&] {
-    return callAdmin(fleet.io, one.door, "leases").find(second) != std::string::npos && holds();
+    return callAdmin(fleet.io, one.adminAddress, "leases").find(second) != std::string::npos &&
+           holds();
   })) << fleet.logs();
   const auto first = opened(fleet.folder.path + "/shared.db");
   std::string cell;
@@ -351,12 +355,12 @@
   RouterFleet fleet(1, {"box-1"});
   ASSERT_TRUE(fleet.allReady()) << fleet.logs();
   const double told = fleet.clock.nowMs();
-  fleet.signal(*fleet.all[0], SIGTERM);
+  fleet.signal(*fleet.nodes[0], SIGTERM);
   int status = -1;
   ASSERT_TRUE(waitFor(fleet.io, 30, [&] {
-    return ::waitpid(fleet.all[0]->process, &status, WNOHANG) == fleet.all[0]->process;
+    return ::waitpid(fleet.nodes[0]->process, &status, WNOHANG) == fleet.nodes[0]->process;
   }));
-  fleet.all[0]->process = -1;
+  fleet.nodes[0]->process = -1;
   EXPECT_GE(fleet.clock.nowMs() - told, 600);
 }
 
--- a/tests/flood_test.cpp
+++ b/tests/flood_test.cpp
@@ -411,7 +411,7 @@
   streams.clear();
   flood.clear();
   std::optional<int> status;
-  ASSERT_TRUE(stage.until([&] { return status || (status = programs.ended(program)); }));
+  ASSERT_TRUE(stage.until([&] { return status || (status = programs.exitStatus(program)); }));
   EXPECT_EQ(status, 0);
   // What the instances saw of it all: nothing twice, nothing without time left, nothing new where a
   // drain was asked for.
--- a/tests/ops_test.cpp
+++ b/tests/ops_test.cpp
@@ -317,7 +317,7 @@
   };
   std::string names;
   for (std::size_t i = 0; i < coordination::kMaxFleetInstances; ++i)
-    names += (i == 0 ? "" : ",") + std::string(coordination::Plan::kMaxWordBytes, 'n');
+    names += (i == 0 ? "" : ",") + std::string(coordination::Plan::kMaxNameBytes, 'n');
   EXPECT_EQ(answerTo("maintenance start june " + names + "\n"), "ok " + names + "\n");
   EXPECT_EQ(answerTo("boxes\n"), planned.instancesReport() + "eof\n");
   EXPECT_EQ(answerTo("maintenance start june " + names + names + "\n")
--- a/tests/shared_processes_test.cpp
+++ b/tests/shared_processes_test.cpp
@@ -9,7 +9,7 @@
 
 #include "shared/digest_codec.h"
 #include "shared/part_codec.h"
-#include "support/conductors.h"
+#include "support/router_fleet.h"
 
 namespace inference_router {
 namespace {
@@ -101,12 +101,12 @@
   // For so long, at each router that runs, a question now and then.
   void go(double ms) {
     for (const double until = fleet.clock.nowMs() + ms; fleet.clock.nowMs() < until;) {
-      for (auto& one : fleet.all) {
+      for (auto& one : fleet.nodes) {
         if (one->process <= 0 || one->stopped || open.size() > 60 || random() % 3 != 0)
           continue;
         ask(*one, random() % 2 == 0 ? "attiki" : "patras", random() % 3 == 0 ? "c" : "m");
       }
-      fleet.rest(20);
+      fleet.runFor(20);
       collect();
     }
   }
@@ -162,7 +162,7 @@
 }
 
 json sharedAt(RouterFleet& fleet, RouterFleet::Node& one) {
-  std::string text = callAdmin(fleet.io, one.door, "shared json");
+  std::string text = callAdmin(fleet.io, one.adminAddress, "shared json");
   const std::size_t end = text.rfind("eof\n");
   return end == std::string::npos ? json{{"degree", "none"}, {"boxes", json::array()}}
                                   : json::parse(text.substr(0, end));
@@ -177,7 +177,7 @@
 }
 
 bool allAre(RouterFleet& fleet, const std::string& degree) {
-  return std::all_of(fleet.all.begin(), fleet.all.end(),
+  return std::all_of(fleet.nodes.begin(), fleet.nodes.end(),
                      [&](auto& one) { return sharedAt(fleet, *one)["degree"] == degree; });
 }
 
@@ -194,12 +194,13 @@
   clients.go(2'000);
   // A third hears nothing, one of them only one way; an instance goes silent.
   for (std::size_t i = 0; i < count / 3; ++i)
-    fleet.all[i]->link->set(i == 0 ? FaultLayer::Mode::kDeafUp : FaultLayer::Mode::kCut);
+    fleet.nodes[i]->proxy->setMode(i == 0 ? FaultProxy::Mode::kDropRequests
+                                          : FaultProxy::Mode::kReset);
   clients.silent.insert("box-2");
   clients.go(3'000);
   const auto judged = [&] {
     for (std::size_t i = count / 3; i < count; ++i) {
-      const json said = sharedAt(fleet, *fleet.all[i]);
+      const json said = sharedAt(fleet, *fleet.nodes[i]);
       EXPECT_LE(leftOut(said), 1u) << said.dump();
       if (leftOut(said) == 0)
         return false;
@@ -221,13 +222,13 @@
   EXPECT_TRUE(waitFor(fleet.io, 60, [&] {
     clients.go(200);
     for (std::size_t i = 0; i < count / 3; ++i)
-      if (sharedAt(fleet, *fleet.all[i])["degree"] != "alone")
+      if (sharedAt(fleet, *fleet.nodes[i])["degree"] != "alone")
         return false;
     return true;
   }));
   clients.silent.clear();
-  for (auto& one : fleet.all)
-    one->link->set(FaultLayer::Mode::kPass);
+  for (auto& one : fleet.nodes)
+    one->proxy->setMode(FaultProxy::Mode::kPass);
   clients.go(2'000);
   clients.finish();
   ASSERT_TRUE(waitFor(fleet.io, 60, [&] { return allAre(fleet, "connected"); })) << fleet.logs();
@@ -248,10 +249,10 @@
   }));
   // A wave: most die at once, under way, and start anew. And on until the budget is used up.
   for (std::size_t i = 0; i + 2 < count; ++i)
-    fleet.kill(*fleet.all[i]);
+    fleet.kill(*fleet.nodes[i]);
   clients.go(300);
   for (std::size_t i = 0; i + 2 < count; ++i)
-    fleet.start(*fleet.all[i]);
+    fleet.start(*fleet.nodes[i]);
   ASSERT_TRUE(waitFor(fleet.io, 60, [&] {
     clients.go(500);
     return decodeDigest(fleet).budgets.at("attiki").left == 0 && clients.overBudget > 20;
@@ -301,15 +302,15 @@
   Clients clients(fleet, 1);
   clients.go(3'000);
   clients.finish();
-  const std::string text = callAdmin(fleet.io, fleet.all[0]->door, "shared");
+  const std::string text = callAdmin(fleet.io, fleet.nodes[0]->adminAddress, "shared");
   EXPECT_NE(text.find("budget attiki limit=40000"), std::string::npos) << text;
-  const Origin first{fleet.all[0]->name, sharedAt(fleet, *fleet.all[0])["incarnation"]};
-  fleet.signal(*fleet.all[0], SIGTERM);
+  const Origin first{fleet.nodes[0]->name, sharedAt(fleet, *fleet.nodes[0])["incarnation"]};
+  fleet.signal(*fleet.nodes[0], SIGTERM);
   int status = -1;
   ASSERT_TRUE(waitFor(fleet.io, 30, [&] {
-    return ::waitpid(fleet.all[0]->process, &status, WNOHANG) == fleet.all[0]->process;
+    return ::waitpid(fleet.nodes[0]->process, &status, WNOHANG) == fleet.nodes[0]->process;
   }));
-  fleet.all[0]->process = -1;
+  fleet.nodes[0]->process = -1;
   EXPECT_TRUE(waitFor(fleet.io, 60, [&] { return decodeDigest(fleet).foldedOf(first) != nullptr; }))
       << fleet.logs();
   EXPECT_EQ(billed(fleet, "attiki"), clients.tokensOf("attiki"));
@@ -322,7 +323,7 @@
 // SIGHUP takes over another budget; a file that cannot be used leaves the old one.
 TEST(AChangedBudget, IsTakenOverAndABadFileIsNot) {
   RouterFleet fleet(1, {"box-1"}, INFERENCE_ROUTER_PROGRAM, false, sharedFile);
-  RouterFleet::Node& one = *fleet.all[0];
+  RouterFleet::Node& one = *fleet.nodes[0];
   const auto limit = [&] {
     return decodeDigest(fleet).budgets.count("attiki") == 0
                ? 0
@@ -330,9 +331,9 @@
   };
   ASSERT_TRUE(waitFor(fleet.io, 60, [&] { return limit() == kBudget; })) << fleet.logs();
   const auto rewrite = [&](const json& budget) {
-    json file = fleet.fileOf(one);
+    json file = fleet.configOf(one);
     file["shared"]["budgets"]["attiki"] = budget;
-    std::ofstream(one.file) << file.dump();
+    std::ofstream(one.configPath) << file.dump();
     fleet.signal(one, SIGHUP);
   };
   rewrite(-5);
--- a/tests/support/fault_layer.h
+++ b/tests/support/fault_proxy.h
@@ -10,30 +10,30 @@
 
 namespace inference_router {
 
-class FaultLayer {
+class FaultProxy {
  public:
   enum class Mode {
     kPass,
-    kCut,       // connections are reset, new ones too
-    kDeafUp,    // what the process sends is lost without a sign
-    kDeafDown,  // what the server answers is
-    kHold,      // what the process sends waits for release()
+    kReset,          // connections are reset, new ones too
+    kDropRequests,   // what the process sends is lost without a sign
+    kDropResponses,  // what the server answers is
+    kHoldRequests,   // what the process sends waits for release()
   };
 
-  FaultLayer(boost::asio::io_context& io, net::Endpoint server)
+  FaultProxy(boost::asio::io_context& io, net::Endpoint server)
       : io_(io), server_(std::move(server)), acceptor_(io, anyPort()) {
     accept();
   }
-  ~FaultLayer() {
+  ~FaultProxy() {
     for (const auto& pair : pairs_)
       pair->shut();
   }
 
   net::Endpoint address() const { return acceptor_.local_endpoint(); }
   Mode mode() const { return mode_; }
-  void set(Mode mode) {
+  void setMode(Mode mode) {
     mode_ = mode;
-    if (mode == Mode::kCut)
+    if (mode == Mode::kReset)
       reset();
     if (mode == Mode::kPass)
       release();
@@ -47,12 +47,12 @@
     for (const auto& pair : pairs_)
       pair->release();
   }
-  // Called with what the process sends: true turns to kHold before it is passed on.
+  // Called with what the process sends: true turns to kHoldRequests before it is passed on.
   std::function<bool(const std::string&)> holdWhen;
 
  private:
   struct Pair : std::enable_shared_from_this<Pair> {
-    Pair(FaultLayer& layer, tcp::socket socket)
+    Pair(FaultProxy& layer, tcp::socket socket)
         : layer(&layer), process(std::move(socket)), server(layer.io_) {}
 
     void start() {
@@ -72,12 +72,12 @@
                              if (error)
                                return self->shut();
                              const std::string bytes(buffer.data(), count);
-                             FaultLayer& layer = *self->layer;
+                             FaultProxy& layer = *self->layer;
                              if (isUp && layer.holdWhen && layer.holdWhen(bytes))
-                               layer.mode_ = Mode::kHold;
+                               layer.mode_ = Mode::kHoldRequests;
                              const bool lost =
-                                 layer.mode_ == (isUp ? Mode::kDeafUp : Mode::kDeafDown);
-                             if (isUp && layer.mode_ == Mode::kHold)
+                                 layer.mode_ == (isUp ? Mode::kDropRequests : Mode::kDropResponses);
+                             if (isUp && layer.mode_ == Mode::kHoldRequests)
                                self->held += bytes;
                              else if (!lost)
                                self->send(to, bytes);
@@ -104,7 +104,7 @@
       server.close(ignored);
     }
 
-    FaultLayer* layer;
+    FaultProxy* layer;
     tcp::socket process, server;
     std::array<char, 16384> up{}, down{};
     std::string held;
@@ -115,7 +115,7 @@
       if (error)
         return;
       const auto pair = std::make_shared<Pair>(*this, std::move(socket));
-      if (mode_ == Mode::kCut) {
+      if (mode_ == Mode::kReset) {
         pair->shut();
       } else {
         std::erase_if(pairs_, [](const auto& one) { return one->layer == nullptr; });
--- a/tests/support/plan_checker.h
+++ b/tests/support/plan_checker.h
@@ -12,8 +12,8 @@
 
 namespace inference_router {
 
-inline std::vector<std::string> brokenIn(const std::vector<EtcdStandIn::Event>& history,
-                                         const std::string& prefix) {
+inline std::vector<std::string> findViolations(const std::vector<EtcdStandIn::Event>& history,
+                                               const std::string& prefix) {
   using Event = EtcdStandIn::Event;
   using json = nlohmann::json;
   std::vector<std::string> broken;
--- a/tests/support/platform.h
+++ b/tests/support/platform.h
@@ -82,7 +82,7 @@
   }
   int endOf(pid_t process) {
     std::optional<int> status;
-    EXPECT_TRUE(until([&] { return status || (status = programs.ended(process)); }));
+    EXPECT_TRUE(until([&] { return status || (status = programs.exitStatus(process)); }));
     return status.value_or(-1);
   }
 
--- a/tests/support/program.h
+++ b/tests/support/program.h
@@ -64,7 +64,7 @@
   }
 
   // Its exit status once it has ended; nothing while it runs.
-  std::optional<int> ended(pid_t process) {
+  std::optional<int> exitStatus(pid_t process) {
     int status = 0;
     if (::waitpid(process, &status, WNOHANG) != process)
       return std::nullopt;
--- a/tests/support/conductors.h
+++ b/tests/support/router_fleet.h
@@ -8,7 +8,7 @@
 #include <fstream>
 
 #include "net/loop.h"
-#include "support/fault_layer.h"
+#include "support/fault_proxy.h"
 #include "support/plan_checker.h"
 #include "support/program.h"
 
@@ -35,9 +35,9 @@
 struct RouterFleet {
   struct Node {
     std::string name;
-    std::unique_ptr<FaultLayer> link;
-    net::Endpoint listen, door;
-    std::string file;
+    std::unique_ptr<FaultProxy> proxy;
+    net::Endpoint listen, adminAddress;
+    std::string configPath;
     pid_t process = -1;
     bool stopped = false;
   };
@@ -60,22 +60,22 @@
     for (std::size_t i = 0; i < count; ++i) {
       auto one = std::make_unique<Node>();
       one->name = "c" + std::to_string(i + 1);
-      one->link = std::make_unique<FaultLayer>(io, store.address());
+      one->proxy = std::make_unique<FaultProxy>(io, store.address());
       one->listen = freePort();
-      one->door = freePort();
-      one->file = folder.path + "/" + one->name + ".json";
-      std::ofstream(one->file) << fileOf(*one).dump();
-      all.push_back(std::move(one));
+      one->adminAddress = freePort();
+      one->configPath = folder.path + "/" + one->name + ".json";
+      std::ofstream(one->configPath) << configOf(*one).dump();
+      nodes.push_back(std::move(one));
     }
-    for (auto& one : all)
+    for (auto& one : nodes)
       start(*one);
   }
   ~RouterFleet() {
-    for (auto& one : all)
+    for (auto& one : nodes)
       kill(*one);
   }
 
-  json fileOf(const Node& one) const {
+  json configOf(const Node& one) const {
     json settings = siteSettings();
     settings["contract"]["coldMs"] = 200.0;
     json listed = json::array();
@@ -83,7 +83,7 @@
       listed.push_back(
           {{"id", name}, {"address", textOf(instance->address())}, {"role", "both"}, {"cell", 0}});
     json file{{"listen", textOf(one.listen)},
-              {"admin_addr", textOf(one.door)},
+              {"admin_addr", textOf(one.adminAddress)},
               {"keys", {{{"key", "k"}, {"tenant", "club"}}}},
               {"models", {{"m", "member-questions"}}},
               {"boxes", listed},
@@ -92,7 +92,7 @@
                {{"name", one.name},
                 {"store", sqlite_ ? json{{"kind", "sqlite"}, {"path", folder.path + "/shared.db"}}
                                   : json{{"kind", "etcd"},
-                                         {"endpoints", {textOf(one.link->address())}},
+                                         {"endpoints", {textOf(one.proxy->address())}},
                                          {"prefix", kPrefix}}},
                 {"lease_s", kLeaseMs / 1000},
                 {"answer_ms", 200},
@@ -112,7 +112,8 @@
     if (one.process == 0) {
       if (std::freopen(log.c_str(), "a", stderr) == nullptr)
         ::_exit(126);
-      ::execl(program_.c_str(), program_.c_str(), "serve", "--operator", one.file.c_str(), nullptr);
+      ::execl(program_.c_str(), program_.c_str(), "serve", "--operator", one.configPath.c_str(),
+              nullptr);
       ::_exit(127);
     }
     one.stopped = false;
@@ -130,26 +131,27 @@
     ::waitpid(one.process, nullptr, 0);
     one.process = -1;
   }
-  void rest(double ms) {
+  void runFor(double ms) {
     const double until = clock.nowMs() + ms;
     waitFor(io, ms / 1000 + 1, [&] { return clock.nowMs() >= until; });
   }
 
   // Says it at whichever door answers with a yes.
-  bool say(const std::string& line) {
+  bool runAdminCommand(const std::string& line) {
     return waitFor(io, 60, [&] {
-      for (auto& one : all)
-        if (one->process > 0 && !one->stopped && callAdmin(io, one->door, line).rfind("ok", 0) == 0)
+      for (auto& one : nodes)
+        if (one->process > 0 && !one->stopped &&
+            callAdmin(io, one->adminAddress, line).rfind("ok", 0) == 0)
           return true;
-      rest(50);
+      runFor(50);
       return false;
     });
   }
 
   bool allReady() {
     return waitFor(io, 60, [&] {
-      return std::all_of(all.begin(), all.end(), [&](auto& one) {
-        return callAdmin(io, one->door, "readyz").rfind("ok", 0) == 0;
+      return std::all_of(nodes.begin(), nodes.end(), [&](auto& one) {
+        return callAdmin(io, one->adminAddress, "readyz").rfind("ok", 0) == 0;
       });
     });
   }
@@ -158,30 +160,30 @@
     const auto text = store.value(kPrefix + "doc/plan");
     return text ? json::parse(*text) : json();
   }
-  bool done(const std::string& id) {
+  bool planDone(const std::string& id) {
     const json now = plan();
     return !now.is_null() && now["id"] == id && now["state"] == "done";
   }
-  std::string holder() {
+  std::string leaseHolder() {
     const auto text = store.value(kPrefix + "lease/maintenance");
     return text ? json::parse(*text)["holder"]["name"].get<std::string>() : "";
   }
   Node* byName(const std::string& name) {
-    for (auto& one : all)
+    for (auto& one : nodes)
       if (one->name == name)
         return one.get();
     return nullptr;
   }
   std::string logs() const {
     std::string text;
-    for (const auto& one : all) {
+    for (const auto& one : nodes) {
       std::ifstream file(folder.path + "/" + one->name + ".log");
       text += "--- " + one->name + "\n" + std::string(std::istreambuf_iterator<char>(file), {});
     }
     return text;
   }
-  void check() {
-    const auto broken = brokenIn(store.history(), kPrefix);
+  void expectNoViolations() {
+    const auto broken = findViolations(store.history(), kPrefix);
     EXPECT_TRUE(broken.empty()) << ::testing::PrintToString(broken);
   }
 
@@ -197,7 +199,7 @@
   };
   std::vector<Arrival> arrivals;
   Folder folder;
-  std::vector<std::unique_ptr<Node>> all;
+  std::vector<std::unique_ptr<Node>> nodes;
 
  private:
   std::string program_;
--- a/tests/unanswered_requests_test.cpp
+++ b/tests/unanswered_requests_test.cpp
@@ -514,7 +514,7 @@
                        {{"Host", "x"}, {"Authorization", "Bearer k"}}, body);
   }
   bool ended(pid_t process) {
-    return until([&] { return programs.ended(process).has_value(); });
+    return until([&] { return programs.exitStatus(process).has_value(); });
   }
 };
 
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -300,7 +300,7 @@
     ASSERT_LT(i, 5000);
     askOnce();
     if (!status)
-      status = platform.programs.ended(old);
+      status = platform.programs.exitStatus(old);
   }
   EXPECT_EQ(status, 0);
   EXPECT_GE(answered, 20);
