--- a/src/coordination/callback_guard.h
+++ b/src/coordination/callback_guard.h
@@ -1,4 +1,4 @@
-/// Lets an object's asynchronous callbacks be dropped once the object is destroyed.
+/// Drops an object's asynchronous callbacks once the object is destroyed.
 #pragma once
 
 #include <memory>
@@ -6,15 +6,15 @@
 
 namespace inference_router::coordination {
 
-/// A member of the object that hands out callbacks. The wrapped callbacks may be copied and
-/// destroyed on any thread, but have to be called on the thread that destroys the object.
+/// Held as a member by the object that registers the callbacks. The wrapped callbacks may be copied
+/// and destroyed on any thread, but must be called on the thread that destroys the object.
 class CallbackGuard {
  public:
   CallbackGuard() = default;
   CallbackGuard(const CallbackGuard&) = delete;
   CallbackGuard& operator=(const CallbackGuard&) = delete;
 
-  /// A callback that does nothing once this guard is destroyed.
+  /// Returns a callback that does nothing once this guard is destroyed.
   template <class Callback>
   auto wrap(Callback callback) const {
     return [alive = std::weak_ptr<const Token>(token_),
--- a/src/coordination/cleanup.cpp
+++ b/src/coordination/cleanup.cpp
@@ -6,8 +6,9 @@
 namespace inference_router::coordination {
 
 std::optional<Step> Cleanup::next(const View& view, std::uint64_t, double nowMs) {
-  // A holder that was suspended knows nothing of what has happened meanwhile.
-  if (nowMs - lastCallMs_ > config_.goneMs / 2)
+  // After a long gap between calls, for instance while the process was suspended, documents may
+  // have changed unobserved: earlier observations are void.
+  if (nowMs - lastCallMs_ > config_.presenceTimeoutMs / 2)
     ages_.forgetIf([](const std::string&) { return true; });
   lastCallMs_ = nowMs;
   ages_.forgetIf([&](const std::string& key) { return view.documents.count(key) == 0; });
@@ -20,10 +21,10 @@
   return std::nullopt;
 }
 
-/// How long the document may stay unchanged; nothing if it is never removed.
+/// How long the document may stay unchanged before it is removed; nothing if it is never removed.
 std::optional<double> Cleanup::retentionMs(const std::string& key, const Document& document) const {
   if (isPresenceKey(key))
-    return config_.goneMs;
+    return config_.presenceTimeoutMs;
   if (key != kPlanKey)
     return std::nullopt;
   const auto plan = Plan::parse(document.value);
--- a/src/coordination/cleanup.h
+++ b/src/coordination/cleanup.h
@@ -1,6 +1,7 @@
-/// The task that removes from the store what is not needed any more: the presences of routers that
-/// are gone, and plans that ended long ago. A router counts as gone when its presence has not
-/// changed for long by the holder's own clock; one that comes back writes it again. No I/O.
+/// The task that removes obsolete documents from the store: the presences of stopped routers, and
+/// plans that finished long ago. A router counts as stopped once its presence has not changed for
+/// the presence timeout by the lease holder's clock; a router that is still running writes it
+/// again. Performs no I/O.
 #pragma once
 
 #include "coordination/task.h"
@@ -12,9 +13,9 @@
  public:
   struct Config {
     TaskConfig task{"cleanup", 2'000, 1'000};
-    /// After which a router whose presence does not change counts as gone.
-    double goneMs = 120'000;
-    /// For which an ended plan is kept.
+    /// A router whose presence has not changed for this long counts as stopped.
+    double presenceTimeoutMs = 120'000;
+    /// How long a finished plan is retained.
     double planRetentionMs = 3'600'000;
   };
 
--- a/src/coordination/etcd_client.cpp
+++ b/src/coordination/etcd_client.cpp
@@ -16,10 +16,10 @@
 
 constexpr std::size_t kMaxConnections = 8;
 constexpr double kIdleConnectionMs = 10'000;
-// Of all documents in base64, which is a third larger than their bytes. At most two copies are held
-// at a time, as text, as JSON or as documents: 96 MiB of the 192 that a router may use.
+// Bounds a read of all documents in base64, which is a third larger than the documents. At most two
+// copies exist at a time (as text, JSON or documents): 96 MiB of the 192 MiB that a router may use.
 constexpr std::size_t kMaxResponseBytes = 48 << 20;
-// Under way at a time; further calls fail at once.
+// Concurrent calls; further ones fail at once.
 constexpr std::size_t kMaxCalls = 64;
 constexpr unsigned kHttpOk = 200;
 
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-/// One call. The connection pool owns it; the client knows it as long as the call is under way.
+/// One call in progress. Owned by the connection pool; the client refers to it until the call ends.
 class EtcdClient::Exchange final : public net::CallSink {
  public:
   Exchange(EtcdClient& client, Callback callback)
@@ -42,7 +42,7 @@
 
   void start(std::shared_ptr<net::Call> call) {
     if (client_ == nullptr)
-      return;  // it has failed already
+      return;  // the call has failed already
     call_ = std::move(call);
     const double timeoutAtMs = client_->clock_.nowMs() + client_->callTimeoutMs_;
     timeout_ = client_->timers_.schedule(timeoutAtMs, [this] {
@@ -64,7 +64,7 @@
   }
   void failed(net::CallFailure) override { finish(std::nullopt, "etcd.failed"); }
 
-  /// Ends the call without its callback.
+  /// Ends the call without running its callback.
   void drop() {
     callback_ = nullptr;
     const auto call = std::exchange(call_, nullptr);
@@ -96,7 +96,8 @@
     try {
       callback(std::move(value));
     } catch (const json::exception& error) {
-      spdlog::error("etcd answers what cannot be understood: {}", error.what());
+      spdlog::error("etcd sent a response of an unexpected form, which is ignored: {}",
+                    error.what());
     }
   }
 
--- a/src/coordination/etcd_client.h
+++ b/src/coordination/etcd_client.h
@@ -1,4 +1,4 @@
-/// Calls of etcd's v3 API through its JSON gateway.
+/// Client of etcd's v3 API, through its JSON gateway.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -19,18 +19,19 @@
 
 struct EtcdConfig {
   std::vector<net::Endpoint> endpoints;
-  std::string prefix = "dahliastall/";  ///< Of all keys.
+  std::string prefix = "dahliastall/";  ///< Common prefix of all keys.
   double callTimeoutMs = 1'000;
 };
 
-/// Uses one endpoint until a call to it fails, then the next. Belongs to the event loop's thread.
+/// Uses one endpoint until a call to it fails, then the next one. Not thread-safe: used on the
+/// event loop's thread only.
 class EtcdClient {
  public:
   static constexpr const char* kTransactionPath = "/v3/kv/txn";
   static constexpr const char* kRangePath = "/v3/kv/range";
 
-  /// Called once, with the response's JSON object; with nothing if the call failed, timed out or
-  /// was answered with an error. Not called after the client was destroyed.
+  /// Called once, with the response's JSON object, or with nothing if the call failed, timed out or
+  /// returned an error. Not called after the client was destroyed.
   using Callback = std::function<void(std::optional<nlohmann::json>)>;
 
   EtcdClient(boost::asio::io_context& io,
@@ -43,9 +44,9 @@
   EtcdClient(const EtcdClient&) = delete;
   EtcdClient& operator=(const EtcdClient&) = delete;
 
-  /// Charges the client's connections to the budget, which has to outlive the client.
+  /// Charges the client's connections to the budget, which must outlive the client.
   void accountTo(admission::DescriptorBudget& descriptorBudget);
-  /// The endpoints' addresses, separated by spaces.
+  /// Returns the endpoints' addresses, separated by spaces.
   std::string describe() const;
   void call(const std::string& path, const nlohmann::json& body, Callback callback);
 
--- a/src/coordination/etcd_leases.cpp
+++ b/src/coordination/etcd_leases.cpp
@@ -19,13 +19,13 @@
 constexpr const char* kTimeToLivePath = "/v3/lease/timetolive";
 constexpr const char* kRevokePath = "/v3/lease/revoke";
 
-// etcd rounds the remaining time down to seconds.
+// Added to a remaining time, since etcd rounds it down to whole seconds.
 constexpr double kMeanRoundingMs = 500;
 
-// Positions among the responses of the transactions below.
+// Indices of the responses of the transactions below.
 constexpr std::size_t kLeaseResponse = 0;
 constexpr std::size_t kFenceResponse = 1;
-constexpr std::size_t kTakenLeaseResponse = 2;
+constexpr std::size_t kWrittenLeaseResponse = 2;
 
 LeaseResponse unavailable(const LeaseRequest& request) {
   LeaseResponse response;
@@ -41,8 +41,8 @@
   return keyValue.is_null() ? "0" : numberText(keyValue, "mod_revision");
 }
 
-/// An upper bound for another's lease, so that a candidate returns when the lease ends and not a
-/// full lease later.
+/// Estimates the remaining time of another holder's lease, at most maxMs, so that a candidate
+/// retries about when the lease ends and not a full lease duration later.
 double remainingMs(const std::optional<json>& timeToLive, double maxMs) {
   const std::string text = timeToLive ? numberText(*timeToLive, "TTL") : "";
   double seconds = 0;
@@ -76,20 +76,21 @@
 }
 
 void EtcdLeases::acquire(const LeaseRequest& request, const Callback& callback) {
-  const json look{
+  const json readRequest{
       {"success", {rangeRequest(leaseKey(request.task)), rangeRequest(fenceKey(request.task))}}};
-  client_.call(
-      EtcdClient::kTransactionPath, look, [this, request, callback](std::optional<json> seen) {
-        if (!seen)
-          return callback(unavailable(request));
-        const json keyValue = firstKeyValue(*seen, kLeaseResponse);
-        const auto record = recordIn(keyValue);
-        const bool free = keyValue.is_null() || (record && record->holder == request.holder);
-        if (free)
-          grantAndTake(request, *seen, callback);
-        else
-          respondHeld(request, keyValue, callback);
-      });
+  client_.call(EtcdClient::kTransactionPath, readRequest,
+               [this, request, callback](std::optional<json> current) {
+                 if (!current)
+                   return callback(unavailable(request));
+                 const json keyValue = firstKeyValue(*current, kLeaseResponse);
+                 const auto record = recordIn(keyValue);
+                 const bool free =
+                     keyValue.is_null() || (record && record->holder == request.holder);
+                 if (free)
+                   grantAndWriteLease(request, *current, callback);
+                 else
+                   respondHeld(request, keyValue, callback);
+               });
 }
 
 void EtcdLeases::respondHeld(const LeaseRequest& request,
@@ -110,28 +111,28 @@
                });
 }
 
-/// seen: the response with the present values of the lease's and the fence's keys.
-void EtcdLeases::grantAndTake(const LeaseRequest& request,
-                              const json& seen,
-                              const Callback& callback) {
+/// current: the response with the current values of the lease's and the fence's keys.
+void EtcdLeases::grantAndWriteLease(const LeaseRequest& request,
+                                    const json& current,
+                                    const Callback& callback) {
   const json grant{{"TTL", std::to_string(std::llround(request.ttlMs / 1000))}, {"ID", "0"}};
   client_.call(kGrantPath, grant,
-               [this, request, callback, seen](const std::optional<json>& granted) {
+               [this, request, callback, current](const std::optional<json>& granted) {
                  const std::string etcdLease = granted ? numberText(*granted, "ID") : "0";
                  if (etcdLease == "0")
                    return callback(unavailable(request));
-                 take(request, seen, etcdLease, callback);
+                 writeLease(request, current, etcdLease, callback);
                });
 }
 
-/// Creates the lease's key, or takes it over from an earlier request of this process, provided that
-/// nothing has changed since it was seen.
-void EtcdLeases::take(const LeaseRequest& request,
-                      const json& seen,
-                      const std::string& etcdLease,
-                      const Callback& callback) {
-  const json lease = firstKeyValue(seen, kLeaseResponse);
-  const json fence = firstKeyValue(seen, kFenceResponse);
+/// Writes the lease's key and the fence, provided that neither has changed since it was read. The
+/// key is new or stems from an earlier request of this process.
+void EtcdLeases::writeLease(const LeaseRequest& request,
+                            const json& current,
+                            const std::string& etcdLease,
+                            const Callback& callback) {
+  const json lease = firstKeyValue(current, kLeaseResponse);
+  const json fence = firstKeyValue(current, kFenceResponse);
   const std::uint64_t newFence = std::max(parseNumber(valueOf(fence)), request.fence) + 1;
   const LeaseRecord record{request.holder, newFence, request.number, request.progress,
                            clock_.nowMs()};
@@ -148,15 +149,15 @@
                [this, request, callback, etcdLease, record](const std::optional<json>& response) {
                  if (!response)
                    return callback(unavailable(request));
-                 onTaken(request, record, etcdLease, *response, callback);
+                 onLeaseWritten(request, record, etcdLease, *response, callback);
                });
 }
 
-void EtcdLeases::onTaken(const LeaseRequest& request,
-                         const LeaseRecord& record,
-                         const std::string& etcdLease,
-                         const json& transaction,
-                         const Callback& callback) {
+void EtcdLeases::onLeaseWritten(const LeaseRequest& request,
+                                const LeaseRecord& record,
+                                const std::string& etcdLease,
+                                const json& transaction,
+                                const Callback& callback) {
   LeaseResponse response = unavailable(request);
   if (!succeeded(transaction)) {
     revoke(etcdLease);
@@ -167,7 +168,7 @@
     response.remainingMs = keyValue.is_null() ? 0 : request.ttlMs;
     return callback(response);
   }
-  const json keyValue = firstKeyValue(transaction, kTakenLeaseResponse);
+  const json keyValue = firstKeyValue(transaction, kWrittenLeaseResponse);
   heldLeases_[request.task] = {etcdLease, numberText(keyValue, "create_revision"), record.fence,
                                record.acquiredUnixMs};
   response.result = LeaseResult::kGranted;
@@ -177,13 +178,15 @@
   callback(response);
 }
 
-/// That the lease's key is still the one that this process created, and the fence the newest.
+/// Conditions: the lease's key is still the one that this process created, and the fence is the
+/// newest.
 json EtcdLeases::holdConditions(const std::string& task, const HeldLease& held) const {
   return {createdAt(leaseKey(task), held.createRevision),
           valueEquals(fenceKey(task), std::to_string(held.fence))};
 }
 
-/// Checks the key before the keep-alive, which alone does not say whose key it is.
+/// Checks and rewrites the key before the keep-alive, because the keep-alive alone does not prove
+/// who owns the key.
 void EtcdLeases::renew(const LeaseRequest& request,
                        const HeldLease& held,
                        const Callback& callback) {
@@ -212,10 +215,10 @@
                            const std::string& etcdLease,
                            const Callback& callback) {
   client_.call(kKeepAlivePath, {{"ID", etcdLease}},
-               [request, callback](const std::optional<json>& kept) {
-                 if (!kept)
+               [request, callback](const std::optional<json>& keptAlive) {
+                 if (!keptAlive)
                    return callback(unavailable(request));
-                 const bool alive = number(kept->value("result", json::object()), "TTL") > 0;
+                 const bool alive = number(keptAlive->value("result", json::object()), "TTL") > 0;
                  LeaseResponse response = unavailable(request);
                  response.result = alive ? LeaseResult::kGranted : LeaseResult::kLost;
                  response.fence = alive ? request.fence : 0;
--- a/src/coordination/etcd_leases.h
+++ b/src/coordination/etcd_leases.h
@@ -1,5 +1,6 @@
-/// Leases in etcd. A task's lease is a key that is attached to one of etcd's leases. The task's
-/// fence is a second key, which is changed in the same transaction and outlives the lease.
+/// Task leases in etcd. A task's lease is a key that is attached to an etcd lease, so that it is
+/// deleted when the etcd lease expires. The task's fence is a second key, which is written in the
+/// same transaction and outlives the lease.
 #pragma once
 
 #include <cstdint>
@@ -18,8 +19,8 @@
  public:
   using Callback = std::function<void(const LeaseResponse&)>;
 
-  /// prefix: of all keys. The client's callbacks use this object: none may run once it is
-  /// destroyed.
+  /// prefix: common prefix of all keys. The client's callbacks use this object: none may run after
+  /// it is destroyed.
   EtcdLeases(EtcdClient& client,
              const core::Clock& clock,
              core::Counters& counters,
@@ -27,17 +28,16 @@
 
   void request(const LeaseRequest& request, const Callback& callback);
 
-  /// The conditions of a transaction that may be carried out only under this fence; nothing if this
-  /// process does not hold the lease under it any more.
+  /// Returns the conditions for a transaction that may succeed only under this fence; nothing if
+  /// this process no longer holds the lease under it.
   std::optional<nlohmann::json> fenceConditions(const Fence& fence) const;
-  /// The reads for a transaction that failed, from which staleByReads() tells why.
+  /// Returns the reads to execute if the transaction fails, as input for staleByReads().
   nlohmann::json fenceReads(const Fence& fence) const;
-  /// Whether the transaction failed for its fence, by the responses to fenceReads().
+  /// Whether the transaction failed because of its fence, judged by the responses to fenceReads().
   static bool staleByReads(const nlohmann::json& transaction, const Fence& fence);
 
  private:
-  /// A lease that this process holds. Revisions and ids are decimal numbers, as etcd's JSON has
-  /// them.
+  /// A lease that this process holds. Revisions and ids are decimal strings, as in etcd's JSON.
   struct HeldLease {
     std::string etcdLease;
     std::string createRevision;  // of the lease's key
@@ -49,18 +49,18 @@
   void respondHeld(const LeaseRequest& request,
                    const nlohmann::json& keyValue,
                    const Callback& callback);
-  void grantAndTake(const LeaseRequest& request,
-                    const nlohmann::json& seen,
-                    const Callback& callback);
-  void take(const LeaseRequest& request,
-            const nlohmann::json& seen,
-            const std::string& etcdLease,
-            const Callback& callback);
-  void onTaken(const LeaseRequest& request,
-               const LeaseRecord& record,
-               const std::string& etcdLease,
-               const nlohmann::json& transaction,
-               const Callback& callback);
+  void grantAndWriteLease(const LeaseRequest& request,
+                          const nlohmann::json& current,
+                          const Callback& callback);
+  void writeLease(const LeaseRequest& request,
+                  const nlohmann::json& current,
+                  const std::string& etcdLease,
+                  const Callback& callback);
+  void onLeaseWritten(const LeaseRequest& request,
+                      const LeaseRecord& record,
+                      const std::string& etcdLease,
+                      const nlohmann::json& transaction,
+                      const Callback& callback);
   void renew(const LeaseRequest& request, const HeldLease& held, const Callback& callback);
   void keepAlive(const LeaseRequest& request,
                  const std::string& etcdLease,
--- a/src/coordination/etcd_store.cpp
+++ b/src/coordination/etcd_store.cpp
@@ -13,7 +13,7 @@
 
 ReadResponse unreadable() {
   ReadResponse response;
-  response.error = "etcd does not answer";
+  response.error = "etcd does not respond";
   return response;
 }
 
@@ -50,7 +50,7 @@
   auto conditions = leases_.fenceConditions(fence);
   if (!conditions)
     return callback({CommitStatus::kStaleFence, 0});
-#ifdef INFERENCE_ROUTER_WITHOUT_FENCE  // only for a test program that tests must see fail
+#ifdef INFERENCE_ROUTER_WITHOUT_FENCE  // test program that must fail the consistency checks
   conditions = json::array();
 #endif
   json transaction = writesTransaction(writes, std::move(*conditions));
@@ -81,8 +81,8 @@
                });
 }
 
-/// A transaction that carries out the writes if all documents have their expected revisions and the
-/// conditions hold.
+/// Returns a transaction that executes the writes if all documents have their expected revisions
+/// and the conditions are met.
 json EtcdStore::writesTransaction(const std::vector<Write>& writes, json conditions) const {
   json changes = json::array();
   for (const Write& write : writes) {
@@ -96,7 +96,7 @@
 void EtcdStore::readAll(ReadCallback callback) {
   const std::string firstKey = documentKey("");
   std::string endKey = firstKey;
-  ++endKey.back();  // etcd's form of "all keys with this prefix"
+  ++endKey.back();  // the range from a prefix to its successor selects all keys with the prefix
   const json range{{"key", encodeBase64(firstKey)},
                    {"range_end", encodeBase64(endKey)},
                    {"limit", std::to_string(kMaxDocuments)}};
@@ -106,11 +106,11 @@
     ReadResponse response;
     response.revision = revisionOf(*found);
     addDocuments(response, *found);
-    // A document that is left out would be taken for one that does not exist.
+    // In an incomplete response a missing document would be mistaken for one that does not exist.
     response.ok = !found->value("more", false);
     if (!response.ok)
       response.error = "there are more than " + std::to_string(kMaxDocuments) + " documents";
-    found.reset();  // frees the JSON before the documents are used
+    found.reset();  // frees the JSON's memory before the documents are used
     callback(response);
   });
 }
--- a/src/coordination/etcd_store.h
+++ b/src/coordination/etcd_store.h
@@ -1,4 +1,4 @@
-/// The store of routers on several machines: an etcd cluster. Consensus is etcd's alone.
+/// The store for routers on several machines: an etcd cluster, which provides all consensus.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -14,13 +14,13 @@
 
 class EtcdStore final : public Store {
  public:
-  /// All references have to outlive the store.
+  /// All references must outlive the store.
   EtcdStore(boost::asio::io_context& io,
             const core::Clock& clock,
             core::TimerQueue& timers,
             core::Counters& counters,
             EtcdConfig config);
-  /// Charges the connections to etcd to the budget, which has to outlive the store.
+  /// Charges the connections to etcd to the budget, which must outlive the store.
   void accountTo(admission::DescriptorBudget& descriptorBudget) {
     client_.accountTo(descriptorBudget);
   }
--- a/src/coordination/fleet_instance.h
+++ b/src/coordination/fleet_instance.h
@@ -1,4 +1,4 @@
-/// An instance as tasks of the whole fleet see it.
+/// The properties of an instance that fleet tasks use.
 #pragma once
 
 #include <cstdint>
@@ -10,10 +10,10 @@
 struct FleetInstance {
   std::string role;
   std::uint32_t cell = 0;
-  /// Listed as active, and not excluded by an operator.
+  /// Active in the endpoint list and not excluded by an operator.
   bool serves = true;
 };
-/// By the instance's id.
+/// Keyed by instance id.
 using FleetInstances = std::map<std::string, FleetInstance>;
 
 }  // namespace inference_router::coordination
--- a/src/coordination/lease.cpp
+++ b/src/coordination/lease.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-// Of the validity, between attempts to renew that are answered without success.
+// Share of the validity between attempts to renew while the previous ones have failed.
 constexpr double kRetryShare = 0.1;
-// Times the lease's duration for which a holder that stepped down does not compete.
-constexpr double kStepDownPauseFactor = 3;
+// A holder that stepped down does not compete for this many lease durations.
+constexpr double kStepDownDelayFactor = 3;
 
 using S = LeaseState;
 
@@ -26,7 +26,7 @@
       guards_(guards),
       random_(static_cast<std::minstd_rand::result_type>(seed ^ (seed >> 32))),
       stateSinceMs_(nowMs) {
-  // Routers that restart together must not all send requests at once.
+  // Routers that restart together must not all send their requests at once.
   nextRequestMs_ = nowMs + randomBetween(0, maxSpreadMs());
 }
 
@@ -46,12 +46,12 @@
   reason_ = std::move(reason);
 }
 
-void Lease::backOff(double nowMs, double pauseMs, std::string reason) {
+void Lease::backOff(double nowMs, double delayMs, std::string reason) {
   awaitingResponse_ = false;
   stepping_ = false;
   fence_ = 0;
   enter(S::kBackingOff, nowMs, std::move(reason));
-  nextRequestMs_ = nowMs + pauseMs + randomBetween(0, maxSpreadMs());
+  nextRequestMs_ = nowMs + delayMs + randomBetween(0, maxSpreadMs());
 }
 
 // ---- Requests
@@ -88,8 +88,8 @@
       enter(S::kAcquiring, nowMs, "its turn to ask");
       return makeRequest(LeaseOperation::kAcquire, nowMs);
     case S::kAcquiring:
-      // The lease may have been granted all the same; the next request of this process gets it
-      // then, with a higher fence.
+      // The lease may have been granted nevertheless; the next acquire of this process then obtains
+      // it with a higher fence.
       if (requestTimedOut(nowMs))
         backOff(nowMs, config_.requestTimeoutMs, "the store did not answer");
       return std::nullopt;
@@ -100,7 +100,7 @@
       backOff(nowMs, config_.requestTimeoutMs, reason_);
       return std::nullopt;
     case S::kReleasing:
-      // Without a response the lease expires at the store: the next holder waits a little longer.
+      // If the release was lost, the lease expires at the store and its next holder waits longer.
       if (requestTimedOut(nowMs))
         backOff(nowMs, config_.ttlMs, "released, not confirmed");
       return std::nullopt;
@@ -164,13 +164,13 @@
 // ---- Responses
 
 void Lease::onResponse(const LeaseResponse& response, double nowMs) {
-  const auto request = takePending(response.number);
+  const auto request = removePending(response.number);
   if (!request)
     return;
   const bool latest = request->number == number_;
   if (latest)
     awaitingResponse_ = false;
-  noteRecord(response);
+  updateRecord(response);
   switch (request->operation) {
     case LeaseOperation::kAcquire:
       if (latest)
@@ -185,8 +185,8 @@
   }
 }
 
-/// Nothing if the request was answered before, or is too old for its answer to mean anything.
-std::optional<Lease::PendingRequest> Lease::takePending(std::uint64_t number) {
+/// Returns nothing if the request was answered before, or is no longer among the pending ones.
+std::optional<Lease::PendingRequest> Lease::removePending(std::uint64_t number) {
   const auto found =
       std::find_if(pending_.begin(), pending_.end(), [number](const PendingRequest& request) {
         return request.number != 0 && request.number == number;
@@ -196,7 +196,7 @@
   return std::exchange(*found, PendingRequest{});
 }
 
-void Lease::noteRecord(const LeaseResponse& response) {
+void Lease::updateRecord(const LeaseResponse& response) {
   if (response.record)
     lastRecord_ = response.record;
   else if (response.result == LeaseResult::kReleased || response.result == LeaseResult::kLost)
@@ -219,7 +219,7 @@
   }
   if (response.result != LeaseResult::kGranted)
     return backOff(nowMs, config_.requestTimeoutMs, "the store cannot be used");
-  // A store that has forgotten fences would let two routers act under one number.
+  // A store that lost fences could grant the same fence to two routers.
   if (response.fence <= highestFenceSeen_)
     return backOff(nowMs, config_.ttlMs, "the fence would go down");
   onGranted(request, response, nowMs);
@@ -255,8 +255,8 @@
   ++counts_.renewed;
   validUntilMs_ = std::max(validUntilMs_, validUntilAfter(request, nowMs));
   if (nowMs >= validUntilMs_)
-    return;  // tick() expires it
-  // After a late response little validity is left: the next renewal goes out at once.
+    return;  // the next tick() marks the lease as expired
+  // After a late response the renewal time may have passed already: tick() renews at once.
   nextRequestMs_ = renewalTimeAfter(request);
   if (state_ == S::kDoubtful && nowMs < nextRequestMs_)
     enter(S::kHolding, nowMs, "renewed");
@@ -266,9 +266,9 @@
   if (state_ != S::kReleasing)
     return;
   ++counts_.released;
-  // Fairness: the previous holder stays behind those who wait.
-  const double pauseMs = steppingDown_ ? config_.ttlMs * kStepDownPauseFactor : config_.ttlMs;
-  backOff(nowMs, pauseMs, reason_);
+  // Gives the waiting candidates priority over the previous holder.
+  const double delayMs = steppingDown_ ? config_.ttlMs * kStepDownDelayFactor : config_.ttlMs;
+  backOff(nowMs, delayMs, reason_);
   steppingDown_ = false;
 }
 
@@ -311,7 +311,7 @@
 
 void Lease::resign(double nowMs) {
   resigned_ = true;
-  // What an acquire under way still obtains is left to expire.
+  // A lease that the pending acquire still obtains is not released; it expires at the store.
   if (state_ == S::kAcquiring)
     backOff(nowMs, 0, "resigned");
 }
--- a/src/coordination/lease.h
+++ b/src/coordination/lease.h
@@ -1,8 +1,9 @@
-/// A lease on a task that one router does for the whole fleet, as one candidate sees it.
+/// A candidate's side of the lease on a task that one router performs for the whole fleet.
 ///
-/// A state machine without I/O: it is told the time and the store's responses, and returns the next
-/// request. Time alone proves nothing: whoever acts carries a fence, and the store refuses an
-/// effect whose fence is not the newest.
+/// A state machine without I/O: its inputs are the time and the store's responses, its output is
+/// the next request. An unexpired lease alone does not make a write safe, since a holder may be
+/// suspended or its messages delayed: each write carries a fence, and the store refuses a write
+/// whose fence is not the newest.
 #pragma once
 
 #include <algorithm>
@@ -18,8 +19,8 @@
 
 namespace inference_router::coordination {
 
-/// Proof that its bearer held the lease when it was checked. Only a Lease creates one, so an effect
-/// on the fleet cannot be committed without holding the lease.
+/// A fencing token: proof that the lease was held when it was checked. Only a Lease creates one, so
+/// a step cannot be committed by code that has not acquired the lease.
 class Fence {
  public:
   const std::string& task() const { return task_; }
@@ -35,16 +36,17 @@
   std::uint64_t number_;
 };
 
-/// Safety measures that tests switch off one by one, to see that they find what each prevents.
+/// Safety measures. Tests disable them one at a time, to verify that they detect the failure that
+/// each one prevents.
 struct LeaseGuards {
   /// Shortens the validity by the drift of both clocks.
   bool driftMargin = true;
-  /// Counts the validity from before the request was sent, not from its response.
+  /// Counts the validity from when the request was sent, not from when its response arrived.
   bool validFromRequest = true;
 };
 
-/// All that decides how a Lease goes on, with times relative to now: two leases with equal
-/// fingerprints behave alike. For tests that search through states.
+/// All state that determines the future behaviour of a Lease, with times relative to now: two
+/// leases with equal fingerprints behave alike. For tests that explore the state space.
 struct LeaseFingerprint {
   struct PendingRequest {
     std::uint64_t number = 0;
@@ -64,16 +66,16 @@
   std::array<PendingRequest, 2> pending;
 };
 
-/// Not thread-safe. All times are the process's monotonic clock in milliseconds.
+/// Not thread-safe. All times are milliseconds of the process's monotonic clock.
 class Lease {
  public:
   struct Counts {
     std::uint64_t acquired = 0;
     std::uint64_t renewed = 0;
     std::uint64_t lost = 0;
-    std::uint64_t steppedDown = 0;  ///< Released for lack of progress.
+    std::uint64_t steppedDown = 0;  ///< Releases for lack of progress.
     std::uint64_t released = 0;
-    std::uint64_t rolledBack = 0;  ///< Responses with a fence below one that was seen before.
+    std::uint64_t rolledBack = 0;  ///< Responses with a fence below the highest one seen.
     double doubtfulMs = 0;
   };
 
@@ -83,24 +85,24 @@
         double nowMs,
         LeaseGuards guards = {});
 
-  /// To be called at least whenever nextMs() has come; returns the request to send, if any.
+  /// Returns the request to send, if any. Must be called no later than at nextMs().
   std::optional<LeaseRequest> tick(double nowMs);
-  /// A response of the store; late ones and repeats are recognized.
+  /// Handles a response of the store. Late and duplicate responses are recognized.
   void onResponse(const LeaseResponse& response, double nowMs);
-  /// When tick() has something to do; HUGE_VAL if only an event can change that.
+  /// The time at which tick() has work to do; HUGE_VAL if none is scheduled.
   double nextMs() const;
 
-  /// Permission for a step of up to maxStepMs that begins now; nothing if it may not begin. A
-  /// release waits for the endStep() of a step under way.
+  /// Returns the fence for a step of up to maxStepMs that begins now; nothing if no step may begin.
+  /// A release is delayed until endStep() is called.
   std::optional<Fence> beginStep(double nowMs);
   void endStep(bool progress, double nowMs);
-  /// The task has nothing to do, which counts as progress.
+  /// Reports that the task has nothing to do, which counts as progress.
   void markIdle(double nowMs) { progressAtMs_ = nowMs; }
-  /// The store refused the step's effect for its fence: another router holds the lease, or the
-  /// store was restored from an older state.
+  /// Reports that the store refused the step's writes because of its fence: another router holds
+  /// the lease, or the store was restored from an older state.
   void onFenceRefused(double nowMs);
 
-  /// Releases the lease in order, and does not compete for it until rejoin().
+  /// Releases the lease after the step in progress, and does not compete for it until rejoin().
   void resign(double nowMs);
   void rejoin(double nowMs);
   void setCandidateCount(std::size_t count) {
@@ -110,14 +112,14 @@
   LeaseState state() const { return state_; }
   bool withinValidity(double nowMs) const { return holds() && nowMs < validUntilMs_; }
   bool resigned() const { return resigned_; }
-  /// Nothing is held, and no release is under way.
+  /// The lease is not held, and no release is in progress.
   bool fullyReleased() const { return !holds() && state_ != LeaseState::kReleasing; }
   std::uint64_t fence() const { return fence_; }
   std::uint64_t highestFenceSeen() const { return highestFenceSeen_; }
   double stateSinceMs() const { return stateSinceMs_; }
   double validUntilMs() const { return validUntilMs_; }
   double nextRenewalMs() const { return nextRequestMs_; }
-  /// Why the present state was entered, for logs and reports.
+  /// Why the current state was entered, for logs and reports.
   const std::string& reason() const { return reason_; }
   /// The lease's record as last reported by the store.
   const std::optional<LeaseRecord>& lastRecord() const { return lastRecord_; }
@@ -136,10 +138,10 @@
   bool holds() const { return state_ == LeaseState::kHolding || state_ == LeaseState::kDoubtful; }
   bool mustRelease() const { return (resigned_ || steppingDown_) && !stepping_; }
   void enter(LeaseState state, double nowMs, std::string reason);
-  void backOff(double nowMs, double pauseMs, std::string reason);
+  void backOff(double nowMs, double delayMs, std::string reason);
   LeaseRequest makeRequest(LeaseOperation operation, double nowMs);
-  std::optional<PendingRequest> takePending(std::uint64_t number);
-  void noteRecord(const LeaseResponse& response);
+  std::optional<PendingRequest> removePending(std::uint64_t number);
+  void updateRecord(const LeaseResponse& response);
   void onAcquireResponse(const PendingRequest& request,
                          const LeaseResponse& response,
                          double nowMs);
@@ -163,7 +165,8 @@
   std::uint64_t fence_ = 0;
   std::uint64_t highestFenceSeen_ = 0;
   std::uint64_t progress_ = 0;  // completed steps
-  // Candidate: to acquire. Holding: to renew. Backing off: to be a candidate.
+  // Candidate: time of the next acquire. Holding: of the next renewal. Backing off: end of the
+  // delay.
   double nextRequestMs_ = 0;
   double validUntilMs_ = 0;
   double progressAtMs_ = 0;
@@ -172,7 +175,7 @@
   bool resigned_ = false;
   bool stepping_ = false;
   bool steppingDown_ = false;
-  // The latest first. A late response still says what was true when it was requested.
+  // The latest first. A late response to the older one still proves what was granted then.
   std::array<PendingRequest, 2> pending_{};
   std::optional<LeaseRecord> lastRecord_;
   std::string reason_ = "started";
--- a/src/coordination/lease_config.cpp
+++ b/src/coordination/lease_config.cpp
@@ -9,17 +9,17 @@
 constexpr double kMaxDrift = 0.2;
 constexpr std::size_t kMaxTaskNameBytes = 128;
 
-/// What is left of the lease for a step if the first renewal goes out as late as it may and is
-/// lost.
+/// The validity that remains for a step if the first renewal is sent as late as possible and its
+/// response is lost.
 double remainingAfterLostRenewalMs(const LeaseConfig& config) {
   const double latestRenewalShare = kRenewalShare * (1 + config.renewJitter);
   return validityMs(config) * (1 - latestRenewalShare) - config.requestTimeoutMs;
 }
 
 LeaseConfigError tooShort(const LeaseConfig& config) {
-  return {"the lease is too short: what is left of it at its renewal, less the drift and " +
+  return {"the lease is too short: what remains of it at its renewal, less the drift and " +
           std::to_string(std::lround(config.requestTimeoutMs)) +
-          " ms for an answer, is under the longest step of " +
+          " ms for a response, is less than the longest step of " +
           std::to_string(std::lround(config.maxStepMs)) + " ms"};
 }
 
@@ -27,14 +27,16 @@
 
 std::optional<LeaseConfigError> validate(const LeaseConfig& config) {
   if (config.task.empty() || config.task.size() > kMaxTaskNameBytes)
-    return LeaseConfigError{"a task has a name of 1 to 128 bytes"};
+    return LeaseConfigError{"the task's name must have 1 to 128 bytes"};
   if (!(config.drift >= 0 && config.drift <= kMaxDrift))
-    return LeaseConfigError{"drift is a share from 0 to 0.2"};
+    return LeaseConfigError{"drift must be a share from 0 to 0.2"};
   if (!(config.ttlMs > 0 && std::isfinite(config.ttlMs)))
-    return LeaseConfigError{"the lease is no time above 0"};
+    return LeaseConfigError{"the lease duration must be above 0"};
   if (!(config.requestTimeoutMs > 0 && config.maxStepMs > 0 && config.progressTimeoutMs > 0 &&
         config.spreadMs >= 0))
-    return LeaseConfigError{"times are above 0"};
+    return LeaseConfigError{
+        "the request timeout, the longest step and the progress timeout must be above 0, the "
+        "spread must not be negative"};
   if (remainingAfterLostRenewalMs(config) < config.maxStepMs)
     return tooShort(config);
   return std::nullopt;
--- a/src/coordination/lease_encoding.cpp
+++ b/src/coordination/lease_encoding.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-constexpr const char* kRecordForm = "dahliastall-lease-1";
-constexpr const char* kCellForm = "dahliastall-lease-cell-1";
+constexpr const char* kRecordFormat = "dahliastall-lease-1";
+constexpr const char* kCellFormat = "dahliastall-lease-cell-1";
 
 std::string dump(const json& value) {
   return value.dump(-1, ' ', true, json::error_handler_t::replace);
@@ -26,14 +26,14 @@
 }
 
 json toJson(const LeaseRecord& record) {
-  return {{"form", kRecordForm},         {"holder", toJson(record.holder)},
+  return {{"form", kRecordFormat},       {"holder", toJson(record.holder)},
           {"fence", record.fence},       {"number", record.number},
           {"progress", record.progress}, {"since_ms", record.acquiredUnixMs}};
 }
 
 LeaseRecord recordFrom(const json& value) {
-  if (value.at("form") != kRecordForm)
-    throw std::invalid_argument("another form");
+  if (value.at("form") != kRecordFormat)
+    throw std::invalid_argument("unknown format");
   LeaseRecord record;
   record.holder = holderFrom(value.at("holder"));
   record.fence = value.at("fence").get<std::uint64_t>();
@@ -41,13 +41,13 @@
   record.progress = value.at("progress").get<std::uint64_t>();
   record.acquiredUnixMs = value.at("since_ms").get<double>();
   if (record.fence == 0 || !std::isfinite(record.acquiredUnixMs))
-    throw std::invalid_argument("no lease");
+    throw std::invalid_argument("invalid fence or time");
   return record;
 }
 
 LeaseCell cellFrom(const json& value) {
-  if (value.at("form") != kCellForm)
-    throw std::invalid_argument("another form");
+  if (value.at("form") != kCellFormat)
+    throw std::invalid_argument("unknown format");
   LeaseCell cell;
   cell.fence = value.at("fence").get<std::uint64_t>();
   cell.last = holderFrom(value.at("last"));
@@ -56,7 +56,7 @@
   if (value.contains("record"))
     cell.record = recordFrom(value.at("record"));
   if (cell.record && cell.record->fence > cell.fence)
-    throw std::invalid_argument("a fence above the newest");
+    throw std::invalid_argument("record with a fence above the newest");
   return cell;
 }
 
@@ -82,7 +82,7 @@
 }
 
 std::string serialize(const LeaseCell& cell) {
-  json value{{"form", kCellForm},
+  json value{{"form", kCellFormat},
              {"fence", cell.fence},
              {"last", toJson(cell.last)},
              {"last_number", cell.lastNumber},
--- a/src/coordination/lease_encoding.h
+++ b/src/coordination/lease_encoding.h
@@ -1,4 +1,4 @@
-/// The JSON in which leases are stored. Parsing returns nothing if the text is not of this form.
+/// The JSON encoding of stored leases. Parsing returns nothing if the text is not valid.
 #pragma once
 
 #include <optional>
--- a/src/coordination/lease_messages.h
+++ b/src/coordination/lease_messages.h
@@ -7,7 +7,7 @@
 
 namespace inference_router::coordination {
 
-/// One process of the fleet: the router's name and a number that is new with each start.
+/// One process of the fleet: the router's name and a number that is new at each start.
 struct Holder {
   std::string name;
   std::uint64_t incarnation = 0;
@@ -20,43 +20,45 @@
   LeaseOperation operation = LeaseOperation::kAcquire;
   std::string task;
   Holder holder;
-  /// Of all requests of this process. A store ignores an acquire that is older than a granted one.
+  /// Sequence number among all lease requests of this process. A store ignores an acquire that is
+  /// older than a granted one.
   std::uint64_t number = 0;
-  /// Acquire: the highest fence seen, what is granted lies above. Renew and release: the own fence.
+  /// Acquire: the highest fence seen so far; a granted fence is higher. Renew and release: the
+  /// fence under which the lease is held.
   std::uint64_t fence = 0;
-  /// Measured by the store's clock from the moment in which it carries out the request.
+  /// Measured by the store's clock from the moment at which it executes the request.
   double ttlMs = 0;
-  /// Steps that the holder has completed, for whoever inspects the store.
+  /// Number of steps that the holder has completed; informational only.
   std::uint64_t progress = 0;
 };
 
-/// A lease as the store keeps it.
+/// A lease as recorded in the store.
 struct LeaseRecord {
   Holder holder;
   std::uint64_t fence = 0;
   std::uint64_t number = 0;
   std::uint64_t progress = 0;
-  /// Unix time of the grant in milliseconds by the holder's clock; informational only.
+  /// Unix time of the grant in milliseconds, by the holder's clock; informational only.
   double acquiredUnixMs = 0;
   bool operator==(const LeaseRecord&) const = default;
 };
 
 enum class LeaseResult {
   kGranted,      ///< Acquired or renewed.
-  kHeld,         ///< Another holds it; remainingMs bounds for how long if it is not renewed.
-  kLost,         ///< Renew, release: this holder does not hold it under this fence.
-  kReleased,     ///< It was held and is free now.
-  kUnavailable,  ///< No usable answer of the store: whether the request took effect is unknown.
+  kHeld,         ///< Held by another; remainingMs is an upper bound unless it is renewed.
+  kLost,         ///< Renew, release: not held by this holder under this fence.
+  kReleased,     ///< The lease was held by this holder and is free now.
+  kUnavailable,  ///< No usable response; whether the request took effect is unknown.
 };
 
 struct LeaseResponse {
-  /// Of the request that this answers.
+  /// The number of the request that this responds to.
   std::uint64_t number = 0;
   LeaseResult result = LeaseResult::kUnavailable;
-  /// Granted: the new fence. Held or lost: the fence in force, 0 if there is none.
+  /// Granted: the new fence. Held or lost: the current fence, or 0 if nobody holds the lease.
   std::uint64_t fence = 0;
   double remainingMs = 0;
-  /// The lease as the store found it, if there is one.
+  /// The lease's current record, if there is one.
   std::optional<LeaseRecord> record;
 };
 
--- a/src/coordination/lease_report.h
+++ b/src/coordination/lease_report.h
@@ -1,4 +1,4 @@
-/// The report on a router's leases that operators read.
+/// The operators' report on the leases of one router.
 #pragma once
 
 #include <cstdint>
@@ -9,16 +9,16 @@
 
 namespace inference_router::coordination {
 
-/// Of one task's lease, as this router knows it.
+/// The state of one task's lease as known to this router.
 struct LeaseStatus {
   std::string task;
   LeaseState state = LeaseState::kCandidate;
   std::string reason;
   std::string holder = "-";
   std::uint64_t fence = 0;
-  double heldSeconds = 0;   ///< Since its holder acquired it.
-  double stateSeconds = 0;  ///< Since the present state was entered.
-  double renewalInMs = 0;   ///< 0 if another router holds it.
+  double heldSeconds = 0;   ///< Time since its holder acquired it.
+  double stateSeconds = 0;  ///< Time since the current state was entered.
+  double renewalInMs = 0;   ///< Time to the next renewal; 0 if this router does not hold it.
   std::uint64_t steps = 0;
   std::uint64_t refusedByFence = 0;
   Lease::Counts counts;
@@ -32,7 +32,7 @@
   std::vector<LeaseStatus> leases;
 };
 
-/// A line for the store and one for each lease.
+/// One line for the store and one for each lease.
 std::string toText(const LeaseReport& report);
 /// One line of JSON.
 std::string toJsonText(const LeaseReport& report);
--- a/src/coordination/lease_rules.cpp
+++ b/src/coordination/lease_rules.cpp
@@ -27,11 +27,12 @@
   const bool live = cell.record && storeNowMs < cell.untilMs;
   if (live && cell.record->holder != request.holder)
     return respond(cell, request, LeaseResult::kHeld, storeNowMs);
-  // A repeat of a request that was carried out, or one that a later request overtook, must neither
-  // take a lease that its process no longer wants nor raise the fence under a holder that acts.
+  // A duplicate of an executed request, or a request overtaken by a later one, must neither acquire
+  // a lease that its process no longer wants nor raise the fence while the holder acts under it.
   if (cell.last == request.holder && request.number <= cell.lastNumber) {
-    const bool repeat = request.number == cell.lastNumber && live;
-    return respond(cell, request, repeat ? LeaseResult::kGranted : LeaseResult::kLost, storeNowMs);
+    const bool duplicate = request.number == cell.lastNumber && live;
+    return respond(cell, request, duplicate ? LeaseResult::kGranted : LeaseResult::kLost,
+                   storeNowMs);
   }
   cell.fence = std::max(cell.fence, request.fence) + 1;
   cell.last = request.holder;
@@ -57,8 +58,8 @@
     cell.record.reset();
     return respond(cell, request, LeaseResult::kReleased, storeNowMs);
   }
-  // Expired is lost, also while nobody else has acquired it: its holder has stopped by its own
-  // clock long ago.
+  // An expired lease is lost even if nobody else has acquired it: by its own clock the holder has
+  // stopped acting already.
   if (storeNowMs >= cell.untilMs)
     return respond(cell, request, LeaseResult::kLost, storeNowMs);
   cell.untilMs = storeNowMs + request.ttlMs;
--- a/src/coordination/lease_rules.h
+++ b/src/coordination/lease_rules.h
@@ -1,7 +1,7 @@
-/// How a store decides on the requests of candidates, as one transition of a lease's state. For
-/// stores that decide by themselves, within one transaction each; the etcd store follows the same
-/// rules by means of etcd's own leases. No I/O; times are those of the store's clock, in
-/// milliseconds.
+/// The rules by which a store grants leases, as a state transition for each request. Used by stores
+/// that decide in the router process, within one transaction for each request; the etcd store
+/// implements the same rules with etcd's own leases. Performs no I/O. Times are milliseconds of the
+/// store's clock.
 #pragma once
 
 #include <optional>
@@ -10,23 +10,23 @@
 
 namespace inference_router::coordination {
 
-/// All that is kept of one task. The fence outlives the lease: it only ever goes up.
+/// The stored state of one task's lease. The fence outlives the lease and only ever increases.
 struct LeaseCell {
-  std::uint64_t fence = 0;            ///< The newest that was ever granted,
-  Holder last;                        ///< to whom,
-  std::uint64_t lastNumber = 0;       ///< and for which of its requests.
-  std::optional<LeaseRecord> record;  ///< None: the lease is free.
+  std::uint64_t fence = 0;            ///< The newest fence ever granted.
+  Holder last;                        ///< The holder to which it was granted.
+  std::uint64_t lastNumber = 0;       ///< The number of the request that it was granted for.
+  std::optional<LeaseRecord> record;  ///< Absent if the lease is free.
   double untilMs = 0;                 ///< When the record expires.
   bool operator==(const LeaseCell&) const = default;
 };
 
-/// Carries out the request on the cell, as far as the rules allow it.
+/// Executes the request on the cell if the rules allow it, and returns the response.
 LeaseResponse decide(LeaseCell& cell,
                      const LeaseRequest& request,
                      double storeNowMs,
                      double unixMs);
 
-/// Whether an effect under this fence may be carried out: it is the newest and not released.
+/// Whether a write under this fence is allowed: the fence is the newest and not released.
 bool accepts(const LeaseCell& cell, const Holder& holder, std::uint64_t fence);
 
 }  // namespace inference_router::coordination
--- a/src/coordination/lease_state.h
+++ b/src/coordination/lease_state.h
@@ -1,20 +1,20 @@
-/// The states of a lease as one candidate sees it.
+/// The states of a lease on the candidate's side.
 #pragma once
 
 namespace inference_router::coordination {
 
 enum class LeaseState {
-  kCandidate,   ///< Waits until it may send an acquire.
-  kAcquiring,   ///< An acquire is under way.
-  kHolding,     ///< Holds the lease; the last renewal was answered.
-  kDoubtful,    ///< Holds the lease; a renewal was not answered.
-  kExpired,     ///< Held it until now, by its own clock or by the store's answer.
-  kReleasing,   ///< A release is under way; it does not act any more.
-  kBackingOff,  ///< Pauses before it is a candidate again.
+  kCandidate,   ///< Waiting to send an acquire.
+  kAcquiring,   ///< An acquire awaits its response.
+  kHolding,     ///< Lease held; the last request was granted.
+  kDoubtful,    ///< Lease held; a renewal failed or timed out.
+  kExpired,     ///< Lease just lost, by the own clock or by the store's response.
+  kReleasing,   ///< A release awaits its response; no more steps begin.
+  kBackingOff,  ///< Waiting before becoming a candidate again.
 };
-/// The state's name in logs and reports.
+/// Returns the state's name in logs and reports.
 const char* nameOf(LeaseState state);
-/// Whether the state machine may go directly from the one state to the other.
+/// Whether the state machine may change directly between these states.
 bool canTransition(LeaseState from, LeaseState to);
 
 }  // namespace inference_router::coordination
--- a/src/coordination/machine_clock.h
+++ b/src/coordination/machine_clock.h
@@ -1,4 +1,4 @@
-/// The clock that all processes of one machine share.
+/// Clocks that all processes on one machine share.
 #pragma once
 
 #include <functional>
@@ -7,10 +7,10 @@
 namespace inference_router::coordination {
 
 struct MachineClock {
-  /// Never set, and goes on while the machine sleeps; starts anew with each boot.
+  /// Never adjusted, includes time that the machine was suspended, and restarts at each boot.
   std::function<double()> monotonicMs;
   std::function<double()> unixMs;
-  /// Identifies the machine's present boot.
+  /// Identifies the machine's current boot.
   std::string bootId;
 };
 
--- a/src/coordination/maintenance.cpp
+++ b/src/coordination/maintenance.cpp
@@ -13,16 +13,19 @@
 
 constexpr const char* kItemAgePrefix = "box ";
 
-bool underWay(ItemState state) {
+bool inProgress(ItemState state) {
   return state == ItemState::kDraining || state == ItemState::kOut || state == ItemState::kWarming;
 }
 
-/// Returns the description of the change.
-std::string changeState(Plan& plan, PlanItem& item, ItemState state, const std::string& why = "") {
+/// Returns a description of the change.
+std::string changeState(Plan& plan,
+                        PlanItem& item,
+                        ItemState state,
+                        const std::string& reason = "") {
   item.state = state;
-  item.reason = why;
+  item.reason = reason;
   item.changedAtStep = plan.steps + 1;
-  return "box " + item.instance + " is " + nameOf(state) + (why.empty() ? "" : ": " + why);
+  return "box " + item.instance + " is " + nameOf(state) + (reason.empty() ? "" : ": " + reason);
 }
 
 struct RoleAndCell {
@@ -31,19 +34,19 @@
   auto operator<=>(const RoleAndCell&) const = default;
 };
 
-/// Where instances are out of service by the plan at this time.
+/// The roles and cells in which the plan has an instance out of service or warming up.
 std::set<RoleAndCell> busyCells(const Plan& plan, const FleetInstances& instances) {
   std::set<RoleAndCell> busy;
   for (const PlanItem& item : plan.items) {
     const auto instance = instances.find(item.instance);
-    if (instance != instances.end() && underWay(item.state))
+    if (instance != instances.end() && inProgress(item.state))
       busy.insert({instance->second.role, instance->second.cell});
   }
   return busy;
 }
 
-/// How many instances would still serve the role without this one. One that the plan has just
-/// returned is not counted until it has warmed up, as long as there are others.
+/// The number of instances that would still serve the role without this one. An instance that the
+/// plan has returned to service is not counted while it warms up, as long as there are others.
 std::size_t remainingOfRole(const Plan& plan,
                             const FleetInstances& instances,
                             const std::string& instanceId,
@@ -63,22 +66,23 @@
   return remaining;
 }
 
-/// Whether the rules for drains allow that this instance is drained now.
+/// Whether the rules for drains allow draining this instance now.
 bool mayDrain(const std::string& instance,
               std::size_t remaining,
               const std::string& role,
               double nowMs) {
   fleet::Drains drains;
-  // The request has a fixed name: the plan's id and the instance's together may be longer than a
-  // command's name may be.
-  const auto answer = drains.handle({"step", "plan", instance, true, 0, {}, false},
+  // The command has a fixed name, since the ids of the plan and the instance together may exceed
+  // the longest permitted name.
+  const auto result = drains.handle({"step", "plan", instance, true, 0, {}, false},
                                     {true, remaining, role, 0}, nowMs);
-  return answer.code == fleet::DrainCode::kDone;
+  return result.code == fleet::DrainCode::kDone;
 }
 
-/// Begins with the first item in the plan's order that may be drained. An item waits while another
-/// of its role and cell is out; it holds up only those of the same role and cell.
-std::string beginNext(Plan& plan, const FleetInstances& instances, double nowMs) {
+/// Starts draining the first instance in the plan's order that may be drained, and returns a
+/// description of the change; empty if there is none. An item waits while another one of its role
+/// and cell is in progress, and delays only items of the same role and cell.
+std::string drainNext(Plan& plan, const FleetInstances& instances, double nowMs) {
   std::set<RoleAndCell> busy = busyCells(plan, instances);
   for (PlanItem& item : plan.items) {
     if (item.state != ItemState::kWaiting)
@@ -113,7 +117,7 @@
   return Step{"plan " + plan.id + ": " + change, {{kPlanKey, stored->revision, plan.serialize()}}};
 }
 
-/// Between plans the ages of their items are forgotten, and those of presences go on.
+/// While no plan is in progress, only presences are observed; observations of items are removed.
 void Maintenance::trackPresencesOnly(const View& view, double nowMs) {
   ages_.forgetIf([](const std::string& name) { return name.rfind(kItemAgePrefix, 0) == 0; });
   for (const auto& [key, document] : view.documents) {
@@ -122,10 +126,10 @@
   }
 }
 
-/// Changes the plan by one step; returns its description, empty if there is none to take.
+/// Changes the plan by one step and returns its description; empty if no step is possible.
 std::string Maintenance::advance(Plan& plan, const View& view, double nowMs) {
   for (PlanItem& item : plan.items) {
-    if (!underWay(item.state))
+    if (!inProgress(item.state))
       continue;
     std::string change = advanceItem(plan, item, view, nowMs);
     if (!change.empty())
@@ -133,12 +137,12 @@
   }
   if (plan.state != PlanState::kRunning)
     return "";
-  std::string change = beginNext(plan, instances_(), nowMs);
+  std::string change = drainNext(plan, instances_(), nowMs);
   if (!change.empty())
     return change;
   const bool unfinished =
       std::any_of(plan.items.begin(), plan.items.end(), [](const PlanItem& item) {
-        return item.state == ItemState::kWaiting || underWay(item.state);
+        return item.state == ItemState::kWaiting || inProgress(item.state);
       });
   if (unfinished)
     return "";
@@ -172,7 +176,7 @@
   }
 }
 
-/// Whether every router that is alive follows the drain and has nothing open at the instance.
+/// Whether every live router applies the drain and has no open attempts at the instance.
 bool Maintenance::drainedEverywhere(const Plan& plan,
                                     const PlanItem& item,
                                     const View& view,
--- a/src/coordination/maintenance.h
+++ b/src/coordination/maintenance.h
@@ -1,6 +1,6 @@
-/// The task that takes a plan's instances out of service in turn: at most one of a role and cell at
-/// a time, and never the last of a role. It decides one step at a time from the plan, the routers'
-/// presences and the fleet as this router sees it. No I/O.
+/// The task that takes the instances of a maintenance plan out of service in turn: at most one for
+/// each role and cell at a time, and never the last one of a role. Decides one step at a time,
+/// based on the plan, the routers' presences and this router's list of instances. Performs no I/O.
 #pragma once
 
 #include <cstddef>
@@ -16,15 +16,15 @@
 
 struct MaintenanceConfig {
   TaskConfig task{"maintenance", 500, 1'000};
-  /// That an instance takes to warm up.
+  /// Time that an instance takes to warm up.
   double warmupMs = 13'000;
-  /// A router whose presence has not changed for so long is not waited for.
+  /// A router whose presence has not changed for this long no longer delays a drain.
   double silentNodeMs = 30'000;
 };
 
 class Maintenance final : public FleetTask {
  public:
-  /// instances: the fleet as this router sees it, without the drains of the plan itself.
+  /// instances: this router's list of instances, not counting the plan's own drains.
   Maintenance(MaintenanceConfig config, std::function<FleetInstances()> instances)
       : config_(std::move(config)), instances_(std::move(instances)) {}
 
@@ -39,8 +39,8 @@
 
   MaintenanceConfig config_;
   std::function<FleetInstances()> instances_;
-  // A new holder measures from when it first looked: after a change of holders an instance is out
-  // or warming for longer, never for shorter.
+  // A new lease holder measures from its own first observation: after a change of holders an
+  // instance stays out or warming longer, never shorter.
   UnchangedTracker ages_;
 };
 
--- a/src/coordination/plan.cpp
+++ b/src/coordination/plan.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr const char* kForm = "dahliastall-plan-1";
+constexpr const char* kFormat = "dahliastall-plan-1";
 constexpr std::array<const char*, 4> kPlanNames{"running", "paused", "cancelled", "done"};
 constexpr std::array<const char*, 6> kItemNames{"waiting", "draining", "out",
                                                 "warming", "done",     "skipped"};
@@ -21,7 +21,7 @@
 State stateFrom(const std::array<const char*, size>& names, const std::string& name) {
   const auto it = std::find(names.begin(), names.end(), name);
   if (it == names.end())
-    throw std::invalid_argument("no state " + name);
+    throw std::invalid_argument("unknown state " + name);
   return static_cast<State>(it - names.begin());
 }
 
@@ -44,8 +44,8 @@
 }
 
 Plan planFrom(const json& value) {
-  if (value.at("form") != kForm)
-    throw std::invalid_argument("another form");
+  if (value.at("form") != kFormat)
+    throw std::invalid_argument("unknown format");
   Plan plan;
   plan.id = value.at("id").get<std::string>();
   plan.startedBy = value.at("by").get<std::string>();
@@ -104,7 +104,7 @@
   json itemList = json::array();
   for (const PlanItem& item : items)
     itemList.push_back(toJson(item));
-  return json{{"form", kForm},          {"id", id},          {"by", startedBy},
+  return json{{"form", kFormat},        {"id", id},          {"by", startedBy},
               {"state", nameOf(state)}, {"hold_ms", holdMs}, {"confirm", confirm},
               {"steps", steps},         {"fence", fence},    {"started_ms", startedMs},
               {"items", itemList}}
--- a/src/coordination/plan_commands.cpp
+++ b/src/coordination/plan_commands.cpp
@@ -12,21 +12,21 @@
   return {std::move(error), std::nullopt, ""};
 }
 
-/// Why no plan can be started by this command; empty if one can.
+/// Returns why this command cannot start a plan; empty if it can.
 std::string startError(const PlanCommand& command, const std::optional<StoredPlan>& stored) {
   if (stored && !stored->plan.finished())
     return "plan " + stored->plan.id + " of " + stored->plan.startedBy + " is " +
            nameOf(stored->plan.state) + " (revision " + std::to_string(stored->revision) +
            "): cancel it first";
   if (command.instances.empty())
-    return "a plan names at least one box";
+    return "a plan needs at least one box";
   if (command.instances.size() > Plan::kMaxInstances)
     return "a plan has at most " + std::to_string(Plan::kMaxInstances) + " boxes";
   if (command.id.empty() || command.id.size() > Plan::kMaxNameBytes ||
       command.operatorName.size() > Plan::kMaxNameBytes)
-    return "a plan has an id of 1 to 128 bytes";
+    return "the plan's id must have 1 to 128 bytes, the operator's name at most 128";
   if (stored && stored->plan.id == command.id)
-    return "a plan " + command.id + " has been before: give another id";
+    return "plan " + command.id + " existed before: choose another id";
   return "";
 }
 
@@ -43,16 +43,16 @@
   plan.holdMs = command.holdMs;
   plan.confirm = command.confirm;
   plan.startedMs = unixMs;
-  std::set<std::string> named;
+  std::set<std::string> listed;
   for (const std::string& instance : command.instances) {
     if (instances.count(instance) == 0)
       return rejected("no box has the id " + instance);
-    if (!named.insert(instance).second)
-      return rejected("box " + instance + " stands twice");
+    if (!listed.insert(instance).second)
+      return rejected("box " + instance + " is listed twice");
     plan.items.push_back({instance, ItemState::kWaiting, 0, false, ""});
   }
   return {"", Write{kPlanKey, revision, plan.serialize()},
-          "plan " + plan.id + " begins with " + std::to_string(plan.items.size()) + " boxes"};
+          "plan " + plan.id + " started with " + std::to_string(plan.items.size()) + " boxes"};
 }
 
 PlanDecision setState(StoredPlan stored, PlanState state, const std::string& confirmation) {
@@ -72,7 +72,7 @@
     return rejected("the plan has no such box");
   if (item->state != ItemState::kOut)
     return rejected("box " + item->instance + " is " + nameOf(item->state) + ", not out");
-  const std::string confirmation = "box " + item->instance + " comes back";
+  const std::string confirmation = "box " + item->instance + " returns to service";
   if (item->returnConfirmed)
     return {"", std::nullopt, confirmation};
   item->returnConfirmed = true;
@@ -92,22 +92,23 @@
     return rejected("the plan has revision " + std::to_string(revision) + ", not " +
                     std::to_string(*command.expectedRevision));
   const auto stored = findPlan(view.documents);
-  // Damaged, or written by a later version of the program: never overwritten.
+  // A plan that is damaged or was written by a later version of the program is never overwritten.
   if (exists && !stored)
     return rejected("the stored plan (revision " + std::to_string(revision) +
                     ") cannot be read by this program");
   if (command.kind == PlanCommand::Kind::kStart)
     return start(command, stored, revision, instances, unixMs);
   if (!stored || stored->plan.finished())
-    return rejected("no plan is under way");
+    return rejected("no plan is in progress");
   const std::string plan = "plan " + stored->plan.id;
   switch (command.kind) {
     case PlanCommand::Kind::kPause:
-      return setState(*stored, PlanState::kPaused, plan + " begins no other box");
+      return setState(*stored, PlanState::kPaused, plan + " drains no further boxes");
     case PlanCommand::Kind::kResume:
-      return setState(*stored, PlanState::kRunning, plan + " goes on");
+      return setState(*stored, PlanState::kRunning, plan + " resumed");
     case PlanCommand::Kind::kCancel:
-      return setState(*stored, PlanState::kCancelled, plan + " is cancelled; its boxes come back");
+      return setState(*stored, PlanState::kCancelled,
+                      plan + " is cancelled; its boxes return to service");
     default:
       return confirmReturn(command, *stored);
   }
--- a/src/coordination/plan_commands.h
+++ b/src/coordination/plan_commands.h
@@ -1,4 +1,5 @@
-/// Operators' commands on the maintenance plan: whether each is allowed, and what it writes.
+/// Operators' commands on the maintenance plan: checks whether a command is allowed, and determines
+/// the resulting write.
 #pragma once
 
 #include <cstdint>
@@ -16,21 +17,21 @@
   enum class Kind { kStart, kPause, kResume, kCancel, kConfirmReturn };
   Kind kind = Kind::kStart;
   std::string operatorName;            ///< The operator's name.
-  std::string id;                      ///< Start: the plan's id.
-  std::vector<std::string> instances;  ///< Start, and back with one instance.
+  std::string id;                      ///< kStart: the plan's id.
+  std::vector<std::string> instances;  ///< kStart; kConfirmReturn with one instance.
   double holdMs = 0;
   bool confirm = false;
-  /// The plan's revision that the operator saw; none: the command applies to any.
+  /// The plan's revision that the operator saw; absent: the command applies to any revision.
   std::optional<std::uint64_t> expectedRevision;
 };
 
 struct PlanDecision {
-  std::string error;           ///< For the operator; empty if the command is allowed.
-  std::optional<Write> write;  ///< None: the plan is as commanded already.
-  std::string confirmation;    ///< For the operator, once it is written.
+  std::string error;           ///< Message for the operator; empty if the command is allowed.
+  std::optional<Write> write;  ///< Absent if the plan is in the requested state already.
+  std::string confirmation;    ///< Message for the operator after the write.
 };
 
-/// view: what is stored now. unixMs: the time that a new plan records as its start.
+/// view: the current content of the store. unixMs: recorded as the start of a new plan.
 PlanDecision decide(const PlanCommand& command,
                     const View& view,
                     const FleetInstances& instances,
--- a/src/coordination/presence.cpp
+++ b/src/coordination/presence.cpp
@@ -7,7 +7,7 @@
 using nlohmann::json;
 
 namespace {
-constexpr const char* kForm = "dahliastall-node-1";
+constexpr const char* kFormat = "dahliastall-node-1";
 }  // namespace
 
 bool isPresenceKey(const std::string& key) {
@@ -15,7 +15,7 @@
 }
 
 std::string Presence::serialize() const {
-  return json{{"form", kForm},    {"name", holder.name}, {"incarnation", holder.incarnation},
+  return json{{"form", kFormat},  {"name", holder.name}, {"incarnation", holder.incarnation},
               {"beat", sequence}, {"plan", plan},        {"steps", steps},
               {"open", open}}
       .dump(-1, ' ', true, json::error_handler_t::replace);
@@ -24,7 +24,7 @@
 std::optional<Presence> Presence::parse(std::string_view text) {
   try {
     const json value = json::parse(text);
-    if (value.at("form") != kForm)
+    if (value.at("form") != kFormat)
       return std::nullopt;
     Presence presence;
     presence.holder.name = value.at("name").get<std::string>();
@@ -61,7 +61,7 @@
     storedRevision_ = response.revision;
     hasWritten_ = true;
   } else {
-    revisionKnown_ = false;  // the next read tells whether it was written, or by whom
+    revisionKnown_ = false;  // the next read shows whether this or another write took effect
   }
 }
 
@@ -72,8 +72,9 @@
   const std::uint64_t revision = it == documents.end() ? 0 : it->second.revision;
   if (revisionKnown_ && revision == storedRevision_)
     return;
-  // What an earlier process of this name left is overwritten; a process that overwrites this one's
-  // presence is alive. A presence that the cleanup removed is written again.
+  // A document left by an earlier process of this name is overwritten. Once this process has
+  // written its presence, a document with another holder comes from a live process with the same
+  // name. A presence that the cleanup removed is written again.
   if (it != documents.end() && hasWritten_) {
     const auto other = Presence::parse(it->second.value);
     if (other && other->holder != holder_)
--- a/src/coordination/presence.h
+++ b/src/coordination/presence.h
@@ -1,6 +1,6 @@
-/// What a router publishes of itself in the store: that it is alive, which plan it follows, and
-/// what it still has open at drained instances. Read by the holder of the maintenance lease, and
-/// removed by the cleanup when its router is gone.
+/// The document that a router publishes about itself in the store: that it is alive, which
+/// maintenance plan it applies, and its open attempts at drained instances. Read by the holder of
+/// the maintenance lease, and removed by the cleanup once the router has stopped.
 #pragma once
 
 #include <cstdint>
@@ -20,34 +20,36 @@
 
 struct Presence {
   Holder holder;
-  /// Counts up: a document that does not change is that of a router that is not alive.
+  /// Incremented by each write, so that the document of a live router keeps changing.
   std::uint64_t sequence = 0;
-  /// The plan whose steps the router has carried out, and how many of them.
+  /// The plan that the router applies, and the number of its steps applied so far.
   std::string plan;
   std::uint64_t steps = 0;
-  /// Open attempts by instance, at those that the plan drains.
+  /// Number of open attempts at each instance that the plan drains; instances without any are
+  /// omitted.
   std::map<std::string, std::uint64_t> open;
   bool operator==(const Presence&) const = default;
 
   std::string serialize() const;
-  /// Nothing if the text is not a complete presence of a known form.
+  /// Returns nothing if the text is not a complete presence in the supported format.
   static std::optional<Presence> parse(std::string_view text);
 };
 
-/// Decides when this router's presence is written, and detects another process with its name. No
-/// I/O.
+/// Decides when this router's presence is written, and detects another process with the same name.
+/// Performs no I/O.
 class PresencePublisher {
  public:
   PresencePublisher(Holder holder, double periodMs)
       : holder_(std::move(holder)), periodMs_(periodMs) {}
 
-  /// The write to send if the period has passed or the presence has changed; nothing while a write
-  /// is under way. The presence's holder and sequence are filled in here.
+  /// Returns the write to send if the period has passed or the presence has changed; nothing while
+  /// a write is pending. Sets the presence's holder and sequence.
   std::optional<Write> nextWrite(const Presence& current, double nowMs);
   void onWritten(const CommitResponse& response, double nowMs);
   void onRead(const std::map<std::string, Document>& documents, double nowMs);
 
-  /// Another process with this router's name has written after this one: this one must not act.
+  /// Another process with this router's name has written after this one, which must not hold leases
+  /// any more.
   bool nameConflict() const { return nameConflict_; }
 
  private:
--- a/src/coordination/runner.cpp
+++ b/src/coordination/runner.cpp
@@ -10,24 +10,25 @@
 
 namespace {
 
-// Reads that may fail or be late before the view counts as outdated.
+// Number of poll intervals without a successful read after which the view counts as outdated.
 constexpr double kMaxMissedReads = 4;
 constexpr double kMinTickIntervalMs = 1;
 
-/// Candidates send requests all the time; only these states are worth a line in the log.
-bool worthLogging(LeaseState state) {
+/// Whether a change from or to this state is logged. The other states change with every request of
+/// a candidate and would flood the log.
+bool isLogged(LeaseState state) {
   return state != LeaseState::kCandidate && state != LeaseState::kAcquiring &&
          state != LeaseState::kBackingOff;
 }
 
 }  // namespace
 
-Runner::Runner(Parts parts,
+Runner::Runner(Dependencies dependencies,
                Holder holder,
                std::uint64_t seed,
                LeaseConfig config,
                double pollIntervalMs)
-    : parts_(parts),
+    : dependencies_(dependencies),
       holder_(std::move(holder)),
       seed_(seed),
       config_(std::move(config)),
@@ -40,7 +41,7 @@
   if (const auto error = validate(config))
     throw std::invalid_argument("task " + config.task + ": " + error->message);
   const std::uint64_t seed = seed_ + std::hash<std::string>()(config.task);
-  Lease lease(config, holder_, seed, parts_.clock.nowMs());
+  Lease lease(config, holder_, seed, dependencies_.clock.nowMs());
   tasks_.push_back(std::make_unique<ManagedTask>(std::move(task), std::move(lease)));
 }
 
@@ -55,13 +56,13 @@
 
 void Runner::resign() {
   for (const auto& managed : tasks_)
-    managed->lease.resign(parts_.clock.nowMs());
+    managed->lease.resign(dependencies_.clock.nowMs());
   scheduleNextTick();
 }
 
 void Runner::rejoin() {
   for (const auto& managed : tasks_)
-    managed->lease.rejoin(parts_.clock.nowMs());
+    managed->lease.rejoin(dependencies_.clock.nowMs());
   scheduleNextTick();
 }
 
@@ -72,7 +73,7 @@
 
 bool Runner::storeReadable() const {
   const double maxAgeMs = pollIntervalMs_ * kMaxMissedReads + config_.requestTimeoutMs;
-  return storeError_.empty() && parts_.clock.nowMs() - view_.readMs <= maxAgeMs;
+  return storeError_.empty() && dependencies_.clock.nowMs() - view_.readMs <= maxAgeMs;
 }
 
 bool Runner::holdsAny(double nowMs) const {
@@ -83,7 +84,7 @@
 // ---- Ticks
 
 void Runner::tick() {
-  if (parts_.clock.nowMs() >= nextReadMs_)
+  if (dependencies_.clock.nowMs() >= nextReadMs_)
     readStore();
   for (const auto& managed : tasks_) {
     requestLease(*managed);
@@ -94,7 +95,7 @@
 }
 
 void Runner::scheduleNextTick() {
-  const double now = parts_.clock.nowMs();
+  const double now = dependencies_.clock.nowMs();
   double next = reading_ ? HUGE_VAL : nextReadMs_;
   for (const auto& managed : tasks_) {
     next = std::min(next, managed->lease.nextMs());
@@ -104,30 +105,32 @@
   if (next == HUGE_VAL)
     next = now + pollIntervalMs_;
   nextTick_.cancel();
-  nextTick_ = parts_.timers.schedule(std::max(next, now + kMinTickIntervalMs), [this] { tick(); });
+  nextTick_ =
+      dependencies_.timers.schedule(std::max(next, now + kMinTickIntervalMs), [this] { tick(); });
 }
 
 void Runner::requestLease(ManagedTask& managed) {
-  const auto request = managed.lease.tick(parts_.clock.nowMs());
+  const auto request = managed.lease.tick(dependencies_.clock.nowMs());
   if (!request)
     return;
-  ++parts_.counters["leases.asked"];
-  parts_.store.requestLease(*request, guard_.wrap([this, &managed](const LeaseResponse& response) {
-    managed.lease.onResponse(response, parts_.clock.nowMs());
-    onLeaseChange(managed);
-    scheduleNextTick();
-  }));
+  ++dependencies_.counters["leases.asked"];
+  dependencies_.store.requestLease(
+      *request, guard_.wrap([this, &managed](const LeaseResponse& response) {
+        managed.lease.onResponse(response, dependencies_.clock.nowMs());
+        onLeaseChange(managed);
+        scheduleNextTick();
+      }));
 }
 
 // ---- Steps
 
 void Runner::beginStep(ManagedTask& managed) {
-  const double now = parts_.clock.nowMs();
-  // A step by an outdated view would be refused by the store, and cost a call.
+  const double now = dependencies_.clock.nowMs();
+  // The store would refuse a step based on an outdated view, which would waste a call.
   if (!managed.lease.withinValidity(now) || now < managed.nextStepMs || !storeReadable())
     return;
   if (!viewComplete_)
-    return readStore();  // no lease was held at the last read
+    return readStore();  // the last read, without a lease, was limited to the selected documents
   managed.nextStepMs = now + managed.task->config().periodMs;
   const auto step = managed.task->next(view_, managed.lease.fence(), now);
   if (!step)
@@ -135,14 +138,15 @@
   const auto fence = managed.lease.beginStep(now);
   if (!fence)
     return;
-  parts_.store.commit(*fence, step->writes,
-                      guard_.wrap([this, &managed, step = *step](const CommitResponse& response) {
-                        onCommitted(managed, step, response);
-                      }));
+  dependencies_.store.commit(
+      *fence, step->writes,
+      guard_.wrap([this, &managed, step = *step](const CommitResponse& response) {
+        onCommitted(managed, step, response);
+      }));
 }
 
 void Runner::onCommitted(ManagedTask& managed, const Step& step, const CommitResponse& response) {
-  const double now = parts_.clock.nowMs();
+  const double now = dependencies_.clock.nowMs();
   const bool done = response.status == CommitStatus::kDone;
   const bool routine = managed.task->config().quiet && done;
   spdlog::log(routine ? spdlog::level::debug : spdlog::level::info,
@@ -150,16 +154,17 @@
               managed.lease.fence(), nameOf(response.status), response.revision, step.description);
   if (response.status == CommitStatus::kStaleFence) {
     ++managed.refusedByFence;
-    ++parts_.counters["leases.refused_by_fence"];
+    ++dependencies_.counters["leases.refused_by_fence"];
     managed.lease.onFenceRefused(now);
   } else {
     managed.lease.endStep(done, now);
   }
   if (done) {
     ++managed.steps;
-    ++parts_.counters["tasks.steps"];
+    ++dependencies_.counters["tasks.steps"];
   }
-  // Until what was written is read, the next step would rest on what was there before.
+  // Delays the next step until the written documents have been read; before that it would be based
+  // on the old ones.
   managed.nextStepMs = now + managed.task->config().periodMs;
   onLeaseChange(managed);
   refresh();
@@ -177,22 +182,22 @@
     return;
   }
   reading_ = true;
-  const double now = parts_.clock.nowMs();
+  const double now = dependencies_.clock.nowMs();
   nextReadMs_ = now + pollIntervalMs_;
   const bool complete = !keys_ || holdsAny(now);
   auto callback = guard_.wrap(
       [this, now, complete](const ReadResponse& response) { onRead(response, now, complete); });
   if (complete)
-    parts_.store.readAll(std::move(callback));
+    dependencies_.store.readAll(std::move(callback));
   else
-    parts_.store.read(keys_(), std::move(callback));
+    dependencies_.store.read(keys_(), std::move(callback));
 }
 
 void Runner::onRead(const ReadResponse& response, double requestedMs, bool complete) {
   reading_ = false;
   logReadability(response);
   storeError_ = response.error;
-  ++parts_.counters[response.ok ? "coordination.read" : "coordination.unread"];
+  ++dependencies_.counters[response.ok ? "coordination.read" : "coordination.unread"];
   if (response.ok)
     updateView(response, requestedMs, complete);
   if (std::exchange(readAgain_, false))
@@ -204,17 +209,20 @@
   if (response.ok == storeError_.empty() && response.error == storeError_)
     return;
   if (response.ok)
-    spdlog::info("coordination: the store is read again");
+    spdlog::info("coordination: the store is readable again");
   else
-    spdlog::warn("coordination: the store cannot be read: {}", response.error);
+    spdlog::warn("coordination: the store cannot be read, retrying at the next poll: {}",
+                 response.error);
 }
 
 void Runner::updateView(const ReadResponse& response, double requestedMs, bool complete) {
-  // The store was restored from an older state.
+  // A revision that decreases means that the store was restored from an older state.
   if (response.revision < view_.revision) {
-    ++parts_.counters["coordination.went_back"];
-    spdlog::error("coordination: the store went back from revision {} to {}", view_.revision,
-                  response.revision);
+    ++dependencies_.counters["coordination.went_back"];
+    spdlog::error(
+        "coordination: the store's revision decreased from {} to {}; it was restored from an "
+        "older state",
+        view_.revision, response.revision);
   }
   view_ = {response.documents, response.revision, requestedMs};
   viewComplete_ = complete;
@@ -227,7 +235,7 @@
 void Runner::onLeaseChange(ManagedTask& managed) {
   const Lease& lease = managed.lease;
   if (lease.state() != managed.loggedState) {
-    if (worthLogging(lease.state()) || worthLogging(managed.loggedState))
+    if (isLogged(lease.state()) || isLogged(managed.loggedState))
       spdlog::info("lease task={} state={} fence={} why=\"{}\"", managed.name(),
                    nameOf(lease.state()), lease.fence(), lease.reason());
     managed.loggedState = lease.state();
@@ -247,7 +255,7 @@
     sum.rolledBack += counts.rolledBack;
     sum.doubtfulMs += counts.doubtfulMs;
   }
-  auto& counters = parts_.counters;
+  auto& counters = dependencies_.counters;
   counters["leases.acquired"] = sum.acquired;
   counters["leases.renewed"] = sum.renewed;
   counters["leases.lost"] = sum.lost;
@@ -285,11 +293,11 @@
 std::string Runner::report(bool asJson) const {
   LeaseReport report;
   report.router = holder_.name;
-  report.store = parts_.store.describe();
+  report.store = dependencies_.store.describe();
   report.storeReadable = storeReadable();
   report.storeError = storeError_;
   for (const auto& managed : tasks_)
-    report.leases.push_back(statusOf(*managed, parts_.clock.nowMs()));
+    report.leases.push_back(statusOf(*managed, dependencies_.clock.nowMs()));
   return asJson ? toJsonText(report) : toText(report);
 }
 
--- a/src/coordination/runner.h
+++ b/src/coordination/runner.h
@@ -1,5 +1,5 @@
-/// Runs the fleet tasks of one router: sends the requests of their leases to the store, reads the
-/// shared documents, and commits the steps of held tasks under their fences.
+/// Runs the fleet tasks of one router: sends the lease requests to the store, reads the shared
+/// documents, and commits the steps of tasks whose lease is held under its fence.
 #pragma once
 
 #include <cstddef>
@@ -18,48 +18,52 @@
 
 namespace inference_router::coordination {
 
-/// Belongs to the event loop's thread.
+/// Not thread-safe: used on the event loop's thread only.
 class Runner {
  public:
-  /// All of them have to outlive the runner.
-  struct Parts {
+  /// All of them must outlive the runner.
+  struct Dependencies {
     Store& store;
     const core::Clock& clock;
     core::TimerQueue& timers;
     core::Counters& counters;
   };
-  /// complete: all documents were read, not only those of readOnly().
+  /// complete: the view has all documents, not only those selected by readOnly().
   using ViewCallback = std::function<void(const View&, bool complete)>;
   using KeyList = std::function<std::vector<std::string>()>;
 
-  /// config: of every task's lease except for its name and its longest step. pollIntervalMs:
-  /// between two reads of the store.
-  Runner(Parts parts, Holder holder, std::uint64_t seed, LeaseConfig config, double pollIntervalMs);
+  /// config: applies to every task's lease, except for the task's name and longest step.
+  /// pollIntervalMs: interval between two reads of the store.
+  Runner(Dependencies dependencies,
+         Holder holder,
+         std::uint64_t seed,
+         LeaseConfig config,
+         double pollIntervalMs);
   Runner(const Runner&) = delete;
   Runner& operator=(const Runner&) = delete;
 
-  /// Throws std::invalid_argument if the lease would be too short for the task's steps.
+  /// Adds a task. Throws std::invalid_argument if the lease is too short for the task's steps.
   void add(std::unique_ptr<FleetTask> task);
   void onView(ViewCallback callback) { viewCallback_ = std::move(callback); }
-  /// While no lease is held only these documents are read, which keeps the load of many routers on
-  /// the store low. Without it all documents are read.
+  /// Selects the documents to read while no lease is held, which limits the load of many routers on
+  /// the store. Without a selection all documents are read.
   void readOnly(KeyList keys) { keys_ = std::move(keys); }
   void start();
-  /// Reads the store now, to see what was just written.
+  /// Reads the store now, for instance after a write.
   void refresh();
-  /// How many routers compete for the leases.
+  /// Sets the number of routers that compete for the leases.
   void setCandidateCount(std::size_t count);
 
-  /// Releases all leases in order, after the steps under way, and competes for none until rejoin().
+  /// Releases all leases after the steps in progress, and competes for none until rejoin().
   void resign();
   void rejoin();
-  /// No lease is held, and no release is under way.
+  /// No lease is held, and no release is in progress.
   bool fullyReleased() const;
 
   const View& view() const { return view_; }
-  /// Whether the last read succeeded and is recent enough to act on.
+  /// Whether the last read succeeded and is recent enough for steps to be based on it.
   bool storeReadable() const;
-  /// The state of all leases for operators: a line for each task, or JSON.
+  /// Returns the state of all leases for operators: a line for each task, or JSON.
   std::string report(bool asJson) const;
 
  private:
@@ -90,7 +94,7 @@
   bool holdsAny(double nowMs) const;
   LeaseStatus statusOf(const ManagedTask& managed, double nowMs) const;
 
-  Parts parts_;
+  Dependencies dependencies_;
   Holder holder_;
   std::uint64_t seed_;
   LeaseConfig config_;
@@ -103,7 +107,7 @@
   bool viewComplete_ = false;
   std::string storeError_ = "not read yet";  // empty: the last read succeeded
   bool reading_ = false;
-  bool readAgain_ = false;  // once the read under way has ended
+  bool readAgain_ = false;  // after the pending read
   core::Timer nextTick_;
   CallbackGuard guard_;
 };
--- a/src/coordination/setup.cpp
+++ b/src/coordination/setup.cpp
@@ -15,12 +15,12 @@
   return std::isalnum(static_cast<unsigned char>(c)) != 0 || c == '-' || c == '_' || c == '.';
 }
 
-/// The name becomes part of the store's keys.
+/// The name becomes part of keys in the store, so its characters are restricted.
 std::string readName(const core::ConfigReader& given) {
   auto name = given.as<std::string>();
   if (name.empty() || name.size() > kMaxNameBytes ||
       !std::all_of(name.begin(), name.end(), isNameCharacter))
-    given.fail("is not a plain word of 1 to 64 letters, digits, '-', '_' or '.'");
+    given.fail("is not a name of 1 to 64 letters, digits, '-', '_' or '.'");
   return name;
 }
 
@@ -49,9 +49,9 @@
         endpoint.read([](const std::string& text) { return net::endpointOf(text); }));
   }
   if (config.endpoints.empty())
-    store.at("endpoints").fail("names no address");
+    store.at("endpoints").fail("has no address");
   if (config.endpoints.size() > kMaxEndpoints)
-    store.at("endpoints").fail("names more than 9 addresses");
+    store.at("endpoints").fail("has more than 9 addresses");
   config.prefix = store.value<std::string>("prefix", config.prefix);
   if (config.prefix.empty() || config.prefix.size() > kMaxNameBytes || config.prefix.back() != '/')
     store.at("prefix").fail("does not end with '/' or is longer than 64 bytes");
@@ -69,7 +69,7 @@
       store.at("path").fail("is empty");
   } else if (kind == "etcd") {
     setup.etcd = readEtcd(store, setup.lease.requestTimeoutMs);
-    // etcd's leases are in whole seconds.
+    // etcd grants leases in whole seconds only.
     if (setup.lease.ttlMs < 1000 || std::fmod(setup.lease.ttlMs, 1000) != 0)
       given.fail("cannot be used: with etcd lease_s is a whole number of seconds");
   } else {
@@ -85,7 +85,7 @@
 
 void readCleanup(const core::ConfigReader& given, Cleanup::Config& config) {
   given.only({"gone_s", "plan_s", "period_ms"});
-  config.goneMs = given.above0("gone_s", config.goneMs / 1000) * 1000;
+  config.presenceTimeoutMs = given.above0("gone_s", config.presenceTimeoutMs / 1000) * 1000;
   config.planRetentionMs = given.above0("plan_s", config.planRetentionMs / 1000) * 1000;
   config.task.periodMs = given.above0("period_ms", config.task.periodMs);
 }
--- a/src/coordination/setup.h
+++ b/src/coordination/setup.h
@@ -1,5 +1,6 @@
 /// The `coordination` section of the operator's file: this router's name, the store that the fleet
-/// shares, and the terms of leases and tasks. Without the section a router shares nothing.
+/// shares, and the settings of leases and tasks. A router without the section does not coordinate
+/// with others.
 #pragma once
 
 #include <optional>
@@ -16,17 +17,17 @@
   std::string name;
   std::string sqlitePath;  ///< Empty: the store is etcd.
   std::optional<EtcdConfig> etcd;
-  /// Of every task's lease except for its name and its longest step.
+  /// Applies to every task's lease, except for the task's name and longest step.
   LeaseConfig lease;
-  double pollIntervalMs = 500;  ///< Between two reads of the store.
+  double pollIntervalMs = 500;  ///< Interval between two reads of the store.
   MaintenanceConfig maintenance;
   Cleanup::Config cleanup;
-  /// The section's JSON, to recognize a change.
+  /// The section as JSON text; compared to detect a change on reload.
   std::string text;
 };
 
-/// Throws std::invalid_argument with the path of what is wrong. warmupMs: that an instance takes to
-/// warm up.
+/// Throws std::invalid_argument with the path of the faulty setting. warmupMs: the time that an
+/// instance takes to warm up.
 Setup setupOf(const core::ConfigReader& given, double warmupMs);
 
 }  // namespace inference_router::coordination
--- a/src/coordination/sqlite_file.cpp
+++ b/src/coordination/sqlite_file.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-// Marks the file as this program's.
+// SQLite's application_id, which marks the file as this program's.
 constexpr int kApplicationId = 0x64686c31;
-constexpr int kFormVersion = 1;
+constexpr int kFormatVersion = 1;
 
 void addRows(SqliteStatement& statement, ReadResponse& response) {
   while (statement.step())
@@ -19,15 +19,15 @@
 
 }  // namespace
 
-SqliteFile::SqliteFile(const std::string& path, MachineClock clock, double busyMs)
+SqliteFile::SqliteFile(const std::string& path, MachineClock clock, double busyTimeoutMs)
     : clock_(std::move(clock)) {
   const int code = sqlite3_open_v2(path.c_str(), &database_,
                                    SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE, nullptr);
   try {
     if (code != SQLITE_OK)
       throw SqliteError(database_ != nullptr ? sqlite3_errmsg(database_)
-                                             : "no memory for the file");
-    sqlite3_busy_timeout(database_, static_cast<int>(busyMs));
+                                             : "not enough memory to open the file");
+    sqlite3_busy_timeout(database_, static_cast<int>(busyTimeoutMs));
     prepareTables();
   } catch (...) {
     sqlite3_close(database_);
@@ -43,8 +43,8 @@
 
 void SqliteFile::prepareTables() {
   SqliteStatement(database_, "PRAGMA journal_mode=WAL").step();
-  // What was acknowledged is on the disk: a fence that was lost in a power failure would be granted
-  // twice.
+  // Acknowledged writes must be on the disk: a fence that was lost in a power failure would be
+  // granted twice.
   SqliteStatement(database_, "PRAGMA synchronous=FULL").step();
   SqliteTransaction transaction(database_);
   const std::uint64_t applicationId = pragma("PRAGMA application_id");
@@ -56,9 +56,9 @@
   }
   if (applicationId != kApplicationId)
     throw SqliteError("the file belongs to another program");
-  if (version != kFormVersion)
-    throw SqliteError("the file has form " + std::to_string(version) + ", this program knows " +
-                      std::to_string(kFormVersion));
+  if (version != kFormatVersion)
+    throw SqliteError("the file has format version " + std::to_string(version) +
+                      ", this program supports " + std::to_string(kFormatVersion));
 }
 
 void SqliteFile::createTables() {
@@ -76,7 +76,7 @@
   SqliteStatement(database_, "INSERT INTO counter VALUES(0)").step();
   const std::string setId = "PRAGMA application_id=" + std::to_string(kApplicationId);
   SqliteStatement(database_, setId.c_str()).step();
-  const std::string setVersion = "PRAGMA user_version=" + std::to_string(kFormVersion);
+  const std::string setVersion = "PRAGMA user_version=" + std::to_string(kFormatVersion);
   SqliteStatement(database_, setVersion.c_str()).step();
 }
 
@@ -121,7 +121,7 @@
 std::uint64_t SqliteFile::revision() {
   SqliteStatement statement(database_, "SELECT revision FROM counter");
   if (!statement.step())
-    throw SqliteError("the counter of revisions is missing");
+    throw SqliteError("the revision counter is missing");
   return statement.number(0);
 }
 
@@ -130,7 +130,7 @@
   if (!withinLimits(writes))
     return {CommitStatus::kRefused, 0};
   SqliteTransaction transaction(database_);
-#ifndef INFERENCE_ROUTER_WITHOUT_FENCE  // defined only for a test program that tests must see fail
+#ifndef INFERENCE_ROUTER_WITHOUT_FENCE  // test program that must fail the consistency checks
   if (fence != nullptr && !accepts(leaseCell(fence->task()), fence->holder(), fence->number()))
     return {CommitStatus::kStaleFence, 0};
 #endif
@@ -146,7 +146,7 @@
   return {CommitStatus::kDone, newRevision};
 }
 
-/// Returns whether the document had the expected revision.
+/// Executes the write. Returns false if the document does not have the expected revision.
 bool SqliteFile::applyWrite(const Write& write, std::uint64_t newRevision) {
   SqliteStatement statement(database_, "SELECT revision FROM doc WHERE key=?");
   const std::uint64_t stored = statement.bind(write.key).step() ? statement.number(0) : 0;
@@ -170,7 +170,7 @@
   return statement.number(0);
 }
 
-/// Reads the revision and the rows at one moment, without the write lock.
+/// Reads the revision and the rows as one snapshot, without the write lock.
 template <class ReadRows>
 ReadResponse SqliteFile::readTransaction(const ReadRows& readRows) {
   SqliteStatement(database_, "BEGIN").step();
--- a/src/coordination/sqlite_file.h
+++ b/src/coordination/sqlite_file.h
@@ -1,6 +1,7 @@
-/// Leases and documents in an SQLite file that the routers of one machine share. Leases are decided
-/// by lease_rules.h, within one transaction each and by the machine's monotonic clock. A lease from
-/// before the last boot is void, since no process of that time is alive; its fence stays.
+/// Leases and documents in an SQLite file that the routers of one machine share. Lease requests are
+/// decided by lease_rules.h, each within one transaction and by the machine's monotonic clock. A
+/// lease from before the last boot is void, since its holder's process no longer exists; its fence
+/// remains in force.
 #pragma once
 
 #include <cstdint>
@@ -16,18 +17,19 @@
 
 namespace inference_router::coordination {
 
-/// Blocks, and belongs to one thread. All members throw SqliteError.
+/// Blocking, and used on one thread only. All members throw SqliteError.
 class SqliteFile {
  public:
-  /// Creates the file and its tables if they do not exist. Throws if the file is another program's,
-  /// of a later form or damaged. busyMs: for which a lock of another process is waited for.
-  SqliteFile(const std::string& path, MachineClock clock, double busyMs);
+  /// Creates the file and its tables if they do not exist. Throws if the file belongs to another
+  /// program, has a different format version or is damaged. busyTimeoutMs: the longest wait for a
+  /// lock of another process.
+  SqliteFile(const std::string& path, MachineClock clock, double busyTimeoutMs);
   ~SqliteFile();
   SqliteFile(const SqliteFile&) = delete;
   SqliteFile& operator=(const SqliteFile&) = delete;
 
   LeaseResponse requestLease(const LeaseRequest& request);
-  /// fence: nullptr for a write that needs none.
+  /// fence: nullptr for writes without a fence.
   CommitResponse commit(const Fence* fence, const std::vector<Write>& writes);
   ReadResponse readAll();
   ReadResponse read(const std::vector<std::string>& keys);
--- a/src/coordination/sqlite_statement.h
+++ b/src/coordination/sqlite_statement.h
@@ -1,4 +1,4 @@
-/// Owners of SQLite's prepared statements and transactions.
+/// RAII wrappers of SQLite's prepared statements and transactions.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
   using std::runtime_error::runtime_error;
 };
 
-/// A prepared statement. All members throw SqliteError. The database has to outlive it.
+/// A prepared statement. All members throw SqliteError. The database must outlive it.
 class SqliteStatement {
  public:
   SqliteStatement(sqlite3* database, const char* sql);
@@ -25,9 +25,9 @@
   /// Binds the next parameter.
   SqliteStatement& bind(const std::string& text);
   SqliteStatement& bind(std::uint64_t number);
-  /// Returns whether there is a row.
+  /// Advances to the next row. Returns whether there is one.
   bool step();
-  /// A column of the present row, counted from 0.
+  /// Returns a column of the current row, counted from 0.
   std::string text(int column) const;
   std::uint64_t number(int column) const;
 
@@ -39,8 +39,8 @@
   int boundParameters_ = 0;
 };
 
-/// A transaction that obtains the write lock at its begin, so that what it reads is what it
-/// changes. Rolled back when destroyed, unless committed.
+/// A transaction that acquires the write lock when it begins, so that no other process changes what
+/// it has read. Rolled back when destroyed, unless committed.
 class SqliteTransaction {
  public:
   explicit SqliteTransaction(sqlite3* database);
--- a/src/coordination/sqlite_store.cpp
+++ b/src/coordination/sqlite_store.cpp
@@ -10,14 +10,14 @@
 
 ReadResponse queueFull() {
   ReadResponse response;
-  response.error = "too much waits for the store";
+  response.error = "too many requests are queued for the store";
   return response;
 }
 
 }  // namespace
 
-SqliteStore::SqliteStore(boost::asio::io_context& io, std::string path, double busyMs)
-    : io_(io), path_(std::move(path)), busyMs_(busyMs) {}
+SqliteStore::SqliteStore(boost::asio::io_context& io, std::string path, double busyTimeoutMs)
+    : io_(io), path_(std::move(path)), busyTimeoutMs_(busyTimeoutMs) {}
 
 template <class Response>
 void SqliteStore::run(std::function<Response(SqliteFile&)> work,
@@ -29,13 +29,13 @@
   const bool queued = thread_.post([this, work = std::move(work), unavailable, respond] {
     try {
       if (!file_)
-        file_ = std::make_unique<SqliteFile>(path_, machineClock(), busyMs_);
+        file_ = std::make_unique<SqliteFile>(path_, machineClock(), busyTimeoutMs_);
       respond(work(*file_));
     } catch (const SqliteError& error) {
       Response failed = unavailable;
       if constexpr (std::is_same_v<Response, ReadResponse>)
         failed.error = error.what();
-      // Opened again by the next request, since it may have been replaced or repaired.
+      // The next request reopens the file, which may have been replaced or repaired by then.
       file_ = nullptr;
       respond(std::move(failed));
     }
--- a/src/coordination/sqlite_store.h
+++ b/src/coordination/sqlite_store.h
@@ -1,4 +1,4 @@
-/// The store of routers on one machine: an SQLite file, which is accessed on a thread of its own.
+/// The store for routers on one machine: an SQLite file, which is accessed on a dedicated thread.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -16,9 +16,9 @@
 
 class SqliteStore final : public Store {
  public:
-  /// The file is opened by the first request, and again after each error. io has to outlive the
-  /// store. busyMs: for which a lock of another process is waited for.
-  SqliteStore(boost::asio::io_context& io, std::string path, double busyMs = 200);
+  /// The file is opened by the first request, and reopened after each error. io must outlive the
+  /// store. busyTimeoutMs: the longest wait for a lock of another process.
+  SqliteStore(boost::asio::io_context& io, std::string path, double busyTimeoutMs = 200);
 
   std::string describe() const override { return "sqlite " + path_; }
   void requestLease(const LeaseRequest& request, LeaseCallback callback) override;
@@ -36,10 +36,10 @@
 
   boost::asio::io_context& io_;
   std::string path_;
-  double busyMs_;
-  std::unique_ptr<SqliteFile> file_;  // of the storage thread
+  double busyTimeoutMs_;
+  std::unique_ptr<SqliteFile> file_;  // used on the storage thread only
   CallbackGuard guard_;
-  StorageThread thread_;  // last: ends before what its jobs use is destroyed
+  StorageThread thread_;  // last: joined before the members that its jobs use are destroyed
 };
 
 }  // namespace inference_router::coordination
--- a/src/coordination/storage_thread.cpp
+++ b/src/coordination/storage_thread.cpp
@@ -5,7 +5,7 @@
 
 namespace inference_router::coordination {
 
-// Signals are delivered to the event loop's thread only.
+// Blocks all signals on the new thread, so that they are delivered to the event loop's thread only.
 StorageThread::StorageThread() {
   sigset_t all;
   sigset_t before;
--- a/src/coordination/storage_thread.h
+++ b/src/coordination/storage_thread.h
@@ -1,5 +1,5 @@
-/// A thread for work that may block on a disk, behind a bounded queue: the event loop's thread
-/// never waits for it.
+/// A thread with a bounded queue for jobs that may block on a disk, so that the event loop's thread
+/// never does.
 #pragma once
 
 #include <condition_variable>
@@ -16,14 +16,14 @@
   static constexpr std::size_t kMaxJobs = 64;
 
   StorageThread();
-  /// Waits for the job under way; those in the queue are dropped.
+  /// Waits for the running job; queued jobs are dropped.
   ~StorageThread();
   StorageThread(const StorageThread&) = delete;
   StorageThread& operator=(const StorageThread&) = delete;
 
-  /// Does not block. Returns false if the queue is full. May be called on any thread.
+  /// Adds a job to the queue. Does not block. Returns false if the queue is full. Thread-safe.
   bool post(std::function<void()> job);
-  /// The number of jobs in the queue.
+  /// Returns the number of jobs in the queue.
   std::size_t queued() const;
 
  private:
--- a/src/coordination/store.h
+++ b/src/coordination/store.h
@@ -1,5 +1,5 @@
-/// The store that the fleet's routers share: leases, and a few small documents that change only
-/// from the revision that their writer saw.
+/// The store that the fleet's routers share. It holds leases, and a few small documents that are
+/// written by compare-and-swap on their revision.
 #pragma once
 
 #include <cstddef>
@@ -14,31 +14,32 @@
 
 namespace inference_router::coordination {
 
-/// The largest fleet. All tables that are kept by router or by instance are bounded by these; the
-/// sizes of documents and of the store follow from them (docs/design/bounds.md).
+/// Size limits of a fleet. They bound all tables with an entry for each router or instance; the
+/// limits on documents and on the store are derived from them (docs/design/bounds.md).
 inline constexpr std::size_t kMaxFleetRouters = 1024;
 inline constexpr std::size_t kMaxFleetInstances = 1024;
 
 inline constexpr std::size_t kMaxKeyBytes = 200;
-/// Of one commit: etcd accepts 1.5 MiB and 128 conditions by default, and a fence needs two of the
-/// conditions.
+/// Limits of one commit: etcd accepts 1.5 MiB and 128 conditions by default, and a fence needs two
+/// of the conditions.
 inline constexpr std::size_t kMaxCommitBytes = 1536UL * 1024;
 inline constexpr std::size_t kMaxWritesPerCommit = 96;
-/// The largest value that fits into a commit beside the keys of all other writes.
+/// The largest value that fits into a commit together with the keys of the maximum number of
+/// writes.
 inline constexpr std::size_t kMaxValueBytes =
     kMaxCommitBytes - kMaxWritesPerCommit * 2 * kMaxKeyBytes;
-/// Each router's presence and part, those of its previous process until the cleanup removes them,
-/// the plan and the digest.
+/// Sufficient for the presence and the part of each router and of its previous process, whose
+/// documents remain until the cleanup removes them, and for the plan and the digest.
 inline constexpr std::size_t kMaxDocuments = 4 * kMaxFleetRouters;
 
 struct Document {
   std::string value;
-  /// The store's revision at the write; above 0.
+  /// The store's revision of the last write; above 0.
   std::uint64_t revision = 0;
   bool operator==(const Document&) const = default;
 };
 
-/// One change of a document, conditional on the revision that the writer saw.
+/// One change of a document, conditional on the revision that the writer read.
 struct Write {
   std::string key;
   std::uint64_t expectedRevision = 0;  ///< 0: the document must not exist.
@@ -47,29 +48,30 @@
 
 enum class CommitStatus {
   kDone,
-  kStaleFence,   ///< Another router holds the task's lease, or nobody does.
+  kStaleFence,   ///< The task's lease is held by another router or by nobody.
   kConflict,     ///< A document has another revision than expected; nothing was written.
   kRefused,      ///< The commit or the store would be too large, or a key is invalid.
-  kUnavailable,  ///< Whether it was written is unknown.
+  kUnavailable,  ///< No usable response; whether it was written is unknown.
 };
-/// The status' name in logs.
+/// Returns the status' name in logs.
 const char* nameOf(CommitStatus status);
 
 struct CommitResponse {
   CommitStatus status = CommitStatus::kUnavailable;
-  std::uint64_t revision = 0;  ///< Of what was written.
+  std::uint64_t revision = 0;  ///< Done: the new revision of the written documents.
 };
 
-/// Documents as they were at one moment.
+/// A consistent snapshot of documents.
 struct ReadResponse {
   bool ok = false;
-  std::string error;  ///< Not ok: what is wrong, for operators.
+  std::string error;  ///< Not ok: the reason, for operators.
   std::map<std::string, Document> documents;
-  std::uint64_t revision = 0;  ///< Of the store.
+  std::uint64_t revision = 0;  ///< The store's revision.
 };
 
-/// Every callback is called exactly once, on the event loop's thread, also if the store cannot be
-/// reached; but not after the store was destroyed. Belongs to the event loop's thread.
+/// Calls every callback exactly once, on the event loop's thread, also if the store is unreachable;
+/// callbacks that are pending when the store is destroyed are dropped. Not thread-safe: used on the
+/// event loop's thread only.
 class Store {
  public:
   using LeaseCallback = std::function<void(const LeaseResponse&)>;
@@ -80,17 +82,17 @@
   /// The store's kind and address, for logs and reports.
   virtual std::string describe() const = 0;
   virtual void requestLease(const LeaseRequest& request, LeaseCallback callback) = 0;
-  /// Carries out all writes or none, and only while the fence is the newest of its task.
+  /// Executes all writes or none, and only while the fence is the newest of its task.
   virtual void commit(const Fence& fence, std::vector<Write> writes, CommitCallback callback) = 0;
-  /// One write without a fence: of a document that belongs to this router, or on an operator's
-  /// command.
+  /// Executes one write without a fence: of a document that belongs to this router, or on an
+  /// operator's command.
   virtual void write(Write write, CommitCallback callback) = 0;
   virtual void readAll(ReadCallback callback) = 0;
-  /// Reads only the documents with these keys; those that do not exist are left out.
+  /// Reads only the documents with these keys; those that do not exist are omitted.
   virtual void read(std::vector<std::string> keys, ReadCallback callback) = 0;
 };
 
-/// Whether the writes of one commit keep the bounds above.
+/// Whether the writes of one commit are within the limits above.
 bool withinLimits(const std::vector<Write>& writes);
 
 }  // namespace inference_router::coordination
--- a/src/coordination/task.h
+++ b/src/coordination/task.h
@@ -1,5 +1,6 @@
-/// A task that one router at a time does for the whole fleet. All effects of a task are steps, that
-/// is writes of documents; the runner commits each under the fence of the task's lease.
+/// A task that one router at a time performs for the whole fleet. A task acts only through steps,
+/// which are sets of document writes; the runner commits each step under the fence of the task's
+/// lease.
 #pragma once
 
 #include <cstdint>
@@ -14,16 +15,16 @@
 
 struct TaskConfig {
   std::string name;
-  /// Between two calls of FleetTask::next().
+  /// Interval between two calls of FleetTask::next().
   double periodMs = 1'000;
-  /// From the check of the lease to the store's answer.
+  /// Longest duration of a step, from the check of the lease to the store's response.
   double maxStepMs = 1'000;
-  /// Its successful steps are logged at debug level only.
+  /// Successful steps are logged at debug level only.
   bool quiet = false;
 };
 
-/// What was last read of the store. A step that rests on an outdated view fails by its expected
-/// revisions.
+/// The documents as last read from the store. A step that is based on an outdated view fails,
+/// because its expected revisions no longer match.
 struct View {
   std::map<std::string, Document> documents;
   std::uint64_t revision = 0;
@@ -40,8 +41,8 @@
  public:
   virtual ~FleetTask() = default;
   virtual const TaskConfig& config() const = 0;
-  /// The next step by this view; nothing if there is none now. Called only while this router holds
-  /// the task's lease under this fence.
+  /// Returns the next step for this view, or nothing if there is none at present. Called only while
+  /// this router holds the task's lease under this fence.
   virtual std::optional<Step> next(const View& view, std::uint64_t fence, double nowMs) = 0;
 };
 
--- a/src/coordination/unchanged_tracker.h
+++ b/src/coordination/unchanged_tracker.h
@@ -1,5 +1,6 @@
-/// Measures for how long documents have not changed, by this process's own clock and from when it
-/// first looked: a measured time is never too long. No clock of another machine is read.
+/// Measures for how long documents have not changed, by this process's clock and from its first
+/// observation of the revision. A measured time is never too long, and does not depend on the
+/// clocks of other machines.
 #pragma once
 
 #include <cstdint>
@@ -10,15 +11,15 @@
 
 class UnchangedTracker {
  public:
-  /// For how many milliseconds the named object has had this revision.
+  /// Records the object's revision, and returns for how many milliseconds it has been the same.
   double unchangedMs(const std::string& name, std::uint64_t revision, double nowMs) {
-    Observation& observed =
+    Observation& observation =
         observations_.try_emplace(name, Observation{revision, nowMs}).first->second;
-    if (observed.revision != revision)
-      observed = {revision, nowMs};
-    return nowMs - observed.sinceMs;
+    if (observation.revision != revision)
+      observation = {revision, nowMs};
+    return nowMs - observation.sinceMs;
   }
-  /// Forgets all objects whose name fulfils the condition.
+  /// Removes the observations of all objects whose name satisfies the condition.
   template <class Condition>
   void forgetIf(const Condition& condition) {
     std::erase_if(observations_, [&](const auto& entry) { return condition(entry.first); });
--- a/tests/support/plan_checker.h
+++ b/tests/support/plan_checker.h
@@ -1,6 +1,6 @@
-// Reads what a store carried out, and says what of it breaks the promises of leases and
-// maintenance. It knows the keys and the documents' fields, and nothing of how the program comes to
-// them.
+// Checks the history of a store for violations of the guarantees of leases and maintenance. It
+// depends only on the keys and the fields of the documents, and is independent of the program's
+// code.
 #pragma once
 
 #include <map>
@@ -16,70 +16,73 @@
                                                const std::string& prefix) {
   using Event = EtcdStandIn::Event;
   using json = nlohmann::json;
-  std::vector<std::string> broken;
-  std::uint64_t granted = 0, lastFence = 0, steps = 0;
+  std::vector<std::string> violations;
+  std::uint64_t newestFence = 0, lastFence = 0, steps = 0;
   bool held = false;
-  std::string plan;
-  std::map<std::string, std::string> items;
-  const std::map<std::string, std::string> mayComeOf{
+  std::string planId;
+  std::map<std::string, std::string> states;
+  const std::map<std::string, std::string> previousState{
       {"draining", "waiting"}, {"out", "draining"}, {"done", "warming"}, {"skipped", "waiting"}};
   for (const Event& event : history) {
     if (event.key == prefix + "fence/maintenance" && event.kind == Event::Kind::kPut) {
       const std::uint64_t fence = std::stoull(event.value);
-      if (fence <= granted)
-        broken.push_back("fence " + event.value + " was granted after " + std::to_string(granted));
-      granted = fence;
+      if (fence <= newestFence)
+        violations.push_back("fence " + event.value + " was granted after " +
+                             std::to_string(newestFence));
+      newestFence = fence;
     }
     if (event.key == prefix + "lease/maintenance")
       held = event.kind == Event::Kind::kPut;
     if (event.key != prefix + "doc/plan" || event.kind != Event::Kind::kPut)
       continue;
-    const json now = json::parse(event.value);
-    if (now["id"] != plan) {  // an operator's new plan
-      plan = now["id"];
-      items.clear();
+    const json plan = json::parse(event.value);
+    if (plan["id"] != planId) {  // a new plan by an operator
+      planId = plan["id"];
+      states.clear();
       steps = 0;
-      for (const json& item : now["items"])
-        items[item["box"]] = item["state"];
+      for (const json& item : plan["items"])
+        states[item["box"]] = item["state"];
       continue;
     }
-    if (now["steps"] == steps)
-      continue;  // an operator's word on it
-    const std::string at = "step " + now["steps"].dump() + " of " + plan;
-    const std::uint64_t fence = now["fence"];
-    if (now["steps"] != steps + 1)
-      broken.push_back(at + " came after step " + std::to_string(steps));
+    if (plan["steps"] == steps)
+      continue;  // an operator's command
+    const std::string step = "step " + plan["steps"].dump() + " of " + planId;
+    const std::uint64_t fence = plan["fence"];
+    if (plan["steps"] != steps + 1)
+      violations.push_back(step + " follows step " + std::to_string(steps));
     if (fence < lastFence)
-      broken.push_back(at + " has an older fence than the one before");
-    if (fence != granted || !held)
-      broken.push_back(at + " was done under fence " + std::to_string(fence) +
-                       (held ? ", and " + std::to_string(granted) + " was in force"
-                             : ", and nobody held the lease"));
-    steps = now["steps"];
+      violations.push_back(step + " has an older fence than the step before");
+    if (fence != newestFence || !held)
+      violations.push_back(step + " was committed under fence " + std::to_string(fence) +
+                           (held ? ", and " + std::to_string(newestFence) + " was in force"
+                                 : ", and nobody held the lease"));
+    steps = plan["steps"];
     lastFence = fence;
-    std::size_t out = 0, changed = 0;
-    for (const json& item : now["items"]) {
+    std::size_t inProgress = 0, changed = 0;
+    for (const json& item : plan["items"]) {
       const std::string instance = item["box"], state = item["state"];
-      out += state == "draining" || state == "out" || state == "warming";
-      if (state == items[instance])
+      inProgress += state == "draining" || state == "out" || state == "warming";
+      if (state == states[instance])
         continue;
       ++changed;
-      const auto from = mayComeOf.find(state);
+      const auto previous = previousState.find(state);
       const bool cancelled =
-          state == "warming" && now["state"] == "cancelled" && items[instance] == "draining";
-      if (!cancelled && (from == mayComeOf.end() ? state != "warming" || items[instance] != "out"
-                                                 : from->second != items[instance]))
-        broken.push_back(at + ": box " + instance + " went from " + items[instance] + " to " +
-                         state);
-      items[instance] = state;
+          state == "warming" && plan["state"] == "cancelled" && states[instance] == "draining";
+      if (!cancelled &&
+          (previous == previousState.end() ? state != "warming" || states[instance] != "out"
+                                           : previous->second != states[instance]))
+        violations.push_back(step + ": box " + instance + " went from " + states[instance] +
+                             " to " + state);
+      states[instance] = state;
     }
     if (changed > 1)
-      broken.push_back(at + " changed more than one box");
-    if (out > 1)
-      broken.push_back(
-          at + ": more than one box of a role and cell is under way");  // all are of one here
+      violations.push_back(step + " changes more than one box");
+    if (inProgress > 1)
+      violations.push_back(
+          step +
+          ": more than one box of a role and cell is in progress");  // all have one role and cell
   }
-  return broken;
+  return violations;
 }
 
 }  // namespace inference_router
