--- a/tests/coordination_store_test.cpp
+++ b/tests/coordination_store_test.cpp
@@ -1,4 +1,5 @@
-// Both stores of coordination against one description, the SQLite file and the etcd gateway.
+// Tests of the coordination stores: behaviour that the SQLite file and etcd have in common, and
+// what is specific to each.
 #include <gtest/gtest.h>
 #include <sqlite3.h>
 
@@ -20,7 +21,7 @@
 using namespace coordination;
 using nlohmann::json;
 
-LeaseConfig shortConfig(const std::string& task = "maintenance") {
+LeaseConfig shortLeaseConfig(const std::string& task = "maintenance") {
   LeaseConfig config;
   config.task = task;
   config.ttlMs = 2000;
@@ -31,206 +32,210 @@
 }
 
 // ---- Both stores
-// -----------------------------------------------------------------------------------
 
-struct SqlitePlace {
+struct SqliteEnvironment {
   Folder folder;
   std::unique_ptr<Store> open(Stage& stage) {
     return std::make_unique<SqliteStore>(stage.io, folder.path + "/shared.db", 5000);
   }
-  explicit SqlitePlace(Stage&) {}
+  explicit SqliteEnvironment(Stage&) {}
 };
 
-struct EtcdStandInPlace {
+struct EtcdEnvironment {
   EtcdStandIn server;
-  explicit EtcdStandInPlace(Stage& stage) : server(stage.io, stage.clock, stage.timers) {}
+  explicit EtcdEnvironment(Stage& stage) : server(stage.io, stage.clock, stage.timers) {}
   std::unique_ptr<Store> open(Stage& stage) {
     return std::make_unique<EtcdStore>(stage.io, stage.clock, stage.timers, stage.counters,
                                        EtcdConfig{{server.address()}, "test/", 1000});
   }
 };
 
-template <class Place>
-class StoreOfAnyKind : public ::testing::Test {
+template <class Environment>
+class CoordinationStore : public ::testing::Test {
  protected:
   Stage stage;
-  Place place{stage};
+  Environment environment{stage};
 
-  LeaseResponse ask(Store& store, const LeaseRequest& what) {
-    std::optional<LeaseResponse> answer;
-    store.requestLease(what, [&](const LeaseResponse& told) { answer = told; });
-    EXPECT_TRUE(stage.until([&] { return answer.has_value(); }));
-    return answer.value_or(LeaseResponse{});
+  LeaseResponse requestLease(Store& store, const LeaseRequest& request) {
+    std::optional<LeaseResponse> response;
+    store.requestLease(request, [&](const LeaseResponse& received) { response = received; });
+    EXPECT_TRUE(stage.until([&] { return response.has_value(); }));
+    return response.value_or(LeaseResponse{});
   }
   CommitResponse commit(Store& store, const Fence* fence, std::vector<Write> writes) {
-    std::optional<CommitResponse> answer;
-    const auto told = [&](CommitResponse how) { answer = how; };
+    std::optional<CommitResponse> response;
+    const auto onCommitted = [&](CommitResponse received) { response = received; };
     if (fence != nullptr)
-      store.commit(*fence, std::move(writes), told);
+      store.commit(*fence, std::move(writes), onCommitted);
     else
-      store.write(writes.front(), told);
-    EXPECT_TRUE(stage.until([&] { return answer.has_value(); }));
-    return answer.value_or(CommitResponse{});
+      store.write(writes.front(), onCommitted);
+    EXPECT_TRUE(stage.until([&] { return response.has_value(); }));
+    return response.value_or(CommitResponse{});
   }
-  ReadResponse list(Store& store) {
-    std::optional<ReadResponse> all;
-    store.readAll([&](const ReadResponse& told) { all = told; });
-    EXPECT_TRUE(stage.until([&] { return all.has_value(); }));
-    return all.value_or(ReadResponse{});
+  ReadResponse readAll(Store& store) {
+    std::optional<ReadResponse> response;
+    store.readAll([&](const ReadResponse& received) { response = received; });
+    EXPECT_TRUE(stage.until([&] { return response.has_value(); }));
+    return response.value_or(ReadResponse{});
   }
-  // A machine that holds the lease, by the store's own word.
-  Lease holder(Store& store, const Holder& who, double nowMs) {
-    Lease lease(shortConfig(), who, 1, nowMs);
-    lease.onResponse(ask(store, *lease.tick(nowMs)), nowMs);
+  // A state machine that has acquired the lease from the store.
+  Lease acquireLease(Store& store, const Holder& holder, double nowMs) {
+    Lease lease(shortLeaseConfig(), holder, 1, nowMs);
+    lease.onResponse(requestLease(store, *lease.tick(nowMs)), nowMs);
     EXPECT_EQ(lease.state(), LeaseState::kHolding);
     return lease;
   }
 };
 
-using Places = ::testing::Types<SqlitePlace, EtcdStandInPlace>;
-TYPED_TEST_SUITE(StoreOfAnyKind, Places);
+using Environments = ::testing::Types<SqliteEnvironment, EtcdEnvironment>;
+TYPED_TEST_SUITE(CoordinationStore, Environments);
 
-TYPED_TEST(StoreOfAnyKind, GivesALeaseToOneAndTellsTheOtherWhoHasIt) {
-  const auto one = this->place.open(this->stage), two = this->place.open(this->stage);
-  Lease first = this->holder(*one, {"c1", 1}, 0);
-  Lease second(shortConfig(), {"c2", 2}, 1, 0);
-  const LeaseResponse answer = this->ask(*two, *second.tick(0));
-  EXPECT_EQ(answer.result, LeaseResult::kHeld);
-  ASSERT_TRUE(answer.record);
-  EXPECT_EQ(answer.record->holder.name, "c1");
-  EXPECT_GT(answer.remainingMs, 0);
-  second.onResponse(answer, 1);
+TYPED_TEST(CoordinationStore, GrantsALeaseToOneCandidateAndReportsTheHolderToOthers) {
+  const auto firstStore = this->environment.open(this->stage),
+             secondStore = this->environment.open(this->stage);
+  Lease first = this->acquireLease(*firstStore, {"c1", 1}, 0);
+  Lease second(shortLeaseConfig(), {"c2", 2}, 1, 0);
+  const LeaseResponse response = this->requestLease(*secondStore, *second.tick(0));
+  EXPECT_EQ(response.result, LeaseResult::kHeld);
+  ASSERT_TRUE(response.record);
+  EXPECT_EQ(response.record->holder.name, "c1");
+  EXPECT_GT(response.remainingMs, 0);
+  second.onResponse(response, 1);
   EXPECT_EQ(second.state(), LeaseState::kCandidate);
-  // Renewed, it is the same lease; given back, the next fence is above.
-  first.onResponse(this->ask(*one, *first.tick(first.nextMs())), 700);
+  // A renewal keeps the lease; after a release the next holder gets a higher fence.
+  first.onResponse(this->requestLease(*firstStore, *first.tick(first.nextMs())), 700);
   EXPECT_EQ(first.counts().renewed, 1u);
   first.resign(710);
-  first.onResponse(this->ask(*one, *first.tick(710)), 720);
+  first.onResponse(this->requestLease(*firstStore, *first.tick(710)), 720);
   EXPECT_EQ(first.counts().released, 1u);
-  Lease third(shortConfig(), {"c3", 3}, 1, 0);
-  third.onResponse(this->ask(*two, *third.tick(0)), 1);
+  Lease third(shortLeaseConfig(), {"c3", 3}, 1, 0);
+  third.onResponse(this->requestLease(*secondStore, *third.tick(0)), 1);
   EXPECT_EQ(third.state(), LeaseState::kHolding);
   EXPECT_GT(third.fence(), 1u);
 }
 
-// Guards a fleet whose holder has died against waiting a whole lease more than it has left.
-TEST(EtcdOfTheStandIn, TellsACandidateHowLongALeaseHasLeft) {
+// After a holder has died, candidates must not wait for a whole lease duration instead of the
+// lease's remaining time.
+TEST(EtcdLeaseTimeToLive, IsReportedToACandidate) {
   Stage stage;
   EtcdStandIn server(stage.io, stage.clock, stage.timers);
-  const EtcdConfig place{{server.address()}, "test/", 1000};
-  EtcdStore one(stage.io, stage.clock, stage.timers, stage.counters, place),
-      two(stage.io, stage.clock, stage.timers, stage.counters, place);
-  const auto ask = [&](EtcdStore& store, const Holder& who) {
-    std::optional<LeaseResponse> answer;
-    store.requestLease({LeaseOperation::kAcquire, "t", who, 1, 0, 5000, 0},
-                       [&](const LeaseResponse& told) { answer = told; });
-    EXPECT_TRUE(stage.until([&] { return answer.has_value(); }));
-    return answer.value_or(LeaseResponse{});
+  const EtcdConfig config{{server.address()}, "test/", 1000};
+  EtcdStore firstStore(stage.io, stage.clock, stage.timers, stage.counters, config),
+      secondStore(stage.io, stage.clock, stage.timers, stage.counters, config);
+  const auto acquire = [&](EtcdStore& store, const Holder& holder) {
+    std::optional<LeaseResponse> response;
+    store.requestLease({LeaseOperation::kAcquire, "t", holder, 1, 0, 5000, 0},
+                       [&](const LeaseResponse& received) { response = received; });
+    EXPECT_TRUE(stage.until([&] { return response.has_value(); }));
+    return response.value_or(LeaseResponse{});
   };
-  EXPECT_EQ(ask(one, {"c1", 1}).result, LeaseResult::kGranted);
+  EXPECT_EQ(acquire(firstStore, {"c1", 1}).result, LeaseResult::kGranted);
   stage.clock.advance(3200);
-  const LeaseResponse held = ask(two, {"c2", 2});
+  const LeaseResponse held = acquire(secondStore, {"c2", 2});
   EXPECT_EQ(held.result, LeaseResult::kHeld);
-  EXPECT_DOUBLE_EQ(held.remainingMs, 1500) << "1.8 s, told as 1, and a half on top";
+  EXPECT_DOUBLE_EQ(held.remainingMs, 1500) << "1.8 s, reported as 1 s, plus 0.5 s for the rounding";
 }
 
-// Only what was asked for, and with the same revisions as all of it.
-TYPED_TEST(StoreOfAnyKind, ReadsSomeDocumentsWithoutTheOthers) {
-  const auto store = this->place.open(this->stage);
+// The result contains only the requested documents, with the same revisions as in a full read.
+TYPED_TEST(CoordinationStore, ReadsOnlyTheRequestedDocuments) {
+  const auto store = this->environment.open(this->stage);
   for (const char* key : {"a", "b", "c"})
     ASSERT_EQ(this->commit(*store, nullptr, {{key, 0, std::string("of ") + key}}).status,
               CommitStatus::kDone);
-  std::optional<ReadResponse> some;
-  store->read({"a", "c", "none"}, [&](const ReadResponse& told) { some = told; });
-  ASSERT_TRUE(this->stage.until([&] { return some.has_value(); }));
-  ASSERT_TRUE(some->ok) << some->error;
-  const ReadResponse all = this->list(*store);
-  EXPECT_EQ(some->documents.size(), 2u);
-  for (const auto& [key, document] : some->documents)
+  std::optional<ReadResponse> selected;
+  store->read({"a", "c", "none"}, [&](const ReadResponse& received) { selected = received; });
+  ASSERT_TRUE(this->stage.until([&] { return selected.has_value(); }));
+  ASSERT_TRUE(selected->ok) << selected->error;
+  const ReadResponse all = this->readAll(*store);
+  EXPECT_EQ(selected->documents.size(), 2u);
+  for (const auto& [key, document] : selected->documents)
     EXPECT_EQ(document, all.documents.at(key));
-  EXPECT_EQ(some->revision, all.revision);
+  EXPECT_EQ(selected->revision, all.revision);
 }
 
-TYPED_TEST(StoreOfAnyKind, ChangesDocumentsOnlyFromWhatTheWriterSaw) {
-  const auto store = this->place.open(this->stage);
-  const auto made = this->commit(*store, nullptr, {{"plan", 0, "one"}});
-  ASSERT_EQ(made.status, CommitStatus::kDone);
+TYPED_TEST(CoordinationStore, WritesDocumentsOnlyAtTheExpectedRevision) {
+  const auto store = this->environment.open(this->stage);
+  const auto created = this->commit(*store, nullptr, {{"plan", 0, "one"}});
+  ASSERT_EQ(created.status, CommitStatus::kDone);
   EXPECT_EQ(this->commit(*store, nullptr, {{"plan", 0, "two"}}).status, CommitStatus::kConflict);
-  EXPECT_EQ(this->commit(*store, nullptr, {{"plan", made.revision + 7, "two"}}).status,
+  EXPECT_EQ(this->commit(*store, nullptr, {{"plan", created.revision + 7, "two"}}).status,
             CommitStatus::kConflict);
-  const ReadResponse all = this->list(*store);
+  const ReadResponse all = this->readAll(*store);
   ASSERT_TRUE(all.ok) << all.error;
-  EXPECT_EQ(all.documents.at("plan"), (Document{"one", made.revision}));
-  const auto changed = this->commit(*store, nullptr, {{"plan", made.revision, "two"}});
+  EXPECT_EQ(all.documents.at("plan"), (Document{"one", created.revision}));
+  const auto changed = this->commit(*store, nullptr, {{"plan", created.revision, "two"}});
   ASSERT_EQ(changed.status, CommitStatus::kDone);
-  EXPECT_GT(changed.revision, made.revision);
+  EXPECT_GT(changed.revision, created.revision);
   EXPECT_EQ(this->commit(*store, nullptr, {{"plan", changed.revision, std::nullopt}}).status,
             CommitStatus::kDone);
-  EXPECT_TRUE(this->list(*store).documents.empty());
+  EXPECT_TRUE(this->readAll(*store).documents.empty());
   EXPECT_EQ(this->commit(*store, nullptr, {{"", 0, "x"}}).status, CommitStatus::kRefused);
   EXPECT_EQ(this->commit(*store, nullptr, {{"k", 0, std::string(kMaxValueBytes + 1, 'x')}}).status,
             CommitStatus::kRefused);
 }
 
-TYPED_TEST(StoreOfAnyKind, RefusesAnEffectOnceAnotherHoldsTheLease) {
-  const auto one = this->place.open(this->stage), two = this->place.open(this->stage);
-  Lease first = this->holder(*one, {"c1", 1}, 0);
+TYPED_TEST(CoordinationStore, RefusesACommitWithAStaleFence) {
+  const auto firstStore = this->environment.open(this->stage),
+             secondStore = this->environment.open(this->stage);
+  Lease first = this->acquireLease(*firstStore, {"c1", 1}, 0);
   const auto fence = first.beginStep(1);
   ASSERT_TRUE(fence);
-  EXPECT_EQ(this->commit(*one, &*fence, {{"a", 0, "by c1"}}).status, CommitStatus::kDone);
-  // It is stopped here, and its lease goes to another.
+  EXPECT_EQ(this->commit(*firstStore, &*fence, {{"a", 0, "by c1"}}).status, CommitStatus::kDone);
+  // The holder has a late step; its lease is released and acquired by another.
   first.endStep(true, 2);
-  const auto late = first.beginStep(2);
+  const auto lateFence = first.beginStep(2);
   first.endStep(false, 3);
   first.resign(3);
-  first.onResponse(this->ask(*one, *first.tick(3)), 4);
-  EXPECT_EQ(this->commit(*one, &*late, {{"b", 0, "by c1"}}).status, CommitStatus::kStaleFence)
-      << "given back";
-  Lease second = this->holder(*two, {"c2", 2}, 0);
-  EXPECT_EQ(this->commit(*one, &*late, {{"b", 0, "by c1"}}).status, CommitStatus::kStaleFence)
+  first.onResponse(this->requestLease(*firstStore, *first.tick(3)), 4);
+  EXPECT_EQ(this->commit(*firstStore, &*lateFence, {{"b", 0, "by c1"}}).status,
+            CommitStatus::kStaleFence)
+      << "released";
+  Lease second = this->acquireLease(*secondStore, {"c2", 2}, 0);
+  EXPECT_EQ(this->commit(*firstStore, &*lateFence, {{"b", 0, "by c1"}}).status,
+            CommitStatus::kStaleFence)
       << "held by another";
-  const auto now = second.beginStep(5);
-  EXPECT_EQ(this->commit(*two, &*now, {{"b", 0, "by c2"}, {"a", 0, "x"}}).status,
+  const auto secondFence = second.beginStep(5);
+  EXPECT_EQ(this->commit(*secondStore, &*secondFence, {{"b", 0, "by c2"}, {"a", 0, "x"}}).status,
             CommitStatus::kConflict)
       << "all or nothing";
-  EXPECT_EQ(this->list(*two).documents.count("b"), 0u);
-  EXPECT_EQ(this->commit(*two, &*now, {{"b", 0, "by c2"}}).status, CommitStatus::kDone);
+  EXPECT_EQ(this->readAll(*secondStore).documents.count("b"), 0u);
+  EXPECT_EQ(this->commit(*secondStore, &*secondFence, {{"b", 0, "by c2"}}).status,
+            CommitStatus::kDone);
 }
 
 // ---- SQLite
-// ----------------------------------------------------------------------------------------
 
-MachineClock clockOf(double& now, std::string boot = "boot-1") {
-  return {[&now] { return now; }, [] { return 0.0; }, std::move(boot)};
+MachineClock clockOf(double& now, std::string bootId = "boot-1") {
+  return {[&now] { return now; }, [] { return 0.0; }, std::move(bootId)};
 }
 
-TEST(SqliteFileOfOneMachine, LetsALeaseLapseByTheMachinesClockAndKeepsItsFenceOverABoot) {
+TEST(SqliteFileLeases, ExpireByTheMachineClockAndKeepTheirFenceAcrossAReboot) {
   const Folder folder;
   double now = 1000;
   std::uint64_t fence = 0;
   {
     SqliteFile file(folder.path + "/a.db", clockOf(now), 100);
-    const LeaseRequest mine{LeaseOperation::kAcquire, "t", {"c1", 1}, 1, 0, 500, 0},
-        other{LeaseOperation::kAcquire, "t", {"c2", 2}, 1, 0, 500, 0};
-    EXPECT_EQ(file.requestLease(mine).result, LeaseResult::kGranted);
-    EXPECT_EQ(file.requestLease(other).result, LeaseResult::kHeld);
+    const LeaseRequest firstRequest{LeaseOperation::kAcquire, "t", {"c1", 1}, 1, 0, 500, 0},
+        otherRequest{LeaseOperation::kAcquire, "t", {"c2", 2}, 1, 0, 500, 0};
+    EXPECT_EQ(file.requestLease(firstRequest).result, LeaseResult::kGranted);
+    EXPECT_EQ(file.requestLease(otherRequest).result, LeaseResult::kHeld);
     now += 499;
-    EXPECT_EQ(file.requestLease(other).result, LeaseResult::kHeld);
+    EXPECT_EQ(file.requestLease(otherRequest).result, LeaseResult::kHeld);
     now += 1;
-    const LeaseResponse taken = file.requestLease(other);
-    EXPECT_EQ(taken.result, LeaseResult::kGranted);
-    fence = taken.fence;
+    const LeaseResponse granted = file.requestLease(otherRequest);
+    EXPECT_EQ(granted.result, LeaseResult::kGranted);
+    fence = granted.fence;
   }
-  // The machine starts anew: its clock too, and nobody of before lives.
+  // After a reboot the clock restarts, and no earlier process exists any more.
   now = 3;
   SqliteFile file(folder.path + "/a.db", clockOf(now, "boot-2"), 100);
-  const LeaseResponse after =
+  const LeaseResponse afterReboot =
       file.requestLease({LeaseOperation::kAcquire, "t", {"c3", 3}, 1, 0, 500, 0});
-  EXPECT_EQ(after.result, LeaseResult::kGranted);
-  EXPECT_GT(after.fence, fence);
+  EXPECT_EQ(afterReboot.result, LeaseResult::kGranted);
+  EXPECT_GT(afterReboot.fence, fence);
 }
 
-TEST(SqliteFileOfOneMachine, IsNotTakenIfItIsForeignDamagedOrOfALaterForm) {
+TEST(SqliteFileFormat, RejectsForeignDamagedAndNewerFiles) {
   const Folder folder;
   double now = 0;
   const std::string text = folder.path + "/text.db", foreign = folder.path + "/foreign.db",
@@ -245,7 +250,7 @@
   };
   run(foreign, "CREATE TABLE members(name TEXT)");
   EXPECT_THROW(SqliteFile(foreign, clockOf(now), 100), SqliteError);
-  { SqliteFile made(later, clockOf(now), 100); }
+  { SqliteFile created(later, clockOf(now), 100); }
   run(later, "PRAGMA user_version=2");
   EXPECT_THROW(SqliteFile(later, clockOf(now), 100), SqliteError);
   run(later,
@@ -253,27 +258,27 @@
   SqliteFile damaged(later, clockOf(now), 100);
   EXPECT_THROW(damaged.requestLease({LeaseOperation::kAcquire, "t", {"c1", 1}, 1, 0, 500, 0}),
                SqliteError)
-      << "a fence is not guessed";
+      << "a damaged fence is not replaced by a guess";
 }
 
-// A disk that stalls holds up the storage thread alone; what finds no room is told so at once.
-TEST(StorageThreadOfTheStore, NeverHoldsUpWhoAsks) {
+// A stalled disk blocks the storage thread only; a job that does not fit into the queue is rejected
+// at once.
+TEST(StorageThreadQueue, RejectsJobsWithoutBlockingWhenFull) {
   StorageThread thread;
   std::mutex gate;
   gate.lock();
-  ASSERT_TRUE(thread.post([&] { const std::lock_guard wait(gate); }));
-  std::size_t taken = 0;
-  while (thread.post([] {}) && taken < 10 * StorageThread::kMaxJobs)
-    ++taken;
-  EXPECT_GE(taken, StorageThread::kMaxJobs - 1);
-  EXPECT_LE(taken, StorageThread::kMaxJobs + 1);
+  ASSERT_TRUE(thread.post([&] { const std::lock_guard waitForGate(gate); }));
+  std::size_t queued = 0;
+  while (thread.post([] {}) && queued < 10 * StorageThread::kMaxJobs)
+    ++queued;
+  EXPECT_GE(queued, StorageThread::kMaxJobs - 1);
+  EXPECT_LE(queued, StorageThread::kMaxJobs + 1);
   gate.unlock();
 }
 
 // ---- etcd
-// ------------------------------------------------------------------------------------------
 
-struct OnEtcd : ::testing::Test {
+struct EtcdStoreTest : ::testing::Test {
   Stage stage;
   EtcdStandIn server{stage.io, stage.clock, stage.timers};
   EtcdStore store{stage.io,
@@ -282,70 +287,71 @@
                   stage.counters,
                   {{server.address()}, "test/", 1000}};
 
-  LeaseResponse ask(Lease& lease) {
-    std::optional<LeaseResponse> answer;
-    const auto what = lease.tick(stage.clock.nowMs());
-    EXPECT_TRUE(what);
-    store.requestLease(*what, [&](const LeaseResponse& told) { answer = told; });
-    EXPECT_TRUE(stage.until([&] { return answer.has_value(); }));
-    lease.onResponse(*answer, stage.clock.nowMs());
-    return *answer;
+  LeaseResponse requestLease(Lease& lease) {
+    std::optional<LeaseResponse> response;
+    const auto request = lease.tick(stage.clock.nowMs());
+    EXPECT_TRUE(request);
+    store.requestLease(*request, [&](const LeaseResponse& received) { response = received; });
+    EXPECT_TRUE(stage.until([&] { return response.has_value(); }));
+    lease.onResponse(*response, stage.clock.nowMs());
+    return *response;
   }
 };
 
-TEST_F(OnEtcd, ALeaseLapsesAndTheNextFenceLiesAbove) {
-  Lease first(shortConfig(), {"c1", 1}, 1, stage.clock.nowMs());
-  EXPECT_EQ(ask(first).result, LeaseResult::kGranted);
+TEST_F(EtcdStoreTest, ExpiredLeaseIsGrantedWithAHigherFence) {
+  Lease first(shortLeaseConfig(), {"c1", 1}, 1, stage.clock.nowMs());
+  EXPECT_EQ(requestLease(first).result, LeaseResult::kGranted);
   stage.pass(2001);
-  Lease second(shortConfig(), {"c2", 2}, 1, stage.clock.nowMs());
-  const LeaseResponse taken = ask(second);
-  EXPECT_EQ(taken.result, LeaseResult::kGranted);
-  EXPECT_EQ(taken.fence, 2u);
+  Lease second(shortLeaseConfig(), {"c2", 2}, 1, stage.clock.nowMs());
+  const LeaseResponse granted = requestLease(second);
+  EXPECT_EQ(granted.result, LeaseResult::kGranted);
+  EXPECT_EQ(granted.fence, 2u);
   EXPECT_EQ(server.value("test/fence/maintenance"), "2");
 }
 
-TEST_F(OnEtcd, AnAnswerThatIsLostAfterItTookEffectCostsNoMoreThanAnotherAsk) {
-  Lease lease(shortConfig(), {"c1", 1}, 1, stage.clock.nowMs());
-  server.loseAnswer = [](const json& body) { return body.contains("compare"); };
-  EXPECT_EQ(ask(lease).result, LeaseResult::kUnavailable);
+TEST_F(EtcdStoreTest, LeaseIsAcquiredByARetryAfterALostResponse) {
+  Lease lease(shortLeaseConfig(), {"c1", 1}, 1, stage.clock.nowMs());
+  server.loseResponse = [](const json& body) { return body.contains("compare"); };
+  EXPECT_EQ(requestLease(lease).result, LeaseResult::kUnavailable);
   EXPECT_TRUE(server.value("test/lease/maintenance"));
-  server.loseAnswer = nullptr;
+  server.loseResponse = nullptr;
   stage.pass(lease.nextMs() - stage.clock.nowMs());
-  EXPECT_EQ(ask(lease).result, LeaseResult::kGranted);
+  EXPECT_EQ(requestLease(lease).result, LeaseResult::kGranted);
   EXPECT_EQ(lease.fence(), 2u);
 }
 
-TEST_F(OnEtcd, WithoutALeaderNothingIsKnownAndAfterItNothingIsLost) {
-  Lease lease(shortConfig(), {"c1", 1}, 1, stage.clock.nowMs());
-  ask(lease);
+TEST_F(EtcdStoreTest, LeaseIsDoubtfulWithoutALeaderAndRenewedAfterwards) {
+  Lease lease(shortLeaseConfig(), {"c1", 1}, 1, stage.clock.nowMs());
+  requestLease(lease);
   server.noLeader = true;
   stage.pass(lease.nextMs() - stage.clock.nowMs());
-  EXPECT_EQ(ask(lease).result, LeaseResult::kUnavailable);
+  EXPECT_EQ(requestLease(lease).result, LeaseResult::kUnavailable);
   EXPECT_EQ(lease.state(), LeaseState::kDoubtful);
   server.newLeader();
   stage.pass(lease.nextMs() - stage.clock.nowMs());
-  EXPECT_EQ(ask(lease).result, LeaseResult::kGranted);
+  EXPECT_EQ(requestLease(lease).result, LeaseResult::kGranted);
   EXPECT_EQ(lease.state(), LeaseState::kHolding);
 }
 
-// Put back to an older copy: the holder is told, and whoever has seen a fence gets one above it.
-TEST_F(OnEtcd, AStoreThatWasPutBackGivesNoFenceTwiceToWhoHasSeenIt) {
-  const auto older = server.copy();
-  Lease first(shortConfig(), {"c1", 1}, 1, stage.clock.nowMs());
-  ask(first);
-  Lease second(shortConfig(), {"c2", 2}, 1, stage.clock.nowMs());
-  EXPECT_EQ(ask(second).result, LeaseResult::kHeld);
-  server.putBack(*older);
+// After a restore from an older backup the holder learns that its lease is lost, and a candidate
+// that has seen a fence gets a higher firstStore.
+TEST_F(EtcdStoreTest, RestoredStoreGrantsAHigherFenceThanTheCandidateHasSeen) {
+  const auto backup = server.makeBackup();
+  Lease first(shortLeaseConfig(), {"c1", 1}, 1, stage.clock.nowMs());
+  requestLease(first);
+  Lease second(shortLeaseConfig(), {"c2", 2}, 1, stage.clock.nowMs());
+  EXPECT_EQ(requestLease(second).result, LeaseResult::kHeld);
+  server.restore(*backup);
   stage.pass(first.nextMs() - stage.clock.nowMs());
-  EXPECT_EQ(ask(first).result, LeaseResult::kLost);
+  EXPECT_EQ(requestLease(first).result, LeaseResult::kLost);
   EXPECT_EQ(first.state(), LeaseState::kExpired);
   stage.pass(second.nextMs() - stage.clock.nowMs());
-  EXPECT_EQ(ask(second).result, LeaseResult::kGranted);
+  EXPECT_EQ(requestLease(second).result, LeaseResult::kGranted);
   EXPECT_EQ(second.fence(), 2u);
 }
 
-TEST_F(OnEtcd, AForeignValueUnderItsKeyIsNotTakenForAFreeLease) {
-  const auto put = [&](const std::string& text) {
+TEST_F(EtcdStoreTest, LeaseKeyWithAForeignValueCountsAsHeld) {
+  const auto encode = [&](const std::string& text) {
     namespace base64 = boost::beast::detail::base64;
     std::string out(base64::encoded_size(text.size()), '\0');
     out.resize(base64::encode(out.data(), text.data(), text.size()));
@@ -353,17 +359,17 @@
   };
   net::ConnectionPool pool(stage.io, stage.clock, stage.timers, stage.counters, {1, 1000, 1000});
   const auto reply = std::make_shared<Reply>();
-  const auto body = std::make_shared<const std::string>(
-      json{{"success",
-            {{{"request_put", {{"key", put("test/lease/maintenance")}, {"value", put("mine")}}}}}}}
-          .dump());
+  const auto body = std::make_shared<const std::string>(json{
+      {"success",
+       {{{"request_put", {{"key", encode("test/lease/maintenance")}, {"value", encode("mine")}}}}}}}
+                                                            .dump());
   pool.call(
       server.address(),
       net::headText("POST /v3/kv/txn HTTP/1.1", {{"Content-Length", std::to_string(body->size())}}),
       body, reply);
   ASSERT_TRUE(stage.until([&] { return reply->over; }));
-  Lease lease(shortConfig(), {"c1", 1}, 1, stage.clock.nowMs());
-  EXPECT_EQ(ask(lease).result, LeaseResult::kHeld);
+  Lease lease(shortLeaseConfig(), {"c1", 1}, 1, stage.clock.nowMs());
+  EXPECT_EQ(requestLease(lease).result, LeaseResult::kHeld);
   EXPECT_EQ(stage.counters["coordination.foreign"], 1u);
 }
 
--- a/tests/fleet_processes_test.cpp
+++ b/tests/fleet_processes_test.cpp
@@ -1,7 +1,7 @@
-// Many routers, as the program itself, with one store between them and a layer of faults between
-// each and the store: cut, one way only, slow, reset, answers lost, processes stopped and killed,
-// the store gone. What the store carried out is read by a checker; only order and bounds are
-// asserted, so a busy machine changes no verdict.
+// Tests of fleets of router processes with a shared store. Injected faults: broken, slow and
+// one-way connections to the store, lost responses, suspended and killed processes, and an
+// unavailable store. A checker examines the store's history. The tests assert only order and
+// bounds, so that a busy machine does not make them fail.
 #include <gtest/gtest.h>
 #include <sqlite3.h>
 
@@ -13,69 +13,70 @@
 namespace inference_router {
 namespace {
 
-// One trouble after another, drawn; each lasts for up to two leases and is over before the next.
-void trouble(RouterFleet& fleet, std::mt19937& random) {
-  const auto draw = [&](double least, double most) {
-    return std::uniform_real_distribution<>(least, most)(random);
+// Injects one random fault, which lasts for up to about two lease durations and ends before the
+// function returns.
+void injectFault(RouterFleet& fleet, std::mt19937& random) {
+  const auto uniform = [&](double low, double high) {
+    return std::uniform_real_distribution<>(low, high)(random);
   };
-  // The holder as often as anybody else together: it is the one that matters.
-  RouterFleet::Node* who = random() % 2 == 0 ? fleet.byName(fleet.leaseHolder()) : nullptr;
-  if (who == nullptr)
-    who = fleet.nodes[random() % fleet.nodes.size()].get();
-  const double length = draw(0.2, 2) * kLeaseMs;
+  // Half of the faults affect the lease holder, whose failure is the most critical.
+  RouterFleet::Node* node = random() % 2 == 0 ? fleet.byName(fleet.leaseHolder()) : nullptr;
+  if (node == nullptr)
+    node = fleet.nodes[random() % fleet.nodes.size()].get();
+  const double durationMs = uniform(0.2, 2) * kLeaseMs;
   using Mode = FaultProxy::Mode;
-  const auto link = [&](Mode mode) {
-    who->proxy->setMode(mode);
-    fleet.runFor(length);
-    who->proxy->setMode(Mode::kPass);
+  const auto impair = [&](Mode mode) {
+    node->proxy->setMode(mode);
+    fleet.runFor(durationMs);
+    node->proxy->setMode(Mode::kPass);
   };
   switch (random() % 10) {
     case 0:
-      return link(Mode::kReset);
+      return impair(Mode::kReset);
     case 1:
-      return link(Mode::kDropRequests);
+      return impair(Mode::kDropRequests);
     case 2:
-      return link(Mode::kDropResponses);
+      return impair(Mode::kDropResponses);
     case 3:
-      return link(Mode::kHoldRequests);
+      return impair(Mode::kHoldRequests);
     case 4:
-      return who->proxy->reset();
+      return node->proxy->reset();
     case 5:
-      fleet.signal(*who, SIGSTOP);
-      fleet.runFor(length + kLeaseMs);
-      return fleet.signal(*who, SIGCONT);
+      fleet.signal(*node, SIGSTOP);
+      fleet.runFor(durationMs + kLeaseMs);
+      return fleet.signal(*node, SIGCONT);
     case 6:
-      fleet.kill(*who);
-      fleet.runFor(length);
-      return fleet.start(*who);
+      fleet.kill(*node);
+      fleet.runFor(durationMs);
+      return fleet.start(*node);
     case 7:
       fleet.store.noLeader = true;
-      fleet.runFor(length + kLeaseMs);
+      fleet.runFor(durationMs + kLeaseMs);
       return fleet.store.newLeader();
     case 8:
-      fleet.store.loseAnswer = [&random](const json&) { return random() % 3 == 0; };
-      fleet.runFor(length);
-      fleet.store.loseAnswer = nullptr;
+      fleet.store.loseResponse = [&random](const json&) { return random() % 3 == 0; };
+      fleet.runFor(durationMs);
+      fleet.store.loseResponse = nullptr;
       return;
     default:
-      fleet.store.slowMs = draw(20, 300);
-      fleet.runFor(length);
-      fleet.store.slowMs = 0;
+      fleet.store.responseDelayMs = uniform(20, 300);
+      fleet.runFor(durationMs);
+      fleet.store.responseDelayMs = 0;
   }
 }
 
-class ManyConductors : public ::testing::TestWithParam<std::pair<std::size_t, unsigned>> {};
+class RouterFleetUnderFaults : public ::testing::TestWithParam<std::pair<std::size_t, unsigned>> {};
 
-TEST_P(ManyConductors, CarryOnePlanThroughWhateverHappens) {
+TEST_P(RouterFleetUnderFaults, CompletesAPlanWithoutViolations) {
   const auto [count, seed] = GetParam();
-  std::cout << count << " conductors, seed " << seed << "\n";
+  std::cout << count << " routers, seed " << seed << "\n";
   std::mt19937 random(seed);
   RouterFleet fleet(count, {"box-1", "box-2", "box-3"});
   ASSERT_TRUE(fleet.runAdminCommand("maintenance start june box-1,box-2,box-3 hold=2"))
       << fleet.logs();
   for (int i = 0; i < 8 && !fleet.planDone("june"); ++i)
-    trouble(fleet, random);
-  // A wave: most of them at once.
+    injectFault(fleet, random);
+  // Kill and restart all but one router at once.
   for (std::size_t i = 0; i + 1 < fleet.nodes.size(); ++i)
     fleet.kill(*fleet.nodes[i]);
   for (std::size_t i = 0; i + 1 < fleet.nodes.size(); ++i)
@@ -89,90 +90,94 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds,
-                         ManyConductors,
+                         RouterFleetUnderFaults,
                          ::testing::Values(std::pair(std::size_t(5), 1U),
                                            std::pair(std::size_t(9), 2U)));
 
-// The hardest case, on purpose: the holder is stopped in the middle of its step, the step's bytes
-// on their way. Its lease goes to another, which has nothing to do; then the step arrives.
-std::vector<std::string> stepThatArrivesLate(const std::string& program, std::string& log) {
+// Suspends the lease holder while a step's commit is in transit. Another router acquires the lease,
+// and its own step is held back; then the delayed commit arrives. Returns the violations in the
+// store's history.
+std::vector<std::string> violationsAfterDelayedCommit(const std::string& program,
+                                                      std::string& logs) {
   RouterFleet fleet(3, {"box-1", "box-2"}, program);
   EXPECT_TRUE(waitFor(fleet.io, 60, [&] { return !fleet.leaseHolder().empty(); }));
-  const auto watch = [&](RouterFleet::Node& one) {
-    // A change of the plan by its holder; what an operator says of it goes by another router.
-    one.proxy->holdWhen = [](const std::string& bytes) {
-      const std::size_t from = bytes.find("request_put");
+  const auto holdFirstStep = [&](RouterFleet::Node& node) {
+    // Matches the first step of the plan by the lease holder. The command that starts the plan
+    // writes it with a step count of 0.
+    node.proxy->holdWhen = [](const std::string& bytes) {
+      const std::size_t put = bytes.find("request_put");
       const std::size_t body = bytes.find("\r\n\r\n");
-      if (from == std::string::npos || body == std::string::npos)
+      if (put == std::string::npos || body == std::string::npos)
         return false;
-      const json txn = json::parse(bytes.substr(body + 4), nullptr, false);
-      if (!txn.is_object())
+      const json transaction = json::parse(bytes.substr(body + 4), nullptr, false);
+      if (!transaction.is_object())
         return false;
-      for (const json& one : txn.value("success", json::array()))
-        if (one.contains("request_put") &&
-            EtcdStandIn::decoded(one["request_put"]["key"]) == kPrefix + "doc/plan") {
-          const json plan = json::parse(EtcdStandIn::decoded(one["request_put"]["value"]));
+      for (const json& operation : transaction.value("success", json::array()))
+        if (operation.contains("request_put") &&
+            EtcdStandIn::decoded(operation["request_put"]["key"]) == kPrefix + "doc/plan") {
+          const json plan = json::parse(EtcdStandIn::decoded(operation["request_put"]["value"]));
           return plan["steps"] == 1;
         }
       return false;
     };
   };
-  for (auto& one : fleet.nodes)
-    watch(*one);
+  for (auto& node : fleet.nodes)
+    holdFirstStep(*node);
   EXPECT_TRUE(fleet.runAdminCommand("maintenance start june box-1 confirm"));
-  RouterFleet::Node* held = nullptr;
+  RouterFleet::Node* suspendedNode = nullptr;
   EXPECT_TRUE(waitFor(fleet.io, 60, [&] {
-    for (auto& one : fleet.nodes)
-      if (one->proxy->mode() == FaultProxy::Mode::kHoldRequests)
-        held = one.get();
-    return held != nullptr;
+    for (auto& node : fleet.nodes)
+      if (node->proxy->mode() == FaultProxy::Mode::kHoldRequests)
+        suspendedNode = node.get();
+    return suspendedNode != nullptr;
   }));
-  if (held == nullptr)
-    return {"no step was seen"};
-  fleet.signal(*held, SIGSTOP);
-  // Whoever is next is paused by an operator's word before it begins an instance, so that the plan
-  // stays as it was seen.
-  for (auto& one : fleet.nodes)
-    if (one.get() != held)
-      one->proxy->setMode(FaultProxy::Mode::kReset);
+  if (suspendedNode == nullptr)
+    return {"no step was sent"};
+  fleet.signal(*suspendedNode, SIGSTOP);
+  // Disconnect the other routers until the lease has expired, so that none of them changes the plan
+  // on which the delayed commit is based.
+  for (auto& node : fleet.nodes)
+    if (node.get() != suspendedNode)
+      node->proxy->setMode(FaultProxy::Mode::kReset);
   fleet.runFor(1.5 * kLeaseMs);
-  for (auto& one : fleet.nodes)
-    one->proxy->holdWhen = nullptr;
-  // The next holder may read the plan and take the lease, but its own steps are held back in turn.
-  for (auto& one : fleet.nodes)
-    if (one.get() != held) {
-      watch(*one);
-      one->proxy->setMode(FaultProxy::Mode::kPass);
+  for (auto& node : fleet.nodes)
+    node->proxy->holdWhen = nullptr;
+  // The next holder may read the plan and acquire the lease, but its own steps are held back too.
+  for (auto& node : fleet.nodes)
+    if (node.get() != suspendedNode) {
+      holdFirstStep(*node);
+      node->proxy->setMode(FaultProxy::Mode::kPass);
     }
   EXPECT_TRUE(waitFor(fleet.io, 60, [&] {
-    return !fleet.leaseHolder().empty() && fleet.leaseHolder() != held->name;
+    return !fleet.leaseHolder().empty() && fleet.leaseHolder() != suspendedNode->name;
   }));
-  held->proxy->release();  // the store reads what was on its way
+  suspendedNode->proxy->release();  // delivers the delayed commit
   waitFor(fleet.io, 1, [&] { return fleet.plan()["steps"] != 0; });
-  log = fleet.logs();
+  logs = fleet.logs();
   return findViolations(fleet.store.history(), kPrefix);
 }
 
-TEST(AStoppedHolder, FindsItsStepRefusedWhenItArrivesLate) {
-  std::string log;
-  const auto broken = stepThatArrivesLate(INFERENCE_ROUTER_PROGRAM, log);
-  EXPECT_TRUE(broken.empty()) << ::testing::PrintToString(broken) << "\n" << log;
+TEST(SuspendedLeaseHolder, DelayedCommitIsRefused) {
+  std::string logs;
+  const auto violations = violationsAfterDelayedCommit(INFERENCE_ROUTER_PROGRAM, logs);
+  EXPECT_TRUE(violations.empty()) << ::testing::PrintToString(violations) << "\n" << logs;
 }
 
-// The program built without the check of fences: the same course has to be found out.
-TEST(AStoppedHolder, WithoutFencesIsCaughtByTheChecker) {
-  std::string log;
-  EXPECT_FALSE(stepThatArrivesLate(INFERENCE_ROUTER_WITHOUT_FENCE_PROGRAM, log).empty()) << log;
+// With the program that is built without the check of fences, the checker must find a violation.
+TEST(SuspendedLeaseHolder, DelayedCommitWithoutFencesIsFoundByTheChecker) {
+  std::string logs;
+  EXPECT_FALSE(violationsAfterDelayedCommit(INFERENCE_ROUTER_WITHOUT_FENCE_PROGRAM, logs).empty())
+      << logs;
 }
 
-// From one second after a router was told of a drain its instance sees no new work from it, and
-// SIGTERM gives the lease away in order.
-TEST(ManyConductorsWithClients, KeepDrainsAndHandOverInOrder) {
+// From one second after the routers have applied a drain, the drained instance receives no
+// requests. SIGTERM makes a router release its lease.
+TEST(RouterFleetWithClients, HonoursDrainsAndReleasesTheLeaseOnShutdown) {
   RouterFleet fleet(3, {"box-1", "box-2"});
   ASSERT_TRUE(fleet.runAdminCommand("readyz"));
-  std::size_t asked = 0;
+  std::size_t requestCount = 0;
   std::map<std::size_t, std::unique_ptr<RawPeer>> clients;
-  const auto ask = [&] {
+  const auto sendRequests = [&] {
     for (std::size_t i = 0; i < fleet.nodes.size(); ++i) {
       if (fleet.nodes[i]->process <= 0)
         continue;
@@ -186,182 +191,183 @@
       } catch (const boost::system::system_error&) {
         continue;
       }
-      clients[++asked] = std::move(client);
+      clients[++requestCount] = std::move(client);
     }
     std::erase_if(clients, [](auto& entry) { return entry.second->ended(); });
   };
   ASSERT_TRUE(fleet.runAdminCommand("maintenance start june box-1 confirm")) << fleet.logs();
-  const auto state = [&](const std::string& instance) -> std::string {
-    const json now = fleet.plan();
-    for (const json& item : now.value("items", json::array()))
+  const auto itemState = [&](const std::string& instance) -> std::string {
+    const json plan = fleet.plan();
+    for (const json& item : plan.value("items", json::array()))
       if (item["box"] == instance)
         return item["state"];
     return "";
   };
   ASSERT_TRUE(waitFor(fleet.io, 60,
                       [&] {
-                        ask();
+                        sendRequests();
                         fleet.runFor(20);
-                        return state("box-1") == "out";
+                        return itemState("box-1") == "out";
                       }))
       << fleet.plan().dump() << fleet.store.value(kPrefix + "doc/node/c1").value_or("")
       << fleet.store.value(kPrefix + "doc/node/c2").value_or("") << fleet.arrivals.size() << "\n"
       << fleet.logs();
-  // Out means that every router has said that it heard of the drain, and that nothing of it is
-  // open there.
-  const double out = fleet.clock.nowMs();
-  RouterFleet::Node* first = fleet.byName(fleet.leaseHolder());
-  ASSERT_NE(first, nullptr);
-  const std::string firstName = first->name;
-  for (double until = out + 2500; fleet.clock.nowMs() < until;) {
-    ask();
+  // In state "out" every router has confirmed the drain and has no open requests at the instance.
+  const double outAtMs = fleet.clock.nowMs();
+  RouterFleet::Node* firstHolder = fleet.byName(fleet.leaseHolder());
+  ASSERT_NE(firstHolder, nullptr);
+  const std::string firstHolderName = firstHolder->name;
+  for (double until = outAtMs + 2500; fleet.clock.nowMs() < until;) {
+    sendRequests();
     fleet.runFor(20);
   }
-  fleet.signal(*first, SIGTERM);
+  fleet.signal(*firstHolder, SIGTERM);
   int status = -1;
-  ASSERT_TRUE(waitFor(
-      fleet.io, 30, [&] { return ::waitpid(first->process, &status, WNOHANG) == first->process; }));
-  first->process = -1;
+  ASSERT_TRUE(waitFor(fleet.io, 30, [&] {
+    return ::waitpid(firstHolder->process, &status, WNOHANG) == firstHolder->process;
+  }));
+  firstHolder->process = -1;
   EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 0);
   ASSERT_TRUE(waitFor(fleet.io, 60, [&] {
-    return !fleet.leaseHolder().empty() && fleet.leaseHolder() != firstName;
+    return !fleet.leaseHolder().empty() && fleet.leaseHolder() != firstHolderName;
   }));
   ASSERT_TRUE(fleet.runAdminCommand("maintenance back box-1"));
   ASSERT_TRUE(waitFor(fleet.io, 60, [&] { return fleet.planDone("june"); })) << fleet.logs();
-  std::size_t late = 0, elsewhere = 0;
-  double back = 0;
+  std::size_t atDrained = 0, atOther = 0;
+  double returnedAtMs = 0;
   for (const auto& event : fleet.store.history())
     if (event.key == kPrefix + "doc/plan" && event.value.find("\"warming\"") != std::string::npos &&
-        back == 0)
-      back = event.atMs;
+        returnedAtMs == 0)
+      returnedAtMs = event.atMs;
   for (const auto& arrival : fleet.arrivals) {
-    late += arrival.instance == "box-1" && arrival.atMs > out + 1000 && arrival.atMs < back;
-    elsewhere += arrival.instance == "box-2" && arrival.atMs > out + 1000 && arrival.atMs < back;
+    atDrained +=
+        arrival.instance == "box-1" && arrival.atMs > outAtMs + 1000 && arrival.atMs < returnedAtMs;
+    atOther +=
+        arrival.instance == "box-2" && arrival.atMs > outAtMs + 1000 && arrival.atMs < returnedAtMs;
   }
-  EXPECT_EQ(late, 0u);
-  EXPECT_GT(elsewhere, 0u) << "somebody asked";
+  EXPECT_EQ(atDrained, 0u);
+  EXPECT_GT(atOther, 0u) << "clients sent requests";
   bool released = false;
   for (const auto& event : fleet.store.history())
     released = released || (event.key == kPrefix + "lease/maintenance" &&
                             event.kind == EtcdStandIn::Event::Kind::kDeleted);
-  EXPECT_TRUE(released) << "given back, and not left to lapse";
+  EXPECT_TRUE(released) << "released, not expired";
   fleet.expectNoViolations();
 }
 
-// What the router itself says of the maintenance's lease.
-json leaseOf(RouterFleet& fleet, RouterFleet::Node& one) {
-  std::string text = callAdmin(fleet.io, one.adminAddress, "leases json");
+// The maintenance lease as reported by the router's admin endpoint.
+json leaseOf(RouterFleet& fleet, RouterFleet::Node& node) {
+  std::string text = callAdmin(fleet.io, node.adminAddress, "leases json");
   const std::size_t end = text.rfind("eof\n");
   if (end == std::string::npos)
     return json{{"state", "none"}, {"holder", ""}, {"fence", 0}};
   return json::parse(text.substr(0, end))["leases"][0];
 }
 
-std::unique_ptr<sqlite3, int (*)(sqlite3*)> opened(const std::string& path) {
-  sqlite3* file = nullptr;
-  EXPECT_EQ(sqlite3_open(path.c_str(), &file), SQLITE_OK);
-  return {file, &sqlite3_close};
+std::unique_ptr<sqlite3, int (*)(sqlite3*)> openDatabase(const std::string& path) {
+  sqlite3* database = nullptr;
+  EXPECT_EQ(sqlite3_open(path.c_str(), &database), SQLITE_OK);
+  return {database, &sqlite3_close};
 }
 
-// A disk that stalls takes the lease from its holder, and nothing from clients: they are answered
-// all the while.
-TEST(ConductorsOnOneMachine, GoOnRoutingWhileTheirStoreStalls) {
+// A stalled disk makes the holder lose its lease, but clients' requests are served all the time.
+TEST(RouterFleetWithSqlite, RoutesRequestsWhileTheStoreStalls) {
   RouterFleet fleet(3, {"box-1", "box-2"}, INFERENCE_ROUTER_PROGRAM, /*sqlite=*/true);
   ASSERT_TRUE(fleet.allReady()) << fleet.logs();
   RouterFleet::Node* holder = nullptr;
-  const auto held = [&] {
-    for (auto& one : fleet.nodes)
-      if (leaseOf(fleet, *one)["state"] == "holding")
-        holder = one.get();
+  const auto findHolder = [&] {
+    for (auto& node : fleet.nodes)
+      if (leaseOf(fleet, *node)["state"] == "holding")
+        holder = node.get();
     return holder != nullptr;
   };
-  ASSERT_TRUE(waitFor(fleet.io, 60, held)) << fleet.logs();
+  ASSERT_TRUE(waitFor(fleet.io, 60, findHolder)) << fleet.logs();
   const std::uint64_t fence = leaseOf(fleet, *holder)["fence"];
-  auto blocker = opened(fleet.folder.path + "/shared.db");
+  auto blocker = openDatabase(fleet.folder.path + "/shared.db");
   sqlite3_busy_timeout(blocker.get(), 10'000);
   ASSERT_EQ(sqlite3_exec(blocker.get(), "BEGIN IMMEDIATE", nullptr, nullptr, nullptr), SQLITE_OK);
-  std::size_t answered = 0;
-  const auto ask = [&](RouterFleet::Node& one) {
+  std::size_t responseCount = 0;
+  const auto sendRequest = [&](RouterFleet::Node& node) {
     RawPeer client(fleet.io);
-    client.connect(one.listen);
+    client.connect(node.listen);
     client.write(messageText("POST /v1/chat/completions HTTP/1.1",
                              {{"Authorization", "Bearer k"}, {"Connection", "close"}},
                              R"({"model":"m","messages":[{"role":"user","content":"open?"}]})"));
     ASSERT_TRUE(until(fleet.io, [&] { return client.ended(); }));
     EXPECT_EQ(client.seen.substr(9, 3), "200") << client.seen;
-    ++answered;
+    ++responseCount;
   };
-  // Until each that held it has stopped by itself.
+  // Wait until the holder has given up the lease by its own clock.
   ASSERT_TRUE(waitFor(fleet.io, 60, [&] {
-    for (auto& one : fleet.nodes)
-      ask(*one);
+    for (auto& node : fleet.nodes)
+      sendRequest(*node);
     fleet.runFor(100);
     return leaseOf(fleet, *holder)["state"] != "holding" &&
            leaseOf(fleet, *holder)["state"] != "doubtful";
   }));
-  for (auto& one : fleet.nodes) {
-    EXPECT_NE(leaseOf(fleet, *one)["state"], "holding");
-    ask(*one);
+  for (auto& node : fleet.nodes) {
+    EXPECT_NE(leaseOf(fleet, *node)["state"], "holding");
+    sendRequest(*node);
   }
-  EXPECT_GT(answered, fleet.nodes.size());
+  EXPECT_GT(responseCount, fleet.nodes.size());
   ASSERT_EQ(sqlite3_exec(blocker.get(), "ROLLBACK", nullptr, nullptr, nullptr), SQLITE_OK);
   blocker = nullptr;
   holder = nullptr;
-  ASSERT_TRUE(waitFor(fleet.io, 60, held)) << fleet.logs();
+  ASSERT_TRUE(waitFor(fleet.io, 60, findHolder)) << fleet.logs();
   EXPECT_GT(leaseOf(fleet, *holder)["fence"].get<std::uint64_t>(), fence);
 }
 
-// SIGHUP with another store lets go of what is held in the old one first; a file that cannot be
-// used leaves all.
-TEST(ConductorsOnOneMachine, ChangeTheirStoreUnderWay) {
+// SIGHUP with another store releases the lease in the old one first. An invalid file changes
+// nothing.
+TEST(RouterFleetWithSqlite, ChangesItsStoreOnReload) {
   RouterFleet fleet(1, {"box-1"}, INFERENCE_ROUTER_PROGRAM, /*sqlite=*/true);
-  RouterFleet::Node& one = *fleet.nodes[0];
-  const auto holds = [&] { return leaseOf(fleet, one)["state"] == "holding"; };
-  ASSERT_TRUE(waitFor(fleet.io, 60, holds)) << fleet.logs();
+  RouterFleet::Node& node = *fleet.nodes[0];
+  const auto holdsLease = [&] { return leaseOf(fleet, node)["state"] == "holding"; };
+  ASSERT_TRUE(waitFor(fleet.io, 60, holdsLease)) << fleet.logs();
   const auto rewrite = [&](const std::function<void(json&)>& change) {
-    json file = fleet.configOf(one);
-    change(file["coordination"]);
-    std::ofstream(one.configPath) << file.dump();
-    fleet.signal(one, SIGHUP);
+    json config = fleet.configOf(node);
+    change(config["coordination"]);
+    std::ofstream(node.configPath) << config.dump();
+    fleet.signal(node, SIGHUP);
   };
-  rewrite([](json& part) { part["lease_s"] = 0.1; });
+  rewrite([](json& section) { section["lease_s"] = 0.1; });
   ASSERT_TRUE(waitFor(fleet.io, 60, [&] {
     return fleet.logs().find("coordination cannot be used") != std::string::npos;
   }));
-  EXPECT_TRUE(waitFor(fleet.io, 60, holds));
-  const std::string second = fleet.folder.path + "/second.db";
-  rewrite([&](json& part) { part["store"]["path"] = second; });
+  EXPECT_TRUE(waitFor(fleet.io, 60, holdsLease));
+  const std::string newStorePath = fleet.folder.path + "/second.db";
+  rewrite([&](json& section) { section["store"]["path"] = newStorePath; });
   ASSERT_TRUE(waitFor(fleet.io, 60, [&] {
-    return callAdmin(fleet.io, one.adminAddress, "leases").find(second) != std::string::npos &&
-           holds();
+    return callAdmin(fleet.io, node.adminAddress, "leases").find(newStorePath) !=
+               std::string::npos &&
+           holdsLease();
   })) << fleet.logs();
-  const auto first = opened(fleet.folder.path + "/shared.db");
+  const auto oldStore = openDatabase(fleet.folder.path + "/shared.db");
   std::string cell;
-  const auto row = [](void* to, int, char** columns, char**) {
-    *static_cast<std::string*>(to) = columns[0];
+  const auto readCell = [](void* result, int, char** columns, char**) {
+    *static_cast<std::string*>(result) = columns[0];
     return 0;
   };
-  ASSERT_EQ(sqlite3_exec(first.get(), "SELECT cell FROM lease WHERE task='maintenance'", row, &cell,
-                         nullptr),
+  ASSERT_EQ(sqlite3_exec(oldStore.get(), "SELECT cell FROM lease WHERE task='maintenance'",
+                         readCell, &cell, nullptr),
             SQLITE_OK);
-  EXPECT_FALSE(json::parse(cell).contains("record"))
-      << "let go of, and not left to lapse: " << cell;
+  EXPECT_FALSE(json::parse(cell).contains("record")) << "released, not expired: " << cell;
 }
 
-// Guards what an ending process has just said: its answers and the closes of attempts that it
-// called off are still on their way, and it stays a moment longer than the half second for which it
-// takes new clients.
-TEST(AConductorThatEnds, StaysForItsLastWords) {
+// A process that shuts down keeps running slightly longer than the half second for which it accepts
+// new clients, because its last responses and the closes of cancelled attempts are still in
+// transit.
+TEST(RouterShutdown, WaitsForResponsesInTransit) {
   RouterFleet fleet(1, {"box-1"});
   ASSERT_TRUE(fleet.allReady()) << fleet.logs();
-  const double told = fleet.clock.nowMs();
+  const double signalledAtMs = fleet.clock.nowMs();
   fleet.signal(*fleet.nodes[0], SIGTERM);
   int status = -1;
   ASSERT_TRUE(waitFor(fleet.io, 30, [&] {
     return ::waitpid(fleet.nodes[0]->process, &status, WNOHANG) == fleet.nodes[0]->process;
   }));
   fleet.nodes[0]->process = -1;
-  EXPECT_GE(fleet.clock.nowMs() - told, 600);
+  EXPECT_GE(fleet.clock.nowMs() - signalledAtMs, 600);
 }
 
 }  // namespace
--- a/tests/shared_processes_test.cpp
+++ b/tests/shared_processes_test.cpp
@@ -102,7 +102,7 @@
   void go(double ms) {
     for (const double until = fleet.clock.nowMs() + ms; fleet.clock.nowMs() < until;) {
       for (auto& one : fleet.nodes) {
-        if (one->process <= 0 || one->stopped || open.size() > 60 || random() % 3 != 0)
+        if (one->process <= 0 || one->suspended || open.size() > 60 || random() % 3 != 0)
           continue;
         ask(*one, random() % 2 == 0 ? "attiki" : "patras", random() % 3 == 0 ? "c" : "m");
       }
--- a/tests/support/etcd_stand_in.h
+++ b/tests/support/etcd_stand_in.h
@@ -1,7 +1,6 @@
-// A stand-in for an etcd cluster of one: as much of the published v3 API as the program uses, in
-// the JSON form of its gateway, with revisions, compare-and-swap, leases that expire, and the
-// troubles that a client may meet. What it carries out it writes down, in order, for checkers to
-// read.
+// A fake etcd cluster with one member. It implements the part of the v3 API that the program uses,
+// in the JSON encoding of the gateway: revisions, compare-and-swap and leases that expire. Faults
+// can be injected, and all changes are recorded in order for later checks.
 #pragma once
 
 #include <boost/beast/core/detail/base64.hpp>
@@ -20,7 +19,7 @@
  public:
   using json = nlohmann::json;
 
-  struct Event {  // one key that changed
+  struct Event {  // the change of one key
     enum class Kind { kPut, kDeleted, kExpired } kind;
     std::string key, value;
     double atMs;
@@ -42,26 +41,26 @@
   }
   std::uint64_t revision() const { return revision_; }
 
-  // ---- Troubles
-  // ------------------------------------------------------------------------------------
-  bool noLeader = false;  // answers 503, as members do without one; leases wait meanwhile
-  std::function<bool(const json&)>
-      loseAnswer;  // carried out, and the connection broken in place of an answer
-  double slowMs = 0;
+  // ---- Faults
 
-  // As after a change of leader: every lease lives its whole time once more.
+  // Responds with status 503, like members without a leader; leases do not expire meanwhile.
+  bool noLeader = false;
+  // Selects requests that are executed, but whose connection is closed instead of a response.
+  std::function<bool(const json&)> loseResponse;
+  double responseDelayMs = 0;
+
+  // Simulates a change of leader, which extends every lease by its whole duration.
   void newLeader() {
     for (auto& [id, lease] : leases_)
       lease.untilMs = clock_.nowMs() + lease.ttlMs;
     noLeader = false;
   }
-  // Put back to what it was, revisions and all.
-  struct Copy;
-  std::shared_ptr<Copy> copy() const;
-  void putBack(const Copy& older);
+  // A backup of all keys with their revisions, and its restoration.
+  struct Backup;
+  std::shared_ptr<Backup> makeBackup() const;
+  void restore(const Backup& backup);
 
-  // ---- The wire
-  // ------------------------------------------------------------------------------------
+  // ---- HTTP requests
   void request(const std::shared_ptr<net::ClientConnection>& connection,
                net::HttpRequest&& request,
                double) override {
@@ -69,23 +68,23 @@
     json body = json::parse(request.body(), nullptr, false);
     if (request.method() != boost::beast::http::verb::post || !body.is_object())
       return error(connection, 400, 3, "not a request of this API");
-    const auto work = [this, connection, path, body] {
+    const auto respond = [this, connection, path, body] {
       if (noLeader)
         return error(connection, 503, 14, "etcdserver: no leader");
       expire();
       try {
-        const json answer = carryOut(path, body);
-        if (loseAnswer && loseAnswer(body))
+        const json response = execute(path, body);
+        if (loseResponse && loseResponse(body))
           return connection->abortResponse();
-        connection->answer(200, {{"Content-Type", "application/json"}}, answer.dump());
-      } catch (const Fault& fault) {
-        error(connection, fault.status, fault.code, fault.what);
+        connection->answer(200, {{"Content-Type", "application/json"}}, response.dump());
+      } catch (const RequestError& requestError) {
+        error(connection, requestError.status, requestError.code, requestError.message);
       }
     };
-    if (slowMs > 0)
-      timers_.runAt(clock_.nowMs() + slowMs, work);
+    if (responseDelayMs > 0)
+      timers_.runAt(clock_.nowMs() + responseDelayMs, respond);
     else
-      work();
+      respond();
   }
   void disconnected(net::ClientConnection&) override {}
   void writable(net::ClientConnection&) override {}
@@ -109,10 +108,10 @@
   struct Lease {
     double ttlMs, untilMs;
   };
-  struct Fault {
+  struct RequestError {
     unsigned status;
     int code;
-    std::string what;
+    std::string message;
   };
 
   static std::string encoded(const std::string& bytes) {
@@ -121,13 +120,15 @@
     text.resize(base64::encode(text.data(), bytes.data(), bytes.size()));
     return text;
   }
-  static std::uint64_t number(const json& in, const char* name) {
-    if (!in.contains(name))
+  static std::uint64_t number(const json& object, const char* field) {
+    if (!object.contains(field))
       return 0;
-    return in.at(name).is_string() ? std::stoull(in.at(name).get<std::string>())
-                                   : in.at(name).get<std::uint64_t>();
+    return object.at(field).is_string() ? std::stoull(object.at(field).get<std::string>())
+                                        : object.at(field).get<std::uint64_t>();
+  }
+  static std::string bytes(const json& object, const char* field) {
+    return decoded(object.value(field, ""));
   }
-  static std::string bytes(const json& in, const char* name) { return decoded(in.value(name, "")); }
   json header() const {
     return {{"cluster_id", "1"},
             {"member_id", "1"},
@@ -137,9 +138,9 @@
   void error(const std::shared_ptr<net::ClientConnection>& connection,
              unsigned status,
              int code,
-             const std::string& what) {
+             const std::string& message) {
     connection->answer(status, {{"Content-Type", "application/json"}},
-                       json{{"error", what}, {"code", code}, {"message", what}}.dump());
+                       json{{"error", message}, {"code", code}, {"message", message}}.dump());
   }
 
   void expire() {
@@ -150,48 +151,49 @@
       if (now < it->second.untilMs)
         ++it;
       else
-        it = drop(it, Event::Kind::kExpired);
+        it = removeLease(it, Event::Kind::kExpired);
     }
   }
-  std::map<std::uint64_t, Lease>::iterator drop(std::map<std::uint64_t, Lease>::iterator lease,
-                                                Event::Kind why) {
+  std::map<std::uint64_t, Lease>::iterator removeLease(
+      std::map<std::uint64_t, Lease>::iterator lease,
+      Event::Kind kind) {
     for (auto key = keys_.begin(); key != keys_.end();) {
       if (key->second.lease != lease->first) {
         ++key;
         continue;
       }
-      history_.push_back({why, key->first, key->second.value, clock_.nowMs()});
+      history_.push_back({kind, key->first, key->second.value, clock_.nowMs()});
       ++revision_;
       key = keys_.erase(key);
     }
     return leases_.erase(lease);
   }
 
-  json range(const json& asked) const {
-    const std::string from = bytes(asked, "key"), to = bytes(asked, "range_end");
-    if (const auto at = number(asked, "revision"); at != 0 && at < compacted_)
-      throw Fault{400, 11, "etcdserver: mvcc: required revision has been compacted"};
-    json found = json::array();
-    const auto end = to.empty() ? keys_.upper_bound(from) : keys_.lower_bound(to);
-    for (auto it = keys_.lower_bound(from); it != end; ++it)
-      found.push_back({{"key", encoded(it->first)},
-                       {"value", encoded(it->second.value)},
-                       {"create_revision", std::to_string(it->second.created)},
-                       {"mod_revision", std::to_string(it->second.modified)},
-                       {"version", std::to_string(it->second.version)},
-                       {"lease", std::to_string(it->second.lease)}});
-    json answer{{"header", header()}};
-    if (!found.empty())
-      answer["kvs"] = found, answer["count"] = std::to_string(found.size());
-    return answer;
+  json range(const json& request) const {
+    const std::string begin = bytes(request, "key"), rangeEnd = bytes(request, "range_end");
+    if (const auto revision = number(request, "revision"); revision != 0 && revision < compacted_)
+      throw RequestError{400, 11, "etcdserver: mvcc: required revision has been compacted"};
+    json keyValues = json::array();
+    const auto end = rangeEnd.empty() ? keys_.upper_bound(begin) : keys_.lower_bound(rangeEnd);
+    for (auto it = keys_.lower_bound(begin); it != end; ++it)
+      keyValues.push_back({{"key", encoded(it->first)},
+                           {"value", encoded(it->second.value)},
+                           {"create_revision", std::to_string(it->second.created)},
+                           {"mod_revision", std::to_string(it->second.modified)},
+                           {"version", std::to_string(it->second.version)},
+                           {"lease", std::to_string(it->second.lease)}});
+    json response{{"header", header()}};
+    if (!keyValues.empty())
+      response["kvs"] = keyValues, response["count"] = std::to_string(keyValues.size());
+    return response;
   }
 
-  bool holds(const json& compare) const {
+  bool isMet(const json& compare) const {
     const auto it = keys_.find(bytes(compare, "key"));
-    const Key none, &key = it == keys_.end() ? none : it->second;
+    const Key missing, &key = it == keys_.end() ? missing : it->second;
     const std::string target = compare.value("target", "VERSION");
     if (compare.value("result", "EQUAL") != "EQUAL")
-      throw Fault{400, 3, "the stand-in compares for equality only"};
+      throw RequestError{400, 3, "only comparisons for equality are supported"};
     if (target == "CREATE")
       return key.created == number(compare, "create_revision");
     if (target == "MOD")
@@ -201,36 +203,36 @@
     return it != keys_.end() && key.value == bytes(compare, "value");
   }
 
-  json txn(const json& asked) {
-    bool all = true;
-    for (const json& compare : asked.value("compare", json::array()))
-      all = all && holds(compare);
-    const json operations = asked.value(all ? "success" : "failure", json::array());
+  json transaction(const json& request) {
+    bool conditionsMet = true;
+    for (const json& compare : request.value("compare", json::array()))
+      conditionsMet = conditionsMet && isMet(compare);
+    const json operations = request.value(conditionsMet ? "success" : "failure", json::array());
     bool writes = false;
-    std::set<std::string> named;
-    for (const json& one : operations) {
-      if (one.contains("request_range"))
+    std::set<std::string> changedKeys;
+    for (const json& operation : operations) {
+      if (operation.contains("request_range"))
         continue;
       writes = true;
-      const json& what =
-          one.contains("request_put") ? one["request_put"] : one["request_delete_range"];
-      if (!named.insert(bytes(what, "key")).second)
-        throw Fault{400, 3, "etcdserver: duplicate key given in txn request"};
-      const auto lease = number(what, "lease");
+      const json& change = operation.contains("request_put") ? operation["request_put"]
+                                                             : operation["request_delete_range"];
+      if (!changedKeys.insert(bytes(change, "key")).second)
+        throw RequestError{400, 3, "etcdserver: duplicate key given in txn request"};
+      const auto lease = number(change, "lease");
       if (lease != 0 && leases_.count(lease) == 0)
-        throw Fault{404, 5, "etcdserver: requested lease not found"};
+        throw RequestError{404, 5, "etcdserver: requested lease not found"};
     }
     if (writes)
       ++revision_;
     json responses = json::array();
-    for (const json& one : operations) {
-      if (one.contains("request_range")) {
-        responses.push_back({{"response_range", range(one["request_range"])}});
-      } else if (one.contains("request_put")) {
-        put(one["request_put"]);
+    for (const json& operation : operations) {
+      if (operation.contains("request_range")) {
+        responses.push_back({{"response_range", range(operation["request_range"])}});
+      } else if (operation.contains("request_put")) {
+        put(operation["request_put"]);
         responses.push_back({{"response_put", {{"header", header()}}}});
       } else {
-        const std::string key = bytes(one["request_delete_range"], "key");
+        const std::string key = bytes(operation["request_delete_range"], "key");
         if (const auto it = keys_.find(key); it != keys_.end()) {
           history_.push_back({Event::Kind::kDeleted, key, it->second.value, clock_.nowMs()});
           keys_.erase(it);
@@ -238,29 +240,29 @@
         responses.push_back({{"response_delete_range", {{"header", header()}}}});
       }
     }
-    json answer{{"header", header()}, {"responses", responses}};
-    if (all)
-      answer["succeeded"] = true;  // what is false is left out
-    return answer;
+    json response{{"header", header()}, {"responses", responses}};
+    if (conditionsMet)
+      response["succeeded"] = true;  // the gateway omits false values
+    return response;
   }
 
-  void put(const json& asked) {
-    Key& key = keys_[bytes(asked, "key")];
-    key.value = bytes(asked, "value");
-    key.lease = number(asked, "lease");
+  void put(const json& request) {
+    Key& key = keys_[bytes(request, "key")];
+    key.value = bytes(request, "value");
+    key.lease = number(request, "lease");
     key.modified = revision_;
     if (key.version++ == 0)
       key.created = revision_;
-    history_.push_back({Event::Kind::kPut, bytes(asked, "key"), key.value, clock_.nowMs()});
+    history_.push_back({Event::Kind::kPut, bytes(request, "key"), key.value, clock_.nowMs()});
   }
 
-  json carryOut(const std::string& path, const json& body) {
+  json execute(const std::string& path, const json& body) {
     if (path == "/v3/kv/range")
       return range(body);
     if (path == "/v3/kv/txn")
-      return txn(body);
+      return transaction(body);
     if (path == "/v3/lease/grant") {
-      const std::uint64_t id = 7587800000000000000ULL + ++granted_;
+      const std::uint64_t id = 7587800000000000000ULL + ++grantedLeases_;
       const double ttl = static_cast<double>(number(body, "TTL"));
       leases_[id] = {ttl * 1000, clock_.nowMs() + ttl * 1000};
       return {{"header", header()},
@@ -276,20 +278,22 @@
       }
       return {{"result", result}};
     }
-    if (path ==
-        "/v3/lease/timetolive") {  // in whole seconds, rounded down; -1 for one that is gone
-      const long left = lease == leases_.end()
-                            ? -1
-                            : static_cast<long>((lease->second.untilMs - clock_.nowMs()) / 1000);
-      return {{"header", header()}, {"ID", body.value("ID", "0")}, {"TTL", std::to_string(left)}};
+    // In whole seconds, rounded down; -1 for an expired lease.
+    if (path == "/v3/lease/timetolive") {
+      const long remainingS =
+          lease == leases_.end()
+              ? -1
+              : static_cast<long>((lease->second.untilMs - clock_.nowMs()) / 1000);
+      return {
+          {"header", header()}, {"ID", body.value("ID", "0")}, {"TTL", std::to_string(remainingS)}};
     }
     if (path == "/v3/lease/revoke") {
       if (lease == leases_.end())
-        throw Fault{404, 5, "etcdserver: requested lease not found"};
-      drop(lease, Event::Kind::kDeleted);
+        throw RequestError{404, 5, "etcdserver: requested lease not found"};
+      removeLease(lease, Event::Kind::kDeleted);
       return {{"header", header()}};
     }
-    throw Fault{404, 5, "Not Found"};
+    throw RequestError{404, 5, "Not Found"};
   }
 
   const core::Clock& clock_;
@@ -297,23 +301,23 @@
   core::Counters counters_;
   std::map<std::string, Key> keys_;
   std::map<std::uint64_t, Lease> leases_;
-  std::uint64_t revision_ = 1, compacted_ = 0, granted_ = 0;
+  std::uint64_t revision_ = 1, compacted_ = 0, grantedLeases_ = 0;
   std::vector<Event> history_;
   std::unique_ptr<net::Listener> listener_;
 };
 
-struct EtcdStandIn::Copy {
+struct EtcdStandIn::Backup {
   std::map<std::string, Key> keys;
   std::uint64_t revision;
 };
-inline std::shared_ptr<EtcdStandIn::Copy> EtcdStandIn::copy() const {
-  return std::make_shared<Copy>(Copy{keys_, revision_});
+inline std::shared_ptr<EtcdStandIn::Backup> EtcdStandIn::makeBackup() const {
+  return std::make_shared<Backup>(Backup{keys_, revision_});
 }
-inline void EtcdStandIn::putBack(const Copy& older) {
-  keys_ = older.keys;
-  revision_ = older.revision;
-  compacted_ = older.revision;
-  // Leases are not kept alive by whoever has the keys back, unless they are still known.
+inline void EtcdStandIn::restore(const Backup& backup) {
+  keys_ = backup.keys;
+  revision_ = backup.revision;
+  compacted_ = backup.revision;
+  // Restored keys whose lease no longer exists are deleted, as by its expiry.
   std::erase_if(keys_, [this](const auto& key) {
     return key.second.lease != 0 && leases_.count(key.second.lease) == 0;
   });
--- a/tests/support/fault_proxy.h
+++ b/tests/support/fault_proxy.h
@@ -1,5 +1,6 @@
-// Stands between one process and a server, on the loopback: cut, one way only, slow, reset, and
-// bytes that are held back until told otherwise.
+// A TCP proxy between one process and a server on the loopback interface, with injected faults:
+// connections that are reset, bytes that are lost in one direction, and bytes that are held
+// back.
 #pragma once
 
 #include <list>
@@ -14,10 +15,10 @@
  public:
   enum class Mode {
     kPass,
-    kReset,          // connections are reset, new ones too
-    kDropRequests,   // what the process sends is lost without a sign
-    kDropResponses,  // what the server answers is
-    kHoldRequests,   // what the process sends waits for release()
+    kReset,          // resets all connections, new ones too
+    kDropRequests,   // silently drops what the process sends
+    kDropResponses,  // silently drops what the server sends
+    kHoldRequests,   // holds what the process sends until release()
   };
 
   FaultProxy(boost::asio::io_context& io, net::Endpoint server)
@@ -25,8 +26,8 @@
     accept();
   }
   ~FaultProxy() {
-    for (const auto& pair : pairs_)
-      pair->shut();
+    for (const auto& tunnel : tunnels_)
+      tunnel->close();
   }
 
   net::Endpoint address() const { return acceptor_.local_endpoint(); }
@@ -39,88 +40,92 @@
       release();
   }
   void reset() {
-    for (const auto& pair : pairs_)
-      pair->shut();
-    pairs_.clear();
+    for (const auto& tunnel : tunnels_)
+      tunnel->close();
+    tunnels_.clear();
   }
   void release() {
-    for (const auto& pair : pairs_)
-      pair->release();
+    for (const auto& tunnel : tunnels_)
+      tunnel->release();
   }
-  // Called with what the process sends: true turns to kHoldRequests before it is passed on.
+  // Called with what the process sends, before it is forwarded: true changes the mode to
+  // kHoldRequests.
   std::function<bool(const std::string&)> holdWhen;
 
  private:
-  struct Pair : std::enable_shared_from_this<Pair> {
-    Pair(FaultProxy& layer, tcp::socket socket)
-        : layer(&layer), process(std::move(socket)), server(layer.io_) {}
+  struct Tunnel : std::enable_shared_from_this<Tunnel> {
+    Tunnel(FaultProxy& owner, tcp::socket socket)
+        : proxy(&owner), process(std::move(socket)), server(owner.io_) {}
 
     void start() {
       boost::system::error_code error;
-      server.connect(layer->server_, error);
+      server.connect(proxy->server_, error);
       if (error)
-        return shut();
-      pump(process, server, up, /*isUp=*/true);
-      pump(server, process, down, /*isUp=*/false);
+        return close();
+      forward(process, server, requestBuffer, /*isRequest=*/true);
+      forward(server, process, responseBuffer, /*isRequest=*/false);
     }
-    void pump(tcp::socket& from, tcp::socket& to, std::array<char, 16384>& buffer, bool isUp) {
+    void forward(tcp::socket& from,
+                 tcp::socket& to,
+                 std::array<char, 16384>& buffer,
+                 bool isRequest) {
       from.async_read_some(boost::asio::buffer(buffer),
-                           [self = shared_from_this(), &from, &to, &buffer, isUp](
+                           [self = shared_from_this(), &from, &to, &buffer, isRequest](
                                const boost::system::error_code& error, std::size_t count) {
-                             if (self->layer == nullptr)
+                             if (self->proxy == nullptr)
                                return;
                              if (error)
-                               return self->shut();
+                               return self->close();
                              const std::string bytes(buffer.data(), count);
-                             FaultProxy& layer = *self->layer;
-                             if (isUp && layer.holdWhen && layer.holdWhen(bytes))
-                               layer.mode_ = Mode::kHoldRequests;
-                             const bool lost =
-                                 layer.mode_ == (isUp ? Mode::kDropRequests : Mode::kDropResponses);
-                             if (isUp && layer.mode_ == Mode::kHoldRequests)
-                               self->held += bytes;
-                             else if (!lost)
+                             FaultProxy& owner = *self->proxy;
+                             if (isRequest && owner.holdWhen && owner.holdWhen(bytes))
+                               owner.mode_ = Mode::kHoldRequests;
+                             const bool dropped = owner.mode_ == (isRequest ? Mode::kDropRequests
+                                                                            : Mode::kDropResponses);
+                             if (isRequest && owner.mode_ == Mode::kHoldRequests)
+                               self->heldBytes += bytes;
+                             else if (!dropped)
                                self->send(to, bytes);
-                             if (self->layer != nullptr)
-                               self->pump(from, to, buffer, isUp);
+                             if (self->proxy != nullptr)
+                               self->forward(from, to, buffer, isRequest);
                            });
     }
     void send(tcp::socket& to, const std::string& bytes) {
       boost::system::error_code error;
-      boost::asio::write(to, boost::asio::buffer(bytes),
-                         error);  // small, and read at once by either side
+      // Blocking: the data are small and both sides read at once.
+      boost::asio::write(to, boost::asio::buffer(bytes), error);
       if (error)
-        shut();
+        close();
     }
     void release() {
-      if (!held.empty() && layer != nullptr)
-        send(server, std::exchange(held, ""));
+      if (!heldBytes.empty() && proxy != nullptr)
+        send(server, std::exchange(heldBytes, ""));
     }
-    void shut() {
-      layer = nullptr;
+    void close() {
+      proxy = nullptr;
       boost::system::error_code ignored;
       process.set_option(boost::asio::socket_base::linger(true, 0), ignored);
       process.close(ignored);
       server.close(ignored);
     }
 
-    FaultProxy* layer;
+    FaultProxy* proxy;
     tcp::socket process, server;
-    std::array<char, 16384> up{}, down{};
-    std::string held;
+    std::array<char, 16384> requestBuffer{}, responseBuffer{};
+    std::string heldBytes;
   };
 
   void accept() {
     acceptor_.async_accept([this](const boost::system::error_code& error, tcp::socket socket) {
       if (error)
         return;
-      const auto pair = std::make_shared<Pair>(*this, std::move(socket));
+      const auto tunnel = std::make_shared<Tunnel>(*this, std::move(socket));
       if (mode_ == Mode::kReset) {
-        pair->shut();
+        tunnel->close();
       } else {
-        std::erase_if(pairs_, [](const auto& one) { return one->layer == nullptr; });
-        pairs_.push_back(pair);
-        pair->start();
+        std::erase_if(tunnels_, [](const auto& tunnel) { return tunnel->proxy == nullptr; });
+        tunnels_.push_back(tunnel);
+        tunnel->start();
       }
       accept();
     });
@@ -129,7 +134,7 @@
   boost::asio::io_context& io_;
   net::Endpoint server_;
   tcp::acceptor acceptor_;
-  std::list<std::shared_ptr<Pair>> pairs_;
+  std::list<std::shared_ptr<Tunnel>> tunnels_;
   Mode mode_ = Mode::kPass;
 };
 
--- a/tests/support/lease_model.h
+++ b/tests/support/lease_model.h
@@ -1,6 +1,7 @@
-// A few candidates, the network and a store in one value that can be copied, for searches through
-// all orders of what may happen. The candidates are the program's own state machines; the store
-// decides by the program's own rules; the witness is the tests' own and knows neither.
+// A model of a few candidates, the network and a store as one value that can be copied, for an
+// exhaustive search through all orders of events. The candidates are the production state machines
+// and the store decides by the production rules; the fenced resource, which checks the results, is
+// implemented independently of both.
 #pragma once
 
 #include <deque>
@@ -18,46 +19,46 @@
 
 using namespace coordination;
 
-// What is left out of the whole, each of which has to be found out.
-enum class Mutant { kNone, kNoDriftMargin, kValidFromAnswer, kNoFence, kFenceForgotten };
+// A safety measure to disable. The search must find the resulting violation.
+enum class Mutant { kNone, kNoDriftMargin, kValidFromResponse, kNoFence, kFenceLost };
 
 inline const char* nameOf(Mutant mutant) {
-  constexpr const char* kNames[] = {"none", "no drift margin", "validity counted from the answer",
+  constexpr const char* kNames[] = {"none", "no drift margin", "validity counted from the response",
                                     "no fence", "fence reused after a store restart"};
   return kNames[static_cast<int>(mutant)];
 }
 
-// Sees every effect that arrives. It refuses what carries an older fence, or the fence of another
-// holder, and keeps what it took in order.
-class Witness {
+// Receives all effects. Rejects an effect with an older fence, or with the fence of another holder,
+// and records whether all accepted effects were in order.
+class FencedResource {
  public:
-  enum class Checks { kAll, kNumbersOnly, kNothing };
-  explicit Witness(Checks checks = Checks::kAll) : checks_(checks) {}
-  bool take(const Holder& who, std::uint64_t fence) {
-    const bool older = fence < highest_,
-               other = fence == highest_ && highest_ != 0 && who != holder_;
-    if (checks_ != Checks::kNothing && older)
+  enum class Checks { kAll, kFenceOnly, kNone };
+  explicit FencedResource(Checks checks = Checks::kAll) : checks_(checks) {}
+  bool accept(const Holder& holder, std::uint64_t fence) {
+    const bool stale = fence < highestFence_,
+               foreign = fence == highestFence_ && highestFence_ != 0 && holder != lastHolder_;
+    if (checks_ != Checks::kNone && stale)
       return false;
-    if (checks_ == Checks::kAll && other)
+    if (checks_ == Checks::kAll && foreign)
       return false;
-    inOrder_ = inOrder_ && !older && !other;
-    highest_ = std::max(highest_, fence);
-    holder_ = who;
+    inOrder_ = inOrder_ && !stale && !foreign;
+    highestFence_ = std::max(highestFence_, fence);
+    lastHolder_ = holder;
     return true;
   }
   bool inOrder() const { return inOrder_; }
-  std::uint64_t highest() const { return highest_; }
-  const Holder& holder() const { return holder_; }
+  std::uint64_t highestFence() const { return highestFence_; }
+  const Holder& lastHolder() const { return lastHolder_; }
 
  private:
   Checks checks_;
   bool inOrder_ = true;
-  std::uint64_t highest_ = 0;
-  Holder holder_;
+  std::uint64_t highestFence_ = 0;
+  Holder lastHolder_;
 };
 
-struct World {
-  static constexpr double kTickMs = 200, kDrift = 0.2;
+struct LeaseModel {
+  static constexpr double kAdvanceMs = 200, kDrift = 0.2;
   static LeaseConfig config() {
     LeaseConfig config;
     config.task = "t";
@@ -72,243 +73,247 @@
   }
 
   struct Effect {
-    std::size_t from;
-    Holder who;
+    std::size_t candidate;
+    Holder holder;
     std::uint64_t fence;
   };
-  struct Budget {  // how often each may still happen
-    int lost = 1, repeated = 1, kills = 1, restarts = 1;
+  struct FaultBudget {  // how often each fault may still occur
+    int lostMessages = 1, duplicates = 1, candidateRestarts = 1, storeRestarts = 1;
   };
 
-  World(Mutant mutant, std::size_t candidates)
+  LeaseModel(Mutant mutant, std::size_t candidates)
       : mutant(mutant),
-        witness(mutant == Mutant::kNoFence          ? Witness::Checks::kNothing
-                : mutant == Mutant::kFenceForgotten ? Witness::Checks::kNumbersOnly
-                                                    : Witness::Checks::kAll) {
+        resource(mutant == Mutant::kNoFence     ? FencedResource::Checks::kNone
+                 : mutant == Mutant::kFenceLost ? FencedResource::Checks::kFenceOnly
+                                                : FencedResource::Checks::kAll) {
     for (std::size_t i = 0; i < candidates; ++i)
-      add(i);
+      startCandidate(i);
   }
 
-  void add(std::size_t i) {
-    const Holder who{std::string(1, static_cast<char>('a' + i)), ++incarnations};
-    const LeaseGuards guards{mutant != Mutant::kNoDriftMargin, mutant != Mutant::kValidFromAnswer};
-    Lease lease(config(), who, 1, 0, guards);
+  void startCandidate(std::size_t i) {
+    const Holder holder{std::string(1, static_cast<char>('a' + i)), ++incarnations};
+    const LeaseGuards guards{mutant != Mutant::kNoDriftMargin,
+                             mutant != Mutant::kValidFromResponse};
+    Lease lease(config(), holder, 1, 0, guards);
     if (i < leases.size()) {
       leases[i] = lease;
-      now[i] = 0;
+      candidateNow[i] = 0;
     } else {
       leases.push_back(lease);
-      now.push_back(0);
+      candidateNow.push_back(0);
     }
   }
 
-  // ---- What may happen
-  // -----------------------------------------------------------------------------
+  // ---- Events
 
   enum class Kind {
-    kTick,
-    kTickFast,
-    kRun,
-    kAct,
-    kAsk,
-    kAskKept,
-    kAskLost,
-    kAnswer,
-    kAnswerLost,
-    kEffect,
-    kKill,
-    kRestart
+    kAdvanceFirstSlow,
+    kAdvanceFirstFast,
+    kRunCandidate,
+    kBeginStep,
+    kDeliverRequest,
+    kDuplicateRequest,
+    kLoseRequest,
+    kDeliverResponse,
+    kLoseResponse,
+    kDeliverEffect,
+    kRestartCandidate,
+    kRestartStore
   };
-  struct Step {
+  struct Event {
     Kind kind;
-    std::size_t which = 0;
+    std::size_t index = 0;
   };
 
-  std::vector<Step> possible() const {
-    std::vector<Step> steps{{Kind::kTick}, {Kind::kTickFast}};
+  std::vector<Event> possibleEvents() const {
+    std::vector<Event> events{{Kind::kAdvanceFirstSlow}, {Kind::kAdvanceFirstFast}};
     for (std::size_t i = 0; i < leases.size(); ++i) {
-      if (leases[i].nextMs() <= now[i])
-        steps.push_back({Kind::kRun, i});
-      if (Lease copy = leases[i]; copy.beginStep(now[i]))
-        steps.push_back({Kind::kAct, i});
-      if (budget.kills > 0)
-        steps.push_back({Kind::kKill, i});
+      if (leases[i].nextMs() <= candidateNow[i])
+        events.push_back({Kind::kRunCandidate, i});
+      if (Lease copy = leases[i]; copy.beginStep(candidateNow[i]))
+        events.push_back({Kind::kBeginStep, i});
+      if (faultBudget.candidateRestarts > 0)
+        events.push_back({Kind::kRestartCandidate, i});
     }
-    for (std::size_t i = 0; i < asks.size(); ++i) {
-      steps.push_back({Kind::kAsk, i});
-      if (budget.repeated > 0)
-        steps.push_back({Kind::kAskKept, i});
-      if (budget.lost > 0)
-        steps.push_back({Kind::kAskLost, i});
+    for (std::size_t i = 0; i < requests.size(); ++i) {
+      events.push_back({Kind::kDeliverRequest, i});
+      if (faultBudget.duplicates > 0)
+        events.push_back({Kind::kDuplicateRequest, i});
+      if (faultBudget.lostMessages > 0)
+        events.push_back({Kind::kLoseRequest, i});
     }
-    for (std::size_t i = 0; i < answers.size(); ++i) {
-      steps.push_back({Kind::kAnswer, i});
-      if (budget.lost > 0)
-        steps.push_back({Kind::kAnswerLost, i});
+    for (std::size_t i = 0; i < responses.size(); ++i) {
+      events.push_back({Kind::kDeliverResponse, i});
+      if (faultBudget.lostMessages > 0)
+        events.push_back({Kind::kLoseResponse, i});
     }
     for (std::size_t i = 0; i < effects.size(); ++i)
-      steps.push_back({Kind::kEffect, i});
-    if (budget.restarts > 0)
-      steps.push_back({Kind::kRestart});
-    return steps;
+      events.push_back({Kind::kDeliverEffect, i});
+    if (faultBudget.storeRestarts > 0)
+      events.push_back({Kind::kRestartStore});
+    return events;
   }
 
-  void take(const Step& step) {
-    const std::size_t i = step.which;
-    switch (step.kind) {
-      case Kind::kTick:
-      case Kind::kTickFast:
-        // The worst that the bound on clocks allows: the store's is the fastest, one candidate's
-        // the slowest, another's the fastest, and the first one's may turn from one to the other.
-        storeNow += kTickMs * (1 + kDrift);
-        for (std::size_t p = 0; p < now.size(); ++p) {
-          const bool slow = p == 0 ? step.kind == Kind::kTick : p == 1;
-          now[p] += kTickMs * (slow ? 1 - kDrift : 1 + kDrift);
+  void apply(const Event& event) {
+    const std::size_t i = event.index;
+    switch (event.kind) {
+      case Kind::kAdvanceFirstSlow:
+      case Kind::kAdvanceFirstFast:
+        // The worst case that the bound on clock drift permits: the store's clock is the fastest,
+        // the second candidate's the slowest, the others' the fastest, and the first candidate's
+        // may change between the two.
+        storeNow += kAdvanceMs * (1 + kDrift);
+        for (std::size_t p = 0; p < candidateNow.size(); ++p) {
+          const bool slow = p == 0 ? event.kind == Kind::kAdvanceFirstSlow : p == 1;
+          candidateNow[p] += kAdvanceMs * (slow ? 1 - kDrift : 1 + kDrift);
         }
         break;
-      case Kind::kRun:
-        if (auto ask = leases[i].tick(now[i]))
-          asks.push_back(*ask);
+      case Kind::kRunCandidate:
+        if (auto request = leases[i].tick(candidateNow[i]))
+          requests.push_back(*request);
         break;
-      case Kind::kAct: {
-        const auto fence = leases[i].beginStep(now[i]);
+      case Kind::kBeginStep: {
+        const auto fence = leases[i].beginStep(candidateNow[i]);
         effects.push_back({i, fence->holder(), fence->number()});
         break;
       }
-      case Kind::kAsk:
-      case Kind::kAskKept:
-        answers.push_back({asks[i].holder, decide(cell, asks[i], storeNow, 0)});
-        if (step.kind == Kind::kAsk)
-          asks.erase(asks.begin() + static_cast<long>(i));
+      case Kind::kDeliverRequest:
+      case Kind::kDuplicateRequest:
+        responses.push_back({requests[i].holder, decide(cell, requests[i], storeNow, 0)});
+        if (event.kind == Kind::kDeliverRequest)
+          requests.erase(requests.begin() + static_cast<long>(i));
         else
-          --budget.repeated;
+          --faultBudget.duplicates;
         break;
-      case Kind::kAskLost:
-        --budget.lost;
-        asks.erase(asks.begin() + static_cast<long>(i));
+      case Kind::kLoseRequest:
+        --faultBudget.lostMessages;
+        requests.erase(requests.begin() + static_cast<long>(i));
         break;
-      case Kind::kAnswer: {
-        const auto [to, answer] = answers[i];
-        answers.erase(answers.begin() + static_cast<long>(i));
+      case Kind::kDeliverResponse: {
+        const auto [to, response] = responses[i];
+        responses.erase(responses.begin() + static_cast<long>(i));
         for (std::size_t p = 0; p < leases.size(); ++p)
           if (leases[p].holder() == to)
-            leases[p].onResponse(answer, now[p]);
+            leases[p].onResponse(response, candidateNow[p]);
         break;
       }
-      case Kind::kAnswerLost:
-        --budget.lost;
-        answers.erase(answers.begin() + static_cast<long>(i));
+      case Kind::kLoseResponse:
+        --faultBudget.lostMessages;
+        responses.erase(responses.begin() + static_cast<long>(i));
         break;
-      case Kind::kEffect: {
+      case Kind::kDeliverEffect: {
         const Effect effect = effects[i];
         effects.erase(effects.begin() + static_cast<long>(i));
-        const bool taken = witness.take(effect.who, effect.fence);
-        if (leases[effect.from].holder() != effect.who)
+        const bool accepted = resource.accept(effect.holder, effect.fence);
+        if (leases[effect.candidate].holder() != effect.holder)
           break;
-        if (taken)
-          leases[effect.from].endStep(true, now[effect.from]);
+        if (accepted)
+          leases[effect.candidate].endStep(true, candidateNow[effect.candidate]);
         else
-          leases[effect.from].onFenceRefused(now[effect.from]);
+          leases[effect.candidate].onFenceRefused(candidateNow[effect.candidate]);
         break;
       }
-      case Kind::kKill:
-        --budget.kills;
-        add(i);
+      case Kind::kRestartCandidate:
+        --faultBudget.candidateRestarts;
+        startCandidate(i);
         break;
-      case Kind::kRestart:
-        --budget.restarts;
-        // What a store has said is kept; a lease that it held for somebody may live on a whole time
-        // longer.
-        if (mutant == Mutant::kFenceForgotten)
+      case Kind::kRestartStore:
+        --faultBudget.storeRestarts;
+        // A restarted store keeps what it has acknowledged, and may extend an existing lease by a
+        // whole duration.
+        if (mutant == Mutant::kFenceLost)
           cell = LeaseCell{};
         else if (cell.record)
           cell.untilMs = storeNow + config().ttlMs;
-        asks.clear();
+        requests.clear();
         break;
     }
   }
 
-  // ---- What has to hold
-  // ----------------------------------------------------------------------------
+  // ---- Invariants
 
-  std::optional<std::string> broken() const {
-    if (!witness.inOrder())
-      return "effects were taken out of order";
-    std::size_t within = 0;
+  std::optional<std::string> violation() const {
+    if (!resource.inOrder())
+      return "effects were accepted out of order";
+    std::size_t validHolders = 0;
     for (std::size_t i = 0; i < leases.size(); ++i)
-      within += leases[i].withinValidity(now[i]);
-    // With fences that are forgotten two may well take themselves for holders; what counts is what
-    // they do.
-    if (within > 1 && mutant != Mutant::kFenceForgotten)
+      validHolders += leases[i].withinValidity(candidateNow[i]);
+    // If the store loses fences, two candidates may both consider themselves holders; only their
+    // effects matter then.
+    if (validHolders > 1 && mutant != Mutant::kFenceLost)
       return "two holders within their own validity";
     return std::nullopt;
   }
 
-  std::string key() const {
+  std::string stateKey() const {
     std::string text;
     const auto put = [&text](const auto& value) {
       text.append(reinterpret_cast<const char*>(&value), sizeof value);
     };
-    const auto who = [&](const Holder& holder) {
+    const auto putHolder = [&](const Holder& holder) {
       put(holder.incarnation);
       text += holder.name + ' ';
     };
     for (std::size_t i = 0; i < leases.size(); ++i) {
-      who(leases[i].holder());
-      const LeaseFingerprint lease = leases[i].fingerprint(now[i]);
+      putHolder(leases[i].holder());
+      const LeaseFingerprint lease = leases[i].fingerprint(candidateNow[i]);
       put(lease.state), put(lease.number), put(lease.fence), put(lease.highestFenceSeen);
       put(lease.nextRequestInMs), put(lease.validForMs), put(lease.withoutProgressMs);
       put(lease.awaitingResponse), put(lease.resigned), put(lease.cannotBeginStep);
       for (const LeaseFingerprint::PendingRequest& request : lease.pending)
         put(request.number), put(request.operation), put(request.ageMs);
     }
-    put(cell.fence), who(cell.last), put(cell.lastNumber);
+    put(cell.fence), putHolder(cell.last), put(cell.lastNumber);
     put(cell.record.has_value());
     if (cell.record)
-      who(cell.record->holder), put(std::max(-1.0, cell.untilMs - storeNow));
-    for (const LeaseRequest& ask : asks)
-      who(ask.holder), put(ask.number), put(ask.operation), put(ask.fence);
+      putHolder(cell.record->holder), put(std::max(-1.0, cell.untilMs - storeNow));
+    for (const LeaseRequest& request : requests)
+      putHolder(request.holder), put(request.number), put(request.operation), put(request.fence);
     text += '|';
-    for (const auto& [to, answer] : answers)
-      who(to), put(answer.number), put(answer.result), put(answer.fence), put(answer.remainingMs);
+    for (const auto& [to, response] : responses)
+      putHolder(to), put(response.number), put(response.result), put(response.fence),
+          put(response.remainingMs);
     text += '|';
     for (const Effect& effect : effects)
-      who(effect.who), put(effect.fence);
-    put(witness.highest()), who(witness.holder());
-    put(budget);
+      putHolder(effect.holder), put(effect.fence);
+    put(resource.highestFence()), putHolder(resource.lastHolder());
+    put(faultBudget);
     return text;
   }
 
-  std::string say(const Step& step) const {
-    const std::size_t i = step.which;
-    const auto name = [](const Holder& who) { return who.name + std::to_string(who.incarnation); };
-    constexpr const char* kVerbs[] = {"acquire", "renew", "release"};
-    switch (step.kind) {
-      case Kind::kTick:
+  std::string describe(const Event& event) const {
+    const std::size_t i = event.index;
+    const auto name = [](const Holder& holder) {
+      return holder.name + std::to_string(holder.incarnation);
+    };
+    constexpr const char* kOperations[] = {"acquire", "renew", "release"};
+    switch (event.kind) {
+      case Kind::kAdvanceFirstSlow:
         return "200 ms pass, a's clock is slow";
-      case Kind::kTickFast:
+      case Kind::kAdvanceFirstFast:
         return "200 ms pass, a's clock is fast";
-      case Kind::kRun:
-        return name(leases[i].holder()) + " runs (" + nameOf(leases[i].state()) + ")";
-      case Kind::kAct:
-        return name(leases[i].holder()) + " acts under fence " + std::to_string(leases[i].fence());
-      case Kind::kAsk:
-      case Kind::kAskKept:
-        return "the store carries out " + name(asks[i].holder) + "'s " +
-               kVerbs[static_cast<int>(asks[i].operation)] +
-               (step.kind == Kind::kAsk ? "" : ", which will come again");
-      case Kind::kAskLost:
-        return "an ask of " + name(asks[i].holder) + " is lost";
-      case Kind::kAnswer:
-        return "the answer reaches " + name(answers[i].first);
-      case Kind::kAnswerLost:
-        return "an answer to " + name(answers[i].first) + " is lost";
-      case Kind::kEffect:
-        return "the effect of " + name(effects[i].who) + " under fence " +
+      case Kind::kRunCandidate:
+        return name(leases[i].holder()) + " is scheduled (" + nameOf(leases[i].state()) + ")";
+      case Kind::kBeginStep:
+        return name(leases[i].holder()) + " begins a step under fence " +
+               std::to_string(leases[i].fence());
+      case Kind::kDeliverRequest:
+      case Kind::kDuplicateRequest:
+        return "the store executes " + name(requests[i].holder) + "'s " +
+               kOperations[static_cast<int>(requests[i].operation)] +
+               (event.kind == Kind::kDeliverRequest ? "" : ", which will be duplicated");
+      case Kind::kLoseRequest:
+        return "a request of " + name(requests[i].holder) + " is lost";
+      case Kind::kDeliverResponse:
+        return "the response reaches " + name(responses[i].first);
+      case Kind::kLoseResponse:
+        return "a response to " + name(responses[i].first) + " is lost";
+      case Kind::kDeliverEffect:
+        return "the effect of " + name(effects[i].holder) + " under fence " +
                std::to_string(effects[i].fence) + " arrives";
-      case Kind::kKill:
-        return name(leases[i].holder()) + " is killed and starts anew";
-      case Kind::kRestart:
+      case Kind::kRestartCandidate:
+        return name(leases[i].holder()) + " is killed and restarts";
+      case Kind::kRestartStore:
         return "the store restarts";
     }
     return "";
@@ -316,66 +321,69 @@
 
   Mutant mutant;
   std::vector<Lease> leases;
-  std::vector<double> now;
+  std::vector<double> candidateNow;
   LeaseCell cell;
   double storeNow = 0;
-  std::vector<LeaseRequest> asks;
-  std::vector<std::pair<Holder, LeaseResponse>> answers;
+  std::vector<LeaseRequest> requests;
+  std::vector<std::pair<Holder, LeaseResponse>> responses;
   std::vector<Effect> effects;
-  Witness witness;
-  Budget budget;
+  FencedResource resource;
+  FaultBudget faultBudget;
   std::uint64_t incarnations = 0;
 };
 
-struct Explored {
+struct SearchResult {
   std::size_t states = 0, depth = 0;
-  std::string broken;               // empty: nothing was
-  std::vector<std::string> course;  // the shortest that leads there
+  std::string violation;          // the violated invariant; empty: none
+  std::vector<std::string> path;  // the events of a shortest path to the violation
 };
 
-// Breadth first, so that the first break that is found is one of the shortest.
-inline Explored explore(const World& first, std::size_t depth, std::size_t mostStates) {
-  struct From {
+// Searches breadth first, so that the first violation found has a shortest path.
+inline SearchResult explore(const LeaseModel& initial,
+                            std::size_t maxDepth,
+                            std::size_t maxStates) {
+  struct Visited {
     std::size_t parent;
-    World::Step step;
+    LeaseModel::Event event;
   };
-  std::vector<From> from{{0, {}}};
-  // 64 bits of each: among a few million states the chance that two meet is under one in a million.
+  std::vector<Visited> visited{{0, {}}};
+  // States are identified by 64-bit hashes: among a few million states the probability of a
+  // collision is below one in a million.
   const std::hash<std::string> hashOf;
-  std::unordered_set<std::size_t> seen{hashOf(first.key())};
-  std::vector<std::pair<std::size_t, World>> layer{{0, first}};
-  Explored found;
-  for (found.depth = 0; found.depth < depth && from.size() < mostStates; ++found.depth) {
-    std::vector<std::pair<std::size_t, World>> next;
-    for (const auto& [number, world] : layer) {
-      for (const World::Step& step : world.possible()) {
-        World after = world;
-        after.take(step);
-        if (!seen.insert(hashOf(after.key())).second)
+  std::unordered_set<std::size_t> seenHashes{hashOf(initial.stateKey())};
+  std::vector<std::pair<std::size_t, LeaseModel>> layer{{0, initial}};
+  SearchResult result;
+  for (result.depth = 0; result.depth < maxDepth && visited.size() < maxStates; ++result.depth) {
+    std::vector<std::pair<std::size_t, LeaseModel>> next;
+    for (const auto& [index, model] : layer) {
+      for (const LeaseModel::Event& event : model.possibleEvents()) {
+        LeaseModel after = model;
+        after.apply(event);
+        if (!seenHashes.insert(hashOf(after.stateKey())).second)
           continue;
-        from.push_back({number, step});
-        if (const auto broken = after.broken()) {
-          found.broken = *broken;
-          found.states = from.size();
-          std::vector<World::Step> steps;
-          for (std::size_t at = from.size() - 1; at != 0; at = from[at].parent)
-            steps.push_back(from[at].step);
-          World again = first;
-          for (auto it = steps.rbegin(); it != steps.rend(); ++it) {
-            found.course.push_back(again.say(*it));
-            again.take(*it);
+        visited.push_back({index, event});
+        if (const auto violation = after.violation()) {
+          result.violation = *violation;
+          result.states = visited.size();
+          std::vector<LeaseModel::Event> events;
+          for (std::size_t at = visited.size() - 1; at != 0; at = visited[at].parent)
+            events.push_back(visited[at].event);
+          LeaseModel replayed = initial;
+          for (auto it = events.rbegin(); it != events.rend(); ++it) {
+            result.path.push_back(replayed.describe(*it));
+            replayed.apply(*it);
           }
-          return found;
+          return result;
         }
-        next.emplace_back(from.size() - 1, std::move(after));
+        next.emplace_back(visited.size() - 1, std::move(after));
       }
     }
     layer = std::move(next);
     if (layer.empty())
       break;
   }
-  found.states = from.size();
-  return found;
+  result.states = visited.size();
+  return result;
 }
 
 }  // namespace inference_router
--- a/tests/support/program.h
+++ b/tests/support/program.h
@@ -1,4 +1,5 @@
-// The program itself, as tests start it: ports of the loopback, processes that end with the test.
+// Starts the program in tests: addresses on the loopback interface, processes that end with the
+// test, and commands to the admin endpoint.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -17,16 +18,16 @@
 
 namespace inference_router {
 
-inline std::string textOf(const net::Endpoint& at) {
-  return at.address().to_string() + ":" + std::to_string(at.port());
+inline std::string textOf(const net::Endpoint& endpoint) {
+  return endpoint.address().to_string() + ":" + std::to_string(endpoint.port());
 }
 
-// At a loopback address of this test process's own, where nobody else binds: a port that was free a
-// moment ago at the common one may be taken by anybody's connection before the program binds it.
+// Returns an endpoint at a loopback address that only this test process uses. At 127.0.0.1 a port
+// that is free now may be taken by any other connection before the program binds it.
 inline net::Endpoint freePort() {
   static std::uint16_t port = 20'000;
-  const auto own = static_cast<std::uint32_t>(::getpid()) & 0x3fffff;
-  return {boost::asio::ip::address_v4(0x7f400000 | own), ++port};  // in 127.64.0.0/10
+  const auto processId = static_cast<std::uint32_t>(::getpid()) & 0x3fffff;
+  return {boost::asio::ip::address_v4(0x7f400000 | processId), ++port};  // in 127.64.0.0/10
 }
 
 class Programs {
@@ -38,13 +39,13 @@
     }
   }
 
-  // arguments: after the program's name; environment: NAME=value, in place of what this process's
-  // environment says of these names.
+  // arguments: without the program's name. environment: entries NAME=value, added to this process's
+  // environment without TMPDIR and GW_*.
   pid_t start(std::vector<std::string> arguments, const std::vector<std::string>& environment) {
     arguments.insert(arguments.begin(), INFERENCE_ROUTER_PROGRAM);
-    std::vector<char*> raw, variables;
+    std::vector<char*> argv, variables;
     for (const std::string& argument : arguments)
-      raw.push_back(const_cast<char*>(argument.c_str()));
+      argv.push_back(const_cast<char*>(argument.c_str()));
     for (char** variable = environ; *variable != nullptr; ++variable) {
       const std::string_view name(*variable);
       if (name.rfind("TMPDIR=", 0) != 0 && name.rfind("GW_", 0) != 0)
@@ -52,18 +53,18 @@
     }
     for (const std::string& variable : environment)
       variables.push_back(const_cast<char*>(variable.c_str()));
-    raw.push_back(nullptr);
+    argv.push_back(nullptr);
     variables.push_back(nullptr);
     const pid_t process = ::fork();
     if (process == 0) {
-      ::execve(raw[0], raw.data(), variables.data());
+      ::execve(argv[0], argv.data(), variables.data());
       ::_exit(127);
     }
     started_.push_back(process);
     return process;
   }
 
-  // Its exit status once it has ended; nothing while it runs.
+  // Returns the exit status of a process that has ended, -1 after a signal; nothing while it runs.
   std::optional<int> exitStatus(pid_t process) {
     int status = 0;
     if (::waitpid(process, &status, WNOHANG) != process)
@@ -81,13 +82,13 @@
   std::vector<pid_t> started_;
 };
 
-// One call at the operators' door.
+// Sends one command to the admin endpoint and returns its response; empty without one.
 inline std::string callAdmin(boost::asio::io_context& io,
-                             const net::Endpoint& door,
+                             const net::Endpoint& adminAddress,
                              const std::string& line) {
   RawPeer peer(io);
   try {
-    peer.connect(door);
+    peer.connect(adminAddress);
   } catch (const boost::system::system_error&) {
     return "";
   }
--- a/tests/support/router_fleet.h
+++ b/tests/support/router_fleet.h
@@ -1,5 +1,5 @@
-// Many routers, as the program itself, with one store between them and a layer of faults between
-// each and the store.
+// A fleet of router processes that share one store, with a fault-injecting proxy between each
+// router and the store.
 #pragma once
 
 #include <sys/wait.h>
@@ -19,10 +19,12 @@
 inline constexpr double kLeaseMs = 1000;
 inline const std::string kPrefix = "site/";
 
-inline bool waitFor(boost::asio::io_context& io, double seconds, const std::function<bool()>& met) {
-  const auto limit = std::chrono::steady_clock::now() + std::chrono::duration<double>(seconds);
-  while (!met()) {
-    if (std::chrono::steady_clock::now() > limit)
+inline bool waitFor(boost::asio::io_context& io,
+                    double seconds,
+                    const std::function<bool()>& condition) {
+  const auto deadline = std::chrono::steady_clock::now() + std::chrono::duration<double>(seconds);
+  while (!condition()) {
+    if (std::chrono::steady_clock::now() > deadline)
       return false;
     io.restart();
     if (io.poll() == 0)
@@ -31,7 +33,8 @@
   return true;
 }
 
-// Instances that answer reads and streams at once, and write down what comes, when, and from whom.
+// Starts the processes, the store and fake instances, which respond at once and record the time and
+// target of each request.
 struct RouterFleet {
   struct Node {
     std::string name;
@@ -39,16 +42,17 @@
     net::Endpoint listen, adminAddress;
     std::string configPath;
     pid_t process = -1;
-    bool stopped = false;
+    bool suspended = false;
   };
 
-  // sqlite: they share a file in place of the stand-in. change: of each one's file.
+  // sqlite: the routers share an SQLite file instead of the fake etcd. changeConfig: applied to the
+  // configuration of each router.
   RouterFleet(std::size_t count,
               const std::vector<std::string>& instanceNames,
               std::string program = INFERENCE_ROUTER_PROGRAM,
               bool sqlite = false,
-              std::function<void(json&)> change = nullptr)
-      : program_(std::move(program)), sqlite_(sqlite), change_(std::move(change)) {
+              std::function<void(json&)> changeConfig = nullptr)
+      : program_(std::move(program)), sqlite_(sqlite), changeConfig_(std::move(changeConfig)) {
     for (const std::string& name : instanceNames) {
       instances[name] = std::make_unique<StandInInstance>(io, clock, timers);
       instances[name]->script = [this, name](StandInInstance& instance,
@@ -58,90 +62,90 @@
       };
     }
     for (std::size_t i = 0; i < count; ++i) {
-      auto one = std::make_unique<Node>();
-      one->name = "c" + std::to_string(i + 1);
-      one->proxy = std::make_unique<FaultProxy>(io, store.address());
-      one->listen = freePort();
-      one->adminAddress = freePort();
-      one->configPath = folder.path + "/" + one->name + ".json";
-      std::ofstream(one->configPath) << configOf(*one).dump();
-      nodes.push_back(std::move(one));
+      auto node = std::make_unique<Node>();
+      node->name = "c" + std::to_string(i + 1);
+      node->proxy = std::make_unique<FaultProxy>(io, store.address());
+      node->listen = freePort();
+      node->adminAddress = freePort();
+      node->configPath = folder.path + "/" + node->name + ".json";
+      std::ofstream(node->configPath) << configOf(*node).dump();
+      nodes.push_back(std::move(node));
     }
-    for (auto& one : nodes)
-      start(*one);
+    for (auto& node : nodes)
+      start(*node);
   }
   ~RouterFleet() {
-    for (auto& one : nodes)
-      kill(*one);
+    for (auto& node : nodes)
+      kill(*node);
   }
 
-  json configOf(const Node& one) const {
+  json configOf(const Node& node) const {
     json settings = siteSettings();
     settings["contract"]["coldMs"] = 200.0;
-    json listed = json::array();
+    json instanceList = json::array();
     for (const auto& [name, instance] : instances)
-      listed.push_back(
+      instanceList.push_back(
           {{"id", name}, {"address", textOf(instance->address())}, {"role", "both"}, {"cell", 0}});
-    json file{{"listen", textOf(one.listen)},
-              {"admin_addr", textOf(one.adminAddress)},
-              {"keys", {{{"key", "k"}, {"tenant", "club"}}}},
-              {"models", {{"m", "member-questions"}}},
-              {"boxes", listed},
-              {"settings", settings},
-              {"coordination",
-               {{"name", one.name},
-                {"store", sqlite_ ? json{{"kind", "sqlite"}, {"path", folder.path + "/shared.db"}}
-                                  : json{{"kind", "etcd"},
-                                         {"endpoints", {textOf(one.proxy->address())}},
-                                         {"prefix", kPrefix}}},
-                {"lease_s", kLeaseMs / 1000},
-                {"answer_ms", 200},
-                {"step_ms", 200},
-                {"spread_ms", 20},
-                {"watch_ms", 100},
-                {"maintenance", {{"silent_node_s", 4}, {"period_ms", 30}}},
-                {"cleanup", {{"gone_s", 60}, {"period_ms", 500}}}}}};
-    if (change_)
-      change_(file);
-    return file;
-  }
-
-  void start(Node& one) {
-    const std::string log = folder.path + "/" + one.name + ".log";
-    one.process = ::fork();
-    if (one.process == 0) {
+    json config{{"listen", textOf(node.listen)},
+                {"admin_addr", textOf(node.adminAddress)},
+                {"keys", {{{"key", "k"}, {"tenant", "club"}}}},
+                {"models", {{"m", "member-questions"}}},
+                {"boxes", instanceList},
+                {"settings", settings},
+                {"coordination",
+                 {{"name", node.name},
+                  {"store", sqlite_ ? json{{"kind", "sqlite"}, {"path", folder.path + "/shared.db"}}
+                                    : json{{"kind", "etcd"},
+                                           {"endpoints", {textOf(node.proxy->address())}},
+                                           {"prefix", kPrefix}}},
+                  {"lease_s", kLeaseMs / 1000},
+                  {"answer_ms", 200},
+                  {"step_ms", 200},
+                  {"spread_ms", 20},
+                  {"watch_ms", 100},
+                  {"maintenance", {{"silent_node_s", 4}, {"period_ms", 30}}},
+                  {"cleanup", {{"gone_s", 60}, {"period_ms", 500}}}}}};
+    if (changeConfig_)
+      changeConfig_(config);
+    return config;
+  }
+
+  void start(Node& node) {
+    const std::string log = folder.path + "/" + node.name + ".log";
+    node.process = ::fork();
+    if (node.process == 0) {
       if (std::freopen(log.c_str(), "a", stderr) == nullptr)
         ::_exit(126);
-      ::execl(program_.c_str(), program_.c_str(), "serve", "--operator", one.configPath.c_str(),
+      ::execl(program_.c_str(), program_.c_str(), "serve", "--operator", node.configPath.c_str(),
               nullptr);
       ::_exit(127);
     }
-    one.stopped = false;
+    node.suspended = false;
   }
-  void signal(Node& one, int number) {
-    if (one.process > 0)
-      ::kill(one.process, number);
+  void signal(Node& node, int number) {
+    if (node.process > 0)
+      ::kill(node.process, number);
     if (number == SIGSTOP || number == SIGCONT)
-      one.stopped = number == SIGSTOP;
+      node.suspended = number == SIGSTOP;
   }
-  void kill(Node& one) {
-    if (one.process <= 0)
+  void kill(Node& node) {
+    if (node.process <= 0)
       return;
-    ::kill(one.process, SIGKILL);
-    ::waitpid(one.process, nullptr, 0);
-    one.process = -1;
+    ::kill(node.process, SIGKILL);
+    ::waitpid(node.process, nullptr, 0);
+    node.process = -1;
   }
   void runFor(double ms) {
     const double until = clock.nowMs() + ms;
     waitFor(io, ms / 1000 + 1, [&] { return clock.nowMs() >= until; });
   }
 
-  // Says it at whichever door answers with a yes.
+  // Sends the command to the routers in turn until one of them accepts it.
   bool runAdminCommand(const std::string& line) {
     return waitFor(io, 60, [&] {
-      for (auto& one : nodes)
-        if (one->process > 0 && !one->stopped &&
-            callAdmin(io, one->adminAddress, line).rfind("ok", 0) == 0)
+      for (auto& node : nodes)
+        if (node->process > 0 && !node->suspended &&
+            callAdmin(io, node->adminAddress, line).rfind("ok", 0) == 0)
           return true;
       runFor(50);
       return false;
@@ -150,8 +154,8 @@
 
   bool allReady() {
     return waitFor(io, 60, [&] {
-      return std::all_of(nodes.begin(), nodes.end(), [&](auto& one) {
-        return callAdmin(io, one->adminAddress, "readyz").rfind("ok", 0) == 0;
+      return std::all_of(nodes.begin(), nodes.end(), [&](auto& node) {
+        return callAdmin(io, node->adminAddress, "readyz").rfind("ok", 0) == 0;
       });
     });
   }
@@ -161,30 +165,30 @@
     return text ? json::parse(*text) : json();
   }
   bool planDone(const std::string& id) {
-    const json now = plan();
-    return !now.is_null() && now["id"] == id && now["state"] == "done";
+    const json current = plan();
+    return !current.is_null() && current["id"] == id && current["state"] == "done";
   }
   std::string leaseHolder() {
     const auto text = store.value(kPrefix + "lease/maintenance");
     return text ? json::parse(*text)["holder"]["name"].get<std::string>() : "";
   }
   Node* byName(const std::string& name) {
-    for (auto& one : nodes)
-      if (one->name == name)
-        return one.get();
+    for (auto& node : nodes)
+      if (node->name == name)
+        return node.get();
     return nullptr;
   }
   std::string logs() const {
     std::string text;
-    for (const auto& one : nodes) {
-      std::ifstream file(folder.path + "/" + one->name + ".log");
-      text += "--- " + one->name + "\n" + std::string(std::istreambuf_iterator<char>(file), {});
+    for (const auto& node : nodes) {
+      std::ifstream file(folder.path + "/" + node->name + ".log");
+      text += "--- " + node->name + "\n" + std::string(std::istreambuf_iterator<char>(file), {});
     }
     return text;
   }
   void expectNoViolations() {
-    const auto broken = findViolations(store.history(), kPrefix);
-    EXPECT_TRUE(broken.empty()) << ::testing::PrintToString(broken);
+    const auto violations = findViolations(store.history(), kPrefix);
+    EXPECT_TRUE(violations.empty()) << ::testing::PrintToString(violations);
   }
 
   boost::asio::io_context io;
@@ -204,7 +208,7 @@
  private:
   std::string program_;
   bool sqlite_;
-  std::function<void(json&)> change_;
+  std::function<void(json&)> changeConfig_;
 };
 
 }  // namespace inference_router
