--- a/tests/flood_test.cpp
+++ b/tests/flood_test.cpp
@@ -419,7 +419,7 @@
   streams.clear();
   flood.clear();
   std::optional<int> status;
-  ASSERT_TRUE(stage.until([&] { return status || (status = programs.ended(program)); }));
+  ASSERT_TRUE(stage.until([&] { return status || (status = programs.exitStatus(program)); }));
   EXPECT_EQ(status, 0);
   // The instances must have seen no request twice, none without remaining time, and no new one
   // after the exclusion.
