--- a/src/app/coordinator.cpp
+++ b/src/app/coordinator.cpp
@@ -138,14 +138,14 @@
 void Coordinator::resign() {
   resigned_ = true;
   if (sharedState_ != nullptr)
-    sharedState_->setLeaving(true);
+    sharedState_->setDraining(true);
   session_->runner.resign();
 }
 
 void Coordinator::rejoin() {
   resigned_ = false;
   if (sharedState_ != nullptr)
-    sharedState_->setLeaving(false);
+    sharedState_->setDraining(false);
   if (!presence_.nameConflict())
     session_->runner.rejoin();
 }
--- a/src/app/lifecycle_tracker.cpp
+++ b/src/app/lifecycle_tracker.cpp
@@ -53,7 +53,7 @@
   facts.ejected = server_.dispatcher.avoids(id);
   if (const upstream::InstanceEndpoint* endpoint = server_.directory.find(id))
     facts.reachable = endpoint->failedMs <= endpoint->heardMs;
-  facts.open = server_.dispatcher.openAt(id);
+  facts.openRequests = server_.dispatcher.openAt(id);
   return facts;
 }
 
@@ -61,7 +61,7 @@
   const double now = server_.clock.nowMs();
   std::erase_if(lifecycles_, [now](const auto& entry) {
     const fleet::InstanceLifecycle& lifecycle = entry.second;
-    return lifecycle.state() == fleet::LifecycleState::kGone &&
+    return lifecycle.state() == fleet::LifecycleState::kRemoved &&
            now - lifecycle.sinceMs() > kRemovedKeptMs;
   });
 }
--- a/src/app/shared_state_report.cpp
+++ b/src/app/shared_state_report.cpp
@@ -29,7 +29,7 @@
     budgets.push_back({{"tenant", tenant},
                        {"limit", line != nullptr ? line->limit : config.budgets.at(tenant)},
                        {"charged", line != nullptr ? line->charged : 0},
-                       {"left", line != nullptr ? line->left : 0},
+                       {"left", line != nullptr ? line->available : 0},
                        {"lent_to", line != nullptr ? line->lent.size() : 0},
                        {"here",
                         {{"lent", here.lent},
@@ -48,8 +48,8 @@
     const auto* verdict = entryOf(digest ? &digest->instances : nullptr, id);
     instances.push_back({{"box", id},
                          {"standing", nameOf(availability)},
-                         {"bad", verdict != nullptr ? verdict->bad : 0},
-                         {"good", verdict != nullptr ? verdict->good : 0},
+                         {"bad", verdict != nullptr ? verdict->unhealthyVotes : 0},
+                         {"good", verdict != nullptr ? verdict->healthyVotes : 0},
                          {"trouble", verdict != nullptr ? nameOf(verdict->failure) : "none"}});
   }
   return instances;
--- a/src/app/shared_state_service.cpp
+++ b/src/app/shared_state_service.cpp
@@ -118,7 +118,7 @@
 void SharedStateService::updateExclusions() {
   const double now = server_.clock.nowMs();
   const auto instances =
-      setup_.hearsay ? this->instances() : std::map<std::string, KnownInstance>();
+      setup_.peerExclusions ? this->instances() : std::map<std::string, KnownInstance>();
   std::set<std::string> listed;
   for (const auto& [id, instance] : instances)
     listed.insert(id);
@@ -186,10 +186,10 @@
   if (answer.denial == Denial::kNone)
     return std::nullopt;
   ++server_.counters[std::string("shared.denied.") + nameOf(answer.denial)];
-  SharedNode::Ended refused;
-  refused.how = SharedNode::Ended::How::kRefused;
-  refused.askedTokens = tokens;
-  node_.ended(tenant, cls, answer.reservation, refused, now);
+  SharedNode::RequestUsage refused;
+  refused.outcome = SharedNode::RequestUsage::Outcome::kRefused;
+  refused.requestedTokens = tokens;
+  node_.settleRequest(tenant, cls, answer.reservation, refused, now);
   return explain(answer.denial, tenant);
 }
 
@@ -211,8 +211,8 @@
 void SharedStateService::ended(const std::string& tenant,
                                const std::string& cls,
                                const Reservation& reservation,
-                               const SharedNode::Ended& how) {
-  node_.ended(tenant, cls, reservation, how, server_.clock.nowMs());
+                               const SharedNode::RequestUsage& usage) {
+  node_.settleRequest(tenant, cls, reservation, usage, server_.clock.nowMs());
 }
 
 // ---- Observability ----
@@ -245,16 +245,16 @@
   counters["shared.conflicts"] = node.conflicts;
   counters["shared.folded_away"] = node.evicted;
   counters["shared.digests"] = node.digests;
-  counters["shared.went_back"] = node.rolledBack;
-  counters["shared.unreadable"] = node.unreadable;
+  counters["shared.went_back"] = node.rollbacks;
+  counters["shared.unreadable"] = node.undecodable;
   if (digestTask_ == nullptr)
     return;
   const DigestTask::Stats& digest = digestTask_->stats();
   counters["shared.folded"] = digest.folded;
-  counters["shared.restored"] = digest.rolledBack;
-  counters["shared.backwards"] = digest.backwards;
-  counters["shared.incredible"] = digest.incredible;
-  for (const auto& [flaw, count] : digest.unread)
+  counters["shared.restored"] = digest.rollbacks;
+  counters["shared.backwards"] = digest.decreasedCounters;
+  counters["shared.incredible"] = digest.ignoredWitnesses;
+  for (const auto& [flaw, count] : digest.undecodable)
     counters["shared.unread." + flaw] = count;
 }
 
--- a/src/app/shared_state_service.h
+++ b/src/app/shared_state_service.h
@@ -36,8 +36,8 @@
   /// How documents are written from now on; null: not at all.
   void setWriter(Writer writer) { writer_ = std::move(writer); }
   void reconfigure(shared::SharedSetup setup);
-  /// leaving: no more requests are taken, so unused loans are returned; false undoes it.
-  void setLeaving(bool leaving) { node_.setLeaving(leaving); }
+  /// draining: no more requests are taken, so unused loans are returned; false undoes it.
+  void setDraining(bool draining) { node_.setDraining(draining); }
 
   /// The task that makes the digest, for the router that holds its lease. The one made last is
   /// observed, and has to live as long as this object or until the next one is made.
@@ -57,7 +57,7 @@
   void ended(const std::string& tenant,
              const std::string& cls,
              const shared::Reservation& reservation,
-             const shared::SharedNode::Ended& how) override;
+             const shared::SharedNode::RequestUsage& usage) override;
 
  private:
   void tick();
--- a/src/fleet/lifecycle.cpp
+++ b/src/fleet/lifecycle.cpp
@@ -26,7 +26,7 @@
   const bool draining = state_ == S::kDraining || state_ == S::kDrained;
   switch (event) {
     case LifecycleEvent::kListed:
-      return state_ == S::kGone ? std::optional(S::kWarming) : std::nullopt;
+      return state_ == S::kRemoved ? std::optional(S::kWarming) : std::nullopt;
     case LifecycleEvent::kWarm:
       return state_ == S::kWarming ? std::optional(S::kActive) : std::nullopt;
     case LifecycleEvent::kDrainRequested:
@@ -44,7 +44,7 @@
     case LifecycleEvent::kReconnected:
       return state_ == S::kUnreachable ? std::optional(resumeState_) : std::nullopt;
     case LifecycleEvent::kDelisted:
-      return state_ != S::kGone ? std::optional(S::kGone) : std::nullopt;
+      return state_ != S::kRemoved ? std::optional(S::kRemoved) : std::nullopt;
   }
   return std::nullopt;
 }
@@ -70,17 +70,17 @@
   using S = LifecycleState;
   using E = LifecycleEvent;
   if (!facts.listed) {
-    if (lifecycle.state() != S::kGone)
+    if (lifecycle.state() != S::kRemoved)
       lifecycle.apply(E::kDelisted, nowMs, "", "list");
     return;
   }
-  if (lifecycle.state() == S::kGone)
+  if (lifecycle.state() == S::kRemoved)
     lifecycle.apply(E::kListed, nowMs, "", "list");
   const bool draining = lifecycle.state() == S::kDraining || lifecycle.state() == S::kDrained;
   if (!facts.drainedBy.empty()) {
     if (!draining)
       lifecycle.apply(E::kDrainRequested, nowMs, "", facts.drainedBy);
-    if (lifecycle.state() == S::kDraining && facts.open == 0)
+    if (lifecycle.state() == S::kDraining && facts.openRequests == 0)
       lifecycle.apply(E::kIdle, nowMs, "", facts.drainedBy);
     return;
   }
--- a/src/fleet/lifecycle.h
+++ b/src/fleet/lifecycle.h
@@ -11,7 +11,15 @@
 namespace inference_router::fleet {
 
 /// Names in reports are given by nameOf.
-enum class LifecycleState { kWarming, kActive, kDraining, kDrained, kUnreachable, kEjected, kGone };
+enum class LifecycleState {
+  kWarming,
+  kActive,
+  kDraining,
+  kDrained,
+  kUnreachable,
+  kEjected,
+  kRemoved
+};
 const char* nameOf(LifecycleState state);
 
 /// What moves an instance from one state to another.
@@ -70,7 +78,7 @@
   std::string drainedBy;  ///< empty: not drained
   bool ejected = false;
   bool reachable = true;
-  std::size_t open = 0;
+  std::size_t openRequests = 0;
 };
 
 /// Applies the events that lead from the present state to the facts.
--- a/src/frontend/openai/operator_file.cpp
+++ b/src/frontend/openai/operator_file.cpp
@@ -128,7 +128,7 @@
     return;
   if (!to.coordination)
     file.at("shared").fail("needs `coordination`, whose store carries it");
-  to.shared = shared::sharedOf(file.at("shared"), to.setup.names.tenants);
+  to.shared = shared::sharedSetupOf(file.at("shared"), to.setup.names.tenants);
 }
 
 }  // namespace
--- a/src/frontend/openai/token_meter.h
+++ b/src/frontend/openai/token_meter.h
@@ -28,7 +28,7 @@
   virtual void ended(const std::string& tenant,
                      const std::string& cls,
                      const shared::Reservation& reservation,
-                     const shared::SharedNode::Ended& how) = 0;
+                     const shared::SharedNode::RequestUsage& usage) = 0;
 };
 
 }  // namespace inference_router::frontend
--- a/src/frontend/openai/token_reservation.h
+++ b/src/frontend/openai/token_reservation.h
@@ -29,18 +29,18 @@
   TokenReservation& operator=(const TokenReservation&) = delete;
 
   void served(std::uint64_t promptTokens, std::uint64_t answerTokens) {
-    report({Ended::How::kServed, promptTokens, answerTokens, tokens_});
+    report({RequestUsage::Outcome::kServed, promptTokens, answerTokens, tokens_});
   }
-  void refused() { report({Ended::How::kRefused, 0, 0, tokens_}); }
-  void failed() { report({Ended::How::kFailed, 0, 0, tokens_}); }
+  void refused() { report({RequestUsage::Outcome::kRefused, 0, 0, tokens_}); }
+  void failed() { report({RequestUsage::Outcome::kFailed, 0, 0, tokens_}); }
 
  private:
-  using Ended = shared::SharedNode::Ended;
+  using RequestUsage = shared::SharedNode::RequestUsage;
 
-  void report(const Ended& how) {
+  void report(const RequestUsage& usage) {
     const auto meter = std::exchange(meter_, {}).lock();
     if (meter)
-      meter->ended(tenant_, cls_, reservation_, how);
+      meter->ended(tenant_, cls_, reservation_, usage);
   }
 
   std::weak_ptr<TokenMeter> meter_;
--- a/src/shared/budget.cpp
+++ b/src/shared/budget.cpp
@@ -62,9 +62,10 @@
   if (loanExpired(nowMs))
     denial = Denial::kLoanExpired;
   else if (account.used() + tokens >
-           (config_.ceilingFirst ? account.acceptedCeiling : account.outstanding()))
-    denial = account.used() + tokens > account.outstanding() && account.left == 0 ? Denial::kUsedUp
-                                                                                  : Denial::kNoLoan;
+           (config_.enforceCeiling ? account.acceptedCeiling : account.outstanding()))
+    denial = account.used() + tokens > account.outstanding() && account.available == 0
+                 ? Denial::kUsedUp
+                 : Denial::kNoLoan;
   if (denial != Denial::kNone) {
     account.denied = true;
     return {denial, {}};
@@ -90,7 +91,7 @@
     ++epoch_;
     for (auto& [tenant, account] : tenants_) {
       account.spend = {};
-      account.acceptedCeiling = account.left = 0;
+      account.acceptedCeiling = account.available = 0;
     }
   }
   for (auto& [tenant, account] : tenants_) {
@@ -98,28 +99,29 @@
     if (it == lent.end())
       continue;
     account.spend.lentSeen = std::max(account.spend.lentSeen, it->second.lent);
-    account.left = it->second.left;
+    account.available = it->second.available;
   }
 }
 
-std::map<std::string, Spend> TokenBudgets::prepareReport(double nowMs, bool leaving) {
+std::map<std::string, Spend> TokenBudgets::prepareReport(double nowMs, bool draining) {
   std::map<std::string, Spend> spends;
   for (auto& [tenant, account] : tenants_) {
     const double rate =
-        leaving ? 0 : recentTokensAt(account, nowMs) / config_.rateMs;  // tokens per millisecond
+        draining ? 0 : recentTokensAt(account, nowMs) / config_.rateMs;  // tokens per millisecond
     const std::uint64_t largest =
-        !leaving && nowMs - account.largestMs <= config_.prefetchMs ? account.largest : 0;
+        !draining && nowMs - account.largestMs <= config_.prefetchMs ? account.largest : 0;
     const std::uint64_t ahead = rounded(rate * config_.prefetchMs) + largest;
-    account.spend.wants = account.used() + ahead;
+    account.spend.requestedLoan = account.used() + ahead;
     // Idle loans are returned, as other routers may need them.
-    const std::uint64_t keep = account.used() + rounded(static_cast<double>(ahead) * kRetainFactor);
-    if (account.outstanding() > keep)
-      account.spend.returned += account.outstanding() - keep;
+    const std::uint64_t retained =
+        account.used() + rounded(static_cast<double>(ahead) * kRetainFactor);
+    if (account.outstanding() > retained)
+      account.spend.returned += account.outstanding() - retained;
     account.spend.ceiling = std::max(
         account.used(), std::min(account.outstanding(),
                                  account.used() + rounded(rate * config_.ceilingMs) + largest));
     // A lower ceiling applies at once, a higher one when the store has accepted the report.
-    if (config_.returnsKept)
+    if (config_.excludeReturned)
       account.acceptedCeiling = std::min(account.acceptedCeiling, account.spend.ceiling);
     account.denied = false;
     spends[tenant] = account.spend;
@@ -138,7 +140,7 @@
     if (it == tenants_.end())
       continue;
     Account& account = it->second;
-    account.acceptedCeiling = config_.returnsKept
+    account.acceptedCeiling = config_.excludeReturned
                                   ? std::min(reported.ceiling, account.outstanding())
                                   : std::max(reported.ceiling, account.acceptedCeiling);
   }
@@ -164,7 +166,7 @@
   std::map<std::string, Snapshot> all;
   for (const auto& [tenant, account] : tenants_)
     all[tenant] = {account.spend.spent,    account.spend.reserved, account.acceptedCeiling,
-                   account.spend.lentSeen, account.spend.returned, account.left};
+                   account.spend.lentSeen, account.spend.returned, account.available};
   return all;
 }
 
@@ -198,7 +200,7 @@
   return sum;
 }
 
-std::uint64_t leftOf(const BudgetLine& line, const std::map<Origin, Spend>& spends) {
+std::uint64_t availableOf(const BudgetLine& line, const std::map<Origin, Spend>& spends) {
   return saturatingSubtract(line.limit, line.charged + outstandingOf(line, spends));
 }
 
@@ -219,22 +221,24 @@
   for (const auto& [borrower, spend] : spends)
     if (spend.lentSeen > 0)
       line.lent[borrower] = std::max(line.lent[borrower], spend.lentSeen);
-  std::uint64_t left = leftOf(line, spends);
+  std::uint64_t available = availableOf(line, spends);
   // Whole requests, the smallest holders first: part of what one request may need would be of no
   // use.
   std::vector<LoanRequest> requests;
   for (const auto& [borrower, spend] : spends) {
     const auto lent = line.lent.find(borrower);
-    const std::uint64_t held = outstandingOf(lent == line.lent.end() ? 0 : lent->second, &spend);
-    if (spend.wants > held)
-      requests.push_back({saturatingSubtract(held, spend.spent), spend.wants - held, borrower});
+    const std::uint64_t outstanding =
+        outstandingOf(lent == line.lent.end() ? 0 : lent->second, &spend);
+    if (spend.requestedLoan > outstanding)
+      requests.push_back({saturatingSubtract(outstanding, spend.spent),
+                          spend.requestedLoan - outstanding, borrower});
   }
   std::sort(requests.begin(), requests.end());
   for (const LoanRequest& request : requests) {
-    const std::uint64_t part = std::min(request.tokens, left);
-    if (part > 0)
-      line.lent[request.borrower] += part;
-    left -= part;
+    const std::uint64_t granted = std::min(request.tokens, available);
+    if (granted > 0)
+      line.lent[request.borrower] += granted;
+    available -= granted;
   }
 }
 
--- a/src/shared/budget.h
+++ b/src/shared/budget.h
@@ -22,12 +22,12 @@
 
 /// A router's report on one budget, within the period that the report names.
 struct Spend {
-  std::uint64_t spent = 0;     ///< by requests that have ended
-  std::uint64_t reserved = 0;  ///< upper bound for requests in flight
-  std::uint64_t ceiling = 0;   ///< limit of spent + reserved until another report is accepted
-  std::uint64_t lentSeen = 0;  ///< total of loans in the period, as far as it knows
-  std::uint64_t returned = 0;  ///< total of returns in the period
-  std::uint64_t wants = 0;     ///< loan it asks for: used, and what its traffic needs ahead
+  std::uint64_t spent = 0;          ///< by requests that have ended
+  std::uint64_t reserved = 0;       ///< upper bound for requests in flight
+  std::uint64_t ceiling = 0;        ///< limit of spent + reserved until another report is accepted
+  std::uint64_t lentSeen = 0;       ///< total of loans in the period, as far as it knows
+  std::uint64_t returned = 0;       ///< total of returns in the period
+  std::uint64_t requestedLoan = 0;  ///< loan it asks for: used, and what its traffic needs ahead
   bool operator==(const Spend&) const = default;
 };
 
@@ -38,8 +38,8 @@
   double loanMs = 30'000;      ///< a loan expires so long after the last accepted report
   double rateMs = 10'000;      ///< time constant of the measured token rate
   /// Safety checks that tests switch off one by one.
-  bool ceilingFirst = true;  ///< spend only up to the accepted ceiling
-  bool returnsKept = true;   ///< do not spend what was returned
+  bool enforceCeiling = true;   ///< spend only up to the accepted ceiling
+  bool excludeReturned = true;  ///< do not spend what was returned
 };
 
 /// Tokens reserved for one request; settled exactly once.
@@ -85,14 +85,14 @@
   /// What a digest says of one budget: the total lent to this incarnation, and what is left to
   /// lend.
   struct LoanUpdate {
-    std::uint64_t lent = 0, left = 0;
+    std::uint64_t lent = 0, available = 0;
   };
   /// Takes the loans of a digest, by tenant. A digest of an earlier period is ignored.
   void onDigest(std::uint64_t period, const std::map<std::string, LoanUpdate>& lent);
 
-  /// The report to write now, by tenant; lowers ceilings at once. leaving: return all that is not
+  /// The report to write now, by tenant; lowers ceilings at once. draining: return all that is not
   /// in use.
-  std::map<std::string, Spend> prepareReport(double nowMs, bool leaving = false);
+  std::map<std::string, Spend> prepareReport(double nowMs, bool draining = false);
   /// The store accepted a report; raises ceilings. writeBegunMs: when its write was begun, from
   /// which the expiry of loans counts, as the store cannot have accepted it earlier.
   void onReportAccepted(std::uint64_t period,
@@ -112,15 +112,15 @@
   }
   /// The state of one budget, for reports.
   struct Snapshot {
-    std::uint64_t spent, reserved, ceiling, lent, returned, left;
+    std::uint64_t spent, reserved, ceiling, lent, returned, available;
   };
   std::map<std::string, Snapshot> snapshot() const;
 
  private:
   struct Account {
-    Spend spend;                        // current, except for `wants`
+    Spend spend;                        // current, except for `requestedLoan`
     std::uint64_t acceptedCeiling = 0;  // accepted, or a lower one that is being written
-    std::uint64_t left = 0;             // of the fleet's budget, by the last digest
+    std::uint64_t available = 0;        // of the fleet's budget, by the last digest
     std::uint64_t limit = 0;
     double recentTokens = 0, recentMs = 0;  // reserved recently, decaying
     std::uint64_t largest = 0;              // recent request
@@ -148,7 +148,7 @@
 struct BudgetLine {
   std::uint64_t limit = 0;
   std::uint64_t charged = 0;             ///< upper bound of what evicted routers spent
-  std::uint64_t left = 0;                ///< available for loans
+  std::uint64_t available = 0;           ///< available for loans
   std::map<Origin, std::uint64_t> lent;  ///< in this period, by borrower
   bool operator==(const BudgetLine&) const = default;
 };
@@ -156,7 +156,7 @@
 /// Loans that were not returned.
 std::uint64_t outstandingOf(const BudgetLine& line, const std::map<Origin, Spend>& spends);
 /// What may still be lent.
-std::uint64_t leftOf(const BudgetLine& line, const std::map<Origin, Spend>& spends);
+std::uint64_t availableOf(const BudgetLine& line, const std::map<Origin, Spend>& spends);
 
 /// Grants loans. If there is too little, whole requests are granted as far as it goes, beginning
 /// with the routers that hold the fewest unspent tokens.
--- a/src/shared/digest_codec.cpp
+++ b/src/shared/digest_codec.cpp
@@ -36,7 +36,7 @@
 class NodeList {
  public:
   explicit NodeList(const Digest& digest) {
-    for (const auto& [origin, sequence] : digest.heard)
+    for (const auto& [origin, sequence] : digest.liveNodes)
       add(origin, sequence);
     for (const auto& [tenant, line] : digest.budgets) {
       for (const auto& [origin, lent] : line.lent)
@@ -63,7 +63,7 @@
     nodes.push_back(decodeOrigin(entry));
     const std::uint64_t sequence = decodeUnsigned(entry.at(2));
     if (sequence > 0)
-      digest.heard[nodes.back()] = sequence;
+      digest.liveNodes[nodes.back()] = sequence;
   }
   return nodes;
 }
@@ -75,7 +75,7 @@
     for (const auto& [origin, tokens] : line.lent)
       lent.push_back({nodes.indexOf(origin), tokens});
     value[tenant] = {
-        {"limit", line.limit}, {"charged", line.charged}, {"left", line.left}, {"lent", lent}};
+        {"limit", line.limit}, {"charged", line.charged}, {"left", line.available}, {"lent", lent}};
   }
   return value;
 }
@@ -84,7 +84,7 @@
   BudgetLine line;
   line.limit = decodeCount(value.at("limit"));
   line.charged = decodeCount(value.at("charged"));
-  line.left = decodeCount(value.at("left"));
+  line.available = decodeCount(value.at("left"));
   for (const json& loan : bounded(value.at("lent"), kMaxOrigins)) {
     const std::uint64_t index = decodeUnsigned(loan.at(0));
     if (index >= nodes.size())
@@ -123,9 +123,9 @@
 json encodeVerdicts(const std::map<std::string, HealthVerdict>& verdicts) {
   json value = json::object();
   for (const auto& [instance, verdict] : verdicts) {
-    value[instance] = {verdict.bad,      verdict.good,
-                       verdict.out,      static_cast<std::uint64_t>(verdict.failure),
-                       verdict.evidence, verdict.sinceSequence};
+    value[instance] = {verdict.unhealthyVotes, verdict.healthyVotes,
+                       verdict.excluded,       static_cast<std::uint64_t>(verdict.failure),
+                       verdict.evidence,       verdict.sinceSequence};
   }
   return value;
 }
@@ -134,9 +134,9 @@
   std::map<std::string, HealthVerdict> verdicts;
   for (const auto& [instance, fields] : bounded(value, kMaxInstances).items()) {
     HealthVerdict verdict;
-    verdict.bad = static_cast<std::uint32_t>(decodeCount(fields.at(0), kMaxNodes));
-    verdict.good = static_cast<std::uint32_t>(decodeCount(fields.at(1), kMaxNodes));
-    verdict.out = fields.at(2).get<bool>();
+    verdict.unhealthyVotes = static_cast<std::uint32_t>(decodeCount(fields.at(0), kMaxNodes));
+    verdict.healthyVotes = static_cast<std::uint32_t>(decodeCount(fields.at(1), kMaxNodes));
+    verdict.excluded = fields.at(2).get<bool>();
     verdict.failure = decodeFailureKind(fields.at(3));
     verdict.evidence = decodeAmount(fields.at(4), kMaxEvidence * kMaxNodes);
     verdict.sinceSequence = decodeUnsigned(fields.at(5));
--- a/src/shared/digest_task.cpp
+++ b/src/shared/digest_task.cpp
@@ -51,7 +51,7 @@
   if (last == revision)
     return;
   last = revision;
-  ++stats_.unread[nameOf(error)];
+  ++stats_.undecodable[nameOf(error)];
 }
 
 std::map<Origin, DigestTask::Read> DigestTask::readParts(const View& view, double nowMs) {
@@ -90,7 +90,7 @@
     return;
   digest.sequence = newest;
   ++digest.restored;
-  ++stats_.rolledBack;
+  ++stats_.rollbacks;
   const double loans = config_.budget.loanMs * kLoanExpiryMargin / std::max(1.0, task_.periodMs);
   digest.lendsFromSequence = digest.sequence + static_cast<std::uint64_t>(std::ceil(loans)) + 1;
 }
@@ -223,7 +223,8 @@
   }
   // A new holder does not know yet whether some router has seen a newer digest than the store
   // has.
-  const double settleMs = kIntervalsBeforeLending * config_.reportIntervalMs(digest.heard.size());
+  const double settleMs =
+      kIntervalsBeforeLending * config_.reportIntervalMs(digest.liveNodes.size());
   const bool mayLend =
       !config_.guards.waitBeforeLending ||
       (nowMs - fenceSinceMs_ >= settleMs && digest.sequence >= digest.lendsFromSequence);
@@ -238,10 +239,10 @@
       spends[origin] = spend->second;
       // A silent router keeps its loans, but gets no more.
       if (!mayLend || read.ageMs >= config_.silentMs)
-        spends[origin].wants = 0;
+        spends[origin].requestedLoan = 0;
     }
     lend(line, spends);
-    line.left = digest.sequence >= digest.lendsFromSequence ? leftOf(line, spends) : 0;
+    line.available = digest.sequence >= digest.lendsFromSequence ? availableOf(line, spends) : 0;
   }
 }
 
@@ -256,7 +257,7 @@
     for (const auto& [instance, observation] : read.part.observations)
       current[instance] = decayed(observation, read.ageMs, config_.observations);
     if (config_.guards.credibleOnly && !isCredible(current, config_.observations)) {
-      ++stats_.incredible;
+      ++stats_.ignoredWitnesses;
       continue;
     }
     for (const auto& [instance, observation] : current)
@@ -275,7 +276,7 @@
     const HealthVerdict verdict =
         nextVerdict(previous == digest.instances.end() ? HealthVerdict{} : previous->second,
                     ofInstance, digest.sequence, config_.observations, config_.verdict);
-    if (verdict.out || verdict.bad > 0)
+    if (verdict.excluded || verdict.unhealthyVotes > 0)
       verdicts[instance] = verdict;
   }
   keepStrongest(verdicts, kMaxInstances);
@@ -284,15 +285,15 @@
 
 void DigestTask::count(Digest& digest, const std::map<Origin, Read>& parts) {
   digest.total = digest.base;
-  digest.heard.clear();
+  digest.liveNodes.clear();
   for (const auto& [origin, read] : parts) {
     UsageTable& known = known_[origin];
     if (!isMonotonic(read.part.usage, known))
-      ++stats_.backwards;
+      ++stats_.decreasedCounters;
     merge(known, read.part.usage);
     addUsage(digest.total, known);
     if (read.ageMs < config_.silentMs)
-      digest.heard[origin] = read.part.sequence;
+      digest.liveNodes[origin] = read.part.sequence;
   }
   // Bounded, whatever names the parts use.
   for (UsageTable* usage : {&digest.base, &digest.total})
--- a/src/shared/digest_task.h
+++ b/src/shared/digest_task.h
@@ -22,9 +22,10 @@
  public:
   /// Counters since the start.
   struct Stats {
-    std::uint64_t folded = 0, rolledBack = 0, refunded = 0, incredible = 0, backwards = 0;
+    std::uint64_t folded = 0, rollbacks = 0, refunded = 0, ignoredWitnesses = 0,
+                  decreasedCounters = 0;
     std::map<std::string, std::uint64_t>
-        unread;  ///< by decode error, each revision of a document once
+        undecodable;  ///< by decode error, each revision of a document once
   };
 
   /// config: read at each step, as a reload may change it. unixMs: the machine's wall clock.
--- a/src/shared/documents.h
+++ b/src/shared/documents.h
@@ -75,10 +75,11 @@
   std::uint64_t period = 0;
   double periodEndsMs = 0;  ///< Unix time, for reports and for clients
   std::map<std::string, BudgetLine> budgets;
-  UsageTable base;                        ///< of all folded parts
-  UsageTable total;                       ///< of base and parts, for reports
-  std::map<Origin, std::uint64_t> heard;  ///< live routers, and the report of each in this digest
-  std::vector<Folded> folded;             ///< the newest last
+  UsageTable base;   ///< of all folded parts
+  UsageTable total;  ///< of base and parts, for reports
+  /// The sequence of the report of each live router that this digest includes.
+  std::map<Origin, std::uint64_t> liveNodes;
+  std::vector<Folded> folded;  ///< the newest last
   std::map<std::string, HealthVerdict> instances;
   nlohmann::json unknown = nlohmann::json::object();  ///< fields of a later program
 
--- a/src/shared/health_observation.cpp
+++ b/src/shared/health_observation.cpp
@@ -28,10 +28,10 @@
 LocalObservations::Entry& LocalObservations::decayedEntry(const std::string& instance,
                                                           double nowMs) {
   Entry& entry = entries_.try_emplace(instance).first->second;
-  const double left = decayFactor(nowMs - entry.atMs, config_);
-  entry.good *= left;
-  entry.bad *= left;
-  entry.atMs = nowMs;
+  const double factor = decayFactor(nowMs - entry.updatedMs, config_);
+  entry.successes *= factor;
+  entry.failures *= factor;
+  entry.updatedMs = nowMs;
   return entry;
 }
 
@@ -39,9 +39,9 @@
   if (entries_.count(instance) == 0 && entries_.size() >= kMaxInstances)
     return;
   Entry& entry = decayedEntry(instance, nowMs);
-  entry.good += 1;
-  entry.bad *= kReversalFactor;
-  entry.goodMs = nowMs;
+  entry.successes += 1;
+  entry.failures *= kReversalFactor;
+  entry.lastSuccessMs = nowMs;
 }
 
 void LocalObservations::recordFailure(const std::string& instance,
@@ -50,28 +50,29 @@
   if (entries_.count(instance) == 0 && entries_.size() >= kMaxInstances)
     return;
   Entry& entry = decayedEntry(instance, nowMs);
-  entry.bad += 1;
-  entry.good *= kReversalFactor;
-  entry.badMs = nowMs;
+  entry.failures += 1;
+  entry.successes *= kReversalFactor;
+  entry.lastFailureMs = nowMs;
   entry.failure = failure;
 }
 
 void LocalObservations::prune(const std::set<std::string>& listed, double nowMs) {
   std::erase_if(entries_, [&](const auto& entry) {
-    const double left = decayFactor(nowMs - entry.second.atMs, config_);
+    const double factor = decayFactor(nowMs - entry.second.updatedMs, config_);
     return listed.count(entry.first) == 0 ||
-           (entry.second.good + entry.second.bad) * left < kNegligible;
+           (entry.second.successes + entry.second.failures) * factor < kNegligible;
   });
 }
 
 std::map<std::string, HealthObservation> LocalObservations::snapshot(double nowMs) const {
   std::map<std::string, HealthObservation> all;
   for (const auto& [instance, entry] : entries_) {
-    const double left = decayFactor(nowMs - entry.atMs, config_);
-    const HealthObservation observation{entry.good * left, entry.bad * left,
-                                        entry.badMs < 0 ? 0 : nowMs - entry.badMs,
-                                        entry.goodMs < 0 ? 0 : nowMs - entry.goodMs, entry.failure};
-    if (observation.good + observation.bad >= kNegligible)
+    const double factor = decayFactor(nowMs - entry.updatedMs, config_);
+    const HealthObservation observation{entry.successes * factor, entry.failures * factor,
+                                        entry.lastFailureMs < 0 ? 0 : nowMs - entry.lastFailureMs,
+                                        entry.lastSuccessMs < 0 ? 0 : nowMs - entry.lastSuccessMs,
+                                        entry.failure};
+    if (observation.successes + observation.failures >= kNegligible)
       all[instance] = observation;
   }
   return all;
@@ -79,15 +80,16 @@
 
 bool LocalObservations::recentlyHealthy(const std::string& instance, double nowMs) const {
   const auto it = entries_.find(instance);
-  return it != entries_.end() && it->second.goodMs >= 0 &&
-         nowMs - it->second.goodMs <= config_.freshMs && it->second.goodMs > it->second.badMs;
+  return it != entries_.end() && it->second.lastSuccessMs >= 0 &&
+         nowMs - it->second.lastSuccessMs <= config_.freshMs &&
+         it->second.lastSuccessMs > it->second.lastFailureMs;
 }
 
 namespace {
 
 // Evidence on one instance, ordered by failures, then by successes.
 struct Strength {
-  double bad = 0, good = 0;
+  double failures = 0, successes = 0;
   std::string instance;
   auto operator<=>(const Strength&) const = default;
 };
@@ -100,7 +102,7 @@
   std::vector<Strength> weakest;
   weakest.reserve(observations.size());
   for (const auto& [instance, observation] : observations)
-    weakest.push_back({observation.bad, observation.good, instance});
+    weakest.push_back({observation.failures, observation.successes, instance});
   const auto end = weakest.begin() + static_cast<std::ptrdiff_t>(weakest.size() - max);
   std::nth_element(weakest.begin(), end, weakest.end());
   for (auto it = weakest.begin(); it != end; ++it)
@@ -111,82 +113,83 @@
                           double byMs,
                           const ObservationConfig& config) {
   HealthObservation next = observation;
-  next.good *= decayFactor(byMs, config);
-  next.bad *= decayFactor(byMs, config);
-  next.badAgeMs += std::max(0.0, byMs);
-  next.goodAgeMs += std::max(0.0, byMs);
+  next.successes *= decayFactor(byMs, config);
+  next.failures *= decayFactor(byMs, config);
+  next.failureAgeMs += std::max(0.0, byMs);
+  next.successAgeMs += std::max(0.0, byMs);
   return next;
 }
 
 Vote voteOf(const HealthObservation& observation, const ObservationConfig& config) {
-  if (observation.bad >= config.unhealthyFrom && observation.bad >= observation.good)
+  if (observation.failures >= config.unhealthyFrom && observation.failures >= observation.successes)
     return Vote::kUnhealthy;
   // The first success after a failure makes it healthy again.
-  if (observation.good >= 0.5 &&
-      (observation.bad < kNegligible || observation.goodAgeMs < observation.badAgeMs))
+  if (observation.successes >= 0.5 &&
+      (observation.failures < kNegligible || observation.successAgeMs < observation.failureAgeMs))
     return Vote::kHealthy;
   return Vote::kAbstain;
 }
 
 bool isCredible(const std::map<std::string, HealthObservation>& observations,
                 const ObservationConfig& config) {
-  std::size_t bad = 0, known = 0;
+  std::size_t unhealthy = 0, known = 0;
   for (const auto& [instance, observation] : observations) {
     const Vote vote = voteOf(observation, config);
     known += vote != Vote::kAbstain;
-    bad += vote == Vote::kUnhealthy;
+    unhealthy += vote == Vote::kUnhealthy;
   }
-  return bad < kMinUnhealthyToDoubt ||
-         static_cast<double>(bad) <= config.maxUnhealthyShare * static_cast<double>(known);
+  return unhealthy < kMinUnhealthyToDoubt ||
+         static_cast<double>(unhealthy) <= config.maxUnhealthyShare * static_cast<double>(known);
 }
 
 void keepStrongest(std::map<std::string, HealthVerdict>& verdicts, std::size_t max) {
   const auto weaker = [](const auto& one, const auto& other) {
-    return std::pair(one.second.out, one.second.bad) <
-           std::pair(other.second.out, other.second.bad);
+    return std::pair(one.second.excluded, one.second.unhealthyVotes) <
+           std::pair(other.second.excluded, other.second.unhealthyVotes);
   };
   while (verdicts.size() > max)
     verdicts.erase(std::min_element(verdicts.begin(), verdicts.end(), weaker));
 }
 
 HealthVerdict nextVerdict(const HealthVerdict& previous,
-                          const std::vector<HealthObservation>& heard,
+                          const std::vector<HealthObservation>& observed,
                           std::uint64_t sequence,
                           const ObservationConfig& observations,
                           const VerdictConfig& config) {
   HealthVerdict next = previous;
-  next.bad = next.good = 0;
+  next.unhealthyVotes = next.healthyVotes = 0;
   next.evidence = 0;
-  std::vector<double> badAges;
+  std::vector<double> failureAges;
   // Also of observations too weak for a vote, such as a single failed probe.
-  double lastBad = HUGE_VAL;
-  for (const HealthObservation& observation : heard) {
-    if (observation.bad >= kNegligible)
-      lastBad = std::min(lastBad, observation.badAgeMs);
+  double lastFailureAgeMs = HUGE_VAL;
+  for (const HealthObservation& observation : observed) {
+    if (observation.failures >= kNegligible)
+      lastFailureAgeMs = std::min(lastFailureAgeMs, observation.failureAgeMs);
     if (voteOf(observation, observations) != Vote::kUnhealthy)
       continue;
-    ++next.bad;
-    next.evidence += observation.bad;
+    ++next.unhealthyVotes;
+    next.evidence += observation.failures;
     next.failure = observation.failure;
-    badAges.push_back(observation.badAgeMs);
+    failureAges.push_back(observation.failureAgeMs);
   }
-  std::sort(badAges.begin(), badAges.end());
+  std::sort(failureAges.begin(), failureAges.end());
   // A success counts only if it is later than the failures that the verdict needs, and later than
   // all of them once the instance is excluded, as a successful probe is.
   const std::size_t needed = std::max<std::uint32_t>(1, config.witnesses);
-  const double since = previous.out              ? lastBad
-                       : badAges.size() < needed ? HUGE_VAL
-                                                 : badAges[needed - 1];
-  for (const HealthObservation& observation : heard)
-    next.good +=
-        voteOf(observation, observations) == Vote::kHealthy && observation.goodAgeMs < since;
-  if (!previous.out) {
-    next.out = next.bad >= config.witnesses && next.bad > next.good;
-    if (next.out)
+  const double latestAgeMs = previous.excluded             ? lastFailureAgeMs
+                             : failureAges.size() < needed ? HUGE_VAL
+                                                           : failureAges[needed - 1];
+  for (const HealthObservation& observation : observed)
+    next.healthyVotes += voteOf(observation, observations) == Vote::kHealthy &&
+                         observation.successAgeMs < latestAgeMs;
+  if (!previous.excluded) {
+    next.excluded =
+        next.unhealthyVotes >= config.witnesses && next.unhealthyVotes > next.healthyVotes;
+    if (next.excluded)
       next.sinceSequence = sequence;
     return next;
   }
-  next.out = lastBad < config.expiryMs && next.good == 0;
+  next.excluded = lastFailureAgeMs < config.expiryMs && next.healthyVotes == 0;
   return next;
 }
 
--- a/src/shared/health_observation.h
+++ b/src/shared/health_observation.h
@@ -20,8 +20,9 @@
 
 /// Evidence of one router on one instance: decayed counts of successes and failures, as of now.
 struct HealthObservation {
-  double good = 0, bad = 0;
-  double badAgeMs = 0, goodAgeMs = 0;  ///< time since the last of each, by the witness's clock
+  double successes = 0, failures = 0;
+  /// Time since the last of each, by the witness's clock.
+  double failureAgeMs = 0, successAgeMs = 0;
   FailureKind failure = FailureKind::kNone;  ///< of the last failure
 };
 
@@ -58,8 +59,8 @@
 
  private:
   struct Entry {
-    double good = 0, bad = 0, atMs = 0;
-    double goodMs = -1, badMs = -1;
+    double successes = 0, failures = 0, updatedMs = 0;
+    double lastSuccessMs = -1, lastFailureMs = -1;
     FailureKind failure = FailureKind::kNone;
   };
   Entry& decayedEntry(const std::string& instance, double nowMs);
@@ -85,8 +86,8 @@
 
 /// The verdict of the fleet on one instance.
 struct HealthVerdict {
-  std::uint32_t bad = 0, good = 0;  ///< votes of distinct witnesses
-  bool out = false;                 ///< the instance is excluded
+  std::uint32_t unhealthyVotes = 0, healthyVotes = 0;  ///< votes of distinct witnesses
+  bool excluded = false;                               ///< from use by the fleet
   FailureKind failure = FailureKind::kNone;
   double evidence = 0;              ///< sum over the unhealthy votes
   std::uint64_t sinceSequence = 0;  ///< digest at which it was excluded
@@ -106,7 +107,7 @@
 /// The next verdict on an instance, from the previous one and the observations of credible
 /// witnesses. sequence: of the digest that is being made.
 HealthVerdict nextVerdict(const HealthVerdict& previous,
-                          const std::vector<HealthObservation>& heard,
+                          const std::vector<HealthObservation>& observed,
                           std::uint64_t sequence,
                           const ObservationConfig& observations,
                           const VerdictConfig& config);
--- a/src/shared/node.cpp
+++ b/src/shared/node.cpp
@@ -52,26 +52,28 @@
   return answer;
 }
 
-void SharedNode::ended(const std::string& tenant,
-                       const std::string& requestClass,
-                       const Reservation& reservation,
-                       const Ended& how,
-                       double nowMs) {
-  budgets_.settle(reservation,
-                  how.how == Ended::How::kServed ? how.promptTokens + how.answerTokens : 0, nowMs);
+void SharedNode::settleRequest(const std::string& tenant,
+                               const std::string& requestClass,
+                               const Reservation& reservation,
+                               const RequestUsage& usage,
+                               double nowMs) {
+  budgets_.settle(
+      reservation,
+      usage.outcome == RequestUsage::Outcome::kServed ? usage.promptTokens + usage.answerTokens : 0,
+      nowMs);
   const UsageKey key{tenant, requestClass};
   if (usage_.count(key) == 0 && usage_.size() >= kMaxUsageRows)
     return;
   UsageCounters& counters = usage_[key];
-  switch (how.how) {
-    case Ended::How::kServed:
-      counters.add({1, 0, 0, how.promptTokens, how.answerTokens, 0, 0});
+  switch (usage.outcome) {
+    case RequestUsage::Outcome::kServed:
+      counters.add({1, 0, 0, usage.promptTokens, usage.answerTokens, 0, 0});
       break;
-    case Ended::How::kRefused:
-      counters.add({0, 1, 0, 0, 0, how.askedTokens, 0});
+    case RequestUsage::Outcome::kRefused:
+      counters.add({0, 1, 0, 0, 0, usage.requestedTokens, 0});
       break;
-    case Ended::How::kFailed:
-      counters.add({0, 0, 1, 0, 0, 0, how.askedTokens});
+    case RequestUsage::Outcome::kFailed:
+      counters.add({0, 0, 1, 0, 0, 0, usage.requestedTokens});
       break;
   }
 }
@@ -106,7 +108,7 @@
   if (undecodableRevision_ == revision)
     return;
   undecodableRevision_ = revision;
-  ++stats_.unreadable;
+  ++stats_.undecodable;
   lastError_ =
       what + " of revision " + std::to_string(revision) + " is not believed: " + nameOf(error);
 }
@@ -122,7 +124,7 @@
   // known digest stays until a newer one arrives.
   if (read.digest->sequence <= digestSequenceSeen_) {
     if (read.digest->sequence < digestSequenceSeen_) {
-      ++stats_.rolledBack;
+      ++stats_.rollbacks;
       lastError_ = "the digest went back from " + std::to_string(digestSequenceSeen_) + " to " +
                    std::to_string(read.digest->sequence);
     }
@@ -133,19 +135,19 @@
   ++stats_.digests;
   lastError_.clear();
   nodes_.clear();
-  for (const auto& [origin, sequence] : digest_->heard)
+  for (const auto& [origin, sequence] : digest_->liveNodes)
     if (nodes_.empty() || nodes_.back() != origin.name)
       nodes_.push_back(origin.name);
   std::map<std::string, TokenBudgets::LoanUpdate> lent;
   for (const auto& [tenant, line] : digest_->budgets) {
     const auto own = line.lent.find(self_);
-    lent[tenant] = {own == line.lent.end() ? 0 : own->second, line.left};
+    lent[tenant] = {own == line.lent.end() ? 0 : own->second, line.available};
   }
   budgets_.onDigest(digest_->period, lent);
   if (finalUsage_ && digest_->foldedOf({self_.name, finalUsage_->incarnation}) == nullptr)
     finalUsage_.reset();
-  const auto heard = digest_->heard.find(self_);
-  connectivity_.onDigest(heard == digest_->heard.end() ? 0 : heard->second, nowMs);
+  const auto heard = digest_->liveNodes.find(self_);
+  connectivity_.onDigest(heard == digest_->liveNodes.end() ? 0 : heard->second, nowMs);
 }
 
 void SharedNode::readOwn(const Document* document, double nowMs) {
@@ -220,7 +222,7 @@
   part.digestSequenceSeen = digestSequenceSeen_;
   part.unixMs = unixMs;
   part.period = budgets_.period();
-  part.spends = budgets_.prepareReport(nowMs, leaving_);
+  part.spends = budgets_.prepareReport(nowMs, draining_);
   part.usage = usage_;
   part.observations = observations_.snapshot(nowMs);
   part.finalUsage = finalUsage_;
--- a/src/shared/node.h
+++ b/src/shared/node.h
@@ -25,8 +25,8 @@
  public:
   /// Counters since the start.
   struct Stats {
-    std::uint64_t reports = 0, conflicts = 0, evicted = 0, digests = 0, rolledBack = 0,
-                  unreadable = 0;
+    std::uint64_t reports = 0, conflicts = 0, evicted = 0, digests = 0, rollbacks = 0,
+                  undecodable = 0;
     std::map<std::string, std::uint64_t> denied;  ///< by the name of the denial
   };
 
@@ -43,17 +43,17 @@
   /// Reserves tokens of a tenant's budget for one request.
   TokenBudgets::Answer reserve(const std::string& tenant, std::uint64_t tokens, double nowMs);
   /// How a request ended.
-  struct Ended {
-    enum class How : std::uint8_t { kServed, kRefused, kFailed } how = How::kFailed;
+  struct RequestUsage {
+    enum class Outcome : std::uint8_t { kServed, kRefused, kFailed } outcome = Outcome::kFailed;
     std::uint64_t promptTokens = 0, answerTokens = 0;  ///< served: as the instance counted them
-    std::uint64_t askedTokens = 0;                     ///< upper bound of the request
+    std::uint64_t requestedTokens = 0;                 ///< upper bound of the request
   };
   /// Settles the reservation and counts the usage.
-  void ended(const std::string& tenant,
-             const std::string& requestClass,
-             const Reservation& reservation,
-             const Ended& how,
-             double nowMs);
+  void settleRequest(const std::string& tenant,
+                     const std::string& requestClass,
+                     const Reservation& reservation,
+                     const RequestUsage& usage,
+                     double nowMs);
   LocalObservations& observations() { return observations_; }
 
   // ---- Input from the store ----
@@ -67,10 +67,10 @@
 
   /// The report to write, if one is due; nothing while a write is in flight.
   std::optional<coordination::Write> nextReport(double unixMs, double nowMs);
-  /// leaving: no more requests are taken, so that the next report returns all unused loans; false
+  /// draining: no more requests are taken, so that the next report returns all unused loans; false
   /// undoes it.
-  void setLeaving(bool leaving) {
-    leaving_ = leaving;
+  void setDraining(bool draining) {
+    draining_ = draining;
     nextMs_ = 0;
   }
   /// The result of the write that nextReport() returned.
@@ -125,7 +125,7 @@
   // The last accepted report first, then those whose result is unknown.
   std::deque<PendingReport> pendingReports_;
   std::uint64_t revision_ = 0, sequence_ = 0;
-  bool ownRecordKnown_ = false, writing_ = false, leaving_ = false;
+  bool ownRecordKnown_ = false, writing_ = false, draining_ = false;
   double nextMs_ = 0, lastWriteMs_ = 0;
   // Of an evicted incarnation, reported until the lender has refunded it.
   std::optional<FinalUsage> finalUsage_;
--- a/src/shared/part_codec.cpp
+++ b/src/shared/part_codec.cpp
@@ -24,7 +24,7 @@
   json value = json::object();
   for (const auto& [tenant, spend] : spends) {
     value[tenant] = {spend.spent,    spend.reserved, spend.ceiling,
-                     spend.lentSeen, spend.returned, spend.wants};
+                     spend.lentSeen, spend.returned, spend.requestedLoan};
   }
   return value;
 }
@@ -38,7 +38,7 @@
     spend.ceiling = decodeCount(fields.at(2));
     spend.lentSeen = decodeCount(fields.at(3));
     spend.returned = decodeCount(fields.at(4));
-    spend.wants = decodeCount(fields.at(5));
+    spend.requestedLoan = decodeCount(fields.at(5));
     spends[tenant] = spend;
   }
   return spends;
@@ -47,8 +47,8 @@
 json encodeObservations(const std::map<std::string, HealthObservation>& observations) {
   json value = json::object();
   for (const auto& [instance, observation] : observations) {
-    value[instance] = {observation.good, observation.bad, observation.goodAgeMs,
-                       observation.badAgeMs, static_cast<std::uint64_t>(observation.failure)};
+    value[instance] = {observation.successes, observation.failures, observation.successAgeMs,
+                       observation.failureAgeMs, static_cast<std::uint64_t>(observation.failure)};
   }
   return value;
 }
@@ -57,10 +57,10 @@
   std::map<std::string, HealthObservation> observations;
   for (const auto& [instance, fields] : bounded(value, kMaxInstances).items()) {
     HealthObservation observation;
-    observation.good = decodeAmount(fields.at(0), kMaxEvidence);
-    observation.bad = decodeAmount(fields.at(1), kMaxEvidence);
-    observation.badAgeMs = decodeAmount(fields.at(3), kMaxAgeMs);
-    observation.goodAgeMs = decodeAmount(fields.at(2), kMaxAgeMs);
+    observation.successes = decodeAmount(fields.at(0), kMaxEvidence);
+    observation.failures = decodeAmount(fields.at(1), kMaxEvidence);
+    observation.failureAgeMs = decodeAmount(fields.at(3), kMaxAgeMs);
+    observation.successAgeMs = decodeAmount(fields.at(2), kMaxAgeMs);
     observation.failure = decodeFailureKind(fields.at(4));
     observations[instance] = observation;
   }
--- a/src/shared/remote_health.cpp
+++ b/src/shared/remote_health.cpp
@@ -81,8 +81,8 @@
   std::vector<ExclusionCandidate> candidates;
   for (const auto& [id, verdict] : input.verdicts) {
     const auto instance = input.instances.find(id);
-    if (verdict.out && instance != input.instances.end() && instance->second.serves)
-      candidates.push_back({verdict.bad, verdict.evidence, id});
+    if (verdict.excluded && instance != input.instances.end() && instance->second.serves)
+      candidates.push_back({verdict.unhealthyVotes, verdict.evidence, id});
   }
   std::sort(candidates.begin(), candidates.end(), goesFirst);
   return candidates;
--- a/src/shared/setup.cpp
+++ b/src/shared/setup.cpp
@@ -58,7 +58,8 @@
 
 }  // namespace
 
-SharedSetup sharedOf(const core::ConfigReader& given, const std::vector<std::string>& tenants) {
+SharedSetup sharedSetupOf(const core::ConfigReader& given,
+                          const std::vector<std::string>& tenants) {
   given.only({"budgets", "period_s", "ahead_s", "slice_s", "loan_s", "word_ms", "digest_ms",
               "gone_s", "silent_s", "late_s", "alone_s", "most_out", "witnesses", "fades_s",
               "hearsay"});
@@ -80,7 +81,7 @@
   config.verdict.expiryMs = readSeconds(given, "fades_s", config.verdict.expiryMs);
   config.verdict.witnesses = given.value("witnesses", config.verdict.witnesses);
   config.maxExcludedShare = given.value("most_out", config.maxExcludedShare);
-  setup.hearsay = given.value("hearsay", setup.hearsay);
+  setup.peerExclusions = given.value("hearsay", setup.peerExclusions);
   if (config.verdict.witnesses < 1)
     given.at("witnesses").fail("is under 1");
   if (!(config.maxExcludedShare >= 0 && config.maxExcludedShare <= 0.5))
--- a/src/shared/setup.h
+++ b/src/shared/setup.h
@@ -14,10 +14,10 @@
 
 struct SharedSetup {
   SharedConfig config;
-  bool hearsay = true;  ///< whether instances are excluded by what other routers observed
+  bool peerExclusions = true;  ///< whether instances are excluded by what other routers observed
 };
 
 /// Throws std::invalid_argument with the path of what is wrong. tenants: that the settings name.
-SharedSetup sharedOf(const core::ConfigReader& given, const std::vector<std::string>& tenants);
+SharedSetup sharedSetupOf(const core::ConfigReader& given, const std::vector<std::string>& tenants);
 
 }  // namespace inference_router::shared
--- a/tests/bounds_test.cpp
+++ b/tests/bounds_test.cpp
@@ -119,8 +119,8 @@
     for (const char* tenant : {"attiki", "patras"})
       nodes[i]->reserve(tenant, 100, now);
     for (int cls = 0; cls < 4; ++cls)
-      nodes[i]->ended(i % 2 == 0 ? "attiki" : "patras", "class-" + std::to_string(cls), {},
-                      {SharedNode::Ended::How::kServed, 3, 4, 0}, now);
+      nodes[i]->settleRequest(i % 2 == 0 ? "attiki" : "patras", "class-" + std::to_string(cls), {},
+                              {SharedNode::RequestUsage::Outcome::kServed, 3, 4, 0}, now);
   }
   speak();
   std::size_t texts = 0;
@@ -137,7 +137,7 @@
   EXPECT_LE(texts + holder.most, kMemory / 2);
   const auto read = decodeDigest(view.documents.at(kDigestKey).value).digest;
   ASSERT_TRUE(read);
-  EXPECT_EQ(read->heard.size(), conductors);
+  EXPECT_EQ(read->liveNodes.size(), conductors);
   EXPECT_EQ(read->budgets.at("attiki").lent.size() + read->budgets.at("patras").lent.size(),
             2 * ((conductors + every - 1) / every));
   std::uint64_t served = 0;
@@ -145,7 +145,7 @@
     served += counters.served;
   EXPECT_EQ(served, 4 * conductors);
   EXPECT_EQ(read->instances.size(), (instances + 9) / 10);
-  EXPECT_EQ(task.stats().unread.size(), 0u);
+  EXPECT_EQ(task.stats().undecodable.size(), 0u);
   now += 10;
   SharedNode& last = *nodes.back();
   last.onRead({{kDigestKey, view.documents.at(kDigestKey)}}, now, now);
@@ -153,7 +153,7 @@
   // Left out are all that are bad, but for those which the bounds keep in and the one that it is to
   // try.
   std::vector<std::string> names;
-  for (const auto& [origin, word] : read->heard)
+  for (const auto& [origin, word] : read->liveNodes)
     names.push_back(origin.name);
   std::map<Availability, std::size_t> availabilities;
   for (const auto& [id, availability] :
@@ -177,7 +177,7 @@
   Digest digest;
   digest.sequence = 1;
   for (std::size_t i = 0; i < conductors; ++i)
-    digest.heard[{conductorName(i), i}] = 1;
+    digest.liveNodes[{conductorName(i), i}] = 1;
   node.onRead({{kDigestKey, {encode(digest), 1}}}, 0, 0);
   for (std::size_t k = 0; k < instances; ++k)
     k % 10 == 0 ? node.observations().recordFailure(instanceName(k), FailureKind::kSlow, 0)
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -154,12 +154,12 @@
   EXPECT_EQ(lifecycle.state(), LifecycleState::kActive);
   InstanceFacts facts = listed();
   facts.drainedBy = "maria";
-  facts.open = 2;
+  facts.openRequests = 2;
   reconcile(lifecycle, facts, 20);
   EXPECT_EQ(lifecycle.state(), LifecycleState::kDraining);
   EXPECT_EQ(lifecycle.by(), "maria");
   EXPECT_EQ(lifecycle.sinceMs(), 20);
-  facts.open = 0;
+  facts.openRequests = 0;
   reconcile(lifecycle, facts, 30);
   EXPECT_EQ(lifecycle.state(), LifecycleState::kDrained);
   reconcile(lifecycle, listed(/*warm=*/false), 40);
@@ -170,7 +170,7 @@
   InstanceLifecycle lifecycle(true, 0);
   InstanceFacts facts = listed(false);
   facts.drainedBy = "list";
-  facts.open = 1;
+  facts.openRequests = 1;
   reconcile(lifecycle, facts, 5);
   EXPECT_EQ(lifecycle.state(), LifecycleState::kDraining);
   facts.reachable = false;  // trouble does not end a drain
@@ -179,7 +179,7 @@
   EXPECT_EQ(lifecycle.state(), LifecycleState::kDraining);
   facts.listed = false;
   reconcile(lifecycle, facts, 7);
-  EXPECT_EQ(lifecycle.state(), LifecycleState::kGone);
+  EXPECT_EQ(lifecycle.state(), LifecycleState::kRemoved);
   EXPECT_EQ(lifecycle.by(), "list");
   reconcile(lifecycle, listed(false), 8);
   EXPECT_EQ(lifecycle.state(), LifecycleState::kWarming);
@@ -226,7 +226,7 @@
       facts.drainedBy = (step & 6) == 6 ? "maria" : "";
       facts.ejected = (step & 8) != 0;
       facts.reachable = (step & 48) != 48;
-      facts.open = step >> 6;
+      facts.openRequests = step >> 6;
       const LifecycleState before = lifecycle.state();
       const std::uint64_t revision = lifecycle.revision();
       reconcile(lifecycle, facts, now);
@@ -234,11 +234,11 @@
       if (lifecycle.state() != before)
         RC_ASSERT(lifecycle.revision() > revision);
       if (!facts.listed) {
-        RC_ASSERT(lifecycle.state() == LifecycleState::kGone);
+        RC_ASSERT(lifecycle.state() == LifecycleState::kRemoved);
       } else if (!facts.drainedBy.empty()) {
         RC_ASSERT(lifecycle.state() == LifecycleState::kDraining ||
                   lifecycle.state() == LifecycleState::kDrained);
-        if (facts.open == 0)
+        if (facts.openRequests == 0)
           RC_ASSERT(lifecycle.state() == LifecycleState::kDrained);
       } else if (!facts.reachable) {
         RC_ASSERT(lifecycle.state() == LifecycleState::kUnreachable);
--- a/tests/shared_fleet_test.cpp
+++ b/tests/shared_fleet_test.cpp
@@ -260,11 +260,11 @@
     EXPECT_GT(worst, 0) << what;
   };
   found("a ceiling before spending", cutAndKilled,
-        [](auto& o) { o.config.budget.ceilingFirst = false; });
+        [](auto& o) { o.config.budget.enforceCeiling = false; });
   found("charging the ceiling of those that are gone", cutAndKilled,
         [](auto& o) { o.config.guards.chargeCeiling = false; });
   found("keeping to what was returned", moving,
-        [](auto& o) { o.config.budget.returnsKept = false; });
+        [](auto& o) { o.config.budget.excludeReturned = false; });
   found("waiting after a store was put back", putBack,
         [](auto& o) { o.config.guards.waitBeforeLending = false; });
 }
@@ -325,7 +325,7 @@
   world.run(60'000);
   std::cout << world.nodes.size() << " nodes: " << found << " tries until all knew, "
             << world.badTries << " in the minute after\n";
-  EXPECT_TRUE(digestIn(world).instances.at("r4").out) << "no trial went well";
+  EXPECT_TRUE(digestIn(world).instances.at("r4").excluded) << "no trial went well";
   // Each router by itself would have tried some 24 times in that minute.
   EXPECT_LT(world.badTries * 5, world.nodes.size() * 24);
   world.badInstances.clear();
@@ -432,7 +432,7 @@
   world.options.config.budgets["attiki"] = 10;
   world.run(5'000);
   const BudgetLine line = digestIn(world).budgets.at("attiki");
-  EXPECT_EQ(line.left, 0u);
+  EXPECT_EQ(line.available, 0u);
   const auto lent = line.lent;
   world.run(5'000);
   const Digest later = digestIn(world);
--- a/tests/shared_processes_test.cpp
+++ b/tests/shared_processes_test.cpp
@@ -210,7 +210,7 @@
   const auto digestLeavesOut = [&](const std::string& instance) {
     const Digest digest = decodeDigest(fleet);
     const auto found = digest.instances.find(instance);
-    return found != digest.instances.end() && found->second.out;
+    return found != digest.instances.end() && found->second.excluded;
   };
   EXPECT_TRUE(waitFor(fleet.io, 60,
                       [&] {
@@ -244,7 +244,7 @@
   EXPECT_TRUE(waitFor(fleet.io, 60, [&] {
     clients.go(200);
     const auto instances = decodeDigest(fleet).instances;
-    return instances.count("box-2") == 0 || !instances.at("box-2").out;
+    return instances.count("box-2") == 0 || !instances.at("box-2").excluded;
   }));
   // A wave: most die at once, under way, and start anew. And on until the budget is used up.
   for (std::size_t i = 0; i + 2 < count; ++i)
@@ -254,7 +254,7 @@
     fleet.start(*fleet.all[i]);
   ASSERT_TRUE(waitFor(fleet.io, 60, [&] {
     clients.go(500);
-    return decodeDigest(fleet).budgets.at("attiki").left == 0 && clients.overBudget > 20;
+    return decodeDigest(fleet).budgets.at("attiki").available == 0 && clients.overBudget > 20;
   })) << clients.tokensOf("attiki");
   clients.go(3'000);
   clients.finish();
--- a/tests/shared_test.cpp
+++ b/tests/shared_test.cpp
@@ -93,7 +93,7 @@
       const std::uint64_t has = lent == line.lent.end() ? 0 : lent->second;
       switch (*rc::gen::inRange(0, 5)) {
         case 0:  // it wants more
-          word.wants = *rc::gen::inRange<std::uint64_t>(0, 12'000);
+          word.requestedLoan = *rc::gen::inRange<std::uint64_t>(0, 12'000);
           break;
         case 1:  // it hears, and sets its ceiling within
           word.lentSeen = has;
@@ -119,7 +119,7 @@
           words.erase(who);
         }
       }
-      const std::uint64_t left = leftOf(line, words);
+      const std::uint64_t left = availableOf(line, words);
       RC_ASSERT(line.charged + outstandingOf(line, words) + left == line.limit);
       lend(line, words);
       RC_ASSERT(line.charged + outstandingOf(line, words) <= line.limit);
@@ -145,16 +145,17 @@
     }
     const auto said = observations.snapshot(now);
     const HealthObservation at = said.empty() ? HealthObservation{} : said.at("b");
-    double before = at.bad, beforeGood = at.good;
+    double before = at.failures, beforeGood = at.successes;
     for (double by = 0; by < 60'000; by += *rc::gen::inRange(1, 9000)) {
       const HealthObservation later = decayed(at, by, config);
-      RC_ASSERT(later.bad <= before);
-      RC_ASSERT(later.good <= beforeGood);
-      RC_ASSERT(std::abs(later.bad - (observations.snapshot(now + by).empty()
-                                          ? later.bad
-                                          : observations.snapshot(now + by).at("b").bad)) < 1e-9);
-      before = later.bad;
-      beforeGood = later.good;
+      RC_ASSERT(later.failures <= before);
+      RC_ASSERT(later.successes <= beforeGood);
+      RC_ASSERT(std::abs(later.failures -
+                         (observations.snapshot(now + by).empty()
+                              ? later.failures
+                              : observations.snapshot(now + by).at("b").failures)) < 1e-9);
+      before = later.failures;
+      beforeGood = later.successes;
     }
   }));
 }
@@ -260,14 +261,14 @@
   nameless.origin.name = "";
   EXPECT_EQ(decodePart(encode(nameless)).error, DecodeError::kBeyondBounds);
   Part negative = somePart();
-  negative.observations["b"].bad = -1;
+  negative.observations["b"].failures = -1;
   EXPECT_EQ(decodePart(encode(negative)).error, DecodeError::kBeyondBounds);
 }
 
 TEST(WordsInTheStore, KeepFieldsOfALaterProgram) {
   Digest digest;
   digest.sequence = 5;
-  digest.heard[{"c1", 17}] = 3;
+  digest.liveNodes[{"c1", 17}] = 3;
   digest.budgets["attiki"] = {100, 10, 40, {{{"c1", 17}, 50}, {{"c2", 9}, 0}}};
   Folded folded;
   folded.origin = {"c0", 3};
@@ -283,7 +284,7 @@
   EXPECT_EQ(back->budgets, digest.budgets);
   EXPECT_EQ(back->folded, digest.folded);
   EXPECT_EQ(back->instances, digest.instances);
-  EXPECT_EQ(back->heard, digest.heard);
+  EXPECT_EQ(back->liveNodes, digest.liveNodes);
 }
 
 // What stands under others' names, damaged, of another version, or counting backwards: not
@@ -311,17 +312,17 @@
     return *decodeDigest(*step->writes.front().value).digest;
   };
   Digest digest = next(0);
-  EXPECT_EQ(digest.heard.size(), 1u);
+  EXPECT_EQ(digest.liveNodes.size(), 1u);
   EXPECT_EQ(digest.total, good.usage);
   next(500);
-  EXPECT_EQ(task.stats().unread,
+  EXPECT_EQ(task.stats().undecodable,
             (std::map<std::string, std::uint64_t>{{"foreign", 2}, {"version", 1}}));
   good.sequence = 4;
   good.usage[{"attiki", "chat"}].promptTokens = 1;
   put(good.key(), encode(good));
   digest = next(1000);
   EXPECT_EQ(digest.total.at({"attiki", "chat"}).promptTokens, 4u) << "the higher count stays";
-  EXPECT_EQ(task.stats().backwards, 1u);
+  EXPECT_EQ(task.stats().decreasedCounters, 1u);
   // A digest of a later program is not written over.
   std::string text = view.documents.at(kDigestKey).value;
   text.replace(text.find("/1 "), 3, "/2 ");
--- a/tests/support/shared_world.h
+++ b/tests/support/shared_world.h
@@ -212,8 +212,9 @@
       refused.refused = 1;
       refused.refusedTokens = prompt + most;
       counted[{tenant, "chat"}].add(refused);
-      SharedNode::Ended how{SharedNode::Ended::How::kRefused, 0, 0, prompt + most};
-      node.shared->ended(tenant, "chat", answer.reservation, how, now);
+      SharedNode::RequestUsage how{SharedNode::RequestUsage::Outcome::kRefused, 0, 0,
+                                   prompt + most};
+      node.shared->settleRequest(tenant, "chat", answer.reservation, how, now);
       if (times < 3)
         node.again.push_back({tenant, prompt, most, now + draw(1000, 2000), times + 1});
       return;
@@ -233,22 +234,22 @@
       }
       const bool served = chance(options.kept);
       const auto used = static_cast<std::uint64_t>(static_cast<double>(it->tokens) * draw(0.6, 1));
-      SharedNode::Ended how;
+      SharedNode::RequestUsage how;
       UsageCounters counters;
       if (served) {
-        how = {SharedNode::Ended::How::kServed, used / 2, used - used / 2, it->tokens};
+        how = {SharedNode::RequestUsage::Outcome::kServed, used / 2, used - used / 2, it->tokens};
         counters.served = 1;
         counters.promptTokens = how.promptTokens;
         counters.answerTokens = how.answerTokens;
       } else {
-        how = {SharedNode::Ended::How::kFailed, 0, 0, it->tokens};
+        how = {SharedNode::RequestUsage::Outcome::kFailed, 0, 0, it->tokens};
         counters.failed = 1;
         counters.failedTokens = it->tokens;
       }
       counted[{it->tenant, "chat"}].add(counters);
       Truth& t = truth[{it->tenant, it->period}];
       t.promised -= it->tokens - (served ? used : 0);
-      node.shared->ended(it->tenant, "chat", it->reservation, how, now);
+      node.shared->settleRequest(it->tenant, "chat", it->reservation, how, now);
       it = node.open.erase(it);
     }
   }
@@ -282,7 +283,7 @@
     auto availability = node.shared->availabilities(instances, now);
     if (options.believeAny && node.shared->digest())
       for (const auto& [instance, verdict] : node.shared->digest()->instances)
-        if (verdict.bad > 0 && availability.count(instance) != 0)
+        if (verdict.unhealthyVotes > 0 && availability.count(instance) != 0)
           availability[instance] = Availability::kExcluded;
     std::map<std::string, std::size_t> in;
     for (const auto& [instance, at] : availability)
