--- a/tests/cold_sum_test.cpp
+++ b/tests/cold_sum_test.cpp
@@ -1,6 +1,5 @@
-// Slow start over a whole fleet: what all nodes together send to an instance that has just started,
-// with many routers, uneven traffic, and nodes that restart meanwhile and have forgotten what they
-// sent.
+// Tests of slow start over a whole fleet: the total that all nodes send to a started instance, with
+// many routers, uneven traffic, and nodes that restart and lose their counts.
 #include "support/slow_start_fleet.h"
 
 namespace inference_router::routing {
@@ -21,14 +20,14 @@
   }
 }
 
-// One play a scene and a number of nodes, so that they run side by side.
+// Scenario and number of nodes of one test case; separate cases can run in parallel.
 struct SceneRun {
   int nodes;
   SlowStartScene scene;
 };
 
-// Without it the names of the tests would hold the bytes of their parameters, which differ between
-// builds.
+// Without this function the test names would contain the bytes of their parameters, which differ
+// between builds.
 void PrintTo(const SceneRun& run, std::ostream* out) {
   *out << run.nodes << " nodes, " << run.scene.newWeights.size() << " cold beside "
        << run.scene.warmInstances;
@@ -60,9 +59,9 @@
 
 class MostOfARoleInSlowStart : public testing::TestWithParam<SceneRun> {};
 
-// Whatever else is removed, in slow start or restarting: each new instance gets no more than its
-// part of what the fleet sends.
-TEST_P(MostOfARoleInSlowStart, HoldsForEveryKindAndWeightWithNodesThatRestartMeanwhile) {
+// Even if most other instances are removed or in slow start and nodes restart, each new instance
+// gets no more than its part of the fleet's requests.
+TEST_P(MostOfARoleInSlowStart, StaysWithinTheBudgetForEveryKindAndWeightWhileNodesRestart) {
   const auto& [nodes, scene] = GetParam();
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     SlowStartFleet fleet(nodes, seed, nodes, scene);
@@ -107,9 +106,8 @@
 
 class AnyNumberOfProcesses : public testing::TestWithParam<SceneRun> {};
 
-// From one process to more than any deployment has: alone and with others, with a higher load and
-// with a popular prefix.
-TEST_P(AnyNumberOfProcesses, HoldsFromOneToHundreds) {
+// From one process to more than any deployment has, also with a higher load and a popular prefix.
+TEST_P(AnyNumberOfProcesses, StaysWithinTheBudgetForOneToHundreds) {
   const auto& [nodes, scene] = GetParam();
   double closest = -HUGE_VAL;
   for (std::uint64_t seed = 1; seed <= 2; ++seed) {
@@ -131,8 +129,9 @@
                                                   scenesForAnyNumberOfProcesses())),
                          nameOf);
 
-// A fleet that starts as a whole: no node knows the weight of a warm role, and work has to begin.
-TEST(SlowStartSum, AFleetThatStartsAsAWholeHoldsItAndBegins) {
+// When the whole fleet starts at once, no node knows the warm weight of a role, but requests must
+// still be served.
+TEST(SlowStartSum, FleetThatStartsAsAWholeStaysWithinTheBudgetAndServesRequests) {
   for (const std::uint32_t kind : {kPrefill, kDecode, kMixed}) {
     const int all = kind == kDecode ? kWarmDecodeInstances : kWarmPrefillInstances;
     const SlowStartScene scene{
@@ -158,10 +157,10 @@
   }
 }
 
-// The same with the split by the number of nodes left out: a test that cannot tell the two apart
-// proves nothing. Fewer nodes split the budget by their own traffic alone, which the number only
-// bounds from below.
-TEST(SlowStartSum, IsBrokenByHundredsOfNodesThatEachTakeThemselvesForTheOnlyOne) {
+// Negative control: without the division by the number of nodes, the bound must be exceeded;
+// otherwise the tests above would prove nothing. It needs hundreds of nodes, because fewer nodes
+// divide the budget by their own traffic alone, and the number of nodes only sets a lower bound.
+TEST(SlowStartSum, ExceedsTheBudgetIfEachOfHundredsOfNodesAssumesToBeTheOnlyOne) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     SlowStartFleet fleet(300, seed, 1);
     EXPECT_GT(maxExcess(fleet.run(20, 10)["c0"], fleet), 0) << seed;
--- a/tests/estimates_test.cpp
+++ b/tests/estimates_test.cpp
@@ -1,4 +1,4 @@
-// Averages, sums and hashes that the decision module builds on.
+// Tests of the averages, sums and hashes that the decision module uses.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -43,7 +43,7 @@
   EXPECT_DOUBLE_EQ(average.mean(), 4);
 }
 
-TEST(FadingAverage, FollowsWhatIsNewAndForgetsWhatIsOld) {
+TEST(FadingAverage, FollowsNewSamplesAndForgetsOldOnes) {
   FadingAverage average;
   for (int i = 0; i < 20; ++i)
     average.add(1);
@@ -53,7 +53,7 @@
   EXPECT_GT(average.mean(), 0.25);
 }
 
-TEST(FadingAverage, DecaysFromItsLastSampleOn) {
+TEST(FadingAverage, DecaysFromTheLastSample) {
   FadingAverage average;
   average.add(8, at(10));
   EXPECT_DOUBLE_EQ(average.decayedMean(at(10), seconds(1)), 8);
@@ -61,7 +61,7 @@
   EXPECT_DOUBLE_EQ(average.mean(), 8);
 }
 
-TEST(DecayingSum, HoldsRateTimesTimeConstantInTheSteadyState) {
+TEST(DecayingSum, IsRateTimesTimeConstantInTheSteadyState) {
   DecayingSum sum;
   double now = 0;
   for (int i = 0; i < 10'000; ++i)
@@ -70,7 +70,7 @@
   EXPECT_NEAR(sum.at(at(now + 5), seconds(5)), 100 * 5 * std::exp(-1), 1);
 }
 
-TEST(KeyPopularity, LeavesTheLatestArrivalOutAndAssumesTenOthers) {
+TEST(KeyPopularity, ExcludesTheLatestArrivalAndAssumesTenOthers) {
   KeyPopularity popularity(seconds(20));
   EXPECT_DOUBLE_EQ(popularity.shareExcludingLatest("a", at(1)), 0);
   popularity.count("a", at(1));
@@ -88,20 +88,21 @@
   EXPECT_DOUBLE_EQ(popularity.shareExcludingLatest("rare3999", at(40)), 0);
 }
 
-// The figures are part of the contract: nodes of different releases must order instances alike.
-TEST(StableHash, NeverChangesItsFigures) {
+// The hash values must never change: nodes of different releases must rank instances equally.
+TEST(StableHash, ValuesAreStable) {
   EXPECT_EQ(stableHash("", ""), 689861552466052133ULL);
   EXPECT_EQ(stableHash("prefix", "s-5be2a07c"), 2220736449789088585ULL);
 }
 
-TEST(StableHash, TellsPairsApartThatJoinToTheSameText) {
+TEST(StableHash, DiffersForPairsWithTheSameConcatenation) {
   EXPECT_NE(stableHash("ab", "c"), stableHash("a", "bc"));
   EXPECT_NE(stableHash("a", "b"), stableHash("b", "a"));
 }
 
-// Checks that draws of consecutive indices differ and have the mean of an even spread.
+// Checks that draws of consecutive indices are distinct and have the mean of a uniform
+// distribution.
 template <typename Draw>
-void expectEvenSpread(const Draw& draw) {
+void expectUniform(const Draw& draw) {
   constexpr int kDraws = 20'000;
   double sum = 0;
   std::set<double> distinct;
@@ -115,16 +116,16 @@
   EXPECT_EQ(distinct.size(), static_cast<std::size_t>(kDraws));
 }
 
-TEST(StableDraw, IsEvenlySpreadBetweenZeroAndOne) {
-  expectEvenSpread([](int i) {
+TEST(StableDraw, IsUniformBetweenZeroAndOne) {
+  expectUniform([](int i) {
     const double drawn = stableDraw("key", std::to_string(i));
     EXPECT_GT(drawn, 0);
     return drawn;
   });
 }
 
-TEST(StableDraw, OfNumbersIsEvenlySpreadToo) {
-  expectEvenSpread([](int i) {
+TEST(StableDraw, OfNumbersIsUniform) {
+  expectUniform([](int i) {
     const double drawn = stableDraw(std::uint64_t{12345}, std::int64_t{i});
     EXPECT_GE(drawn, 0);
     return drawn;
--- a/tests/property_test.cpp
+++ b/tests/property_test.cpp
@@ -1,5 +1,5 @@
-// Long random sequences of legal events against the invariants of routing, as far as events and
-// actions show them. The outcomes are scripted draws; no instance is modelled.
+// Property test: long random sequences of valid events must not violate the invariants of routing
+// that are visible in events and actions. Outcomes are drawn at random; instances are not modelled.
 #include <random>
 
 #include "support/invariant_checker.h"
@@ -19,25 +19,25 @@
       all.push_back(endpoint(numbered("e", i), kind, i / 4U));
       trackEndpoint(all.back());
     }
-    give(EndpointListUpdate{++version_, EndpointListForm::kFull, all});
+    handle(EndpointListUpdate{++version_, EndpointListForm::kFull, all});
     for (int i = 0; i < steps && !::testing::Test::HasFailure(); ++i)
       step();
   }
 
  private:
   bool chance(double p) { return std::uniform_real_distribution<>(0, 1)(draw_) < p; }
-  int upTo(int most) { return std::uniform_int_distribution<>(0, most)(draw_); }
+  int drawUpTo(int max) { return std::uniform_int_distribution<>(0, max)(draw_); }
 
   void step() {
-    advance(Duration(upTo(20'000)));
-    const int what = upTo(9);
-    if (what < 3)
+    advance(Duration(drawUpTo(20'000)));
+    const int choice = drawUpTo(9);
+    if (choice < 3)
       return arrive();
-    if (what == 3 && chance(0.1))
+    if (choice == 3 && chance(0.1))
       return changeList();
-    if (what == 4 && chance(0.1))
+    if (choice == 4 && chance(0.1))
       return abandon();
-    endOne();
+    endRandomAttempt();
   }
 
   void advance(Duration span) {
@@ -47,18 +47,18 @@
       for (const auto& [at, timer] : timers_)
         next = std::min(next, at);
       for (const auto& [id, request] : requests_) {
-        for (const auto& [n, out] : request.attemptsOut) {
+        for (const auto& [n, out] : request.attemptsInFlight) {
           if (!request.streaming)
             next = std::min(next, std::max(now_, out.until));
         }
       }
       now_ = std::max(now_, next);
-      if (timeOutOne())
+      if (expireOneAttempt())
         continue;
       if (!timers_.empty() && timers_.begin()->first <= now_) {
         const std::uint64_t timer = timers_.begin()->second;
         timers_.erase(timers_.begin());
-        give(TimerFired{timer});
+        handle(TimerFired{timer});
         continue;
       }
       if (now_ >= until)
@@ -67,9 +67,9 @@
     checkOpenRequests();
   }
 
-  bool timeOutOne() {
+  bool expireOneAttempt() {
     for (auto& [id, request] : requests_) {
-      for (const auto& [n, out] : request.attemptsOut) {
+      for (const auto& [n, out] : request.attemptsInFlight) {
         if (request.streaming || out.until > now_)
           continue;
         finish(id, n, AttemptOutcome::kTimeout);
@@ -82,25 +82,25 @@
   void arrive() {
     const RequestId id{numbered("q", ++arrivals_)};
     const ClassIndex cls{
-        static_cast<std::uint32_t>(upTo(static_cast<int>(settings_.classes.size()) - 1))};
-    const Duration left(50'000 + upTo(3'000'000));
+        static_cast<std::uint32_t>(drawUpTo(static_cast<int>(settings_.classes.size()) - 1))};
+    const Duration left(50'000 + drawUpTo(3'000'000));
     trackArrival(id, cls, left);
-    give(Arrival{id,
-                 cls,
-                 {},
-                 numbered("s", upTo(20)),
-                 chance(0.5) ? numbered("p", upTo(4)) : "",
-                 left,
-                 {},
-                 100.0 + upTo(9000),
-                 0,
-                 200,
-                 false,
-                 false});
+    handle(Arrival{id,
+                   cls,
+                   {},
+                   numbered("s", drawUpTo(20)),
+                   chance(0.5) ? numbered("p", drawUpTo(4)) : "",
+                   left,
+                   {},
+                   100.0 + drawUpTo(9000),
+                   0,
+                   200,
+                   false,
+                   false});
   }
 
   void changeList() {
-    EndpointRecord entry = entryOf({numbered("e", upTo(7))});
+    EndpointRecord entry = entryOf({numbered("e", drawUpTo(7))});
     if (entry.state != EndpointState::kActive)
       entry.state = EndpointState::kActive;
     else
@@ -108,7 +108,7 @@
     if (entry.state == EndpointState::kActive)
       entry.started = now_;
     trackEndpoint(entry);
-    give(EndpointListUpdate{++version_, EndpointListForm::kChanges, {entry}});
+    handle(EndpointListUpdate{++version_, EndpointListForm::kChanges, {entry}});
   }
 
   void abandon() {
@@ -116,48 +116,48 @@
       if (request.finished || !chance(0.3))
         continue;
       request.finished = true;
-      const RequestId gone = id;
-      give(RequestAbandoned{gone});
+      const RequestId abandoned = id;
+      handle(RequestAbandoned{abandoned});
       return;
     }
   }
 
-  void endOne() {
+  void endRandomAttempt() {
     std::vector<std::pair<RequestId, int>> out;
     for (const auto& [id, request] : requests_) {
-      for (const auto& [n, attempt] : request.attemptsOut)
+      for (const auto& [n, attempt] : request.attemptsInFlight)
         out.emplace_back(id, n);
     }
     if (out.empty())
       return;
-    const auto [id, n] = out[static_cast<std::size_t>(upTo(static_cast<int>(out.size()) - 1))];
+    const auto [id, n] = out[static_cast<std::size_t>(drawUpTo(static_cast<int>(out.size()) - 1))];
     TrackedRequest& request = requests_.at(id);
-    const TrackedAttempt attempt = request.attemptsOut.at(n);
+    const TrackedAttempt attempt = request.attemptsInFlight.at(n);
     if (chance(0.3))
-      give(ReservationResult{id, n, {numbered("e", upTo(7))}, chance(0.5)});
-    if (request.attemptsOut.count(n) == 0)
+      handle(ReservationResult{id, n, {numbered("e", drawUpTo(7))}, chance(0.5)});
+    if (request.attemptsInFlight.count(n) == 0)
       return;
     if (request.streaming)
       return finish(id, n, AttemptOutcome::kServed);
     if (attempt.decodes && !request.finished && chance(0.5)) {
       trackFirstToken(request);
-      return give(StreamOpened{id, n, attempt.instance, now_ - attempt.sentAt});
+      return handle(StreamOpened{id, n, attempt.instance, now_ - attempt.sentAt});
     }
     if (!attempt.decodes && chance(0.7))
       return finish(id, n, AttemptOutcome::kPrefilled);
-    constexpr AttemptOutcome kBad[] = {AttemptOutcome::kError, AttemptOutcome::kRejected,
-                                       AttemptOutcome::kConnectFailed,
-                                       AttemptOutcome::kConnectionLost};
-    finish(id, n, kBad[upTo(3)]);
+    constexpr AttemptOutcome kFailures[] = {AttemptOutcome::kError, AttemptOutcome::kRejected,
+                                            AttemptOutcome::kConnectFailed,
+                                            AttemptOutcome::kConnectionLost};
+    finish(id, n, kFailures[drawUpTo(3)]);
   }
 
   void finish(const RequestId& id, int n, AttemptOutcome outcome) {
     const auto [attempt, concluded] = trackEnd(requests_.at(id), n, outcome);
-    give(AttemptEnded{
+    handle(AttemptEnded{
         id, n, attempt.instance, outcome, now_ - attempt.sentAt, concluded, 0, chance(0.3), {}});
   }
 
-  void give(const Event& event) {
+  void handle(const Event& event) {
     std::vector<Action> actions;
     router_.handle(now_, event, actions);
     for (const Action& action : actions) {
@@ -169,7 +169,8 @@
     }
     for (const auto& [id, n] : std::exchange(cancelled_, {})) {
       const auto it = requests_.find(id);
-      if (it != requests_.end() && it->second.attemptsOut.count(n) != 0 && !it->second.streaming)
+      if (it != requests_.end() && it->second.attemptsInFlight.count(n) != 0 &&
+          !it->second.streaming)
         finish(id, n, AttemptOutcome::kCancelled);
     }
   }
@@ -184,7 +185,7 @@
 
 class Invariants : public ::testing::TestWithParam<int> {};
 
-TEST_P(Invariants, HoldWhateverHappens) {
+TEST_P(Invariants, HoldUnderRandomEvents) {
   const int variant = GetParam();
   Settings settings = plainSettings();
   const ClassSettings base = settings.classes[0];
--- a/tests/request_record_test.cpp
+++ b/tests/request_record_test.cpp
@@ -1,4 +1,4 @@
-// What the decision module remembers of a request: the queries on its attempts.
+// Tests of the queries on a request record and its attempts.
 #include "routing/request_record.h"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
   return {&instance, Time{}, decodes, 0, false};
 }
 
-TEST(RequestRecord, HasAnAttemptOutOnlyWhileTheLastOneIs) {
+TEST(RequestRecord, HasAnAttemptInFlightOnlyWhileTheLastOneIs) {
   Instance instance;
   RequestRecord request;
   EXPECT_FALSE(request.hasAttemptInFlight());
@@ -24,7 +24,7 @@
   EXPECT_TRUE(request.hasAttemptInFlight());
 }
 
-TEST(RequestRecord, TakesForExecutedTheFirstDecodeThatIsNotProvedNotToBe) {
+TEST(RequestRecord, ReturnsTheFirstDecodeAttemptNotProvedUnexecuted) {
   Instance instance;
   RequestRecord request;
   request.attempts = {attemptAt(instance, false), attemptAt(instance, true),
@@ -36,7 +36,7 @@
   EXPECT_EQ(request.possiblyExecutedAttempt(), nullptr);
 }
 
-TEST(RequestRecord, FindsAttemptsByNumberAndNoneBeyond) {
+TEST(RequestRecord, FindsAttemptsByNumber) {
   Instance instance;
   RequestRecord request;
   request.attempts = {attemptAt(instance, false), attemptAt(instance, true)};
@@ -45,23 +45,23 @@
   EXPECT_EQ(request.attempt(-1), nullptr);
 }
 
-TEST(RequestRecord, RefersToEachInstanceThatItNames) {
+TEST(RequestRecord, RefersToEachOfItsInstances) {
   Instance reservation;
   Instance prefillInstance;
   Instance affinityInstance;
   Instance reservedOn;
   Instance attempted;
-  Instance stranger;
+  Instance unrelated;
   RequestRecord request;
   request.reservation = &reservation;
   request.prefillInstance = &prefillInstance;
   request.affinityInstance = &affinityInstance;
   request.reservedOn = &reservedOn;
   request.attempts.push_back(attemptAt(attempted, true));
-  for (const Instance* named :
+  for (const Instance* instance :
        {&reservation, &prefillInstance, &affinityInstance, &reservedOn, &attempted})
-    EXPECT_TRUE(request.refersTo(*named));
-  EXPECT_FALSE(request.refersTo(stranger));
+    EXPECT_TRUE(request.refersTo(*instance));
+  EXPECT_FALSE(request.refersTo(unrelated));
 }
 
 }  // namespace
--- a/tests/router_health_test.cpp
+++ b/tests/router_health_test.cpp
@@ -84,7 +84,7 @@
   EXPECT_FALSE(router.hasAction<DispatchAttempt>());
 }
 
-// A large router must neither leave a restarted instance idle nor send it a request from each node.
+// With many nodes, a restarted instance must neither stay idle nor get a request from every node.
 TEST(SlowStart, ManyNodesTogetherStayWithinTheBudgetOfAnInstance) {
   for (const int nodes : {2, 20, 200}) {
     Settings settings = plainSettings();
--- a/tests/router_load_test.cpp
+++ b/tests/router_load_test.cpp
@@ -45,7 +45,7 @@
   return list;
 }
 
-// Sends one request to a router whose prefill instances all have full queues, or none has; returns
+// Sends one request. If `congested`, all prefill instances have full queues and reject it. Returns
 // whether a prefill was tried.
 bool prefillOnce(RouterHarness& node, const std::string& id, bool congested) {
   std::string at = node.advance(400ms).arrive(id, id).sentTo();
--- a/tests/routing_units_test.cpp
+++ b/tests/routing_units_test.cpp
@@ -1,4 +1,4 @@
-// Components of the decision module, each alone.
+// Unit tests of single components of the decision module.
 #include <cmath>
 
 #include "router_harness.h"
@@ -21,7 +21,7 @@
   return registry;
 }
 
-TEST(InstanceRegistry, MarksWhatACompleteListDoesNotNameAsRemovedAndForgetsItLater) {
+TEST(InstanceRegistry, MarksMissingInstancesAsRemovedAndErasesThemLater) {
   const Settings settings = plainSettings();
   InstanceRegistry registry =
       registryOf(settings, {endpoint("a", kPrefill), endpoint("b", kDecode)});
@@ -33,12 +33,12 @@
   registry.eraseRemoved(requests, kStart + 11s);
   EXPECT_NE(registry.find({"b"}), nullptr) << "a request refers to it";
   registry.eraseRemoved({}, kStart + 10s);
-  EXPECT_NE(registry.find({"b"}), nullptr) << "not gone for a warm-up time";
+  EXPECT_NE(registry.find({"b"}), nullptr) << "removed for less than a warm-up duration";
   registry.eraseRemoved({}, kStart + 11s);
   EXPECT_EQ(registry.find({"b"}), nullptr);
 }
 
-TEST(OutlierDetector, EjectsAtOnceWhatCannotBeReachedAndDoublesTheBackoff) {
+TEST(OutlierDetector, EjectsUnreachableInstancesImmediatelyAndDoublesTheBackoff) {
   const Settings settings = plainSettings();
   InstanceRegistry registry = registryOf(settings, {endpoint("a", kPrefill)});
   const OutlierDetector detector(registry);
@@ -54,7 +54,7 @@
   EXPECT_FALSE(instance.ejection.ejected);
 }
 
-TEST(OutlierDetector, EjectsWhatFailsMoreThanItsBestPeerAndTakesSeveralTrials) {
+TEST(OutlierDetector, EjectsInstancesThatFailMoreThanTheBestPeerUntilSeveralTrialsSucceed) {
   const Settings settings = plainSettings();
   InstanceRegistry registry =
       registryOf(settings, {endpoint("a", kPrefill), endpoint("b", kPrefill)});
@@ -65,7 +65,7 @@
     detector.recordFailure(instance, kStart, FailureReason::kErrors, kStart);
     ++failures;
   }
-  EXPECT_EQ(failures, 2) << "after three successes that are assumed";
+  EXPECT_EQ(failures, 2) << "with three assumed successes";
   detector.recordSuccess(instance, kStart - 1s, kStart);
   EXPECT_EQ(instance.ejection.trialsLeft, 3) << "sent before the ejection";
   for (int trial = 0; trial < 3; ++trial) {
@@ -75,7 +75,7 @@
   EXPECT_FALSE(instance.ejection.ejected);
 }
 
-TEST(CellPlan, LetsACellPrefillWhatItDecodesWithinBoundsOfItsPrefillInstances) {
+TEST(CellPlan, PrefillShareFollowsTheDecodeShareWithinBounds) {
   const Settings settings = plainSettings();
   const InstanceRegistry registry =
       registryOf(settings, {endpoint("r0", kPrefill, 0), endpoint("r1", kPrefill, 1),
@@ -93,10 +93,10 @@
   int moved = 0;
   for (int i = 0; i < 1000; ++i) {
     const RequestId request{numbered("r", i)};
-    EXPECT_EQ(plan.decodeCell(request, {0}).value, 0U) << "it decodes more than it prefills";
+    EXPECT_EQ(plan.decodeCell(request, {0}).value, 0U) << "the cell decodes more than it prefills";
     moved += plan.decodeCell(request, {1}).value == 0 ? 1 : 0;
   }
-  EXPECT_NEAR(moved, 125, 40) << "0.25 decoded of 0.286 prefilled";
+  EXPECT_NEAR(moved, 125, 40) << "decode share 0.25 of prefill share 0.286";
 }
 
 class IdempotencyTest : public ::testing::Test {
@@ -126,7 +126,7 @@
   EXPECT_EQ(repeatsAllowedUntil(cls_, request_, now), Time::max());
 }
 
-TEST_F(IdempotencyTest, KeepsRepeatsWithinTheScopeOfDeduplication) {
+TEST_F(IdempotencyTest, LimitsRepeatsToTheDedupScope) {
   cls_.effect = Effect::kDeduplicated;
   for (const auto& [scope, inZone, anywhere] :
        {std::tuple(DedupScope::kAll, true, true), std::tuple(DedupScope::kZone, true, false),
@@ -135,7 +135,8 @@
     EXPECT_TRUE(effectAllowsDispatch(cls_, request_, first_, kStart));
     EXPECT_EQ(effectAllowsDispatch(cls_, request_, sameZone_, kStart), inZone);
     EXPECT_EQ(effectAllowsDispatch(cls_, request_, elsewhere_, kStart), anywhere);
-    EXPECT_FALSE(effectAllowsDispatch(cls_, request_, first_, kStart + 5s)) << "past the window";
+    EXPECT_FALSE(effectAllowsDispatch(cls_, request_, first_, kStart + 5s))
+        << "after the deduplication window";
     EXPECT_EQ(mayReject(cls_, request_, kStart), scope == DedupScope::kAll);
   }
 }
@@ -156,7 +157,7 @@
   EXPECT_NEAR(retries, 30 + 30, 1);
 }
 
-TEST(RetryBudget, SavesUpLittleWhereFewRequestsArrive) {
+TEST(RetryBudget, IsSmallWithFewArrivals) {
   RetryBudget budget;
   budget.recordArrival(0);
   EXPECT_TRUE(budget.isAvailable());
@@ -164,7 +165,7 @@
   EXPECT_FALSE(budget.isAvailable());
 }
 
-TEST(CountOvertakenAttempts, CountsLaterAnswersWellAheadForTheirSizeAtTheSameInstance) {
+TEST(CountOvertakenAttempts, CountsLaterAttemptsAnsweredWellBeforeAtTheSameInstance) {
   Instance instance, other;
   RequestMap requests;
   const auto add = [&](const char* id, Instance& at, Time sentAt, double tokens) -> RequestRecord& {
@@ -187,7 +188,7 @@
     EXPECT_EQ(request->attempts[0].overtakenCount, 0);
 }
 
-TEST(GracefulShutdownStep, MigratesTheLongestStreamsFirstAndFinishesTheRestNearTheEnd) {
+TEST(GracefulShutdownStep, MigratesLongStreamsFirstAndFinishesOtherRequestsNearTheEnd) {
   Instance instance;
   RequestMap requests;
   for (const int tokens : {100, 300, 200}) {
--- a/tests/settings_edges_test.cpp
+++ b/tests/settings_edges_test.cpp
@@ -1,6 +1,5 @@
-// Days on settings at the edge of what may be set, and on the kind of instances that read long
-// prompts: the rules hold, each request has its answer by its deadline, and no decision divides by
-// nothing.
+// Simulated days with extreme but valid settings and with long prompts: the invariants hold, each
+// request gets its final answer by its deadline, and no decision divides by zero.
 #include <cfenv>
 
 #include "support/simulated_day.h"
@@ -8,14 +7,14 @@
 namespace inference_router::routing {
 namespace {
 
-// Adds a failure where a decision makes a number that is none or infinite, or sends a prompt to
-// where it does not fit.
+// Adds a test failure if a decision produces NaN or infinity, or sends a prompt to an instance
+// without enough memory.
 class CheckedRouter {
  public:
   CheckedRouter(const DrawnDay& day, std::uint64_t seed)
       : settings_(day.settings), router_(std::make_shared<Router>(day.settings, seed)) {}
   void operator()(Time now, const Event& event, std::vector<Action>& actions) {
-    note(event);
+    track(event);
     std::feclearexcept(FE_ALL_EXCEPT);
     router_->handle(now, event, actions);
     EXPECT_FALSE(std::fetestexcept(FE_DIVBYZERO | FE_INVALID | FE_OVERFLOW))
@@ -29,7 +28,7 @@
   }
 
  private:
-  void note(const Event& event) {
+  void track(const Event& event) {
     if (const auto* arrival = std::get_if<Arrival>(&event))
       prompts_[arrival->request] = arrival->promptTokens;
     const auto* update = std::get_if<EndpointListUpdate>(&event);
@@ -51,14 +50,14 @@
 struct Edge {
   const char* name;
   DayKind kind;
-  bool compared = true;  // with the random policy, which knows no limit of attempts
+  bool compared = true;  // with the random policy, which ignores the attempt limit
 };
 
 void PrintTo(const Edge& edge, std::ostream* out) {
   *out << edge.name;
 }
 
-// Long prompts of few texts, of which some are far more popular; memory for a part of the slots.
+// Long prompts with few, unequally popular prefixes, and memory for only a part of the slots.
 DayKind longPrompts() {
   DayKind kind;
   kind.shape = {.prompt = {4'000, 7'000},
@@ -160,7 +159,7 @@
   });
 }
 
-// Of the kinds that are drawn, the instances of one role are all that there is.
+// Only the instances of one role exist.
 DayKind oneRole(Role role, bool decodeCanPrefill) {
   DayKind kind = changedFleet([role](DrawnDay& day) {
     std::erase_if(day.instances, [&](const EndpointRecord& instance) {
@@ -254,7 +253,7 @@
 constexpr std::uint64_t kDays = 20;
 #endif
 
-// Whether some kind that can do it has the memory for the prompt.
+// Whether the prompt fits into the memory of a kind whose role satisfies `does`.
 template <class Does>
 bool fitsSomewhere(const DrawnDay& day, const ClientRequest& clientRequest, const Does& does) {
   return std::any_of(
@@ -263,7 +262,7 @@
       });
 }
 
-TEST_P(SettingsAtTheEdge, KeepTheInvariantsAnswerInTimeAndServeNoLessThanARandomPolicy) {
+TEST_P(SettingsAtTheEdge, KeepInvariantsAndServeNoLessThanARandomPolicy) {
   double gain = 0;
   for (std::uint64_t seed = 1; seed <= kDays && !HasFailure(); ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
@@ -282,15 +281,15 @@
     }
     const SimulatedDay plain(day, randomPolicy, false);
     if (!GetParam().compared || plain.maxSlowStartExcess() > 0)
-      continue;  // it serves more, and breaks a rule for it
+      continue;  // not comparable: it serves more by overloading instances
     gain += routed.served() - plain.served();
   }
   EXPECT_GE(gain, 0) << "of " << kDays << " days";
 }
 
-// ---- One by one
+// ---- Single requests
 
-TEST(InstanceSize, APromptThatNothingCanPrefillIsRejectedAtOnce) {
+TEST(InstanceSize, PromptThatNoInstanceCanPrefillIsRejectedImmediately) {
   Settings settings = plainSettings();
   settings.kinds = {{Role::kPrefill, 500}, {Role::kDecode, 100'000}};
   RouterHarness router(settings);
@@ -300,7 +299,7 @@
   EXPECT_FALSE(router.hasAction<DispatchAttempt>());
 }
 
-TEST(InstanceSize, APromptThatOnlyADecodeInstanceHoldsIsPrefilledThereWhereItCan) {
+TEST(InstanceSize, PromptThatFitsOnlyADecodeInstanceIsPrefilledThere) {
   Settings settings = plainSettings();
   settings.kinds = {{Role::kPrefill, 500}, {Role::kDecode, 100'000}};
   settings.decodeCanPrefill = true;
@@ -310,7 +309,7 @@
   EXPECT_EQ(router.sentTo(), "w");
 }
 
-TEST(InstanceSize, APromptGoesWhereItFits) {
+TEST(InstanceSize, PromptIsSentToInstancesWithEnoughMemory) {
   Settings settings = plainSettings();
   settings.kinds = {
       {Role::kPrefill, 500}, {Role::kDecode, 500}, {Role::kPrefill, 9'000}, {Role::kDecode, 9'000}};
@@ -325,7 +324,7 @@
   }
 }
 
-TEST(Deadlines, WithoutAnyGraceTheAnswerComesBeforeTheDeadline) {
+TEST(Deadlines, WithoutGraceTheFinalAnswerComesByTheDeadline) {
   Settings settings = plainSettings();
   settings.contract.answerGrace = settings.tick = 0s;
   settings.classes[0].latencyObjective = 1min;
@@ -334,7 +333,7 @@
   EXPECT_TRUE(router.advance(1'005ms).hasAction<RejectRequest>());
 }
 
-TEST(Weights, BelowZeroAreTakenForZero) {
+TEST(Weights, NegativeWeightsCountAsZero) {
   RouterHarness router;
   std::vector<EndpointRecord> entries{endpoint("r1", kPrefill), endpoint("r2", kPrefill),
                                       endpoint("w", kDecode)};
@@ -346,8 +345,8 @@
   EXPECT_FALSE(std::fetestexcept(FE_DIVBYZERO | FE_INVALID));
 }
 
-// Their clock may be ahead of this node's, too.
-TEST(SlowStart, OfInstancesWithoutCapacityAtTheirStartDividesByNothing) {
+// The start time lies in the future, as the clock of an instance may be ahead of this node's.
+TEST(SlowStart, OfInstancesWithoutInitialCapacityDoesNotDivideByZero) {
   Settings settings = plainSettings();
   settings.contract.warmupInitialShare = 0;
   RouterHarness router(settings);
@@ -361,7 +360,7 @@
   EXPECT_FALSE(std::fetestexcept(FE_DIVBYZERO | FE_INVALID));
 }
 
-TEST(Prompts, OfAnyLengthAreEstimatedWithoutAnOverflow) {
+TEST(Prompts, OfAnyLengthAreEstimatedWithoutOverflow) {
   Settings settings = plainSettings();
   settings.kinds = {{Role::kPrefill, 1e300}, {Role::kDecode, 1e300}};
   for (const double tokens : {1e12, 2.3e17, 1e19, 1e200}) {
@@ -370,11 +369,11 @@
     router.updateEndpoints({endpoint("r", kPrefill), endpoint("w", kDecode)})
         .arrive("a", "", 6s, tokens);
     EXPECT_FALSE(std::fetestexcept(FE_DIVBYZERO | FE_INVALID)) << tokens;
-    EXPECT_FALSE(router.hasAction<RejectRequest>()) << tokens << ": its aim grows with it";
+    EXPECT_FALSE(router.hasAction<RejectRequest>()) << tokens << ": its objective grows with it";
   }
 }
 
-TEST(Unusable, AreAnObjectiveADeadlineOrAWindowOfZero) {
+TEST(InvalidSettings, IfObjectiveDeadlineOrWindowIsZero) {
   const auto problem = [](auto change) {
     Settings settings = plainSettings();
     change(settings);
--- a/tests/settings_property_test.cpp
+++ b/tests/settings_property_test.cpp
@@ -1,22 +1,23 @@
-// Days on drawn settings: whatever roles, sizes, effects and limits a deployment has, the
-// invariants hold, and no less is served than by a random policy, which sends to any instance that
-// is active and retries nothing.
+// Simulated days with random settings: for any roles, sizes, effects and limits, the invariants
+// hold and no less is served than by a random policy, which sends to any active instance and never
+// retries.
 #include "support/simulated_day.h"
 
 namespace inference_router::routing {
 namespace {
 
 #ifdef __SANITIZE_ADDRESS__
-constexpr int kDays = 16;  // of 0.2 s each
+constexpr int kDays = 16;  // 0.2 s each
 #else
 constexpr int kDays = 100;
 #endif
 
-double maxByChance(std::size_t clientRequests) {  // two standard deviations of a share of so many
+// Two standard deviations of a share of that many requests.
+double maxByChance(std::size_t clientRequests) {
   return 1 / std::sqrt(static_cast<double>(clientRequests));
 }
 
-TEST(AnySettings, KeepTheInvariantsAndServeNoLessThanARandomPolicy) {
+TEST(AnySettings, KeepInvariantsAndServeNoLessThanARandomPolicy) {
   double gain = 0;
   int compared = 0;
   for (std::uint64_t seed = 1; seed <= kDays && !HasFailure(); ++seed) {
@@ -35,7 +36,7 @@
     const SimulatedDay routed(day, module, true), plain(day, randomPolicy, false);
     EXPECT_LE(routed.maxSlowStartExcess(), 0) << "instances in slow start are overloaded";
     if (plain.maxSlowStartExcess() > 0)
-      continue;  // it serves more, and breaks a rule for it
+      continue;  // not comparable: it serves more by overloading instances
     ++compared;
     gain += routed.served() - plain.served();
     EXPECT_GE(routed.served(), plain.served() - maxByChance(day.clientRequests.size()))
--- a/tests/slow_start_budget_test.cpp
+++ b/tests/slow_start_budget_test.cpp
@@ -1,5 +1,4 @@
-// The slow-start budget of one instance, on its own: a clock of the test's, many processes, no
-// router.
+// Tests of the slow-start budget of one instance with many processes and a simulated clock.
 #include "routing/slow_start_budget.h"
 
 #include <gtest/gtest.h>
@@ -29,19 +28,19 @@
   return budgets;
 }
 
-// Share of the processes that may send a request now which was first offered at that time.
-double admitted(std::vector<SlowStartBudget>& budgets,
-                const Settings& settings,
-                double share,
-                Time now,
-                Time since) {
+// Share of the processes that admit, at `now`, a request that was first offered at `since`.
+double admittedShare(std::vector<SlowStartBudget>& budgets,
+                     const Settings& settings,
+                     double share,
+                     Time now,
+                     Time since) {
   int count = 0;
   for (SlowStartBudget& budget : budgets)
     count += budget.admits(settings, kStart, {0, share, 1, since}, now) ? 1 : 0;
   return count / static_cast<double>(budgets.size());
 }
 
-TEST(WarmFraction, GrowsFromTheLeastToOneAndIsOneWhereNoStartIsKnown) {
+TEST(WarmFraction, GrowsFromTheInitialShareToOneAndIsOneWithoutAKnownStart) {
   const Contract contract = plainSettings().contract;
   EXPECT_DOUBLE_EQ(warmFraction(contract, std::nullopt, kStart), 1);
   EXPECT_DOUBLE_EQ(warmFraction(contract, kStart, kStart), contract.warmupInitialShare);
@@ -50,38 +49,38 @@
   EXPECT_DOUBLE_EQ(warmFraction(contract, kStart, kStart + contract.warmupDuration), 1);
 }
 
-TEST(SlowStartBudget, DrawsAPartOfTheProcessesThatFollowsTheShareAndTheAge) {
+TEST(SlowStartBudget, AdmissionProbabilityFollowsTheOfferedShareAndTheAge) {
   constexpr int kProcesses = 20'000;
   const Settings settings = settingsOf(kProcesses);
   std::vector<SlowStartBudget> budgets = budgetsOf(kProcesses, kStart);
-  const double whole = admitted(budgets, settings, 1, kStart, kStart);
-  EXPECT_GT(whole, 0.2);
-  EXPECT_LT(whole, settings.contract.overloadFactor * settings.contract.warmupInitialShare);
-  EXPECT_NEAR(admitted(budgets, settings, 0.1, kStart, kStart), whole / 10, 0.01);
+  const double fullShare = admittedShare(budgets, settings, 1, kStart, kStart);
+  EXPECT_GT(fullShare, 0.2);
+  EXPECT_LT(fullShare, settings.contract.overloadFactor * settings.contract.warmupInitialShare);
+  EXPECT_NEAR(admittedShare(budgets, settings, 0.1, kStart, kStart), fullShare / 10, 0.01);
   const Time later = kStart + 8s;
-  EXPECT_GT(admitted(budgets, settings, 0.1, later, later), whole / 10 * 1.5);
-  EXPECT_DOUBLE_EQ(admitted(budgets, settings, 10, later, later), 1);
+  EXPECT_GT(admittedShare(budgets, settings, 0.1, later, later), fullShare / 10 * 1.5);
+  EXPECT_DOUBLE_EQ(admittedShare(budgets, settings, 10, later, later), 1);
 }
 
-// A request that waits is looked at every few milliseconds: it must not come through by being asked
-// often.
-TEST(SlowStartBudget, DrawsOnceInASlotAndForARequestThatWaitsLessAndLess) {
+// A waiting request is offered every few milliseconds; repeated offers must not get it admitted.
+TEST(SlowStartBudget, DrawsOncePerSlotWithDecreasingProbabilityForAWaitingRequest) {
   constexpr int kProcesses = 5'000;
   const Settings settings = settingsOf(kProcesses);
   std::vector<SlowStartBudget> budgets = budgetsOf(kProcesses, kStart);
   const double share = 0.2;
-  const double once = admitted(budgets, settings, share, kStart, kStart);
-  std::vector<bool> ever(budgets.size());
+  const double once = admittedShare(budgets, settings, share, kStart, kStart);
+  std::vector<bool> everAdmitted(budgets.size());
   for (Time now = kStart; now < kStart + 2s; now += 10ms)
     for (std::size_t i = 0; i < budgets.size(); ++i)
       if (budgets[i].admits(settings, kStart, {0, share, 1, kStart}, now))
-        ever[i] = true;
-  const auto count = static_cast<double>(std::count(ever.begin(), ever.end(), true));
+        everAdmitted[i] = true;
+  const auto count =
+      static_cast<double>(std::count(everAdmitted.begin(), everAdmitted.end(), true));
   EXPECT_LE(count / kProcesses, once * 1.25);
   EXPECT_GE(count / kProcesses, once);
 }
 
-TEST(SlowStartBudget, SendsOneDrawnRequestInASlot) {
+TEST(SlowStartBudget, AdmitsOneDrawnRequestPerSlot) {
   constexpr int kProcesses = 200;
   const Settings settings = settingsOf(kProcesses);
   for (SlowStartBudget& budget : budgetsOf(kProcesses, kStart)) {
@@ -93,8 +92,8 @@
   }
 }
 
-// Who never draws it still comes by now and then: all of them together about once a window.
-TEST(SlowStartBudget, LeavesOneSendInAWindowToAllProcessesThatDrawNone) {
+// Processes that never draw the instance still use it: all of them together about once per window.
+TEST(SlowStartBudget, AdmitsAboutOneRequestPerWindowOverAllProcessesWithoutADraw) {
   for (const int processes : {1, 3, 300}) {
     const Settings settings = settingsOf(processes);
     std::vector<SlowStartBudget> budgets = budgetsOf(processes, kStart);
@@ -112,15 +111,15 @@
   }
 }
 
-TEST(SlowStartBudget, CountsWhereAProcessSeesMuchAndStaysWithinItsPart) {
+TEST(SlowStartBudget, CountsDispatchesOfABusyProcessAndStaysWithinItsPart) {
   const Settings settings = settingsOf(3);
   const Contract& contract = settings.contract;
-  const double usual = 40;  // of a warm one in a window
+  const double warmRate = 40;  // requests per window to a warm instance
   std::vector<SlowStartBudget> budgets = budgetsOf(3, kStart);
   std::vector<Time> sends;
   for (Time now = kStart; now < kStart + contract.warmupDuration; now += 5ms)
     for (SlowStartBudget& budget : budgets) {
-      if (!budget.admits(settings, kStart, {usual / 3, 1, 1, now}, now))
+      if (!budget.admits(settings, kStart, {warmRate / 3, 1, 1, now}, now))
         continue;
       budget.countDispatch(contract, now);
       sends.push_back(now);
@@ -128,10 +127,11 @@
   for (std::size_t i = 0; i < sends.size(); ++i) {
     const auto end =
         std::lower_bound(sends.begin(), sends.end(), sends[i] + contract.overloadWindow);
-    const double most = contract.overloadFactor * usual * warmFraction(contract, kStart, sends[i]);
-    EXPECT_LE(static_cast<double>(end - sends.begin()) - static_cast<double>(i), most) << i;
+    const double limit =
+        contract.overloadFactor * warmRate * warmFraction(contract, kStart, sends[i]);
+    EXPECT_LE(static_cast<double>(end - sends.begin()) - static_cast<double>(i), limit) << i;
   }
-  EXPECT_GT(static_cast<double>(sends.size()), usual);
+  EXPECT_GT(static_cast<double>(sends.size()), warmRate);
 }
 
 }  // namespace
--- a/tests/support/day_policies.h
+++ b/tests/support/day_policies.h
@@ -1,4 +1,4 @@
-// What may decide on a drawn day, and one node whose invariants are checked.
+// Routing policies for simulated days, and a node that checks the invariants of its policy.
 #pragma once
 
 #include <functional>
@@ -11,7 +11,7 @@
 
 using Policy = std::function<void(Time, const Event&, std::vector<Action>&)>;
 
-// Sends to any active instance and retries nothing.
+// Baseline policy: sends each request to a random active instance and never retries.
 class RandomPolicy {
  public:
   RandomPolicy(const Settings& settings, std::uint64_t seed) : settings_(settings), draw_(seed) {}
@@ -20,28 +20,32 @@
       for (const EndpointRecord& entry : update->entries)
         fleet_[entry.instance] = entry;
     if (const auto* arrival = std::get_if<Arrival>(&event)) {
-      const Waiting& waiting = waiting_[arrival->request] = {arrival->cls, now + arrival->timeLeft};
-      send(arrival->request, waiting, Role::kPrefill, actions);
+      const PendingRequest& pending =
+          pending_[arrival->request] = {arrival->cls, now + arrival->timeLeft};
+      send(arrival->request, pending, Role::kPrefill, actions);
     }
     if (const auto* abandoned = std::get_if<RequestAbandoned>(&event))
       actions.push_back(ReleaseState{abandoned->request});
     const auto* ended = std::get_if<AttemptEnded>(&event);
     if (ended == nullptr || ended->outcome == AttemptOutcome::kServed)
       return;
-    const Waiting& waiting = waiting_.at(ended->request);
+    const PendingRequest& pending = pending_.at(ended->request);
     if (ended->outcome == AttemptOutcome::kPrefilled && !ended->concluded)
-      return send(ended->request, waiting, Role::kDecode, actions);
+      return send(ended->request, pending, Role::kDecode, actions);
     actions.push_back(ReleaseState{ended->request});
     if (!ended->concluded)
       actions.push_back(FailRequest{ended->request});
   }
 
  private:
-  struct Waiting {
+  struct PendingRequest {
     ClassIndex cls;
     Time deadline;
   };
-  void send(const RequestId& id, const Waiting& waiting, Role role, std::vector<Action>& actions) {
+  void send(const RequestId& id,
+            const PendingRequest& pending,
+            Role role,
+            std::vector<Action>& actions) {
     std::vector<InstanceId> candidates;
     for (const auto& [instance, entry] : fleet_) {
       const Role entryRole = settings_.kinds[entry.kind.value].role;
@@ -55,22 +59,22 @@
     }
     const auto n =
         static_cast<std::size_t>(oneOf(draw_, 0, static_cast<int>(candidates.size()) - 1));
-    actions.push_back(DispatchAttempt{id, candidates[n], waiting.deadline});
+    actions.push_back(DispatchAttempt{id, candidates[n], pending.deadline});
   }
 
   Settings settings_;
   Draw draw_;
   std::map<InstanceId, EndpointRecord> fleet_;
-  std::map<RequestId, Waiting> waiting_;
+  std::map<RequestId, PendingRequest> pending_;
 };
 
-// One node: what decides, and the checks on it.
+// One node: a policy and, if `checked`, the invariant checks on it.
 class Node : public InvariantChecker {
  public:
   Node(const Settings& settings, Policy policy, bool checked)
       : InvariantChecker(settings), policy_(std::move(policy)), checked_(checked) {}
 
-  std::vector<Action> give(Time now, const Event& event) {
+  std::vector<Action> handle(Time now, const Event& event) {
     now_ = now;
     std::vector<Action> actions;
     if (const auto* arrival = std::get_if<Arrival>(&event))
@@ -98,7 +102,7 @@
     if (checked_)
       checkOpenRequests();
   }
-  bool waits(const RequestId& id) const {
+  bool isUnanswered(const RequestId& id) const {
     const auto it = requests_.find(id);
     return it != requests_.end() && !it->second.finished;
   }
@@ -109,7 +113,7 @@
     if (checked_)
       return InvariantChecker::check(act);
     if constexpr (std::is_same_v<Act, DispatchAttempt>)
-      requests_.at(act.request).attemptsOut[requests_.at(act.request).attemptsSent++] = {};
+      requests_.at(act.request).attemptsInFlight[requests_.at(act.request).attemptsSent++] = {};
     if constexpr (std::is_same_v<Act, FailRequest>)
       requests_.at(act.request).finished = true;
   }
--- a/tests/support/drawn_day.h
+++ b/tests/support/drawn_day.h
@@ -1,5 +1,4 @@
-// Days on drawn settings: a deployment, what is asked of it and what goes wrong, all from the seed
-// of a day.
+// A random day for simulations: settings, fleet, traffic and faults, all drawn from one seed.
 #pragma once
 
 #include <cmath>
@@ -41,16 +40,16 @@
   return in(draw, range.from, range.to);
 }
 
-// What is asked on a day.
+// Parameters of the traffic of a day.
 struct TrafficShape {
   Range prompt{800, 6'000};      // tokens, mean of a day
   Range promptSpread{0.5, 1.5};  // times the mean
-  Range shared{0.3, 0.8};        // part of a prompt that others share
+  Range shared{0.3, 0.8};        // share of a prompt that other prompts have in common
   Range answer{30, 120};         // tokens, mean of a day
   Range answerSpread{0.4, 1.6};  // times the mean
-  Range load{0.35, 0.85};        // part of what the instances can do
-  double popularity = 0;         // exponent by which the n-th text is less popular than the first
-  bool memoryBounds = false;     // answers that run at once, before slots do
+  Range load{0.35, 0.85};        // share of the capacity of the instances
+  double popularity = 0;         // Zipf exponent of the popularity of prefixes
+  bool memoryBounds = false;     // memory, rather than slots, limits concurrent streams
 };
 
 struct ClientRequest {
@@ -58,24 +57,25 @@
   int node;
   Arrival arrival;
   double answer;  // tokens
-  bool leaves;    // its client, before the end of its time
+  bool leaves;    // the client disconnects before its deadline
 };
 
-struct Change {  // of one instance
-  enum What { kForgets, kLeaves, kEnds, kStarts, kCut, kBack } what;
+// Change of the state of one instance.
+struct Change {
+  enum Kind { kCacheCleared, kDraining, kStopped, kStarted, kUnreachable, kReachable } kind;
   double at;
   std::size_t instance;
 };
 
 struct DrawnDay;
 
-// Where a day differs from an ordinary draw: each step may change what was drawn before it.
+// Modifications of a random day. Each function is applied after the corresponding drawing step.
 struct DayKind {
   std::function<void(DrawnDay&)> settings, fleet, traffic;
   TrafficShape shape;
 };
 
-// Everything that is so whoever decides: a deployment, what is asked of it, and what goes wrong.
+// Everything about a day that does not depend on the routing policy.
 struct DrawnDay {
   static constexpr double kLength = 9, kMinRate = 10;
 
@@ -153,7 +153,7 @@
     if (chance(draw, 0.3))
       std::swap(settings.kinds.front(), settings.kinds.back()), swapKinds();
   }
-  // The order of kinds says nothing.
+  // Decisions must not depend on the order of kinds.
   void swapKinds() {
     std::swap(sizes.front(), sizes.back());
     const auto last = static_cast<std::uint32_t>(settings.kinds.size()) - 1;
@@ -189,7 +189,7 @@
     }
     const double capacity = in(draw, shape.load) * std::min(prefillsPerSecond, decodesPerSecond);
     const double rate = capacity > 0 ? std::min(60.0, capacity)
-                                     : kMinRate;  // some ask where nothing can serve them
+                                     : kMinRate;  // some traffic even if nothing can serve it
     int arrivals = 0;
     for (double at = 0.1; at < kLength; at += std::exponential_distribution<>(rate)(draw)) {
       const auto cls =
@@ -221,17 +221,17 @@
   void drawFaults() {
     for (std::size_t i = 0; i < instances.size(); ++i)
       if (chance(draw, 0.6))
-        changes.push_back({Change::kForgets, kLength / 2, i});
+        changes.push_back({Change::kCacheCleared, kLength / 2, i});
     const auto cell =
         instances[static_cast<std::size_t>(oneOf(draw, 0, static_cast<int>(instances.size()) - 1))]
             .cell;
     const double cut = in(draw, 1, kLength - 2), back = cut + in(draw, 0.5, 1.5);
-    const bool decodeInstances = chance(draw, 0.4);  // all of them, or a cell
+    const bool decodeInstances = chance(draw, 0.4);  // all decode instances, or one cell
     for (std::size_t i = 0; i < instances.size(); ++i) {
       if (decodeInstances ? roleOf(i) != Role::kDecode : instances[i].cell != cell)
         continue;
-      changes.push_back({Change::kCut, cut, i});
-      changes.push_back({Change::kBack, back, i});
+      changes.push_back({Change::kUnreachable, cut, i});
+      changes.push_back({Change::kReachable, back, i});
     }
     std::vector<std::size_t> order(instances.size());
     for (std::size_t i = 0; i < order.size(); ++i)
@@ -239,10 +239,10 @@
     std::shuffle(order.begin(), order.end(), draw);
     double at = in(draw, 0.8, 1.5);
     for (const std::size_t i : order) {
-      changes.push_back({Change::kLeaves, at, i});
-      changes.push_back({Change::kEnds, at + 2, i});
-      changes.push_back({Change::kStarts, at + 2.4, i});
-      at += in(draw, 1.6, 2.8);  // a few at a time, as anywhere
+      changes.push_back({Change::kDraining, at, i});
+      changes.push_back({Change::kStopped, at + 2, i});
+      changes.push_back({Change::kStarted, at + 2.4, i});
+      at += in(draw, 1.6, 2.8);  // rolling restart, a few instances at a time
       if (at > kLength - 2)
         break;
     }
--- a/tests/support/invariant_checker.h
+++ b/tests/support/invariant_checker.h
@@ -1,5 +1,4 @@
-// The invariants of routing, as far as the events and actions of one node show them, for tests that
-// drive a router.
+// Checks the invariants of routing that are visible in the events and actions of one node.
 #pragma once
 
 #include <algorithm>
@@ -10,7 +9,7 @@
 
 namespace inference_router::routing {
 
-// An attempt that is out, or that may have been executed.
+// An attempt that is in flight or may have been executed.
 struct TrackedAttempt {
   InstanceId instance;
   bool decodes;
@@ -18,14 +17,14 @@
   Time until;
 };
 
-// What events and actions have shown of a request.
+// State of a request, derived from events and actions.
 struct TrackedRequest {
   ClassIndex cls;
   Time deadline;
   bool finished = false;
   bool streaming = false;
   int attemptsSent = 0;
-  std::map<int, TrackedAttempt> attemptsOut;
+  std::map<int, TrackedAttempt> attemptsInFlight;
   std::vector<TrackedAttempt> possiblyExecuted;
   bool holdsRemoteState = false;
   Time remoteStateSince{};
@@ -67,15 +66,15 @@
     request.holdsRemoteState = false;
   }
 
-  // The attempt that ended, and whether its client has its answer.
+  // Returns the attempt that ended and whether its client has the final answer.
   std::pair<TrackedAttempt, bool> trackEnd(TrackedRequest& request,
                                            int number,
                                            AttemptOutcome outcome) {
-    const TrackedAttempt attempt = request.attemptsOut.at(number);
-    request.attemptsOut.erase(number);
-    const bool proof =
+    const TrackedAttempt attempt = request.attemptsInFlight.at(number);
+    request.attemptsInFlight.erase(number);
+    const bool notExecuted =
         outcome == AttemptOutcome::kRejected || outcome == AttemptOutcome::kConnectFailed;
-    if (attempt.decodes && !proof)
+    if (attempt.decodes && !notExecuted)
       request.possiblyExecuted.push_back(attempt);
     if (outcome == AttemptOutcome::kPrefilled)
       request.holdsRemoteState = true;
@@ -113,24 +112,25 @@
   void check(const DispatchAttempt& send) {
     TrackedRequest& request = requests_.at(send.request);
     EXPECT_FALSE(request.finished) << "an attempt after the final answer";
-    EXPECT_FALSE(request.streaming) << "an attempt beside a stream";
+    EXPECT_FALSE(request.streaming) << "an attempt while a stream is open";
     checkDraining(send.instance);
     const ClassSettings& cls = classOf(request);
-    EXPECT_TRUE(settings_.limits.hedgedRequests || request.attemptsOut.empty())
-        << "two attempts out";
+    EXPECT_TRUE(settings_.limits.hedgedRequests || request.attemptsInFlight.empty())
+        << "two attempts in flight";
     for (const TrackedAttempt& executed : request.possiblyExecuted) {
       EXPECT_NE(cls.effect, Effect::kAtMostOnce) << "an at-most-once request repeated";
       if (cls.effect != Effect::kDeduplicated)
         continue;
       EXPECT_LT((now_ - executed.sentAt).count(), cls.dedupWindow.count())
-          << "a repeat past the deduplication window";
+          << "a repeat after the deduplication window";
       EXPECT_TRUE(inSameDedupScope(executed.instance, send.instance, cls.dedupScope))
-          << "a repeat outside the scope of deduplication";
+          << "a repeat outside the deduplication scope";
     }
     EXPECT_LT(request.attemptsSent, settings_.limits.maxAttempts);
     EXPECT_LE(send.timeoutAt, request.deadline);
     const bool decodes = settings_.kinds[entryOf(send.instance).kind.value].role != Role::kPrefill;
-    request.attemptsOut[request.attemptsSent++] = {send.instance, decodes, now_, send.timeoutAt};
+    request.attemptsInFlight[request.attemptsSent++] = {send.instance, decodes, now_,
+                                                        send.timeoutAt};
   }
   void check(const ReserveDecode& reservation) {
     EXPECT_TRUE(settings_.reservationsAllowed);
@@ -139,23 +139,25 @@
     request.holdsRemoteState = true;
     request.remoteStateSince = now_;
   }
-  // As on the wire, what an attempt still waits for is not released.
+  // As on the wire, state that a decode attempt in flight still needs is not released.
   void check(const ReleaseState& release) {
     TrackedRequest& request = requests_.at(release.request);
-    const bool awaited = std::any_of(request.attemptsOut.begin(), request.attemptsOut.end(),
-                                     [](const auto& entry) { return entry.second.decodes; });
-    if (!awaited)
+    const bool stillNeeded =
+        std::any_of(request.attemptsInFlight.begin(), request.attemptsInFlight.end(),
+                    [](const auto& entry) { return entry.second.decodes; });
+    if (!stillNeeded)
       request.holdsRemoteState = false;
   }
   void check(const RejectRequest& rejection) {
     TrackedRequest& request = requests_.at(rejection.request);
     const ClassSettings& cls = classOf(request);
-    const bool executed = !request.possiblyExecuted.empty() ||
-                          std::any_of(request.attemptsOut.begin(), request.attemptsOut.end(),
-                                      [](const auto& entry) { return entry.second.decodes; });
+    const bool executed =
+        !request.possiblyExecuted.empty() ||
+        std::any_of(request.attemptsInFlight.begin(), request.attemptsInFlight.end(),
+                    [](const auto& entry) { return entry.second.decodes; });
     EXPECT_TRUE(!executed || cls.effect == Effect::kIdempotent ||
                 (cls.effect == Effect::kDeduplicated && cls.dedupScope == DedupScope::kAll))
-        << "rejected what may have been executed";
+        << "rejected a request that may have been executed";
     conclude(request);
   }
   void check(const FailRequest& fail) { conclude(requests_.at(fail.request)); }
@@ -170,7 +172,7 @@
 
   void conclude(TrackedRequest& request) {
     EXPECT_FALSE(request.finished) << "a second final answer";
-    EXPECT_FALSE(request.streaming) << "a final answer beside a stream";
+    EXPECT_FALSE(request.streaming) << "a final answer while a stream is open";
     EXPECT_LE((now_ - request.deadline).count(), settings_.contract.answerGrace.count())
         << "a final answer too late";
     request.finished = true;
@@ -182,15 +184,15 @@
         EXPECT_LE((now_ - request.deadline).count(), settings_.contract.answerGrace.count())
             << "no final answer for " << id.value;
       }
-      if (request.holdsRemoteState && request.attemptsOut.empty()) {
+      if (request.holdsRemoteState && request.attemptsInFlight.empty()) {
         EXPECT_LE((now_ - request.remoteStateSince).count(),
                   settings_.contract.releaseLimit.count())
-            << "remote state kept too long for " << id.value;
+            << "remote state not released in time for " << id.value;
       }
     }
     if (requests_.size() > 400) {
       std::erase_if(requests_, [](const auto& entry) {
-        return entry.second.finished && entry.second.attemptsOut.empty() &&
+        return entry.second.finished && entry.second.attemptsInFlight.empty() &&
                !entry.second.holdsRemoteState;
       });
     }
@@ -198,8 +200,8 @@
 
   Settings settings_;
   Time now_{5s};
-  std::map<InstanceId, EndpointRecord> fleet_;  // as listed last
-  std::map<InstanceId, Time> drainingSince_;    // of those that drain or were removed
+  std::map<InstanceId, EndpointRecord> fleet_;  // latest entries
+  std::map<InstanceId, Time> drainingSince_;    // draining and removed instances
   std::map<RequestId, TrackedRequest> requests_;
 };
 
--- a/tests/support/simulated_day.h
+++ b/tests/support/simulated_day.h
@@ -1,4 +1,5 @@
-// A drawn day as one policy serves it: a small queue model stands for the instances.
+// Simulates a day of random traffic under one routing policy, with a queueing model of the
+// instances.
 #pragma once
 
 #include <deque>
@@ -9,8 +10,8 @@
 
 namespace inference_router::routing {
 
-// A day as one policy serves it. A message takes a millisecond; queues, prefills, transfers of KV
-// caches and streams take the time of the model.
+// Simulation of one day under one policy. Messages take one millisecond; the durations of queueing,
+// prefills, KV cache transfers and streams come from the model.
 class SimulatedDay {
  public:
   SimulatedDay(const DrawnDay& day, const std::function<Policy(int)>& policy, bool checked)
@@ -18,7 +19,7 @@
     for (int n = 0; n < day.settings.nodes; ++n) {
       Settings own = day.settings;
       own.nodeIndex = n;
-      own.zone = day.instances[static_cast<std::size_t>(n)].zone;  // any that has instances
+      own.zone = day.instances[static_cast<std::size_t>(n)].zone;  // any zone with instances
       nodes_.push_back(std::make_unique<Node>(own, policy(n), checked));
     }
     for (const EndpointRecord& entry : day.instances) {
@@ -28,16 +29,16 @@
       instances_.back().size = &day.sizes[entry.kind.value];
     }
     for (std::size_t n = 0; n < nodes_.size(); ++n)
-      give(n, EndpointListUpdate{1, EndpointListForm::kFull, day.instances});
+      handle(n, EndpointListUpdate{1, EndpointListForm::kFull, day.instances});
     for (const ClientRequest& clientRequest : day.clientRequests)
       at(clientRequest.at, [this, &clientRequest] { arrive(clientRequest); });
-    Draw late(day.clientRequests.size());
+    Draw announcementDraw(day.clientRequests.size());
     for (const Change& change : day.changes) {
       at(change.at, [this, change] { applyChange(change); });
-      if (change.what != Change::kLeaves && change.what != Change::kStarts)
+      if (change.kind != Change::kDraining && change.kind != Change::kStarted)
         continue;
       for (std::size_t n = 0; n < nodes_.size(); ++n)
-        at(change.at + in(late, 0.05, 1.5), [this, change, n] { announce(change, n); });
+        at(change.at + in(announcementDraw, 0.05, 1.5), [this, change, n] { announce(change, n); });
     }
     if (checked)
       checkInvariants();
@@ -48,11 +49,11 @@
       step.what();
     }
     for (const auto& node : nodes_)
-      node->checkInvariants(now_ + 1s);  // nothing is left open
+      node->checkInvariants(now_ + 1s);  // no request may be unanswered
   }
 
-  double served() const {  // share of the priority weight that was asked for
-    double got = 0, all = 0;
+  double served() const {  // earned share of the total priority weight
+    double earned = 0, all = 0;
     for (const ClientRequest& clientRequest : day_.clientRequests) {
       const ClassSettings& cls = day_.settings.classes[clientRequest.arrival.cls.value];
       const Duration latencyObjective =
@@ -61,17 +62,17 @@
       const RequestProgress& progress = progress_.at(clientRequest.arrival.request);
       all += cls.priorityWeight;
       if (progress.served)
-        got += cls.priorityWeight * (progress.first - start(clientRequest.at) <= latencyObjective
-                                         ? 1
-                                         : cls.lateWeightShare);
+        earned += cls.priorityWeight * (progress.first - start(clientRequest.at) <= latencyObjective
+                                            ? 1
+                                            : cls.lateWeightShare);
     }
-    return all > 0 ? got / all : 0;
+    return all > 0 ? earned / all : 0;
   }
 
   std::size_t unanswered() const {
     return static_cast<std::size_t>(
         std::count_if(progress_.begin(), progress_.end(), [this](const auto& entry) {
-          return nodes_[static_cast<std::size_t>(entry.second.clientRequest->node)]->waits(
+          return nodes_[static_cast<std::size_t>(entry.second.clientRequest->node)]->isUnanswered(
               entry.first);
         }));
   }
@@ -80,7 +81,8 @@
     return it == attemptsSent_.end() ? 0 : static_cast<std::size_t>(it->second);
   }
 
-  // The most attempts at an instance in slow start in any window, beyond what it may get.
+  // The largest number of attempts in any window at an instance in slow start, minus the allowed
+  // number.
   double maxSlowStartExcess() const {
     const Contract& contract = day_.settings.contract;
     const double window = secondsOf(contract.overloadWindow);
@@ -109,8 +111,8 @@
     bool reachable = true, acceptsRequests = true;
     std::set<std::string> cachedPrefixes;
     std::deque<int> waiting;              // jobs
-    int busySlots = 0;                    // slots, reservations among them
-    double tokens = 0;                    // in memory by them
+    int busySlots = 0;                    // including reservations
+    double tokens = 0;                    // memory in use by them
     std::vector<Time> slowStartAttempts;  // attempts while it was in slow start
   };
   struct RequestProgress {
@@ -119,7 +121,7 @@
     bool served = false;
     Time first{};
   };
-  struct Job {  // an attempt that is out
+  struct Job {  // an attempt in flight
     RequestProgress* progress;
     Instance* instance;
     int n;
@@ -187,14 +189,14 @@
     if (now_ < start(DrawnDay::kLength + 1))
       after(10ms, [this] { checkInvariants(); });
   }
-  void give(std::size_t node, const Event& event) {
-    for (const Action& action : nodes_[node]->give(now_, event))
+  void handle(std::size_t node, const Event& event) {
+    for (const Action& action : nodes_[node]->handle(now_, event))
       std::visit([this, node](const auto& act) { carryOut(node, act); }, action);
   }
   template <class Act>
   void carryOut(std::size_t, const Act&) {}
   void carryOut(std::size_t node, const SetTimer& timer) {
-    after(timer.delay, [this, node, n = timer.timer] { give(node, TimerFired{n}); });
+    after(timer.delay, [this, node, n = timer.timer] { handle(node, TimerFired{n}); });
   }
   void carryOut(std::size_t, const DispatchAttempt& send) {
     RequestProgress& progress = progress_.at(send.request);
@@ -228,7 +230,7 @@
       }
       for (const auto& [number, job] : jobs_)
         if (job.progress == &progress && instance.reachable)
-          return give(node, ReservationResult{reserve.request, job.n, reserve.instance, granted});
+          return handle(node, ReservationResult{reserve.request, job.n, reserve.instance, granted});
       freeReservation(progress);  // its prefill has ended
     });
   }
@@ -253,13 +255,13 @@
     const auto node = static_cast<std::size_t>(clientRequest.node);
     if (clientRequest.leaves)
       after(clientRequest.arrival.timeLeft / 3, [this, node, id = clientRequest.arrival.request] {
-        if (nodes_[node]->waits(id))
-          give(node, RequestAbandoned{id});
+        if (nodes_[node]->isUnanswered(id))
+          handle(node, RequestAbandoned{id});
       });
-    give(node, clientRequest.arrival);
+    handle(node, clientRequest.arrival);
   }
 
-  // ---- What an instance does
+  // ---- Instances
 
   double memoryOf(const Instance& instance) const {
     return day_.settings.kinds[instance.entry.kind.value].memoryTokens;
@@ -290,7 +292,7 @@
     Job& job = jobs_.at(number);
     Instance& instance = *job.instance;
     if (!instance.reachable)
-      return;  // silence
+      return;  // the instance does not respond
     if (job.progress->reservation == &instance) {
       job.progress->reservation = nullptr;
       return begin(number);
@@ -317,7 +319,7 @@
       begin(job->first);
     }
   }
-  // The prompts that it prefills at once share its rate, where it prefills several.
+  // Concurrent prefills share the rate if the instance size says so.
   double prefillRateOf(const Instance& instance) const {
     return instance.size->prefillRate * warmFraction(instance) /
            (instance.size->sharesPrefillRate ? std::max(1, instance.busySlots) : 1);
@@ -326,7 +328,7 @@
     const bool cached = job.instance->cachedPrefixes.count(arrival(job).prefix) != 0;
     return arrival(job).promptTokens - (cached ? arrival(job).prefixTokens : 0);
   }
-  // Tokens of a KV cache a second between two instances.
+  // Transfer rate of KV caches between two instances, in tokens per second.
   static double transferRate(const Instance& from, const Instance& to) {
     if (&from == &to)
       return 1e9;
@@ -366,8 +368,8 @@
     ++streams_;
     streamSeconds_ += job.progress->clientRequest->answer * gap;
     later(job.progress->clientRequest->answer * gap, number, &SimulatedDay::completeStream);
-    give(nodeOf(job), StreamOpened{arrival(job).request, job.n, job.instance->entry.instance,
-                                   now_ - job.sentAt});
+    handle(nodeOf(job), StreamOpened{arrival(job).request, job.n, job.instance->entry.instance,
+                                     now_ - job.sentAt});
   }
   std::size_t nodeOf(const Job& job) const {
     return static_cast<std::size_t>(job.progress->clientRequest->node);
@@ -388,39 +390,39 @@
     jobs_.erase(number);
     if (job.begun)
       release(*job.instance, *job.progress);
-    give(nodeOf(job), AttemptEnded{arrival(job).request,
-                                   job.n,
-                                   job.instance->entry.instance,
-                                   outcome,
-                                   now_ - job.sentAt,
-                                   false,
-                                   cachedTokens,
-                                   kvCacheLost,
-                                   {}});
+    handle(nodeOf(job), AttemptEnded{arrival(job).request,
+                                     job.n,
+                                     job.instance->entry.instance,
+                                     outcome,
+                                     now_ - job.sentAt,
+                                     false,
+                                     cachedTokens,
+                                     kvCacheLost,
+                                     {}});
   }
 
-  // ---- What goes wrong
+  // ---- Faults
 
   void applyChange(const Change& change) {
     Instance& instance = instances_[change.instance];
-    if (change.what == Change::kForgets)
+    if (change.kind == Change::kCacheCleared)
       instance.cachedPrefixes.clear();
-    if (change.what == Change::kCut || change.what == Change::kBack)
-      instance.reachable = change.what == Change::kBack;
-    if (change.what == Change::kLeaves)
+    if (change.kind == Change::kUnreachable || change.kind == Change::kReachable)
+      instance.reachable = change.kind == Change::kReachable;
+    if (change.kind == Change::kDraining)
       instance.acceptsRequests = false;
-    if (change.what == Change::kStarts) {
+    if (change.kind == Change::kStarted) {
       instance.reachable = instance.acceptsRequests = true;
       instance.entry.started = now_;
     }
-    if (change.what != Change::kEnds)
+    if (change.kind != Change::kStopped)
       return;
     instance.reachable = false;
     instance.cachedPrefixes.clear();
     std::vector<int> lost;
     for (const auto& [number, job] : jobs_)
       if (job.instance == &instance && !job.streams)
-        lost.push_back(number);  // it ends the streams that it has
+        lost.push_back(number);  // open streams are completed before the instance ends
     for (auto& [id, progress] : progress_) {
       if (progress.reservation == &instance)
         freeReservation(progress);
@@ -433,8 +435,8 @@
   void announce(const Change& change, std::size_t node) {
     EndpointRecord entry = instances_[change.instance].entry;
     entry.state =
-        change.what == Change::kLeaves ? EndpointState::kDraining : EndpointState::kActive;
-    give(node, EndpointListUpdate{++version_, EndpointListForm::kChanges, {entry}});
+        change.kind == Change::kDraining ? EndpointState::kDraining : EndpointState::kActive;
+    handle(node, EndpointListUpdate{++version_, EndpointListForm::kChanges, {entry}});
   }
 
   const DrawnDay& day_;
--- a/tests/support/slow_start_fleet.h
+++ b/tests/support/slow_start_fleet.h
@@ -1,5 +1,5 @@
-// A whole fleet of routers that sends to instances in slow start, and the bounds on what it may
-// send.
+// Simulates a fleet of routers that send to instances in slow start, and the bounds on what they
+// may send.
 #pragma once
 
 #include <algorithm>
@@ -18,19 +18,19 @@
 constexpr int kWarmPrefillInstances = 12, kWarmDecodeInstances = 8;
 constexpr double kInstanceRate = 7;  // requests a second that a warm prefill instance can do
 constexpr double kLoad =
-    0.6 * kInstanceRate * kWarmPrefillInstances;  // of the whole fleet, a second
+    0.6 * kInstanceRate * kWarmPrefillInstances;  // requests per second of the whole fleet
 
-// Which instances are in slow start, and what else happens meanwhile. There is one new instance for
-// each of the weights.
+// Scenario: the instances in slow start and concurrent disturbances. There is one new instance per
+// weight.
 struct SlowStartScene {
   std::uint32_t kind = kPrefill;
   int warmInstances = 2;
   std::vector<double> newWeights{1};
   bool rolling = false;  // a tenth of the nodes restarts in each second, instead of a third once
   int loadFactor = 1;    // times the usual load from the start of the new instances
-  bool skewed = false;   // prefixes as in Zipf's law; the first has a quarter of the traffic
+  bool skewed = false;   // Zipf-distributed prefixes; the first has a quarter of the traffic
   bool allNodesStart =
-      false;  // every node starts with the new instances and knows nothing of before
+      false;  // every node starts together with the new instances, without earlier state
 };
 
 constexpr double kTimerInterval = 0.02;  // seconds between the timers of a node whose requests wait
@@ -48,12 +48,12 @@
   return shares;
 }
 
-// Plays one scene: requests arrive at all nodes, instances answer at once after a fixed time, and
-// the attempts at new instances are recorded.
+// Runs one scenario: requests arrive at all nodes, instances answer after a fixed time, and the
+// attempts at new instances are recorded.
 class SlowStartFleet {
  public:
-  // assumedNodes: how many nodes each takes the tier to have; if that is not their number, the
-  // budget is not split.
+  // `assumedNodes` is the configured number of nodes; if it differs from `nodes`, the budget is not
+  // split correctly.
   SlowStartFleet(int nodes, std::uint64_t seed, int assumedNodes, SlowStartScene scene = {})
       : scene_(std::move(scene)), random_(seed), prefixes_(distribution(scene_.skewed, seed)) {
     starts_.resize(static_cast<std::size_t>(nodes));
@@ -63,8 +63,8 @@
     settings_.tenants = {{1.0, kInstanceRate * kWarmPrefillInstances * 0.8}};
     for (int n = 0; n < nodes; ++n) {
       nodes_.push_back(start(usualEndpoints()));
-      trafficShare_.push_back(
-          std::exp(std::normal_distribution<>(0, 1)(random_)));  // some see several times the mean
+      trafficShare_.push_back(std::exp(
+          std::normal_distribution<>(0, 1)(random_)));  // some nodes get several times the mean
     }
   }
 
@@ -73,7 +73,8 @@
     runArrivals(warmSeconds);
     slowStartAt_ = now_;
     load_ *= scene_.loadFactor;
-    // Most of the role are removed as they come, so that most requests would go to them.
+    // Most warm instances of the role are removed at the same time, so that most requests would go
+    // to the new instances.
     for (auto& node : nodes_)
       node->updateEndpoints(changedEndpoints(), EndpointListForm::kFull);
     if (scene_.allNodesStart)
@@ -97,13 +98,13 @@
   struct Step {
     double at;
     std::size_t node;
-    int start;  // of the node: attempts from before a restart are gone
+    int start;  // start count of the node: steps from before a restart are dropped
     StepKind kind;
     std::string id, instance;
     bool operator<(const Step& other) const { return at > other.at; }
   };
 
-  // A node that starts knows nothing but the present endpoint list.
+  // A node that starts knows only the current endpoint list.
   std::unique_ptr<RouterHarness> start(const std::vector<EndpointRecord>& list) {
     auto node = std::make_unique<RouterHarness>(
         settings_, 1'000 + static_cast<std::uint64_t>(++totalStarts_) * 7);
@@ -146,7 +147,7 @@
     node.advance(until - node.now());
     return true;
   }
-  // Moves a node's clock to now and collects what it sent meanwhile, as requests may have waited.
+  // Advances a node's clock to now and collects the dispatches of requests that had been waiting.
   RouterHarness& nodeNow(std::size_t n) {
     if (advanceTo(*nodes_[n], now_))
       collectDispatches(n);
@@ -180,7 +181,7 @@
     }
     collectDispatches(step.node);
   }
-  // Which prefix is the popular one differs by seed, and so does its instance.
+  // The popular prefix, and so its instance, depends on the seed.
   static std::discrete_distribution<std::size_t> distribution(bool skewed, std::uint64_t seed) {
     std::vector<double> shares = prefixShares(skewed);
     std::rotate(shares.begin(), shares.begin() + static_cast<std::ptrdiff_t>(seed % shares.size()),
@@ -232,8 +233,8 @@
   int arrivals_ = 0, totalStarts_ = 0;
 };
 
-// What a window may hold where the instance bears n requests in it: the bound of these tests, and
-// the one that leaves few requests more room for chance.
+// Maximum number of requests in a window if the instance can take n: the usual bound, and one that
+// allows more random variation for small n.
 inline double strictBound(double n) {
   return n + 2 * std::sqrt(n) + 2;
 }
@@ -243,8 +244,8 @@
   return n < kFewRequests ? n + 3 * std::sqrt(n) + 3 : strictBound(n);
 }
 
-// The most that any window holds beyond its bound, where an instance does so many requests a
-// second.
+// The largest number of requests in any window minus its bound, for an instance that serves `rate`
+// requests per second.
 inline double maxExcess(const std::vector<double>& sent,
                         const SlowStartFleet& fleet,
                         double rate = kInstanceRate,
@@ -265,7 +266,7 @@
   return excess;
 }
 
-// Requests a second that a warm instance of the scene's kind and of this size does.
+// Requests per second that a warm instance of the scenario's kind and of this size can serve.
 inline double rateOf(const SlowStartScene& scene, double size) {
   return kInstanceRate * kWarmPrefillInstances /
          (scene.kind == kDecode ? kWarmDecodeInstances : kWarmPrefillInstances) * size;
