--- a/tests/cold_sum_test.cpp
+++ b/tests/cold_sum_test.cpp
@@ -7,126 +7,134 @@
 
 TEST(SlowStartSum, AllNodesTogetherStayWithinTheBudgetOfAPrefillInstance) {
   for (const int nodes : {3, 20, 30, 300}) {
-    double closest = -HUGE_VAL;
+    double largestExcess = -HUGE_VAL;
     for (std::uint64_t seed = 1; seed <= 8; ++seed) {
       SlowStartFleet fleet(nodes, seed, nodes);
       const auto sent = fleet.run(20, 10)["c0"];
-      const double over = maxExcess(sent, fleet);
-      closest = std::max(closest, over);
-      EXPECT_LE(over, 0) << nodes << " nodes, seed " << seed << ", " << sent.size() << " sends";
-      EXPECT_GE(sent.size(), 10U) << nodes << " nodes leave it idle";
+      const double excess = maxExcess(sent, fleet);
+      largestExcess = std::max(largestExcess, excess);
+      EXPECT_LE(excess, 0) << nodes << " nodes, seed " << seed << ", " << sent.size() << " sends";
+      EXPECT_GE(sent.size(), 10U) << nodes << " nodes leave the instance idle";
     }
-    RecordProperty(numbered("closest_", nodes), static_cast<int>(closest));
+    RecordProperty(numbered("closest_", nodes), static_cast<int>(largestExcess));
   }
 }
 
 // Scenario and number of nodes of one test case; separate cases can run in parallel.
-struct SceneRun {
+struct ScenarioRun {
   int nodes;
-  SlowStartScene scene;
+  SlowStartScenario scenario;
 };
 
 // Without this function the test names would contain the bytes of their parameters, which differ
 // between builds.
-void PrintTo(const SceneRun& run, std::ostream* out) {
-  *out << run.nodes << " nodes, " << run.scene.newWeights.size() << " cold beside "
-       << run.scene.warmInstances;
+void PrintTo(const ScenarioRun& run, std::ostream* out) {
+  *out << run.nodes << " nodes, " << run.scenario.newWeights.size() << " new beside "
+       << run.scenario.warmInstances;
 }
 
-std::string nameOf(const testing::TestParamInfo<SceneRun>& info) {
-  const SlowStartScene& scene = info.param.scene;
+std::string nameOf(const testing::TestParamInfo<ScenarioRun>& info) {
+  const SlowStartScenario& scenario = info.param.scenario;
   const char* const kKindNames[] = {"prefill", "decode", "mixed"};
-  const std::string kind = kKindNames[scene.kind];
+  const std::string kind = kKindNames[scenario.kind];
   return numbered("nodes", info.param.nodes) + '_' + kind +
          numbered("_", static_cast<int>(info.index));
 }
 
-std::vector<SceneRun> runsOf(const std::vector<int>& nodeCounts,
-                             const std::vector<SlowStartScene>& scenes) {
-  std::vector<SceneRun> runs;
+std::vector<ScenarioRun> runsOf(const std::vector<int>& nodeCounts,
+                                const std::vector<SlowStartScenario>& scenarios) {
+  std::vector<ScenarioRun> runs;
   for (const int nodes : nodeCounts)
-    for (const SlowStartScene& scene : scenes)
-      runs.push_back({nodes, scene});
+    for (const SlowStartScenario& scenario : scenarios)
+      runs.push_back({nodes, scenario});
   return runs;
 }
 
-std::vector<SlowStartScene> scenesWithMostOfARoleInSlowStart() {
-  const std::vector<double> tenOfOne(10, 1.0), sizes{0.5, 1, 2, 4};
-  return {{kPrefill, 0, {1}, true},   {kPrefill, 0, {1}, true, 2}, {kPrefill, 2, tenOfOne, true},
-          {kPrefill, 2, sizes, true}, {kDecode, 0, {1}, true},     {kDecode, 2, {1}, true, 2},
-          {kDecode, 2, sizes, true},  {kMixed, 0, {1}, true},      {kMixed, 2, tenOfOne, true}};
+std::vector<SlowStartScenario> scenariosWithMostOfARoleInSlowStart() {
+  const std::vector<double> tenOfWeightOne(10, 1.0), sizes{0.5, 1, 2, 4};
+  return {
+      {kPrefill, 0, {1}, true},   {kPrefill, 0, {1}, true, 2}, {kPrefill, 2, tenOfWeightOne, true},
+      {kPrefill, 2, sizes, true}, {kDecode, 0, {1}, true},     {kDecode, 2, {1}, true, 2},
+      {kDecode, 2, sizes, true},  {kMixed, 0, {1}, true},      {kMixed, 2, tenOfWeightOne, true}};
 }
 
-class MostOfARoleInSlowStart : public testing::TestWithParam<SceneRun> {};
+class MostOfARoleInSlowStart : public testing::TestWithParam<ScenarioRun> {};
 
 // Even if most other instances are removed or in slow start and nodes restart, each new instance
 // gets no more than its part of the fleet's requests.
 TEST_P(MostOfARoleInSlowStart, StaysWithinTheBudgetForEveryKindAndWeightWhileNodesRestart) {
-  const auto& [nodes, scene] = GetParam();
+  const auto& [nodes, scenario] = GetParam();
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-    SlowStartFleet fleet(nodes, seed, nodes, scene);
+    SlowStartFleet fleet(nodes, seed, nodes, scenario);
     const auto sent = fleet.run(20, 10);
-    EXPECT_EQ(sent.size(), scene.newWeights.size()) << "some get nothing";
-    for (const auto& [id, when] : sent) {
-      const double size = sizeOf(scene, id);
-      EXPECT_LE(maxExcess(when, fleet, rateOf(scene, size)), 0)
-          << nodes << " nodes, kind " << scene.kind << ", " << scene.newWeights.size()
-          << " cold beside " << scene.warmInstances << ", surge " << scene.loadFactor << ", seed "
-          << seed << ": " << id << " of size " << size << " got " << when.size();
+    EXPECT_EQ(sent.size(), scenario.newWeights.size()) << "some new instances got no requests";
+    for (const auto& [id, times] : sent) {
+      const double size = sizeOf(scenario, id);
+      EXPECT_LE(maxExcess(times, fleet, rateOf(scenario, size)), 0)
+          << nodes << " nodes, kind " << scenario.kind << ", " << scenario.newWeights.size()
+          << " new beside " << scenario.warmInstances << ", load factor " << scenario.loadFactor
+          << ", seed " << seed << ": " << id << " of size " << size << " got " << times.size();
     }
   }
 }
 INSTANTIATE_TEST_SUITE_P(SlowStartSum,
                          MostOfARoleInSlowStart,
-                         testing::ValuesIn(runsOf({30, 300}, scenesWithMostOfARoleInSlowStart())),
+                         testing::ValuesIn(runsOf({30, 300},
+                                                  scenariosWithMostOfARoleInSlowStart())),
                          nameOf);
 
-std::vector<SlowStartScene> scenesForAnyNumberOfProcesses() {
-  const std::vector<double> tenOfOne(10, 1.0);
+std::vector<SlowStartScenario> scenariosForAnyNumberOfProcesses() {
+  const std::vector<double> tenOfWeightOne(10, 1.0);
   return {
       {.kind = kPrefill, .warmInstances = 11, .rolling = true},
       {.kind = kPrefill, .warmInstances = 11, .rolling = true, .loadFactor = 2},
       {.kind = kPrefill, .warmInstances = 11, .rolling = true, .skewed = true},
       {.kind = kPrefill,
        .warmInstances = 2,
-       .newWeights = tenOfOne,
+       .newWeights = tenOfWeightOne,
        .rolling = true,
        .skewed = true},
-      {.kind = kPrefill, .warmInstances = 2, .newWeights = tenOfOne, .loadFactor = 2},
+      {.kind = kPrefill, .warmInstances = 2, .newWeights = tenOfWeightOne, .loadFactor = 2},
       {.kind = kDecode,
        .warmInstances = 2,
        .newWeights = {1, 1, 1},
        .rolling = true,
        .loadFactor = 2},
-      {.kind = kMixed, .warmInstances = 2, .newWeights = tenOfOne, .rolling = true, .skewed = true},
+      {.kind = kMixed,
+       .warmInstances = 2,
+       .newWeights = tenOfWeightOne,
+       .rolling = true,
+       .skewed = true},
       {.kind = kPrefill, .warmInstances = 0, .rolling = true, .skewed = true},
       {.kind = kMixed, .warmInstances = 0, .rolling = true},
   };
 }
 
-class AnyNumberOfProcesses : public testing::TestWithParam<SceneRun> {};
+class AnyNumberOfProcesses : public testing::TestWithParam<ScenarioRun> {};
 
 // From one process to more than any deployment has, also with a higher load and a popular prefix.
 TEST_P(AnyNumberOfProcesses, StaysWithinTheBudgetForOneToHundreds) {
-  const auto& [nodes, scene] = GetParam();
-  double closest = -HUGE_VAL;
+  const auto& [nodes, scenario] = GetParam();
+  double largestExcess = -HUGE_VAL;
   for (std::uint64_t seed = 1; seed <= 2; ++seed) {
-    SlowStartFleet fleet(nodes, seed, nodes, scene);
-    for (const auto& [id, when] : fleet.run(20, 10)) {
-      const double over = maxExcess(when, fleet, rateOf(scene, sizeOf(scene, id)), budgetBound);
-      closest = std::max(closest, over);
-      EXPECT_LE(over, 0) << nodes << " nodes, kind " << scene.kind << ", "
-                         << scene.newWeights.size() << " cold beside " << scene.warmInstances
-                         << ", surge " << scene.loadFactor << ", skewed " << scene.skewed
-                         << ", seed " << seed << ": " << id << " got " << when.size();
+    SlowStartFleet fleet(nodes, seed, nodes, scenario);
+    for (const auto& [id, times] : fleet.run(20, 10)) {
+      const double excess =
+          maxExcess(times, fleet, rateOf(scenario, sizeOf(scenario, id)), budgetBound);
+      largestExcess = std::max(largestExcess, excess);
+      EXPECT_LE(excess, 0) << nodes << " nodes, kind " << scenario.kind << ", "
+                           << scenario.newWeights.size() << " new beside " << scenario.warmInstances
+                           << ", load factor " << scenario.loadFactor << ", skewed "
+                           << scenario.skewed << ", seed " << seed << ": " << id << " got "
+                           << times.size();
     }
   }
-  RecordProperty("closest", static_cast<int>(closest));
+  RecordProperty("closest", static_cast<int>(largestExcess));
 }
 INSTANTIATE_TEST_SUITE_P(SlowStartSum,
                          AnyNumberOfProcesses,
                          testing::ValuesIn(runsOf({1, 3, 30, 300, 350},
-                                                  scenesForAnyNumberOfProcesses())),
+                                                  scenariosForAnyNumberOfProcesses())),
                          nameOf);
 
 // When the whole fleet starts at once, no node knows the warm weight of a role, but requests must
@@ -134,24 +142,24 @@
 TEST(SlowStartSum, FleetThatStartsAsAWholeStaysWithinTheBudgetAndServesRequests) {
   for (const std::uint32_t kind : {kPrefill, kDecode, kMixed}) {
     const int all = kind == kDecode ? kWarmDecodeInstances : kWarmPrefillInstances;
-    const SlowStartScene scene{
+    const SlowStartScenario scenario{
         .kind = kind,
         .warmInstances = 0,
         .newWeights = std::vector<double>(static_cast<std::size_t>(all), 1.0),
         .allNodesStart = true};
     for (const int nodes : {1, 3, 30, 300, 350}) {
-      SlowStartFleet fleet(nodes, 1, nodes, scene);
+      SlowStartFleet fleet(nodes, 1, nodes, scenario);
       const auto sent = fleet.run(5, 10);
       std::size_t early = 0;
-      for (const auto& [id, when] : sent) {
-        EXPECT_LE(maxExcess(when, fleet, rateOf(scene, 1), budgetBound), 0)
+      for (const auto& [id, times] : sent) {
+        EXPECT_LE(maxExcess(times, fleet, rateOf(scenario, 1), budgetBound), 0)
             << nodes << " nodes, kind " << kind;
         const double until = fleet.slowStartAt() + 3;
         early += static_cast<std::size_t>(
-            std::count_if(when.begin(), when.end(), [&](double t) { return t < until; }));
+            std::count_if(times.begin(), times.end(), [&](double t) { return t < until; }));
       }
-      EXPECT_EQ(sent.size(), scene.newWeights.size())
-          << nodes << " nodes, kind " << kind << ": some get nothing";
+      EXPECT_EQ(sent.size(), scenario.newWeights.size())
+          << nodes << " nodes, kind " << kind << ": some new instances got no requests";
       EXPECT_GE(static_cast<double>(early), kLoad * 3 * 0.1) << nodes << " nodes, kind " << kind;
     }
   }
--- a/tests/router_health_test.cpp
+++ b/tests/router_health_test.cpp
@@ -99,15 +99,15 @@
       router.updateEndpoints({slowStarting("v0", kDecode, router.now())},
                              EndpointListForm::kChanges);
     }
-    int toNew = 0;
+    int sentToNew = 0;
     for (int i = 0; i < 120; ++i) {  // three seconds, one window: 40 requests a second to all
       RouterHarness& router = routers[static_cast<std::size_t>(i % nodes)];
       router.advance(Duration(25'000) * std::min(i < nodes ? i + 1 : nodes, nodes))
           .arrive(numbered("b", i));
-      toNew += router.reservedAt() == "v0" ? 1 : 0;
+      sentToNew += router.reservedAt() == "v0" ? 1 : 0;
     }
-    EXPECT_GT(toNew, 1) << nodes << " nodes";
-    EXPECT_LE(toNew, 60)
+    EXPECT_GT(sentToNew, 1) << nodes << " nodes";
+    EXPECT_LE(sentToNew, 60)
         << nodes << " nodes";  // half the decode instances' rate, times 3 at 0.3 of its capacity
   }
 }
@@ -118,12 +118,12 @@
   for (int i = 0; i < 30; ++i)
     router.serve(numbered("warm", i));
   router.updateEndpoints({slowStarting("v0", kDecode, router.now())}, EndpointListForm::kChanges);
-  int toNew = 0;
+  int sentToNew = 0;
   for (int i = 0; i < 20; ++i) {
     router.arrive(numbered("b", i));
-    toNew += router.reservedAt() == "v0" ? 1 : 0;
+    sentToNew += router.reservedAt() == "v0" ? 1 : 0;
   }
-  EXPECT_LE(toNew, 3);
+  EXPECT_LE(sentToNew, 3);
 }
 
 // A recently started node has counted few requests, which must not be taken for a low rate: during
--- a/tests/router_load_test.cpp
+++ b/tests/router_load_test.cpp
@@ -83,9 +83,9 @@
   router.advance(900ms).endAttempt("slow", "r0", AttemptOutcome::kPrefilled,
                                    900ms);  // prefills take most of the objective of 1 s
   ASSERT_TRUE(router.arrive("fresh", "", 6s, 4000).hasAction<RejectRequest>());
-  Arrival rest = RouterHarness::arrival("rest", "", 6s, 4000);
-  rest.resumed = true;
-  EXPECT_EQ(router.handle(rest).sentTo(), "r0");
+  Arrival resumedArrival = RouterHarness::arrival("rest", "", 6s, 4000);
+  resumedArrival.resumed = true;
+  EXPECT_EQ(router.handle(resumedArrival).sentTo(), "r0");
 }
 
 TEST(LoadShedding, RequestsWaitBeforeThePrefillWhileEveryDecodeInstanceIsFull) {
@@ -181,15 +181,15 @@
 // A node with few requests must not wait until its part of the budget has accumulated, and the
 // nodes together must not all send at once.
 TEST(ManyNodes, SomeSendToAnInstanceInSlowStartImmediately) {
-  int toNew = 0, key = 0;
+  int sentToNew = 0, key = 0;
   for (RouterHarness& node : nodesOf(manyNodes(300), prefillAndDecodeInstances(2))) {
     node.updateEndpoints({slowStarting("rc", kPrefill, node.now())}, EndpointListForm::kChanges);
     for (int i = 0; i < 6; ++i, ++key)
-      toNew +=
+      sentToNew +=
           node.advance(10ms).arrive(numbered("a", i), numbered("p", key)).sentTo() == "rc" ? 1 : 0;
   }
-  EXPECT_GT(toNew, 15);
-  EXPECT_LT(toNew, 300 * 0.35);
+  EXPECT_GT(sentToNew, 15);
+  EXPECT_LT(sentToNew, 300 * 0.35);
 }
 
 // To each of many nodes the decode instances look idle, so it would send them every prefill that
--- a/tests/router_selection_test.cpp
+++ b/tests/router_selection_test.cpp
@@ -53,17 +53,17 @@
 }
 
 TEST(PrefillSelection, AllNodesPrefillAPrefixAtTheSameInstance) {
-  RouterHarness one(plainSettings(), 1), other(plainSettings(), 2);
-  one.updateEndpoints(twoCells());
-  other.updateEndpoints(twoCells());
+  RouterHarness firstNode(plainSettings(), 1), secondNode(plainSettings(), 2);
+  firstNode.updateEndpoints(twoCells());
+  secondNode.updateEndpoints(twoCells());
   std::set<std::string> prefillInstances;
   for (int i = 0; i < 6; ++i) {
     for (int j = 0; j < 6; ++j)
-      one.serve(numbered("x", 6 * i + j), numbered("p", j));
+      firstNode.serve(numbered("x", 6 * i + j), numbered("p", j));
     for (int j = 0; j < 6; ++j)
-      other.serve(numbered("x", 6 * i + j), numbered("p", j));
-    prefillInstances.insert(one.serve(numbered("a", i), "prefix"));
-    prefillInstances.insert(other.serve(numbered("a", i), "prefix"));
+      secondNode.serve(numbered("x", 6 * i + j), numbered("p", j));
+    prefillInstances.insert(firstNode.serve(numbered("a", i), "prefix"));
+    prefillInstances.insert(secondNode.serve(numbered("a", i), "prefix"));
   }
   EXPECT_EQ(prefillInstances.size(), 1U);
 }
@@ -71,17 +71,17 @@
 // A popular prefix must not overload one prefill instance, and all nodes must agree on where a
 // session is cached.
 TEST(PrefillSelection, PopularPrefixIsSpreadBySessionEquallyAtEveryNode) {
-  RouterHarness one(plainSettings(), 1), other(plainSettings(), 2);
-  one.updateEndpoints(twoCells());
-  other.updateEndpoints(twoCells());
+  RouterHarness firstNode(plainSettings(), 1), secondNode(plainSettings(), 2);
+  firstNode.updateEndpoints(twoCells());
+  secondNode.updateEndpoints(twoCells());
   for (int i = 0; i < 12; ++i)
-    one.serve(numbered("warm", i), "prefix");
+    firstNode.serve(numbered("warm", i), "prefix");
   for (int i = 0; i < 12; ++i)
-    other.serve(numbered("warm", i), "prefix");
+    secondNode.serve(numbered("warm", i), "prefix");
   std::set<std::string> prefillInstances;
   for (int i = 0; i < 12; ++i) {
-    const std::string prefillInstance = one.serve(numbered("a", i), "prefix");
-    EXPECT_EQ(prefillInstance, other.serve(numbered("a", i), "prefix"));
+    const std::string prefillInstance = firstNode.serve(numbered("a", i), "prefix");
+    EXPECT_EQ(prefillInstance, secondNode.serve(numbered("a", i), "prefix"));
     prefillInstances.insert(prefillInstance);
   }
   EXPECT_EQ(prefillInstances.size(), 2U);
@@ -109,15 +109,15 @@
   RouterHarness router;
   router.updateEndpoints({endpoint("r0", kPrefill, 0), endpoint("w0", kDecode, 0),
                           endpoint("v0", kDecode, 0), endpoint("r1", kPrefill, 1)});
-  int away = 0;
+  int prefillsInOtherCell = 0;
   for (int i = 0; i < 40; ++i) {
     if (router.arrive(numbered("a", i), numbered("p", i)).sentTo() == "r1") {
-      ++away;
+      ++prefillsInOtherCell;
       EXPECT_EQ(router.reservedAt()[1], '0');
     }
   }
-  EXPECT_GT(away, 4);
-  EXPECT_LT(away, 25);
+  EXPECT_GT(prefillsInOtherCell, 4);
+  EXPECT_LT(prefillsInOtherCell, 25);
 }
 
 // Congestion must be detected even if no prefill ends in time.
@@ -208,7 +208,7 @@
 }
 
 TEST(Determinism, TheSameEventsGiveTheSameActions) {
-  auto play = [] {
+  auto runOnce = [] {
     RouterHarness router;
     router.updateEndpoints(twoCells());
     std::string trace;
@@ -216,7 +216,7 @@
       trace += router.arrive(numbered("a", i)).sentTo() + router.reservedAt() + ' ';
     return trace;
   };
-  EXPECT_EQ(play(), play());
+  EXPECT_EQ(runOnce(), runOnce());
 }
 
 }  // namespace
--- a/tests/settings_edges_test.cpp
+++ b/tests/settings_edges_test.cpp
@@ -47,14 +47,14 @@
   std::map<InstanceId, KindIndex> kinds_;
 };
 
-struct Edge {
+struct SettingsCase {
   const char* name;
   DayKind kind;
   bool compared = true;  // with the random policy, which ignores the attempt limit
 };
 
-void PrintTo(const Edge& edge, std::ostream* out) {
-  *out << edge.name;
+void PrintTo(const SettingsCase& settingsCase, std::ostream* out) {
+  *out << settingsCase.name;
 }
 
 // Long prompts with few, unequally popular prefixes, and memory for only a part of the slots.
@@ -76,8 +76,8 @@
   };
   kind.fleet = [](DrawnDay& day) {
     for (std::size_t i = 0; i < day.sizes.size(); ++i) {
-      const bool reads = day.settings.kinds[i].role == Role::kPrefill;
-      day.sizes[i] = {64, 64, in(day.draw, 20'000, 38'000), reads};
+      const bool isPrefill = day.settings.kinds[i].role == Role::kPrefill;
+      day.sizes[i] = {64, 64, in(day.draw, 20'000, 38'000), isPrefill};
       day.settings.kinds[i].memoryTokens = 64 * 5'500 * in(day.draw, 0.3, 0.7);
     }
   };
@@ -112,10 +112,10 @@
   });
 }
 
-DayKind weightsFrom(double least) {
-  return changedFleet([least](DrawnDay& day) {
+DayKind weightsFromMin(double minWeight) {
+  return changedFleet([minWeight](DrawnDay& day) {
     for (EndpointRecord& instance : day.instances)
-      instance.weight = std::max(0.0, in(day.draw, least, 1));
+      instance.weight = std::max(0.0, in(day.draw, minWeight, 1));
   });
 }
 
@@ -128,7 +128,7 @@
   return kind;
 }
 
-DayKind oneKindThatDoesBoth() {
+DayKind oneMixedKind() {
   return changedFleet([](DrawnDay& day) {
     for (EndpointRecord& instance : day.instances)
       instance.kind = {0};
@@ -185,8 +185,8 @@
   return kind;
 }
 
-std::vector<Edge> edges() {
-  std::vector<Edge> all;
+std::vector<SettingsCase> settingsCases() {
+  std::vector<SettingsCase> all;
   all.push_back({"LongPrompts", longPrompts()});
   all.push_back({"NoSharedTexts", noSharedTexts()});
   all.push_back({"WholePromptsShared", changedTraffic([](DrawnDay&, ClientRequest& clientRequest) {
@@ -198,29 +198,29 @@
   all.push_back({"OneSmallDecodeInstance", oneSmallInstance(Role::kDecode)});
   all.push_back({"SmallPrefillInstances", smallMemory(Role::kPrefill)});
   all.push_back({"SmallDecodeInstances", smallMemory(Role::kDecode)});
-  all.push_back({"PrefillInstancesAlone", oneRole(Role::kPrefill, true)});
-  all.push_back({"DecodeInstancesAlone", oneRole(Role::kDecode, false)});
-  all.push_back({"DecodeInstancesThatPrefillAlone", oneRole(Role::kDecode, true)});
+  all.push_back({"OnlyPrefillInstances", oneRole(Role::kPrefill, true)});
+  all.push_back({"OnlyDecodeInstances", oneRole(Role::kDecode, false)});
+  all.push_back({"OnlyDecodeInstancesThatPrefill", oneRole(Role::kDecode, true)});
   all.push_back({"SlotsOfOne", slotsOf(1)});
   all.push_back({"SlotsOfAThousand", slotsOf(1'000)});
-  all.push_back({"OneKindThatDoesBoth", oneKindThatDoesBoth()});
+  all.push_back({"OneMixedKind", oneMixedKind()});
   all.push_back({"TenantsWithoutShare", tenantsWithoutShare()});
   all.push_back({"WeightsOfZero", changedFleet([](DrawnDay& day) {
                    for (EndpointRecord& instance : day.instances)
                      instance.weight = 0;
                  })});
-  all.push_back({"SomeWeightsOfZero", weightsFrom(-1)});
+  all.push_back({"SomeWeightsOfZero", weightsFromMin(-1)});
   all.push_back({"PriorityWeightsOfZero", changedSettings([](Settings& settings) {
                    for (ClassSettings& cls : settings.classes)
                      cls.priorityWeight = cls.lateWeightShare = 0;
                  })});
-  all.push_back({"ColdFromNothing", changedSettings([](Settings& settings) {
+  all.push_back({"NoInitialCapacity", changedSettings([](Settings& settings) {
                    settings.contract.warmupInitialShare = 0;
                  })});
   all.push_back({"WarmAtOnce", changedSettings([](Settings& settings) {
                    settings.contract.warmupDuration = 0s;
                  })});
-  all.push_back({"NoGraceAtAll", changedSettings([](Settings& settings) {
+  all.push_back({"NoGrace", changedSettings([](Settings& settings) {
                    settings.contract.answerGrace = settings.contract.drainGrace = 0s;
                    settings.tick = 0s;
                  })});
@@ -245,7 +245,7 @@
   return all;
 }
 
-class SettingsAtTheEdge : public ::testing::TestWithParam<Edge> {};
+class ExtremeSettings : public ::testing::TestWithParam<SettingsCase> {};
 
 #ifdef __SANITIZE_ADDRESS__
 constexpr std::uint64_t kDays = 3;
@@ -253,36 +253,38 @@
 constexpr std::uint64_t kDays = 20;
 #endif
 
-// Whether the prompt fits into the memory of a kind whose role satisfies `does`.
-template <class Does>
-bool fitsSomewhere(const DrawnDay& day, const ClientRequest& clientRequest, const Does& does) {
+// Whether the prompt fits into the memory of a kind whose role satisfies `hasRole`.
+template <class RolePredicate>
+bool fitsSomewhere(const DrawnDay& day,
+                   const ClientRequest& clientRequest,
+                   const RolePredicate& hasRole) {
   return std::any_of(
       day.settings.kinds.begin(), day.settings.kinds.end(), [&](const KindSettings& kind) {
-        return does(kind.role) && clientRequest.arrival.promptTokens <= kind.memoryTokens;
+        return hasRole(kind.role) && clientRequest.arrival.promptTokens <= kind.memoryTokens;
       });
 }
 
-TEST_P(SettingsAtTheEdge, KeepInvariantsAndServeNoLessThanARandomPolicy) {
+TEST_P(ExtremeSettings, KeepInvariantsAndServeNoLessThanARandomPolicy) {
   double gain = 0;
   for (std::uint64_t seed = 1; seed <= kDays && !HasFailure(); ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     const DrawnDay day(seed, GetParam().kind);
     const auto seedOf = [seed](int n) { return seed * 10 + static_cast<std::uint64_t>(n); };
-    const auto module = [&](int n) { return CheckedRouter(day, seedOf(n)); };
+    const auto routerPolicy = [&](int n) { return CheckedRouter(day, seedOf(n)); };
     const auto randomPolicy = [&](int n) { return RandomPolicy(day.settings, seedOf(n)); };
-    const SimulatedDay routed(day, module, true);
+    const SimulatedDay routed(day, routerPolicy, true);
     EXPECT_LE(routed.maxSlowStartExcess(), 0) << "instances in slow start are overloaded";
     EXPECT_EQ(routed.unanswered(), 0U) << "of " << day.clientRequests.size();
     for (const ClientRequest& clientRequest : day.clientRequests) {
-      const bool impossible = !fitsSomewhere(day, clientRequest, [&](Role role) {
+      const bool cannotBeServed = !fitsSomewhere(day, clientRequest, [&](Role role) {
         return role != Role::kDecode || day.settings.decodeCanPrefill;
       }) || !fitsSomewhere(day, clientRequest, [](Role role) { return role != Role::kPrefill; });
-      EXPECT_TRUE(!impossible || routed.attemptsOf(clientRequest.arrival.request) == 0);
+      EXPECT_TRUE(!cannotBeServed || routed.attemptsOf(clientRequest.arrival.request) == 0);
     }
-    const SimulatedDay plain(day, randomPolicy, false);
-    if (!GetParam().compared || plain.maxSlowStartExcess() > 0)
+    const SimulatedDay baseline(day, randomPolicy, false);
+    if (!GetParam().compared || baseline.maxSlowStartExcess() > 0)
       continue;  // not comparable: it serves more by overloading instances
-    gain += routed.served() - plain.served();
+    gain += routed.served() - baseline.served();
   }
   EXPECT_GE(gain, 0) << "of " << kDays << " days";
 }
@@ -386,9 +388,9 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(Drawn,
-                         SettingsAtTheEdge,
-                         ::testing::ValuesIn(edges()),
-                         [](const auto& edge) { return edge.param.name; });
+                         ExtremeSettings,
+                         ::testing::ValuesIn(settingsCases()),
+                         [](const auto& settingsCase) { return settingsCase.param.name; });
 
 }  // namespace
 }  // namespace inference_router::routing
--- a/tests/settings_property_test.cpp
+++ b/tests/settings_property_test.cpp
@@ -13,7 +13,7 @@
 #endif
 
 // Two standard deviations of a share of that many requests.
-double maxByChance(std::size_t clientRequests) {
+double chanceTolerance(std::size_t clientRequests) {
   return 1 / std::sqrt(static_cast<double>(clientRequests));
 }
 
@@ -23,7 +23,7 @@
   for (std::uint64_t seed = 1; seed <= kDays && !HasFailure(); ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     const DrawnDay day(seed);
-    const auto module = [&](int n) {
+    const auto routerPolicy = [&](int n) {
       const auto router =
           std::make_shared<Router>(day.settings, seed * 10 + static_cast<std::uint64_t>(n));
       return [router](Time now, const Event& event, std::vector<Action>& actions) {
@@ -33,13 +33,13 @@
     const auto randomPolicy = [&](int n) {
       return RandomPolicy(day.settings, seed * 10 + static_cast<std::uint64_t>(n));
     };
-    const SimulatedDay routed(day, module, true), plain(day, randomPolicy, false);
+    const SimulatedDay routed(day, routerPolicy, true), baseline(day, randomPolicy, false);
     EXPECT_LE(routed.maxSlowStartExcess(), 0) << "instances in slow start are overloaded";
-    if (plain.maxSlowStartExcess() > 0)
+    if (baseline.maxSlowStartExcess() > 0)
       continue;  // not comparable: it serves more by overloading instances
     ++compared;
-    gain += routed.served() - plain.served();
-    EXPECT_GE(routed.served(), plain.served() - maxByChance(day.clientRequests.size()))
+    gain += routed.served() - baseline.served();
+    EXPECT_GE(routed.served(), baseline.served() - chanceTolerance(day.clientRequests.size()))
         << day.clientRequests.size() << " requests";
   }
   EXPECT_GT(compared, kDays * 0.8);
--- a/tests/support/slow_start_fleet.h
+++ b/tests/support/slow_start_fleet.h
@@ -22,7 +22,7 @@
 
 // Scenario: the instances in slow start and concurrent disturbances. There is one new instance per
 // weight.
-struct SlowStartScene {
+struct SlowStartScenario {
   std::uint32_t kind = kPrefill;
   int warmInstances = 2;
   std::vector<double> newWeights{1};
@@ -35,16 +35,16 @@
 
 constexpr double kTimerInterval = 0.02;  // seconds between the timers of a node whose requests wait
 constexpr int kPrefixes = 40;
-constexpr double kPopularShare = 0.25;
+constexpr double kMostPopularShare = 0.25;
 
 inline std::vector<double> prefixShares(bool skewed) {
   std::vector<double> shares(kPrefixes, 1.0);
   if (!skewed)
     return shares;
-  double rest = 0;
+  double otherShares = 0;
   for (std::size_t i = 1; i < shares.size(); ++i)
-    rest += shares[i] = 1.0 / static_cast<double>(i);
-  shares[0] = rest * kPopularShare / (1 - kPopularShare);
+    otherShares += shares[i] = 1.0 / static_cast<double>(i);
+  shares[0] = otherShares * kMostPopularShare / (1 - kMostPopularShare);
   return shares;
 }
 
@@ -54,8 +54,10 @@
  public:
   // `assumedNodes` is the configured number of nodes; if it differs from `nodes`, the budget is not
   // split correctly.
-  SlowStartFleet(int nodes, std::uint64_t seed, int assumedNodes, SlowStartScene scene = {})
-      : scene_(std::move(scene)), random_(seed), prefixes_(distribution(scene_.skewed, seed)) {
+  SlowStartFleet(int nodes, std::uint64_t seed, int assumedNodes, SlowStartScenario scenario = {})
+      : scenario_(std::move(scenario)),
+        random_(seed),
+        prefixes_(distribution(scenario_.skewed, seed)) {
     starts_.resize(static_cast<std::size_t>(nodes));
     timerPending_.resize(static_cast<std::size_t>(nodes));
     settings_ = plainSettings();
@@ -63,7 +65,7 @@
     settings_.tenants = {{1.0, kInstanceRate * kWarmPrefillInstances * 0.8}};
     for (int n = 0; n < nodes; ++n) {
       nodes_.push_back(start(usualEndpoints()));
-      trafficShare_.push_back(std::exp(
+      trafficWeights_.push_back(std::exp(
           std::normal_distribution<>(0, 1)(random_)));  // some nodes get several times the mean
     }
   }
@@ -72,20 +74,20 @@
   std::map<std::string, std::vector<double>> run(double warmSeconds, double slowStartSeconds) {
     runArrivals(warmSeconds);
     slowStartAt_ = now_;
-    load_ *= scene_.loadFactor;
+    load_ *= scenario_.loadFactor;
     // Most warm instances of the role are removed at the same time, so that most requests would go
     // to the new instances.
     for (auto& node : nodes_)
       node->updateEndpoints(changedEndpoints(), EndpointListForm::kFull);
-    if (scene_.allNodesStart)
+    if (scenario_.allNodesStart)
       restart(0, 1);
-    if (!scene_.rolling && !scene_.allNodesStart) {
+    if (!scenario_.rolling && !scenario_.allNodesStart) {
       runArrivals(now_ + 2);
       restart(0, 3);
     }
-    for (std::size_t wave = 0; scene_.rolling && wave < 10; ++wave) {
-      runArrivals(slowStartAt_ + slowStartSeconds * static_cast<double>(wave) / 10);
-      restart(wave, 10);
+    for (std::size_t batch = 0; scenario_.rolling && batch < 10; ++batch) {
+      runArrivals(slowStartAt_ + slowStartSeconds * static_cast<double>(batch) / 10);
+      restart(batch, 10);
     }
     runArrivals(slowStartAt_ + slowStartSeconds);
     return dispatches_;
@@ -121,7 +123,7 @@
   }
   std::vector<EndpointRecord> usualEndpoints() const {
     std::vector<EndpointRecord> all;
-    const bool mixed = scene_.kind == kMixed;
+    const bool mixed = scenario_.kind == kMixed;
     for (int i = 0; i < kWarmPrefillInstances; ++i)
       all.push_back(endpoint(numbered(mixed ? "m" : "r", i), mixed ? kMixed : kPrefill));
     for (int i = 0; !mixed && i < kWarmDecodeInstances; ++i)
@@ -130,12 +132,13 @@
   }
   std::vector<EndpointRecord> changedEndpoints() const {
     std::vector<EndpointRecord> all = usualEndpoints();
-    int left = scene_.warmInstances;
-    std::erase_if(
-        all, [&](const EndpointRecord& e) { return e.kind.value == scene_.kind && --left < 0; });
-    for (std::size_t i = 0; i < scene_.newWeights.size(); ++i) {
-      all.push_back(endpoint(numbered("c", static_cast<int>(i)), scene_.kind));
-      all.back().weight = scene_.newWeights[i];
+    int warmInstancesLeft = scenario_.warmInstances;
+    std::erase_if(all, [&](const EndpointRecord& e) {
+      return e.kind.value == scenario_.kind && --warmInstancesLeft < 0;
+    });
+    for (std::size_t i = 0; i < scenario_.newWeights.size(); ++i) {
+      all.push_back(endpoint(numbered("c", static_cast<int>(i)), scenario_.kind));
+      all.back().weight = scenario_.newWeights[i];
       all.back().started = Time(Duration(static_cast<Duration::rep>((10 + slowStartAt_) * 1e6)));
     }
     return all;
@@ -158,7 +161,7 @@
       const char kind = send.instance.value[0];
       if (kind == 'c')
         dispatches_[send.instance.value].push_back(now_);
-      const bool prefills = kind == 'r' || (kind == 'c' && scene_.kind == kPrefill);
+      const bool prefills = kind == 'r' || (kind == 'c' && scenario_.kind == kPrefill);
       steps_.push({now_ + 0.06, n, starts_[n], prefills ? StepKind::kPrefilled : StepKind::kServed,
                    send.request.value, send.instance.value});
     }
@@ -189,12 +192,12 @@
     return {shares.begin(), shares.end()};
   }
   int nextPrefix() {
-    if (!scene_.skewed)
+    if (!scenario_.skewed)
       return static_cast<int>(random_() % kPrefixes);
     return static_cast<int>(prefixes_(random_));
   }
   void runArrivals(double until) {
-    std::discrete_distribution<std::size_t> pick(trafficShare_.begin(), trafficShare_.end());
+    std::discrete_distribution<std::size_t> pick(trafficWeights_.begin(), trafficWeights_.end());
     double next = now_;
     for (;;) {
       if (steps_.empty() || next <= steps_.top().at) {
@@ -218,13 +221,13 @@
     now_ = until;
   }
 
-  SlowStartScene scene_;
+  SlowStartScenario scenario_;
   Settings settings_;
   double load_ = kLoad;
   std::mt19937_64 random_;
   std::discrete_distribution<std::size_t> prefixes_;
   std::vector<std::unique_ptr<RouterHarness>> nodes_;
-  std::vector<double> trafficShare_;
+  std::vector<double> trafficWeights_;
   std::priority_queue<Step> steps_;
   std::map<std::string, std::vector<double>> dispatches_;
   double now_ = 0, slowStartAt_ = 0;
@@ -267,13 +270,13 @@
 }
 
 // Requests per second that a warm instance of the scenario's kind and of this size can serve.
-inline double rateOf(const SlowStartScene& scene, double size) {
+inline double rateOf(const SlowStartScenario& scenario, double size) {
   return kInstanceRate * kWarmPrefillInstances /
-         (scene.kind == kDecode ? kWarmDecodeInstances : kWarmPrefillInstances) * size;
+         (scenario.kind == kDecode ? kWarmDecodeInstances : kWarmPrefillInstances) * size;
 }
 
-inline double sizeOf(const SlowStartScene& scene, const std::string& id) {
-  return scene.newWeights[static_cast<std::size_t>(std::stoi(id.substr(1)))];
+inline double sizeOf(const SlowStartScenario& scenario, const std::string& id) {
+  return scenario.newWeights[static_cast<std::size_t>(std::stoi(id.substr(1)))];
 }
 
 }  // namespace inference_router::routing
