--- a/tests/settings_edges_test.cpp
+++ b/tests/settings_edges_test.cpp
@@ -1,6 +1,5 @@
-// Days on settings at the edge of what may be set, and on the kind of instances that read long
-// prompts: the rules hold, each request has its answer by its deadline, and no decision divides by
-// nothing.
+// Simulated days with extreme but valid settings and with long prompts: the invariants hold, each
+// request gets its final answer by its deadline, and no decision divides by zero.
 #include <cfenv>
 
 #include "support/simulated_day.h"
@@ -8,14 +7,14 @@
 namespace inference_router::routing {
 namespace {
 
-// Adds a failure where a decision makes a number that is none or infinite, or sends a prompt to
-// where it does not fit.
+// Adds a test failure if a decision produces NaN or infinity, or sends a prompt to an instance
+// without enough memory.
 class CheckedRouter {
  public:
   CheckedRouter(const DrawnDay& day, std::uint64_t seed)
       : settings_(day.settings), router_(std::make_shared<Router>(day.settings, seed)) {}
   void operator()(Time now, const Event& event, std::vector<Action>& actions) {
-    note(event);
+    track(event);
     std::feclearexcept(FE_ALL_EXCEPT);
     router_->handle(now, event, actions);
     EXPECT_FALSE(std::fetestexcept(FE_DIVBYZERO | FE_INVALID | FE_OVERFLOW))
@@ -29,7 +28,7 @@
   }
 
  private:
-  void note(const Event& event) {
+  void track(const Event& event) {
     if (const auto* arrival = std::get_if<Arrival>(&event))
       prompts_[arrival->request] = arrival->promptTokens;
     const auto* update = std::get_if<EndpointListUpdate>(&event);
@@ -48,17 +47,17 @@
   std::map<InstanceId, KindIndex> kinds_;
 };
 
-struct Edge {
+struct SettingsCase {
   const char* name;
   DayKind kind;
-  bool compared = true;  // with the random policy, which knows no limit of attempts
+  bool compared = true;  // with the random policy, which ignores the attempt limit
 };
 
-void PrintTo(const Edge& edge, std::ostream* out) {
-  *out << edge.name;
+void PrintTo(const SettingsCase& settingsCase, std::ostream* out) {
+  *out << settingsCase.name;
 }
 
-// Long prompts of few texts, of which some are far more popular; memory for a part of the slots.
+// Long prompts with few, unequally popular prefixes, and memory for only a part of the slots.
 DayKind longPrompts() {
   DayKind kind;
   kind.shape = {.prompt = {4'000, 7'000},
@@ -77,8 +76,8 @@
   };
   kind.fleet = [](DrawnDay& day) {
     for (std::size_t i = 0; i < day.sizes.size(); ++i) {
-      const bool reads = day.settings.kinds[i].role == Role::kPrefill;
-      day.sizes[i] = {64, 64, in(day.draw, 20'000, 38'000), reads};
+      const bool isPrefill = day.settings.kinds[i].role == Role::kPrefill;
+      day.sizes[i] = {64, 64, in(day.draw, 20'000, 38'000), isPrefill};
       day.settings.kinds[i].memoryTokens = 64 * 5'500 * in(day.draw, 0.3, 0.7);
     }
   };
@@ -113,10 +112,10 @@
   });
 }
 
-DayKind weightsFrom(double least) {
-  return changedFleet([least](DrawnDay& day) {
+DayKind weightsFromMin(double minWeight) {
+  return changedFleet([minWeight](DrawnDay& day) {
     for (EndpointRecord& instance : day.instances)
-      instance.weight = std::max(0.0, in(day.draw, least, 1));
+      instance.weight = std::max(0.0, in(day.draw, minWeight, 1));
   });
 }
 
@@ -129,7 +128,7 @@
   return kind;
 }
 
-DayKind oneKindThatDoesBoth() {
+DayKind oneMixedKind() {
   return changedFleet([](DrawnDay& day) {
     for (EndpointRecord& instance : day.instances)
       instance.kind = {0};
@@ -160,7 +159,7 @@
   });
 }
 
-// Of the kinds that are drawn, the instances of one role are all that there is.
+// Only the instances of one role exist.
 DayKind oneRole(Role role, bool decodeCanPrefill) {
   DayKind kind = changedFleet([role](DrawnDay& day) {
     std::erase_if(day.instances, [&](const EndpointRecord& instance) {
@@ -186,8 +185,8 @@
   return kind;
 }
 
-std::vector<Edge> edges() {
-  std::vector<Edge> all;
+std::vector<SettingsCase> settingsCases() {
+  std::vector<SettingsCase> all;
   all.push_back({"LongPrompts", longPrompts()});
   all.push_back({"NoSharedTexts", noSharedTexts()});
   all.push_back({"WholePromptsShared", changedTraffic([](DrawnDay&, ClientRequest& clientRequest) {
@@ -199,29 +198,29 @@
   all.push_back({"OneSmallDecodeInstance", oneSmallInstance(Role::kDecode)});
   all.push_back({"SmallPrefillInstances", smallMemory(Role::kPrefill)});
   all.push_back({"SmallDecodeInstances", smallMemory(Role::kDecode)});
-  all.push_back({"PrefillInstancesAlone", oneRole(Role::kPrefill, true)});
-  all.push_back({"DecodeInstancesAlone", oneRole(Role::kDecode, false)});
-  all.push_back({"DecodeInstancesThatPrefillAlone", oneRole(Role::kDecode, true)});
+  all.push_back({"OnlyPrefillInstances", oneRole(Role::kPrefill, true)});
+  all.push_back({"OnlyDecodeInstances", oneRole(Role::kDecode, false)});
+  all.push_back({"OnlyDecodeInstancesThatPrefill", oneRole(Role::kDecode, true)});
   all.push_back({"SlotsOfOne", slotsOf(1)});
   all.push_back({"SlotsOfAThousand", slotsOf(1'000)});
-  all.push_back({"OneKindThatDoesBoth", oneKindThatDoesBoth()});
+  all.push_back({"OneMixedKind", oneMixedKind()});
   all.push_back({"TenantsWithoutShare", tenantsWithoutShare()});
   all.push_back({"WeightsOfZero", changedFleet([](DrawnDay& day) {
                    for (EndpointRecord& instance : day.instances)
                      instance.weight = 0;
                  })});
-  all.push_back({"SomeWeightsOfZero", weightsFrom(-1)});
+  all.push_back({"SomeWeightsOfZero", weightsFromMin(-1)});
   all.push_back({"PriorityWeightsOfZero", changedSettings([](Settings& settings) {
                    for (ClassSettings& cls : settings.classes)
                      cls.priorityWeight = cls.lateWeightShare = 0;
                  })});
-  all.push_back({"ColdFromNothing", changedSettings([](Settings& settings) {
+  all.push_back({"NoInitialCapacity", changedSettings([](Settings& settings) {
                    settings.contract.warmupInitialShare = 0;
                  })});
   all.push_back({"WarmAtOnce", changedSettings([](Settings& settings) {
                    settings.contract.warmupDuration = 0s;
                  })});
-  all.push_back({"NoGraceAtAll", changedSettings([](Settings& settings) {
+  all.push_back({"NoGrace", changedSettings([](Settings& settings) {
                    settings.contract.answerGrace = settings.contract.drainGrace = 0s;
                    settings.tick = 0s;
                  })});
@@ -246,7 +245,7 @@
   return all;
 }
 
-class SettingsAtTheEdge : public ::testing::TestWithParam<Edge> {};
+class ExtremeSettings : public ::testing::TestWithParam<SettingsCase> {};
 
 #ifdef __SANITIZE_ADDRESS__
 constexpr std::uint64_t kDays = 3;
@@ -254,43 +253,45 @@
 constexpr std::uint64_t kDays = 20;
 #endif
 
-// Whether some kind that can do it has the memory for the prompt.
-template <class Does>
-bool fitsSomewhere(const DrawnDay& day, const ClientRequest& clientRequest, const Does& does) {
+// Whether the prompt fits into the memory of a kind whose role satisfies `hasRole`.
+template <class RolePredicate>
+bool fitsSomewhere(const DrawnDay& day,
+                   const ClientRequest& clientRequest,
+                   const RolePredicate& hasRole) {
   return std::any_of(
       day.settings.kinds.begin(), day.settings.kinds.end(), [&](const KindSettings& kind) {
-        return does(kind.role) && clientRequest.arrival.promptTokens <= kind.memoryTokens;
+        return hasRole(kind.role) && clientRequest.arrival.promptTokens <= kind.memoryTokens;
       });
 }
 
-TEST_P(SettingsAtTheEdge, KeepTheInvariantsAnswerInTimeAndServeNoLessThanARandomPolicy) {
+TEST_P(ExtremeSettings, KeepInvariantsAndServeNoLessThanARandomPolicy) {
   double gain = 0;
   for (std::uint64_t seed = 1; seed <= kDays && !HasFailure(); ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     const DrawnDay day(seed, GetParam().kind);
     const auto seedOf = [seed](int n) { return seed * 10 + static_cast<std::uint64_t>(n); };
-    const auto module = [&](int n) { return CheckedRouter(day, seedOf(n)); };
+    const auto routerPolicy = [&](int n) { return CheckedRouter(day, seedOf(n)); };
     const auto randomPolicy = [&](int n) { return RandomPolicy(day.settings, seedOf(n)); };
-    const SimulatedDay routed(day, module, true);
+    const SimulatedDay routed(day, routerPolicy, true);
     EXPECT_LE(routed.maxSlowStartExcess(), 0) << "instances in slow start are overloaded";
     EXPECT_EQ(routed.unanswered(), 0U) << "of " << day.clientRequests.size();
     for (const ClientRequest& clientRequest : day.clientRequests) {
-      const bool impossible = !fitsSomewhere(day, clientRequest, [&](Role role) {
+      const bool cannotBeServed = !fitsSomewhere(day, clientRequest, [&](Role role) {
         return role != Role::kDecode || day.settings.decodeCanPrefill;
       }) || !fitsSomewhere(day, clientRequest, [](Role role) { return role != Role::kPrefill; });
-      EXPECT_TRUE(!impossible || routed.attemptsOf(clientRequest.arrival.request) == 0);
+      EXPECT_TRUE(!cannotBeServed || routed.attemptsOf(clientRequest.arrival.request) == 0);
     }
-    const SimulatedDay plain(day, randomPolicy, false);
-    if (!GetParam().compared || plain.maxSlowStartExcess() > 0)
-      continue;  // it serves more, and breaks a rule for it
-    gain += routed.served() - plain.served();
+    const SimulatedDay baseline(day, randomPolicy, false);
+    if (!GetParam().compared || baseline.maxSlowStartExcess() > 0)
+      continue;  // not comparable: it serves more by overloading instances
+    gain += routed.served() - baseline.served();
   }
   EXPECT_GE(gain, 0) << "of " << kDays << " days";
 }
 
-// ---- One by one
+// ---- Single requests
 
-TEST(InstanceSize, APromptThatNothingCanPrefillIsRejectedAtOnce) {
+TEST(InstanceSize, PromptThatNoInstanceCanPrefillIsRejectedImmediately) {
   Settings settings = plainSettings();
   settings.kinds = {{Role::kPrefill, 500}, {Role::kDecode, 100'000}};
   RouterHarness router(settings);
@@ -300,7 +301,7 @@
   EXPECT_FALSE(router.hasAction<DispatchAttempt>());
 }
 
-TEST(InstanceSize, APromptThatOnlyADecodeInstanceHoldsIsPrefilledThereWhereItCan) {
+TEST(InstanceSize, PromptThatFitsOnlyADecodeInstanceIsPrefilledThere) {
   Settings settings = plainSettings();
   settings.kinds = {{Role::kPrefill, 500}, {Role::kDecode, 100'000}};
   settings.decodeCanPrefill = true;
@@ -310,7 +311,7 @@
   EXPECT_EQ(router.sentTo(), "w");
 }
 
-TEST(InstanceSize, APromptGoesWhereItFits) {
+TEST(InstanceSize, PromptIsSentToInstancesWithEnoughMemory) {
   Settings settings = plainSettings();
   settings.kinds = {
       {Role::kPrefill, 500}, {Role::kDecode, 500}, {Role::kPrefill, 9'000}, {Role::kDecode, 9'000}};
@@ -325,7 +326,7 @@
   }
 }
 
-TEST(Deadlines, WithoutAnyGraceTheAnswerComesBeforeTheDeadline) {
+TEST(Deadlines, WithoutGraceTheFinalAnswerComesByTheDeadline) {
   Settings settings = plainSettings();
   settings.contract.answerGrace = settings.tick = 0s;
   settings.classes[0].latencyObjective = 1min;
@@ -334,7 +335,7 @@
   EXPECT_TRUE(router.advance(1'005ms).hasAction<RejectRequest>());
 }
 
-TEST(Weights, BelowZeroAreTakenForZero) {
+TEST(Weights, NegativeWeightsCountAsZero) {
   RouterHarness router;
   std::vector<EndpointRecord> entries{endpoint("r1", kPrefill), endpoint("r2", kPrefill),
                                       endpoint("w", kDecode)};
@@ -346,8 +347,8 @@
   EXPECT_FALSE(std::fetestexcept(FE_DIVBYZERO | FE_INVALID));
 }
 
-// Their clock may be ahead of this node's, too.
-TEST(SlowStart, OfInstancesWithoutCapacityAtTheirStartDividesByNothing) {
+// The start time lies in the future, as the clock of an instance may be ahead of this node's.
+TEST(SlowStart, OfInstancesWithoutInitialCapacityDoesNotDivideByZero) {
   Settings settings = plainSettings();
   settings.contract.warmupInitialShare = 0;
   RouterHarness router(settings);
@@ -361,7 +362,7 @@
   EXPECT_FALSE(std::fetestexcept(FE_DIVBYZERO | FE_INVALID));
 }
 
-TEST(Prompts, OfAnyLengthAreEstimatedWithoutAnOverflow) {
+TEST(Prompts, OfAnyLengthAreEstimatedWithoutOverflow) {
   Settings settings = plainSettings();
   settings.kinds = {{Role::kPrefill, 1e300}, {Role::kDecode, 1e300}};
   for (const double tokens : {1e12, 2.3e17, 1e19, 1e200}) {
@@ -370,11 +371,11 @@
     router.updateEndpoints({endpoint("r", kPrefill), endpoint("w", kDecode)})
         .arrive("a", "", 6s, tokens);
     EXPECT_FALSE(std::fetestexcept(FE_DIVBYZERO | FE_INVALID)) << tokens;
-    EXPECT_FALSE(router.hasAction<RejectRequest>()) << tokens << ": its aim grows with it";
+    EXPECT_FALSE(router.hasAction<RejectRequest>()) << tokens << ": its objective grows with it";
   }
 }
 
-TEST(Unusable, AreAnObjectiveADeadlineOrAWindowOfZero) {
+TEST(InvalidSettings, IfObjectiveDeadlineOrWindowIsZero) {
   const auto problem = [](auto change) {
     Settings settings = plainSettings();
     change(settings);
@@ -387,9 +388,9 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(Drawn,
-                         SettingsAtTheEdge,
-                         ::testing::ValuesIn(edges()),
-                         [](const auto& edge) { return edge.param.name; });
+                         ExtremeSettings,
+                         ::testing::ValuesIn(settingsCases()),
+                         [](const auto& settingsCase) { return settingsCase.param.name; });
 
 }  // namespace
 }  // namespace inference_router::routing
