--- a/src/upstream/releases.cpp
+++ b/src/upstream/releases.cpp
@@ -14,8 +14,8 @@
 
 // For one call, including a connection that is established late.
 constexpr double kAnswerTimeoutMs = 400;
-constexpr double kProtocolSlackMs =
-    350;                               // added by the protocol to the release limit of the settings
+// The protocol adds this to the release limit of the settings.
+constexpr double kProtocolSlackMs = 350;
 constexpr double kMinIntervalMs = 20;  // also applies if no instance could be called
 // Limits the calls of all releases together: if no instance answered, many releases with many calls
 // each would fill the queue for connections. Beyond the limit each release makes one call at a
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -495,11 +495,11 @@
   const auto unsent = harness.submit("nothing sent");  // there is no instance
   harness.advance(10'000);
   harness.list();
-  const auto prefill = harness.submit("read");
-  while (prefill->finalCalls() == 0 && !harness.instances.inFlight.empty())
+  const auto client = harness.submit("read");
+  while (client->finalCalls() == 0 && !harness.instances.inFlight.empty())
     harness.end(AttemptOutcome::kError);
   harness.advance(10'000);
-  ASSERT_EQ(prefill->rejected, 1);
+  ASSERT_EQ(client->rejected, 1);
   std::uint64_t sum = 0;
   for (const auto& [name, value] : harness.counters.all())
     if (name.rfind("requests.refused_after.", 0) == 0)
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -54,6 +54,8 @@
 
 constexpr double kRoundIntervalMs = 150;  // half of releaseMs in the settings
 
+// A router with separate prefill and decode instances, and counts of the reservations and releases
+// that they get.
 struct HeldStateFixture : RouterFixture {
   explicit HeldStateFixture(const std::vector<Kind>& kinds = kSplit)
       : RouterFixture(kinds, false) {}
--- a/tests/held_state_test.cpp
+++ b/tests/held_state_test.cpp
@@ -30,9 +30,9 @@
   bool prefillArrives = true;
   double prefillMs = 100;  // duration
   bool prefillAnswerLost = false;
-  bool grantsWithoutPrefill =
-      false;             // the decode instance also grants if the prefill never arrives
-  double latencyMs = 1;  // of each message
+  // The decode instance also grants a reservation if the prefill never arrives.
+  bool grantsWithoutPrefill = false;
+  double latencyMs = 1;                  // of each message
   std::set<int> lostCalls, lostAnswers;  // indices of reservation requests
 };
 
