--- a/src/control/commands.cpp
+++ b/src/control/commands.cpp
@@ -11,12 +11,12 @@
 constexpr const char* kEndOfReport = "eof\n";
 constexpr std::string_view kMaintenance = "maintenance";
 
-std::string textOf(const CommandResult& result) {
+std::string formatResult(const CommandResult& result) {
   return (result.ok ? "ok" : "fail") + (result.message.empty() ? "" : " " + result.message) + "\n";
 }
 
 std::string failure(const std::string& reason) {
-  return textOf({.ok = false, .message = reason});
+  return formatResult({.ok = false, .message = reason});
 }
 
 std::string reportOr(const std::string& report, const std::string& reasonIfEmpty) {
@@ -30,22 +30,22 @@
 }
 
 std::string runReady(AdminApi& api, const Arguments&) {
-  return textOf(api.ready());
+  return formatResult(api.ready());
 }
 std::string runTelemetry(AdminApi& api, const Arguments&) {
   return telemetry(api) + kEndOfReport;
 }
 std::string runExclude(AdminApi& api, const Arguments& arguments) {
-  return textOf(api.exclude(arguments.front()));
+  return formatResult(api.exclude(arguments.front()));
 }
 std::string runInclude(AdminApi& api, const Arguments& arguments) {
-  return textOf(api.include(arguments.front()));
+  return formatResult(api.include(arguments.front()));
 }
 std::string runEvacuate(AdminApi& api, const Arguments&) {
-  return textOf(api.evacuate());
+  return formatResult(api.evacuate());
 }
 std::string runActivate(AdminApi& api, const Arguments&) {
-  return textOf(api.activate());
+  return formatResult(api.activate());
 }
 std::string runInstances(AdminApi& api, const Arguments&) {
   return api.instancesReport() + kEndOfReport;
@@ -88,7 +88,7 @@
 };
 
 // Empty if the arguments are in order, else the answer that says what the command takes.
-std::string checkArguments(const Command& command, const Arguments& arguments) {
+std::string argumentError(const Command& command, const Arguments& arguments) {
   const std::string name(command.name);
   switch (command.rule) {
     case ArgumentRule::kNone:
@@ -107,7 +107,7 @@
 
 // ---- Lines ----
 
-std::vector<std::string> splitAtBlanks(std::string_view line) {
+std::vector<std::string> splitAtWhitespace(std::string_view line) {
   std::vector<std::string> tokens;
   while (true) {
     const std::size_t begin = line.find_first_not_of(" \t");
@@ -152,15 +152,15 @@
   const auto& metrics = api.metrics().byClass();
   const auto& names = api.classNames();
   std::string text;
-  const auto perClass = [&](const char* name, std::uint64_t core::ClassMetrics::*value) {
+  const auto appendPerClass = [&](const char* name, std::uint64_t core::ClassMetrics::*value) {
     for (std::size_t i = 0; i < metrics.size() && i < names.size(); ++i)
       text += std::string(name) + "{kind=" + quotedLabel(names[i]) + "} " +
               std::to_string(metrics[i].*value) + "\n";
   };
-  perClass("app_ok_total", &core::ClassMetrics::ok);
-  perClass("app_shed_total", &core::ClassMetrics::shed);
-  perClass("app_errors_total", &core::ClassMetrics::errors);
-  perClass("app_tries_total", &core::ClassMetrics::tries);
+  appendPerClass("app_ok_total", &core::ClassMetrics::ok);
+  appendPerClass("app_shed_total", &core::ClassMetrics::shed);
+  appendPerClass("app_errors_total", &core::ClassMetrics::errors);
+  appendPerClass("app_tries_total", &core::ClassMetrics::tries);
   const InstanceCounts counts = api.instanceCounts();
   text += "app_active " + std::to_string(api.openRequests()) + "\n";
   text += "app_pool_size " + std::to_string(counts.listed) + "\n";
@@ -173,7 +173,7 @@
     return failure("a line has at most " + std::to_string(maxBytesOf(line)) + " bytes");
   if (!isPlainText(line))
     return failure("a line is plain text");
-  const std::vector<std::string> tokens = splitAtBlanks(line);
+  const std::vector<std::string> tokens = splitAtWhitespace(line);
   if (tokens.empty())
     return failure("an empty line");
   const auto command =
@@ -185,22 +185,24 @@
         "boxes, admission, leases [json], shared [json], maintenance "
         "[start|pause|resume|cancel|back ...]");
   const Arguments arguments(tokens.begin() + 1, tokens.end());
-  const std::string problem = checkArguments(*command, arguments);
-  return problem.empty() ? command->run(api, arguments) : problem;
+  const std::string error = argumentError(*command, arguments);
+  return error.empty() ? command->run(api, arguments) : error;
 }
 
 void executeAsync(AdminApi& api,
                   std::string_view line,
-                  std::function<void(std::string answer)> onAnswer) {
+                  std::function<void(std::string response)> onResponse) {
   const bool tooLong = line.size() > maxBytesOf(line);
   const std::vector<std::string> tokens =
-      tooLong ? std::vector<std::string>() : splitAtBlanks(line);
-  const bool changesPlan = tokens.size() > 1 && tokens[0] == kMaintenance && tokens[1] != "show";
-  if (!changesPlan)
-    return onAnswer(execute(api, line));
-  api.changeMaintenance(
-      {tokens.begin() + 1, tokens.end()},
-      [onAnswer = std::move(onAnswer)](const CommandResult& result) { onAnswer(textOf(result)); });
+      tooLong ? std::vector<std::string>() : splitAtWhitespace(line);
+  const bool changesMaintenance =
+      tokens.size() > 1 && tokens[0] == kMaintenance && tokens[1] != "show";
+  if (!changesMaintenance)
+    return onResponse(execute(api, line));
+  api.changeMaintenance({tokens.begin() + 1, tokens.end()},
+                        [onResponse = std::move(onResponse)](const CommandResult& result) {
+                          onResponse(formatResult(result));
+                        });
 }
 
 }  // namespace inference_router::control
--- a/src/control/commands.h
+++ b/src/control/commands.h
@@ -21,7 +21,7 @@
 /// The same for all commands; onAnswer is called exactly once, possibly later.
 void executeAsync(AdminApi& api,
                   std::string_view line,
-                  std::function<void(std::string answer)> onAnswer);
+                  std::function<void(std::string response)> onResponse);
 
 /// The request counters in the exposition format of Prometheus.
 std::string telemetry(AdminApi& api);
--- a/src/fleet/discovery_backoff.h
+++ b/src/fleet/discovery_backoff.h
@@ -54,10 +54,10 @@
 
   /// The delay before the next retry after a failure; doubles the mean.
   double nextDelayMs() {
-    const double pause =
+    const double delayMs =
         meanMs_ * std::uniform_real_distribution<>(1 - kJitterShare, 1 + kJitterShare)(random_);
     meanMs_ = std::min(kMaxMs, meanMs_ * 2);
-    return pause;
+    return delayMs;
   }
   /// After a success.
   void reset() { meanMs_ = initialMs_; }
--- a/src/fleet/drains.cpp
+++ b/src/fleet/drains.cpp
@@ -31,7 +31,7 @@
   if (command.drain && !current.drained && target.othersOfRole == 0 && !command.force)
     return {DrainCode::kLastOfRole, current,
             "it is the last box that can " + target.role + ": without it nothing is served, and " +
-                std::to_string(target.open) + " requests are open on it; say so by force"};
+                std::to_string(target.openRequests) + " requests are open on it; say so by force"};
   // No change: the state and its revision stay.
   if (command.drain == current.drained && command.deadlineMs == current.deadlineMs)
     return {DrainCode::kDone, current, ""};
@@ -43,8 +43,8 @@
 }
 
 DrainResponse Drains::handle(const DrainCommand& command, const Target& target, double nowMs) {
-  if (command.id.empty() || command.id.size() > kMaxWordBytes ||
-      command.sender.size() > kMaxWordBytes)
+  if (command.id.empty() || command.id.size() > kMaxIdentifierBytes ||
+      command.sender.size() > kMaxIdentifierBytes)
     return {DrainCode::kBadCommand, stateOf(command.instance),
             "a command has an id of 1 to 128 bytes"};
   // By sender and id, so that two senders may both count from 1.
@@ -62,9 +62,9 @@
   return response;
 }
 
-bool Drains::overdue(const std::string& instance, std::size_t open, double nowMs) const {
+bool Drains::overdue(const std::string& instance, std::size_t openRequests, double nowMs) const {
   const DrainState state = stateOf(instance);
-  return state.drained && state.deadlineMs && open > 0 && nowMs > *state.deadlineMs;
+  return state.drained && state.deadlineMs && openRequests > 0 && nowMs > *state.deadlineMs;
 }
 
 }  // namespace inference_router::fleet
--- a/src/fleet/drains.h
+++ b/src/fleet/drains.h
@@ -49,14 +49,14 @@
  public:
   static constexpr std::size_t kMaxRememberedCommands =
       1024;  ///< latest commands, for repeated ones
-  static constexpr std::size_t kMaxWordBytes = 128;
+  static constexpr std::size_t kMaxIdentifierBytes = 128;
 
   /// The facts of an instance that a command is checked against.
   struct Target {
     bool known = false;
     std::size_t othersOfRole = 0;  ///< other instances that serve its role
     std::string role;
-    std::size_t open = 0;  ///< requests in flight
+    std::size_t openRequests = 0;  ///< requests in flight
   };
 
   /// Executes a command, or repeats the answer to one that was executed before.
@@ -66,7 +66,7 @@
   void restore(const std::string& instance, const DrainState& state) { states_[instance] = state; }
   void forget(const std::string& instance) { states_.erase(instance); }
   /// Whether a drain is past its deadline with requests open. Reported only; no request is cut.
-  bool overdue(const std::string& instance, std::size_t open, double nowMs) const;
+  bool overdue(const std::string& instance, std::size_t openRequests, double nowMs) const;
 
  private:
   DrainResponse decide(const DrainCommand& command, const Target& target, double nowMs);
--- a/src/fleet/instance_ages.cpp
+++ b/src/fleet/instance_ages.cpp
@@ -13,14 +13,14 @@
 
 std::optional<double> InstanceAges::startTime(const std::string& id, double reportedStartMs) {
   if (reportedStartMs <= 0) {
-    known_.erase(id);
+    starts_.erase(id);
     return std::nullopt;
   }
-  const auto it = known_.find(id);
-  if (it != known_.end() && it->second.reportedStartMs == reportedStartMs)
+  const auto it = starts_.find(id);
+  if (it != starts_.end() && it->second.reportedStartMs == reportedStartMs)
     return it->second.startedMs;
   const double startedMs = estimate(reportedStartMs);
-  known_[id] = {reportedStartMs, startedMs};
+  starts_[id] = {reportedStartMs, startedMs};
   return startedMs;
 }
 
@@ -31,7 +31,7 @@
 }
 
 void InstanceAges::keepOnly(const std::set<std::string>& listed) {
-  std::erase_if(known_, [&](const auto& entry) { return listed.count(entry.first) == 0; });
+  std::erase_if(starts_, [&](const auto& entry) { return listed.count(entry.first) == 0; });
 }
 
 }  // namespace inference_router::fleet
--- a/src/fleet/instance_ages.h
+++ b/src/fleet/instance_ages.h
@@ -30,12 +30,12 @@
   /// A message of discovery was processed: changes in later messages happened after now.
   void onContact() { lastContactMs_ = clock_.nowMs(); }
   /// The instance has left the list.
-  void forget(const std::string& id) { known_.erase(id); }
+  void forget(const std::string& id) { starts_.erase(id); }
   /// The same for all instances that are not in a full list.
   void keepOnly(const std::set<std::string>& listed);
 
  private:
-  struct Known {
+  struct InstanceStart {
     double reportedStartMs;
     double startedMs;
   };
@@ -44,7 +44,7 @@
   const core::Clock& clock_;
   std::optional<double> lastContactMs_;
   std::optional<double> offsetMs_;  // from this clock to discovery's; a lower bound
-  std::map<std::string, Known> known_;
+  std::map<std::string, InstanceStart> starts_;
 };
 
 }  // namespace inference_router::fleet
--- a/src/fleet/lifecycle.cpp
+++ b/src/fleet/lifecycle.cpp
@@ -53,12 +53,12 @@
                                                     double nowMs,
                                                     const std::string& reason,
                                                     const std::string& by) {
-  const auto to = nextState(event);
-  if (!to)
+  const auto next = nextState(event);
+  if (!next)
     return {false, std::string(nameOf(event)) + " cannot follow while it is " + nameOf(state_)};
   if (state_ == LifecycleState::kWarming || state_ == LifecycleState::kActive)
     resumeState_ = state_;
-  state_ = *to;
+  state_ = *next;
   sinceMs_ = nowMs;
   reason_ = reason.empty() ? nameOf(event) : reason;
   by_ = by;
--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -19,14 +19,14 @@
 }  // namespace
 
 EndpointRecord Membership::effective(EndpointRecord entry) const {
-  const auto returned = returned_.find(entry.instance.value);
+  const auto returned = returnedMs_.find(entry.instance.value);
   if (drained_.count(entry.instance.value) != 0 ||
       peerExclusions_.count(entry.instance.value) != 0) {
     if (entry.state == EndpointState::kActive)
       entry.state = EndpointState::kDraining;
-  } else if (returned != returned_.end()) {
-    const Time back = core::toModuleTime(returned->second);
-    entry.started = entry.started ? std::max(*entry.started, back) : back;
+  } else if (returned != returnedMs_.end()) {
+    const Time returnedAt = core::toModuleTime(returned->second);
+    entry.started = entry.started ? std::max(*entry.started, returnedAt) : returnedAt;
   }
   const Exclusion* exclusion = exclusions_.find(entry.instance.value);
   if (exclusion == nullptr)
@@ -86,32 +86,32 @@
   return {Result::kDone, changesOf({id})};
 }
 
-std::optional<EndpointListUpdate> Membership::replaceLayer(std::set<std::string>& layer,
-                                                           const std::set<std::string>& now,
-                                                           double nowMs) {
+std::optional<EndpointListUpdate> Membership::replaceOverlay(std::set<std::string>& overlay,
+                                                             const std::set<std::string>& current,
+                                                             double nowMs) {
   std::vector<std::string> changed;
-  for (const std::string& id : now)
-    if (layer.count(id) == 0)
+  for (const std::string& id : current)
+    if (overlay.count(id) == 0)
       changed.push_back(id);
-  for (const std::string& id : layer) {
-    if (now.count(id) != 0)
+  for (const std::string& id : overlay) {
+    if (current.count(id) != 0)
       continue;
-    returned_[id] = nowMs;
+    returnedMs_[id] = nowMs;
     changed.push_back(id);
   }
-  layer = now;
+  overlay = current;
   return changed.empty() ? std::nullopt : changesOf(changed);
 }
 
 std::optional<EndpointListUpdate> Membership::setPlannedDrains(const std::set<std::string>& drained,
                                                                double nowMs) {
-  return replaceLayer(drained_, drained, nowMs);
+  return replaceOverlay(drained_, drained, nowMs);
 }
 
 std::optional<EndpointListUpdate> Membership::setPeerExclusions(
     const std::set<std::string>& excluded,
     double nowMs) {
-  return replaceLayer(peerExclusions_, excluded, nowMs);
+  return replaceOverlay(peerExclusions_, excluded, nowMs);
 }
 
 std::optional<EndpointListUpdate> Membership::merge(const Exclusions& others) {
@@ -119,20 +119,20 @@
 }
 
 void Membership::prune(double nowMs) {
-  std::vector<std::string> spent;
+  std::vector<std::string> expired;
   for (const auto& [id, exclusion] : exclusions_.all()) {
     if (listed_.count({id}) != 0)
       missingSince_.erase(id);
     else if (nowMs - missingSince_.try_emplace(id, nowMs).first->second >
              kMissingExclusionRetentionMs)
-      spent.push_back(id);
+      expired.push_back(id);
     if (!exclusion.excluded && nowMs - exclusion.updatedMs > kInclusionRetentionMs)
-      spent.push_back(id);
+      expired.push_back(id);
   }
-  std::erase_if(returned_, [nowMs](const auto& entry) {
+  std::erase_if(returnedMs_, [nowMs](const auto& entry) {
     return nowMs - entry.second > kInclusionRetentionMs;
   });
-  for (const std::string& id : spent) {
+  for (const std::string& id : expired) {
     exclusions_.forget(id);
     missingSince_.erase(id);
   }
--- a/src/fleet/membership.h
+++ b/src/fleet/membership.h
@@ -62,9 +62,9 @@
 
  private:
   Change setExcluded(const std::string& id, bool excluded, double nowMs);
-  std::optional<routing::EndpointListUpdate> replaceLayer(std::set<std::string>& layer,
-                                                          const std::set<std::string>& now,
-                                                          double nowMs);
+  std::optional<routing::EndpointListUpdate> replaceOverlay(std::set<std::string>& overlay,
+                                                            const std::set<std::string>& current,
+                                                            double nowMs);
   routing::EndpointRecord effective(routing::EndpointRecord entry) const;
   std::optional<routing::EndpointListUpdate> changesOf(const std::vector<std::string>& ids);
 
@@ -75,7 +75,7 @@
   std::map<std::string, double> missingSince_;  // excluded, but not listed: since when
   std::set<std::string> drained_;               // by the maintenance
   std::set<std::string> peerExclusions_;        // by observations of other routers
-  std::map<std::string, double> returned_;      // from either, recently: when
+  std::map<std::string, double> returnedMs_;    // from either, recently: when
 };
 
 }  // namespace inference_router::fleet
--- a/src/shared/budget.cpp
+++ b/src/shared/budget.cpp
@@ -14,8 +14,8 @@
   return static_cast<std::uint64_t>(std::max(0.0, std::ceil(tokens)));
 }
 
-std::uint64_t saturatingSubtract(std::uint64_t from, std::uint64_t what) {
-  return from > what ? from - what : 0;
+std::uint64_t saturatingSubtract(std::uint64_t from, std::uint64_t amount) {
+  return from > amount ? from - amount : 0;
 }
 
 }  // namespace
@@ -110,11 +110,11 @@
         draining ? 0 : recentTokensAt(account, nowMs) / config_.rateMs;  // tokens per millisecond
     const std::uint64_t largest =
         !draining && nowMs - account.largestMs <= config_.prefetchMs ? account.largest : 0;
-    const std::uint64_t ahead = rounded(rate * config_.prefetchMs) + largest;
-    account.spend.requestedLoan = account.used() + ahead;
+    const std::uint64_t expected = rounded(rate * config_.prefetchMs) + largest;
+    account.spend.requestedLoan = account.used() + expected;
     // Idle loans are returned, as other routers may need them.
     const std::uint64_t retained =
-        account.used() + rounded(static_cast<double>(ahead) * kRetainFactor);
+        account.used() + rounded(static_cast<double>(expected) * kRetainFactor);
     if (account.outstanding() > retained)
       account.spend.returned += account.outstanding() - retained;
     account.spend.ceiling = std::max(
@@ -208,7 +208,7 @@
 
 // Sorted so that whoever has least idle is served first.
 struct LoanRequest {
-  std::uint64_t idle;
+  std::uint64_t unspent;
   std::uint64_t tokens;
   Origin borrower;
   auto operator<=>(const LoanRequest&) const = default;
@@ -242,8 +242,8 @@
   }
 }
 
-void charge(BudgetLine& line, const Origin& gone, const std::optional<Spend>& lastSpend) {
-  const auto lent = line.lent.find(gone);
+void charge(BudgetLine& line, const Origin& borrower, const std::optional<Spend>& lastSpend) {
+  const auto lent = line.lent.find(borrower);
   const std::uint64_t lentTokens = lent == line.lent.end() ? 0 : lent->second;
   // Without a report, all that is known is the loan.
   line.charged +=
--- a/src/shared/budget.h
+++ b/src/shared/budget.h
@@ -164,7 +164,7 @@
 
 /// Evicts a borrower: it is charged what its last report says it may have spent, or its whole loan
 /// without a report; the rest becomes available.
-void charge(BudgetLine& line, const Origin& gone, const std::optional<Spend>& lastSpend);
+void charge(BudgetLine& line, const Origin& borrower, const std::optional<Spend>& lastSpend);
 
 /// Replaces the charge of an evicted router that came back by what it really used.
 void refund(BudgetLine& line, std::uint64_t charged, std::uint64_t used);
--- a/src/shared/config.h
+++ b/src/shared/config.h
@@ -22,13 +22,13 @@
 
 /// All settings of shared state.
 struct SharedConfig {
-  double reportMs = 1'000;       ///< between two reports of a router in a small fleet
-  double reportPerNodeMs = 20;   ///< added for each router in the fleet
-  double digestMs = 1'000;       ///< between two digests
-  double goneMs = 30'000;        ///< a part unchanged for so long is folded
-  double replacedMs = 3'000;     ///< the same, where the router has restarted
-  double silentMs = 10'000;      ///< observations count for so long after the last report
-  double periodMs = 86'400'000;  ///< of all budgets, aligned to the Unix epoch
+  double reportMs = 1'000;              ///< between two reports of a router in a small fleet
+  double reportPerNodeMs = 20;          ///< added for each router in the fleet
+  double digestMs = 1'000;              ///< between two digests
+  double evictAfterMs = 30'000;         ///< a part unchanged for so long is folded
+  double evictReplacedAfterMs = 3'000;  ///< the same, where the router has restarted
+  double silentMs = 10'000;             ///< observations count for so long after the last report
+  double periodMs = 86'400'000;         ///< of all budgets, aligned to the Unix epoch
   std::map<std::string, std::uint64_t> budgets;  ///< tokens per period, by tenant
   /// Largest share of a role, and of a role within a cell, that verdicts may exclude.
   double maxExcludedShare = 0.34;
--- a/src/shared/digest_task.cpp
+++ b/src/shared/digest_task.cpp
@@ -76,7 +76,7 @@
   });
   std::erase_if(countedRevisions_,
                 [&](const auto& entry) { return view.documents.count(entry.first) == 0; });
-  std::erase_if(known_, [&](const auto& entry) { return parts.count(entry.first) == 0; });
+  std::erase_if(highestUsage_, [&](const auto& entry) { return parts.count(entry.first) == 0; });
   return parts;
 }
 
@@ -133,14 +133,15 @@
 
 /// After how long without a change the part is folded: sooner if another incarnation of its router
 /// has reported since.
-double DigestTask::foldAfterMs(const std::map<Origin, Read>& parts,
-                               const Origin& origin,
-                               double ageMs) const {
+double DigestTask::evictionDelayMs(const std::map<Origin, Read>& parts,
+                                   const Origin& origin,
+                                   double ageMs) const {
   const bool replaced = std::any_of(parts.begin(), parts.end(), [&](const auto& other) {
     return other.first.name == origin.name && other.first.incarnation != origin.incarnation &&
            other.second.ageMs < ageMs;
   });
-  return replaced ? std::min(config_.replacedMs, config_.goneMs) : config_.goneMs;
+  return replaced ? std::min(config_.evictReplacedAfterMs, config_.evictAfterMs)
+                  : config_.evictAfterMs;
 }
 
 /// Evicting a router needs no proof that it is gone: what it may have spent is charged, and if it
@@ -149,7 +150,7 @@
   std::vector<Write> writes;
   for (auto it = parts.begin(); it != parts.end() && writes.size() < kMaxFoldsPerStep;) {
     const auto& [origin, read] = *it;
-    if (read.ageMs < foldAfterMs(parts, origin, read.ageMs)) {
+    if (read.ageMs < evictionDelayMs(parts, origin, read.ageMs)) {
       ++it;
       continue;
     }
@@ -202,7 +203,7 @@
       part.origin = origin;
       const std::string name = kOrphanedLoanPrefix + part.key();
       orphaned.insert(name);
-      if (ages_.unchangedMs(name, 0, nowMs) >= config_.goneMs)
+      if (ages_.unchangedMs(name, 0, nowMs) >= config_.evictAfterMs)
         expired.push_back(origin);
     }
     for (const Origin& origin : expired)
@@ -271,11 +272,11 @@
   for (const auto& [instance, verdict] : digest.instances)
     observations.try_emplace(instance);
   std::map<std::string, HealthVerdict> verdicts;
-  for (const auto& [instance, ofInstance] : observations) {
+  for (const auto& [instance, instanceObservations] : observations) {
     const auto previous = digest.instances.find(instance);
     const HealthVerdict verdict =
         nextVerdict(previous == digest.instances.end() ? HealthVerdict{} : previous->second,
-                    ofInstance, digest.sequence, config_.observations, config_.verdict);
+                    instanceObservations, digest.sequence, config_.observations, config_.verdict);
     if (verdict.excluded || verdict.unhealthyVotes > 0)
       verdicts[instance] = verdict;
   }
@@ -287,11 +288,11 @@
   digest.total = digest.base;
   digest.liveNodes.clear();
   for (const auto& [origin, read] : parts) {
-    UsageTable& known = known_[origin];
-    if (!isMonotonic(read.part.usage, known))
+    UsageTable& highest = highestUsage_[origin];
+    if (!isMonotonic(read.part.usage, highest))
       ++stats_.decreasedCounters;
-    merge(known, read.part.usage);
-    addUsage(digest.total, known);
+    merge(highest, read.part.usage);
+    addUsage(digest.total, highest);
     if (read.ageMs < config_.silentMs)
       digest.liveNodes[origin] = read.part.sequence;
   }
--- a/src/shared/digest_task.h
+++ b/src/shared/digest_task.h
@@ -54,7 +54,9 @@
   void advancePeriod(Digest& digest, const std::map<Origin, Read>& parts);
   // Refunds evicted incarnations that reported what they really used.
   void settle(Digest& digest, const std::map<Origin, Read>& parts);
-  double foldAfterMs(const std::map<Origin, Read>& parts, const Origin& origin, double ageMs) const;
+  double evictionDelayMs(const std::map<Origin, Read>& parts,
+                         const Origin& origin,
+                         double ageMs) const;
   // Folds the parts of routers that are gone; returns the removals.
   std::vector<coordination::Write> fold(Digest& digest,
                                         std::map<Origin, Read>& parts,
@@ -79,7 +81,7 @@
   SharedConfig config_;
   coordination::UnchangedTracker ages_;
   std::map<std::string, std::uint64_t> countedRevisions_;  // of undecodable documents
-  std::map<Origin, UsageTable> known_;                     // highest usage of each part
+  std::map<Origin, UsageTable> highestUsage_;              // highest usage of each part
   std::uint64_t lastSequence_ = 0, fence_ = 0;
   double fenceSinceMs_ = 0;
   Stats stats_;
--- a/src/shared/health_observation.cpp
+++ b/src/shared/health_observation.cpp
@@ -99,13 +99,14 @@
 void keepStrongest(std::map<std::string, HealthObservation>& observations, std::size_t max) {
   if (observations.size() <= max)
     return;
-  std::vector<Strength> weakest;
-  weakest.reserve(observations.size());
+  std::vector<Strength> strengths;
+  strengths.reserve(observations.size());
   for (const auto& [instance, observation] : observations)
-    weakest.push_back({observation.failures, observation.successes, instance});
-  const auto end = weakest.begin() + static_cast<std::ptrdiff_t>(weakest.size() - max);
-  std::nth_element(weakest.begin(), end, weakest.end());
-  for (auto it = weakest.begin(); it != end; ++it)
+    strengths.push_back({observation.failures, observation.successes, instance});
+  const auto firstRetained =
+      strengths.begin() + static_cast<std::ptrdiff_t>(strengths.size() - max);
+  std::nth_element(strengths.begin(), firstRetained, strengths.end());
+  for (auto it = strengths.begin(); it != firstRetained; ++it)
     observations.erase(it->instance);
 }
 
--- a/src/shared/node.cpp
+++ b/src/shared/node.cpp
@@ -151,7 +151,7 @@
 }
 
 void SharedNode::readOwn(const Document* document, double nowMs) {
-  ownRecordKnown_ = true;
+  ownPartKnown_ = true;
   if (document == nullptr) {
     const Folded* folded = digest_ ? digest_->foldedOf(self_) : nullptr;
     if (folded != nullptr)
@@ -210,7 +210,7 @@
 
 std::optional<Write> SharedNode::nextReport(double unixMs, double nowMs) {
   connectivity_.tick(nowMs);
-  if (writing_ || !ownRecordKnown_)
+  if (writing_ || !ownPartKnown_)
     return std::nullopt;
   const bool urgent =
       budgets_.needsLoan() && nowMs >= lastWriteMs_ + reportIntervalMs() * kMinIntervalShare;
@@ -236,8 +236,9 @@
   // keep it.
   std::string text = encode(part);
   while (text.size() > kMaxPartsBytes / nodes() && part.observations.size() > kMinObservations) {
-    const std::size_t room = part.observations.size() * (kMaxPartsBytes / nodes()) / text.size();
-    keepStrongest(part.observations, std::max(kMinObservations, room));
+    const std::size_t maxObservations =
+        part.observations.size() * (kMaxPartsBytes / nodes()) / text.size();
+    keepStrongest(part.observations, std::max(kMinObservations, maxObservations));
     text = encode(part);
   }
   return Write{part.key(), revision_, std::move(text)};
@@ -254,20 +255,20 @@
   pendingReports_.erase(pendingReports_.begin(), it);
 }
 
-void SharedNode::onWritten(const CommitResponse& answer, double nowMs) {
+void SharedNode::onWritten(const CommitResponse& response, double nowMs) {
   writing_ = false;
   lastWriteMs_ = nowMs;
   nextMs_ = nowMs + reportIntervalMs();
-  if (answer.status == CommitStatus::kDone) {
+  if (response.status == CommitStatus::kDone) {
     ++stats_.reports;
-    revision_ = answer.revision;
+    revision_ = response.revision;
     onReportAccepted(sequence_, nowMs);
     return;
   }
   // The next read tells whether it was written.
-  if (answer.status == CommitStatus::kConflict)
+  if (response.status == CommitStatus::kConflict)
     ++stats_.conflicts;
-  ownRecordKnown_ = false;
+  ownPartKnown_ = false;
 }
 
 // ---- Decisions and state
--- a/src/shared/node.h
+++ b/src/shared/node.h
@@ -74,7 +74,7 @@
     nextMs_ = 0;
   }
   /// The result of the write that nextReport() returned.
-  void onWritten(const coordination::CommitResponse& answer, double nowMs);
+  void onWritten(const coordination::CommitResponse& response, double nowMs);
 
   // ---- Decisions and state ----
   std::map<std::string, Availability> availabilities(
@@ -125,7 +125,7 @@
   // The last accepted report first, then those whose result is unknown.
   std::deque<PendingReport> pendingReports_;
   std::uint64_t revision_ = 0, sequence_ = 0;
-  bool ownRecordKnown_ = false, writing_ = false, draining_ = false;
+  bool ownPartKnown_ = false, writing_ = false, draining_ = false;
   double nextMs_ = 0, lastWriteMs_ = 0;
   // Of an evicted incarnation, reported until the lender has refunded it.
   std::optional<FinalUsage> finalUsage_;
--- a/src/shared/remote_health.cpp
+++ b/src/shared/remote_health.cpp
@@ -12,13 +12,13 @@
 namespace {
 
 // The same at every router: the checksum and the generator are both standardised.
-std::uint_fast32_t drawFor(const std::string& instance,
-                           const std::string& node,
-                           std::uint64_t turn) {
+std::uint_fast32_t probeRank(const std::string& instance,
+                             const std::string& node,
+                             std::uint64_t turn) {
   const std::string text = instance + '\n' + node + '\n' + std::to_string(turn);
-  boost::crc_32_type sum;
-  sum.process_bytes(text.data(), text.size());
-  return std::minstd_rand(sum.checksum())();
+  boost::crc_32_type checksum;
+  checksum.process_bytes(text.data(), text.size());
+  return std::minstd_rand(checksum.checksum())();
 }
 
 }  // namespace
@@ -43,8 +43,8 @@
   const std::uint64_t turn = sequence / std::max<std::uint64_t>(1, probeDigests);
   const auto best = std::max_element(nodes.begin(), nodes.end(),
                                      [&](const std::string& node, const std::string& other) {
-                                       return std::pair(drawFor(instance, node, turn), node) <
-                                              std::pair(drawFor(instance, other, turn), other);
+                                       return std::pair(probeRank(instance, node, turn), node) <
+                                              std::pair(probeRank(instance, other, turn), other);
                                      });
   return best == nodes.end() ? std::string() : *best;
 }
@@ -59,9 +59,9 @@
 };
 
 struct Group {
-  std::size_t instances = 0, out = 0;
-  bool full(double maxExcludedShare) const {
-    return out >= maxExcluded(instances, maxExcludedShare);
+  std::size_t instances = 0, excluded = 0;
+  bool atLimit(double maxExcludedShare) const {
+    return excluded >= maxExcluded(instances, maxExcludedShare);
   }
 };
 
@@ -72,7 +72,7 @@
 };
 
 // Most votes first, then most evidence: the same order at every router.
-bool goesFirst(const ExclusionCandidate& one, const ExclusionCandidate& other) {
+bool hasPriority(const ExclusionCandidate& one, const ExclusionCandidate& other) {
   return std::tie(other.votes, other.evidence, one.id) <
          std::tie(one.votes, one.evidence, other.id);
 }
@@ -84,7 +84,7 @@
     if (verdict.excluded && instance != input.instances.end() && instance->second.serves)
       candidates.push_back({verdict.unhealthyVotes, verdict.evidence, id});
   }
-  std::sort(candidates.begin(), candidates.end(), goesFirst);
+  std::sort(candidates.begin(), candidates.end(), hasPriority);
   return candidates;
 }
 
@@ -106,7 +106,7 @@
   for (const auto& [id, instance] : input.instances) {
     for (Group* group : {&roles[instance.role], &cells[{instance.role, instance.cell}]}) {
       ++group->instances;
-      group->out += !instance.serves;
+      group->excluded += !instance.serves;
     }
     decisions[id] = instance.serves ? Availability::kInUse : Availability::kOperator;
   }
@@ -119,13 +119,13 @@
       availability = Availability::kDisconnected;
       continue;
     }
-    if (role.full(input.maxExcludedShare) || cell.full(input.maxExcludedShare)) {
+    if (role.atLimit(input.maxExcludedShare) || cell.atLimit(input.maxExcludedShare)) {
       availability = Availability::kExclusionLimit;
       continue;
     }
     // It counts towards the limits at every router alike, also at the one that probes it.
-    ++role.out;
-    ++cell.out;
+    ++role.excluded;
+    ++cell.excluded;
     availability = excludedOrProbed(input, candidate.id, nowMs);
   }
   return decisions;
--- a/src/shared/setup.h
+++ b/src/shared/setup.h
@@ -18,6 +18,7 @@
 };
 
 /// Throws std::invalid_argument with the path of what is wrong. tenants: that the settings name.
-SharedSetup sharedSetupOf(const core::ConfigReader& given, const std::vector<std::string>& tenants);
+SharedSetup sharedSetupOf(const core::ConfigReader& section,
+                          const std::vector<std::string>& tenants);
 
 }  // namespace inference_router::shared
--- a/src/shared/usage_counters.cpp
+++ b/src/shared/usage_counters.cpp
@@ -14,9 +14,9 @@
 
 }  // namespace
 
-void UsageCounters::add(const UsageCounters& more) {
+void UsageCounters::add(const UsageCounters& other) {
   for (const auto counter : kCounters)
-    this->*counter += more.*counter;
+    this->*counter += other.*counter;
 }
 
 bool UsageCounters::dominates(const UsageCounters& other) const {
@@ -24,21 +24,21 @@
                      [&](const auto counter) { return this->*counter >= other.*counter; });
 }
 
-void addUsage(UsageTable& to, const UsageTable& more) {
-  for (const auto& [key, counters] : more)
+void addUsage(UsageTable& to, const UsageTable& from) {
+  for (const auto& [key, counters] : from)
     to[key].add(counters);
 }
 
-UsageTable usageSince(const UsageTable& now, const UsageTable& before) {
+UsageTable usageSince(const UsageTable& current, const UsageTable& previous) {
   UsageTable difference;
-  for (const auto& [key, counters] : now) {
-    const auto previous = before.find(key);
-    UsageCounters left = counters;
-    if (previous != before.end())
+  for (const auto& [key, counters] : current) {
+    const auto found = previous.find(key);
+    UsageCounters increase = counters;
+    if (found != previous.end())
       for (const auto counter : kCounters)
-        left.*counter -= std::min(left.*counter, previous->second.*counter);
-    if (left != UsageCounters{})
-      difference[key] = left;
+        increase.*counter -= std::min(increase.*counter, found->second.*counter);
+    if (increase != UsageCounters{})
+      difference[key] = increase;
   }
   return difference;
 }
@@ -51,17 +51,17 @@
   }
 }
 
-bool isMonotonic(const UsageTable& now, const UsageTable& before) {
-  return std::all_of(before.begin(), before.end(), [&](const auto& entry) {
-    const auto it = now.find(entry.first);
-    return it != now.end() && it->second.dominates(entry.second);
+bool isMonotonic(const UsageTable& current, const UsageTable& previous) {
+  return std::all_of(previous.begin(), previous.end(), [&](const auto& entry) {
+    const auto it = current.find(entry.first);
+    return it != current.end() && it->second.dominates(entry.second);
   });
 }
 
 bool FleetUsage::merge(const Origin& from, const UsageTable& part) {
-  UsageTable& known = parts_[from];
-  const bool monotonic = isMonotonic(part, known);
-  shared::merge(known, part);
+  UsageTable& highest = parts_[from];
+  const bool monotonic = isMonotonic(part, highest);
+  shared::merge(highest, part);
   return monotonic;
 }
 
--- a/src/shared/usage_counters.h
+++ b/src/shared/usage_counters.h
@@ -27,7 +27,7 @@
                 failedTokens = 0;  ///< upper bound of what was requested; never billed
   bool operator==(const UsageCounters&) const = default;
 
-  void add(const UsageCounters& more);
+  void add(const UsageCounters& other);
   /// Whether every counter is at least that of `other`.
   bool dominates(const UsageCounters& other) const;
   std::uint64_t billed() const { return promptTokens + answerTokens; }
@@ -43,13 +43,13 @@
 constexpr std::size_t kMaxUsageRows = 1024;
 
 /// Adds each row of `more` to `to`.
-void addUsage(UsageTable& to, const UsageTable& more);
+void addUsage(UsageTable& to, const UsageTable& from);
 /// The difference `now` - `before`, row by row; a counter that went backwards yields 0.
-UsageTable usageSince(const UsageTable& now, const UsageTable& before);
+UsageTable usageSince(const UsageTable& current, const UsageTable& previous);
 /// Takes the larger value of each counter. Idempotent, commutative and associative.
 void merge(UsageTable& to, const UsageTable& from);
 /// Whether no counter of `before` is larger than that of `now`.
-bool isMonotonic(const UsageTable& now, const UsageTable& before);
+bool isMonotonic(const UsageTable& current, const UsageTable& previous);
 
 /// The usage of the whole fleet: one table per live process, and the base of those that have ended.
 class FleetUsage {
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -20,7 +20,7 @@
 
 // Starts of instances as discovery tells them, by a clock that is off by any amount, some time
 // later.
-RC_GTEST_PROP(InstanceAges, NeverMakeAnInstanceOlderThanItIs, ()) {
+RC_GTEST_PROP(InstanceAges, NeverOverestimatesTheAge, ()) {
   core::ManualClock clock;
   InstanceAges ages(clock);
   const double offsetMs = *rc::gen::inRange(-4'000'000, 4'000'000) + 1e12;
@@ -38,97 +38,98 @@
   }
 }
 
-TEST(InstanceAges, AreThoseThatDiscoveryTellsOnceOneWasHeardOfAtOnce) {
+TEST(InstanceAges, AreExactOnceOneInstanceWasReportedAtItsStart) {
   core::ManualClock clock;
   InstanceAges ages(clock);
   const double offsetMs = 3'600'000;
-  const double begunMs = clock.nowMs();
-  ages.observeStart(begunMs + offsetMs);
-  EXPECT_EQ(ages.startTime("at once", begunMs + offsetMs), begunMs);
+  const double startedMs = clock.nowMs();
+  ages.observeStart(startedMs + offsetMs);
+  EXPECT_EQ(ages.startTime("at once", startedMs + offsetMs), startedMs);
   ages.onContact();
   clock.advance(5'000);
-  ages.observeStart(begunMs + 2'000 + offsetMs);
-  EXPECT_EQ(ages.startTime("late", begunMs + 2'000 + offsetMs), begunMs + 2'000);
+  ages.observeStart(startedMs + 2'000 + offsetMs);
+  EXPECT_EQ(ages.startTime("late", startedMs + 2'000 + offsetMs), startedMs + 2'000);
   clock.advance(5'000);
-  EXPECT_EQ(ages.startTime("late", begunMs + 2'000 + offsetMs), begunMs + 2'000)
+  EXPECT_EQ(ages.startTime("late", startedMs + 2'000 + offsetMs), startedMs + 2'000)
       << "it is told once more";
   EXPECT_EQ(ages.startTime("long ago", 0), std::nullopt);
 }
 
 // The machine that discovery takes its times from is set back.
-TEST(InstanceAges, WhatAppearsHasStartedSinceTheLastWordWhateverItIsToldWith) {
+TEST(InstanceAges, NewInstanceStartedAfterThePreviousMessageWhateverTimeIsReported) {
   core::ManualClock clock;
   InstanceAges ages(clock);
   const double upSinceMs = 1e12;
   ages.observeStart(upSinceMs);
   ages.startTime("a", upSinceMs);
   ages.onContact();
-  const double heardMs = clock.nowMs();
+  const double lastContactMs = clock.nowMs();
   clock.advance(2'000);
   ages.observeStart(upSinceMs - 3'600'000);
-  EXPECT_EQ(ages.startTime("b", upSinceMs - 3'600'000), heardMs);
-  EXPECT_EQ(ages.startTime("a", upSinceMs - 3'600'000), heardMs)
+  EXPECT_EQ(ages.startTime("b", upSinceMs - 3'600'000), lastContactMs);
+  EXPECT_EQ(ages.startTime("a", upSinceMs - 3'600'000), lastContactMs)
       << "another start time is a new start";
 }
 
 // ---- DiscoveryBackoff ---------------------------------------------------------------------------
 
 // When each node asks in vain, from the same moment on: tries of all in each tenth of a second.
-std::map<int, int> triesOf(int nodes, double forMs) {
-  std::map<int, int> tries;
+std::map<int, int> retriesPerTenth(int nodes, double durationMs) {
+  std::map<int, int> retries;
   for (int node = 0; node < nodes; ++node) {
     DiscoveryBackoff backoff(nodes, static_cast<std::uint64_t>(node));
-    for (double at = backoff.nextDelayMs(); at < forMs; at += backoff.nextDelayMs())
-      ++tries[static_cast<int>(at / 100)];
+    for (double atMs = backoff.nextDelayMs(); atMs < durationMs; atMs += backoff.nextDelayMs())
+      ++retries[static_cast<int>(atMs / 100)];
   }
-  return tries;
+  return retries;
 }
 
 // Guards against a fleet that keeps its discovery down by asking: a hundred nodes with a tenth of a
 // second each were 860 calls a second, and most got no list for as long as the day lasted.
-TEST(PaceOfAFleet, ManyNodesTogetherAskSeldomAndOutOfStep) {
+TEST(DiscoveryBackoff, LargeFleetRetriesRarelyAndSpreadOut) {
   for (const int nodes : {100, 300}) {
-    int late = 0;
-    for (const auto& [tenth, count] : triesOf(nodes, 60'000)) {
+    int retriesAfter20S = 0;
+    for (const auto& [tenth, count] : retriesPerTenth(nodes, 60'000)) {
       EXPECT_LE(count, 3 * nodes / 10) << nodes << " nodes, " << tenth << " tenths after the loss";
       if (tenth >= 200)
-        late += count;
+        retriesAfter20S += count;
     }
-    EXPECT_LE(late / 40.0, nodes / 1.7);  // a second; what 6 s until told allow, and no less often
-    EXPECT_GE(late / 40.0, nodes / 2.0);
+    EXPECT_LE(retriesAfter20S / 40.0,
+              nodes / 1.7);  // a second; what 6 s until told allow, and no less often
+    EXPECT_GE(retriesAfter20S / 40.0, nodes / 2.0);
   }
 }
 
 // Over random orders of calls that hang, are refused or break at any point: from the moment at
 // which discovery can be reached, the next call that begins is answered, and none begins later than
 // told counts allow.
-TEST(PaceOfAFleet, ANodeHearsWithinTheTimeAfterWhichItCountsAsTold) {
+TEST(DiscoveryBackoff, NodeIsUpdatedWithinTheDeliveryLimit) {
   std::mt19937_64 random(11);
-  const auto drawn = [&](double most) { return std::uniform_real_distribution<>(0, most)(random); };
-  double worst = 0;
+  const auto draw = [&](double max) { return std::uniform_real_distribution<>(0, max)(random); };
+  double worstMs = 0;
   for (int run = 0; run < 20'000; ++run) {
     DiscoveryBackoff backoff(run % 2 == 0 ? 3 : 300, random());
-    const double back =
-        drawn(30'000);  // from here on it can be reached, and has what is to be told
+    const double reachableMs =
+        draw(30'000);  // from here on it can be reached, and has what is to be told
     double now = 0;
     if (run % 3 == 0)
-      now = back + DiscoveryBackoff::kWatchTimeoutMs;  // an open watch fell silent just then
-    while (now <= back && run % 3 != 0) {
+      now = reachableMs + DiscoveryBackoff::kWatchTimeoutMs;  // an open watch fell silent just then
+    while (now <= reachableMs && run % 3 != 0) {
       // Begun before: it may hang to its limits although discovery is back meanwhile.
-      now += random() % 2 == 0 ? drawn(DiscoveryBackoff::kConnectTimeoutMs)
+      now += random() % 2 == 0 ? draw(DiscoveryBackoff::kConnectTimeoutMs)
                                : DiscoveryBackoff::kConnectTimeoutMs +
-                                     drawn(DiscoveryBackoff::kFirstByteTimeoutMs);
+                                     draw(DiscoveryBackoff::kFirstByteTimeoutMs);
       now += backoff.nextDelayMs();
     }
     if (run % 3 == 0)
       now += backoff.nextDelayMs();
-    worst = std::max(worst, now + DiscoveryBackoff::kCallTimeoutMs - back);
+    worstMs = std::max(worstMs, now + DiscoveryBackoff::kCallTimeoutMs - reachableMs);
   }
-  EXPECT_LE(worst, DiscoveryBackoff::kDeliveryLimitMs - DiscoveryBackoff::kMarginMs);
-  EXPECT_GE(worst, DiscoveryBackoff::kWorstHungCallMs * 0.9);  // the orders played come near it
+  EXPECT_LE(worstMs, DiscoveryBackoff::kDeliveryLimitMs - DiscoveryBackoff::kMarginMs);
+  EXPECT_GE(worstMs, DiscoveryBackoff::kWorstHungCallMs * 0.9);  // the orders played come near it
 }
 
-TEST(PaceOfAFleet, AFewNodesAskAtOnceAndGoOnAskingOften) {
+TEST(DiscoveryBackoff, SmallFleetRetriesSoonAndOften) {
   DiscoveryBackoff backoff(2, 7);
   EXPECT_LE(backoff.nextDelayMs(), 150);
   for (int i = 0; i < 50; ++i)
@@ -147,7 +148,7 @@
   return facts;
 }
 
-TEST(LifeOfAnInstance, GoesFromWarmingToDrainedAndComesBackCold) {
+TEST(InstanceLifecycle, PassesFromWarmingToDrainedAndReturnsWarming) {
   InstanceLifecycle lifecycle(/*cold=*/true, 0);
   EXPECT_EQ(lifecycle.state(), LifecycleState::kWarming);
   reconcile(lifecycle, listed(), 10);
@@ -166,7 +167,7 @@
   EXPECT_EQ(lifecycle.state(), LifecycleState::kWarming);
 }
 
-TEST(LifeOfAnInstance, ADrainOfAWarmingInstanceAndAnInstanceThatVanishesInMidDrain) {
+TEST(InstanceLifecycle, DrainOutlastsFailuresAndEndsWhenTheInstanceIsDelisted) {
   InstanceLifecycle lifecycle(true, 0);
   InstanceFacts facts = listed(false);
   facts.drainedBy = "list";
@@ -185,7 +186,7 @@
   EXPECT_EQ(lifecycle.state(), LifecycleState::kWarming);
 }
 
-TEST(LifeOfAnInstance, AvoidedAndUnreachableComeBackToWhatWasBefore) {
+TEST(InstanceLifecycle, ReturnsToThePreviousStateAfterFailures) {
   InstanceLifecycle lifecycle(true, 0);
   InstanceFacts facts = listed(false);
   facts.ejected = true;
@@ -198,7 +199,7 @@
   EXPECT_EQ(lifecycle.state(), LifecycleState::kWarming);
 }
 
-TEST(LifeOfAnInstance, WhatCannotFollowIsRejectedAndChangesNothing) {
+TEST(InstanceLifecycle, RejectsInvalidEventsWithoutAChange) {
   InstanceLifecycle lifecycle(false, 0);
   for (const LifecycleEvent event :
        {LifecycleEvent::kListed, LifecycleEvent::kWarm, LifecycleEvent::kIdle,
@@ -214,7 +215,7 @@
 
 // Whatever the facts do: the state is the one that they call for, and each change of it is one
 // revision or more.
-TEST(LifeOfAnInstance, FollowsWhateverHappens) {
+TEST(InstanceLifecycle, MatchesTheFactsForAnySequence) {
   rc::check([](const std::vector<unsigned char>& steps) {
     InstanceLifecycle lifecycle(true, 0);
     double now = 0;
@@ -262,24 +263,27 @@
   return {true, others, "write", 3};
 }
 
-DrainCommand command(const std::string& id, const std::string& by, bool drain, std::uint64_t seen) {
-  return {id, by, "box-1", drain, seen, std::nullopt, false};
+DrainCommand command(const std::string& id,
+                     const std::string& sender,
+                     bool drain,
+                     std::uint64_t revision) {
+  return {id, sender, "box-1", drain, revision, std::nullopt, false};
 }
 
-TEST(DrainCommands, OfTwoThatContradictOnOneRevisionOneWinsAndTheOtherIsTold) {
+TEST(Drains, OneOfTwoConflictingCommandsSucceedsAndTheOtherGetsTheState) {
   Drains drains;
   ASSERT_EQ(drains.handle(command("1", "maria", true, 0), instance(), 10).code, DrainCode::kDone);
   // Both have seen revision 1.
-  const auto won = drains.handle(command("2", "nikos", false, 1), instance(), 20);
-  const auto lost = drains.handle(command("2", "maria", true, 1), instance(), 21);
-  EXPECT_EQ(won.code, DrainCode::kDone);
-  EXPECT_EQ(lost.code, DrainCode::kConflict);
-  EXPECT_EQ(lost.state.setBy, "nikos");
-  EXPECT_FALSE(lost.state.drained);
+  const auto first = drains.handle(command("2", "nikos", false, 1), instance(), 20);
+  const auto second = drains.handle(command("2", "maria", true, 1), instance(), 21);
+  EXPECT_EQ(first.code, DrainCode::kDone);
+  EXPECT_EQ(second.code, DrainCode::kConflict);
+  EXPECT_EQ(second.state.setBy, "nikos");
+  EXPECT_FALSE(second.state.drained);
   EXPECT_EQ(drains.stateOf("box-1").revision, 2U);
 }
 
-TEST(DrainCommands, ARepeatIsAnsweredAsTheFirstTimeWhateverHappenedSince) {
+TEST(Drains, RepeatedCommandGetsTheFirstResponse) {
   Drains drains;
   const auto first = drains.handle(command("1", "maria", true, 0), instance(), 10);
   drains.handle(command("1", "nikos", false, 1), instance(), 20);
@@ -287,24 +291,24 @@
   EXPECT_FALSE(drains.stateOf("box-1").drained);
 }
 
-TEST(DrainCommands, TheLastOfItsRoleIsDrainedByForceAloneAndTheLossIsSaid) {
+TEST(Drains, LastInstanceOfARoleIsDrainedOnlyByForce) {
   Drains drains;
-  const auto refused = drains.handle(command("1", "maria", true, 0), instance(0), 10);
-  EXPECT_EQ(refused.code, DrainCode::kLastOfRole);
-  EXPECT_NE(refused.error.find("3 requests"), std::string::npos);
+  const auto rejected = drains.handle(command("1", "maria", true, 0), instance(0), 10);
+  EXPECT_EQ(rejected.code, DrainCode::kLastOfRole);
+  EXPECT_NE(rejected.error.find("3 requests"), std::string::npos);
   DrainCommand forced = command("2", "maria", true, 0);
   forced.force = true;
   EXPECT_EQ(drains.handle(forced, instance(0), 11).code, DrainCode::kDone);
 }
 
-TEST(DrainCommands, BadOnesAreNamedAndChangeNothing) {
+TEST(Drains, InvalidCommandsAreRejectedWithoutAChange) {
   Drains drains;
-  DrainCommand late = command("1", "maria", true, 0);
-  late.deadlineMs = 5;
-  EXPECT_EQ(drains.handle(late, instance(), 10).code, DrainCode::kBadCommand);
-  DrainCommand odd = command("2", "maria", false, 0);
-  odd.deadlineMs = 50;
-  EXPECT_EQ(drains.handle(odd, instance(), 10).code, DrainCode::kBadCommand);
+  DrainCommand pastDeadline = command("1", "maria", true, 0);
+  pastDeadline.deadlineMs = 5;
+  EXPECT_EQ(drains.handle(pastDeadline, instance(), 10).code, DrainCode::kBadCommand);
+  DrainCommand undrainWithDeadline = command("2", "maria", false, 0);
+  undrainWithDeadline.deadlineMs = 50;
+  EXPECT_EQ(drains.handle(undrainWithDeadline, instance(), 10).code, DrainCode::kBadCommand);
   EXPECT_EQ(drains.handle(command("", "maria", true, 0), instance(), 10).code,
             DrainCode::kBadCommand);
   EXPECT_EQ(drains.handle(command("3", "maria", true, 0), {}, 10).code,
@@ -314,7 +318,7 @@
   EXPECT_EQ(drains.stateOf("box-1"), DrainState{});
 }
 
-TEST(DrainCommands, ATimeToBeDoneByOnlyReports) {
+TEST(Drains, MissedDeadlineIsOnlyReported) {
   Drains drains;
   DrainCommand timed = command("1", "maria", true, 0);
   timed.deadlineMs = 100;
@@ -326,46 +330,46 @@
 
 // Two consoles, three instances, every interleaving that comes: a plain map is what the commands
 // that were done make of it.
-TEST(DrainCommands, EveryInterleavingIsWhatASimpleModelSays) {
+TEST(Drains, MatchesASimpleModelInAnyInterleaving) {
   rc::check([](const std::vector<std::tuple<unsigned char, unsigned char>>& steps) {
     Drains drains;
     std::map<std::string, std::pair<bool, std::uint64_t>> model;       // drained, revision
     std::map<std::string, std::map<std::string, std::uint64_t>> seen;  // by console and instance
-    std::map<std::string, std::pair<DrainCommand, DrainResponse>> answered;
+    std::map<std::string, std::pair<DrainCommand, DrainResponse>> responses;
     double now = 0;
     int ids = 0;
-    for (const auto& [what, which] : steps) {
+    for (const auto& [action, choice] : steps) {
       now += 1;
-      const std::string by = (what & 1) != 0 ? "maria" : "nikos";
-      const std::string name = "box-" + std::to_string(which % 3);
-      if (what % 5 == 0) {  // this console looks
-        seen[by][name] = drains.stateOf(name).revision;
+      const std::string sender = (action & 1) != 0 ? "maria" : "nikos";
+      const std::string name = "box-" + std::to_string(choice % 3);
+      if (action % 5 == 0) {  // this console looks
+        seen[sender][name] = drains.stateOf(name).revision;
         continue;
       }
-      if (what % 7 == 0 && !answered.empty()) {  // a line comes twice
-        const auto& [command, answer] =
-            std::next(answered.begin(), which % answered.size())->second;
-        RC_ASSERT(drains.handle(command, instance(), now) == answer);
+      if (action % 7 == 0 && !responses.empty()) {  // a line comes twice
+        const auto& [command, response] =
+            std::next(responses.begin(), choice % responses.size())->second;
+        RC_ASSERT(drains.handle(command, instance(), now) == response);
         continue;
       }
-      const DrainCommand command{std::to_string(++ids), by,           name, (what & 2) != 0,
-                                 seen[by][name],        std::nullopt, false};
-      const DrainResponse answer = drains.handle(command, instance(), now);
+      const DrainCommand command{std::to_string(++ids), sender,       name, (action & 2) != 0,
+                                 seen[sender][name],    std::nullopt, false};
+      const DrainResponse response = drains.handle(command, instance(), now);
       auto& [drained, revision] = model[name];
       if (command.expectedRevision != revision) {
-        RC_ASSERT(answer.code == DrainCode::kConflict);
+        RC_ASSERT(response.code == DrainCode::kConflict);
       } else {
-        RC_ASSERT(answer.code == DrainCode::kDone);
+        RC_ASSERT(response.code == DrainCode::kDone);
         if (drained != command.drain) {
           drained = command.drain;
           ++revision;
         }
       }
-      RC_ASSERT(answer.state.drained == drained);
-      RC_ASSERT(answer.state.revision == revision);
+      RC_ASSERT(response.state.drained == drained);
+      RC_ASSERT(response.state.revision == revision);
       RC_ASSERT(drains.stateOf(name).revision == revision);
       if (ids < 900)
-        answered[by + command.id] = {command, answer};
+        responses[sender + command.id] = {command, response};
     }
   });
 }
--- a/tests/shared_processes_test.cpp
+++ b/tests/shared_processes_test.cpp
@@ -18,7 +18,7 @@
 
 constexpr std::uint64_t kBudget = 40'000;
 
-json sharedFile(json& file) {
+json addSharedSection(json& file) {
   file["keys"] = {{{"key", "a"}, {"tenant", "attiki"}}, {{"key", "p"}, {"tenant", "patras"}}};
   file["models"] = {{"m", "member-questions"}, {"c", "membership-changes"}};
   file["settings"]["orgs"] = {{{"name", "attiki"}, {"share", 0.5}, {"allowancePerS", 1000.0}},
@@ -42,87 +42,87 @@
 }
 
 // What an instance did for one request, by its own log.
-struct Made {
-  std::string tenant, cls, mark;
+struct ExecutedRequest {
+  std::string tenant, requestClass, marker;
   std::uint64_t tokens;
 };
 
 // Clients that ask all the time, each question with a mark of its own, and keep what they were
 // answered.
 struct Clients {
-  Clients(RouterFleet& given, unsigned seed) : fleet(given), random(seed) {
+  Clients(RouterFleet& routerFleet, unsigned seed) : fleet(routerFleet), random(seed) {
     for (auto& [name, instance] : fleet.instances)
       instance->script = [this, name = name](StandInInstance&, StandInInstance::Taken& taken) {
-        if (silent.count(name) != 0)
+        if (silentInstances.count(name) != 0)
           return;
         const json body = json::parse(taken.body);
-        const std::string text = body["messages"][0]["content"];
-        const std::uint64_t prompt = 50, answer = 5 + random() % 40;
-        made.push_back({text.substr(0, text.find(' ')), body["model"],
-                        text.substr(text.find(' ') + 1, 8), prompt + answer});
+        const std::string content = body["messages"][0]["content"];
+        const std::uint64_t promptTokens = 50, answerTokens = 5 + random() % 40;
+        executed.push_back({content.substr(0, content.find(' ')), body["model"],
+                            content.substr(content.find(' ') + 1, 8), promptTokens + answerTokens});
         taken.connection->beginStream({{"Content-Type", "text/event-stream"}});
         taken.connection->pass(eventOf("yes"));
         taken.connection->pass(
             "data: "
             "{\"id\":\"c\",\"choices\":[{\"index\":0,\"delta\":{},\"finish_reason\":\"stop\"}]}\n\n"
             "data: {\"id\":\"c\",\"choices\":[],\"usage\":{\"prompt_tokens\":" +
-            std::to_string(prompt) + ",\"completion_tokens\":" + std::to_string(answer) +
-            "}}\n\ndata: [DONE]\n\n");
+            std::to_string(promptTokens) +
+            ",\"completion_tokens\":" + std::to_string(answerTokens) + "}}\n\ndata: [DONE]\n\n");
         taken.connection->endStream();
       };
   }
 
-  struct Asked {
+  struct OpenRequest {
     std::unique_ptr<RawPeer> peer;
-    RouterFleet::Node* at;
+    RouterFleet::Node* router;
     pid_t process;
-    std::string cls;
+    std::string requestClass;
   };
-  void ask(RouterFleet::Node& one, const std::string& tenant, const std::string& cls) {
-    char mark[16];
-    std::snprintf(mark, sizeof mark, "%08zu", ++count);
-    Asked asked{std::make_unique<RawPeer>(fleet.io), &one, one.process, cls};
+  void send(RouterFleet::Node& router, const std::string& tenant, const std::string& requestClass) {
+    char marker[16];
+    std::snprintf(marker, sizeof marker, "%08zu", ++sent);
+    OpenRequest request{std::make_unique<RawPeer>(fleet.io), &router, router.process, requestClass};
     const json body{
-        {"model", cls},
+        {"model", requestClass},
         {"max_tokens", 50},
         {"messages",
-         {{{"role", "user"}, {"content", tenant + " " + mark + std::string(180, 'x')}}}}};
+         {{{"role", "user"}, {"content", tenant + " " + marker + std::string(180, 'x')}}}}};
     try {
-      asked.peer->connect(one.listen);
-      asked.peer->write(
+      request.peer->connect(router.listen);
+      request.peer->write(
           messageText("POST /v1/chat/completions HTTP/1.1",
                       {{"Authorization", "Bearer " + tenant.substr(0, 1)}, {"Connection", "close"}},
                       body.dump()));
     } catch (const boost::system::system_error&) {
       return;  // it is down: nothing was taken
     }
-    open.push_back(std::move(asked));
+    open.push_back(std::move(request));
   }
   // For so long, at each router that runs, a question now and then.
-  void go(double ms) {
-    for (const double until = fleet.clock.nowMs() + ms; fleet.clock.nowMs() < until;) {
-      for (auto& one : fleet.all) {
-        if (one->process <= 0 || one->stopped || open.size() > 60 || random() % 3 != 0)
+  void run(double durationMs) {
+    for (const double endMs = fleet.clock.nowMs() + durationMs; fleet.clock.nowMs() < endMs;) {
+      for (auto& router : fleet.all) {
+        if (router->process <= 0 || router->stopped || open.size() > 60 || random() % 3 != 0)
           continue;
-        ask(*one, random() % 2 == 0 ? "attiki" : "patras", random() % 3 == 0 ? "c" : "m");
+        send(*router, random() % 2 == 0 ? "attiki" : "patras", random() % 3 == 0 ? "c" : "m");
       }
       fleet.rest(20);
       collect();
     }
   }
   void collect() {
-    std::erase_if(open, [this](Asked& asked) {
-      if (!asked.peer->ended())
+    std::erase_if(open, [this](OpenRequest& request) {
+      if (!request.peer->ended())
         return false;
-      const std::string& seen = asked.peer->seen;
-      const std::string status = seen.size() > 12 ? seen.substr(9, 3) : "none";
+      const std::string& received = request.peer->seen;
+      const std::string status = received.size() > 12 ? received.substr(9, 3) : "none";
       // A router that was killed answers nobody; every other answers once.
-      if (status == "none" && asked.process == asked.at->process)
+      if (status == "none" && request.process == request.router->process)
         ++unanswered;
-      if (seen.find("HTTP/1.1", 8) != std::string::npos)
-        ++twice;
-      ++answers[status];
-      if (seen.find("insufficient_quota") != std::string::npos)
+      if (received.find("HTTP/1.1", 8) != std::string::npos)
+        ++answeredTwice;
+      ++responses[status];
+      if (received.find("insufficient_quota") != std::string::npos)
         ++overBudget;
       return true;
     });
@@ -135,212 +135,215 @@
   }
   std::uint64_t tokensOf(const std::string& tenant) const {
     std::uint64_t sum = 0;
-    for (const Made& one : made)
-      sum += one.tenant == tenant ? one.tokens : 0;
+    for (const ExecutedRequest& request : executed)
+      sum += request.tenant == tenant ? request.tokens : 0;
     return sum;
   }
 
   RouterFleet& fleet;
   std::mt19937 random;
-  std::set<std::string> silent;
-  std::vector<Made> made;
-  std::vector<Asked> open;
-  std::map<std::string, int> answers;
-  std::size_t count = 0, unanswered = 0, twice = 0, overBudget = 0;
+  std::set<std::string> silentInstances;
+  std::vector<ExecutedRequest> executed;
+  std::vector<OpenRequest> open;
+  std::map<std::string, int> responses;
+  std::size_t sent = 0, unanswered = 0, answeredTwice = 0, overBudget = 0;
 };
 
-Digest decodeDigest(RouterFleet& fleet) {
+Digest readDigest(RouterFleet& fleet) {
   const auto text = fleet.store.value(kPrefix + "doc/digest");
   return text ? shared::decodeDigest(*text).digest.value_or(Digest{}) : Digest{};
 }
 
-std::uint64_t billed(RouterFleet& fleet, const std::string& tenant) {
+std::uint64_t billedTokens(RouterFleet& fleet, const std::string& tenant) {
   std::uint64_t sum = 0;
-  for (const auto& [key, counters] : decodeDigest(fleet).total)
+  for (const auto& [key, counters] : readDigest(fleet).total)
     sum += key.tenant == tenant ? counters.billed() : 0;
   return sum;
 }
 
-json sharedAt(RouterFleet& fleet, RouterFleet::Node& one) {
-  std::string text = callAdmin(fleet.io, one.door, "shared json");
+json sharedReport(RouterFleet& fleet, RouterFleet::Node& router) {
+  std::string text = callAdmin(fleet.io, router.door, "shared json");
   const std::size_t end = text.rfind("eof\n");
   return end == std::string::npos ? json{{"degree", "none"}, {"boxes", json::array()}}
                                   : json::parse(text.substr(0, end));
 }
 
-std::size_t leftOut(const json& said) {
-  std::size_t out = 0;
-  for (const json& instance : said["boxes"])
-    out += instance["standing"] == "out" || instance["standing"] == "trial" ||
-           instance["standing"] == "own_word";
-  return out;
+std::size_t countExcluded(const json& report) {
+  std::size_t excluded = 0;
+  for (const json& instance : report["boxes"])
+    excluded += instance["standing"] == "out" || instance["standing"] == "trial" ||
+                instance["standing"] == "own_word";
+  return excluded;
 }
 
-bool allAre(RouterFleet& fleet, const std::string& degree) {
+bool allHaveState(RouterFleet& fleet, const std::string& state) {
   return std::all_of(fleet.all.begin(), fleet.all.end(),
-                     [&](auto& one) { return sharedAt(fleet, *one)["degree"] == degree; });
+                     [&](auto& router) { return sharedReport(fleet, *router)["degree"] == state; });
 }
 
-class ManyConductorsShare : public ::testing::TestWithParam<std::pair<std::size_t, unsigned>> {};
+class SharedStateOfProcesses : public ::testing::TestWithParam<std::pair<std::size_t, unsigned>> {};
 
-TEST_P(ManyConductorsShare, KeepBudgetsBillsAndInstancesWhileAThirdHearsNothing) {
+TEST_P(SharedStateOfProcesses, HoldsUnderAPartitionASilentInstanceAndCrashes) {
   const auto [count, seed] = GetParam();
   std::cout << count << " conductors, seed " << seed << "\n";
   RouterFleet fleet(count, {"box-1", "box-2", "box-3"}, INFERENCE_ROUTER_PROGRAM, false,
-                    sharedFile);
+                    addSharedSection);
   ASSERT_TRUE(fleet.allReady()) << fleet.logs();
-  ASSERT_TRUE(waitFor(fleet.io, 60, [&] { return allAre(fleet, "connected"); })) << fleet.logs();
+  ASSERT_TRUE(waitFor(fleet.io, 60, [&] { return allHaveState(fleet, "connected"); }))
+      << fleet.logs();
   Clients clients(fleet, seed);
-  clients.go(2'000);
+  clients.run(2'000);
   // A third hears nothing, one of them only one way; an instance goes silent.
   for (std::size_t i = 0; i < count / 3; ++i)
     fleet.all[i]->link->set(i == 0 ? FaultLayer::Mode::kDeafUp : FaultLayer::Mode::kCut);
-  clients.silent.insert("box-2");
-  clients.go(3'000);
-  const auto judged = [&] {
+  clients.silentInstances.insert("box-2");
+  clients.run(3'000);
+  const auto allConnectedExcludeOne = [&] {
     for (std::size_t i = count / 3; i < count; ++i) {
-      const json said = sharedAt(fleet, *fleet.all[i]);
-      EXPECT_LE(leftOut(said), 1u) << said.dump();
-      if (leftOut(said) == 0)
+      const json report = sharedReport(fleet, *fleet.all[i]);
+      EXPECT_LE(countExcluded(report), 1u) << report.dump();
+      if (countExcluded(report) == 0)
         return false;
     }
     return true;
   };
   // At one moment: observations fade, so the digest may lack the votes of parts that come late.
-  const auto digestLeavesOut = [&](const std::string& instance) {
-    const Digest digest = decodeDigest(fleet);
+  const auto digestExcludes = [&](const std::string& instance) {
+    const Digest digest = readDigest(fleet);
     const auto found = digest.instances.find(instance);
     return found != digest.instances.end() && found->second.excluded;
   };
   EXPECT_TRUE(waitFor(fleet.io, 60,
                       [&] {
-                        clients.go(200);
-                        return judged() && digestLeavesOut("box-2");
+                        clients.run(200);
+                        return allConnectedExcludeOne() && digestExcludes("box-2");
                       }))
-      << decodeDigest(fleet).instances.size() << fleet.logs();
+      << readDigest(fleet).instances.size() << fleet.logs();
   EXPECT_TRUE(waitFor(fleet.io, 60, [&] {
-    clients.go(200);
+    clients.run(200);
     for (std::size_t i = 0; i < count / 3; ++i)
-      if (sharedAt(fleet, *fleet.all[i])["degree"] != "alone")
+      if (sharedReport(fleet, *fleet.all[i])["degree"] != "alone")
         return false;
     return true;
   }));
-  clients.silent.clear();
-  for (auto& one : fleet.all)
-    one->link->set(FaultLayer::Mode::kPass);
-  clients.go(2'000);
+  clients.silentInstances.clear();
+  for (auto& router : fleet.all)
+    router->link->set(FaultLayer::Mode::kPass);
+  clients.run(2'000);
   clients.finish();
-  ASSERT_TRUE(waitFor(fleet.io, 60, [&] { return allAre(fleet, "connected"); })) << fleet.logs();
+  ASSERT_TRUE(waitFor(fleet.io, 60, [&] { return allHaveState(fleet, "connected"); }))
+      << fleet.logs();
   // Nobody died: once all have said their word, the bill is what the instances made, to the token.
   EXPECT_TRUE(waitFor(fleet.io, 60,
                       [&] {
-                        return billed(fleet, "attiki") == clients.tokensOf("attiki") &&
-                               billed(fleet, "patras") == clients.tokensOf("patras");
+                        return billedTokens(fleet, "attiki") == clients.tokensOf("attiki") &&
+                               billedTokens(fleet, "patras") == clients.tokensOf("patras");
                       }))
-      << billed(fleet, "attiki") << " of " << clients.tokensOf("attiki") << ", "
-      << billed(fleet, "patras") << " of " << clients.tokensOf("patras") << "\n"
+      << billedTokens(fleet, "attiki") << " of " << clients.tokensOf("attiki") << ", "
+      << billedTokens(fleet, "patras") << " of " << clients.tokensOf("patras") << "\n"
       << fleet.logs();
   // The instance comes back by a trial.
   EXPECT_TRUE(waitFor(fleet.io, 60, [&] {
-    clients.go(200);
-    const auto instances = decodeDigest(fleet).instances;
+    clients.run(200);
+    const auto instances = readDigest(fleet).instances;
     return instances.count("box-2") == 0 || !instances.at("box-2").excluded;
   }));
   // A wave: most die at once, under way, and start anew. And on until the budget is used up.
   for (std::size_t i = 0; i + 2 < count; ++i)
     fleet.kill(*fleet.all[i]);
-  clients.go(300);
+  clients.run(300);
   for (std::size_t i = 0; i + 2 < count; ++i)
     fleet.start(*fleet.all[i]);
   ASSERT_TRUE(waitFor(fleet.io, 60, [&] {
-    clients.go(500);
-    return decodeDigest(fleet).budgets.at("attiki").available == 0 && clients.overBudget > 20;
+    clients.run(500);
+    return readDigest(fleet).budgets.at("attiki").available == 0 && clients.overBudget > 20;
   })) << clients.tokensOf("attiki");
-  clients.go(3'000);
+  clients.run(3'000);
   clients.finish();
-  const std::uint64_t made = clients.tokensOf("attiki");
-  EXPECT_LE(made, kBudget) << "no budget is exceeded, by what the boxes made";
+  const std::uint64_t executedTokens = clients.tokensOf("attiki");
+  EXPECT_LE(executedTokens, kBudget) << "no budget is exceeded, by what the boxes made";
   // All that was made is accounted for: what lives has said it, what died is charged for all that
   // it may have used.
   EXPECT_TRUE(waitFor(fleet.io, 60, [&] {
-    const Digest digest = decodeDigest(fleet);
-    std::uint64_t known = digest.budgets.at("attiki").charged;
+    const Digest digest = readDigest(fleet);
+    std::uint64_t accounted = digest.budgets.at("attiki").charged;
     for (const auto& [origin, lent] : digest.budgets.at("attiki").lent) {
       Part part;
       part.origin = origin;
       const auto text = fleet.store.value(kPrefix + "doc/" + part.key());
       const auto own = text ? decodePart(*text).part : std::nullopt;
       if (own && own->spends.count("attiki") != 0)
-        known += own->spends.at("attiki").spent;
+        accounted += own->spends.at("attiki").spent;
     }
-    return known >= made && known <= kBudget;
+    return accounted >= executedTokens && accounted <= kBudget;
   }));
-  EXPECT_LE(billed(fleet, "attiki"), made);
+  EXPECT_LE(billedTokens(fleet, "attiki"), executedTokens);
   std::map<std::string, int> changes;
-  for (const Made& one : clients.made)
-    if (one.cls == "c")
-      ++changes[one.mark];
-  for (const auto& [mark, times] : changes)
-    EXPECT_EQ(times, 1) << "change " << mark << " ran more than once";
+  for (const ExecutedRequest& request : clients.executed)
+    if (request.requestClass == "c")
+      ++changes[request.marker];
+  for (const auto& [marker, executions] : changes)
+    EXPECT_EQ(executions, 1) << "change " << marker << " ran more than once";
   EXPECT_EQ(clients.unanswered, 0u);
-  EXPECT_EQ(clients.twice, 0u);
-  std::cout << clients.count << " asked, " << clients.made.size() << " made; attiki " << made
-            << " of " << kBudget << ", billed " << billed(fleet, "attiki") << ", "
-            << clients.overBudget << " refused for the budget\n";
+  EXPECT_EQ(clients.answeredTwice, 0u);
+  std::cout << clients.sent << " asked, " << clients.executed.size() << " made; attiki "
+            << executedTokens << " of " << kBudget << ", billed " << billedTokens(fleet, "attiki")
+            << ", " << clients.overBudget << " refused for the budget\n";
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds,
-                         ManyConductorsShare,
+                         SharedStateOfProcesses,
                          ::testing::Values(std::pair(std::size_t(6), 1U),
                                            std::pair(std::size_t(12), 2U)));
 
 // SIGTERM: what is not in use goes back, and the last word is said before the end.
-TEST(AConductorThatEnds, GivesBackWhatItWasLent) {
-  RouterFleet fleet(3, {"box-1"}, INFERENCE_ROUTER_PROGRAM, false, sharedFile);
-  ASSERT_TRUE(waitFor(fleet.io, 60, [&] { return allAre(fleet, "connected"); })) << fleet.logs();
+TEST(RouterShutdown, ReturnsUnusedLoans) {
+  RouterFleet fleet(3, {"box-1"}, INFERENCE_ROUTER_PROGRAM, false, addSharedSection);
+  ASSERT_TRUE(waitFor(fleet.io, 60, [&] { return allHaveState(fleet, "connected"); }))
+      << fleet.logs();
   Clients clients(fleet, 1);
-  clients.go(3'000);
+  clients.run(3'000);
   clients.finish();
   const std::string text = callAdmin(fleet.io, fleet.all[0]->door, "shared");
   EXPECT_NE(text.find("budget attiki limit=40000"), std::string::npos) << text;
-  const Origin first{fleet.all[0]->name, sharedAt(fleet, *fleet.all[0])["incarnation"]};
+  const Origin first{fleet.all[0]->name, sharedReport(fleet, *fleet.all[0])["incarnation"]};
   fleet.signal(*fleet.all[0], SIGTERM);
   int status = -1;
   ASSERT_TRUE(waitFor(fleet.io, 30, [&] {
     return ::waitpid(fleet.all[0]->process, &status, WNOHANG) == fleet.all[0]->process;
   }));
   fleet.all[0]->process = -1;
-  EXPECT_TRUE(waitFor(fleet.io, 60, [&] { return decodeDigest(fleet).foldedOf(first) != nullptr; }))
+  EXPECT_TRUE(waitFor(fleet.io, 60, [&] { return readDigest(fleet).foldedOf(first) != nullptr; }))
       << fleet.logs();
-  EXPECT_EQ(billed(fleet, "attiki"), clients.tokensOf("attiki"));
-  EXPECT_EQ(billed(fleet, "patras"), clients.tokensOf("patras"));
+  EXPECT_EQ(billedTokens(fleet, "attiki"), clients.tokensOf("attiki"));
+  EXPECT_EQ(billedTokens(fleet, "patras"), clients.tokensOf("patras"));
   // Charged is what it spent: the rest of its loan went back.
-  std::uint64_t spent = decodeDigest(fleet).budgets.at("attiki").charged;
+  std::uint64_t spent = readDigest(fleet).budgets.at("attiki").charged;
   EXPECT_LE(spent, clients.tokensOf("attiki"));
 }
 
 // SIGHUP takes over another budget; a file that cannot be used leaves the old one.
-TEST(AChangedBudget, IsTakenOverAndABadFileIsNot) {
-  RouterFleet fleet(1, {"box-1"}, INFERENCE_ROUTER_PROGRAM, false, sharedFile);
-  RouterFleet::Node& one = *fleet.all[0];
+TEST(ReloadedBudget, IsAppliedUnlessTheFileIsInvalid) {
+  RouterFleet fleet(1, {"box-1"}, INFERENCE_ROUTER_PROGRAM, false, addSharedSection);
+  RouterFleet::Node& router = *fleet.all[0];
   const auto limit = [&] {
-    return decodeDigest(fleet).budgets.count("attiki") == 0
+    return readDigest(fleet).budgets.count("attiki") == 0
                ? 0
-               : decodeDigest(fleet).budgets.at("attiki").limit;
+               : readDigest(fleet).budgets.at("attiki").limit;
   };
   ASSERT_TRUE(waitFor(fleet.io, 60, [&] { return limit() == kBudget; })) << fleet.logs();
-  const auto rewrite = [&](const json& budget) {
-    json file = fleet.fileOf(one);
+  const auto reloadWithBudget = [&](const json& budget) {
+    json file = fleet.fileOf(router);
     file["shared"]["budgets"]["attiki"] = budget;
-    std::ofstream(one.file) << file.dump();
-    fleet.signal(one, SIGHUP);
+    std::ofstream(router.file) << file.dump();
+    fleet.signal(router, SIGHUP);
   };
-  rewrite(-5);
+  reloadWithBudget(-5);
   ASSERT_TRUE(waitFor(fleet.io, 60, [&] {
     return fleet.logs().find("shared.budgets.attiki is not a whole number") != std::string::npos;
   })) << fleet.logs();
   EXPECT_EQ(limit(), kBudget);
-  rewrite(7'000);
+  reloadWithBudget(7'000);
   EXPECT_TRUE(waitFor(fleet.io, 60, [&] { return limit() == 7'000u; })) << fleet.logs();
 }
 
--- a/tests/shared_test.cpp
+++ b/tests/shared_test.cpp
@@ -3,7 +3,7 @@
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
-#include "support/shared_world.h"
+#include "support/simulated_fleet.h"
 
 namespace inference_router {
 namespace {
@@ -11,7 +11,7 @@
 // ---- Properties
 // ----------------------------------------------------------------------------------------
 
-UsageTable drawnUsage() {
+UsageTable drawUsage() {
   UsageTable usage;
   const auto count = *rc::gen::inRange(0, 4);
   for (int i = 0; i < count; ++i) {
@@ -28,110 +28,110 @@
   return usage;
 }
 
-TEST(Merging, IsTheSameInAnyOrderRepeatedOrLate) {
+TEST(FleetUsage, TotalIsTheSameForReportsInAnyOrderRepeatedOrLate) {
   EXPECT_TRUE(rc::check([] {
     // Words of three processes, each growing; delivered in a drawn order, some of them twice, some
     // never but the last of each at least once.
-    std::vector<std::pair<Origin, UsageTable>> words;
+    std::vector<std::pair<Origin, UsageTable>> reports;
     UsageTable sum;
     for (std::uint64_t node = 0; node < 3; ++node) {
-      UsageTable now;
+      UsageTable usage;
       const int count = *rc::gen::inRange(1, 5);
       for (int i = 0; i < count; ++i) {
-        addUsage(now, drawnUsage());
-        words.emplace_back(Origin{"n", node}, now);
+        addUsage(usage, drawUsage());
+        reports.emplace_back(Origin{"n", node}, usage);
         if (i + 1 < count && *rc::gen::inRange(0, 3) == 0)
-          words.pop_back();
+          reports.pop_back();
       }
-      addUsage(sum, now);
+      addUsage(sum, usage);
     }
-    const std::size_t kept = words.size();
-    for (std::size_t i = 0; i < kept; ++i)
+    const std::size_t distinct = reports.size();
+    for (std::size_t i = 0; i < distinct; ++i)
       if (*rc::gen::inRange(0, 2) == 0)
-        words.push_back(words[i]);
-    FleetUsage counts, other;
-    std::mt19937 order(*rc::gen::arbitrary<unsigned>());
-    std::shuffle(words.begin(), words.end(), order);
-    for (const auto& [origin, usage] : words)
-      counts.merge(origin, usage);
-    std::shuffle(words.begin(), words.end(), order);
-    for (const auto& [origin, usage] : words)
-      other.merge(origin, usage);
-    RC_ASSERT(counts.total() == sum);
-    RC_ASSERT(other.total() == sum);
+        reports.push_back(reports[i]);
+    FleetUsage first, second;
+    std::mt19937 generator(*rc::gen::arbitrary<unsigned>());
+    std::shuffle(reports.begin(), reports.end(), generator);
+    for (const auto& [origin, usage] : reports)
+      first.merge(origin, usage);
+    std::shuffle(reports.begin(), reports.end(), generator);
+    for (const auto& [origin, usage] : reports)
+      second.merge(origin, usage);
+    RC_ASSERT(first.total() == sum);
+    RC_ASSERT(second.total() == sum);
     // Folded, in any order, once and once more, the sum stays.
     for (const std::uint64_t node : {1, 0, 1})
-      counts.fold({"n", node});
-    RC_ASSERT(counts.total() == sum);
+      first.fold({"n", node});
+    RC_ASSERT(first.total() == sum);
   }));
 }
 
 // Adding up what comes, as a merge without memory would, counts what comes twice twice: the
 // property above is one that can fail.
-TEST(Merging, WithoutMemoryIsFoundOut) {
+TEST(FleetUsage, AddingRepeatedReportsIsDetected) {
   UsageTable part, naive;
   part[{"t", "c"}].served = 2;
-  FleetUsage counts;
+  FleetUsage merged;
   for (int i = 0; i < 2; ++i) {
-    counts.merge({"n", 1}, part);
+    merged.merge({"n", 1}, part);
     addUsage(naive, part);
   }
-  EXPECT_EQ(counts.total(), part);
+  EXPECT_EQ(merged.total(), part);
   EXPECT_NE(naive, part);
 }
 
-TEST(Lending, NeverExceedsTheBudgetAndWhatIsOutAndLeftAddUp) {
+TEST(BudgetLine, NeverExceedsTheLimitAndItsAmountsAddUp) {
   EXPECT_TRUE(rc::check([] {
     BudgetLine line;
     line.limit = *rc::gen::inRange<std::uint64_t>(0, 10'000);
-    std::map<Origin, Spend> words;
+    std::map<Origin, Spend> spends;
     const auto nodes = *rc::gen::inRange<std::uint64_t>(1, 6);
     for (int round = 0; round < 12; ++round) {
-      const Origin who{"n", *rc::gen::inRange<std::uint64_t>(0, nodes)};
-      Spend& word = words[who];
-      const auto lent = line.lent.find(who);
-      const std::uint64_t has = lent == line.lent.end() ? 0 : lent->second;
+      const Origin borrower{"n", *rc::gen::inRange<std::uint64_t>(0, nodes)};
+      Spend& spend = spends[borrower];
+      const auto lent = line.lent.find(borrower);
+      const std::uint64_t lentTokens = lent == line.lent.end() ? 0 : lent->second;
       switch (*rc::gen::inRange(0, 5)) {
         case 0:  // it wants more
-          word.requestedLoan = *rc::gen::inRange<std::uint64_t>(0, 12'000);
+          spend.requestedLoan = *rc::gen::inRange<std::uint64_t>(0, 12'000);
           break;
         case 1:  // it hears, and sets its ceiling within
-          word.lentSeen = has;
-          word.ceiling =
-              *rc::gen::inRange<std::uint64_t>(word.spent + word.reserved, has - word.returned + 1);
+          spend.lentSeen = lentTokens;
+          spend.ceiling = *rc::gen::inRange<std::uint64_t>(spend.spent + spend.reserved,
+                                                           lentTokens - spend.returned + 1);
           break;
         case 2:  // it spends below it
-          word.spent = *rc::gen::inRange<std::uint64_t>(word.spent, word.ceiling + 1);
+          spend.spent = *rc::gen::inRange<std::uint64_t>(spend.spent, spend.ceiling + 1);
           break;
         case 3:  // it gives back what is not in use
-          if (word.lentSeen > 0) {
-            word.ceiling = word.spent;
-            word.returned = word.lentSeen - word.spent;
+          if (spend.lentSeen > 0) {
+            spend.ceiling = spend.spent;
+            spend.returned = spend.lentSeen - spend.spent;
           }
           break;
         default: {  // it is taken for gone, and what it had is told of later
           const std::uint64_t before = line.charged;
-          charge(line, who, word);
+          charge(line, borrower, spend);
           const std::uint64_t charged = line.charged - before;
-          RC_ASSERT(charged >= word.spent);
+          RC_ASSERT(charged >= spend.spent);
           if (*rc::gen::inRange(0, 2) == 0)
-            refund(line, charged, word.spent);
-          words.erase(who);
+            refund(line, charged, spend.spent);
+          spends.erase(borrower);
         }
       }
-      const std::uint64_t left = availableOf(line, words);
-      RC_ASSERT(line.charged + outstandingOf(line, words) + left == line.limit);
-      lend(line, words);
-      RC_ASSERT(line.charged + outstandingOf(line, words) <= line.limit);
+      const std::uint64_t available = availableOf(line, spends);
+      RC_ASSERT(line.charged + outstandingOf(line, spends) + available == line.limit);
+      lend(line, spends);
+      RC_ASSERT(line.charged + outstandingOf(line, spends) <= line.limit);
       std::uint64_t spent = line.charged;
-      for (const auto& [origin, spend] : words)
-        spent += spend.spent;
+      for (const auto& [origin, reported] : spends)
+        spent += reported.spent;
       RC_ASSERT(spent <= line.limit);
     }
   }));
 }
 
-TEST(Fading, OnlyEverTakesAway) {
+TEST(LocalObservations, DecayNeverIncreasesEvidence) {
   EXPECT_TRUE(rc::check([] {
     const ObservationConfig config;
     LocalObservations observations(config);
@@ -143,69 +143,69 @@
       else
         observations.recordFailure("b", FailureKind::kError, now);
     }
-    const auto said = observations.snapshot(now);
-    const HealthObservation at = said.empty() ? HealthObservation{} : said.at("b");
-    double before = at.failures, beforeGood = at.successes;
-    for (double by = 0; by < 60'000; by += *rc::gen::inRange(1, 9000)) {
-      const HealthObservation later = decayed(at, by, config);
-      RC_ASSERT(later.failures <= before);
-      RC_ASSERT(later.successes <= beforeGood);
+    const auto snapshot = observations.snapshot(now);
+    const HealthObservation initial = snapshot.empty() ? HealthObservation{} : snapshot.at("b");
+    double failures = initial.failures, successes = initial.successes;
+    for (double byMs = 0; byMs < 60'000; byMs += *rc::gen::inRange(1, 9000)) {
+      const HealthObservation later = decayed(initial, byMs, config);
+      RC_ASSERT(later.failures <= failures);
+      RC_ASSERT(later.successes <= successes);
       RC_ASSERT(std::abs(later.failures -
-                         (observations.snapshot(now + by).empty()
+                         (observations.snapshot(now + byMs).empty()
                               ? later.failures
-                              : observations.snapshot(now + by).at("b").failures)) < 1e-9);
-      before = later.failures;
-      beforeGood = later.successes;
+                              : observations.snapshot(now + byMs).at("b").failures)) < 1e-9);
+      failures = later.failures;
+      successes = later.successes;
     }
   }));
 }
 
-TEST(TheBoundOfHearsay, HoldsForAnySizeAndShare) {
+TEST(MaxExcluded, StaysWithinTheShareAndLeavesAnInstance) {
   EXPECT_TRUE(rc::check([] {
     const auto instances = *rc::gen::inRange<std::size_t>(0, 200);
     const double share = *rc::gen::inRange(0, 101) / 100.0;
-    const std::size_t most = maxExcluded(instances, share);
-    RC_ASSERT(static_cast<double>(most) <= static_cast<double>(instances) * share + 1e-6);
-    RC_ASSERT(instances == 0 || most < instances);
+    const std::size_t excluded = maxExcluded(instances, share);
+    RC_ASSERT(static_cast<double>(excluded) <= static_cast<double>(instances) * share + 1e-6);
+    RC_ASSERT(instances == 0 || excluded < instances);
   }));
 }
 
 // ---- Degrees of hearing
 // --------------------------------------------------------------------------------
 
-TEST(HearingOfTheOthers, IsLostAndFoundBothWaysWithAMargin) {
+TEST(Connectivity, NeedsReadsAndWritesAndChangesWithHysteresis) {
   Connectivity connectivity({3'000, 10'000, 0}, 1, 0);
   EXPECT_EQ(connectivity.state(), ConnectivityState::kRejoining);
-  std::uint64_t word = 0;
+  std::uint64_t sequence = 0;
   double now = 0;
-  const auto live = [&](double until, bool reads, bool writes) {
-    for (; now < until; now += 500) {
+  const auto advance = [&](double untilMs, bool reads, bool writes) {
+    for (; now < untilMs; now += 500) {
       if (writes)
-        connectivity.onReportAccepted(++word, now);
+        connectivity.onReportAccepted(++sequence, now);
       if (reads)
-        connectivity.onDigest(writes ? word : 0, now);
+        connectivity.onDigest(writes ? sequence : 0, now);
       connectivity.tick(now);
     }
   };
-  live(2'000, true, true);
+  advance(2'000, true, true);
   EXPECT_EQ(connectivity.state(), ConnectivityState::kConnected);
-  live(5'500, true, false);
+  advance(5'500, true, false);
   EXPECT_EQ(connectivity.state(), ConnectivityState::kDelayed)
       << "it reads, and its own word is not taken";
-  live(13'000, true, false);
+  advance(13'000, true, false);
   EXPECT_EQ(connectivity.state(), ConnectivityState::kIsolated);
-  connectivity.onReportAccepted(++word, now);
-  connectivity.onDigest(word - 1, now);
+  connectivity.onReportAccepted(++sequence, now);
+  connectivity.onDigest(sequence - 1, now);
   EXPECT_EQ(connectivity.state(), ConnectivityState::kRejoining)
       << "its new word is in no digest yet";
-  connectivity.onReportAccepted(++word, now += 100);
-  connectivity.onDigest(word, now);
+  connectivity.onReportAccepted(++sequence, now += 100);
+  connectivity.onDigest(sequence, now);
   EXPECT_EQ(connectivity.state(), ConnectivityState::kConnected);
-  live(now + 3'500, false, true);
+  advance(now + 3'500, false, true);
   EXPECT_EQ(connectivity.state(), ConnectivityState::kDelayed);
 }
 
-TEST(HearingOfTheOthers, IsLostAtMomentsThatAreSpread) {
+TEST(Connectivity, RoutersBecomeIsolatedAtDifferentTimes) {
   std::set<double> moments;
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     Connectivity connectivity({3'000, 10'000, 0.2}, seed, 0);
@@ -222,7 +222,7 @@
 // ---- What lies in the store
 // ----------------------------------------------------------------------------
 
-Part somePart() {
+Part samplePart() {
   Part part;
   part.origin = {"c1", 17};
   part.sequence = 3;
@@ -235,13 +235,13 @@
   return part;
 }
 
-TEST(WordsInTheStore, ComeBackAsTheyWereAndDamageIsNeverBelieved) {
-  const std::string text = encode(somePart());
-  const auto back = decodePart(text).part;
-  ASSERT_TRUE(back);
-  EXPECT_EQ(encode(*back), text);
-  EXPECT_EQ(back->spends.at("attiki"), (Spend{10, 20, 50, 100, 5, 70}));
-  EXPECT_EQ(back->finalUsage, somePart().finalUsage);
+TEST(PartCodec, RoundTripsAndRejectsDamagedText) {
+  const std::string text = encode(samplePart());
+  const auto decoded = decodePart(text).part;
+  ASSERT_TRUE(decoded);
+  EXPECT_EQ(encode(*decoded), text);
+  EXPECT_EQ(decoded->spends.at("attiki"), (Spend{10, 20, 50, 100, 5, 70}));
+  EXPECT_EQ(decoded->finalUsage, samplePart().finalUsage);
   for (std::size_t i = 0; i < text.size(); ++i) {
     std::string damaged = text;
     damaged[i] = static_cast<char>(damaged[i] ^ 0x01);
@@ -254,18 +254,18 @@
   std::string later = text;
   later.replace(later.find("/1 "), 3, "/2 ");
   EXPECT_EQ(decodePart(later).error, DecodeError::kUnsupportedVersion);
-  Part huge = somePart();
+  Part huge = samplePart();
   huge.spends["attiki"].spent = kMaxTokens + 1;
   EXPECT_EQ(decodePart(encode(huge)).error, DecodeError::kBeyondBounds);
-  Part nameless = somePart();
+  Part nameless = samplePart();
   nameless.origin.name = "";
   EXPECT_EQ(decodePart(encode(nameless)).error, DecodeError::kBeyondBounds);
-  Part negative = somePart();
+  Part negative = samplePart();
   negative.observations["b"].failures = -1;
   EXPECT_EQ(decodePart(encode(negative)).error, DecodeError::kBeyondBounds);
 }
 
-TEST(WordsInTheStore, KeepFieldsOfALaterProgram) {
+TEST(DigestCodec, RetainsUnknownFields) {
   Digest digest;
   digest.sequence = 5;
   digest.liveNodes[{"c1", 17}] = 3;
@@ -278,26 +278,26 @@
   digest.folded.push_back(folded);
   digest.instances["b"] = {3, 1, true, FailureKind::kSlow, 4.5, 2};
   digest.unknown["weather"] = "fair";
-  const auto back = decodeDigest(encode(digest)).digest;
-  ASSERT_TRUE(back);
-  EXPECT_EQ(back->unknown, digest.unknown);
-  EXPECT_EQ(back->budgets, digest.budgets);
-  EXPECT_EQ(back->folded, digest.folded);
-  EXPECT_EQ(back->instances, digest.instances);
-  EXPECT_EQ(back->liveNodes, digest.liveNodes);
+  const auto decoded = decodeDigest(encode(digest)).digest;
+  ASSERT_TRUE(decoded);
+  EXPECT_EQ(decoded->unknown, digest.unknown);
+  EXPECT_EQ(decoded->budgets, digest.budgets);
+  EXPECT_EQ(decoded->folded, digest.folded);
+  EXPECT_EQ(decoded->instances, digest.instances);
+  EXPECT_EQ(decoded->liveNodes, digest.liveNodes);
 }
 
 // What stands under others' names, damaged, of another version, or counting backwards: not
 // believed, counted once, and the others go on.
-TEST(AHolder, BelievesNothingThatIsForeignDamagedOrCountsBackwards) {
-  SharedConfig config = SharedWorld::worldConfig();
+TEST(DigestTask, RejectsInvalidPartsAndDecreasedCounters) {
+  SharedConfig config = SimulatedFleet::fastConfig();
   DigestTask task(
       {"digest", 500, 300}, [&] { return config; }, [] { return 1.7e12; });
   coordination::View view;
   const auto put = [&](const std::string& key, const std::string& value) {
     view.documents[key] = {value, ++view.revision};
   };
-  Part good = somePart();
+  Part good = samplePart();
   good.finalUsage.reset();
   put(good.key(), encode(good));
   put("part/c9/1", encode(good));
@@ -331,11 +331,11 @@
 }
 
 // One clock that is off changes no period among three; and a period never goes back.
-TEST(AHolder, TurnsThePeriodByTheClockInTheMiddle) {
-  SharedConfig config = SharedWorld::worldConfig();
-  double unix = 1'000'000;
+TEST(DigestTask, DerivesThePeriodFromTheMedianClock) {
+  SharedConfig config = SimulatedFleet::fastConfig();
+  double unixMs = 1'000'000;
   DigestTask task(
-      {"digest", 500, 300}, [&] { return config; }, [&] { return unix; });
+      {"digest", 500, 300}, [&] { return config; }, [&] { return unixMs; });
   coordination::View view;
   const auto put = [&](const std::string& key, const std::string& value) {
     view.documents[key] = {value, ++view.revision};
@@ -352,12 +352,12 @@
     put(part.key(), encode(part));
   }
   EXPECT_EQ(next(0), 960'000u);
-  unix = 9'000'000;  // the holder's own clock is set wrong
+  unixMs = 9'000'000;  // the holder's own clock is set wrong
   EXPECT_EQ(next(1000), 960'000u);
   view.documents.erase("part/c1/1");
   view.documents.erase("part/c2/2");
   EXPECT_EQ(next(2000), 9'000'000u) << "alone, it has no other";
-  unix = 1'000'000;
+  unixMs = 1'000'000;
   EXPECT_EQ(next(3000), 9'000'000u) << "a period never goes back";
 }
 
