--- a/src/fleet/discovery_backoff.h
+++ b/src/fleet/discovery_backoff.h
@@ -1,16 +1,21 @@
 /// Timeouts of the watch on discovery, and the backoff between retries. No I/O; times in
 /// milliseconds.
 ///
-/// A change counts as delivered kDeliveryLimitMs after discovery had it and was reachable, whatever
-/// failed before. The timeouts therefore add up to less in the worst order of events:
+/// Every change has to be delivered within kDeliveryLimitMs of the moment at which discovery has it
+/// and is reachable, whatever failed before. The timeouts therefore add up to less than that in the
+/// worst sequences of events:
 ///
-///   the watch falls silent as something changes:  kWatchTimeoutMs + initial delay + kCallTimeoutMs
-///   a call hangs as discovery comes back:         kCallTimeoutMs + longest delay + kCallTimeoutMs
-///   half a line, then nothing:                    as a silent watch, from the last byte on
-///   discovery moves to another address (4 s):     kCallTimeoutMs + initial delay + kCallTimeoutMs
+///   the watch stops responding as a change occurs:
+///       kWatchTimeoutMs + initial delay + kCallTimeoutMs
+///   the watch stops in the middle of a line:
+///       the same, counted from the last byte
+///   a call hangs while discovery recovers:
+///       kCallTimeoutMs + longest delay + kCallTimeoutMs
+///   discovery moves to another address, which allows 4 s:
+///       kCallTimeoutMs + initial delay + kCallTimeoutMs
 ///
-/// These sums are kWorstSilentWatchMs, kWorstHungCallMs and kWorstMoveMs; tests play the orders.
-/// Data on the watch resets the backoff.
+/// These sums are kWorstSilentWatchMs, kWorstHungCallMs and kWorstMoveMs. Data on the watch resets
+/// the backoff.
 ///
 /// Many nodes that retry quickly can keep an overloaded discovery down. The delays therefore double
 /// with each failure up to kMaxMs, are jittered, and start longer in a larger fleet.
@@ -25,15 +30,15 @@
 /// The delay before the next retry. One object per watch.
 class DiscoveryBackoff {
  public:
-  static constexpr double kDeliveryLimitMs = 6'000;  ///< kept free for scheduling delays
-  static constexpr double kMarginMs = 300;
+  static constexpr double kDeliveryLimitMs = 6'000;
+  static constexpr double kMarginMs = 300;          ///< of the limits, for scheduling delays
   static constexpr double kWatchTimeoutMs = 2'600;  ///< discovery sends an empty line every 2 s
   static constexpr double kConnectTimeoutMs = 500;
-  static constexpr double kFirstByteTimeoutMs =
-      1'000;                                    ///< discovery sends its state when a watch opens
-  static constexpr double kJitterShare = 0.5;   ///< of the mean delay, to either side
-  static constexpr double kMaxInitialMs = 460;  ///< bound of the initial mean delay
-  static constexpr double kMaxMs = 1'800;       ///< bound of any mean delay
+  /// Discovery sends its state when a watch opens.
+  static constexpr double kFirstByteTimeoutMs = 1'000;
+  static constexpr double kJitterShare = 0.5;   ///< of the mean delay, in both directions
+  static constexpr double kMaxInitialMs = 460;  ///< upper bound of the initial mean delay
+  static constexpr double kMaxMs = 1'800;       ///< upper bound of every mean delay
 
   static constexpr double kCallTimeoutMs = kConnectTimeoutMs + kFirstByteTimeoutMs;
   static constexpr double kWorstSilentWatchMs =
@@ -46,7 +51,7 @@
                 kWorstHungCallMs <= kDeliveryLimitMs - kMarginMs);
   static_assert(kWorstMoveMs <= 4'000 - kMarginMs);
 
-  /// nodes: size of the fleet; seed: of the jitter.
+  /// nodes: number of nodes in the fleet; seed: of the jitter.
   DiscoveryBackoff(int nodes, std::uint64_t seed)
       : initialMs_(std::clamp(nodes * kInitialPerNodeMs, kInitialMs, kMaxInitialMs)),
         meanMs_(initialMs_),
@@ -59,11 +64,12 @@
     meanMs_ = std::min(kMaxMs, meanMs_ * 2);
     return delayMs;
   }
-  /// After a success.
+  /// Returns to the initial delay; called after a success.
   void reset() { meanMs_ = initialMs_; }
 
  private:
-  // Bounded by kMaxInitialMs in any fleet, as a move of discovery allows 4 s in total.
+  // The initial mean delay: kInitialPerNodeMs for each node, at least kInitialMs and at most
+  // kMaxInitialMs, as a move of discovery to another address allows 4 s in total.
   static constexpr double kInitialMs = 100, kInitialPerNodeMs = 5;
 
   double initialMs_, meanMs_;
--- a/src/fleet/drains.cpp
+++ b/src/fleet/drains.cpp
@@ -19,20 +19,21 @@
   const DrainState current = stateOf(command.instance);
   if (command.deadlineMs && (!command.drain || *command.deadlineMs < nowMs))
     return {DrainCode::kBadCommand, current,
-            "a time to be done by belongs to a drain and lies ahead"};
+            "only a drain may have a deadline, and it must be in the future"};
   if (!target.known)
-    return {DrainCode::kUnknownInstance, current, "no box has the id " + command.instance};
+    return {DrainCode::kUnknownInstance, current, "no instance has the id " + command.instance};
   if (command.expectedRevision != current.revision)
     return {DrainCode::kConflict, current,
-            std::string("it is ") + (current.drained ? "drained" : "in use") + " by revision " +
-                std::to_string(current.revision) +
-                (current.setBy.empty() ? "" : " of " + current.setBy) + ", not " +
-                std::to_string(command.expectedRevision)};
+            std::string("the instance is ") + (current.drained ? "drained" : "in use") +
+                " at revision " + std::to_string(current.revision) +
+                (current.setBy.empty() ? "" : ", set by " + current.setBy) +
+                "; the command expects revision " + std::to_string(command.expectedRevision)};
   if (command.drain && !current.drained && target.othersOfRole == 0 && !command.force)
     return {DrainCode::kLastOfRole, current,
-            "it is the last box that can " + target.role + ": without it nothing is served, and " +
-                std::to_string(target.openRequests) + " requests are open on it; say so by force"};
-  // No change: the state and its revision stay.
+            "the instance is the last one for role " + target.role + " and has " +
+                std::to_string(target.openRequests) +
+                " requests in flight; draining it requires force"};
+  // Without a change the state and its revision stay the same.
   if (command.drain == current.drained && command.deadlineMs == current.deadlineMs)
     return {DrainCode::kDone, current, ""};
   const DrainState next{command.drain, current.revision + 1, command.sender,
@@ -46,8 +47,8 @@
   if (command.id.empty() || command.id.size() > kMaxIdentifierBytes ||
       command.sender.size() > kMaxIdentifierBytes)
     return {DrainCode::kBadCommand, stateOf(command.instance),
-            "a command has an id of 1 to 128 bytes"};
-  // By sender and id, so that two senders may both count from 1.
+            "a command needs an id of 1 to 128 bytes, and its sender has at most 128 bytes"};
+  // Identified by sender and id, so that two senders may both number their commands from 1.
   const std::string key = command.sender + "\n" + command.id;
   const auto repeated = responses_.find(key);
   if (repeated != responses_.end())
--- a/src/fleet/drains.h
+++ b/src/fleet/drains.h
@@ -1,7 +1,7 @@
 /// Commands of operators to drain and undrain instances, with optimistic concurrency control: each
-/// carries the revision of the drain state that its sender saw. Of two conflicting commands one
-/// wins, and the other is answered with the present state and who set it. Commands are idempotent
-/// by sender and id. No I/O.
+/// command carries the revision of the drain state that its sender saw. Of two conflicting commands
+/// one succeeds, and the other is answered with the current state and who set it. Commands are
+/// deduplicated by sender and id. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -18,9 +18,9 @@
   std::string sender;
   std::string instance;
   bool drain = true;
-  std::uint64_t expectedRevision = 0;  ///< that the sender saw; 0: never drained
-  std::optional<double> deadlineMs;    ///< drain: deadline
-  bool force = false;                  ///< even if it is the last instance of its role
+  std::uint64_t expectedRevision = 0;  ///< the revision that the sender saw; 0: never drained
+  std::optional<double> deadlineMs;    ///< only of a drain
+  bool force = false;                  ///< drain even the last instance of its role
 };
 
 /// Whether an instance is drained, and by whom.
@@ -47,11 +47,11 @@
 /// The drain state of all instances.
 class Drains {
  public:
-  static constexpr std::size_t kMaxRememberedCommands =
-      1024;  ///< latest commands, for repeated ones
-  static constexpr std::size_t kMaxIdentifierBytes = 128;
+  /// The latest commands whose responses are retained, for commands that are repeated.
+  static constexpr std::size_t kMaxRememberedCommands = 1024;
+  static constexpr std::size_t kMaxIdentifierBytes = 128;  ///< of a command's id and of its sender
 
-  /// The facts of an instance that a command is checked against.
+  /// The state of the instance against which a command is checked.
   struct Target {
     bool known = false;
     std::size_t othersOfRole = 0;  ///< other instances that serve its role
@@ -59,13 +59,14 @@
     std::size_t openRequests = 0;  ///< requests in flight
   };
 
-  /// Executes a command, or repeats the answer to one that was executed before.
+  /// Executes a command, or repeats the response to a command that was executed before.
   DrainResponse handle(const DrainCommand& command, const Target& target, double nowMs);
   DrainState stateOf(const std::string& instance) const;
   /// Restores a persisted state; revisions continue from there.
   void restore(const std::string& instance, const DrainState& state) { states_[instance] = state; }
   void forget(const std::string& instance) { states_.erase(instance); }
-  /// Whether a drain is past its deadline with requests open. Reported only; no request is cut.
+  /// Whether a drain is past its deadline while requests are open. Only reported: no request is
+  /// cancelled for it.
   bool overdue(const std::string& instance, std::size_t openRequests, double nowMs) const;
 
  private:
--- a/src/fleet/exclusions.cpp
+++ b/src/fleet/exclusions.cpp
@@ -49,7 +49,7 @@
                     {"version", exclusion.version},
                     {"writer", exclusion.writer},
                     {"at_ms", exclusion.updatedMs}});
-  // Ids come from discovery: one that is not UTF-8 must not prevent the others from being stored.
+  // Ids come from discovery: an id that is not UTF-8 must not prevent the others from being stored.
   return json{{"form", kFormat}, {"marks", list}}.dump(-1, ' ', true,
                                                        json::error_handler_t::replace) +
          "\n";
--- a/src/fleet/exclusions.h
+++ b/src/fleet/exclusions.h
@@ -12,12 +12,12 @@
 
 namespace inference_router::fleet {
 
-/// The last decision on one instance; excluded is false after an inclusion.
+/// The latest decision on one instance; excluded is false after the instance was included again.
 struct Exclusion {
   bool excluded = false;
-  std::uint64_t version = 0;  ///< one more than the highest version known to its writer
+  std::uint64_t version = 0;  ///< one higher than the version that its writer replaced
   std::uint64_t writer = 0;   ///< breaks ties between equal versions
-  double updatedMs = 0;       ///< by the machine's monotonic clock
+  double updatedMs = 0;       ///< on the machine's monotonic clock
 
   bool supersedes(const Exclusion& other) const {
     return std::tie(version, writer) > std::tie(other.version, other.writer);
@@ -28,11 +28,11 @@
 /// The exclusions of all instances.
 class Exclusions {
  public:
-  /// As many as there may be instances, so that a runaway script cannot fill memory.
+  /// The largest number of instances; a bound, so that a runaway script cannot fill the memory.
   static constexpr std::size_t kMaxEntries = 1024;
   static constexpr std::size_t kMaxIdBytes = 256;
-  static constexpr std::size_t kMaxTextBytes =
-      kMaxEntries * (6 * kMaxIdBytes + 160);  ///< with every byte of an id escaped
+  /// Of the text form; 160 bytes an entry, and 6 for each byte of an id, as if all were escaped.
+  static constexpr std::size_t kMaxTextBytes = kMaxEntries * (6 * kMaxIdBytes + 160);
 
   const Exclusion* find(const std::string& id) const {
     const auto it = exclusions_.find(id);
@@ -45,16 +45,17 @@
   std::size_t size() const { return exclusions_.size(); }
   const std::map<std::string, Exclusion>& all() const { return exclusions_; }
 
-  /// Returns false if the map is full.
+  /// Records a decision on an instance. Returns false if the map is full.
   bool set(const std::string& id, bool excluded, std::uint64_t writer, double nowMs);
-  /// Returns the instances whose entry changed.
+  /// Merges the exclusions of another process. Returns the instances whose entry changed.
   std::vector<std::string> merge(const Exclusions& others);
   void forget(const std::string& id) { exclusions_.erase(id); }
-  /// Times of a clock that counted from another moment, before the machine started anew, are
-  /// bounded by now.
+  /// Limits all times to nowMs: the monotonic clock counted from another moment before the machine
+  /// was rebooted.
   void boundTimes(double nowMs);
 
-  /// The text form in the shared file, and back; nothing if the text is not a complete one.
+  /// Converts to the text form of the shared file, and back. parse() returns nothing if the text is
+  /// not complete and valid.
   std::string serialize() const;
   static std::optional<Exclusions> parse(std::string_view text);
 
--- a/src/fleet/instance_ages.h
+++ b/src/fleet/instance_ages.h
@@ -1,11 +1,11 @@
 /// When instances started, on this process's monotonic clock.
 ///
-/// Discovery reports start times by the wall clocks of other machines, and this machine's wall
-/// clock may be wrong or be stepped: it is not read. No instance starts after it is reported, so
-/// the report that came soonest after its instance's start bounds the offset between the clocks;
-/// the age of any other instance is underestimated by as much as that report was late. An instance
-/// that changed since discovery's previous message started after that message, whatever time is
-/// reported. Uncertainty makes an instance younger, never older. No I/O.
+/// Discovery reports start times by the wall clocks of other machines. This machine's wall clock is
+/// not read, as it may be wrong or be stepped. No instance starts after it is reported, so the
+/// report that arrived soonest after the start of its instance bounds the offset between the
+/// clocks; the ages of all other instances are underestimated by the delay of that report. An
+/// instance that changed since discovery's previous message started after that message, whatever
+/// start time is reported. Uncertainty makes an instance appear younger, never older. No I/O.
 #pragma once
 
 #include <map>
@@ -17,21 +17,23 @@
 
 namespace inference_router::fleet {
 
+/// The start times of all listed instances.
 class InstanceAges {
  public:
   explicit InstanceAges(const core::Clock& clock) : clock_(clock) {}
 
-  /// A start time in a message of discovery, by discovery's clock. To be called with all start
-  /// times of a message before startTime() is called with any of them.
+  /// Records a start time in a message of discovery, by discovery's clock. Must be called with all
+  /// start times of a message before startTime() is called with any of them.
   void observeStart(double reportedStartMs);
-  /// When the instance started; constant while it is reported with the same start time. Nothing if
-  /// the reported time is zero, which means long ago.
+  /// When the instance started; constant while the same start time is reported. Nothing if the
+  /// reported time is zero, which means long ago.
   std::optional<double> startTime(const std::string& id, double reportedStartMs);
-  /// A message of discovery was processed: changes in later messages happened after now.
+  /// Records that a message of discovery was processed: changes in later messages happened after
+  /// now.
   void onContact() { lastContactMs_ = clock_.nowMs(); }
-  /// The instance has left the list.
+  /// Drops an instance that is no longer listed.
   void forget(const std::string& id) { starts_.erase(id); }
-  /// The same for all instances that are not in a full list.
+  /// Drops all instances that are not in a full list.
   void keepOnly(const std::set<std::string>& listed);
 
  private:
@@ -43,7 +45,7 @@
 
   const core::Clock& clock_;
   std::optional<double> lastContactMs_;
-  std::optional<double> offsetMs_;  // from this clock to discovery's; a lower bound
+  std::optional<double> offsetMs_;  // discovery's clock minus this one; a lower bound
   std::map<std::string, InstanceStart> starts_;
 };
 
--- a/src/fleet/lifecycle.cpp
+++ b/src/fleet/lifecycle.cpp
@@ -18,7 +18,7 @@
 }
 
 // A drain takes precedence over failures: a draining instance that cannot be reached is still
-// draining. Only discovery brings back an instance that is gone.
+// draining. Only discovery can bring back a removed instance.
 std::optional<LifecycleState> InstanceLifecycle::nextState(LifecycleEvent event) const {
   using S = LifecycleState;
   const bool serving = state_ == S::kWarming || state_ == S::kActive;
@@ -55,7 +55,7 @@
                                                     const std::string& by) {
   const auto next = nextState(event);
   if (!next)
-    return {false, std::string(nameOf(event)) + " cannot follow while it is " + nameOf(state_)};
+    return {false, std::string(nameOf(event)) + " is not a valid event in state " + nameOf(state_)};
   if (state_ == LifecycleState::kWarming || state_ == LifecycleState::kActive)
     resumeState_ = state_;
   state_ = *next;
--- a/src/fleet/lifecycle.h
+++ b/src/fleet/lifecycle.h
@@ -1,6 +1,6 @@
 /// The lifecycle of an instance as operators see it: a state machine that is reconciled with
 /// observed facts. It does not influence routing, which uses the effective membership. No I/O; the
-/// clock is passed in.
+/// caller passes the current time.
 #pragma once
 
 #include <cstddef>
@@ -10,7 +10,7 @@
 
 namespace inference_router::fleet {
 
-/// Names in reports are given by nameOf.
+/// The states; nameOf() gives their names in reports.
 enum class LifecycleState {
   kWarming,
   kActive,
@@ -22,18 +22,18 @@
 };
 const char* nameOf(LifecycleState state);
 
-/// What moves an instance from one state to another.
+/// The events that cause transitions.
 enum class LifecycleEvent {
-  kListed,          ///< discovery lists it; it may be cold
-  kWarm,            ///< it has been up for the warm-up time
+  kListed,          ///< discovery lists the instance, which may be cold
+  kWarm,            ///< the instance has been up for the warm-up time
   kDrainRequested,  ///< by an operator or by discovery
-  kIdle,            ///< no request is open on it
-  kUndrained,       ///< the drain was ended; it counts as freshly started
-  kEjected,         ///< routing ejected it
-  kReinstated,      ///< routing uses it again
+  kIdle,            ///< no request is in flight at the instance
+  kUndrained,       ///< the drain ended; the instance counts as just started
+  kEjected,         ///< routing ejected the instance
+  kReinstated,      ///< routing uses the instance again
   kConnectionLost,  ///< no connection succeeds
   kReconnected,     ///< a connection succeeded
-  kDelisted         ///< discovery lists it no more
+  kDelisted         ///< discovery no longer lists the instance
 };
 const char* nameOf(LifecycleEvent event);
 
@@ -44,12 +44,12 @@
   InstanceLifecycle(bool cold, double nowMs)
       : state_(cold ? LifecycleState::kWarming : LifecycleState::kActive), sinceMs_(nowMs) {}
 
-  /// applied: the transition was made. Otherwise nothing changed, and the message says why.
+  /// The result of an event.
   struct Outcome {
-    bool applied;
-    std::string message;
+    bool applied;         ///< false: no transition from this state, and nothing changed
+    std::string message;  ///< the new state, or why the event was not applied
   };
-  /// reason, by: for operators; the default reason is the name of the event.
+  /// Applies an event. reason, by: shown to operators; the default reason is the event's name.
   Outcome apply(LifecycleEvent event,
                 double nowMs,
                 const std::string& reason = "",
@@ -62,10 +62,12 @@
   std::uint64_t revision() const { return revision_; }
 
  private:
+  // Nothing if the event has no transition from the current state.
   std::optional<LifecycleState> nextState(LifecycleEvent event) const;
 
   LifecycleState state_;
-  LifecycleState resumeState_ = LifecycleState::kActive;  // state after kEjected or kUnreachable
+  LifecycleState resumeState_ =
+      LifecycleState::kActive;  // to return to from kEjected or kUnreachable
   double sinceMs_;
   std::string reason_ = "listed", by_ = "list";
   std::uint64_t revision_ = 1;
@@ -81,7 +83,7 @@
   std::size_t openRequests = 0;
 };
 
-/// Applies the events that lead from the present state to the facts.
+/// Applies the events that lead from the current state to the one that the facts imply.
 void reconcile(InstanceLifecycle& lifecycle, const InstanceFacts& facts, double nowMs);
 
 }  // namespace inference_router::fleet
--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -10,10 +10,11 @@
 
 namespace {
 
-// An instance under repair may be unlisted for long; after this time its exclusion is dropped.
+// After this time the exclusion of an unlisted instance is dropped. An instance under repair may be
+// unlisted for long.
 constexpr double kMissingExclusionRetentionMs = 30 * 60'000;
-// An inclusion is kept while the instance is cold and while another process may still have the
-// exclusion before it.
+// An inclusion is retained while the instance is cold and while another process may still have the
+// exclusion that it replaced.
 constexpr double kInclusionRetentionMs = 10 * 60'000;
 
 }  // namespace
@@ -35,7 +36,8 @@
     if (entry.state == EndpointState::kActive)
       entry.state = EndpointState::kDraining;
   } else {
-    // It may have been restarted at any time before its inclusion, whatever discovery says.
+    // The instance may have been restarted at any time before its inclusion, whatever start time
+    // discovery reports.
     const Time included = core::toModuleTime(exclusion->updatedMs);
     entry.started = entry.started ? std::max(*entry.started, included) : included;
   }
@@ -76,8 +78,7 @@
   const bool known = listed_.count({id}) != 0 || exclusions_.excluded(id);
   if (!known || id.empty() || id.size() > Exclusions::kMaxIdBytes)
     return {Result::kUnknownInstance, std::nullopt};
-  // A repeated command has no effect; a second include in particular must not make a warm instance
-  // cold.
+  // A repeated command has no effect: a second include must not make a warm instance cold.
   if (exclusions_.excluded(id) == excluded)
     return {Result::kDone, std::nullopt};
   if (!exclusions_.set(id, excluded, writer_, nowMs))
--- a/src/fleet/membership.h
+++ b/src/fleet/membership.h
@@ -1,7 +1,7 @@
-/// The effective membership: what discovery or the operator's file lists, overlaid with the
-/// exclusions of operators, the drains of a maintenance and the exclusions by peers. The decision
-/// module sees nothing else: an excluded instance is shown as draining, and one that is included
-/// again as just started. No I/O.
+/// The effective membership: the instances that discovery or the operator's file lists, overlaid
+/// with the exclusions of operators, the drains of a maintenance and the exclusions by peers. It is
+/// all that the routing module sees: an excluded instance appears there as draining, and one that
+/// is included again as just started. No I/O.
 #pragma once
 
 #include <map>
@@ -15,43 +15,45 @@
 
 namespace inference_router::fleet {
 
+/// The listed instances with their overlays.
 class Membership {
  public:
-  /// writer: identifies this process among those that write exclusions.
+  /// writer: identifies this process among those that record exclusions.
   explicit Membership(std::uint64_t writer) : writer_(writer) {}
 
-  /// Applies an update of the listed instances; returns it as the decision module is to see it.
+  /// Applies an update of the listed instances; returns the update for the routing module.
   routing::EndpointListUpdate applyUpdate(const routing::EndpointListUpdate& update, double nowMs);
 
   enum class Result { kDone, kUnknownInstance, kFull };
-  /// Of one command of an operator.
+  /// The effect of an operator's command.
   struct Change {
     Result result;
-    std::optional<routing::EndpointListUpdate>
-        update;  ///< Nothing: no change for the decision module.
+    /// Nothing: no change for the routing module.
+    std::optional<routing::EndpointListUpdate> update;
   };
   Change exclude(const std::string& id, double nowMs) { return setExcluded(id, true, nowMs); }
   Change include(const std::string& id, double nowMs) { return setExcluded(id, false, nowMs); }
 
-  /// Replaces the instances that a maintenance drains. Instances that are no longer drained return
-  /// as just started.
+  /// Replaces the set of instances that a maintenance drains. Instances that are no longer drained
+  /// return as just started.
   std::optional<routing::EndpointListUpdate> setPlannedDrains(const std::set<std::string>& drained,
                                                               double nowMs);
 
-  /// Replaces the instances that are excluded because other routers found them unhealthy.
-  /// Instances that return count as cold, as they may have been restarted.
+  /// Replaces the set of instances that are excluded because other routers found them unhealthy.
+  /// Instances that return count as just started, as they may have been restarted.
   std::optional<routing::EndpointListUpdate> setPeerExclusions(
       const std::set<std::string>& excluded,
       double nowMs);
 
   /// Merges the exclusions of other processes.
   std::optional<routing::EndpointListUpdate> merge(const Exclusions& others);
-  /// Drops exclusions without effect, and those of instances that have been gone for long.
+  /// Drops exclusions that no longer have an effect, and those of instances that have been unlisted
+  /// for long.
   void prune(double nowMs);
 
   const Exclusions& exclusions() const { return exclusions_; }
   const std::map<routing::InstanceId, routing::EndpointRecord>& listed() const { return listed_; }
-  /// The entry as the module sees it; nothing if it is not listed.
+  /// The entry as the routing module sees it; nothing if the instance is not listed.
   std::optional<routing::EndpointRecord> effectiveOf(const routing::InstanceId& id) const {
     const auto it = listed_.find(id);
     return it == listed_.end() ? std::nullopt : std::optional(effective(it->second));
@@ -69,13 +71,13 @@
   std::optional<routing::EndpointListUpdate> changesOf(const std::vector<std::string>& ids);
 
   std::uint64_t writer_;
-  std::uint64_t version_ = 0;  // of the list that the module has
+  std::uint64_t version_ = 0;  // of the list in the routing module
   Exclusions exclusions_;
   std::map<routing::InstanceId, routing::EndpointRecord> listed_;  // as discovery lists them
-  std::map<std::string, double> missingSince_;  // excluded, but not listed: since when
+  std::map<std::string, double> missingSince_;  // when excluded instances became unlisted
   std::set<std::string> drained_;               // by the maintenance
   std::set<std::string> peerExclusions_;        // by observations of other routers
-  std::map<std::string, double> returnedMs_;    // from either, recently: when
+  std::map<std::string, double> returnedMs_;  // when instances recently left one of these two sets
 };
 
 }  // namespace inference_router::fleet
