--- a/src/shared/budget.cpp
+++ b/src/shared/budget.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-constexpr double kRetainFactor = 2;  // times the demand; a router returns loans beyond that
+// A router returns loans beyond this multiple of its expected demand.
+constexpr double kRetainFactor = 2;
 
 std::uint64_t rounded(double tokens) {
   return static_cast<std::uint64_t>(std::max(0.0, std::ceil(tokens)));
@@ -25,8 +26,7 @@
   return kNames[static_cast<std::size_t>(denial)];
 }
 
-// ---- The router's side
-// --------------------------------------------------------------------------------
+// ---- Borrower ----
 
 void TokenBudgets::setLimits(const std::map<std::string, std::uint64_t>& limits) {
   std::erase_if(tenants_, [&](const auto& entry) { return limits.count(entry.first) == 0; });
@@ -56,7 +56,7 @@
   Account& account = it->second;
   if (tokens > account.limit)
     return {Denial::kTooLarge, {}};
-  // Denied requests count as demand as well, as the size of a loan follows from the demand.
+  // Denied requests count as demand too, as the size of the next loan is derived from the demand.
   recordDemand(account, tokens, nowMs);
   Denial denial = Denial::kNone;
   if (loanExpired(nowMs))
@@ -112,7 +112,7 @@
         !draining && nowMs - account.largestMs <= config_.prefetchMs ? account.largest : 0;
     const std::uint64_t expected = rounded(rate * config_.prefetchMs) + largest;
     account.spend.requestedLoan = account.used() + expected;
-    // Idle loans are returned, as other routers may need them.
+    // Unused loans are returned, as other routers may need them.
     const std::uint64_t retained =
         account.used() + rounded(static_cast<double>(expected) * kRetainFactor);
     if (account.outstanding() > retained)
@@ -120,7 +120,7 @@
     account.spend.ceiling = std::max(
         account.used(), std::min(account.outstanding(),
                                  account.used() + rounded(rate * config_.ceilingMs) + largest));
-    // A lower ceiling applies at once, a higher one when the store has accepted the report.
+    // A lower ceiling applies immediately, a higher one once the store has accepted the report.
     if (config_.excludeReturned)
       account.acceptedCeiling = std::min(account.acceptedCeiling, account.spend.ceiling);
     account.denied = false;
@@ -170,8 +170,7 @@
   return all;
 }
 
-// ---- The lender's side
-// -----------------------------------------------------------------------------------
+// ---- Lender ----
 
 namespace {
 
@@ -180,7 +179,8 @@
   return it == spends.end() ? nullptr : &it->second;
 }
 
-// What a borrower may spend or has spent: loans not returned, and no less than its own report says.
+// What a borrower has spent or may still spend: loans that it did not return, and at least what its
+// own report states.
 std::uint64_t outstandingOf(std::uint64_t lent, const Spend* spend) {
   if (spend == nullptr)
     return lent;
@@ -206,7 +206,7 @@
 
 namespace {
 
-// Sorted so that whoever has least idle is served first.
+// Ordered so that the borrower with the fewest unspent tokens comes first.
 struct LoanRequest {
   std::uint64_t unspent;
   std::uint64_t tokens;
@@ -217,13 +217,13 @@
 }  // namespace
 
 void lend(BudgetLine& line, const std::map<Origin, Spend>& spends) {
-  // After a rollback of the store, borrowers report loans that the digest has forgotten.
+  // After a rollback of the store, borrowers report loans that are missing from the digest.
   for (const auto& [borrower, spend] : spends)
     if (spend.lentSeen > 0)
       line.lent[borrower] = std::max(line.lent[borrower], spend.lentSeen);
   std::uint64_t available = availableOf(line, spends);
-  // Whole requests, the smallest holders first: part of what one request may need would be of no
-  // use.
+  // The available tokens are not split evenly: a loan that is too small for a request is of no use
+  // to its borrower.
   std::vector<LoanRequest> requests;
   for (const auto& [borrower, spend] : spends) {
     const auto lent = line.lent.find(borrower);
@@ -245,7 +245,7 @@
 void charge(BudgetLine& line, const Origin& borrower, const std::optional<Spend>& lastSpend) {
   const auto lent = line.lent.find(borrower);
   const std::uint64_t lentTokens = lent == line.lent.end() ? 0 : lent->second;
-  // Without a report, all that is known is the loan.
+  // Without a report, only the loan is known.
   line.charged +=
       lastSpend ? std::max(lastSpend->ceiling, lastSpend->spent + lastSpend->reserved) : lentTokens;
   if (lent != line.lent.end())
--- a/src/shared/connectivity.cpp
+++ b/src/shared/connectivity.cpp
@@ -32,7 +32,7 @@
     rejoinSequence_ = reportSequence_;
 }
 
-// A router that was isolated has rejoined once a digest contains a report that it wrote since.
+// An isolated router has rejoined once a digest includes a report that it has written since.
 void Connectivity::onDigest(std::uint64_t acknowledged, double nowMs) {
   digestMs_ = nowMs;
   acknowledged_ = std::max(acknowledged_, acknowledged);
@@ -51,13 +51,13 @@
   const double silence = silenceMs(nowMs);
   if (silence >= isolatedMs_)
     return enter(ConnectivityState::kIsolated, nowMs);
-  // Reads and writes both have to work: without writes a router is as unknown to the others as
-  // without both.
+  // Both reads and writes have to work: to the other routers, a router that cannot write is as
+  // unknown as one that can do neither.
   if (state_ == ConnectivityState::kIsolated && silence < isolatedMs_ / 2)
     enter(ConnectivityState::kRejoining, nowMs);
   if (state_ == ConnectivityState::kConnected && silence >= delayedMs_)
     return enter(ConnectivityState::kDelayed, nowMs);
-  // Left at half of the limit at which it was entered.
+  // The state is left at half of the limit at which it was entered.
   if (state_ == ConnectivityState::kDelayed && silence < delayedMs_ / 2)
     enter(ConnectivityState::kConnected, nowMs);
 }
--- a/src/shared/digest_codec.cpp
+++ b/src/shared/digest_codec.cpp
@@ -16,7 +16,8 @@
                                   "period", "period_ends_ms", "nodes",      "budgets",
                                   "base",   "total",          "folded",     "boxes"};
 
-// The largest digest without `total` and `folded`, which are left out if there is no room.
+// The largest digest without `total` and `folded`, which are dropped from a digest that is too
+// large.
 namespace size = encoded_bytes;
 constexpr std::size_t kMaxNodesBytes =
     size::kContainer + kMaxOrigins * (size::kOrigin + size::kNumber);
@@ -32,7 +33,7 @@
                   kMaxVerdictsBytes <=
               kMaxDocumentBytes);
 
-/// The routers that a digest names. Each is listed once; loans refer to it by its index.
+/// The routers that occur in a digest. Each is listed once; loans refer to it by its index.
 class NodeList {
  public:
   explicit NodeList(const Digest& digest) {
@@ -56,7 +57,7 @@
   std::map<Origin, std::size_t> indices_;
 };
 
-/// Fills in which routers were heard; returns all that are named, in order.
+/// Fills in digest.liveNodes; returns all listed routers, in order.
 std::vector<Origin> decodeNodes(const json& value, Digest& digest) {
   std::vector<Origin> nodes;
   for (const json& entry : bounded(value, kMaxOrigins)) {
@@ -88,7 +89,7 @@
   for (const json& loan : bounded(value.at("lent"), kMaxOrigins)) {
     const std::uint64_t index = decodeUnsigned(loan.at(0));
     if (index >= nodes.size())
-      throw OutOfBounds("a loan to nobody");
+      throw OutOfBounds("the loan refers to a node that is not listed");
     line.lent[nodes[index]] = decodeCount(loan.at(1));
   }
   return line;
--- a/src/shared/digest_codec.h
+++ b/src/shared/digest_codec.h
@@ -1,5 +1,5 @@
-/// Encoding of the digest. Fields that this program does not know are kept when a digest is
-/// rewritten, so that an older and a newer program can share one store.
+/// Encoding of the digest. Unknown fields are retained when a digest is rewritten, so that an older
+/// and a newer version of the program can share one store.
 #pragma once
 
 #include <optional>
@@ -11,15 +11,15 @@
 
 namespace inference_router::shared {
 
-/// digest is set exactly if error is kNone.
+/// The result of decodeDigest(); digest is set exactly if error is kNone.
 struct DecodedDigest {
   DecodeError error = DecodeError::kNone;
   std::optional<Digest> digest;
 };
 
 std::string encode(const Digest& digest);
-/// The same within kMaxDocumentBytes: while the digest is too large, entries of evicted routers are
-/// dropped from it, the older half at a time, and then the totals.
+/// Encodes the digest within kMaxDocumentBytes. While the result is too large, entries of evicted
+/// routers are dropped from the digest, the older half at a time, and then the totals.
 std::string encodeWithinBounds(Digest& digest);
 DecodedDigest decodeDigest(std::string_view text);
 
--- a/src/shared/digest_task.cpp
+++ b/src/shared/digest_task.cpp
@@ -17,12 +17,15 @@
 
 constexpr std::size_t kMaxFoldsPerStep = 64;
 static_assert(kMaxFoldsPerStep < coordination::kMaxWritesPerCommit);
-constexpr double kIntervalsBeforeLending = 2;  // report intervals that a new holder waits
-constexpr double kLoanExpiryMargin = 1.1;      // times loanMs: clock drift, and a step in flight
+// Report intervals for which a new lease holder waits before it lends.
+constexpr double kIntervalsBeforeLending = 2;
+// Factor on loanMs that allows for clock drift and for a step in flight.
+constexpr double kLoanExpiryMargin = 1.1;
 
+// Prefix of the names under which ages_ tracks loans without a part.
 constexpr const char* kOrphanedLoanPrefix = "lent ";
 
-/// Replaces the charges of an evicted router by what it really used, where it says so.
+/// Replaces the charges of an evicted router by its actual usage, for each budget that it reports.
 void refundAll(std::map<std::string, BudgetLine>& budgets,
                const std::map<std::string, std::uint64_t>& charges,
                const std::map<std::string, std::uint64_t>& used) {
@@ -60,7 +63,7 @@
   for (auto it = view.documents.lower_bound(prefix);
        it != view.documents.end() && it->first.rfind(prefix, 0) == 0; ++it) {
     const DecodedPart read = decodePart(it->second.value);
-    // A part under the key of another origin is invalid.
+    // A part that is stored under the key of another origin is invalid.
     const bool own = read.part && read.part->key() == it->first;
     if (!own || parts.size() >= kMaxOrigins) {
       countUndecodable(
@@ -80,8 +83,9 @@
   return parts;
 }
 
-/// A digest that is older than one that some part has seen was restored from a copy. Nothing is
-/// lent until every forgotten loan has expired; live routers report their loans meanwhile.
+/// If some part has seen a newer digest than the one in the store, the store was restored from an
+/// older copy. Nothing is lent until every loan that the restored digest lacks has expired; live
+/// routers report their loans in the meantime.
 void DigestTask::detectRollback(Digest& digest, const std::map<Origin, Read>& parts) {
   std::uint64_t newest = lastSequence_;
   for (const auto& [origin, read] : parts)
@@ -95,8 +99,7 @@
   digest.lendsFromSequence = digest.sequence + static_cast<std::uint64_t>(std::ceil(loans)) + 1;
 }
 
-// Uses the median of all reported clocks, so that one wrong clock among three has no effect. The
-// period never goes back.
+// Uses the median of all reported clocks, so that one wrong clock among three has no effect.
 void DigestTask::advancePeriod(Digest& digest, const std::map<Origin, Read>& parts) {
   std::vector<double> clocks{unixMs_()};
   for (const auto& [origin, read] : parts)
@@ -131,8 +134,8 @@
   }
 }
 
-/// After how long without a change the part is folded: sooner if another incarnation of its router
-/// has reported since.
+/// For how long a part may be unchanged before its router is evicted: less if another incarnation
+/// of the router has reported since.
 double DigestTask::evictionDelayMs(const std::map<Origin, Read>& parts,
                                    const Origin& origin,
                                    double ageMs) const {
@@ -144,8 +147,8 @@
                   : config_.evictAfterMs;
 }
 
-/// Evicting a router needs no proof that it is gone: what it may have spent is charged, and if it
-/// is alive, it finds its document gone and restarts under a new incarnation.
+/// A router can be evicted without proof that it has ended: all that it may have spent is charged,
+/// and if it is alive, it finds its document removed and continues as a new incarnation.
 std::vector<Write> DigestTask::fold(Digest& digest, std::map<Origin, Read>& parts, double nowMs) {
   std::vector<Write> writes;
   for (auto it = parts.begin(); it != parts.end() && writes.size() < kMaxFoldsPerStep;) {
@@ -168,7 +171,8 @@
   return writes;
 }
 
-/// Charges each budget with what an evicted router may have spent of it; returns the charges.
+/// Charges each budget with what an evicted router may have spent of it; returns the charges by
+/// tenant.
 std::map<std::string, std::uint64_t> DigestTask::chargeAll(
     std::map<std::string, BudgetLine>& budgets,
     const Part& part,
@@ -176,7 +180,8 @@
   std::map<std::string, std::uint64_t> charges;
   for (auto& [tenant, line] : budgets) {
     const auto reported = part.spends.find(tenant);
-    // A part of an earlier period, or without a report on this budget, has no ceiling in it.
+    // A part of an earlier period, or without a report on this budget, has no ceiling for this
+    // period.
     Spend spend;
     if (part.period == period && reported != part.spends.end())
       spend = reported->second;
@@ -189,7 +194,8 @@
   return charges;
 }
 
-/// Charges loans whose borrower has had no part for long, as after a document was removed by hand.
+/// Charges loans whose borrower has had no part for evictAfterMs, for example because an operator
+/// removed the document.
 void DigestTask::chargeOrphanedLoans(Digest& digest,
                                      const std::map<Origin, Read>& parts,
                                      double nowMs) {
@@ -222,8 +228,8 @@
     fence_ = fence;
     fenceSinceMs_ = nowMs;
   }
-  // A new holder does not know yet whether some router has seen a newer digest than the store
-  // has.
+  // A new lease holder does not know yet whether some router has seen a newer digest than the one
+  // in the store.
   const double settleMs =
       kIntervalsBeforeLending * config_.reportIntervalMs(digest.liveNodes.size());
   const bool mayLend =
@@ -238,7 +244,7 @@
       if (spend == read.part.spends.end())
         continue;
       spends[origin] = spend->second;
-      // A silent router keeps its loans, but gets no more.
+      // A silent router retains its loans, but gets no new ones.
       if (!mayLend || read.ageMs >= config_.silentMs)
         spends[origin].requestedLoan = 0;
     }
@@ -247,7 +253,7 @@
   }
 }
 
-/// The observations of all credible witnesses, decayed to now, by instance.
+/// The observations of all credible witnesses, decayed to the current time, by instance.
 std::map<std::string, std::vector<HealthObservation>> DigestTask::credibleObservations(
     const std::map<Origin, Read>& parts) {
   std::map<std::string, std::vector<HealthObservation>> all;
@@ -296,7 +302,7 @@
     if (read.ageMs < config_.silentMs)
       digest.liveNodes[origin] = read.part.sequence;
   }
-  // Bounded, whatever names the parts use.
+  // The tables stay within their bound, however many names occur in the parts.
   for (UsageTable* usage : {&digest.base, &digest.total})
     while (usage->size() > kMaxUsageRows)
       usage->erase(std::prev(usage->end()));
@@ -308,7 +314,8 @@
   std::uint64_t revision = 0;
   if (const auto document = view.documents.find(kDigestKey); document != view.documents.end()) {
     const DecodedDigest read = decodeDigest(document->second.value);
-    // Of a later version, or damaged: its loans cannot be reconstructed, so it is not overwritten.
+    // A digest that is damaged or of a later version is not overwritten, as its loans cannot be
+    // reconstructed.
     if (!read.digest) {
       countUndecodable(kDigestKey, document->second.revision, read.error);
       return std::nullopt;
--- a/src/shared/digest_task.h
+++ b/src/shared/digest_task.h
@@ -1,7 +1,7 @@
-/// The task of the one router that holds the digest's lease: it makes a digest of all parts,
-/// lends budgets, folds the parts of routers that are gone, and decides the verdicts on
-/// instances. Each step is one transaction on the documents that it read, under the lease's fence;
-/// the store rejects a step from a stale view. No I/O.
+/// The task of the router that holds the digest's lease: it combines all parts into a digest, lends
+/// budgets, evicts routers that no longer report by folding their parts into the base, and decides
+/// the verdicts on instances. Each step is one transaction on the documents that were read, under
+/// the lease's fence; the store rejects a step that is based on a stale view. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -18,17 +18,19 @@
 
 namespace inference_router::shared {
 
+/// The task that maintains the digest; run by the holder of its lease.
 class DigestTask final : public coordination::FleetTask {
  public:
   /// Counters since the start.
   struct Stats {
     std::uint64_t folded = 0, rollbacks = 0, refunded = 0, ignoredWitnesses = 0,
                   decreasedCounters = 0;
-    std::map<std::string, std::uint64_t>
-        undecodable;  ///< by decode error, each revision of a document once
+    /// By decode error; each revision of a document is counted once.
+    std::map<std::string, std::uint64_t> undecodable;
   };
 
-  /// config: read at each step, as a reload may change it. unixMs: the machine's wall clock.
+  /// config: called at each step, as a reload may change the settings. unixMs: the machine's wall
+  /// clock.
   DigestTask(coordination::TaskConfig task,
              std::function<SharedConfig()> config,
              std::function<double()> unixMs);
@@ -45,19 +47,19 @@
     std::uint64_t revision;
     double ageMs;  // for how long this process has seen it unchanged
   };
-  // Decodes the parts of a view; ignores and counts those that are invalid.
+  // Decodes the parts of a view; skips and counts invalid ones.
   std::map<Origin, Read> readParts(const coordination::View& view, double nowMs);
   void countUndecodable(const std::string& key, std::uint64_t revision, DecodeError error);
-  // Suspends lending if some part knows a newer digest than the store has.
+  // Suspends lending if some part has seen a newer digest than the one in the store.
   void detectRollback(Digest& digest, const std::map<Origin, Read>& parts);
-  // Begins the period of the median clock; never goes back.
+  // Starts the period that the median clock is in; never returns to an earlier one.
   void advancePeriod(Digest& digest, const std::map<Origin, Read>& parts);
-  // Refunds evicted incarnations that reported what they really used.
+  // Refunds evicted incarnations whose actual usage has been reported.
   void settle(Digest& digest, const std::map<Origin, Read>& parts);
   double evictionDelayMs(const std::map<Origin, Read>& parts,
                          const Origin& origin,
                          double ageMs) const;
-  // Folds the parts of routers that are gone; returns the removals.
+  // Folds the parts of evicted routers into the base; returns the removals of their documents.
   std::vector<coordination::Write> fold(Digest& digest,
                                         std::map<Origin, Read>& parts,
                                         double nowMs);
@@ -81,7 +83,7 @@
   SharedConfig config_;
   coordination::UnchangedTracker ages_;
   std::map<std::string, std::uint64_t> countedRevisions_;  // of undecodable documents
-  std::map<Origin, UsageTable> highestUsage_;              // highest usage of each part
+  std::map<Origin, UsageTable> highestUsage_;              // highest usage read of each part
   std::uint64_t lastSequence_ = 0, fence_ = 0;
   double fenceSinceMs_ = 0;
   Stats stats_;
--- a/src/shared/field_codec.cpp
+++ b/src/shared/field_codec.cpp
@@ -6,10 +6,10 @@
 
 std::uint64_t decodeCount(const json& value, std::uint64_t max) {
   if (!value.is_number_unsigned())
-    throw OutOfBounds("negative, or no whole number");
+    throw OutOfBounds("the value is not an unsigned integer");
   const auto number = value.get<std::uint64_t>();
   if (number > max)
-    throw OutOfBounds("too large");
+    throw OutOfBounds("the integer is too large");
   return number;
 }
 
@@ -20,14 +20,14 @@
 double decodeAmount(const json& value, double max) {
   const double number = value.get<double>();
   if (!(number >= 0 && number <= max))
-    throw OutOfBounds("no amount");
+    throw OutOfBounds("the amount is negative or too large");
   return number;
 }
 
 std::string decodeIdentifier(const json& value) {
   auto text = value.get<std::string>();
   if (text.empty() || text.size() > kMaxIdentifierBytes)
-    throw OutOfBounds("no name");
+    throw OutOfBounds("the identifier is empty or too long");
   return text;
 }
 
@@ -38,7 +38,7 @@
 
 const json& bounded(const json& value, std::size_t max) {
   if (value.size() > max)
-    throw OutOfBounds("too many");
+    throw OutOfBounds("the container has too many elements");
   return value;
 }
 
--- a/src/shared/field_codec.h
+++ b/src/shared/field_codec.h
@@ -1,5 +1,5 @@
-/// Encoding and decoding of the values that documents of shared state are made of. Decoders throw
-/// OutOfBounds or nlohmann::json::exception; decodeGuarded() turns both into a DecodeError.
+/// Encoding and decoding of the values in documents of shared state. Decoders throw OutOfBounds or
+/// nlohmann::json::exception; decodeGuarded() turns both into a DecodeError.
 #pragma once
 
 #include <cstddef>
@@ -15,6 +15,7 @@
 
 namespace inference_router::shared {
 
+/// A value of the right type that exceeds its bounds.
 struct OutOfBounds : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
@@ -23,34 +24,34 @@
 inline constexpr double kMaxEvidence = 1e9;
 inline constexpr double kMaxUnixMs = 1e15;
 
-/// A whole number of at most `max`.
+/// An integer from 0 to `max`.
 std::uint64_t decodeCount(const nlohmann::json& value, std::uint64_t max = kMaxTokens);
-/// Any whole number from 0.
+/// Any integer from 0.
 std::uint64_t decodeUnsigned(const nlohmann::json& value);
 /// A number from 0 to `max`.
 double decodeAmount(const nlohmann::json& value, double max);
-/// A text of 1 to kMaxIdentifierBytes.
+/// A string of 1 to kMaxIdentifierBytes bytes.
 std::string decodeIdentifier(const nlohmann::json& value);
 FailureKind decodeFailureKind(const nlohmann::json& value);
-/// The array or object itself, provided that it has at most `max` elements.
+/// Returns the array or object itself if it has at most `max` elements.
 const nlohmann::json& bounded(const nlohmann::json& value, std::size_t max);
 
 nlohmann::json encodeOrigin(const Origin& origin);
 Origin decodeOrigin(const nlohmann::json& value);
 nlohmann::json encodeUsage(const UsageTable& usage);
 UsageTable decodeUsage(const nlohmann::json& value);
-/// Tokens by tenant.
+/// Amounts are tokens by tenant.
 nlohmann::json encodeAmounts(const std::map<std::string, std::uint64_t>& amounts);
 std::map<std::string, std::uint64_t> decodeAmounts(const nlohmann::json& value);
 
-/// value is set exactly if error is kNone.
+/// The result of a decoder; value is set exactly if error is kNone.
 template <class Value>
 struct Decoded {
   DecodeError error = DecodeError::kNone;
   std::optional<Value> value;
 };
 
-/// Runs a decoder and turns what it throws into an error.
+/// Runs a decoder and turns its exceptions into an error.
 template <class Decode>
 auto decodeGuarded(const Decode& decode) -> Decoded<decltype(decode())> {
   try {
@@ -62,8 +63,8 @@
   }
 }
 
-/// The longest encodings of values by MessagePack, in bytes. From them follows that the documents
-/// of a fleet at its bounds fit into the store.
+/// The largest sizes of MessagePack encodings, in bytes. The codecs derive from them that the
+/// documents of a fleet of the largest size fit into the store.
 namespace encoded_bytes {
 inline constexpr std::size_t kNumber = 9;
 inline constexpr std::size_t kIndex = 3;
@@ -73,7 +74,7 @@
 inline constexpr std::size_t kContainer = 5;
 inline constexpr std::size_t kTextHeader = 2;
 inline constexpr std::size_t kIdentifier = kMaxIdentifierBytes + kTextHeader;
-/// Header, checksum, field names and single numbers of a document.
+/// Header, checksum, field names and scalar fields of a document.
 inline constexpr std::size_t kFixedFields = 1024;
 inline constexpr std::size_t kOrigin = kShortList + kMaxNodeNameBytes + kTextHeader + kNumber;
 inline constexpr std::size_t kUsageTable =
--- a/src/shared/health_observation.cpp
+++ b/src/shared/health_observation.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-constexpr double kNegligible = 0.05;  // evidence below this counts as none
-// Share of the opposite evidence that remains after a result.
+constexpr double kNegligible = 0.05;  // decayed count below which evidence is ignored
+// Factor by which a success reduces the failures, and a failure the successes.
 constexpr double kReversalFactor = 0.5;
-// Unhealthy votes from which a witness may have a network problem of its own.
+// Number of unhealthy votes from which a witness may have a network problem of its own.
 constexpr std::size_t kMinUnhealthyToDoubt = 2;
 
 double decayFactor(double byMs, const ObservationConfig& config) {
@@ -87,7 +87,7 @@
 
 namespace {
 
-// Evidence on one instance, ordered by failures, then by successes.
+// The evidence on one instance, ordered by failures, then by successes.
 struct Strength {
   double failures = 0, successes = 0;
   std::string instance;
@@ -124,7 +124,7 @@
 Vote voteOf(const HealthObservation& observation, const ObservationConfig& config) {
   if (observation.failures >= config.unhealthyFrom && observation.failures >= observation.successes)
     return Vote::kUnhealthy;
-  // The first success after a failure makes it healthy again.
+  // The first success after a failure is enough for a healthy vote.
   if (observation.successes >= 0.5 &&
       (observation.failures < kNegligible || observation.successAgeMs < observation.failureAgeMs))
     return Vote::kHealthy;
@@ -161,7 +161,7 @@
   next.unhealthyVotes = next.healthyVotes = 0;
   next.evidence = 0;
   std::vector<double> failureAges;
-  // Also of observations too weak for a vote, such as a single failed probe.
+  // Includes observations that are too weak for a vote, such as a single failed probe.
   double lastFailureAgeMs = HUGE_VAL;
   for (const HealthObservation& observation : observed) {
     if (observation.failures >= kNegligible)
@@ -174,8 +174,8 @@
     failureAges.push_back(observation.failureAgeMs);
   }
   std::sort(failureAges.begin(), failureAges.end());
-  // A success counts only if it is later than the failures that the verdict needs, and later than
-  // all of them once the instance is excluded, as a successful probe is.
+  // A success counts only if it is later than the failures that the verdict needs. Once the
+  // instance is excluded, it has to be later than all failures, as the success of a probe is.
   const std::size_t needed = std::max<std::uint32_t>(1, config.witnesses);
   const double latestAgeMs = previous.excluded             ? lastFailureAgeMs
                              : failureAges.size() < needed ? HUGE_VAL
--- a/src/shared/node.cpp
+++ b/src/shared/node.cpp
@@ -14,10 +14,11 @@
 
 namespace {
 
-// Share of the report interval that always passes between two reports, even urgent ones.
+// Minimum share of the report interval between two reports, even urgent ones.
 constexpr double kMinIntervalShare = 0.25;
-constexpr std::size_t kMinObservations = 64;  // per report, in a fleet of any size
-// Reports whose result is unknown; older ones are given up.
+// Observations that a report may always contain, however large the fleet is.
+constexpr std::size_t kMinObservations = 64;
+// Reports that are retained: the last accepted one, and the newest of those with unknown result.
 constexpr std::size_t kMaxPendingReports = 8;
 
 }  // namespace
@@ -40,8 +41,7 @@
   budgets_.setLimits(config_.budgets);
 }
 
-// ---- Input from requests
-// --------------------------------------------------------------------------------
+// ---- Input from requests ----
 
 TokenBudgets::Answer SharedNode::reserve(const std::string& tenant,
                                          std::uint64_t tokens,
@@ -78,8 +78,7 @@
   }
 }
 
-// ---- Input from the store
-// -------------------------------------------------------------------------------
+// ---- Input from the store ----
 
 std::vector<std::string> SharedNode::keys() const {
   Part own;
@@ -93,7 +92,7 @@
   const auto digest = documents.find(kDigestKey);
   if (digest != documents.end())
     readDigest(digest->second, nowMs);
-  // A read that was issued before the last write was answered may show the state before it.
+  // A read that was issued before the last write completed may show the state before that write.
   if (writing_ || readBegunMs < lastWriteMs_)
     return;
   Part own;
@@ -120,12 +119,13 @@
   if (!read.digest)
     return recordDecodeError(read.error, "the digest", document.revision);
   digestRevision_ = document.revision;
-  // Older than what is known: the store was rolled back, or a holder works on a stale view. The
-  // known digest stays until a newer one arrives.
+  // The digest is older than the known one: the store was rolled back, or a lease holder works on a
+  // stale view. The known digest stays in use until a newer one arrives.
   if (read.digest->sequence <= digestSequenceSeen_) {
     if (read.digest->sequence < digestSequenceSeen_) {
       ++stats_.rollbacks;
-      lastError_ = "the digest went back from " + std::to_string(digestSequenceSeen_) + " to " +
+      lastError_ = "the sequence of the digest decreased from " +
+                   std::to_string(digestSequenceSeen_) + " to " +
                    std::to_string(read.digest->sequence);
     }
     return;
@@ -156,8 +156,8 @@
     const Folded* folded = digest_ ? digest_->foldedOf(self_) : nullptr;
     if (folded != nullptr)
       return restartAfterEviction(folded->sequence, folded->period, nowMs);
-    // Never written, or lost in a rollback: it is written again. Otherwise somebody removed it
-    // without a trace: the last accepted report counts as folded.
+    // If the part was never written, or was lost in a rollback, it is written again. Otherwise
+    // it was removed without an entry in the digest, and the last accepted report counts as folded.
     const bool rolledBack = digestRevision_ != 0 && revision_ > digestRevision_;
     if (revision_ != 0 && !rolledBack)
       return restartAfterEviction(pendingReports_.empty() ? 0 : pendingReports_.front().sequence, 0,
@@ -173,17 +173,18 @@
   if (read.part)
     onReportAccepted(read.part->sequence, nowMs);
   else
-    recordDecodeError(read.error, "this conductor's own part", document->revision);
+    recordDecodeError(read.error, "this router's own part", document->revision);
 }
 
-// The usage up to the last report is in the digest's base, and all that it might have spent is
-// charged: it goes on as a new incarnation with the usage since, and reports what it really spent.
+// The usage up to the last report is included in the digest's base, and all that this incarnation
+// might have spent was charged. The router continues as a new incarnation with the usage since
+// then, and reports what it actually spent.
 void SharedNode::restartAfterEviction(std::uint64_t lastSequence,
                                       std::uint64_t period,
                                       double nowMs) {
   ++stats_.evicted;
-  // After a rollback, a report may have been folded that is no longer remembered: the last accepted
-  // one is the nearest, and errs towards counting too little.
+  // After a rollback, the folded report may be one that is no longer in pendingReports_. The last
+  // accepted report is the closest to it, and using it can only count too little.
   auto pending =
       std::find_if(pendingReports_.begin(), pendingReports_.end(),
                    [&](const PendingReport& report) { return report.sequence == lastSequence; });
@@ -192,8 +193,8 @@
   if (pending != pendingReports_.end())
     usage_ = usageSince(usage_, pending->usage);
   const auto used = budgets_.resetAfterEviction();
-  // Of another period there is nothing to refund; it is reported all the same, so that the lender
-  // drops the entry.
+  // For another period there is nothing to refund. The usage is reported nevertheless, so that the
+  // lender drops the entry.
   if (period != 0)
     finalUsage_ =
         FinalUsage{self_.incarnation, period,
@@ -227,13 +228,13 @@
   part.observations = observations_.snapshot(nowMs);
   part.finalUsage = finalUsage_;
   pendingReports_.push_back({part.sequence, part.period, part.spends, part.usage, nowMs});
-  // The first is the last accepted one; of the others, the oldest is the least likely to be
-  // current.
+  // The first entry is the last accepted report. Of the others, the oldest is the least likely to
+  // be the one in the store.
   if (pendingReports_.size() > kMaxPendingReports)
     pendingReports_.erase(pendingReports_.begin() + 1);
   writing_ = true;
-  // One router reads all parts, so each has a share of the bytes; observations are dropped to
-  // keep it.
+  // The router that computes the digest reads all parts, so each part is limited to an equal share
+  // of kMaxPartsBytes; observations are dropped to stay within it.
   std::string text = encode(part);
   while (text.size() > kMaxPartsBytes / nodes() && part.observations.size() > kMinObservations) {
     const std::size_t maxObservations =
@@ -249,7 +250,7 @@
       std::find_if(pendingReports_.begin(), pendingReports_.end(),
                    [&](const PendingReport& report) { return report.sequence == sequence; });
   if (it == pendingReports_.end())
-    return;  // no longer remembered, after a rollback
+    return;  // dropped from pendingReports_, which is possible after a rollback
   budgets_.onReportAccepted(it->period, it->spends, it->writeBegunMs);
   connectivity_.onReportAccepted(sequence, nowMs);
   pendingReports_.erase(pendingReports_.begin(), it);
@@ -265,14 +266,13 @@
     onReportAccepted(sequence_, nowMs);
     return;
   }
-  // The next read tells whether it was written.
+  // The next read shows whether the part was written.
   if (response.status == CommitStatus::kConflict)
     ++stats_.conflicts;
   ownPartKnown_ = false;
 }
 
-// ---- Decisions and state
-// --------------------------------------------------------------------------------
+// ---- Decisions and state ----
 
 ConnectivityState SharedNode::connectivityState(double nowMs) {
   connectivity_.tick(nowMs);
--- a/src/shared/node.h
+++ b/src/shared/node.h
@@ -1,7 +1,7 @@
-/// One router's participation in shared state: it reads the digest and its own part from the
-/// store, and decides what to write there next. Combines budgets, usage, observations and
-/// connectivity; the caller does the I/O. Times are milliseconds of the caller's monotonic clock,
-/// unless named unixMs.
+/// One router's participation in shared state: evaluates the digest and the router's own part,
+/// which the caller reads from the store, and decides what to write there next. Combines budgets,
+/// usage, observations and connectivity; the caller does the I/O. Times are milliseconds of the
+/// caller's monotonic clock, unless named unixMs.
 #pragma once
 
 #include <cstdint>
@@ -20,7 +20,7 @@
 
 namespace inference_router::shared {
 
-/// Not thread-safe.
+/// The state of one router. Not thread-safe.
 class SharedNode {
  public:
   /// Counters since the start.
@@ -30,19 +30,19 @@
     std::map<std::string, std::uint64_t> denied;  ///< by the name of the denial
   };
 
-  /// newIncarnation: returns a number that was never used before.
+  /// newIncarnation: returns a number that no incarnation has used before.
   SharedNode(SharedConfig config,
              std::string name,
              std::function<std::uint64_t()> newIncarnation,
              double nowMs);
 
-  /// Applies changed settings while running.
+  /// Applies changed settings at run time.
   void reconfigure(SharedConfig config);
 
   // ---- Input from requests ----
   /// Reserves tokens of a tenant's budget for one request.
   TokenBudgets::Answer reserve(const std::string& tenant, std::uint64_t tokens, double nowMs);
-  /// How a request ended.
+  /// How a request ended, and its tokens.
   struct RequestUsage {
     enum class Outcome : std::uint8_t { kServed, kRefused, kFailed } outcome = Outcome::kFailed;
     std::uint64_t promptTokens = 0, answerTokens = 0;  ///< served: as the instance counted them
@@ -59,28 +59,27 @@
   // ---- Input from the store ----
   /// The keys of the documents that this router has to read.
   std::vector<std::string> keys() const;
-  /// Documents that were read; readBegunMs is when the read was issued. A missing key is a missing
-  /// document.
+  /// Evaluates documents that were read; a key that is missing means that the document does not
+  /// exist. readBegunMs: when the read was issued.
   void onRead(const std::map<std::string, coordination::Document>& documents,
               double readBegunMs,
               double nowMs);
 
   /// The report to write, if one is due; nothing while a write is in flight.
   std::optional<coordination::Write> nextReport(double unixMs, double nowMs);
-  /// draining: no more requests are taken, so that the next report returns all unused loans; false
-  /// undoes it.
+  /// While draining, no new requests are admitted, so reports return all unused loans.
   void setDraining(bool draining) {
     draining_ = draining;
     nextMs_ = 0;
   }
-  /// The result of the write that nextReport() returned.
+  /// Evaluates the result of the write that nextReport() returned.
   void onWritten(const coordination::CommitResponse& response, double nowMs);
 
   // ---- Decisions and state ----
   std::map<std::string, Availability> availabilities(
       const std::map<std::string, KnownInstance>& instances,
       double nowMs) const;
-  /// The number of live routers by the last digest; at least one.
+  /// The number of live routers in the last digest; at least one.
   std::size_t nodes() const { return std::max<std::size_t>(1, nodes_.size()); }
   ConnectivityState connectivityState(double nowMs);
   double silenceMs(double nowMs) const { return connectivity_.silenceMs(nowMs); }
@@ -92,7 +91,7 @@
   const UsageTable& usage() const { return usage_; }
   const Stats& stats() const { return stats_; }
   const SharedConfig& config() const { return config_; }
-  /// What was last found wrong in the store, for operators; empty if nothing is.
+  /// The last error in the contents of the store, for operators; empty if there is none.
   const std::string& lastError() const { return lastError_; }
 
  private:
@@ -115,19 +114,19 @@
   std::uint64_t digestSequenceSeen_ = 0;
   std::vector<std::string> nodes_;
 
-  // A report that was written and may have been accepted.
+  // A report whose write was started and which the store may have accepted.
   struct PendingReport {
     std::uint64_t sequence = 0, period = 0;
     std::map<std::string, Spend> spends;
     UsageTable usage;
     double writeBegunMs = 0;
   };
-  // The last accepted report first, then those whose result is unknown.
+  // The last accepted report, followed by those whose result is unknown.
   std::deque<PendingReport> pendingReports_;
   std::uint64_t revision_ = 0, sequence_ = 0;
   bool ownPartKnown_ = false, writing_ = false, draining_ = false;
   double nextMs_ = 0, lastWriteMs_ = 0;
-  // Of an evicted incarnation, reported until the lender has refunded it.
+  // Of an evicted incarnation of this router; reported until the lender has refunded it.
   std::optional<FinalUsage> finalUsage_;
   std::string lastError_;
   Stats stats_;
--- a/src/shared/part_codec.h
+++ b/src/shared/part_codec.h
@@ -10,7 +10,7 @@
 
 namespace inference_router::shared {
 
-/// part is set exactly if error is kNone.
+/// The result of decodePart(); part is set exactly if error is kNone.
 struct DecodedPart {
   DecodeError error = DecodeError::kNone;
   std::optional<Part> part;
--- a/src/shared/remote_health.cpp
+++ b/src/shared/remote_health.cpp
@@ -11,7 +11,8 @@
 
 namespace {
 
-// The same at every router: the checksum and the generator are both standardised.
+// A pseudo-random rank (rendezvous hashing) that is the same at every router, as the checksum and
+// the generator are both standardised.
 std::uint_fast32_t probeRank(const std::string& instance,
                              const std::string& node,
                              std::uint64_t turn) {
@@ -51,13 +52,14 @@
 
 namespace {
 
-// One role within one cell, which has an exclusion limit of its own.
+// A role within a cell, which has its own exclusion limit.
 struct CellRole {
   std::string role;
   std::uint32_t cell = 0;
   auto operator<=>(const CellRole&) const = default;
 };
 
+// The instances to which an exclusion limit applies.
 struct Group {
   std::size_t instances = 0, excluded = 0;
   bool atLimit(double maxExcludedShare) const {
@@ -65,13 +67,14 @@
   }
 };
 
+// An instance that the fleet's verdict excludes.
 struct ExclusionCandidate {
   std::uint32_t votes = 0;
   double evidence = 0;
   std::string id;
 };
 
-// Most votes first, then most evidence: the same order at every router.
+// Orders by most votes, then by most evidence, so that the order is the same at every router.
 bool hasPriority(const ExclusionCandidate& one, const ExclusionCandidate& other) {
   return std::tie(other.votes, other.evidence, one.id) <
          std::tie(one.votes, one.evidence, other.id);
@@ -88,7 +91,7 @@
   return candidates;
 }
 
-// For an instance that the fleet excludes, within the limits.
+// The availability of an instance that the fleet excludes within the limits.
 Availability excludedOrProbed(const RemoteHealthInput& input, const std::string& id, double nowMs) {
   if (input.own.recentlyHealthy(id, nowMs))
     return Availability::kLocallyHealthy;
@@ -123,7 +126,7 @@
       availability = Availability::kExclusionLimit;
       continue;
     }
-    // It counts towards the limits at every router alike, also at the one that probes it.
+    // The instance counts towards the limits at every router, including the one that probes it.
     ++role.excluded;
     ++cell.excluded;
     availability = excludedOrProbed(input, candidate.id, nowMs);
--- a/src/shared/remote_health.h
+++ b/src/shared/remote_health.h
@@ -1,6 +1,6 @@
-/// Which instances a router excludes because of the fleet's verdicts. The number of excluded
-/// instances is limited per role and per role within a cell, whatever the verdicts say, and one
-/// router at a time probes each excluded instance. No I/O.
+/// Decides which instances a router excludes because of the fleet's verdicts. The number of
+/// excluded instances is limited per role and per role within a cell, whatever the verdicts are.
+/// Each excluded instance is probed by one router at a time. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -14,16 +14,16 @@
 
 namespace inference_router::shared {
 
-/// An instance as this router knows it. serves: not taken out by an operator or a maintenance,
-/// which take precedence over verdicts.
+/// An instance as this router knows it. serves is false if an operator or a maintenance excluded
+/// it, which takes precedence over verdicts.
 using KnownInstance = coordination::FleetInstance;
 
-/// The largest number of instances that may be out of `instances`, counting those that an operator
-/// took out. Always leaves at least one.
+/// The largest number of instances that may be excluded out of `instances`, including those that an
+/// operator excluded. At least one instance always stays in use.
 std::size_t maxExcluded(std::size_t instances, double share);
 
-/// The router that probes an excluded instance at this digest: every router computes the same
-/// one, and the turn changes every `probeDigests` digests. Empty if there are no nodes.
+/// The router that probes an excluded instance at this digest. Every router computes the same one;
+/// it changes every `probeDigests` digests. Empty if there are no nodes.
 std::string probingNode(const std::string& instance,
                         std::uint64_t sequence,
                         std::uint64_t probeDigests,
@@ -35,22 +35,22 @@
   kExcluded,        ///< excluded by the fleet's verdict
   kLocallyHealthy,  ///< excluded by others, but this router had a recent success
   kProbing,         ///< excluded, and it is this router's turn to probe it
-  kExclusionLimit,  ///< kept in: too much of its role or cell is out already
-  kDisconnected,    ///< kept in: this router is not connected to the fleet
-  kOperator,        ///< taken out by an operator or a maintenance
+  kExclusionLimit,  ///< in use, as the limit of its role or cell is reached
+  kDisconnected,    ///< in use, as this router is not connected to the fleet
+  kOperator,        ///< excluded by an operator or a maintenance
 };
 /// The name in logs and reports.
 const char* nameOf(Availability availability);
 
-/// All that the decision rests on; references are borrowed for the call.
+/// The input of availabilities(); references are only used during the call.
 struct RemoteHealthInput {
   const std::map<std::string, HealthVerdict>& verdicts;
   const std::map<std::string, KnownInstance>& instances;
   const LocalObservations& own;
-  const std::vector<std::string>& nodes;  ///< routers that report
+  const std::vector<std::string>& nodes;  ///< the live routers
   std::string self;
   std::uint64_t sequence = 0;
-  bool connected = true;  ///< to the fleet, possibly with a delay
+  bool connected = true;  ///< to the fleet, even if delayed
   double maxExcludedShare = 0.34;
   std::uint64_t probeDigests = 3;
 };
--- a/src/shared/setup.cpp
+++ b/src/shared/setup.cpp
@@ -18,7 +18,7 @@
 double readInterval(const core::ConfigReader& section, const char* name, double defaultMs) {
   const double ms = section.above0(name, defaultMs);
   if (ms < kMinIntervalMs)
-    section.at(name).fail("is under 50 ms");
+    section.at(name).fail("is less than 50 ms");
   return ms;
 }
 
@@ -29,10 +29,10 @@
   for (const auto& [tenant, value] : section.json().items()) {
     const core::ConfigReader budget = section.at(tenant);
     if (std::find(tenants.begin(), tenants.end(), tenant) == tenants.end())
-      budget.fail("is for a tenant that the settings do not name");
+      budget.fail("is the budget of a tenant that is not in the settings");
     const auto tokens = budget.as<std::uint64_t>();
     if (tokens == 0 || tokens > kMaxTokens)
-      budget.fail("is no number of tokens from 1 to 2^50");
+      budget.fail("is not a number of tokens from 1 to 2^50");
     budgets[tenant] = tokens;
   }
   if (budgets.size() > kMaxTenants)
@@ -43,9 +43,12 @@
 /// Checks the settings against each other.
 void checkConsistency(const core::ConfigReader& section, const SharedConfig& config) {
   if (config.budget.ceilingMs > config.budget.prefetchMs)
-    section.fail("cannot be used: slice_s is longer than ahead_s, out of which it is taken");
+    section.fail("cannot be used: slice_s is longer than ahead_s, of which it is a part");
   if (config.budget.loanMs < 2 * (config.reportMs + config.digestMs))
-    section.fail("cannot be used: a loan of loan_s lapses before a conductor can be heard twice");
+    section.fail(
+        "cannot be used: loan_s is shorter than twice the sum of word_ms and digest_ms, so a loan "
+        "would "
+        "expire before its router can report twice");
   if (config.connectivity.isolatedMs < config.connectivity.delayedMs)
     section.fail("cannot be used: alone_s is shorter than late_s");
   if (config.connectivity.delayedMs < config.reportMs + config.digestMs)
@@ -83,9 +86,9 @@
   config.maxExcludedShare = section.value("most_out", config.maxExcludedShare);
   setup.peerExclusions = section.value("hearsay", setup.peerExclusions);
   if (config.verdict.witnesses < 1)
-    section.at("witnesses").fail("is under 1");
+    section.at("witnesses").fail("is less than 1");
   if (!(config.maxExcludedShare >= 0 && config.maxExcludedShare <= 0.5))
-    section.at("most_out").fail("is no share from 0 to 0.5");
+    section.at("most_out").fail("is not a share from 0 to 0.5");
   checkConsistency(section, config);
   return setup;
 }
--- a/src/shared/setup.h
+++ b/src/shared/setup.h
@@ -1,6 +1,6 @@
 /// The `shared` section of the operator's file: token budgets and the exchange of health
-/// observations. It needs the `coordination` section, whose store it uses. Without it a router
-/// shares neither.
+/// observations. It requires the `coordination` section, whose store it uses. A router without this
+/// section shares neither.
 #pragma once
 
 #include <set>
@@ -12,12 +12,14 @@
 
 namespace inference_router::shared {
 
+/// The section's settings.
 struct SharedSetup {
   SharedConfig config;
-  bool peerExclusions = true;  ///< whether instances are excluded by what other routers observed
+  bool peerExclusions = true;  ///< whether observations of other routers exclude instances
 };
 
-/// Throws std::invalid_argument with the path of what is wrong. tenants: that the settings name.
+/// Reads the section. Throws std::invalid_argument with the path of the invalid setting. tenants:
+/// all tenants in the routing settings.
 SharedSetup sharedSetupOf(const core::ConfigReader& section,
                           const std::vector<std::string>& tenants);
 
--- a/src/shared/usage_counters.h
+++ b/src/shared/usage_counters.h
@@ -1,6 +1,6 @@
 /// Usage counters that can be summed over the fleet: a state-based grow-only counter (G-counter)
-/// per process. Merging takes the larger value of each counter, so reports may arrive late,
-/// repeated or out of order. The counters of processes that have ended are folded into one base. No
+/// per process. Merging uses the larger value of each counter, so reports may arrive late, repeated
+/// or out of order. The counters of processes that have ended are folded into a common base. No
 /// I/O.
 #pragma once
 
@@ -11,29 +11,30 @@
 
 namespace inference_router::shared {
 
-/// Identifies one process of one router. The incarnation is new with each start, and with each
-/// eviction of a process that turns out to be alive.
+/// Identifies one process of one router. The incarnation changes with each start, and with each
+/// eviction of a process that is in fact alive.
 struct Origin {
   std::string name;
   std::uint64_t incarnation = 0;
   auto operator<=>(const Origin&) const = default;
 };
 
-/// Counters of one tenant and request class. They only grow.
+/// The counters of one tenant and request class. They only grow.
 struct UsageCounters {
   std::uint64_t served = 0, refused = 0, failed = 0;  ///< number of requests
   std::uint64_t promptTokens = 0, answerTokens = 0;   ///< of served requests; billed
-  std::uint64_t refusedTokens = 0,
-                failedTokens = 0;  ///< upper bound of what was requested; never billed
+  /// Upper bounds of the requested tokens; never billed.
+  std::uint64_t refusedTokens = 0, failedTokens = 0;
   bool operator==(const UsageCounters&) const = default;
 
   void add(const UsageCounters& other);
-  /// Whether every counter is at least that of `other`.
+  /// Whether every counter is at least as large as in `other`.
   bool dominates(const UsageCounters& other) const;
   std::uint64_t billed() const { return promptTokens + answerTokens; }
 };
 
-/// One row of the usage table: names rather than indices, as routers may number them differently.
+/// The key of a row of the usage table. Uses names rather than indices, as routers may number
+/// tenants and classes differently.
 struct UsageKey {
   std::string tenant;
   std::string requestClass;
@@ -42,21 +43,23 @@
 using UsageTable = std::map<UsageKey, UsageCounters>;
 constexpr std::size_t kMaxUsageRows = 1024;
 
-/// Adds each row of `more` to `to`.
+/// Adds each row of `from` to `to`.
 void addUsage(UsageTable& to, const UsageTable& from);
-/// The difference `now` - `before`, row by row; a counter that went backwards yields 0.
+/// The difference `current` - `previous`, row by row; 0 for a counter that has decreased.
 UsageTable usageSince(const UsageTable& current, const UsageTable& previous);
-/// Takes the larger value of each counter. Idempotent, commutative and associative.
+/// Sets each counter to the larger of both values. Idempotent, commutative and associative.
 void merge(UsageTable& to, const UsageTable& from);
-/// Whether no counter of `before` is larger than that of `now`.
+/// Whether no counter has decreased from `previous` to `current`.
 bool isMonotonic(const UsageTable& current, const UsageTable& previous);
 
-/// The usage of the whole fleet: one table per live process, and the base of those that have ended.
+/// The usage of the whole fleet: one table per live process, and the base for processes that have
+/// ended.
 class FleetUsage {
  public:
-  /// Returns false if a counter went backwards; the higher value is kept.
+  /// Merges the table of a process. Returns false if a counter has decreased; its higher value is
+  /// retained.
   bool merge(const Origin& from, const UsageTable& part);
-  /// Moves the usage of a process that has ended into the base; a second call has no effect.
+  /// Moves the usage of a process that has ended into the base. A second call has no effect.
   void fold(const Origin& from);
   void base(UsageTable base) { base_ = std::move(base); }
 
