--- a/src/control/commands.cpp
+++ b/src/control/commands.cpp
@@ -23,7 +23,7 @@
   return report.empty() ? failure(reasonIfEmpty) : report + kEndOfReport;
 }
 
-// ---- What each command does ----
+// ---- Implementations of the commands ----
 
 ReportFormat formatIn(const Arguments& arguments) {
   return arguments.empty() ? ReportFormat::kText : ReportFormat::kJson;
@@ -51,19 +51,19 @@
   return api.instancesReport() + kEndOfReport;
 }
 std::string runAdmission(AdminApi& api, const Arguments&) {
-  return reportOr(api.admissionReport(), "no admission rules are set up here");
+  return reportOr(api.admissionReport(), "no admission rules are configured");
 }
 std::string runLeases(AdminApi& api, const Arguments& arguments) {
-  return reportOr(api.leasesReport(formatIn(arguments)), "no coordination is set up here");
+  return reportOr(api.leasesReport(formatIn(arguments)), "coordination is not configured");
 }
 std::string runShared(AdminApi& api, const Arguments& arguments) {
-  return reportOr(api.sharedStateReport(formatIn(arguments)), "nothing is shared here");
+  return reportOr(api.sharedStateReport(formatIn(arguments)), "shared state is not configured");
 }
 std::string runShowMaintenance(AdminApi& api, const Arguments&) {
-  return reportOr(api.maintenanceReport(), "no coordination is set up here");
+  return reportOr(api.maintenanceReport(), "coordination is not configured");
 }
 
-// ---- Which commands there are ----
+// ---- The command table ----
 
 enum class ArgumentRule { kNone, kInstanceId, kOptionalJson, kAny };
 
@@ -87,17 +87,17 @@
     Command{.name = kMaintenance, .rule = ArgumentRule::kAny, .run = runShowMaintenance},
 };
 
-// Empty if the arguments are in order, else the answer that says what the command takes.
+// Returns the response for invalid arguments; empty if the arguments are valid.
 std::string argumentError(const Command& command, const Arguments& arguments) {
   const std::string name(command.name);
   switch (command.rule) {
     case ArgumentRule::kNone:
-      return arguments.empty() ? "" : failure(name + " takes nothing");
+      return arguments.empty() ? "" : failure(name + " takes no arguments");
     case ArgumentRule::kInstanceId:
-      return arguments.size() == 1 ? "" : failure(name + " takes one instance's id");
+      return arguments.size() == 1 ? "" : failure(name + " takes one instance id");
     case ArgumentRule::kOptionalJson: {
       const bool json = arguments.size() == 1 && arguments.front() == "json";
-      return arguments.empty() || json ? "" : failure(name + " takes nothing, or json");
+      return arguments.empty() || json ? "" : failure(name + " takes no arguments or json");
     }
     case ArgumentRule::kAny:
       return "";
@@ -105,7 +105,7 @@
   return "";
 }
 
-// ---- Lines ----
+// ---- Parsing and formatting ----
 
 std::vector<std::string> splitAtWhitespace(std::string_view line) {
   std::vector<std::string> tokens;
@@ -172,16 +172,17 @@
   if (line.size() > maxBytesOf(line))
     return failure("a line has at most " + std::to_string(maxBytesOf(line)) + " bytes");
   if (!isPlainText(line))
-    return failure("a line is plain text");
+    return failure("a line must not contain control characters");
   const std::vector<std::string> tokens = splitAtWhitespace(line);
   if (tokens.empty())
-    return failure("an empty line");
+    return failure("the line is empty");
   const auto command =
       std::find_if(kCommands.begin(), kCommands.end(),
                    [&](const Command& candidate) { return candidate.name == tokens.front(); });
   if (command == kCommands.end())
     return failure(
-        "unknown call; known are readyz, telemetry, exclude ID, include ID, evacuate, activate, "
+        "unknown command; valid commands are readyz, telemetry, exclude ID, include ID, evacuate, "
+        "activate, "
         "boxes, admission, leases [json], shared [json], maintenance "
         "[start|pause|resume|cancel|back ...]");
   const Arguments arguments(tokens.begin() + 1, tokens.end());
