--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -1,4 +1,4 @@
-// The life of an instance and the commands that drain it, against simple models.
+// The ages, the lifecycle and the drains of instances, and the backoff of the watch on discovery.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 #include <rapidcheck/gtest.h>
@@ -18,8 +18,7 @@
 
 // ---- InstanceAges -------------------------------------------------------------------------------
 
-// Starts of instances as discovery tells them, by a clock that is off by any amount, some time
-// later.
+// Discovery reports starts with some delay, by a clock with an arbitrary offset.
 RC_GTEST_PROP(InstanceAges, NeverOverestimatesTheAge, ()) {
   core::ManualClock clock;
   InstanceAges ages(clock);
@@ -51,11 +50,11 @@
   EXPECT_EQ(ages.startTime("late", startedMs + 2'000 + offsetMs), startedMs + 2'000);
   clock.advance(5'000);
   EXPECT_EQ(ages.startTime("late", startedMs + 2'000 + offsetMs), startedMs + 2'000)
-      << "it is told once more";
+      << "the same start time is reported again";
   EXPECT_EQ(ages.startTime("long ago", 0), std::nullopt);
 }
 
-// The machine that discovery takes its times from is set back.
+// The clock of the machine from which discovery takes its times is set back.
 TEST(InstanceAges, NewInstanceStartedAfterThePreviousMessageWhateverTimeIsReported) {
   core::ManualClock clock;
   InstanceAges ages(clock);
@@ -68,12 +67,12 @@
   ages.observeStart(upSinceMs - 3'600'000);
   EXPECT_EQ(ages.startTime("b", upSinceMs - 3'600'000), lastContactMs);
   EXPECT_EQ(ages.startTime("a", upSinceMs - 3'600'000), lastContactMs)
-      << "another start time is a new start";
+      << "a different start time means a restart";
 }
 
 // ---- DiscoveryBackoff ---------------------------------------------------------------------------
 
-// When each node asks in vain, from the same moment on: tries of all in each tenth of a second.
+// Retries of all nodes in each tenth of a second, if all calls fail from the same moment on.
 std::map<int, int> retriesPerTenth(int nodes, double durationMs) {
   std::map<int, int> retries;
   for (int node = 0; node < nodes; ++node) {
@@ -84,38 +83,40 @@
   return retries;
 }
 
-// Guards against a fleet that keeps its discovery down by asking: a hundred nodes with a tenth of a
-// second each were 860 calls a second, and most got no list for as long as the day lasted.
+// Guards against a fleet whose retries keep discovery overloaded: with a delay of a tenth of a
+// second, a hundred nodes made 860 calls a second, and most of them got no list for the rest of a
+// simulated day.
 TEST(DiscoveryBackoff, LargeFleetRetriesRarelyAndSpreadOut) {
   for (const int nodes : {100, 300}) {
     int retriesAfter20S = 0;
     for (const auto& [tenth, count] : retriesPerTenth(nodes, 60'000)) {
-      EXPECT_LE(count, 3 * nodes / 10) << nodes << " nodes, " << tenth << " tenths after the loss";
+      EXPECT_LE(count, 3 * nodes / 10)
+          << nodes << " nodes, " << tenth << " tenths of a second after the loss";
       if (tenth >= 200)
         retriesAfter20S += count;
     }
-    EXPECT_LE(retriesAfter20S / 40.0,
-              nodes / 1.7);  // a second; what 6 s until told allow, and no less often
+    // Retries a second over 40 s: as rare as the delivery limit of 6 s allows, and no rarer.
+    EXPECT_LE(retriesAfter20S / 40.0, nodes / 1.7);
     EXPECT_GE(retriesAfter20S / 40.0, nodes / 2.0);
   }
 }
 
-// Over random orders of calls that hang, are refused or break at any point: from the moment at
-// which discovery can be reached, the next call that begins is answered, and none begins later than
-// told counts allow.
+// Random sequences of calls that hang, are refused or break at any point. The first call that
+// starts after discovery is reachable again succeeds; it must complete within the delivery limit.
 TEST(DiscoveryBackoff, NodeIsUpdatedWithinTheDeliveryLimit) {
   std::mt19937_64 random(11);
   const auto draw = [&](double max) { return std::uniform_real_distribution<>(0, max)(random); };
   double worstMs = 0;
   for (int run = 0; run < 20'000; ++run) {
     DiscoveryBackoff backoff(run % 2 == 0 ? 3 : 300, random());
-    const double reachableMs =
-        draw(30'000);  // from here on it can be reached, and has what is to be told
+    // From then on discovery is reachable and has the change.
+    const double reachableMs = draw(30'000);
     double now = 0;
-    if (run % 3 == 0)
-      now = reachableMs + DiscoveryBackoff::kWatchTimeoutMs;  // an open watch fell silent just then
+    if (run % 3 == 0)  // an open watch stopped responding at that moment
+      now = reachableMs + DiscoveryBackoff::kWatchTimeoutMs;
     while (now <= reachableMs && run % 3 != 0) {
-      // Begun before: it may hang to its limits although discovery is back meanwhile.
+      // A call that started before may hang until its timeout, although discovery is reachable
+      // again.
       now += random() % 2 == 0 ? draw(DiscoveryBackoff::kConnectTimeoutMs)
                                : DiscoveryBackoff::kConnectTimeoutMs +
                                      draw(DiscoveryBackoff::kFirstByteTimeoutMs);
@@ -126,7 +127,8 @@
     worstMs = std::max(worstMs, now + DiscoveryBackoff::kCallTimeoutMs - reachableMs);
   }
   EXPECT_LE(worstMs, DiscoveryBackoff::kDeliveryLimitMs - DiscoveryBackoff::kMarginMs);
-  EXPECT_GE(worstMs, DiscoveryBackoff::kWorstHungCallMs * 0.9);  // the orders played come near it
+  // The sequences come close to the worst case.
+  EXPECT_GE(worstMs, DiscoveryBackoff::kWorstHungCallMs * 0.9);
 }
 
 TEST(DiscoveryBackoff, SmallFleetRetriesSoonAndOften) {
@@ -174,7 +176,7 @@
   facts.openRequests = 1;
   reconcile(lifecycle, facts, 5);
   EXPECT_EQ(lifecycle.state(), LifecycleState::kDraining);
-  facts.reachable = false;  // trouble does not end a drain
+  facts.reachable = false;  // failures do not end a drain
   facts.ejected = true;
   reconcile(lifecycle, facts, 6);
   EXPECT_EQ(lifecycle.state(), LifecycleState::kDraining);
@@ -213,8 +215,8 @@
   EXPECT_EQ(lifecycle.sinceMs(), 0);
 }
 
-// Whatever the facts do: the state is the one that they call for, and each change of it is one
-// revision or more.
+// For any sequence of facts, the state is the one that they imply, and each change of it raises the
+// revision.
 TEST(InstanceLifecycle, MatchesTheFactsForAnySequence) {
   rc::check([](const std::vector<unsigned char>& steps) {
     InstanceLifecycle lifecycle(true, 0);
@@ -250,14 +252,13 @@
                   lifecycle.state() == LifecycleState::kActive);
       }
       const std::uint64_t after = lifecycle.revision();
-      reconcile(lifecycle, facts, now + 0.5);  // the same facts again are no news
+      reconcile(lifecycle, facts, now + 0.5);  // the same facts again change nothing
       RC_ASSERT(lifecycle.revision() == after);
     }
   });
 }
 
-// ---- Drain commands
-// --------------------------------------------------------------------------------
+// ---- Drains -------------------------------------------------------------------------------------
 
 Drains::Target instance(std::size_t others = 1) {
   return {true, others, "write", 3};
@@ -328,13 +329,13 @@
   EXPECT_FALSE(drains.overdue("box-1", 0, 101));
 }
 
-// Two consoles, three instances, every interleaving that comes: a plain map is what the commands
-// that were done make of it.
+// Two senders and three instances, in any interleaving: the state equals a map to which the
+// executed commands are applied.
 TEST(Drains, MatchesASimpleModelInAnyInterleaving) {
   rc::check([](const std::vector<std::tuple<unsigned char, unsigned char>>& steps) {
     Drains drains;
     std::map<std::string, std::pair<bool, std::uint64_t>> model;       // drained, revision
-    std::map<std::string, std::map<std::string, std::uint64_t>> seen;  // by console and instance
+    std::map<std::string, std::map<std::string, std::uint64_t>> seen;  // by sender and instance
     std::map<std::string, std::pair<DrainCommand, DrainResponse>> responses;
     double now = 0;
     int ids = 0;
@@ -342,11 +343,11 @@
       now += 1;
       const std::string sender = (action & 1) != 0 ? "maria" : "nikos";
       const std::string name = "box-" + std::to_string(choice % 3);
-      if (action % 5 == 0) {  // this console looks
+      if (action % 5 == 0) {  // this sender reads the state
         seen[sender][name] = drains.stateOf(name).revision;
         continue;
       }
-      if (action % 7 == 0 && !responses.empty()) {  // a line comes twice
+      if (action % 7 == 0 && !responses.empty()) {  // a command is repeated
         const auto& [command, response] =
             std::next(responses.begin(), choice % responses.size())->second;
         RC_ASSERT(drains.handle(command, instance(), now) == response);
--- a/tests/shared_fleet_test.cpp
+++ b/tests/shared_fleet_test.cpp
@@ -1,6 +1,6 @@
-// Shared state of whole fleets in memory: up to three hundred routers under partitions, pauses
-// and crashes, checked against the bounds of docs/design/shared-state.md, and safety checks that
-// are switched off one by one, each of which has to be noticed.
+// Shared state of whole simulated fleets: up to three hundred routers under partitions, pauses and
+// crashes, checked against the bounds of docs/design/shared-state.md. Further tests switch off the
+// safety checks one by one, which has to be detected.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -12,15 +12,14 @@
 namespace {
 
 #ifdef __SANITIZE_ADDRESS__
-constexpr bool kSlow = true;  // the sanitizers' build takes some ten times as long
+constexpr bool kSlow = true;  // a build with sanitizers takes about ten times as long
 #else
 constexpr bool kSlow = false;
 #endif
 
-// ---- A fleet under whatever happens
-// --------------------------------------------------------------------
+// ---- Random faults ----
 
-// One trouble after another, drawn, several at a time.
+// Injects one random fault. Faults overlap, as they last until a later one ends them.
 void injectFault(SimulatedFleet& fleet) {
   const std::size_t n = fleet.nodes.size();
   const auto forShare = [&](double share, const auto& action) {
@@ -31,32 +30,32 @@
       action((first + k) % n);
   };
   switch (fleet.random() % 10) {
-    case 0:  // a third is cut off
+    case 0:  // a third of the routers cannot reach the store
       return forShare(
           0.33, [&](std::size_t i) { fleet.nodes[i].canRead = fleet.nodes[i].canWrite = false; });
-    case 1:  // one way only
+    case 1:  // routers can write, but not read
       return forShare(0.2, [&](std::size_t i) { fleet.nodes[i].canRead = false; });
-    case 2:
+    case 2:  // routers can read, but not write
       return forShare(0.2, [&](std::size_t i) { fleet.nodes[i].canWrite = false; });
-    case 3:  // links come back
-    case 4:
+    case 3:
+    case 4:  // all connections are restored
       for (auto& node : fleet.nodes)
         node.canRead = node.canWrite = true;
       return;
-    case 5:
+    case 5:  // routers pause
       return forShare(0.1, [&](std::size_t i) {
         if (fleet.alive(i))
           fleet.nodes[i].pausedUntilMs = fleet.now + fleet.draw(1000, 40'000);
       });
-    case 6:
+    case 6:  // routers crash
       return forShare(0.05, [&](std::size_t i) { fleet.kill(i, fleet.draw(200, 20'000)); });
-    case 7:  // a wave of restarts
+    case 7:  // sometimes most routers restart at once
       if (fleet.random() % 3 == 0)
         return forShare(0.8, [&](std::size_t i) { fleet.kill(i, fleet.draw(200, 3'000)); });
       return;
-    case 8:
+    case 8:  // the lease moves to another router
       return fleet.acquireLease(fleet.random() % n);
-    default:
+    default:  // the store may become unreachable, or lose messages
       fleet.storeUp = fleet.random() % 3 != 0;
       fleet.lossShare = fleet.chance(0.5) ? 0.2 : 0;
   }
@@ -80,7 +79,7 @@
              : decodeDigest(document->second.value).digest.value_or(Digest{});
 }
 
-// What the lender has out, by its own digest and by the parts as they lie in the store.
+// Checks outstanding loans, as given by the digest and by the parts in the store.
 void expectLoansWithinBudgets(const SimulatedFleet& fleet) {
   const Digest digest = digestIn(fleet);
   for (const auto& [tenant, line] : digest.budgets) {
@@ -119,12 +118,11 @@
   }
   heal(fleet);
   fleet.traffic = false;
-  // All answers end, all words are said, all that are gone are folded.
+  // All requests end, all usage is reported, and all ended routers are evicted.
   fleet.run(5'000 + 2 * fleet.options.config.evictAfterMs + 10'000);
   result.overshoot = fleet.overshoot();
   const UsageTable reported = digestIn(fleet).total;
-  // Never more than was counted, and what is missing is no more than died unsaid with its
-  // routers.
+  // The digest never exceeds the actual usage, and lacks at most the usage of killed routers.
   result.usageWithinBounds = isMonotonic(fleet.countedUsage, reported);
   UsageTable reportedOrLost = reported;
   addUsage(reportedOrLost, fleet.lostUsage);
@@ -138,7 +136,7 @@
 TEST_P(SharedStateUnderFaults, BudgetsHoldAndUsageIsNotOvercounted) {
   const auto [count, seed] = GetParam();
   if (kSlow && count >= 100)
-    GTEST_SKIP() << "large fleets: in the release build only";
+    GTEST_SKIP() << "large fleets run only in builds without sanitizers";
   SimulatedFleet::Options options{.nodes = count, .seed = seed, .load = 2};
   if (count >= 100)
     options.config.digestMs = 1'000;
@@ -157,11 +155,11 @@
     actual += counters.billed();
   for (const auto& [denial, occurrences] : fleet.denied)
     refused += occurrences;
-  std::cout << count << " nodes, seed " << seed << ": nearest to the budget " << -result.overshoot
-            << " tokens below, billed " << billed << " of " << actual << ", " << fleet.kills
-            << " kills, " << fleet.requests << " asked, " << refused << " refused, "
-            << fleet.digests << " digests, largest digest "
-            << fleet.store.documents.at(kDigestKey).value.size() << " bytes\n";
+  std::cout << count << " nodes, seed " << seed << ": smallest unused budget " << -result.overshoot
+            << " tokens, billed " << billed << " of " << actual << ", " << fleet.kills << " kills, "
+            << fleet.requests << " requests, " << refused << " refused, " << fleet.digests
+            << " digests, largest digest " << fleet.store.documents.at(kDigestKey).value.size()
+            << " bytes\n";
   EXPECT_GT(fleet.granted, 100u);
 }
 
@@ -173,7 +171,7 @@
                                            std::pair(std::size_t(100), 4U),
                                            std::pair(std::size_t(300), 5U)));
 
-// Nobody cut off: nearly all of each budget can be used, and all that is counted arrives.
+// Without faults, the fleet can use most of each budget, and all usage reaches the digest.
 TEST(SharedStateWithoutFaults, UsesMostOfEachBudgetAndBillsExactly) {
   for (const std::size_t count : {2, 12, 100}) {
     if (kSlow && count > 2)
@@ -197,13 +195,12 @@
   }
 }
 
-// ---- Guards taken away, and ways that are not taken
-// ----------------------------------------------------
+// ---- Missing safety checks and simpler schemes ----
 
 using Change = std::function<void(SimulatedFleet::Options&)>;
 using Scenario = std::function<void(SimulatedFleet&)>;
 
-// The most over a budget in some plays, under traffic that asks for six times as much.
+// The largest excess over a budget in five runs, under traffic of six times the budget.
 std::int64_t worstOvershoot(const Change& change,
                             const Scenario& scenario,
                             std::size_t nodes = 12) {
@@ -218,7 +215,7 @@
   return worst;
 }
 
-// A third cannot write for a while, spends what it may, and dies.
+// Repeatedly, a third of the routers cannot write for a while, spends what it may, and is killed.
 void partitionAndKill(SimulatedFleet& fleet) {
   for (int round = 0; round < 20; ++round) {
     const std::size_t first = fleet.random() % fleet.nodes.size();
@@ -235,7 +232,7 @@
   }
 }
 
-// Clients move from some routers to others and back.
+// Clients move between routers.
 void moveClients(SimulatedFleet& fleet) {
   for (int round = 0; round < 24; ++round) {
     for (std::size_t i = 0; i < fleet.nodes.size(); ++i)
@@ -244,7 +241,8 @@
   }
 }
 
-// The store is put back to what it was while all live and write, and another makes the digest.
+// The store is rolled back while all routers run and write, and another router becomes the lease
+// holder.
 void rollBackStore(SimulatedFleet& fleet) {
   for (int round = 0; round < 5; ++round) {
     fleet.run(fleet.draw(5'000, 15'000));
@@ -258,7 +256,7 @@
 
 TEST(BudgetSafetyChecks, RemovalOfAnyCheckExceedsABudget) {
   if (kSlow)
-    GTEST_SKIP() << "many plays: in the release build only";
+    GTEST_SKIP() << "many runs, only in builds without sanitizers";
   const auto expectDetected = [](const char* check, const Scenario& scenario,
                                  const Change& without) {
     EXPECT_LE(worstOvershoot([](auto&) {}, scenario), 0) << "with " << check;
@@ -266,34 +264,33 @@
     std::cout << "without " << check << ": " << worst << " tokens over a budget\n";
     EXPECT_GT(worst, 0) << check;
   };
-  expectDetected("a ceiling before spending", partitionAndKill,
+  expectDetected("accepted ceilings", partitionAndKill,
                  [](auto& options) { options.config.budget.enforceCeiling = false; });
-  expectDetected("charging the ceiling of those that are gone", partitionAndKill,
+  expectDetected("charging the ceiling of evicted routers", partitionAndKill,
                  [](auto& options) { options.config.guards.chargeCeiling = false; });
-  expectDetected("keeping to what was returned", moveClients,
+  expectDetected("excluding returned tokens", moveClients,
                  [](auto& options) { options.config.budget.excludeReturned = false; });
-  expectDetected("waiting after a store was put back", rollBackStore,
+  expectDetected("waiting before lending after a rollback", rollBackStore,
                  [](auto& options) { options.config.guards.waitBeforeLending = false; });
 }
 
-// Each router by its own count; all by one counter to which each adds when it can. Both break
-// what lending keeps, already when a third is cut off for seconds.
+// With a count per router, or with one shared counter to which routers add while they can write, a
+// partition of a third of the routers for a few seconds is enough to exceed a budget.
 TEST(SimplerBudgetSchemes, ExceedTheBudget) {
   if (kSlow)
-    GTEST_SKIP() << "many plays: in the release build only";
+    GTEST_SKIP() << "many runs, only in builds without sanitizers";
   const auto overshootOf = [](SimulatedFleet::BudgetScheme scheme) {
     return worstOvershoot([scheme](auto& options) { options.scheme = scheme; }, partitionAndKill);
   };
   const std::int64_t localCounts = overshootOf(SimulatedFleet::BudgetScheme::kLocalCounts),
                      sharedCounter = overshootOf(SimulatedFleet::BudgetScheme::kSharedCounter);
-  std::cout << "12 nodes, tokens over a budget: each by its own count " << localCounts
-            << ", one counter for all " << sharedCounter << "\n";
+  std::cout << "12 nodes, tokens over a budget: local counts " << localCounts
+            << ", one shared counter " << sharedCounter << "\n";
   EXPECT_GT(localCounts, 0);
   EXPECT_GT(sharedCounter, 0);
 }
 
-// ---- Judgements
-// ----------------------------------------------------------------------------------------
+// ---- Verdicts ----
 
 SimulatedFleet::Options withInstances(std::size_t nodes, unsigned seed) {
   return {.nodes = nodes, .seed = seed, .load = 0.2};
@@ -325,22 +322,24 @@
   fleet.failedAttempts = 0;
   fleet.run(10'000);
   EXPECT_GE(countExcluding(fleet, "r4"), fleet.nodes.size() - 5)
-      << "but for who tries it, and who heard late";
+      << "all but the probing router and those with an older digest";
   EXPECT_EQ(countExcluding(fleet, "r5"), 0u);
   const std::uint64_t attemptsUntilExcluded = fleet.failedAttempts;
   fleet.failedAttempts = 0;
   fleet.run(60'000);
   std::cout << fleet.nodes.size() << " nodes: " << attemptsUntilExcluded
-            << " tries until all knew, " << fleet.failedAttempts << " in the minute after\n";
-  EXPECT_TRUE(digestIn(fleet).instances.at("r4").excluded) << "no trial went well";
-  // Each router by itself would have tried some 24 times in that minute.
+            << " attempts until all routers excluded it, " << fleet.failedAttempts
+            << " in the minute after\n";
+  EXPECT_TRUE(digestIn(fleet).instances.at("r4").excluded) << "no probe succeeded";
+  // Without shared verdicts, each router would have made about 24 attempts in that minute.
   EXPECT_LT(fleet.failedAttempts * 5, fleet.nodes.size() * 24);
   fleet.failingInstances.clear();
   fleet.run(30'000);
-  EXPECT_EQ(countExcluding(fleet, "r4"), 0u) << "a trial went well";
+  EXPECT_EQ(countExcluding(fleet, "r4"), 0u) << "a probe succeeded";
 }
 
-// One router whose own link is down finds every instance dead; then a third of them does.
+// A router that has lost its own connection finds every instance unhealthy, and later a third of
+// the routers do.
 TEST(Verdicts, IgnoreWitnessesWithoutConnection) {
   for (const bool trustSingleWitness : {false, true}) {
     SimulatedFleet::Options options = withInstances(12, 4);
@@ -356,17 +355,18 @@
     for (std::size_t i = 4; i < 7; ++i)
       fleet.nodes[i].instancesUnreachable = true;
     fleet.run(30'000);
-    std::cout << (trustSingleWitness ? "any judgement believed: " : "as the program: ")
-              << minInUseWithOne << " of 6 left of a role with one bad link, " << fleet.minInUse
+    std::cout << (trustSingleWitness ? "any witness trusted: " : "as the program: ")
+              << minInUseWithOne
+              << " of 6 instances of a role in use with one disconnected router, " << fleet.minInUse
               << " with four of 12\n";
     if (trustSingleWitness)
-      EXPECT_EQ(minInUseWithOne, 0u) << "one conductor empties the pool";
+      EXPECT_EQ(minInUseWithOne, 0u) << "one router excludes all instances";
     else
       EXPECT_EQ(fleet.minInUse, 6u);
   }
 }
 
-// Whatever is bad: no more than the bound is left out, of a role and of a role in a cell.
+// Whichever instances fail, the exclusion limits of a role and of a role within a cell hold.
 TEST(Verdicts, NeverExcludeMoreThanTheLimit) {
   SimulatedFleet fleet(withInstances(30, 5));
   addInstances(fleet, 9, 3);
@@ -377,7 +377,7 @@
     for (const auto& [id, instance] : fleet.instances)
       if (fleet.chance(0.4))
         fleet.failingInstances.insert(id);
-    fleet.instances["r0"].serves = round % 2 == 0;  // an operator has one out besides
+    fleet.instances["r0"].serves = round % 2 == 0;  // an operator excludes one as well
     injectFault(fleet);
     fleet.run(8'000);
     for (const auto& node : fleet.nodes) {
@@ -403,14 +403,13 @@
         EXPECT_LE(count, 1u) << name;
     }
   }
-  EXPECT_GT(excludedTotal, 0u) << "something was left out at all";
+  EXPECT_GT(excludedTotal, 0u) << "the limits are only tested if instances are excluded";
 }
 
-// ---- Single routers
-// ---------------------------------------------------------------------------------
+// ---- Single routers ----
 
-// A router that was stopped for minutes spends nothing of a loan that has lapsed, and what it
-// had is charged and told of once.
+// A router that was paused for longer than its loan spends nothing of the expired loan. Its usage
+// is charged and counted exactly once.
 TEST(PausedRouter, SpendsNothingOfAnExpiredLoanAndReturnsAsANewIncarnation) {
   SimulatedFleet fleet({.nodes = 3, .seed = 9, .load = 2});
   fleet.run(20'000);
@@ -423,16 +422,14 @@
   fleet.run(15'000);
   EXPECT_NE(node.self().incarnation, before);
   EXPECT_EQ(node.stats().evicted, 1u);
-  EXPECT_EQ(digestIn(fleet).foldedOf({"n1", before}), nullptr)
-      << "what it really used was taken in";
+  EXPECT_EQ(digestIn(fleet).foldedOf({"n1", before}), nullptr) << "its actual usage was refunded";
   fleet.traffic = false;
   fleet.run(15'000);
   EXPECT_EQ(digestIn(fleet).total, fleet.countedUsage);
   EXPECT_LE(fleet.overshoot(), 0);
 }
 
-// An older and a newer budget in one fleet: nothing more is lent under a limit that lies below what
-// was spent.
+// Nothing more is lent after a limit was lowered below what was already spent.
 TEST(LoweredBudget, LendsNothingMore) {
   SimulatedFleet fleet({.nodes = 3, .seed = 10, .load = 1});
   fleet.run(40'000);
--- a/tests/shared_processes_test.cpp
+++ b/tests/shared_processes_test.cpp
@@ -1,6 +1,6 @@
-// Many routers, as the program itself, that share budgets, counts and judgements: a third is cut
-// off from the store, an instance goes silent, a franchisee runs out, routers are killed in a wave.
-// What the instances produced by their own logs is compared with what the fleet says; only sums,
+// Shared budgets, usage and verdicts of many router processes. A third of them loses its connection
+// to the store, an instance stops responding, a tenant uses up its budget, and most routers are
+// killed at once. What the instances recorded is compared with the fleet's documents; only sums,
 // bounds and order are asserted.
 #include <gtest/gtest.h>
 
@@ -41,14 +41,13 @@
   return file;
 }
 
-// What an instance did for one request, by its own log.
+// What an instance executed for one request, as the instance recorded it.
 struct ExecutedRequest {
   std::string tenant, requestClass, marker;
   std::uint64_t tokens;
 };
 
-// Clients that ask all the time, each question with a mark of its own, and keep what they were
-// answered.
+// Clients that send requests continuously, each with a unique marker, and record the responses.
 struct Clients {
   Clients(RouterFleet& routerFleet, unsigned seed) : fleet(routerFleet), random(seed) {
     for (auto& [name, instance] : fleet.instances)
@@ -94,11 +93,11 @@
                       {{"Authorization", "Bearer " + tenant.substr(0, 1)}, {"Connection", "close"}},
                       body.dump()));
     } catch (const boost::system::system_error&) {
-      return;  // it is down: nothing was taken
+      return;  // the router is down: nothing was sent
     }
     open.push_back(std::move(request));
   }
-  // For so long, at each router that runs, a question now and then.
+  // Sends requests to all running routers for the given time.
   void run(double durationMs) {
     for (const double endMs = fleet.clock.nowMs() + durationMs; fleet.clock.nowMs() < endMs;) {
       for (auto& router : fleet.all) {
@@ -110,13 +109,14 @@
       collect();
     }
   }
+  // Evaluates the responses of requests that have ended.
   void collect() {
     std::erase_if(open, [this](OpenRequest& request) {
       if (!request.peer->ended())
         return false;
       const std::string& received = request.peer->seen;
       const std::string status = received.size() > 12 ? received.substr(9, 3) : "none";
-      // A router that was killed answers nobody; every other answers once.
+      // Every router that was not killed sends exactly one response.
       if (status == "none" && request.process == request.router->process)
         ++unanswered;
       if (received.find("HTTP/1.1", 8) != std::string::npos)
@@ -145,7 +145,7 @@
   std::set<std::string> silentInstances;
   std::vector<ExecutedRequest> executed;
   std::vector<OpenRequest> open;
-  std::map<std::string, int> responses;
+  std::map<std::string, int> responses;  // by status
   std::size_t sent = 0, unanswered = 0, answeredTwice = 0, overBudget = 0;
 };
 
@@ -185,7 +185,7 @@
 
 TEST_P(SharedStateOfProcesses, HoldsUnderAPartitionASilentInstanceAndCrashes) {
   const auto [count, seed] = GetParam();
-  std::cout << count << " conductors, seed " << seed << "\n";
+  std::cout << count << " routers, seed " << seed << "\n";
   RouterFleet fleet(count, {"box-1", "box-2", "box-3"}, INFERENCE_ROUTER_PROGRAM, false,
                     addSharedSection);
   ASSERT_TRUE(fleet.allReady()) << fleet.logs();
@@ -193,7 +193,8 @@
       << fleet.logs();
   Clients clients(fleet, seed);
   clients.run(2'000);
-  // A third hears nothing, one of them only one way; an instance goes silent.
+  // A third of the routers loses its connection to the store, one of them in one direction only. An
+  // instance stops responding.
   for (std::size_t i = 0; i < count / 3; ++i)
     fleet.all[i]->link->set(i == 0 ? FaultLayer::Mode::kDeafUp : FaultLayer::Mode::kCut);
   clients.silentInstances.insert("box-2");
@@ -207,7 +208,8 @@
     }
     return true;
   };
-  // At one moment: observations fade, so the digest may lack the votes of parts that come late.
+  // Both conditions have to hold at the same moment: observations decay, so a digest may lack the
+  // votes of parts that arrive late.
   const auto digestExcludes = [&](const std::string& instance) {
     const Digest digest = readDigest(fleet);
     const auto found = digest.instances.find(instance);
@@ -233,7 +235,7 @@
   clients.finish();
   ASSERT_TRUE(waitFor(fleet.io, 60, [&] { return allHaveState(fleet, "connected"); }))
       << fleet.logs();
-  // Nobody died: once all have said their word, the bill is what the instances made, to the token.
+  // No router was killed: once all have reported, the billed tokens equal those of the instances.
   EXPECT_TRUE(waitFor(fleet.io, 60,
                       [&] {
                         return billedTokens(fleet, "attiki") == clients.tokensOf("attiki") &&
@@ -242,13 +244,14 @@
       << billedTokens(fleet, "attiki") << " of " << clients.tokensOf("attiki") << ", "
       << billedTokens(fleet, "patras") << " of " << clients.tokensOf("patras") << "\n"
       << fleet.logs();
-  // The instance comes back by a trial.
+  // The instance is used again after a successful probe.
   EXPECT_TRUE(waitFor(fleet.io, 60, [&] {
     clients.run(200);
     const auto instances = readDigest(fleet).instances;
     return instances.count("box-2") == 0 || !instances.at("box-2").excluded;
   }));
-  // A wave: most die at once, under way, and start anew. And on until the budget is used up.
+  // Most routers are killed at once, with requests in flight, and restart. Then the clients
+  // continue until the budget is used up.
   for (std::size_t i = 0; i + 2 < count; ++i)
     fleet.kill(*fleet.all[i]);
   clients.run(300);
@@ -261,9 +264,9 @@
   clients.run(3'000);
   clients.finish();
   const std::uint64_t executedTokens = clients.tokensOf("attiki");
-  EXPECT_LE(executedTokens, kBudget) << "no budget is exceeded, by what the boxes made";
-  // All that was made is accounted for: what lives has said it, what died is charged for all that
-  // it may have used.
+  EXPECT_LE(executedTokens, kBudget) << "the instances executed more than the budget";
+  // All executed tokens are accounted for: live routers have reported them, and killed routers are
+  // charged with all that they may have used.
   EXPECT_TRUE(waitFor(fleet.io, 60, [&] {
     const Digest digest = readDigest(fleet);
     std::uint64_t accounted = digest.budgets.at("attiki").charged;
@@ -283,12 +286,12 @@
     if (request.requestClass == "c")
       ++changes[request.marker];
   for (const auto& [marker, executions] : changes)
-    EXPECT_EQ(executions, 1) << "change " << marker << " ran more than once";
+    EXPECT_EQ(executions, 1) << "change " << marker << " was executed more than once";
   EXPECT_EQ(clients.unanswered, 0u);
   EXPECT_EQ(clients.answeredTwice, 0u);
-  std::cout << clients.sent << " asked, " << clients.executed.size() << " made; attiki "
+  std::cout << clients.sent << " sent, " << clients.executed.size() << " executed; attiki "
             << executedTokens << " of " << kBudget << ", billed " << billedTokens(fleet, "attiki")
-            << ", " << clients.overBudget << " refused for the budget\n";
+            << ", " << clients.overBudget << " rejected by the budget\n";
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds,
@@ -296,7 +299,7 @@
                          ::testing::Values(std::pair(std::size_t(6), 1U),
                                            std::pair(std::size_t(12), 2U)));
 
-// SIGTERM: what is not in use goes back, and the last word is said before the end.
+// On SIGTERM a router returns its unused loans and writes a last report before it exits.
 TEST(RouterShutdown, ReturnsUnusedLoans) {
   RouterFleet fleet(3, {"box-1"}, INFERENCE_ROUTER_PROGRAM, false, addSharedSection);
   ASSERT_TRUE(waitFor(fleet.io, 60, [&] { return allHaveState(fleet, "connected"); }))
@@ -317,12 +320,12 @@
       << fleet.logs();
   EXPECT_EQ(billedTokens(fleet, "attiki"), clients.tokensOf("attiki"));
   EXPECT_EQ(billedTokens(fleet, "patras"), clients.tokensOf("patras"));
-  // Charged is what it spent: the rest of its loan went back.
+  // Only what it spent is charged: the rest of its loan was returned.
   std::uint64_t spent = readDigest(fleet).budgets.at("attiki").charged;
   EXPECT_LE(spent, clients.tokensOf("attiki"));
 }
 
-// SIGHUP takes over another budget; a file that cannot be used leaves the old one.
+// SIGHUP applies a changed budget. With an invalid file, the previous budget stays in effect.
 TEST(ReloadedBudget, IsAppliedUnlessTheFileIsInvalid) {
   RouterFleet fleet(1, {"box-1"}, INFERENCE_ROUTER_PROGRAM, false, addSharedSection);
   RouterFleet::Node& router = *fleet.all[0];
--- a/tests/shared_test.cpp
+++ b/tests/shared_test.cpp
@@ -1,5 +1,5 @@
-// The parts of shared state: merging, lending, observations and connectivity as properties, the
-// encoding of documents, and the digest's task on single views.
+// Units of shared state: properties of usage counters, loans, observations and exclusion limits;
+// the connectivity state machine; the encoding of documents; and the digest's task on single views.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -8,8 +8,7 @@
 namespace inference_router {
 namespace {
 
-// ---- Properties
-// ----------------------------------------------------------------------------------------
+// ---- Properties ----
 
 UsageTable drawUsage() {
   UsageTable usage;
@@ -30,8 +29,8 @@
 
 TEST(FleetUsage, TotalIsTheSameForReportsInAnyOrderRepeatedOrLate) {
   EXPECT_TRUE(rc::check([] {
-    // Words of three processes, each growing; delivered in a drawn order, some of them twice, some
-    // never but the last of each at least once.
+    // Reports of three processes with growing counters, delivered in random order. Some are
+    // delivered twice and some never, but the last one of each process at least once.
     std::vector<std::pair<Origin, UsageTable>> reports;
     UsageTable sum;
     for (std::uint64_t node = 0; node < 3; ++node) {
@@ -59,15 +58,14 @@
       second.merge(origin, usage);
     RC_ASSERT(first.total() == sum);
     RC_ASSERT(second.total() == sum);
-    // Folded, in any order, once and once more, the sum stays.
+    // Folding processes in any order, or repeatedly, does not change the total.
     for (const std::uint64_t node : {1, 0, 1})
       first.fold({"n", node});
     RC_ASSERT(first.total() == sum);
   }));
 }
 
-// Adding up what comes, as a merge without memory would, counts what comes twice twice: the
-// property above is one that can fail.
+// Shows that the property above can fail: adding up all reports counts a repeated report twice.
 TEST(FleetUsage, AddingRepeatedReportsIsDetected) {
   UsageTable part, naive;
   part[{"t", "c"}].served = 2;
@@ -92,24 +90,24 @@
       const auto lent = line.lent.find(borrower);
       const std::uint64_t lentTokens = lent == line.lent.end() ? 0 : lent->second;
       switch (*rc::gen::inRange(0, 5)) {
-        case 0:  // it wants more
+        case 0:  // requests more
           spend.requestedLoan = *rc::gen::inRange<std::uint64_t>(0, 12'000);
           break;
-        case 1:  // it hears, and sets its ceiling within
+        case 1:  // learns of its loan, and sets a ceiling within it
           spend.lentSeen = lentTokens;
           spend.ceiling = *rc::gen::inRange<std::uint64_t>(spend.spent + spend.reserved,
                                                            lentTokens - spend.returned + 1);
           break;
-        case 2:  // it spends below it
+        case 2:  // spends within the ceiling
           spend.spent = *rc::gen::inRange<std::uint64_t>(spend.spent, spend.ceiling + 1);
           break;
-        case 3:  // it gives back what is not in use
+        case 3:  // returns unused tokens
           if (spend.lentSeen > 0) {
             spend.ceiling = spend.spent;
             spend.returned = spend.lentSeen - spend.spent;
           }
           break;
-        default: {  // it is taken for gone, and what it had is told of later
+        default: {  // is evicted, and may report its usage later
           const std::uint64_t before = line.charged;
           charge(line, borrower, spend);
           const std::uint64_t charged = line.charged - before;
@@ -170,8 +168,7 @@
   }));
 }
 
-// ---- Degrees of hearing
-// --------------------------------------------------------------------------------
+// ---- Connectivity ----
 
 TEST(Connectivity, NeedsReadsAndWritesAndChangesWithHysteresis) {
   Connectivity connectivity({3'000, 10'000, 0}, 1, 0);
@@ -191,13 +188,13 @@
   EXPECT_EQ(connectivity.state(), ConnectivityState::kConnected);
   advance(5'500, true, false);
   EXPECT_EQ(connectivity.state(), ConnectivityState::kDelayed)
-      << "it reads, and its own word is not taken";
+      << "it reads, but its own reports are not accepted";
   advance(13'000, true, false);
   EXPECT_EQ(connectivity.state(), ConnectivityState::kIsolated);
   connectivity.onReportAccepted(++sequence, now);
   connectivity.onDigest(sequence - 1, now);
   EXPECT_EQ(connectivity.state(), ConnectivityState::kRejoining)
-      << "its new word is in no digest yet";
+      << "no digest includes its new report yet";
   connectivity.onReportAccepted(++sequence, now += 100);
   connectivity.onDigest(sequence, now);
   EXPECT_EQ(connectivity.state(), ConnectivityState::kConnected);
@@ -219,8 +216,7 @@
   EXPECT_GT(moments.size(), 10u);
 }
 
-// ---- What lies in the store
-// ----------------------------------------------------------------------------
+// ---- Documents ----
 
 Part samplePart() {
   Part part;
@@ -287,8 +283,8 @@
   EXPECT_EQ(decoded->liveNodes, digest.liveNodes);
 }
 
-// What stands under others' names, damaged, of another version, or counting backwards: not
-// believed, counted once, and the others go on.
+// Parts that are foreign, damaged, of another version, or whose counters decrease are not used and
+// are counted once. They do not affect other parts.
 TEST(DigestTask, RejectsInvalidPartsAndDecreasedCounters) {
   SharedConfig config = SimulatedFleet::fastConfig();
   DigestTask task(
@@ -321,16 +317,16 @@
   good.usage[{"attiki", "chat"}].promptTokens = 1;
   put(good.key(), encode(good));
   digest = next(1000);
-  EXPECT_EQ(digest.total.at({"attiki", "chat"}).promptTokens, 4u) << "the higher count stays";
+  EXPECT_EQ(digest.total.at({"attiki", "chat"}).promptTokens, 4u) << "the higher value is retained";
   EXPECT_EQ(task.stats().decreasedCounters, 1u);
-  // A digest of a later program is not written over.
+  // A digest of a later version is not overwritten.
   std::string text = view.documents.at(kDigestKey).value;
   text.replace(text.find("/1 "), 3, "/2 ");
   put(kDigestKey, text);
   EXPECT_FALSE(task.next(view, 2, 1500));
 }
 
-// One clock that is off changes no period among three; and a period never goes back.
+// One wrong clock among three does not change the period, and the period never decreases.
 TEST(DigestTask, DerivesThePeriodFromTheMedianClock) {
   SharedConfig config = SimulatedFleet::fastConfig();
   double unixMs = 1'000'000;
@@ -352,13 +348,13 @@
     put(part.key(), encode(part));
   }
   EXPECT_EQ(next(0), 960'000u);
-  unixMs = 9'000'000;  // the holder's own clock is set wrong
+  unixMs = 9'000'000;  // the lease holder's own clock is wrong
   EXPECT_EQ(next(1000), 960'000u);
   view.documents.erase("part/c1/1");
   view.documents.erase("part/c2/2");
-  EXPECT_EQ(next(2000), 9'000'000u) << "alone, it has no other";
+  EXPECT_EQ(next(2000), 9'000'000u) << "without other routers, only its own clock is left";
   unixMs = 1'000'000;
-  EXPECT_EQ(next(3000), 9'000'000u) << "a period never goes back";
+  EXPECT_EQ(next(3000), 9'000'000u) << "the period never decreases";
 }
 
 }  // namespace
--- a/tests/support/simulated_fleet.h
+++ b/tests/support/simulated_fleet.h
@@ -1,6 +1,7 @@
-// A fleet of the program's own shared state, without processes: a store in memory, links that are
-// cut, slow or one way, routers that stop, die and start anew, a store that is put back. The
-// world keeps the truth that no router knows, and tests compare.
+// A simulation of shared state in a fleet within one process: an in-memory store that can be rolled
+// back, connections that are cut, slow or one-way, and routers that pause, crash and restart. The
+// simulation also records the actual usage, which no router knows, so that tests can compare it
+// with the shared state.
 #pragma once
 
 #include <map>
@@ -23,18 +24,18 @@
 struct SimulatedFleet {
   static constexpr double kTickMs = 100;
 
-  // How budgets are kept: as the program does, or in ways that it does not take, to see what each
-  // breaks.
+  // How budgets are enforced: by loans as in the program, or by simpler schemes, which tests show
+  // to exceed the budget.
   enum class BudgetScheme { kLoans, kLocalCounts, kSharedCounter };
 
   struct Options {
     std::size_t nodes = 10;
     unsigned seed = 1;
-    double load = 1;           // of each budget, asked for by all together within a period
+    double load = 1;  // tokens that all clients request in a period, as a multiple of each budget
     double servedShare = 0.9;  // share of requests that are served
     bool observations = true;
     BudgetScheme scheme = BudgetScheme::kLoans;
-    bool trustSingleWitness = false;  // an instance is left out as soon as anybody finds it bad
+    bool trustSingleWitness = false;  // one unhealthy vote excludes an instance
     SharedConfig config = fastConfig();
   };
   static SharedConfig fastConfig() {
@@ -52,8 +53,7 @@
     return config;
   }
 
-  // ---- The store
-  // -----------------------------------------------------------------------------------
+  // ---- The store ----
   struct StoreState {
     std::map<std::string, coordination::Document> documents;
     std::uint64_t revision = 0;
@@ -81,15 +81,15 @@
     return {CommitStatus::kDone, store.revision};
   }
 
-  // ---- Routers
-  // ----------------------------------------------------------------------------------
+  // ---- Routers ----
   struct OpenRequest {
     std::string tenant;
     Reservation reservation;
     std::uint64_t period, tokens;
     double endsMs;
   };
-  struct ClientRequest {  // a client that was refused and comes again
+  // A request that a client retries after it was rejected.
+  struct ClientRequest {
     std::string tenant;
     std::uint64_t promptTokens, maxAnswerTokens;
     double retryMs;
@@ -99,16 +99,17 @@
     std::string name;
     std::unique_ptr<SharedNode> shared;
     std::unique_ptr<DigestTask> task;
-    bool canRead = true, canWrite = true;  // its two ways to the store
+    bool canRead = true, canWrite = true;  // from and to the store
     double pausedUntilMs = 0, downUntilMs = 0, clockOffsetMs = 0, nextReadMs = 0, nextTaskMs = 0;
-    bool instancesUnreachable = false;  // to all instances
-    bool receivesRequests = true;       // clients come to it
+    bool instancesUnreachable = false;  // all attempts at instances fail
+    bool receivesRequests = true;
     std::vector<OpenRequest> openRequests;
     std::vector<ClientRequest> retries;
     std::optional<coordination::View> view;
-    std::uint64_t fence = 0;  // of the lease that it believes to hold
+    std::uint64_t fence = 0;  // of the lease that it assumes to hold; 0: none
     std::uint64_t ranOutMs = 0;
   };
+  // A response of the store that is on its way to a router.
   struct PendingResponse {
     std::size_t node;
     std::uint64_t startCount;
@@ -147,8 +148,7 @@
     Node& node = nodes[i];
     if (!alive(i))
       return;
-    // What it counted since its last word is gone with it; what it had promised may have been
-    // produced.
+    // Usage since its last report is lost; the tokens that it had reserved may have been produced.
     UsageTable unreported = node.shared->usage();
     addUsage(lostUsage, unreported);
     node.openRequests.clear();
@@ -165,18 +165,16 @@
   }
   double unixMs() const { return 1.7e12 + now; }
 
-  // ---- The truth
-  // -----------------------------------------------------------------------------------
+  // ---- Actual usage ----
   struct ActualUsage {
-    std::uint64_t committed = 0;  // spent, and what may still be
+    std::uint64_t committed = 0;  // spent, or reserved by requests in flight
     std::uint64_t maxCommitted = 0;
   };
-  std::map<std::pair<std::string, std::uint64_t>, ActualUsage>
-      actualUsage;          // by franchisee and period
-  UsageTable countedUsage;  // by all, ever
+  std::map<std::pair<std::string, std::uint64_t>, ActualUsage> actualUsage;  // by tenant and period
+  UsageTable countedUsage;  // of all routers since the start
   std::map<std::string, std::uint64_t> denied;
   std::uint64_t requests = 0, granted = 0;
-  // Beyond the budget, at worst, over all budgets and periods.
+  // The largest excess over a budget, of all budgets and periods; negative if none was exceeded.
   std::int64_t overshoot() const {
     std::int64_t worst = INT64_MIN;
     for (const auto& [key, usage] : actualUsage) {
@@ -259,8 +257,8 @@
     }
   }
 
-  // Ways that are not taken: each by its own count alone, or by one counter that all add to when
-  // they can.
+  // The simpler schemes: each router has only its own count, or adds it to a shared counter while
+  // it can write.
   struct LocalCount {
     std::uint64_t period = 0, own = 0, others = 0;
   };
@@ -277,8 +275,7 @@
     }
   }
 
-  // ---- Instances
-  // ---------------------------------------------------------------------------------------
+  // ---- Instances ----
   std::map<std::string, KnownInstance> instances;
   std::set<std::string> failingInstances;
   void attemptInstances(std::size_t i) {
@@ -308,10 +305,9 @@
     }
   }
   std::uint64_t successfulAttempts = 0, failedAttempts = 0;
-  std::size_t minInUse = SIZE_MAX;  // of any role, at any router
+  std::size_t minInUse = SIZE_MAX;  // smallest number of instances of a role at any router
 
-  // ---- Time
-  // ----------------------------------------------------------------------------------------
+  // ---- Time ----
   void step() {
     now += kTickMs;
     for (std::size_t i = 0; i < nodes.size(); ++i)
@@ -347,7 +343,7 @@
   double lossShare = 0;
   double now = 0;
   std::uint64_t kills = 0, startedWrites = 0, writtenBytes = 0, digests = 0;
-  UsageTable lostUsage;
+  UsageTable lostUsage;  // of killed routers; includes what they had reported
   Options options;
   std::mt19937 random;
 
@@ -400,8 +396,7 @@
       pendingResponses.push_back({i, startCounts[i], now + (responseArrives ? draw(0, 200) : 1000),
                                   responseArrives ? response : coordination::CommitResponse{}});
     }
-    // Whoever believes to hold the lease goes on by what it last read; the store looks at its
-    // fence.
+    // A router that assumes to hold the lease works on its last view; the store checks its fence.
     if (node.fence == 0 || !node.view || now < node.nextTaskMs)
       return;
     node.nextTaskMs = now + options.config.digestMs;
