--- a/src/control/commands.cpp
+++ b/src/control/commands.cpp
@@ -11,59 +11,59 @@
 constexpr const char* kEndOfReport = "eof\n";
 constexpr std::string_view kMaintenance = "maintenance";
 
-std::string textOf(const CommandResult& result) {
+std::string formatResult(const CommandResult& result) {
   return (result.ok ? "ok" : "fail") + (result.message.empty() ? "" : " " + result.message) + "\n";
 }
 
 std::string failure(const std::string& reason) {
-  return textOf({.ok = false, .message = reason});
+  return formatResult({.ok = false, .message = reason});
 }
 
 std::string reportOr(const std::string& report, const std::string& reasonIfEmpty) {
   return report.empty() ? failure(reasonIfEmpty) : report + kEndOfReport;
 }
 
-// ---- What each command does ----
+// ---- Implementations of the commands ----
 
 ReportFormat formatIn(const Arguments& arguments) {
   return arguments.empty() ? ReportFormat::kText : ReportFormat::kJson;
 }
 
 std::string runReady(AdminApi& api, const Arguments&) {
-  return textOf(api.ready());
+  return formatResult(api.ready());
 }
 std::string runTelemetry(AdminApi& api, const Arguments&) {
   return telemetry(api) + kEndOfReport;
 }
 std::string runExclude(AdminApi& api, const Arguments& arguments) {
-  return textOf(api.exclude(arguments.front()));
+  return formatResult(api.exclude(arguments.front()));
 }
 std::string runInclude(AdminApi& api, const Arguments& arguments) {
-  return textOf(api.include(arguments.front()));
+  return formatResult(api.include(arguments.front()));
 }
 std::string runEvacuate(AdminApi& api, const Arguments&) {
-  return textOf(api.evacuate());
+  return formatResult(api.evacuate());
 }
 std::string runActivate(AdminApi& api, const Arguments&) {
-  return textOf(api.activate());
+  return formatResult(api.activate());
 }
 std::string runInstances(AdminApi& api, const Arguments&) {
   return api.instancesReport() + kEndOfReport;
 }
 std::string runAdmission(AdminApi& api, const Arguments&) {
-  return reportOr(api.admissionReport(), "no admission rules are set up here");
+  return reportOr(api.admissionReport(), "no admission rules are configured");
 }
 std::string runLeases(AdminApi& api, const Arguments& arguments) {
-  return reportOr(api.leasesReport(formatIn(arguments)), "no coordination is set up here");
+  return reportOr(api.leasesReport(formatIn(arguments)), "coordination is not configured");
 }
 std::string runShared(AdminApi& api, const Arguments& arguments) {
-  return reportOr(api.sharedStateReport(formatIn(arguments)), "nothing is shared here");
+  return reportOr(api.sharedStateReport(formatIn(arguments)), "shared state is not configured");
 }
 std::string runShowMaintenance(AdminApi& api, const Arguments&) {
-  return reportOr(api.maintenanceReport(), "no coordination is set up here");
+  return reportOr(api.maintenanceReport(), "coordination is not configured");
 }
 
-// ---- Which commands there are ----
+// ---- The command table ----
 
 enum class ArgumentRule { kNone, kInstanceId, kOptionalJson, kAny };
 
@@ -87,17 +87,17 @@
     Command{.name = kMaintenance, .rule = ArgumentRule::kAny, .run = runShowMaintenance},
 };
 
-// Empty if the arguments are in order, else the answer that says what the command takes.
-std::string checkArguments(const Command& command, const Arguments& arguments) {
+// Returns the response for invalid arguments; empty if the arguments are valid.
+std::string argumentError(const Command& command, const Arguments& arguments) {
   const std::string name(command.name);
   switch (command.rule) {
     case ArgumentRule::kNone:
-      return arguments.empty() ? "" : failure(name + " takes nothing");
+      return arguments.empty() ? "" : failure(name + " takes no arguments");
     case ArgumentRule::kInstanceId:
-      return arguments.size() == 1 ? "" : failure(name + " takes one instance's id");
+      return arguments.size() == 1 ? "" : failure(name + " takes one instance id");
     case ArgumentRule::kOptionalJson: {
       const bool json = arguments.size() == 1 && arguments.front() == "json";
-      return arguments.empty() || json ? "" : failure(name + " takes nothing, or json");
+      return arguments.empty() || json ? "" : failure(name + " takes no arguments or json");
     }
     case ArgumentRule::kAny:
       return "";
@@ -105,9 +105,9 @@
   return "";
 }
 
-// ---- Lines ----
+// ---- Parsing and formatting ----
 
-std::vector<std::string> splitAtBlanks(std::string_view line) {
+std::vector<std::string> splitAtWhitespace(std::string_view line) {
   std::vector<std::string> tokens;
   while (true) {
     const std::size_t begin = line.find_first_not_of(" \t");
@@ -152,15 +152,15 @@
   const auto& metrics = api.metrics().byClass();
   const auto& names = api.classNames();
   std::string text;
-  const auto perClass = [&](const char* name, std::uint64_t core::ClassMetrics::*value) {
+  const auto appendPerClass = [&](const char* name, std::uint64_t core::ClassMetrics::*value) {
     for (std::size_t i = 0; i < metrics.size() && i < names.size(); ++i)
       text += std::string(name) + "{kind=" + quotedLabel(names[i]) + "} " +
               std::to_string(metrics[i].*value) + "\n";
   };
-  perClass("app_ok_total", &core::ClassMetrics::ok);
-  perClass("app_shed_total", &core::ClassMetrics::shed);
-  perClass("app_errors_total", &core::ClassMetrics::errors);
-  perClass("app_tries_total", &core::ClassMetrics::attempts);
+  appendPerClass("app_ok_total", &core::ClassMetrics::ok);
+  appendPerClass("app_shed_total", &core::ClassMetrics::shed);
+  appendPerClass("app_errors_total", &core::ClassMetrics::errors);
+  appendPerClass("app_tries_total", &core::ClassMetrics::attempts);
   const InstanceCounts counts = api.instanceCounts();
   text += "app_active " + std::to_string(api.openRequests()) + "\n";
   text += "app_pool_size " + std::to_string(counts.listed) + "\n";
@@ -172,35 +172,38 @@
   if (line.size() > maxBytesOf(line))
     return failure("a line has at most " + std::to_string(maxBytesOf(line)) + " bytes");
   if (!isPlainText(line))
-    return failure("a line is plain text");
-  const std::vector<std::string> tokens = splitAtBlanks(line);
+    return failure("a line must not contain control characters");
+  const std::vector<std::string> tokens = splitAtWhitespace(line);
   if (tokens.empty())
-    return failure("an empty line");
+    return failure("the line is empty");
   const auto command =
       std::find_if(kCommands.begin(), kCommands.end(),
                    [&](const Command& candidate) { return candidate.name == tokens.front(); });
   if (command == kCommands.end())
     return failure(
-        "unknown call; known are readyz, telemetry, exclude ID, include ID, evacuate, activate, "
+        "unknown command; valid commands are readyz, telemetry, exclude ID, include ID, evacuate, "
+        "activate, "
         "boxes, admission, leases [json], shared [json], maintenance "
         "[start|pause|resume|cancel|back ...]");
   const Arguments arguments(tokens.begin() + 1, tokens.end());
-  const std::string problem = checkArguments(*command, arguments);
-  return problem.empty() ? command->run(api, arguments) : problem;
+  const std::string error = argumentError(*command, arguments);
+  return error.empty() ? command->run(api, arguments) : error;
 }
 
 void executeAsync(AdminApi& api,
                   std::string_view line,
-                  std::function<void(std::string answer)> onAnswer) {
+                  std::function<void(std::string response)> onResponse) {
   const bool tooLong = line.size() > maxBytesOf(line);
   const std::vector<std::string> tokens =
-      tooLong ? std::vector<std::string>() : splitAtBlanks(line);
-  const bool changesPlan = tokens.size() > 1 && tokens[0] == kMaintenance && tokens[1] != "show";
-  if (!changesPlan)
-    return onAnswer(execute(api, line));
-  api.changeMaintenance(
-      {tokens.begin() + 1, tokens.end()},
-      [onAnswer = std::move(onAnswer)](const CommandResult& result) { onAnswer(textOf(result)); });
+      tooLong ? std::vector<std::string>() : splitAtWhitespace(line);
+  const bool changesMaintenance =
+      tokens.size() > 1 && tokens[0] == kMaintenance && tokens[1] != "show";
+  if (!changesMaintenance)
+    return onResponse(execute(api, line));
+  api.changeMaintenance({tokens.begin() + 1, tokens.end()},
+                        [onResponse = std::move(onResponse)](const CommandResult& result) {
+                          onResponse(formatResult(result));
+                        });
 }
 
 }  // namespace inference_router::control
--- a/src/shared/digest_task.cpp
+++ b/src/shared/digest_task.cpp
@@ -17,12 +17,15 @@
 
 constexpr std::size_t kMaxFoldsPerStep = 64;
 static_assert(kMaxFoldsPerStep < coordination::kMaxWritesPerCommit);
-constexpr double kIntervalsBeforeLending = 2;  // report intervals that a new holder waits
-constexpr double kLoanExpiryMargin = 1.1;      // times loanMs: clock drift, and a step in flight
+// Report intervals for which a new lease holder waits before it lends.
+constexpr double kIntervalsBeforeLending = 2;
+// Factor on loanMs that allows for clock drift and for a step in flight.
+constexpr double kLoanExpiryMargin = 1.1;
 
+// Prefix of the names under which ages_ tracks loans without a part.
 constexpr const char* kOrphanedLoanPrefix = "lent ";
 
-/// Replaces the charges of an evicted router by what it really used, where it says so.
+/// Replaces the charges of an evicted router by its actual usage, for each budget that it reports.
 void refundAll(std::map<std::string, BudgetLine>& budgets,
                const std::map<std::string, std::uint64_t>& charges,
                const std::map<std::string, std::uint64_t>& used) {
@@ -60,7 +63,7 @@
   for (auto it = view.documents.lower_bound(prefix);
        it != view.documents.end() && it->first.rfind(prefix, 0) == 0; ++it) {
     const DecodedPart read = decodePart(it->second.value);
-    // A part under the key of another origin is invalid.
+    // A part that is stored under the key of another origin is invalid.
     const bool own = read.part && read.part->key() == it->first;
     if (!own || parts.size() >= kMaxOrigins) {
       countUndecodable(
@@ -76,12 +79,13 @@
   });
   std::erase_if(countedRevisions_,
                 [&](const auto& entry) { return view.documents.count(entry.first) == 0; });
-  std::erase_if(known_, [&](const auto& entry) { return parts.count(entry.first) == 0; });
+  std::erase_if(highestUsage_, [&](const auto& entry) { return parts.count(entry.first) == 0; });
   return parts;
 }
 
-/// A digest that is older than one that some part has seen was restored from a copy. Nothing is
-/// lent until every forgotten loan has expired; live routers report their loans meanwhile.
+/// If some part has seen a newer digest than the one in the store, the store was restored from an
+/// older copy. Nothing is lent until every loan that the restored digest lacks has expired; live
+/// routers report their loans in the meantime.
 void DigestTask::detectRollback(Digest& digest, const std::map<Origin, Read>& parts) {
   std::uint64_t newest = lastSequence_;
   for (const auto& [origin, read] : parts)
@@ -95,8 +99,7 @@
   digest.lendsFromSequence = digest.sequence + static_cast<std::uint64_t>(std::ceil(loans)) + 1;
 }
 
-// Uses the median of all reported clocks, so that one wrong clock among three has no effect. The
-// period never goes back.
+// Uses the median of all reported clocks, so that one wrong clock among three has no effect.
 void DigestTask::advancePeriod(Digest& digest, const std::map<Origin, Read>& parts) {
   std::vector<double> clocks{unixMs_()};
   for (const auto& [origin, read] : parts)
@@ -131,25 +134,26 @@
   }
 }
 
-/// After how long without a change the part is folded: sooner if another incarnation of its router
-/// has reported since.
-double DigestTask::foldAfterMs(const std::map<Origin, Read>& parts,
-                               const Origin& origin,
-                               double ageMs) const {
+/// For how long a part may be unchanged before its router is evicted: less if another incarnation
+/// of the router has reported since.
+double DigestTask::evictionDelayMs(const std::map<Origin, Read>& parts,
+                                   const Origin& origin,
+                                   double ageMs) const {
   const bool replaced = std::any_of(parts.begin(), parts.end(), [&](const auto& other) {
     return other.first.name == origin.name && other.first.incarnation != origin.incarnation &&
            other.second.ageMs < ageMs;
   });
-  return replaced ? std::min(config_.replacedMs, config_.goneMs) : config_.goneMs;
+  return replaced ? std::min(config_.evictReplacedAfterMs, config_.evictAfterMs)
+                  : config_.evictAfterMs;
 }
 
-/// Evicting a router needs no proof that it is gone: what it may have spent is charged, and if it
-/// is alive, it finds its document gone and restarts under a new incarnation.
+/// A router can be evicted without proof that it has ended: all that it may have spent is charged,
+/// and if it is alive, it finds its document removed and continues as a new incarnation.
 std::vector<Write> DigestTask::fold(Digest& digest, std::map<Origin, Read>& parts, double nowMs) {
   std::vector<Write> writes;
   for (auto it = parts.begin(); it != parts.end() && writes.size() < kMaxFoldsPerStep;) {
     const auto& [origin, read] = *it;
-    if (read.ageMs < foldAfterMs(parts, origin, read.ageMs)) {
+    if (read.ageMs < evictionDelayMs(parts, origin, read.ageMs)) {
       ++it;
       continue;
     }
@@ -167,7 +171,8 @@
   return writes;
 }
 
-/// Charges each budget with what an evicted router may have spent of it; returns the charges.
+/// Charges each budget with what an evicted router may have spent of it; returns the charges by
+/// tenant.
 std::map<std::string, std::uint64_t> DigestTask::chargeAll(
     std::map<std::string, BudgetLine>& budgets,
     const Part& part,
@@ -175,7 +180,8 @@
   std::map<std::string, std::uint64_t> charges;
   for (auto& [tenant, line] : budgets) {
     const auto reported = part.spends.find(tenant);
-    // A part of an earlier period, or without a report on this budget, has no ceiling in it.
+    // A part of an earlier period, or without a report on this budget, has no ceiling for this
+    // period.
     Spend spend;
     if (part.period == period && reported != part.spends.end())
       spend = reported->second;
@@ -188,7 +194,8 @@
   return charges;
 }
 
-/// Charges loans whose borrower has had no part for long, as after a document was removed by hand.
+/// Charges loans whose borrower has had no part for evictAfterMs, for example because an operator
+/// removed the document.
 void DigestTask::chargeOrphanedLoans(Digest& digest,
                                      const std::map<Origin, Read>& parts,
                                      double nowMs) {
@@ -202,7 +209,7 @@
       part.origin = origin;
       const std::string name = kOrphanedLoanPrefix + part.key();
       orphaned.insert(name);
-      if (ages_.unchangedMs(name, 0, nowMs) >= config_.goneMs)
+      if (ages_.unchangedMs(name, 0, nowMs) >= config_.evictAfterMs)
         expired.push_back(origin);
     }
     for (const Origin& origin : expired)
@@ -221,8 +228,8 @@
     fence_ = fence;
     fenceSinceMs_ = nowMs;
   }
-  // A new holder does not know yet whether some router has seen a newer digest than the store
-  // has.
+  // A new lease holder does not know yet whether some router has seen a newer digest than the one
+  // in the store.
   const double settleMs =
       kIntervalsBeforeLending * config_.reportIntervalMs(digest.liveNodes.size());
   const bool mayLend =
@@ -237,7 +244,7 @@
       if (spend == read.part.spends.end())
         continue;
       spends[origin] = spend->second;
-      // A silent router keeps its loans, but gets no more.
+      // A silent router retains its loans, but gets no new ones.
       if (!mayLend || read.ageMs >= config_.silentMs)
         spends[origin].requestedLoan = 0;
     }
@@ -246,7 +253,7 @@
   }
 }
 
-/// The observations of all credible witnesses, decayed to now, by instance.
+/// The observations of all credible witnesses, decayed to the current time, by instance.
 std::map<std::string, std::vector<HealthObservation>> DigestTask::credibleObservations(
     const std::map<Origin, Read>& parts) {
   std::map<std::string, std::vector<HealthObservation>> all;
@@ -271,11 +278,11 @@
   for (const auto& [instance, verdict] : digest.instances)
     observations.try_emplace(instance);
   std::map<std::string, HealthVerdict> verdicts;
-  for (const auto& [instance, ofInstance] : observations) {
+  for (const auto& [instance, instanceObservations] : observations) {
     const auto previous = digest.instances.find(instance);
     const HealthVerdict verdict =
         nextVerdict(previous == digest.instances.end() ? HealthVerdict{} : previous->second,
-                    ofInstance, digest.sequence, config_.observations, config_.verdict);
+                    instanceObservations, digest.sequence, config_.observations, config_.verdict);
     if (verdict.excluded || verdict.unhealthyVotes > 0)
       verdicts[instance] = verdict;
   }
@@ -287,15 +294,15 @@
   digest.total = digest.base;
   digest.liveNodes.clear();
   for (const auto& [origin, read] : parts) {
-    UsageTable& known = known_[origin];
-    if (!isMonotonic(read.part.usage, known))
+    UsageTable& highest = highestUsage_[origin];
+    if (!isMonotonic(read.part.usage, highest))
       ++stats_.decreasedCounters;
-    merge(known, read.part.usage);
-    addUsage(digest.total, known);
+    merge(highest, read.part.usage);
+    addUsage(digest.total, highest);
     if (read.ageMs < config_.silentMs)
       digest.liveNodes[origin] = read.part.sequence;
   }
-  // Bounded, whatever names the parts use.
+  // The tables stay within their bound, however many names occur in the parts.
   for (UsageTable* usage : {&digest.base, &digest.total})
     while (usage->size() > kMaxUsageRows)
       usage->erase(std::prev(usage->end()));
@@ -307,7 +314,8 @@
   std::uint64_t revision = 0;
   if (const auto document = view.documents.find(kDigestKey); document != view.documents.end()) {
     const DecodedDigest read = decodeDigest(document->second.value);
-    // Of a later version, or damaged: its loans cannot be reconstructed, so it is not overwritten.
+    // A digest that is damaged or of a later version is not overwritten, as its loans cannot be
+    // reconstructed.
     if (!read.digest) {
       countUndecodable(kDigestKey, document->second.revision, read.error);
       return std::nullopt;
