--- a/src/control/commands.cpp
+++ b/src/control/commands.cpp
@@ -97,7 +97,7 @@
       return arguments.size() == 1 ? "" : failure(name + " takes one instance id");
     case ArgumentRule::kOptionalJson: {
       const bool json = arguments.size() == 1 && arguments.front() == "json";
-      return arguments.empty() || json ? "" : failure(name + " takes no arguments or json");
+      return arguments.empty() || json ? "" : failure(name + " takes no argument other than json");
     }
     case ArgumentRule::kAny:
       return "";
--- a/src/coordination/cleanup.cpp
+++ b/src/coordination/cleanup.cpp
@@ -7,7 +7,7 @@
 
 std::optional<Step> Cleanup::next(const View& view, std::uint64_t, double nowMs) {
   // After a long gap between calls, for instance while the process was suspended, documents may
-  // have changed unobserved: earlier observations are void.
+  // have changed unobserved, so earlier observations are discarded.
   if (nowMs - lastCallMs_ > config_.presenceTimeoutMs / 2)
     ages_.forgetIf([](const std::string&) { return true; });
   lastCallMs_ = nowMs;
--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -13,8 +13,8 @@
 // After this time the exclusion of an unlisted instance is dropped. An instance under repair may be
 // unlisted for long.
 constexpr double kMissingExclusionRetentionMs = 30 * 60'000;
-// An inclusion is retained while the instance is cold and while another process may still have the
-// exclusion that it replaced.
+// An inclusion (the end of an exclusion) is remembered for this time: while the instance is cold,
+// and while another process may still apply the exclusion that was ended.
 constexpr double kInclusionRetentionMs = 10 * 60'000;
 
 }  // namespace
--- a/src/shared/digest_task.cpp
+++ b/src/shared/digest_task.cpp
@@ -22,7 +22,7 @@
 // Factor on loanMs that allows for clock drift and for a step in flight.
 constexpr double kLoanExpiryMargin = 1.1;
 
-// Prefix of the names under which ages_ tracks loans without a part.
+// Prefix of the names under which ages_ tracks the loans of routers that have no part.
 constexpr const char* kOrphanedLoanPrefix = "lent ";
 
 /// Replaces the charges of an evicted router by its actual usage, for each budget that it reports.
@@ -194,8 +194,8 @@
   return charges;
 }
 
-/// Charges loans whose borrower has had no part for evictAfterMs, for example because an operator
-/// removed the document.
+/// Charges the loans of routers whose part has been missing from the store for evictAfterMs, for
+/// example because an operator removed the document.
 void DigestTask::chargeOrphanedLoans(Digest& digest,
                                      const std::map<Origin, Read>& parts,
                                      double nowMs) {
--- a/src/upstream/reservations.cpp
+++ b/src/upstream/reservations.cpp
@@ -143,7 +143,7 @@
   // attempt.
   if (answer == ReservationLease::Answer::kGranted && dispatcher_.needsNoHeldState(request))
     releases_.release(request);
-  // An unknown answer is not reported, as the instance may hold a reservation.
+  // If the outcome is unknown, nothing is reported: the instance may hold a reservation.
   if (answer == ReservationLease::Answer::kGranted && !renewed)
     dispatcher_.reservationAnswered(prefill, instance, true);
   if (answer == ReservationLease::Answer::kRefused)
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -55,7 +55,7 @@
 }
 
 // The clock of the machine from which discovery takes its times is set back.
-TEST(InstanceAges, NewInstanceStartedAfterThePreviousMessageWhateverTimeIsReported) {
+TEST(InstanceAges, StartReportedBeforeTheLastContactIsReplacedByThatContact) {
   core::ManualClock clock;
   InstanceAges ages(clock);
   const double upSinceMs = 1e12;
--- a/tests/fronts_test.cpp
+++ b/tests/fronts_test.cpp
@@ -86,7 +86,7 @@
   EXPECT_EQ(platform, decisionsThrough(true, kMixed));
 }
 
-TEST(BothFronts, LeadToTheSameDecisionsWithReadersAndWriters) {
+TEST(BothFronts, LeadToTheSameDecisionsWithPrefillAndDecodeInstances) {
   const auto platform = decisionsThrough(false, kSplit);
   EXPECT_GT(platform.size(), 72U);  // a read, a place and a write for each
   EXPECT_EQ(platform, decisionsThrough(true, kSplit));
@@ -95,7 +95,7 @@
 // ---- The platform's protocol
 // -----------------------------------------------------------------------
 
-TEST(Platform, PassesAStreamOnUnchanged) {
+TEST(Platform, ForwardsAStreamUnchanged) {
   RouterFixture site(kSplit, false);
   const auto reply =
       site.finished(site.post("/v1/chat/completions?x=1", platformFields("a"), "{\"any\":1}"));
@@ -111,7 +111,7 @@
   }
 }
 
-TEST(Platform, OutcomesAreReadAsTheProtocolSays) {
+TEST(Platform, OutcomesAreReadAsTheProtocolSpecifies) {
   struct Case {
     unsigned status;
     bool rejected;
@@ -133,7 +133,7 @@
 
 // Guards the first event, which ties a request to its attempt, against noise and half events; and
 // the instances, any of which may send a spoilt answer, against being passed over for one.
-TEST(Platform, ASpoiltStreamIsTriedAgainBeforeItsFirstEventAndBreaksOffAfterIt) {
+TEST(Platform, AMalformedStreamIsRetriedBeforeItsFirstEventAndAbortedAfterIt) {
   for (const std::string spoilt : {"data: {\"x\":1}\nab", "noise", "data: half an event\n"}) {
     RouterFixture site({{"m1", "both", 0}, {"m2", "both", 0}}, false);
     int asked = 0;
@@ -167,10 +167,10 @@
   EXPECT_EQ(site.chats(), 1);
 }
 
-// Guards the streams of the next decode instance against a whole prompt that it would have to read
-// between their steps: the state went to the decode instance whose opening was spoilt, and the
-// prefill instance keeps the prompt's text.
-TEST(Platform, ASpoiltOpeningIsReadAgainBeforeTheNextWriterGetsIt) {
+// The next decode instance must not have to prefill the whole prompt between the steps of its
+// streams: the KV cache was sent to the decode instance whose stream was malformed, while the
+// prefill instance still has the text of the prompt.
+TEST(Platform, AMalformedStreamStartIsPrefilledAgainBeforeTheNextDecodeInstance) {
   RouterFixture site(kSplit, false);
   std::vector<std::string> order;
   for (auto& [id, instance] : site.instances)
@@ -192,9 +192,9 @@
   EXPECT_EQ(order, (std::vector<std::string>{"r", "w", "r", "w"}));
 }
 
-// Guards a client against waiting on a stream whose instance has gone silent; a slow one is left
-// alone.
-TEST(Platform, AStreamThatStopsBreaksOffWithinFiveSeconds) {
+// A client must not wait for a stream whose instance has stopped responding; a slow stream is not
+// aborted.
+TEST(Platform, AStalledStreamIsAbortedWithinFiveSeconds) {
   RouterFixture site(kMixed, false);
   for (auto& [id, instance] : site.instances)
     instance->script = beginOnly;
@@ -212,8 +212,8 @@
   EXPECT_EQ(site.chats(), 1);
 }
 
-// Guards against a last chunk that never follows the event that ends the stream.
-TEST(Platform, AStreamWithoutItsLastChunkBreaksOffByTheClock) {
+// The last chunk may never follow the event that ends the stream.
+TEST(Platform, AStreamWithoutItsLastChunkIsAbortedByATimeout) {
   RouterFixture site(kMixed, false);
   for (auto& [id, instance] : site.instances)
     instance->script = [](StandInInstance&, StandInInstance::ReceivedRequest& taken) {
@@ -226,14 +226,14 @@
   EXPECT_EQ(site.finished(reply)->failure, net::CallFailure::kReset);
 }
 
-TEST(Platform, AReleaseIsTriedElsewhereUntilItGetsThrough) {
+TEST(Platform, AReleaseIsRetriedAtOtherInstancesUntilOneAcceptsIt) {
   RouterFixture site(kSplit, false);
   for (auto& [id, instance] : site.instances)
     instance->script = leaveUnanswered;
   const auto reply = site.post("/v1/chat/completions", platformFields("a"), "{}");
   ASSERT_TRUE(site.until(
       [&] { return site.chats() == 1 && site.server->counters["places.answered"] == 1; }));
-  // Those with a connection at hand are asked first, and do not do it.
+  // Instances with an open connection are called first, and do not accept the release.
   for (auto& [id, instance] : site.instances)
     instance->acceptsReleases = instance->received.empty();
   site.lastCall->abandon();
@@ -246,7 +246,7 @@
   }));
 }
 
-TEST(Platform, RequestsThatAreNoneGetAPlain400) {
+TEST(Platform, MalformedRequestsAreAnsweredWithA400) {
   RouterFixture site(kMixed, false);
   auto fields = platformFields("a");
   for (std::size_t i : {0U, 1U, 4U}) {
@@ -271,9 +271,9 @@
   return frontend::arrivalOf(request, names);
 }
 
-// What only some deployments' clients say comes from the request alone: nobody has to say it, and a
-// guess that is none refuses nothing.
-TEST(Platform, TakesTheCostThatClientsGuessAsTheSimulatorsWireDoes) {
+// The cost estimate is an optional header that only some deployments' clients send: without it, or
+// if it is invalid, the request is accepted.
+TEST(Platform, ReadsTheClientsCostEstimateAsTheSimulatorProtocolDoes) {
   const wire::Vocabulary names = frontend::settingsOf(siteSettings()).names;
   const auto costUs = [&](const char* text) {
     const auto hint =
@@ -290,7 +290,7 @@
   EXPECT_EQ(told.lengthHint, arrivalWith("X-Call-Cost", "12000", names).lengthHint);
 }
 
-TEST(Platform, TellsRepeatsFromResumedRequestsAndBothFromClientsThatMarkNothing) {
+TEST(Platform, DistinguishesRepeatedResumedAndUnmarkedRequests) {
   const wire::Vocabulary names = frontend::settingsOf(siteSettings()).names;
   const auto marks = [&](const char* name, const char* value) {
     const auto told = arrivalWith(name, value, names);
@@ -308,7 +308,7 @@
 // ---- The chat API
 // ----------------------------------------------------------------------------------
 
-TEST(ChatApi, StreamsWithoutUsageUnlessItIsAskedFor) {
+TEST(ChatApi, StreamsWithoutUsageUnlessItIsRequested) {
   RouterFixture site(kSplit, true);
   const auto plain = site.finished(site.chat({{"model", "ask"}, {"stream", true}}));
   EXPECT_NE(plain->text.find("Hel"), std::string::npos);
@@ -319,7 +319,7 @@
   EXPECT_EQ(usage->text, eventOf("Hel") + eventOf("lo") + kLastEvents);
 }
 
-TEST(ChatApi, AnAnswerWithoutStreamIsPutTogether) {
+TEST(ChatApi, ANonStreamingAnswerIsAssembledFromTheStream) {
   RouterFixture site(kMixed, true);
   const auto reply = site.finished(site.chat({{"model", "ask"}}));
   const json answer = json::parse(reply->text);
@@ -329,7 +329,7 @@
   EXPECT_EQ(answer["usage"]["completion_tokens"], 2);
 }
 
-TEST(ChatApi, ErrorsAreWordedAsItsClientsExpect) {
+TEST(ChatApi, ErrorsHaveTheFormThatClientsExpect) {
   RouterFixture site(kMixed, true);
   const auto expect = [&](const std::shared_ptr<Reply>& reply, unsigned status, const json& param) {
     site.finished(reply);
@@ -354,7 +354,7 @@
   EXPECT_EQ(site.chats(), 0);
 }
 
-TEST(ChatApi, AClientThatClosesMidStreamEndsTheInstancesWork) {
+TEST(ChatApi, AClientThatClosesDuringAStreamCancelsItAtTheInstance) {
   RouterFixture site(kMixed, true);
   for (auto& [id, instance] : site.instances)
     instance->script = beginOnly;
@@ -368,7 +368,7 @@
   EXPECT_EQ(site.server->dispatcher.openRequests(), 0U);
 }
 
-TEST(ChatApi, AChangeWhoseInstanceVanishesAfterTheFirstEventEndsInOneErrorAndIsNotSentAgain) {
+TEST(ChatApi, AnAtMostOnceRequestThatLosesItsInstanceAfterTheFirstEventGetsOneErrorAndNoRetry) {
   for (const bool stream : {true, false}) {
     RouterFixture site(kMixed, true);
     for (auto& [id, instance] : site.instances)
@@ -447,7 +447,7 @@
             static_cast<std::size_t>(sent) + 2);  // the first, those, and the one that was held
 }
 
-TEST(ChatApi, ADrainLetsAStreamEnd) {
+TEST(ChatApi, ADrainAllowsAStreamToEnd) {
   RouterFixture site(kMixed, true);
   for (auto& [id, instance] : site.instances)
     instance->script = beginOnly;
@@ -466,7 +466,7 @@
 
 // Whoever asks for the rest of a stream finds another node; at a small site nobody does, and
 // nothing is cut.
-TEST(Endings, StreamsAreHandedOverWhereTheirClientsAskForTheRest) {
+TEST(Endings, StreamsAreMigratedOnlyIfResumptionIsEnabled) {
   routing::Settings settings = frontend::settingsOf(siteSettings()).settings;
   const app::ShutdownOptions small = app::platformShutdown(settings);
   EXPECT_FALSE(small.graceMs);
@@ -476,9 +476,10 @@
   EXPECT_LT(fleet.acceptForMs, *fleet.graceMs);
 }
 
-// At the last call of a node that ends, what has no stream is refused, and so is what arrives after
-// it, on whatever connection; no instance hears of it, and each connection closes with its answer.
-TEST(Endings, WhatComesAfterTheLastCallIsRefusedAndItsConnectionCloses) {
+// Near the end of a shutdown, requests without a stream are rejected, and so are those that arrive
+// later, on any connection; none is sent to an instance, and each connection closes after its
+// answer.
+TEST(Endings, RequestsNearTheEndOfShutdownAreRejectedAndTheirConnectionsClosed) {
   RouterFixture site(kMixed, false);
   for (auto& [id, instance] : site.instances)
     instance->script = leaveUnanswered;
@@ -600,7 +601,7 @@
   return json{{"revision", revision}, {"complete", whole}, {"members", members}}.dump();
 }
 
-TEST(DiscoveryWatch, KeepsTheListWhenItBreaksAndOpensTheWatchAnewWhereItStood) {
+TEST(DiscoveryWatch, KeepsTheListIfTheWatchBreaksAndResumesAtItsRevision) {
   Watching watching;
   RawPeer agent(watching.io);
   watching.discovery.loadCached(json::parse(listOf(41, true, "active")));
@@ -623,9 +624,9 @@
   EXPECT_NE(agent.readSome().find("after=43 "), std::string::npos);
 }
 
-// Guards a reload: no gap in what is told while discovery moves, and no word from an old address
-// needed.
-TEST(DiscoveryWatch, MovesWithoutAGapAndAsksAnewWhereNothingIsSaid) {
+// On a reload that changes the address of discovery, the old watch is used until the new one
+// delivers a list.
+TEST(DiscoveryWatch, MovesToAnotherAddressWithoutAGapAndRetriesIfItIsSilent) {
   Watching watching;
   RawPeer before(watching.io), silent(watching.io), after(watching.io);
   const std::string head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -658,9 +659,9 @@
   EXPECT_EQ(watching.counters["discovery.watches"], 4U);  // the end of the old one opens none
 }
 
-// Guards what stands in line at a discovery that is down for all: closed and opened anew, it stood
-// last again.
-TEST(DiscoveryWatch, KeepsASilentWatchWhileItTriesAnotherBesideIt) {
+// A watch may be queued at an overloaded discovery: closing and reopening it would put it at the
+// end of the queue.
+TEST(DiscoveryWatch, KeepsASilentWatchOpenWhileItOpensAnother) {
   Watching watching;
   RawPeer agent(watching.io), other(watching.io);
   const std::string head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -687,9 +688,9 @@
   EXPECT_FALSE(agent.ended());
 }
 
-// Guards a drain against an agent that writes its lists for people to read: over many lines, in
+// A drain must also work if the discovery agent indents its lists over many lines and sends them in
 // pieces.
-TEST(DiscoveryWatch, TakesListsThatAreIndentedOverManyLines) {
+TEST(DiscoveryWatch, AcceptsListsThatAreIndentedOverManyLines) {
   Watching watching;
   RawPeer agent(watching.io);
   watching.discovery.watch(agent.address());
@@ -711,9 +712,9 @@
   EXPECT_EQ(watching.counters["discovery.malformed"], 0U);
 }
 
-// An open watch falls silent as something changes: the next is there, and has been told, within
-// what the sum in fleet/discovery_backoff.h says, whatever the draws.
-TEST(DiscoveryWatch, ASilentWatchIsReplacedWithinTheTimeAfterWhichAChangeCountsAsTold) {
+// An open watch stops responding as a change occurs: the next watch is open and has delivered the
+// change within the sum given in fleet/discovery_backoff.h, whatever the jitter.
+TEST(DiscoveryWatch, ASilentWatchIsReplacedWithinTheDeliveryLimit) {
   Watching watching;
   RawPeer agent(watching.io);
   const std::string head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -744,9 +745,9 @@
             fleet::DiscoveryBackoff::kWorstSilentWatchMs - fleet::DiscoveryBackoff::kCallTimeoutMs);
 }
 
-// A discovery that was put back to an older state, or a peer of it that lags: what is told last is
-// what there is, and the next watch asks from there.
-TEST(DiscoveryWatch, TakesAListWhoseRevisionGoesBackInTheOrderInWhichItComes) {
+// Discovery was restored to an older state, or one of its replicas lags: the list received last is
+// valid, and the next watch resumes at its revision.
+TEST(DiscoveryWatch, AppliesListsInOrderOfArrivalEvenIfTheRevisionDecreases) {
   Watching watching;
   RawPeer agent(watching.io);
   const auto lists = [&](unsigned count) {
@@ -772,9 +773,9 @@
   EXPECT_NE(agent.readSome().find("after=40 "), std::string::npos);
 }
 
-// The first word of a watch is a change: it is laid over what the configuration carried, or over
-// nothing, and the whole list that follows takes the place of both.
-TEST(DiscoveryWatch, LaysAChangeThatComesBeforeItsWholeListOverWhatItHolds) {
+// The first message of a watch is a change: it is applied to the cached list, or to an empty one,
+// and the full list that follows replaces the result.
+TEST(DiscoveryWatch, AppliesAChangeThatArrivesBeforeTheFullList) {
   for (const bool known : {true, false}) {
     Watching watching;
     RawPeer agent(watching.io);
@@ -807,9 +808,9 @@
   }
 }
 
-// Clients that say nothing fill their share and all that the queue holds, and discovery is down:
-// the watch is opened anew and every link to an instance is there all the same.
-TEST(DiscoveryWatch, KeepsItsDescriptorsWhileIdleClientsFillAllOthers) {
+// Idle clients use their whole share of descriptors and fill the accept queue, and discovery fails:
+// the watch is still reopened, and all connections to instances can still be opened.
+TEST(DiscoveryWatch, KeepsItsDescriptorsWhileIdleClientsUseAllOthers) {
   Watching watching;
   constexpr std::size_t kSockets = 160;
   const app::Limits limits{kSockets};
@@ -860,8 +861,8 @@
     call->abandon();
 }
 
-// Guards the tables against a fleet whose instances are replaced all day under ever new ids.
-TEST(DiscoveryWatch, ThousandsOfReplacedInstancesLeaveTheTablesFlat) {
+// The tables must not grow in a fleet whose instances are continually replaced under new ids.
+TEST(DiscoveryWatch, TablesDoNotGrowWithThousandsOfReplacedInstances) {
   Watching watching;
   const auto list = [](int i, const std::string& phase) {
     return json{{"revision", i},
@@ -887,9 +888,9 @@
   }
 }
 
-// Guards a fleet many times bigger: long lists, thousands of changes in one line, and what settings
+// A much larger fleet: long lists, thousands of changes on one line, and values that the settings
 // do not name.
-TEST(DiscoveryWatch, ListsOfAThousandInstancesAndThousandsOfChangesInALine) {
+TEST(DiscoveryWatch, AcceptsListsOfAThousandInstancesAndThousandsOfChangesOnOneLine) {
   for (const int instances : {100, 1000}) {
     Watching watching;
     json all = json::array(), changes = json::array();
@@ -922,9 +923,9 @@
   }
 }
 
-// A whole list of as many instances as there may be, and then changes to all of them, through a
-// socket: on one line, and indented for people, cut anywhere.
-TEST(DiscoveryWatch, ListsOfAsManyInstancesAsThereMayBeComeOverTheWire) {
+// A full list of the maximum number of instances, then changes to all of them, through a socket: on
+// one line and indented, split at any byte.
+TEST(DiscoveryWatch, ReceivesListsOfTheMaximumNumberOfInstances) {
   constexpr int kInstances = coordination::kMaxFleetInstances;
   for (const bool indented : {false, true}) {
     Watching watching;
@@ -972,7 +973,7 @@
   }
 }
 
-TEST(DiscoveryWatch, AListThatIsMalformedChangesNothing) {
+TEST(DiscoveryWatch, MalformedListChangesNothing) {
   Watching watching;
   ASSERT_TRUE(watching.discovery.onDocument(listOf(5, true, "active")));
   for (const char* bad : {"{", "[]", "{\"revision\":6,\"complete\":true,\"members\":[{\"id\":7}]}"})
@@ -985,7 +986,7 @@
 // Zones, kinds and cells are those that the settings and the list name, however many; a phase that
 // is not known is none to send to. What it says of starts, before the part that makes no sense, is
 // no evidence of discovery's clock either.
-TEST(DiscoveryWatch, AListThatIsMalformedFixesNoAge) {
+TEST(DiscoveryWatch, MalformedListIsNotUsedForInstanceAges) {
   Watching watching;
   std::optional<routing::Time> started;
   watching.dispatcher.onEvent([&](const routing::Event& event) {
@@ -1092,7 +1093,7 @@
   EXPECT_EQ(faultyKey, "name");
 }
 
-TEST(Reload, ASighupBeforeTheLoopRunsIsKeptAndABadFileChangesNothing) {
+TEST(Reload, ASighupBeforeTheLoopRunsIsHandledAndAnInvalidFileIsCounted) {
   app::blockReloadSignal();
   raise(SIGHUP);  // by default this would end the program
   RouterFixture site(kMixed, true);
@@ -1108,7 +1109,7 @@
   EXPECT_EQ(site.server->counters["reloads.failed"], 1U);
 }
 
-TEST(Reload, AnOperatorsFileIsTakenOverWholeOrNotAtAll) {
+TEST(Reload, AnOperatorFileIsAppliedCompletelyOrNotAtAll) {
   RouterFixture site(kMixed, true);
   site.finished(site.chat({{"model", "ask"}}));
   json settings = siteSettings();
@@ -1136,7 +1137,7 @@
   EXPECT_EQ(site.server->directory.all().size(), 1U);
 }
 
-TEST(Configuration, AfterAReloadTheFilesDiscoveryIsKnownApartFromTheEnvironments) {
+TEST(Configuration, DiscoveryAddressesOfTheFileAndTheEnvironmentAreStoredSeparately) {
   const json file{{"name", "n"},
                   {"listen", "127.0.0.1:1"},
                   {"discovery", "127.0.0.1:9"},
--- a/tests/handover_faults_test.cpp
+++ b/tests/handover_faults_test.cpp
@@ -21,8 +21,8 @@
   net::DescriptorSender sender{folder.path, "receiver"};
 };
 
-// Whoever passes a stream on goes on with it until it hears that the other has it.
-TEST(HandOverUnderFaults, AStreamIsTakenOnlyIfItsSenderHearsOfIt) {
+// The sender of a stream continues to serve it until the receiver has acknowledged it.
+TEST(HandOverUnderFaults, HandledMessagesAreThoseAcknowledgedToTheSender) {
   for (const int error : {EINTR, ENOBUFS, ENOMEM, EAGAIN}) {
     SCOPED_TRACE(error);
     TransferStage stage;
--- a/tests/instance_deadline_test.cpp
+++ b/tests/instance_deadline_test.cpp
@@ -148,7 +148,7 @@
 
 // A request was not read for a while, as its connection was in the accept queue or the process was
 // stopped. Only the kernel knows when the request arrived, by its own clock.
-TEST_P(Budget, IsReducedByTimeForWhichRequestWasUnread) {
+TEST_P(Budget, IsReducedByTheTimeBeforeTheRequestWasRead) {
   BudgetFixture fixture(GetParam());
   fixture.sendRequest();
   std::this_thread::sleep_for(400ms);
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -324,7 +324,7 @@
 
 // Guards against request smuggling: a second request hidden in bytes that two parsers assign
 // to different bodies.
-TEST(ClientConnection, RefusesRequestsOfAmbiguousLengthAndEverythingBehindThem) {
+TEST(ClientConnection, RefusesRequestsOfAmbiguousLengthAndAllThatFollow) {
   ServerFixture server;
   const std::string hiddenRequest = "0\r\n\r\n" + kPost;
   const std::string length = "Content-Length: " + std::to_string(hiddenRequest.size()) + "\r\n";
--- a/tests/router_answers_test.cpp
+++ b/tests/router_answers_test.cpp
@@ -213,7 +213,7 @@
 
 // A failed connect takes half of the release limit here: after a second one, the release would come
 // too late.
-TEST(RemoteState, NoConnectIsTriedThatWouldExceedTheReleaseLimit) {
+TEST(RemoteState, NoConnectionIsAttemptedThatWouldExceedTheReleaseLimit) {
   for (const AttemptOutcome outcome : {AttemptOutcome::kConnectFailed, AttemptOutcome::kNotSent}) {
     RouterHarness router;
     router.updateEndpoints({endpoint("r0", kPrefill), endpoint("r1", kPrefill),
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -21,8 +21,8 @@
 // ---- An answer under way
 // ---------------------------------------------------------------------------
 
-// Wherever a chunked answer is cut, who takes it up reads on as if it had read it from the start.
-TEST(AnswerUnderWay, IsTakenUpAtAnyByte) {
+// Wherever a chunked answer is cut, the new process reads on as if it had read it from the start.
+TEST(AnswerUnderWay, CanBeHandedOverAtAnyByte) {
   const std::string head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
   const std::string text = "data: one\n\ndata: two\n\n";
   const std::string body =
@@ -61,7 +61,7 @@
   }
 }
 
-TEST(AnswerUnderWay, GoesOnWhereItIsIfItIsNotHandedOver) {
+TEST(AnswerUnderWay, ContinuesInTheSameProcessIfItIsNotHandedOver) {
   NetworkFixture stage;
   net::ConnectionPool pool(stage.io, stage.clock, stage.timers, stage.counters, {4, 1000, 10'000});
   RawPeer instance(stage.io);
@@ -83,7 +83,7 @@
   EXPECT_EQ(reply->text, "onetwo");
 }
 
-TEST(HandedStream, KeepsEveryByteOfItsStateAndRefusesWhatIsNone) {
+TEST(HandedStream, IsDecodedAsEncodedAndRejectedIfTruncated) {
   app::HandedStream stream{};
   stream.arrival.request = {"id-1"};
   stream.arrival.cls = {1};
@@ -110,7 +110,7 @@
     EXPECT_THROW(app::decodeHandedStream(text.substr(0, cut)), std::exception);
 }
 
-TEST(Passing, DescriptorsArriveWithTheirMessageAndFullIsSaidAtOnce) {
+TEST(Passing, DescriptorsArriveWithTheirMessageAndAFullQueueIsReportedImmediately) {
   TemporaryDirectory folder;
   boost::asio::io_context io;
   std::vector<net::ReceivedMessage> taken;
@@ -186,7 +186,7 @@
   std::vector<std::shared_ptr<Reply>> replies;
 };
 
-TEST(HandedStream, GoesOnHereIfItsSuccessorEndsBeforeItTookIt) {
+TEST(HandedStream, ContinuesInTheOldProcessIfItsSuccessorExitsBeforeTakingIt) {
   HandoverSite site;
   site.open(3);
   boost::asio::io_context never;
@@ -209,7 +209,7 @@
   EXPECT_EQ(site.chats(), 3);
 }
 
-TEST(HandedStream, WaitsForASlowSuccessorWhileTheOthersGoOnHere) {
+TEST(HandedStream, WaitsForASlowSuccessorWhileOtherStreamsContinueInTheOldProcess) {
   HandoverSite site;
   site.open(20);
   RouterFixture next(kMixed, false);
@@ -244,7 +244,7 @@
          answer.find("\r\n0\r\n\r\n") != std::string::npos;
 }
 
-TEST(Upgrade, NoStreamBreaksNoConnectionIsRefusedAndExclusionsHold) {
+TEST(Upgrade, NoStreamBreaksNoConnectionIsRefusedAndExclusionsPersist) {
   Platform platform;
   std::vector<StandInInstance::ReceivedRequest*> held;
   bool hold = true;
@@ -275,7 +275,7 @@
   }
   EXPECT_EQ(platform.other.chats(), 0);
   EXPECT_NE(platform.call(oldDoor, "telemetry").find("app_active 6\n"), std::string::npos);
-  // A kept connection that rests when the processes change.
+  // A keep-alive connection that is idle when the processes change.
   hold = false;
   RawPeer kept(platform.io);
   kept.connect(platform.listen);
@@ -306,7 +306,7 @@
   EXPECT_GE(answered, 20);
   EXPECT_TRUE(platform.until([&] { return kept.ended(); }));
 
-  // The streams that the old process began end whole under the new one, and it counts them.
+  // The new process completes and counts the streams that the old process began.
   EXPECT_NE(platform.call(newDoor, "telemetry").find("app_active 6\n"), std::string::npos);
   for (std::size_t i = 0; i < kStreams; ++i) {
     EXPECT_FALSE(held[i]->disconnected);
@@ -317,7 +317,7 @@
     EXPECT_TRUE(whole(streams[i]->seen)) << streams[i]->seen;
     EXPECT_NE(streams[i]->seen.find("second"), std::string::npos);
     EXPECT_EQ(streams[i]->seen.find("HTTP/1.1", 10), std::string::npos);
-    // The connection lives on: the next request on it is the new process's.
+    // The connection stays open: the new process handles the next request on it.
     streams[i]->seen.clear();
     streams[i]->write(platform.ask());
     ASSERT_TRUE(platform.until([&] { return streams[i]->ended() || whole(streams[i]->seen); }));
@@ -330,9 +330,8 @@
   EXPECT_EQ(platform.endOf(fresh), 0);
 }
 
-// Killed outright, a process leaves files; the next one starts as if alone and keeps the
-// exclusions.
-TEST(Upgrade, WhatAKilledProcessLeavesBehindDoesNoHarm) {
+// A process that is killed leaves files; the next one starts as if alone and keeps the exclusions.
+TEST(Upgrade, FilesOfAKilledProcessDoNotDisturbTheNextOne) {
   Platform platform;
   for (StandInInstance* instance : {&platform.instance, &platform.other})
     instance->script = streamFullAnswer;
@@ -352,8 +351,8 @@
   EXPECT_EQ(platform.other.chats(), 1);
 }
 
-// Between two SIGTERMs a SIGHUP is taken, as what was accepted still needs the list; the stream
-// under way ends whole, and so does the process.
+// A SIGHUP between two SIGTERMs is handled, as accepted requests still need the list of instances;
+// the stream in progress is completed, and the process exits normally.
 TEST(Upgrade, ASecondSigtermWithASighupBeforeItChangesNothing) {
   Platform platform;
   StandInInstance::ReceivedRequest* held = nullptr;
@@ -377,7 +376,7 @@
   ASSERT_TRUE(platform.until(
       [&] { return !client.ended() && client.seen.find("first") != std::string::npos; }));
   ::kill(process, SIGTERM);
-  // The door closes for good: the process has heard the first one, whatever comes next.
+  // The listening socket is closed: the process has handled the first SIGTERM.
   ASSERT_TRUE(platform.until([&] {
     RawPeer probe(platform.io);
     try {
@@ -405,9 +404,9 @@
   EXPECT_EQ(platform.endOf(process), 0);
 }
 
-// The successor is stopped as the streams come to it, and killed: the process that ends goes on
-// with them.
-TEST(Upgrade, ASuccessorThatIsStoppedAndKilledInMidHandOverBreaksNoStream) {
+// The successor is suspended before the hand-over and killed during it: the old process continues
+// the streams.
+TEST(Upgrade, ASuccessorThatIsSuspendedAndKilledDuringTheHandOverBreaksNoStream) {
   Platform platform;
   std::vector<StandInInstance::ReceivedRequest*> held;
   for (StandInInstance* instance : {&platform.instance, &platform.other})
@@ -449,7 +448,7 @@
   EXPECT_EQ(platform.endOf(old), 0);
 }
 
-TEST(Upgrade, ADoorThatCannotBeListenedOnEndsTheStartWithAReason) {
+TEST(Upgrade, StartFailsIfAnAddressCannotBeListenedOn) {
   Platform platform;
   RawPeer taken(platform.io);
   EXPECT_EQ(platform.endOf(platform.start(taken.address())), 1);
--- a/tests/wall_clock_test.cpp
+++ b/tests/wall_clock_test.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr double kColdMs = 2'000;
-constexpr double kEarliestWarmMs = 0.7 * kColdMs;  // lists and looks at them take time
+constexpr double kEarliestWarmMs = 0.7 * kColdMs;  // receiving and polling lists takes time
 
 double unixMs() {
   return std::chrono::duration<double, std::milli>(
@@ -54,7 +54,7 @@
 // How far the clock of the program is from the one of discovery and the instances.
 constexpr std::array kStepsMs{-3'600'000.0, -3'000.0, 0.0, 3'000.0, 3'600'000.0};
 
-TEST(WallClock, AnInstanceThatHasJustStartedIsColdForItsTime) {
+TEST(WallClock, AnInstanceThatHasJustStartedStaysColdForTheColdPeriod) {
   for (const double stepMs : kStepsMs) {
     SCOPED_TRACE(stepMs);
     SteppedPlatform platform(stepMs);
