--- a/src/admission/address.cpp
+++ b/src/admission/address.cpp
@@ -14,6 +14,7 @@
 constexpr int kV6Bits = 128;
 constexpr int kMappedBits = kV6Bits - kV4Bits;
 constexpr int kBitsPerByte = 8;
+// ::ffff:0:0/96, the prefix of IPv4-mapped addresses.
 constexpr std::array<std::uint8_t, 12> kMapped{0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0xff, 0xff};
 
 }  // namespace
--- a/src/admission/admission_controller.cpp
+++ b/src/admission/admission_controller.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-constexpr double kMinIdleMs = 100;        // a connection is not evicted earlier
-constexpr std::size_t kMaxExamined = 8;   // entries examined per decision
-constexpr std::size_t kMaxReported = 16;  // addresses in mostRefused()
-constexpr double kFullRetryMs = 1'000;    // told to who finds no capacity
-constexpr double kCapRetryMs = 2'000;     // told to who is over a cap
+constexpr double kMinIdleMs = 100;        // idle time before a connection may be evicted
+constexpr std::size_t kMaxExamined = 8;   // bounds the work of one decision
+constexpr std::size_t kMaxReported = 16;  // in mostRefused()
+constexpr double kFullRetryMs = 1'000;    // sent when there is no capacity
+constexpr double kCapRetryMs = 2'000;     // sent when a cap is reached
 constexpr double kMsPerSecond = 1'000;
 
 }  // namespace
@@ -22,9 +22,10 @@
   return kNames[static_cast<std::size_t>(reason)];
 }
 
-// ---- The table of addresses
+// ---- Address table
 
-// A clock that jumps back adds no tokens; one that jumps ahead fills the bucket at most.
+// A clock that jumps back adds no tokens; one that jumps ahead fills the bucket but not beyond the
+// burst.
 double AdmissionController::refill(Client& client, double nowMs) const {
   const double elapsedMs = std::max(0.0, nowMs - client.filledMs);
   client.tokens =
@@ -57,7 +58,8 @@
   return {client, /*shared=*/false};
 }
 
-// Makes capacity in a full table. Who is not quiet is examined again later.
+// Frees entries of a full table. Clients that are still active move to the end of the list and are
+// examined again later.
 void AdmissionController::dropQuietClients(double nowMs) {
   for (std::size_t i = 0; i < kMaxExamined && clients_.size() >= rules_.table && !recency_.empty();
        ++i) {
@@ -170,7 +172,7 @@
   return false;
 }
 
-// What there is too little of for one more connection, unless another is evicted.
+// Returns which limit one more connection would exceed, unless another connection is evicted.
 std::optional<Reason> AdmissionController::lackFor(bool known, Level level) const {
   if (level == Level::kExhausted || (level == Level::kTight && !known))
     return Reason::kDescriptors;
@@ -298,10 +300,10 @@
   return list;
 }
 
-// ---- Other rules
+// ---- Reconfiguration
 
-// Rebuilds the table of addresses by the new rules. Token counts are kept: a reload must not
-// forgive a flood.
+// Rebuilds the address table for the new rules. Token counts are carried over, so that a reload
+// does not give a flooding client a full bucket.
 void AdmissionController::rebuildClients() {
   const std::map<Address, Client> before = std::exchange(clients_, {});
   const Recency order = std::exchange(recency_, {});
@@ -320,7 +322,7 @@
 
 void AdmissionController::recount(ConnectionId id, Connection connection, double nowMs) {
   connection.client = rules_.clientOf(connection.address);
-  // A client that is known by a key stays known for as long as the connection lasts.
+  // A client that is known by its API key stays known until the connection closes.
   connection.known = connection.known || rules_.knownRange(connection.address) != nullptr;
   const CountedClient counted = clientFor(connection.client, nowMs);
   connection.shared = counted.shared;
--- a/src/admission/admission_controller.h
+++ b/src/admission/admission_controller.h
@@ -22,7 +22,7 @@
 /// Why a connection was refused.
 enum class Reason { kNone, kRate, kAddress, kNetwork, kFull, kReserved, kDescriptors };
 constexpr std::size_t kReasons = 7;
-/// The name in reports.
+/// The name that reports contain.
 const char* nameOf(Reason reason);
 
 using ConnectionId = std::uint64_t;
@@ -31,34 +31,36 @@
 struct Decision {
   bool admit = false;
   ConnectionId id = 0;                ///< if admitted
-  std::optional<ConnectionId> evict;  ///< connection to close in its favour
+  std::optional<ConnectionId> evict;  ///< idle connection that the caller closes
   Reason reason = Reason::kNone;      ///< if refused
   double retryAfterMs = 0;
 };
 
-/// A client address and how often it was refused, at the most.
+/// A client address and an upper bound of how often it was refused.
 struct RefusalCount {
   std::string address;
   std::uint64_t refusals = 0;
 };
 
-/// Memory is bounded by the rules' `table` of addresses and by the connections that are open.
+/// Admits, refuses and evicts client connections. Memory is bounded by the rules' `table` of
+/// addresses and by the connections that are open.
 class AdmissionController {
  public:
   explicit AdmissionController(Rules rules) : rules_(std::move(rules)) {}
 
-  /// Decides on a new connection. level: of the descriptor budget. An evicted connection counts as
-  /// closed.
+  /// Decides on a new connection. level: of the descriptor budget. An evicted connection is counted
+  /// as closed at once.
   Decision connect(const Address& address, Level level, double nowMs);
-  /// The connection authenticated with this API key, which may make its client a known one.
+  /// Records that the connection authenticated with the API key of this name. From then on it
+  /// counts as that of a known client if the rules list the key.
   void identified(ConnectionId id, const std::string& keyName, double nowMs);
-  /// A request is open on it.
+  /// Records that a request is in flight on the connection, which protects it from eviction.
   void busy(ConnectionId id);
-  /// No request is.
+  /// Records that no request is in flight on the connection.
   void idle(ConnectionId id, double nowMs);
-  /// Ignores an unknown id.
+  /// Records that the connection is closed. An unknown id is ignored.
   void closed(ConnectionId id, double nowMs);
-  /// Counts a refusal that was decided elsewhere.
+  /// Counts a refusal that was decided outside this class.
   void refusedOtherwise(Reason reason, const Address& address);
 
   /// Changes the rules. Returns the idle connections that exceed the new caps and are to be closed;
@@ -74,7 +76,7 @@
   std::uint64_t refused(Reason reason) const { return refused_[static_cast<std::size_t>(reason)]; }
   std::uint64_t admitted() const { return admitted_; }
   std::uint64_t evicted() const { return evicted_; }
-  /// Most first; the counts are upper bounds.
+  /// Sorted by descending count; the counts are upper bounds.
   std::vector<RefusalCount> mostRefused() const;
 
  private:
@@ -90,30 +92,30 @@
     Address client;
     bool known = false;
     bool busy = false;
-    bool shared = false;  // counted in overflow_
-    double sinceMs = 0;   // start of its idle time
+    bool shared = false;  // counted in overflow_ instead of clients_
+    double sinceMs = 0;   // start of the current idle period
   };
-  // The longest idle first.
+  // Ordered by idle time, longest first.
   struct IdleConnection {
     double sinceMs = 0;
     ConnectionId id = 0;
     auto operator<=>(const IdleConnection&) const = default;
   };
   using Idle = std::set<IdleConnection>;
-  // Of one address.
+  // The number of idle connections of one address.
   struct IdleCount {
     std::size_t connections = 0;
     Address address;
     auto operator<=>(const IdleCount&) const = default;
   };
-  // Idle connections by address, and addresses by their number.
+  // Idle connections by address, and the addresses ranked by their number of idle connections.
   struct IdlePool {
     std::map<Address, Idle> idle;
     std::set<IdleCount> ranking;
   };
 
-  // A client's counts. shared: the address found no capacity and is counted with all others of that
-  // kind.
+  // A client's counts. inOverflow: the address table was full, so that the client is counted
+  // together with all others that did not fit.
   struct CountedClient {
     Client& client;
     bool shared;
@@ -145,7 +147,7 @@
   std::map<ConnectionId, Connection> connections_;
   std::map<Address, Client> clients_;
   Recency recency_;  // least recently seen first
-  // Shared by all addresses that found no capacity in clients_; tokens < 0: not used yet.
+  // Shared by all addresses that did not fit into clients_; tokens < 0: not used yet.
   Client overflow_{0, -1, 0, {}};
   std::map<std::size_t, std::size_t> openPerNetwork_;  // by index in rules
   IdlePool knownIdle_;
--- a/src/admission/descriptor_budget.cpp
+++ b/src/admission/descriptor_budget.cpp
@@ -6,18 +6,19 @@
 
 namespace {
 
-constexpr std::size_t kFixed = 64;  // of all accounts but clients and instances
-// Apart from clients, or a flood of refusals would use up the clients' account.
+constexpr std::size_t kFixed = 64;  // discovery, control, telemetry and own accounts
+// A separate account; otherwise a flood of refusals would use up the clients' account.
 constexpr std::size_t kRefusals = 16;
 constexpr std::size_t kDiscovery = 4;
 constexpr std::size_t kControl = 40;
 constexpr std::size_t kTelemetry = 2;
-// Shares that are held as a level begins and ends.
+// Used shares at which a level is entered and left.
 constexpr double kTightFrom = 0.9;
 constexpr double kTightUntil = 0.8;
 constexpr double kExhaustedFrom = 0.98;
 constexpr double kExhaustedUntil = 0.9;
-constexpr double kExhaustedHoldMs = 1'000;  // after ranOut(); descriptors are returned meanwhile
+// Time for open descriptors to be returned.
+constexpr double kExhaustedHoldMs = 1'000;  // level stays exhausted after ranOut()
 
 double usedShare(std::size_t held, std::size_t max) {
   return max == 0 ? 1.0 : static_cast<double>(held) / static_cast<double>(max);
--- a/src/admission/descriptor_budget.h
+++ b/src/admission/descriptor_budget.h
@@ -1,5 +1,5 @@
-/// The budget of file descriptors of the process, split into accounts by purpose. Whoever opens a
-/// descriptor takes it from an account first. No I/O.
+/// The budget of file descriptors of the process, split into accounts by purpose. A descriptor is
+/// counted in its account before it is opened. No I/O.
 #pragma once
 
 #include <array>
@@ -8,53 +8,56 @@
 
 namespace inference_router::admission {
 
-/// The purpose of a descriptor. kOwn: log, event loop, listeners, the spare one. kRefusals: clients
-/// that are sent the reason of their refusal.
+/// The purpose of a descriptor. kOwn: log, event loop, listeners and the spare descriptor.
+/// kRefusals: connections on which a refused client is sent the reason.
 enum class Account { kClients, kInstances, kDiscovery, kControl, kTelemetry, kOwn, kRefusals };
 /// How scarce descriptors are.
 enum class Level { kNormal, kTight, kExhausted };
 
-/// The names in reports.
+/// The names that reports contain.
 const char* nameOf(Account account);
 const char* nameOf(Level level);
 
-/// Counts the descriptors that are held per account. Not thread-safe.
+/// Counts the open descriptors per account. Not thread-safe.
 class DescriptorBudget {
  public:
   static constexpr std::size_t kAccounts = 7;
 
-  /// The cap of each account. Their sum is within the limit, so that none can starve another.
+  /// The cap of each account. The sum of the caps does not exceed the limit, so that no account can
+  /// starve another.
   struct Shares {
     std::size_t limit = 0;
     std::array<std::size_t, kAccounts> max{};
   };
 
-  /// The caps for a process with `limit` descriptors. Half of what the fixed accounts leave is for
-  /// connections to instances, so that every accepted request can be dispatched.
+  /// Returns the caps for a process with `limit` descriptors. Half of the descriptors that are not
+  /// assigned to the fixed accounts are for connections to instances, so that every accepted
+  /// request can be dispatched.
   static Shares sharesOf(std::size_t limit);
 
   explicit DescriptorBudget(const Shares& shares) : shares_(shares) {}
 
-  /// Whether take() would succeed.
+  /// Returns whether take() would succeed.
   bool may(Account account) const {
     return held(account) < shares_.max[at(account)] && total_ < shares_.limit;
   }
   /// Takes one descriptor; returns false, and counts a refusal, if the account or the process is
   /// full.
   bool take(Account account);
-  /// Counts one that is open already, regardless of the caps.
+  /// Counts a descriptor that is already open, regardless of the caps.
   void force(Account account);
-  /// Returns one; ignored if the account holds none.
+  /// Returns one descriptor to the account; ignored if none is counted there.
   void give(Account account);
   std::size_t held(Account account) const { return held_[at(account)]; }
   std::size_t total() const { return total_; }
   const Shares& shares() const { return shares_; }
   std::uint64_t refused(Account account) const { return refused_[at(account)]; }
 
-  /// The system ran out although the budget was not used up, as when the process's limit was
-  /// lowered.
+  /// Reports that the system refused a descriptor although the budget was not used up, as happens
+  /// after the process's limit was lowered.
   void ranOut(double nowMs);
-  /// By the fuller of the process and the clients' account, with hysteresis.
+  /// Returns the level of the process or of the clients' account, whichever uses the larger share,
+  /// with hysteresis.
   Level level(double nowMs);
 
  private:
--- a/src/admission/rules.cpp
+++ b/src/admission/rules.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-constexpr std::size_t kMaxNetworks = 64;  // searched on each connect
+constexpr std::size_t kMaxNetworks = 64;  // searched linearly on each connect
 constexpr std::size_t kMaxRanges = 256;
 constexpr std::size_t kMinAddresses = 16;
 constexpr std::size_t kMaxAddresses = 65'536;
 constexpr std::size_t kMaxPrefix = 128;  // bits of an IPv6 address
-constexpr double kMaxRate = 1e6;
+constexpr double kMaxRate = 1e6;         // connects per second; also bounds the burst
 constexpr const char* kRoot = "admission";
 
 [[noreturn]] void fail(const std::string& path, const std::string& why) {
@@ -32,10 +32,10 @@
                 const std::string& path,
                 std::initializer_list<const char*> keys) {
   if (!object.is_object())
-    fail(path, "is no object");
+    fail(path, "is not an object");
   for (const auto& [key, value] : object.items())
     if (std::find(keys.begin(), keys.end(), key) == keys.end())
-      fail(fieldOf(path, key), "is no setting");
+      fail(fieldOf(path, key), "is not a known setting");
 }
 
 std::size_t countAt(const json& object,
@@ -73,11 +73,11 @@
 
 Range rangeOf(const json& value, const std::string& at) {
   if (!value.is_string())
-    fail(at, "is no text");
+    fail(at, "is not a string");
   const auto found = Range::parse(value.get<std::string>());
   if (!found)
     fail(at, "'" + value.get<std::string>() +
-                 "' is no address or prefix like 10.1.0.0/16 with the rest 0");
+                 "' is neither an address nor a prefix like 10.1.0.0/16 with all later bits 0");
   return *found;
 }
 
@@ -87,7 +87,7 @@
     return kNone;
   const json& list = object.at(key);
   if (!list.is_array())
-    fail(path + "." + key, "is no list");
+    fail(path + "." + key, "is not a list");
   if (list.size() > max)
     fail(path + "." + key, "has over " + std::to_string(max) + " entries");
   return list;
@@ -141,7 +141,7 @@
   rules.perSecond = rateAt(file.at("rate"), rate, "per_second");
   rules.burst = rateAt(file.at("rate"), rate, "burst");
   if (rules.burst < 1)
-    fail(rate + ".burst", "is under 1, so nobody could connect");
+    fail(rate + ".burst", "is under 1, so no unknown client could connect");
 }
 
 void parseKnownRanges(const json& known, const std::string& path, Rules& rules) {
@@ -164,12 +164,12 @@
   for (std::size_t i = 0; i < keys.size(); ++i) {
     const std::string at = item(path + ".keys", i);
     if (!keys[i].is_string())
-      fail(at, "is no text");
+      fail(at, "is not a string");
     const auto name = keys[i].get<std::string>();
     if (names.count(name) == 0)
       fail(at, "no entry of `keys` has the name '" + name + "'");
     if (!rules.knownKeys.insert(name).second)
-      fail(at, "stands twice");
+      fail(at, "is listed twice");
   }
 }
 
@@ -179,11 +179,11 @@
   expectOnly(known, path, {"reserve", "ranges", "keys"});
   rules.reserve = countAt(known, path, "reserve", 0, 0);
   if (rules.reserve >= rules.total)
-    fail(path + ".reserve", "leaves nothing of the total for others");
+    fail(path + ".reserve", "leaves no connection of the total for unknown clients");
   parseKnownRanges(known, path, rules);
   parseKnownKeys(known, path, names, rules);
   if (rules.reserve > 0 && rules.knownRanges.empty() && rules.knownKeys.empty())
-    fail(path + ".reserve", "is for nobody: neither ranges nor keys are given");
+    fail(path + ".reserve", "applies to no client: neither ranges nor keys are given");
 }
 
 // ---- Explanations
@@ -210,18 +210,19 @@
 
 std::string explainKey(const std::string& keyName, bool known) {
   if (!known)
-    return "key " + keyName + " is not in admission.known.keys: it changes nothing\n";
+    return "key " + keyName + " is not in admission.known.keys: it has no effect on admission\n";
   return "known by key: " + keyName +
          " is in admission.known.keys; the connection counts as known " +
-         "from its first request on, but has to come in as the address may\n";
+         "from its first request on, but is admitted by the rules of its address\n";
 }
 
 std::string explainCapacity(const Rules& rules, bool known) {
   const std::string total = std::to_string(rules.total);
   if (known)
-    return "room: all " + total + " connections; when full, idle unknown clients give way first\n";
+    return "room: all " + total +
+           " connections; when full, idle connections of unknown clients are evicted first\n";
   return "room: " + std::to_string(rules.total - rules.reserve) + " of " + total +
-         " connections, as " + std::to_string(rules.reserve) + " are kept for known clients\n";
+         " connections, as " + std::to_string(rules.reserve) + " are reserved for known clients\n";
 }
 
 }  // namespace
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -1,4 +1,5 @@
-// Who may connect: the rules, the decisions against simple models, and the budget of descriptors.
+// Admission of client connections: parsing of the rules, the controller and the descriptor budget,
+// both also compared with simple models.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -17,7 +18,7 @@
 // ---- Addresses and rules
 // ---------------------------------------------------------------------------
 
-TEST(Addresses, OneClientIsOneAddressAndRangesHoldWhatTheySay) {
+TEST(Addresses, MappedAddressesAreEqualAndRangesContainTheirAddresses) {
   EXPECT_EQ(at("10.1.2.3"), at("::ffff:10.1.2.3"));
   EXPECT_EQ(at("10.1.2.3").text(), "10.1.2.3");
   EXPECT_EQ(at("2001:db8:1:2:3::9").masked(64), at("2001:db8:1:2::"));
@@ -41,7 +42,7 @@
   return "";
 }
 
-TEST(AdmissionRules, WhatCannotBeMetIsRefusedWithItsPath) {
+TEST(AdmissionRules, RejectsInvalidFieldsWithTheirPath) {
   EXPECT_EQ(complaint(file()), "");
   const std::vector<std::pair<std::string, std::string>> cases{
       {R"({"connections":{"total":201}})", "admission.connections.total: "},
@@ -61,9 +62,9 @@
       {R"({"known":{"ranges":["127.0.1.0/24","127.0.1.7"]}})",
        "admission.known.ranges[1]: overlaps"},
       {R"({"known":{"keys":["nobody"]}})", "admission.known.keys[0]: "},
-      {R"({"known":{"ranges":[],"keys":[]}})", "admission.known.reserve: is for nobody"},
+      {R"({"known":{"ranges":[],"keys":[]}})", "admission.known.reserve: applies to no client"},
       {R"({"table":4})", "admission.table: "},
-      {R"({"tabel":400})", "admission.tabel: is no setting"}};
+      {R"({"tabel":400})", "admission.tabel: is not a known setting"}};
   for (const auto& [change, start] : cases) {
     json rules = file();
     rules.merge_patch(json::parse(change));
@@ -72,7 +73,7 @@
   }
 }
 
-TEST(AdmissionRules, ExplainSaysWhichRuleAppliesAndNeverAKey) {
+TEST(AdmissionRules, ExplainNamesTheRulesThatApply) {
   const Rules rules = rulesOf(file(), {"desk", "app"}, 200);
   EXPECT_NE(explain(rules, at("127.0.1.9"), {}).find("127.0.1.0/24 is in admission.known.ranges"),
             std::string::npos);
@@ -82,14 +83,14 @@
   EXPECT_NE(explain(rules, at("10.0.0.1"), "desk").find("known by key: desk"), std::string::npos);
 }
 
-// ---- The gate
+// ---- Admission controller
 // --------------------------------------------------------------------------------------
 
 Rules rules() {
   return rulesOf(file(), {"desk"}, 200);
 }
 
-TEST(AdmissionController, AnAddressThatLoopsIsHeldToItsRateAndItsCapAndOthersAreNot) {
+TEST(AdmissionController, LimitsRateAndConnectionsOfEachAddressSeparately) {
   AdmissionController gate(rules());
   int in = 0, rate = 0, cap = 0;
   for (int i = 0; i < 1000; ++i) {
@@ -106,15 +107,15 @@
   EXPECT_EQ(gate.mostRefused().front().address, "10.0.0.1");
 }
 
-TEST(AdmissionController, AWholeClubBehindOneAddressIsNoFloodIfItsRangeIsKnown) {
+TEST(AdmissionController, KnownRangeIsExemptFromTheLimitsOfAnAddress) {
   AdmissionController gate(rules());
   for (int i = 0; i < 100; ++i)
     EXPECT_TRUE(gate.connect(at("127.0.1.5"), Level::kNormal, 1000).admit) << i;
   EXPECT_EQ(gate.connect(at("127.0.1.5"), Level::kNormal, 1000).reason,
-            Reason::kFull);  // all are young
+            Reason::kFull);  // none has been idle long enough to be evicted
 }
 
-TEST(AdmissionController, TheReserveIsForKnownClientsAndAKeyEndsBorrowing) {
+TEST(AdmissionController, ReservesConnectionsForClientsKnownByAddressOrKey) {
   AdmissionController gate(rules());
   std::vector<ConnectionId> in;
   for (int i = 0; i < 80; ++i) {
@@ -125,13 +126,13 @@
   }
   EXPECT_EQ(gate.connect(at("10.0.2.1"), Level::kNormal, 5000).reason, Reason::kReserved);
   EXPECT_TRUE(gate.connect(at("127.0.1.1"), Level::kNormal, 5000).admit);
-  gate.identified(in[0], "app", 5000);  // not a known one
+  gate.identified(in[0], "app", 5000);  // not among the known keys
   EXPECT_EQ(gate.connect(at("10.0.2.1"), Level::kNormal, 5000).reason, Reason::kReserved);
   gate.identified(in[0], "desk", 5000);
   EXPECT_TRUE(gate.connect(at("10.0.2.1"), Level::kNormal, 5000).admit);
 }
 
-TEST(AdmissionController, WhoHoldsMostIdleConnectionsGivesWayAndNobodyWithARequest) {
+TEST(AdmissionController, EvictsFromTheAddressWithTheMostIdleConnectionsAndNeverABusyOne) {
   Rules r = rules();
   r.reserve = 0;
   r.total = 6;
@@ -148,7 +149,7 @@
   gate.busy(busy);
   gate.busy(a1);
   EXPECT_EQ(connect("10.0.0.4", 1050).reason, Reason::kFull)
-      << "whoever is idle there came a moment ago";
+      << "no connection has been idle long enough";
   EXPECT_EQ(connect("10.0.0.4", 2000).evict, a2);
   gate.idle(a1, 2100);
   EXPECT_EQ(connect("127.0.1.2", 3000).evict, a3) << "idle longer than a1";
@@ -161,11 +162,12 @@
   EXPECT_TRUE(gone.count(b) != 0 && gone.count(a1) != 0);
   EXPECT_EQ(gone.count(known) + gone.count(busy), 0U);
   EXPECT_EQ(connect("10.0.0.9", 9000).reason, Reason::kFull)
-      << "a known client never gives way to an unknown one";
+      << "a known client is never evicted for an unknown one";
 }
 
-// Addresses by the thousand can neither push a penalty out of the table nor make it grow.
-TEST(AdmissionController, ManyAddressesCannotResetAPenalty) {
+// A flood from thousands of addresses must neither evict the address of a rate-limited client from
+// the table, which would refill its bucket, nor make the table grow.
+TEST(AdmissionController, ManyAddressesDoNotResetARateLimit) {
   Rules r = rules();
   r.table = 64;
   AdmissionController gate(r);
@@ -186,12 +188,12 @@
   }
   EXPECT_EQ(gate.connect(loud, Level::kNormal, 1051).reason, Reason::kRate);
   EXPECT_TRUE(gate.connect(at("127.0.1.1"), Level::kNormal, 1051).admit)
-      << "a known client needs no place";
-  // Quiet again, all of them make room.
+      << "a known client is admitted without an entry in the address table";
+  // Once inactive with full buckets, the entries are dropped for a new address.
   EXPECT_TRUE(gate.connect(at("10.200.0.1"), Level::kNormal, 60'000).admit);
 }
 
-TEST(AdmissionController, AClockThatJumpsGivesNobodyMoreThanABurst) {
+TEST(AdmissionController, ClockJumpAddsAtMostOneBurst) {
   AdmissionController gate(rules());
   const auto burst = [&](double now) {
     int in = 0;
@@ -204,12 +206,12 @@
     return in;
   };
   EXPECT_EQ(burst(1e6), 20);
-  EXPECT_EQ(burst(10), 0);  // back
+  EXPECT_EQ(burst(10), 0);  // the clock jumped back
   EXPECT_EQ(burst(1e12), 20);
   EXPECT_EQ(burst(1e12 + 1000), 5);
 }
 
-TEST(AdmissionController, ALoweredCapLetsOpenRequestsFinish) {
+TEST(AdmissionController, LoweredCapEvictsOnlyIdleConnections) {
   AdmissionController gate(rules());
   std::vector<ConnectionId> in;
   for (int i = 0; i < 10; ++i)
@@ -227,9 +229,9 @@
   EXPECT_TRUE(gate.connect(at("10.0.0.1"), Level::kNormal, 9000).admit);
 }
 
-// Whatever comes: caps and reserve hold, nobody with a request gives way, and the counts are those
-// of a plain list.
-TEST(AdmissionController, KeepsItsBoundsWhateverHappens) {
+// For random operations: the caps and the reserve hold, a busy connection is never evicted, and the
+// counts equal those of a plain list.
+TEST(AdmissionController, KeepsCapsAndReserveForRandomOperations) {
   rc::check([](const std::vector<std::tuple<unsigned char, unsigned char, unsigned char>>& steps) {
     json text = file();
     text["connections"] = {{"total", 12},
@@ -304,10 +306,10 @@
   });
 }
 
-// ---- The ledger
+// ---- Descriptor budget
 // ------------------------------------------------------------------------------------
 
-TEST(DescriptorBudget, SumsToWhatIsOpenAndKeepsEveryShare) {
+TEST(DescriptorBudget, CountsOpenDescriptorsAndKeepsEveryCap) {
   rc::check([](const std::vector<std::pair<unsigned char, bool>>& steps) {
     DescriptorBudget ledger(DescriptorBudget::sharesOf(160));
     std::array<std::size_t, DescriptorBudget::kAccounts> model{};
@@ -329,7 +331,7 @@
         }
         RC_ASSERT(ledger.total() == sum);
         RC_ASSERT(sum <= 160U);
-        // A client is never let in at the cost of a link that accepted requests need.
+        // Admitted clients never use up the connections to instances that their requests need.
         RC_ASSERT(model[1] == ledger.shares().max[1] || ledger.may(Account::kInstances));
       }
   });
--- a/tests/support/admission_rules.h
+++ b/tests/support/admission_rules.h
@@ -1,4 +1,4 @@
-// Rules of admission that several tests use.
+// Admission settings that several tests use.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -12,8 +12,8 @@
   return *admission::Address::parse(text);
 }
 
-// The object `admission` of an operator's file: 100 connections, of which 20 are kept for known
-// clients.
+// The object `admission` of an operator's file: 100 connections, of which 20 are reserved
+// for known clients.
 inline nlohmann::json file() {
   return {{"connections", {{"total", 100}, {"per_address", 10}}},
           {"rate", {{"per_second", 5}, {"burst", 20}}},
