--- a/src/admission/admission_controller.cpp
+++ b/src/admission/admission_controller.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-constexpr double kMinIdleMs = 100;        // idle time before a connection may be evicted
-constexpr std::size_t kMaxExamined = 8;   // bounds the work of one decision
-constexpr std::size_t kMaxReported = 16;  // in mostRefused()
-constexpr double kFullRetryMs = 1'000;    // sent when there is no capacity
-constexpr double kCapRetryMs = 2'000;     // sent when a cap is reached
+constexpr double kMinIdleMs = 100;                 // idle time before a connection may be evicted
+constexpr std::size_t kMaxExaminedEntries = 8;     // bounds the work of one decision
+constexpr std::size_t kMaxReportedAddresses = 16;  // in mostRefused()
+constexpr double kFullRetryDelayMs = 1'000;        // sent when there is no capacity
+constexpr double kCapRetryDelayMs = 2'000;         // sent when a cap is reached
 constexpr double kMsPerSecond = 1'000;
 
 }  // namespace
@@ -27,14 +27,14 @@
 // A clock that jumps back adds no tokens; one that jumps ahead fills the bucket but not beyond the
 // burst.
 double AdmissionController::refill(Client& client, double nowMs) const {
-  const double elapsedMs = std::max(0.0, nowMs - client.filledMs);
+  const double elapsedMs = std::max(0.0, nowMs - client.refilledAtMs);
   client.tokens =
       std::min(rules_.burst, client.tokens + elapsedMs / kMsPerSecond * rules_.perSecond);
-  client.filledMs = nowMs;
+  client.refilledAtMs = nowMs;
   return client.tokens;
 }
 
-bool AdmissionController::isQuiet(Client& client, double nowMs) const {
+bool AdmissionController::isInactive(Client& client, double nowMs) const {
   return client.open == 0 && refill(client, nowMs) >= rules_.burst;
 }
 
@@ -43,28 +43,28 @@
   const auto it = clients_.find(address);
   if (it != clients_.end()) {
     recency_.splice(recency_.end(), recency_, it->second.recencyEntry);
-    return {it->second, /*shared=*/false};
+    return {it->second, /*inOverflow=*/false};
   }
-  dropQuietClients(nowMs);
+  dropInactiveClients(nowMs);
   if (clients_.size() >= rules_.table) {
     if (overflow_.tokens < 0)
       overflow_.tokens = rules_.burst;
-    return {overflow_, /*shared=*/true};
+    return {overflow_, /*inOverflow=*/true};
   }
   Client& client = clients_[address];
   client.tokens = rules_.burst;
-  client.filledMs = nowMs;
+  client.refilledAtMs = nowMs;
   client.recencyEntry = recency_.insert(recency_.end(), address);
-  return {client, /*shared=*/false};
+  return {client, /*inOverflow=*/false};
 }
 
 // Frees entries of a full table. Clients that are still active move to the end of the list and are
 // examined again later.
-void AdmissionController::dropQuietClients(double nowMs) {
-  for (std::size_t i = 0; i < kMaxExamined && clients_.size() >= rules_.table && !recency_.empty();
-       ++i) {
+void AdmissionController::dropInactiveClients(double nowMs) {
+  for (std::size_t i = 0;
+       i < kMaxExaminedEntries && clients_.size() >= rules_.table && !recency_.empty(); ++i) {
     const Address oldest = recency_.front();
-    if (isQuiet(clients_.at(oldest), nowMs)) {
+    if (isInactive(clients_.at(oldest), nowMs)) {
       clients_.erase(oldest);
       recency_.pop_front();
     } else {
@@ -87,19 +87,19 @@
 
 void AdmissionController::addIdle(ConnectionId id, const Connection& connection) {
   IdlePool& pool = poolOf(connection);
-  Idle& idle = pool.idle[connection.client];
+  IdleConnections& idle = pool.idle[connection.client];
   pool.ranking.erase({idle.size(), connection.client});
-  idle.insert({connection.sinceMs, id});
+  idle.insert({connection.idleSinceMs, id});
   pool.ranking.insert({idle.size(), connection.client});
 }
 
 void AdmissionController::removeIdle(ConnectionId id, const Connection& connection) {
   IdlePool& pool = poolOf(connection);
   const auto it = pool.idle.find(connection.client);
-  if (it == pool.idle.end() || it->second.count({connection.sinceMs, id}) == 0)
+  if (it == pool.idle.end() || it->second.count({connection.idleSinceMs, id}) == 0)
     return;
   pool.ranking.erase({it->second.size(), connection.client});
-  it->second.erase({connection.sinceMs, id});
+  it->second.erase({connection.idleSinceMs, id});
   if (it->second.empty())
     pool.idle.erase(it);
   else
@@ -109,10 +109,10 @@
 std::optional<ConnectionId> AdmissionController::oldestIdle(const IdlePool& pool,
                                                             double nowMs) const {
   std::size_t examined = 0;
-  for (auto it = pool.ranking.rbegin(); it != pool.ranking.rend() && examined < kMaxExamined;
+  for (auto it = pool.ranking.rbegin(); it != pool.ranking.rend() && examined < kMaxExaminedEntries;
        ++it, ++examined) {
-    const auto& [since, id] = *pool.idle.at(it->address).begin();
-    if (nowMs - since >= kMinIdleMs)
+    const auto& [idleSinceMs, id] = *pool.idle.at(it->address).begin();
+    if (nowMs - idleSinceMs >= kMinIdleMs)
       return id;
   }
   return std::nullopt;
@@ -120,9 +120,9 @@
 
 std::optional<ConnectionId> AdmissionController::evictionCandidate(bool forKnown,
                                                                    double nowMs) const {
-  const auto unknownCandidate = oldestIdle(unknownIdle_, nowMs);
-  if (unknownCandidate || !forKnown)
-    return unknownCandidate;
+  const auto candidate = oldestIdle(unknownIdle_, nowMs);
+  if (candidate || !forKnown)
+    return candidate;
   return oldestIdle(knownIdle_, nowMs);
 }
 
@@ -131,23 +131,23 @@
 Decision AdmissionController::connect(const Address& address, Level level, double nowMs) {
   const Address client = rules_.clientOf(address);
   const bool known = rules_.knownRange(address) != nullptr;
-  const auto [counted, shared] = clientFor(client, nowMs);
+  const auto [counted, inOverflow] = clientFor(client, nowMs);
   if (!known) {
     if (const auto refusal = refuseByClient(counted, client, nowMs))
       return *refusal;
   }
   if (isNetworkFull(address))
-    return refuse(Reason::kNetwork, client, kCapRetryMs);
+    return refuse(Reason::kNetwork, client, kCapRetryDelayMs);
   Decision decision;
-  if (const auto lack = lackFor(known, level)) {
+  if (const auto shortage = findShortage(known, level)) {
     decision.evict = evictionCandidate(known, nowMs);
     if (!decision.evict)
-      return refuse(*lack, client, kFullRetryMs);
+      return refuse(*shortage, client, kFullRetryDelayMs);
     ++evicted_;
     remove(*decision.evict);
   }
   decision.admit = true;
-  decision.id = add({address, client, known, /*busy=*/false, shared, nowMs}, counted);
+  decision.id = add({address, client, known, /*busy=*/false, inOverflow, nowMs}, counted);
   return decision;
 }
 
@@ -160,7 +160,7 @@
   }
   client.tokens -= 1;
   if (client.open >= rules_.perAddress)
-    return refuse(Reason::kAddress, address, kCapRetryMs);
+    return refuse(Reason::kAddress, address, kCapRetryDelayMs);
   return std::nullopt;
 }
 
@@ -173,7 +173,7 @@
 }
 
 // Returns which limit one more connection would exceed, unless another connection is evicted.
-std::optional<Reason> AdmissionController::lackFor(bool known, Level level) const {
+std::optional<Reason> AdmissionController::findShortage(bool known, Level level) const {
   if (level == Level::kExhausted || (level == Level::kTight && !known))
     return Reason::kDescriptors;
   if (connections_.size() >= rules_.total)
@@ -232,7 +232,7 @@
   if (it == connections_.end() || !it->second.busy)
     return;
   it->second.busy = false;
-  it->second.sinceMs = nowMs;
+  it->second.idleSinceMs = nowMs;
   addIdle(id, it->second);
 }
 
@@ -250,7 +250,7 @@
   if (!connection.known)
     --openUnknown_;
   countInNetworks(connection.address, /*opened=*/false);
-  Client& counted = connection.shared ? overflow_ : clients_.at(connection.client);
+  Client& counted = connection.inOverflow ? overflow_ : clients_.at(connection.client);
   --counted.open;
   connections_.erase(it);
 }
@@ -279,7 +279,7 @@
     return;
   }
   std::uint64_t inherited = 0;
-  if (mostRefused_.size() >= kMaxReported) {
+  if (mostRefused_.size() >= kMaxReportedAddresses) {
     const auto lowest =
         std::min_element(mostRefused_.begin(), mostRefused_.end(),
                          [](const auto& a, const auto& b) { return a.second < b.second; });
@@ -305,17 +305,17 @@
 // Rebuilds the address table for the new rules. Token counts are carried over, so that a reload
 // does not give a flooding client a full bucket.
 void AdmissionController::rebuildClients() {
-  const std::map<Address, Client> before = std::exchange(clients_, {});
-  const Recency order = std::exchange(recency_, {});
-  for (const Address& address : order) {
+  const std::map<Address, Client> previousClients = std::exchange(clients_, {});
+  const Recency previousRecency = std::exchange(recency_, {});
+  for (const Address& address : previousRecency) {
     if (clients_.size() >= rules_.table)
       break;
     const Address client = rules_.clientOf(address);
     if (clients_.count(client) != 0)
       continue;
     Client& entry = clients_[client];
-    entry.tokens = std::min(before.at(address).tokens, rules_.burst);
-    entry.filledMs = before.at(address).filledMs;
+    entry.tokens = std::min(previousClients.at(address).tokens, rules_.burst);
+    entry.refilledAtMs = previousClients.at(address).refilledAtMs;
     entry.recencyEntry = recency_.insert(recency_.end(), client);
   }
 }
@@ -325,7 +325,7 @@
   // A client that is known by its API key stays known until the connection closes.
   connection.known = connection.known || rules_.knownRange(connection.address) != nullptr;
   const CountedClient counted = clientFor(connection.client, nowMs);
-  connection.shared = counted.shared;
+  connection.inOverflow = counted.inOverflow;
   ++counted.client.open;
   if (!connection.known)
     ++openUnknown_;
@@ -336,7 +336,7 @@
 }
 
 bool AdmissionController::exceedsCaps(const Connection& connection) const {
-  const Client& counted = connection.shared ? overflow_ : clients_.at(connection.client);
+  const Client& counted = connection.inOverflow ? overflow_ : clients_.at(connection.client);
   if (!connection.known && counted.open > rules_.perAddress)
     return true;
   for (std::size_t i = 0; i < rules_.networks.size(); ++i)
--- a/src/admission/admission_controller.h
+++ b/src/admission/admission_controller.h
@@ -84,7 +84,7 @@
   struct Client {
     std::size_t open = 0;
     double tokens = 0;
-    double filledMs = 0;
+    double refilledAtMs = 0;
     Recency::iterator recencyEntry;
   };
   struct Connection {
@@ -92,16 +92,16 @@
     Address client;
     bool known = false;
     bool busy = false;
-    bool shared = false;  // counted in overflow_ instead of clients_
-    double sinceMs = 0;   // start of the current idle period
+    bool inOverflow = false;  // counted in overflow_ instead of clients_
+    double idleSinceMs = 0;   // start of the current idle period
   };
   // Ordered by idle time, longest first.
   struct IdleConnection {
-    double sinceMs = 0;
+    double idleSinceMs = 0;
     ConnectionId id = 0;
     auto operator<=>(const IdleConnection&) const = default;
   };
-  using Idle = std::set<IdleConnection>;
+  using IdleConnections = std::set<IdleConnection>;
   // The number of idle connections of one address.
   struct IdleCount {
     std::size_t connections = 0;
@@ -110,7 +110,7 @@
   };
   // Idle connections by address, and the addresses ranked by their number of idle connections.
   struct IdlePool {
-    std::map<Address, Idle> idle;
+    std::map<Address, IdleConnections> idle;
     std::set<IdleCount> ranking;
   };
 
@@ -118,17 +118,17 @@
   // together with all others that did not fit.
   struct CountedClient {
     Client& client;
-    bool shared;
+    bool inOverflow;
   };
   CountedClient clientFor(const Address& address, double nowMs);
-  void dropQuietClients(double nowMs);
+  void dropInactiveClients(double nowMs);
   std::optional<Decision> refuseByClient(Client& client, const Address& address, double nowMs);
   bool isNetworkFull(const Address& address);
-  std::optional<Reason> lackFor(bool known, Level level) const;
+  std::optional<Reason> findShortage(bool known, Level level) const;
   ConnectionId add(const Connection& connection, Client& client);
   void countInNetworks(const Address& address, bool opened);
   double refill(Client& client, double nowMs) const;
-  bool isQuiet(Client& client, double nowMs) const;
+  bool isInactive(Client& client, double nowMs) const;
   IdlePool& poolOf(const Connection& connection) {
     return connection.known ? knownIdle_ : unknownIdle_;
   }
--- a/src/admission/descriptor_budget.cpp
+++ b/src/admission/descriptor_budget.cpp
@@ -6,17 +6,17 @@
 
 namespace {
 
-constexpr std::size_t kFixed = 64;  // discovery, control, telemetry and own accounts
+constexpr std::size_t kFixedDescriptors = 64;  // discovery, control, telemetry and own accounts
 // A separate account; otherwise a flood of refusals would use up the clients' account.
-constexpr std::size_t kRefusals = 16;
-constexpr std::size_t kDiscovery = 4;
-constexpr std::size_t kControl = 40;
-constexpr std::size_t kTelemetry = 2;
+constexpr std::size_t kRefusalDescriptors = 16;
+constexpr std::size_t kDiscoveryDescriptors = 4;
+constexpr std::size_t kControlDescriptors = 40;
+constexpr std::size_t kTelemetryDescriptors = 2;
 // Used shares at which a level is entered and left.
-constexpr double kTightFrom = 0.9;
-constexpr double kTightUntil = 0.8;
-constexpr double kExhaustedFrom = 0.98;
-constexpr double kExhaustedUntil = 0.9;
+constexpr double kTightEnterShare = 0.9;
+constexpr double kTightLeaveShare = 0.8;
+constexpr double kExhaustedEnterShare = 0.98;
+constexpr double kExhaustedLeaveShare = 0.9;
 // Time for open descriptors to be returned.
 constexpr double kExhaustedHoldMs = 1'000;  // level stays exhausted after ranOut()
 
@@ -45,17 +45,18 @@
 }
 
 DescriptorBudget::Shares DescriptorBudget::sharesOf(std::size_t limit) {
-  const std::size_t rest = limit > kFixed ? limit - kFixed : 0;
+  const std::size_t remaining = limit > kFixedDescriptors ? limit - kFixedDescriptors : 0;
   Shares shares;
   shares.limit = limit;
-  const std::size_t refusals = std::min(kRefusals, rest / 4);
-  shares.max = {rest / 2 - refusals,
-                rest - rest / 2,
-                kDiscovery,
-                kControl,
-                kTelemetry,
-                kFixed - kDiscovery - kControl - kTelemetry,
-                refusals};
+  const std::size_t refusals = std::min(kRefusalDescriptors, remaining / 4);
+  shares.max = {
+      remaining / 2 - refusals,
+      remaining - remaining / 2,
+      kDiscoveryDescriptors,
+      kControlDescriptors,
+      kTelemetryDescriptors,
+      kFixedDescriptors - kDiscoveryDescriptors - kControlDescriptors - kTelemetryDescriptors,
+      refusals};
   return shares;
 }
 
@@ -88,12 +89,13 @@
   const double used =
       std::max(usedShare(total_, shares_.limit),
                usedShare(held(Account::kClients), shares_.max[at(Account::kClients)]));
-  const double exhaustedAt = level_ == Level::kExhausted ? kExhaustedUntil : kExhaustedFrom;
-  const double tightAt = level_ == Level::kNormal ? kTightFrom : kTightUntil;
-  if (nowMs < exhaustedUntilMs_ || used >= exhaustedAt)
+  const double exhaustedThreshold =
+      level_ == Level::kExhausted ? kExhaustedLeaveShare : kExhaustedEnterShare;
+  const double tightThreshold = level_ == Level::kNormal ? kTightEnterShare : kTightLeaveShare;
+  if (nowMs < exhaustedUntilMs_ || used >= exhaustedThreshold)
     level_ = Level::kExhausted;
   else
-    level_ = used >= tightAt ? Level::kTight : Level::kNormal;
+    level_ = used >= tightThreshold ? Level::kTight : Level::kNormal;
   return level_;
 }
 
--- a/src/admission/rules.cpp
+++ b/src/admission/rules.cpp
@@ -10,32 +10,32 @@
 namespace {
 
 constexpr std::size_t kMaxNetworks = 64;  // searched linearly on each connect
-constexpr std::size_t kMaxRanges = 256;
-constexpr std::size_t kMinAddresses = 16;
-constexpr std::size_t kMaxAddresses = 65'536;
-constexpr std::size_t kMaxPrefix = 128;  // bits of an IPv6 address
-constexpr double kMaxRate = 1e6;         // connects per second; also bounds the burst
-constexpr const char* kRoot = "admission";
+constexpr std::size_t kMaxListEntries = 256;
+constexpr std::size_t kMinTableAddresses = 16;
+constexpr std::size_t kMaxTableAddresses = 65'536;
+constexpr std::size_t kMaxPrefixBits = 128;  // bits of an IPv6 address
+constexpr double kMaxRate = 1e6;             // connects per second; also bounds the burst
+constexpr const char* kRootPath = "admission";
 
 [[noreturn]] void fail(const std::string& path, const std::string& why) {
   throw RulesError(path, why);
 }
 
-std::string fieldOf(const std::string& path, const std::string& key) {
+std::string fieldPath(const std::string& path, const std::string& key) {
   std::string field = path;
   field += '.';
   field += key;
   return field;
 }
 
-void expectOnly(const json& object,
-                const std::string& path,
-                std::initializer_list<const char*> keys) {
+void expectOnlyKeys(const json& object,
+                    const std::string& path,
+                    std::initializer_list<const char*> keys) {
   if (!object.is_object())
     fail(path, "is not an object");
   for (const auto& [key, value] : object.items())
     if (std::find(keys.begin(), keys.end(), key) == keys.end())
-      fail(fieldOf(path, key), "is not a known setting");
+      fail(fieldPath(path, key), "is not a known setting");
 }
 
 std::size_t countAt(const json& object,
@@ -82,9 +82,9 @@
 }
 
 const json& listAt(const json& object, const std::string& path, const char* key, std::size_t max) {
-  static const json kNone = json::array();
+  static const json kEmptyList = json::array();
   if (!object.contains(key))
-    return kNone;
+    return kEmptyList;
   const json& list = object.at(key);
   if (!list.is_array())
     fail(path + "." + key, "is not a list");
@@ -93,21 +93,21 @@
   return list;
 }
 
-std::string item(const std::string& path, std::size_t i) {
+std::string itemPath(const std::string& path, std::size_t i) {
   return path + "[" + std::to_string(i) + "]";
 }
 
 void parseNetworks(const json& caps, const std::string& path, Rules& rules) {
   const json& networks = listAt(caps, path, "networks", kMaxNetworks);
   for (std::size_t i = 0; i < networks.size(); ++i) {
-    const std::string at = item(path + ".networks", i);
-    expectOnly(networks[i], at, {"range", "connections"});
+    const std::string at = itemPath(path + ".networks", i);
+    expectOnlyKeys(networks[i], at, {"range", "connections"});
     if (!networks[i].contains("range"))
       fail(at + ".range", "is missing");
     const Range range = rangeOf(networks[i].at("range"), at + ".range");
     for (std::size_t j = 0; j < i; ++j)
       if (rules.networks[j].range.overlaps(range))
-        fail(at + ".range", "overlaps " + item(path + ".networks", j) + ".range");
+        fail(at + ".range", "overlaps " + itemPath(path + ".networks", j) + ".range");
     const std::size_t connections = countAt(networks[i], at, "connections", 1, std::nullopt);
     if (connections > rules.total)
       fail(at + ".connections", "is over the total");
@@ -116,72 +116,72 @@
 }
 
 void parseConnections(const json& file, std::size_t maxClients, Rules& rules) {
-  const std::string open = std::string(kRoot) + ".connections";
+  const std::string path = std::string(kRootPath) + ".connections";
   const json caps = file.value("connections", json::object());
-  expectOnly(caps, open, {"total", "per_address", "ipv6_prefix", "networks"});
-  rules.total = countAt(caps, open, "total", 1, maxClients);
+  expectOnlyKeys(caps, path, {"total", "per_address", "ipv6_prefix", "networks"});
+  rules.total = countAt(caps, path, "total", 1, maxClients);
   if (rules.total > maxClients)
-    fail(open + ".total",
+    fail(path + ".total",
          "is over the " + std::to_string(maxClients) + " that `sockets` allows for clients");
-  rules.perAddress = countAt(caps, open, "per_address", 1, std::nullopt);
+  rules.perAddress = countAt(caps, path, "per_address", 1, std::nullopt);
   if (rules.perAddress > rules.total)
-    fail(open + ".per_address", "is over the total");
-  const std::size_t prefix = countAt(caps, open, "ipv6_prefix", 1, 64);
-  if (prefix > kMaxPrefix)
-    fail(open + ".ipv6_prefix", "is over 128");
+    fail(path + ".per_address", "is over the total");
+  const std::size_t prefix = countAt(caps, path, "ipv6_prefix", 1, 64);
+  if (prefix > kMaxPrefixBits)
+    fail(path + ".ipv6_prefix", "is over 128");
   rules.ipv6Prefix = static_cast<int>(prefix);
-  parseNetworks(caps, open, rules);
+  parseNetworks(caps, path, rules);
 }
 
 void parseRate(const json& file, Rules& rules) {
-  const std::string rate = std::string(kRoot) + ".rate";
+  const std::string path = std::string(kRootPath) + ".rate";
   if (!file.contains("rate"))
-    fail(rate, "is missing");
-  expectOnly(file.at("rate"), rate, {"per_second", "burst"});
-  rules.perSecond = rateAt(file.at("rate"), rate, "per_second");
-  rules.burst = rateAt(file.at("rate"), rate, "burst");
+    fail(path, "is missing");
+  expectOnlyKeys(file.at("rate"), path, {"per_second", "burst"});
+  rules.perSecond = rateAt(file.at("rate"), path, "per_second");
+  rules.burst = rateAt(file.at("rate"), path, "burst");
   if (rules.burst < 1)
-    fail(rate + ".burst", "is under 1, so no unknown client could connect");
+    fail(path + ".burst", "is under 1, so no unknown client could connect");
 }
 
 void parseKnownRanges(const json& known, const std::string& path, Rules& rules) {
-  const json& ranges = listAt(known, path, "ranges", kMaxRanges);
+  const json& ranges = listAt(known, path, "ranges", kMaxListEntries);
   for (std::size_t i = 0; i < ranges.size(); ++i) {
-    const std::string at = item(path + ".ranges", i);
+    const std::string at = itemPath(path + ".ranges", i);
     const Range range = rangeOf(ranges[i], at);
     for (std::size_t j = 0; j < i; ++j)
       if (rules.knownRanges[j].overlaps(range))
-        fail(at, "overlaps " + item(path + ".ranges", j));
+        fail(at, "overlaps " + itemPath(path + ".ranges", j));
     rules.knownRanges.push_back(range);
   }
 }
 
 void parseKnownKeys(const json& known,
                     const std::string& path,
-                    const std::set<std::string>& names,
+                    const std::set<std::string>& keyNames,
                     Rules& rules) {
-  const json& keys = listAt(known, path, "keys", kMaxRanges);
+  const json& keys = listAt(known, path, "keys", kMaxListEntries);
   for (std::size_t i = 0; i < keys.size(); ++i) {
-    const std::string at = item(path + ".keys", i);
+    const std::string at = itemPath(path + ".keys", i);
     if (!keys[i].is_string())
       fail(at, "is not a string");
     const auto name = keys[i].get<std::string>();
-    if (names.count(name) == 0)
+    if (keyNames.count(name) == 0)
       fail(at, "no entry of `keys` has the name '" + name + "'");
     if (!rules.knownKeys.insert(name).second)
       fail(at, "is listed twice");
   }
 }
 
-void parseKnown(const json& file, const std::set<std::string>& names, Rules& rules) {
-  const std::string path = std::string(kRoot) + ".known";
+void parseKnown(const json& file, const std::set<std::string>& keyNames, Rules& rules) {
+  const std::string path = std::string(kRootPath) + ".known";
   const json known = file.value("known", json::object());
-  expectOnly(known, path, {"reserve", "ranges", "keys"});
+  expectOnlyKeys(known, path, {"reserve", "ranges", "keys"});
   rules.reserve = countAt(known, path, "reserve", 0, 0);
   if (rules.reserve >= rules.total)
     fail(path + ".reserve", "leaves no connection of the total for unknown clients");
   parseKnownRanges(known, path, rules);
-  parseKnownKeys(known, path, names, rules);
+  parseKnownKeys(known, path, keyNames, rules);
   if (rules.reserve > 0 && rules.knownRanges.empty() && rules.knownKeys.empty())
     fail(path + ".reserve", "applies to no client: neither ranges nor keys are given");
 }
@@ -204,7 +204,7 @@
     if (rules.networks[i].range.contains(address))
       text += "network " + rules.networks[i].range.text() + ": at most " +
               std::to_string(rules.networks[i].connections) + " connections (" +
-              item("admission.connections.networks", i) + ")\n";
+              itemPath("admission.connections.networks", i) + ")\n";
   return text;
 }
 
@@ -227,15 +227,17 @@
 
 }  // namespace
 
-Rules rulesOf(const json& admission, const std::set<std::string>& names, std::size_t maxClients) {
-  expectOnly(admission, kRoot, {"connections", "rate", "known", "table"});
+Rules rulesOf(const json& admission,
+              const std::set<std::string>& keyNames,
+              std::size_t maxClients) {
+  expectOnlyKeys(admission, kRootPath, {"connections", "rate", "known", "table"});
   Rules rules;
   parseConnections(admission, maxClients, rules);
   parseRate(admission, rules);
-  parseKnown(admission, names, rules);
-  rules.table = countAt(admission, kRoot, "table", kMinAddresses, rules.table);
-  if (rules.table > kMaxAddresses)
-    fail(std::string(kRoot) + ".table", "is over " + std::to_string(kMaxAddresses));
+  parseKnown(admission, keyNames, rules);
+  rules.table = countAt(admission, kRootPath, "table", kMinTableAddresses, rules.table);
+  if (rules.table > kMaxTableAddresses)
+    fail(std::string(kRootPath) + ".table", "is over " + std::to_string(kMaxTableAddresses));
   return rules;
 }
 
--- a/src/admission/rules.h
+++ b/src/admission/rules.h
@@ -46,11 +46,10 @@
       : std::invalid_argument(path + ": " + problem) {}
 };
 
-/// Parses the object `admission` of the operator's file. keyNames: the names of
-/// the file's API keys; maxClients: the largest total that the descriptors allow. Throws
-/// RulesError.
+/// Parses the object `admission` of the operator's file. keyNames: the names of the file's API
+/// keys; maxClients: the largest total that the descriptors allow. Throws RulesError.
 Rules rulesOf(const nlohmann::json& admission,
-              const std::set<std::string>& names,
+              const std::set<std::string>& keyNames,
               std::size_t maxClients);
 
 /// Explains to an operator which rules apply to an address, line by line.
