--- a/src/app/handover.cpp
+++ b/src/app/handover.cpp
@@ -78,7 +78,7 @@
     return server_.instanceClient.unpause(stream->attempt);
   ++server_.counters["streams.handed_over"];
   server_.instanceClient.abandon(stream->attempt);
-  front_.leave(*client);
+  front_.releaseConnection(*client);
   server_.dispatcher.handedOver(key);
 }
 
@@ -116,7 +116,7 @@
   const auto client = listener_.adopt(stream.client);
   if (!client)
     return;
-  const auto responseWriter = front_.adopted(client);
+  const auto responseWriter = front_.adoptResponse(client);
   const auto adopted =
       responseWriter ? server_.dispatcher.adopt(stream.arrival, stream.instance, responseWriter)
                      : std::nullopt;
--- a/src/app/serve_operator_file.cpp
+++ b/src/app/serve_operator_file.cpp
@@ -151,7 +151,7 @@
                      .coordinator = coordinator_.get(),
                      .sharedState = sharedState_.get()}),
       adminEndpoint_(makeAdminEndpoint(file_.admin, adminService_, *server_)) {
-  front_.readyWhen([this] { return !listener_.evacuated(); });
+  front_.setReadinessCheck([this] { return !listener_.evacuated(); });
   if (sharedState_)
     front_.setTokenMeter(sharedState_);
 }
--- a/src/app/serve_platform.cpp
+++ b/src/app/serve_platform.cpp
@@ -119,7 +119,7 @@
                      .exclusions = exclusions_,
                      .lifecycles = lifecycles_}),
       adminEndpoint_(makeAdminEndpoint(config.admin, adminService_, *server_)) {
-  front_.readyWhen([this] { return !listener_.evacuated(); });
+  front_.setReadinessCheck([this] { return !listener_.evacuated(); });
 }
 
 void PlatformRouter::run(const Reread<Config>& reread) {
--- a/src/app/shared_state_service.cpp
+++ b/src/app/shared_state_service.cpp
@@ -208,10 +208,10 @@
   }
 }
 
-void SharedStateService::ended(const std::string& tenant,
-                               const std::string& cls,
-                               const Reservation& reservation,
-                               const SharedNode::RequestUsage& usage) {
+void SharedStateService::settle(const std::string& tenant,
+                                const std::string& cls,
+                                const Reservation& reservation,
+                                const SharedNode::RequestUsage& usage) {
   node_.settleRequest(tenant, cls, reservation, usage, server_.clock.nowMs());
 }
 
--- a/src/app/shared_state_service.h
+++ b/src/app/shared_state_service.h
@@ -54,10 +54,10 @@
                                                 const std::string& cls,
                                                 std::uint64_t tokens,
                                                 shared::Reservation& to) override;
-  void ended(const std::string& tenant,
-             const std::string& cls,
-             const shared::Reservation& reservation,
-             const shared::SharedNode::RequestUsage& usage) override;
+  void settle(const std::string& tenant,
+              const std::string& cls,
+              const shared::Reservation& reservation,
+              const shared::SharedNode::RequestUsage& usage) override;
 
  private:
   void tick();
--- a/src/frontend/front.cpp
+++ b/src/frontend/front.cpp
@@ -22,7 +22,7 @@
 }
 
 void Front::answerReady(net::ClientConnection& connection) {
-  const bool ready = !ready_ || ready_();
+  const bool ready = !isReady_ || isReady_();
   connection.answer(ready ? 200 : 503, {{"Content-Type", "text/plain"}},
                     ready ? "ready\n" : "evacuated\n");
 }
@@ -34,7 +34,7 @@
   return nullptr;
 }
 
-void Front::leave(net::ClientConnection& connection) {
+void Front::releaseConnection(net::ClientConnection& connection) {
   inFlight_.erase(&connection);
   connection.release();
 }
--- a/src/frontend/front.h
+++ b/src/frontend/front.h
@@ -18,7 +18,7 @@
   void writable(net::ClientConnection& connection) override;
 
   /// Whether `GET /-/ready` says yes; as long as nothing is set it does.
-  void readyWhen(std::function<bool()> ready) { ready_ = std::move(ready); }
+  void setReadinessCheck(std::function<bool()> isReady) { isReady_ = std::move(isReady); }
   /// The response to a connection's request is about to be ended: every final answer of a front
   /// calls this first.
   void responseFinished(net::ClientConnection& connection) { inFlight_.erase(&connection); }
@@ -28,9 +28,9 @@
   /// The connection of a request in flight; none if there is no such request.
   std::shared_ptr<net::ClientConnection> connectionOf(core::RequestKey key) const;
   /// Lets go of a connection that another process owns now.
-  void leave(net::ClientConnection& connection);
+  void releaseConnection(net::ClientConnection& connection);
   /// Takes up another process's response in mid-stream; nothing if this front's cannot be.
-  virtual std::shared_ptr<core::ResponseWriter> adopted(
+  virtual std::shared_ptr<core::ResponseWriter> adoptResponse(
       const std::shared_ptr<net::ClientConnection>&) {
     return nullptr;
   }
@@ -57,7 +57,7 @@
   core::Counters& counters_;
 
  private:
-  std::function<bool()> ready_;
+  std::function<bool()> isReady_;
   std::map<net::ClientConnection*, core::RequestKey> inFlight_;
 };
 
--- a/src/frontend/openai/chat_response_writer.cpp
+++ b/src/frontend/openai/chat_response_writer.cpp
@@ -19,20 +19,20 @@
   return "data: " + data + "\n\n";
 }
 
-bool tellsOfError(const json& chunk) {
+bool isErrorEvent(const json& chunk) {
   return chunk.is_object() && chunk.contains("error") && !chunk.contains("choices");
 }
 
-bool holdsUsageAlone(const json& chunk) {
+bool isUsageOnlyEvent(const json& chunk) {
   return chunk.is_object() && chunk.contains("usage") && chunk.contains("choices") &&
          chunk.at("choices").is_array() && chunk.at("choices").empty();
 }
 
-void readCount(const json& usage, const char* name, std::uint64_t& to) {
+void readCount(const json& usage, const char* name, std::uint64_t& result) {
   const auto count = usage.find(name);
   if (count != usage.end() && count->is_number_unsigned() &&
       count->get<std::uint64_t>() < shared::kMaxTokens)
-    to = count->get<std::uint64_t>();
+    result = count->get<std::uint64_t>();
 }
 
 }  // namespace
@@ -52,14 +52,14 @@
       promptTokens_(static_cast<std::uint64_t>(promptTokens)) {}
 
 // It has not run, so the libraries may try again by themselves.
-void ChatResponseWriter::reject(const core::Rejection& refusal) {
+void ChatResponseWriter::reject(const core::Rejection& rejection) {
   if (reservation_)
     reservation_->refused();
-  if (refusal.pastDeadline)
+  if (rejection.pastDeadline)
     return answerError({504, "no answer began in time", "server_error", {}, "deadline"},
                        ShouldRetry::kYes);
   answerError({429, "too much to do just now", "rate_limit_error", {}, "overloaded"},
-              ShouldRetry::kYes, refusal.retryAfterMs.value_or(kRetryAfterMs));
+              ShouldRetry::kYes, rejection.retryAfterMs.value_or(kRetryAfterMs));
 }
 
 // It may have run. Client libraries repeat what fails with 5xx unless told not to.
@@ -74,14 +74,14 @@
               ShouldRetry::kNo, kRetryAfterMs);
 }
 
-bool ChatResponseWriter::write(std::string_view part) {
-  events_.add(part);
-  bool takesMore = true;
+bool ChatResponseWriter::write(std::string_view bytes) {
+  events_.add(bytes);
+  bool acceptsMore = true;
   while (const auto event = events_.next())
-    takesMore = passEvent(*event) && takesMore;
+    acceptsMore = forwardEvent(*event) && acceptsMore;
   if (events_.pendingBytes() > kMaxAnswerBytes)
     isTooLong_ = true;
-  return takesMore;
+  return acceptsMore;
 }
 
 void ChatResponseWriter::end() {
@@ -101,7 +101,7 @@
   if (reservation_)
     reservation_->failed();
   const ApiError error{503, "the answer broke off", "server_error", {}, "stream_broken"};
-  if (!begun_)
+  if (!streamBegun_)
     return answerError(error, ShouldRetry::kNo, kRetryAfterMs);
   if (!hasError_)
     writeEvent(eventOf(error.text()));
@@ -111,23 +111,23 @@
 
 // The end of the stream is written by end(), once it is known to be complete. Most events are
 // passed on unread.
-bool ChatResponseWriter::passEvent(const std::string& event) {
+bool ChatResponseWriter::forwardEvent(const std::string& event) {
   const std::string data = dataOf(event);
   if (data == kEndOfStream)
     isComplete_ = true;
   if (isComplete_)
     return true;
-  const bool mayMatter =
+  const bool needsParsing =
       data.find("\"usage\"") != std::string::npos || data.find("\"error\"") != std::string::npos;
-  if (isStream_ && !mayMatter)
+  if (isStream_ && !needsParsing)
     return writeEvent(event);
   const json chunk = json::parse(data, nullptr, /*allow_exceptions=*/false);
-  if (tellsOfError(chunk))
+  if (isErrorEvent(chunk))
     hasError_ = true;
   readUsage(chunk);
   if (!isStream_)
     return addToCompletion(chunk);
-  return (holdsUsageAlone(chunk) && !includesUsage_) || writeEvent(event);
+  return (isUsageOnlyEvent(chunk) && !includesUsage_) || writeEvent(event);
 }
 
 bool ChatResponseWriter::addToCompletion(const json& chunk) {
@@ -151,11 +151,11 @@
 }
 
 bool ChatResponseWriter::writeEvent(std::string_view event) {
-  if (!begun_)
+  if (!streamBegun_)
     connection_->beginStream({{"Content-Type", "text/event-stream"},
                               {"Cache-Control", "no-cache"},
                               {"X-Request-Id", id_}});
-  begun_ = true;
+  streamBegun_ = true;
   return connection_->writeChunk(event);
 }
 
--- a/src/frontend/openai/chat_response_writer.h
+++ b/src/frontend/openai/chat_response_writer.h
@@ -31,16 +31,16 @@
                      std::unique_ptr<TokenReservation> reservation);
 
   bool isClientPresent() const override { return connection_->isPeerPresent(); }
-  void reject(const core::Rejection& refusal) override;
+  void reject(const core::Rejection& rejection) override;
   void fail(const core::Failure& failure) override;
-  bool write(std::string_view part) override;
+  bool write(std::string_view bytes) override;
   void end() override;
   void abort() override;
 
  private:
   enum class ShouldRetry { kNo, kYes };
 
-  bool passEvent(const std::string& event);
+  bool forwardEvent(const std::string& event);
   bool addToCompletion(const nlohmann::json& chunk);
   void readUsage(const nlohmann::json& chunk);
   bool writeEvent(std::string_view event);
@@ -56,10 +56,10 @@
   std::uint64_t promptTokens_;
   std::uint64_t answerTokens_ = 0;
   EventSplitter events_;
-  Completion completion_;    // where the client wants no stream
-  bool begun_ = false;       // the client has the head of its stream
-  bool isComplete_ = false;  // the instance has ended its stream as the API says
-  bool hasError_ = false;    // an event told of one
+  Completion completion_;     // where the client wants no stream
+  bool streamBegun_ = false;  // the client has the head of its stream
+  bool isComplete_ = false;   // the instance has ended its stream as the API says
+  bool hasError_ = false;     // an event told of one
   bool isTooLong_ = false;
 };
 
--- a/src/frontend/openai/completion.cpp
+++ b/src/frontend/openai/completion.cpp
@@ -9,13 +9,13 @@
 // No model calls so many tools at once; a bad index must not cost memory.
 constexpr std::size_t kMaxToolCalls = 128;
 
-void appendText(json& to, const json& text) {
+void appendText(json& target, const json& text) {
   if (!text.is_string())
     return;
-  if (to.is_string())
-    to.get_ref<std::string&>() += text.get_ref<const std::string&>();
+  if (target.is_string())
+    target.get_ref<std::string&>() += text.get_ref<const std::string&>();
   else
-    to = text;
+    target = text;
 }
 
 std::size_t sizeOf(const json& text) {
@@ -29,7 +29,7 @@
     return;
   for (const auto& [name, value] : chunk.items())
     if (name != "choices" && name != "usage" && name != "object")
-      head_[name] = value;
+      topLevelFields_[name] = value;
   if (chunk.contains("usage") && chunk.at("usage").is_object())
     usage_ = chunk.at("usage");
   if (!chunk.contains("choices") || !chunk.at("choices").is_array())
@@ -57,32 +57,32 @@
       continue;
     }
     json& calls = message_["tool_calls"];
-    for (const json& part : value)
-      addToolCall(part, calls);
+    for (const json& toolCallDelta : value)
+      addToolCall(toolCallDelta, calls);
   }
 }
 
-void Completion::addToolCall(const json& part, json& calls) {
-  if (!part.is_object())
+void Completion::addToolCall(const json& toolCallDelta, json& calls) {
+  if (!toolCallDelta.is_object())
     return;
-  const std::size_t index = part.value("index", 0U);
+  const std::size_t index = toolCallDelta.value("index", 0U);
   if (index >= kMaxToolCalls)
     return;
   while (calls.size() <= index)
     calls.push_back({{"id", nullptr}, {"type", "function"}, {"function", json::object()}});
   json& call = calls[index];
-  if (part.contains("id"))
-    appendText(call["id"], part.at("id"));
-  if (!part.contains("function") || !part.at("function").is_object())
+  if (toolCallDelta.contains("id"))
+    appendText(call["id"], toolCallDelta.at("id"));
+  if (!toolCallDelta.contains("function") || !toolCallDelta.at("function").is_object())
     return;
-  for (const auto& [field, text] : part.at("function").items()) {
+  for (const auto& [field, text] : toolCallDelta.at("function").items()) {
     appendText(call["function"][field], text);
     size_ += sizeOf(text);
   }
 }
 
 std::string Completion::text() const {
-  json completion = head_;
+  json completion = topLevelFields_;
   completion["object"] = "chat.completion";
   completion["choices"] =
       json::array({{{"index", 0}, {"message", message_}, {"finish_reason", finishReason_}}});
--- a/src/frontend/openai/completion.h
+++ b/src/frontend/openai/completion.h
@@ -18,10 +18,10 @@
  private:
   void addChoice(const nlohmann::json& choice);
   void addDelta(const nlohmann::json& delta);
-  void addToolCall(const nlohmann::json& part, nlohmann::json& calls);
+  void addToolCall(const nlohmann::json& toolCallDelta, nlohmann::json& calls);
 
   // The id, the model and whatever else stands at the top.
-  nlohmann::json head_ = nlohmann::json::object();
+  nlohmann::json topLevelFields_ = nlohmann::json::object();
   nlohmann::json message_ = {{"role", "assistant"}, {"content", nullptr}};
   nlohmann::json finishReason_;
   nlohmann::json usage_;
--- a/src/frontend/openai/conversation.cpp
+++ b/src/frontend/openai/conversation.cpp
@@ -23,8 +23,8 @@
  public:
   Fnv1aHash& add(const std::string& text) {
     for (const char c : text)
-      step(static_cast<unsigned char>(c));
-    step(kTextEnd);
+      addByte(static_cast<unsigned char>(c));
+    addByte(kTextSeparator);
     return *this;
   }
   std::string hex() const {
@@ -36,9 +36,9 @@
  private:
   static constexpr std::uint64_t kOffsetBasis = 14695981039346656037ULL;
   static constexpr std::uint64_t kPrime = 1099511628211ULL;
-  static constexpr unsigned char kTextEnd = 0xff;  // so that the borders between texts count
+  static constexpr unsigned char kTextSeparator = 0xff;  // so that the borders between texts count
 
-  void step(unsigned char byte) { value_ = (value_ ^ byte) * kPrime; }
+  void addByte(unsigned char byte) { value_ = (value_ ^ byte) * kPrime; }
 
   std::uint64_t value_ = kOffsetBasis;
 };
@@ -57,7 +57,7 @@
   return text;
 }
 
-bool isSharedOpening(const json& message) {
+bool isSharedPrefix(const json& message) {
   const auto role = message.at("role").get<std::string>();
   return role == "system" || role == "developer";
 }
@@ -71,18 +71,18 @@
   Fnv1aHash session;
   session.add(tenant).add(user);
   std::size_t bytes = 0;
-  bool inOpening = true;
+  bool inSessionKey = true;
   for (const json& message : messages) {
     const std::string content = contentOf(message);
     bytes += content.size();
-    if (!inOpening)
+    if (!inSessionKey)
       continue;
     session.add(message.at("role").get<std::string>()).add(content);
-    inOpening = message.at("role") != "user";
+    inSessionKey = message.at("role") != "user";
   }
   traits.session = session.hex();
   traits.promptTokens = tokensIn(bytes);
-  if (isSharedOpening(messages.front())) {
+  if (isSharedPrefix(messages.front())) {
     const std::string content = contentOf(messages.front());
     traits.prefix = Fnv1aHash().add(content).hex();
     traits.prefixTokens = tokensIn(content.size());
--- a/src/frontend/openai/openai_front.cpp
+++ b/src/frontend/openai/openai_front.cpp
@@ -42,10 +42,10 @@
 
 }  // namespace
 
-upstream::InstanceProtocol openaiProtocol(const OperatorFile& site) {
+upstream::InstanceProtocol openaiProtocol(const OperatorFile& operatorFile) {
   net::Fields extra;
-  if (!site.instanceKey.empty())
-    extra.emplace_back("Authorization", "Bearer " + site.instanceKey);
+  if (!operatorFile.instanceKey.empty())
+    extra.emplace_back("Authorization", "Bearer " + operatorFile.instanceKey);
   return {"X-Request-Id",      "X-Budget-Ms", "X-Rejected",
           "/bootstrap/rooms/", "/health",     std::move(extra)};
 }
@@ -63,12 +63,12 @@
 }
 
 OpenAiFront::OpenAiFront(core::RequestDispatcher& dispatcher,
-                         const OperatorFile& site,
+                         const OperatorFile& operatorFile,
                          const core::Clock& clock,
                          core::Counters& counters,
                          NewId newId)
     : Front(dispatcher, clock, counters),
-      site_(site),
+      operatorFile_(operatorFile),
       newId_(std::move(newId)),
       startedS_(static_cast<std::int64_t>(core::unixNowMs() / kMsPerSecond)) {}
 
@@ -102,9 +102,10 @@
   const auto header = request.find(http::field::authorization);
   const std::string value = header == request.end() ? std::string() : std::string(header->value());
   constexpr std::string_view kBearer = "Bearer ";
-  const auto key = value.rfind(kBearer, 0) == 0 ? site_.keys.find(value.substr(kBearer.size()))
-                                                : site_.keys.end();
-  if (key == site_.keys.end())
+  const auto key = value.rfind(kBearer, 0) == 0
+                       ? operatorFile_.keys.find(value.substr(kBearer.size()))
+                       : operatorFile_.keys.end();
+  if (key == operatorFile_.keys.end())
     throw ApiError{kUnauthorized,
                    "give a known API key as 'Authorization: Bearer KEY'",
                    "invalid_request_error",
@@ -119,7 +120,7 @@
                        const net::HttpRequest& request,
                        const ApiKey& key,
                        double arrivedMs) {
-  const ChatRequest chatRequest = readChatRequest(request.body(), site_.defaultMaxTokens);
+  const ChatRequest chatRequest = readChatRequest(request.body(), operatorFile_.defaultMaxTokens);
   const std::string& cls = classFor(chatRequest, key);
   routing::Arrival arrival = arrivalFor(chatRequest, key, cls);
   const double promptTokens = arrival.promptTokens;
@@ -131,8 +132,8 @@
 }
 
 const std::string& OpenAiFront::classFor(const ChatRequest& request, const ApiKey& key) const {
-  const auto model = site_.models.find(request.model);
-  if (model == site_.models.end())
+  const auto model = operatorFile_.models.find(request.model);
+  if (model == operatorFile_.models.end())
     throw unknownModel(request.model);
   return key.cls.empty() ? model->second : key.cls;
 }
@@ -141,7 +142,7 @@
 routing::Arrival OpenAiFront::arrivalFor(const ChatRequest& request,
                                          const ApiKey& key,
                                          const std::string& cls) const {
-  const auto& names = site_.setup.names;
+  const auto& names = operatorFile_.setup.names;
   const ConversationTraits traits = traitsOf(request.messages, key.tenant, request.user);
   routing::Arrival arrival{};
   arrival.request = {newId_()};
@@ -153,7 +154,7 @@
   arrival.promptTokens = traits.promptTokens;
   arrival.prefixTokens = traits.prefixTokens;
   arrival.maxTokens = request.maxTokens;
-  arrival.timeLeft = site_.setup.settings.classes[arrival.cls.value].deadline;
+  arrival.timeLeft = operatorFile_.setup.settings.classes[arrival.cls.value].deadline;
   return arrival;
 }
 
@@ -184,12 +185,12 @@
   };
   if (target == kModelsTarget) {
     json list = json::array();
-    for (const auto& [name, cls] : site_.models)
+    for (const auto& [name, cls] : operatorFile_.models)
       list.push_back(entry(name));
     return json{{"object", "list"}, {"data", list}}.dump();
   }
   const std::string name = target.substr(std::string(kModelsTarget).size() + 1);
-  if (site_.models.count(name) == 0)
+  if (operatorFile_.models.count(name) == 0)
     throw unknownModel(name);
   return entry(name).dump();
 }
--- a/src/frontend/openai/openai_front.h
+++ b/src/frontend/openai/openai_front.h
@@ -17,15 +17,15 @@
 namespace inference_router::frontend {
 
 /// How instances are spoken to under this API.
-upstream::InstanceProtocol openaiProtocol(const OperatorFile& site);
+upstream::InstanceProtocol openaiProtocol(const OperatorFile& operatorFile);
 
-/// `site` outlives it and may change between two requests.
+/// `operatorFile` outlives it and may change between two requests.
 class OpenAiFront final : public Front {
  public:
   using NewId = std::function<std::string()>;
 
   OpenAiFront(core::RequestDispatcher& dispatcher,
-              const OperatorFile& site,
+              const OperatorFile& operatorFile,
               const core::Clock& clock,
               core::Counters& counters,
               NewId newId);
@@ -58,7 +58,7 @@
   std::string models(const std::string& target) const;
   void answerError(net::ClientConnection& connection, const ApiError& error);
 
-  const OperatorFile& site_;
+  const OperatorFile& operatorFile_;
   NewId newId_;
   std::shared_ptr<TokenMeter> meter_;
   std::int64_t startedS_;
--- a/src/frontend/openai/operator_file.cpp
+++ b/src/frontend/openai/operator_file.cpp
@@ -38,31 +38,31 @@
 }
 
 // A name that has to be one of the settings', or is left out.
-std::string nameAmong(const core::ConfigReader& entry,
-                      const char* field,
-                      const std::vector<std::string>& names,
-                      const char* what) {
+std::string readKnownName(const core::ConfigReader& entry,
+                          const char* field,
+                          const std::vector<std::string>& names,
+                          const char* category) {
   auto name = entry.value<std::string>(field, "");
   if (!name.empty() && !contains(names, name))
-    entry.at(field).fail("is " + name + ", not a " + what + " of the settings");
+    entry.at(field).fail("is " + name + ", not a " + category + " of the settings");
   return name;
 }
 
-void readKeys(const core::ConfigReader& file, OperatorFile& to) {
+void readKeys(const core::ConfigReader& file, OperatorFile& result) {
   for (const core::ConfigReader& entry : file.at("keys").list()) {
-    const ApiKey key{nameAmong(entry, "tenant", to.setup.names.tenants, "tenant"),
-                     nameAmong(entry, "class", to.setup.names.classes, "class"),
+    const ApiKey key{readKnownName(entry, "tenant", result.setup.names.tenants, "tenant"),
+                     readKnownName(entry, "class", result.setup.names.classes, "class"),
                      entry.value<std::string>("name", "")};
-    const bool isTaken = std::any_of(to.keys.begin(), to.keys.end(), [&](const auto& other) {
-      return other.second.name == key.name;
-    });
-    if (!key.name.empty() && isTaken)
+    const bool isDuplicate =
+        std::any_of(result.keys.begin(), result.keys.end(),
+                    [&](const auto& other) { return other.second.name == key.name; });
+    if (!key.name.empty() && isDuplicate)
       entry.at("name").fail("is " + key.name + ", which stands twice");
     const auto text = entry.at("key").as<std::string>();
-    if (text.empty() || !to.keys.emplace(text, key).second)
+    if (text.empty() || !result.keys.emplace(text, key).second)
       entry.at("key").fail("is empty or stands twice");
   }
-  if (to.keys.empty())
+  if (result.keys.empty())
     file.at("keys").fail("is empty, so nobody could ask");
 }
 
@@ -70,65 +70,66 @@
   return field.read([](const std::string& text) { return net::parseEndpoint(text); });
 }
 
-void readInstances(const core::ConfigReader& file, OperatorFile& to) {
-  to.instances = {kFirstVersion, routing::EndpointListForm::kFull, {}};
+void readInstances(const core::ConfigReader& file, OperatorFile& result) {
+  result.instances = {kFirstVersion, routing::EndpointListForm::kFull, {}};
   for (const core::ConfigReader& entry : file.at("boxes").list()) {
     const routing::InstanceId id{entry.at("id").as<std::string>()};
     const double size = entry.above0("size", 1.0);
     upstream::InstanceEndpoint endpoint;
     endpoint.address = addressAt(entry.at("address"));
-    if (id.value.empty() || !to.directory.all().emplace(id, endpoint).second)
+    if (id.value.empty() || !result.directory.all().emplace(id, endpoint).second)
       entry.at("id").fail("is empty or stands twice");
-    to.instances.entries.push_back({id,
-                                    to.setup.settings.zone,
-                                    kindOf(to.setup.settings, entry.at("role")),
-                                    {entry.value("cell", 0U)},
-                                    routing::EndpointState::kActive,
-                                    size,
-                                    std::nullopt});
+    result.instances.entries.push_back({id,
+                                        result.setup.settings.zone,
+                                        kindOf(result.setup.settings, entry.at("role")),
+                                        {entry.value("cell", 0U)},
+                                        routing::EndpointState::kActive,
+                                        size,
+                                        std::nullopt});
   }
-  if (to.instances.entries.empty())
+  if (result.instances.entries.empty())
     file.at("boxes").fail("is empty: there is none to send to");
 }
 
-void readModels(const core::ConfigReader& file, OperatorFile& to) {
+void readModels(const core::ConfigReader& file, OperatorFile& result) {
   const core::ConfigReader models = file.at("models").object();
   for (const auto& [model, cls] : models.json().items()) {
-    to.models[model] = nameAmong(models, model.c_str(), to.setup.names.classes, "class");
-    if (to.models[model].empty())
+    result.models[model] =
+        readKnownName(models, model.c_str(), result.setup.names.classes, "class");
+    if (result.models[model].empty())
       models.at(model).fail("is empty");
   }
-  if (to.models.empty())
+  if (result.models.empty())
     models.fail("is empty: there is none to ask for");
 }
 
-void readSettings(const core::ConfigReader& file, OperatorFile& to) {
+void readSettings(const core::ConfigReader& file, OperatorFile& result) {
   const core::ConfigReader settings = file.at("settings").object();
-  to.setup = settingsOf(settings.json());
+  result.setup = settingsOf(settings.json());
   if (settings.has("limits"))
-    to.idleCloseMs = settings.at("limits").above0("idleCloseMs", to.idleCloseMs);
+    result.idleCloseMs = settings.at("limits").above0("idleCloseMs", result.idleCloseMs);
 }
 
-void readAdmission(const core::ConfigReader& file, OperatorFile& to) {
+void readAdmission(const core::ConfigReader& file, OperatorFile& result) {
   if (!file.has("admission"))
     return;
   std::set<std::string> names;
-  for (const auto& [text, key] : to.keys)
+  for (const auto& [text, key] : result.keys)
     if (!key.name.empty())
       names.insert(key.name);
-  to.admission =
-      admission::rulesOf(file.at("admission").json(), names, maxAdmittedConnections(to.sockets));
+  result.admission = admission::rulesOf(file.at("admission").json(), names,
+                                        maxAdmittedConnections(result.sockets));
 }
 
-void readFleet(const core::ConfigReader& file, OperatorFile& to) {
+void readFleet(const core::ConfigReader& file, OperatorFile& result) {
   if (file.has("coordination"))
-    to.coordination = coordination::setupOf(file.at("coordination"),
-                                            core::toMs(to.setup.settings.contract.warmupDuration));
+    result.coordination = coordination::setupOf(
+        file.at("coordination"), core::toMs(result.setup.settings.contract.warmupDuration));
   if (!file.has("shared"))
     return;
-  if (!to.coordination)
+  if (!result.coordination)
     file.at("shared").fail("needs `coordination`, whose store carries it");
-  to.shared = shared::sharedSetupOf(file.at("shared"), to.setup.names.tenants);
+  result.shared = shared::sharedSetupOf(file.at("shared"), result.setup.names.tenants);
 }
 
 }  // namespace
@@ -140,23 +141,23 @@
 
 OperatorFile operatorFileOf(const json& file) {
   const core::ConfigReader reader(file);
-  OperatorFile to;
-  to.listen = addressAt(reader.at("listen"));
+  OperatorFile result;
+  result.listen = addressAt(reader.at("listen"));
   if (reader.has("admin_addr"))
-    to.admin = addressAt(reader.at("admin_addr"));
-  to.seed = reader.value("seed", to.seed);
-  to.sockets = reader.value("sockets", to.sockets);
-  if (to.sockets < kMinSockets)
+    result.admin = addressAt(reader.at("admin_addr"));
+  result.seed = reader.value("seed", result.seed);
+  result.sockets = reader.value("sockets", result.sockets);
+  if (result.sockets < kMinSockets)
     throw OperatorFileError("sockets is under 128: too few to serve");
-  to.defaultMaxTokens = reader.above0("default_max_tokens", to.defaultMaxTokens);
-  to.instanceKey = reader.value<std::string>("box_key", "");
-  readSettings(reader, to);
-  readKeys(reader, to);
-  readModels(reader, to);
-  readInstances(reader, to);
-  readAdmission(reader, to);
-  readFleet(reader, to);
-  return to;
+  result.defaultMaxTokens = reader.above0("default_max_tokens", result.defaultMaxTokens);
+  result.instanceKey = reader.value<std::string>("box_key", "");
+  readSettings(reader, result);
+  readKeys(reader, result);
+  readModels(reader, result);
+  readInstances(reader, result);
+  readAdmission(reader, result);
+  readFleet(reader, result);
+  return result;
 }
 
 }  // namespace inference_router::frontend
--- a/src/frontend/openai/sse.h
+++ b/src/frontend/openai/sse.h
@@ -9,15 +9,15 @@
 
 class EventSplitter {
  public:
-  void add(std::string_view part) { text_ += part; }
+  void add(std::string_view bytes) { text_ += bytes; }
 
   /// The next complete event with its empty line, as it came.
   std::optional<std::string> next() {
-    const std::size_t plain = text_.find(kEnd);
-    const std::size_t carriage = text_.find(kCarriageEnd);
-    if (plain == std::string::npos && carriage == std::string::npos)
+    const std::size_t lfEnd = text_.find(kLfEnd);
+    const std::size_t crlfEnd = text_.find(kCrlfEnd);
+    if (lfEnd == std::string::npos && crlfEnd == std::string::npos)
       return std::nullopt;
-    const std::size_t end = plain < carriage ? plain + kEnd.size() : carriage + kCarriageEnd.size();
+    const std::size_t end = lfEnd < crlfEnd ? lfEnd + kLfEnd.size() : crlfEnd + kCrlfEnd.size();
     std::string event = text_.substr(0, end);
     text_.erase(0, end);
     return event;
@@ -27,8 +27,8 @@
   std::size_t pendingBytes() const { return text_.size(); }
 
  private:
-  static constexpr std::string_view kEnd = "\n\n";
-  static constexpr std::string_view kCarriageEnd = "\r\n\r\n";
+  static constexpr std::string_view kLfEnd = "\n\n";
+  static constexpr std::string_view kCrlfEnd = "\r\n\r\n";
 
   std::string text_;
 };
--- a/src/frontend/openai/token_meter.h
+++ b/src/frontend/openai/token_meter.h
@@ -25,10 +25,10 @@
                                               std::uint64_t tokens,
                                               shared::Reservation& to) = 0;
   /// Called once for each reservation.
-  virtual void ended(const std::string& tenant,
-                     const std::string& cls,
-                     const shared::Reservation& reservation,
-                     const shared::SharedNode::RequestUsage& usage) = 0;
+  virtual void settle(const std::string& tenant,
+                      const std::string& cls,
+                      const shared::Reservation& reservation,
+                      const shared::SharedNode::RequestUsage& usage) = 0;
 };
 
 }  // namespace inference_router::frontend
--- a/src/frontend/openai/token_reservation.h
+++ b/src/frontend/openai/token_reservation.h
@@ -40,7 +40,7 @@
   void report(const RequestUsage& usage) {
     const auto meter = std::exchange(meter_, {}).lock();
     if (meter)
-      meter->ended(tenant_, cls_, reservation_, usage);
+      meter->settle(tenant_, cls_, reservation_, usage);
   }
 
   std::weak_ptr<TokenMeter> meter_;
--- a/src/frontend/platform/discovery.cpp
+++ b/src/frontend/platform/discovery.cpp
@@ -61,7 +61,7 @@
   if (address_ == net::Endpoint())
     revisionAddress_ = address;  // the cached list came from there
   address_ = address;
-  stale_ = false;
+  watchSilent_ = false;
   dropCandidate();
   open();
 }
@@ -75,10 +75,10 @@
   const std::string host = address_.address().to_string() + ":" + std::to_string(address_.port());
   const std::string head = net::headText("GET " + target + " HTTP/1.1", {{"Host", host}});
   candidate_ = std::make_shared<DiscoveryWatch>(*this, clock_, timers_);
-  candidate_->hold(watchPool_.call(address_, head, nullptr, candidate_));
+  candidate_->start(watchPool_.call(address_, head, nullptr, candidate_));
 }
 
-void Discovery::openLater() {
+void Discovery::scheduleOpen() {
   openTimer_ = timers_.schedule(clock_.nowMs() + backoff_.nextDelayMs(), [this] { open(); });
 }
 
@@ -90,11 +90,11 @@
 }
 
 void Discovery::onAlive(const DiscoveryWatch& watch) {
-  if (&watch == watch_.get() && std::exchange(stale_, false))
+  if (&watch == watch_.get() && std::exchange(watchSilent_, false))
     dropCandidate();
   if (&watch != candidate_.get())
     return;
-  stale_ = false;
+  watchSilent_ = false;
   backoff_.reset();
   const auto replaced = std::exchange(watch_, std::exchange(candidate_, nullptr));
   revisionAddress_ = address_;
@@ -108,13 +108,13 @@
   const bool isReplaced = &watch == watch_.get() && (candidate_ || openTimer_.armed());
   if (&watch == watch_.get()) {
     watch_ = nullptr;
-    stale_ = false;
+    watchSilent_ = false;
   }
   if (&watch == candidate_.get())
     candidate_ = nullptr;
   if (isReplaced || openTimer_.armed())
     return;
-  openLater();
+  scheduleOpen();
 }
 
 // Discovery may be down for all, and what is in line for an answer stays in line: the watch is
@@ -125,8 +125,8 @@
   ++counters_["discovery.silent"];
   if (candidate_ || openTimer_.armed())
     return true;
-  stale_ = true;
-  openLater();
+  watchSilent_ = true;
+  scheduleOpen();
   return true;
 }
 
--- a/src/frontend/platform/discovery.h
+++ b/src/frontend/platform/discovery.h
@@ -59,7 +59,7 @@
   void onEnded(const DiscoveryWatch& watch) override;
 
   void open();
-  void openLater();
+  void scheduleOpen();
   void dropCandidate();
   void apply(const nlohmann::json& list, std::optional<routing::EndpointListForm> form);
   // Sets when the instances of a list started, from the start times that it tells.
@@ -79,7 +79,7 @@
   std::shared_ptr<DiscoveryWatch> watch_;      // has sent something
   std::shared_ptr<DiscoveryWatch> candidate_;  // has not sent anything yet
   core::Timer openTimer_;
-  bool stale_ = false;  // the watch has gone silent, and another is tried beside it
+  bool watchSilent_ = false;  // the watch has gone silent, and another is tried beside it
   fleet::DiscoveryBackoff backoff_;
   fleet::InstanceAges ages_;
   std::uint64_t revision_ = 0;
--- a/src/frontend/platform/discovery_watch.cpp
+++ b/src/frontend/platform/discovery_watch.cpp
@@ -13,9 +13,9 @@
 
 }  // namespace
 
-void DiscoveryWatch::hold(std::shared_ptr<net::Call> call) {
+void DiscoveryWatch::start(std::shared_ptr<net::Call> call) {
   call_ = std::move(call);
-  expectWithin(fleet::DiscoveryBackoff::kFirstByteTimeoutMs);
+  armSilenceTimer(fleet::DiscoveryBackoff::kFirstByteTimeoutMs);
 }
 
 void DiscoveryWatch::close() {
@@ -27,11 +27,11 @@
   accepted_ = head.result_int() == kOk;
 }
 
-bool DiscoveryWatch::body(std::string_view part) {
-  expectWithin(fleet::DiscoveryBackoff::kWatchTimeoutMs);
+bool DiscoveryWatch::body(std::string_view bytes) {
+  armSilenceTimer(fleet::DiscoveryBackoff::kWatchTimeoutMs);
   if (!accepted_)
     return true;
-  text_ += part;
+  text_ += bytes;
   while (const std::size_t end = splitter_.nextEnd(text_)) {
     const std::string document = text_.substr(0, end);
     text_.erase(0, end);
@@ -46,7 +46,7 @@
   return true;
 }
 
-void DiscoveryWatch::expectWithin(double ms) {
+void DiscoveryWatch::armSilenceTimer(double ms) {
   silenceTimer_ = timers_.schedule(clock_.nowMs() + ms, [this] { timedOut(); });
 }
 
--- a/src/frontend/platform/discovery_watch.h
+++ b/src/frontend/platform/discovery_watch.h
@@ -36,17 +36,17 @@
       : owner_(owner), clock_(clock), timers_(timers) {}
 
   /// The call whose sink this is.
-  void hold(std::shared_ptr<net::Call> call);
+  void start(std::shared_ptr<net::Call> call);
   /// Ends the call; the owner hears no more.
   void close();
 
   void head(const net::ResponseHead& head) override;
-  bool body(std::string_view part) override;
+  bool body(std::string_view bytes) override;
   void done() override { end(); }
   void failed(net::CallFailure) override { end(); }
 
  private:
-  void expectWithin(double ms);
+  void armSilenceTimer(double ms);
   void timedOut();
   void fail();
   void end();
--- a/src/frontend/platform/endpoint_list.cpp
+++ b/src/frontend/platform/endpoint_list.cpp
@@ -22,7 +22,7 @@
   return static_cast<std::uint32_t>(std::find(names.begin(), names.end(), name) - names.begin());
 }
 
-void addMember(const json& member, const routing::wire::Vocabulary& names, EndpointList& to) {
+void addMember(const json& member, const routing::wire::Vocabulary& names, EndpointList& result) {
   const std::uint32_t zone = indexOf(names.zones, member.at("locality").get<std::string>());
   if (zone == names.zones.size())
     return;
@@ -31,7 +31,7 @@
   endpoint.address = net::parseEndpoint(member.at("host_port").get<std::string>());
   endpoint.state = endpointStateOf(member.at("phase").get<std::string>());
   endpoint.startedMs = member.value("up_since_ms", 0.0);
-  to.update.entries.push_back({
+  result.update.entries.push_back({
       .instance = id,
       .zone = {zone},
       .kind = {indexOf(names.kinds, member.at("flavor").get<std::string>())},
@@ -40,7 +40,7 @@
       .weight = member.value("size", 1.0),
       .started = std::nullopt,
   });
-  to.endpoints[id] = endpoint;
+  result.endpoints[id] = endpoint;
 }
 
 }  // namespace
--- a/src/frontend/platform/json_document_splitter.h
+++ b/src/frontend/platform/json_document_splitter.h
@@ -15,15 +15,15 @@
   /// was seen is not seen again: text has to begin with the same bytes the next time, until a part
   /// was taken.
   std::size_t nextEnd(std::string_view text) {
-    for (; seen_ < text.size(); ++seen_) {
-      if (endsPart(text[seen_]))
-        return take();
+    for (; scanned_ < text.size(); ++scanned_) {
+      if (endsSegment(text[scanned_]))
+        return finishSegment();
     }
     return 0;
   }
 
  private:
-  bool endsPart(char c) {
+  bool endsSegment(char c) {
     if (inString_) {
       skipStringCharacter(c);
       return false;
@@ -48,13 +48,13 @@
       inString_ = false;
   }
 
-  std::size_t take() {
-    const std::size_t end = seen_ + 1;
+  std::size_t finishSegment() {
+    const std::size_t end = scanned_ + 1;
     *this = JsonDocumentSplitter();
     return end;
   }
 
-  std::size_t seen_ = 0;
+  std::size_t scanned_ = 0;
   int depth_ = 0;
   bool inString_ = false;
   bool escaped_ = false;
--- a/src/frontend/platform/platform_front.cpp
+++ b/src/frontend/platform/platform_front.cpp
@@ -20,17 +20,17 @@
 // Passes the events of an instance on as they are.
 class StreamWriter final : public core::ResponseWriter {
  public:
-  // begun: whether the client has the head already.
-  StreamWriter(Front& front, std::shared_ptr<net::ClientConnection> connection, bool begun)
-      : front_(front), connection_(std::move(connection)), begun_(begun) {}
+  // streamBegun: whether the client has the head already.
+  StreamWriter(Front& front, std::shared_ptr<net::ClientConnection> connection, bool streamBegun)
+      : front_(front), connection_(std::move(connection)), streamBegun_(streamBegun) {}
 
   bool isClientPresent() const override { return connection_->isPeerPresent(); }
 
-  void reject(const core::Rejection& refusal) override {
+  void reject(const core::Rejection& rejection) override {
     net::Fields fields = textFields();
-    if (refusal.retryAfterMs) {
+    if (rejection.retryAfterMs) {
       std::array<char, 32> seconds{};
-      std::snprintf(seconds.data(), seconds.size(), "%.3f", *refusal.retryAfterMs / kMsPerSecond);
+      std::snprintf(seconds.data(), seconds.size(), "%.3f", *rejection.retryAfterMs / kMsPerSecond);
       fields.emplace_back("Retry-After", seconds.data());
     }
     front_.responseFinished(*connection_);
@@ -42,9 +42,9 @@
     connection_->answer(failure.pastDeadline ? 504 : 502, textFields(), "failed\n");
   }
 
-  bool write(std::string_view part) override {
+  bool write(std::string_view bytes) override {
     begin();
-    return connection_->writeChunk(part);
+    return connection_->writeChunk(bytes);
   }
 
   void end() override {
@@ -60,14 +60,14 @@
 
  private:
   void begin() {
-    if (!begun_)
+    if (!streamBegun_)
       connection_->beginStream({{"Content-Type", "text/event-stream"}});
-    begun_ = true;
+    streamBegun_ = true;
   }
 
   Front& front_;
   std::shared_ptr<net::ClientConnection> connection_;
-  bool begun_;
+  bool streamBegun_;
 };
 
 std::shared_ptr<const upstream::ForwardedRequest> payloadOf(net::HttpRequest&& request) {
@@ -99,15 +99,15 @@
   } catch (const RequestHeaderError& error) {
     return reject(*connection, 400, error.what());
   }
-  const auto writer = std::make_shared<StreamWriter>(*this, connection, /*begun=*/false);
+  const auto writer = std::make_shared<StreamWriter>(*this, connection, /*streamBegun=*/false);
   if (!dispatch(*connection, std::move(arrival), arrivedMs, payloadOf(std::move(request)), writer))
     reject(*connection, 400, "a request with this X-Call-Id is under way");
 }
 
 // A stream here is the instance's own events after one head: there is nothing else to take over.
-std::shared_ptr<core::ResponseWriter> PlatformFront::adopted(
+std::shared_ptr<core::ResponseWriter> PlatformFront::adoptResponse(
     const std::shared_ptr<net::ClientConnection>& connection) {
-  return std::make_shared<StreamWriter>(*this, connection, /*begun=*/true);
+  return std::make_shared<StreamWriter>(*this, connection, /*streamBegun=*/true);
 }
 
 void PlatformFront::reject(net::ClientConnection& connection,
--- a/src/frontend/platform/platform_front.h
+++ b/src/frontend/platform/platform_front.h
@@ -27,7 +27,7 @@
   void request(const std::shared_ptr<net::ClientConnection>& connection,
                net::HttpRequest&& request,
                double arrivedMs) override;
-  std::shared_ptr<core::ResponseWriter> adopted(
+  std::shared_ptr<core::ResponseWriter> adoptResponse(
       const std::shared_ptr<net::ClientConnection>& connection) override;
   void reject(net::ClientConnection& connection, unsigned status, std::string_view why) override;
 
--- a/src/frontend/platform/request_headers.cpp
+++ b/src/frontend/platform/request_headers.cpp
@@ -20,7 +20,7 @@
 constexpr std::size_t kMaxIdLength = 128;
 constexpr double kUsPerMs = 1'000;
 
-double numberOf(std::string_view text, const std::string& name, std::uint64_t max) {
+double parseNumber(std::string_view text, const std::string& name, std::uint64_t max) {
   std::uint64_t value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc() || end != text.data() + text.size())
@@ -31,7 +31,7 @@
 }
 
 // A guess may not cost a request: one that cannot be read, or says nothing, is none.
-std::optional<routing::Duration> costOf(std::string_view text) {
+std::optional<routing::Duration> parseCost(std::string_view text) {
   double us = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), us);
   const bool complete = error == std::errc() && end == text.data() + text.size();
@@ -51,11 +51,11 @@
   if (name == "prefix")
     arrival.prefix = std::string(value);
   if (name == "prompt_len")
-    arrival.promptTokens = numberOf(value, "prompt_len", kMaxTokens);
+    arrival.promptTokens = parseNumber(value, "prompt_len", kMaxTokens);
   if (name == "prefix_len")
-    arrival.prefixTokens = numberOf(value, "prefix_len", kMaxTokens);
+    arrival.prefixTokens = parseNumber(value, "prefix_len", kMaxTokens);
   if (name == "max_out")
-    arrival.maxTokens = numberOf(value, "max_out", kMaxTokens);
+    arrival.maxTokens = parseNumber(value, "max_out", kMaxTokens);
 }
 
 void readInfo(std::string_view info, Arrival& arrival) {
@@ -124,12 +124,12 @@
     arrival.tenant = routing::TenantIndex{*tenant};
   arrival.session = headerOf(request, "X-Route-Hash");
   arrival.timeLeft =
-      core::toModule(numberOf(headerOf(request, "X-Budget-Ms"), "X-Budget-Ms", kMaxMs));
+      core::toModule(parseNumber(headerOf(request, "X-Budget-Ms"), "X-Budget-Ms", kMaxMs));
   readInfo(headerOf(request, "X-Call-Info"), arrival);
-  arrival.lengthHint = costOf(headerOf(request, "X-Call-Cost"));
-  const std::string again = headerOf(request, "X-Again");
-  arrival.repeat = again == "1";
-  arrival.resumed = again == "again";
+  arrival.lengthHint = parseCost(headerOf(request, "X-Call-Cost"));
+  const std::string repeatMark = headerOf(request, "X-Again");
+  arrival.repeat = repeatMark == "1";
+  arrival.resumed = repeatMark == "again";
   return arrival;
 }
 
--- a/src/frontend/settings_json.cpp
+++ b/src/frontend/settings_json.cpp
@@ -21,37 +21,37 @@
   return text;
 }
 
-void appendPairs(const json& value, const std::string& path, std::string& to);
+void appendPairs(const json& value, const std::string& path, std::string& output);
 
-void appendObject(const json& object, const std::string& prefix, std::string& to) {
+void appendObject(const json& object, const std::string& prefix, std::string& output) {
   for (const auto& [name, value] : object.items())
-    appendPairs(value, prefix + name, to);
+    appendPairs(value, prefix + name, output);
 }
 
-void appendObjectList(const json& list, const std::string& prefix, std::string& to) {
-  to += "\t" + prefix + "count=" + std::to_string(list.size());
+void appendObjectList(const json& list, const std::string& prefix, std::string& output) {
+  output += "\t" + prefix + "count=" + std::to_string(list.size());
   for (std::size_t i = 0; i < list.size(); ++i)
-    appendPairs(list[i], prefix + std::to_string(i), to);
+    appendPairs(list[i], prefix + std::to_string(i), output);
 }
 
-void appendScalarList(const json& list, std::string& to) {
+void appendScalarList(const json& list, std::string& output) {
   for (std::size_t i = 0; i < list.size(); ++i)
-    to += (i > 0 ? "," : "") + scalarText(list[i]);
+    output += (i > 0 ? "," : "") + scalarText(list[i]);
 }
 
-void appendPairs(const json& value, const std::string& path, std::string& to) {
+void appendPairs(const json& value, const std::string& path, std::string& output) {
   const std::string prefix = path.empty() ? path : path + ".";
   if (value.is_null())
     return;
   if (value.is_object())
-    return appendObject(value, prefix, to);
+    return appendObject(value, prefix, output);
   if (value.is_array() && !value.empty() && value.front().is_object())
-    return appendObjectList(value, prefix, to);
-  to += "\t" + path + "=";
+    return appendObjectList(value, prefix, output);
+  output += "\t" + path + "=";
   if (value.is_array())
-    appendScalarList(value, to);
+    appendScalarList(value, output);
   else
-    to += scalarText(value);
+    output += scalarText(value);
 }
 
 }  // namespace
