--- a/src/frontend/front.cpp
+++ b/src/frontend/front.cpp
@@ -10,7 +10,7 @@
                      std::shared_ptr<const upstream::ForwardedRequest> payload,
                      std::shared_ptr<core::ResponseWriter> responseWriter) {
   arrival.timeLeft -= core::toModule(clock_.nowMs() - arrivedMs);
-  inFlight_[&connection] = {};  // before it is taken: the module may answer at once
+  inFlight_[&connection] = {};  // before submit(), which may answer the request at once
   const auto key =
       dispatcher_.submit(std::move(arrival), std::move(payload), std::move(responseWriter));
   const auto it = inFlight_.find(&connection);
--- a/src/frontend/front.h
+++ b/src/frontend/front.h
@@ -1,4 +1,4 @@
-/// What the front ends share: which request is in flight on which client's connection.
+/// The base class of the front ends. Records which request is in flight on which client connection.
 #pragma once
 
 #include <functional>
@@ -11,29 +11,33 @@
 
 namespace inference_router::frontend {
 
-/// Belongs to the dispatcher's thread; the dispatcher, the clock and the counters outlive it.
+/// Used on the dispatcher's thread only. The dispatcher, the clock and the counters must outlive
+/// it.
 class Front : public net::RequestHandler {
  public:
   void disconnected(net::ClientConnection& connection) override;
   void writable(net::ClientConnection& connection) override;
 
-  /// Whether `GET /-/ready` says yes; as long as nothing is set it does.
+  /// Sets the function that decides whether `GET /-/ready` reports ready. Without one it always
+  /// does.
   void setReadinessCheck(std::function<bool()> isReady) { isReady_ = std::move(isReady); }
-  /// The response to a connection's request is about to be ended: every final answer of a front
-  /// calls this first.
+  /// Removes the connection's request from the requests in flight. Must be called before the final
+  /// bytes of every response are sent.
   void responseFinished(net::ClientConnection& connection) { inFlight_.erase(&connection); }
 
-  // ---- Streams that pass from one process to another ----
+  // ---- Hand-over of streams between processes ----
 
-  /// The connection of a request in flight; none if there is no such request.
+  /// Returns the connection of a request in flight, or null if there is no such request.
   std::shared_ptr<net::ClientConnection> connectionOf(core::RequestKey key) const;
-  /// Lets go of a connection that another process owns now.
+  /// Forgets and releases a connection that another process owns now.
   void releaseConnection(net::ClientConnection& connection);
-  /// Takes up another process's response in mid-stream; nothing if this front's cannot be.
+  /// Returns a writer that continues a response begun by another process, or null if this front
+  /// does not support that.
   virtual std::shared_ptr<core::ResponseWriter> adoptResponse(
       const std::shared_ptr<net::ClientConnection>&) {
     return nullptr;
   }
+  /// Records an adopted request as in flight on the connection.
   void adopt(net::ClientConnection& connection, core::RequestKey key) {
     inFlight_[&connection] = key;
   }
@@ -42,14 +46,15 @@
   Front(core::RequestDispatcher& dispatcher, const core::Clock& clock, core::Counters& counters)
       : dispatcher_(dispatcher), clock_(clock), counters_(counters) {}
 
-  /// Hands a request to the dispatcher. arrivedMs: when its first byte was read; the client's
-  /// patience began no later. False if a request of this id is in flight; nothing has been answered
-  /// then.
+  /// Submits a request to the dispatcher. arrivedMs: when its first byte was read; the time since
+  /// then is subtracted from the request's time left, as the client has been waiting at least that
+  /// long. Returns false, without having answered, if a request with this id is in flight.
   bool dispatch(net::ClientConnection& connection,
                 routing::Arrival arrival,
                 double arrivedMs,
                 std::shared_ptr<const upstream::ForwardedRequest> payload,
                 std::shared_ptr<core::ResponseWriter> responseWriter);
+  /// Answers `GET /-/ready`.
   void answerReady(net::ClientConnection& connection);
 
   core::RequestDispatcher& dispatcher_;
--- a/src/frontend/openai/api_error.h
+++ b/src/frontend/openai/api_error.h
@@ -1,4 +1,4 @@
-/// An error answer of the chat API, as its clients expect it.
+/// Error responses of the chat API.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -7,16 +7,16 @@
 
 namespace inference_router::frontend {
 
-/// Thrown where a request cannot be served, and sent to its client.
+/// An error response. Thrown where a request cannot be served, then sent to the client.
 struct ApiError {
   unsigned status;
   std::string message;
   std::string type;  ///< invalid_request_error, rate_limit_error, server_error
   std::optional<std::string> param;
   std::optional<std::string> code;
-  double retryAfterMs = 0;  ///< when to come again; 0: nothing is said
+  double retryAfterMs = 0;  ///< delay before a retry; 0: not sent
 
-  /// The body of the answer.
+  /// The JSON body of the response.
   std::string text() const {
     const auto orNull = [](const std::optional<std::string>& value) {
       return value ? nlohmann::json(*value) : nlohmann::json();
@@ -28,12 +28,14 @@
   }
 };
 
+/// A 400 response.
 inline ApiError badRequest(std::string message,
                            std::optional<std::string> param = {},
                            std::optional<std::string> code = {}) {
   return {400, std::move(message), "invalid_request_error", std::move(param), std::move(code)};
 }
 
+/// A 404 response for a model that is not configured.
 inline ApiError unknownModel(const std::string& name) {
   return {404, "the model '" + name + "' does not exist", "invalid_request_error", "model",
           "model_not_found"};
--- a/src/frontend/openai/chat_request.cpp
+++ b/src/frontend/openai/chat_request.cpp
@@ -51,7 +51,7 @@
 
 bool isValidContent(const json& message) {
   if (!has(message, "content"))
-    return message.at("role") == "assistant";  // one that only calls tools
+    return message.at("role") == "assistant";  // it may contain tool calls only
   const json& content = message.at("content");
   if (content.is_string())
     return true;
--- a/src/frontend/openai/chat_request.h
+++ b/src/frontend/openai/chat_request.h
@@ -1,4 +1,4 @@
-/// A request of the chat API: checked, and made ready for the instances.
+/// Parses and validates requests of the chat API and prepares them for the instances.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -6,20 +6,23 @@
 
 namespace inference_router::frontend {
 
-// The move constructor of its JSON member may throw by its declaration.
+/// A validated chat request.
+//
+// The move constructor of its JSON member is not declared noexcept.
 // NOLINTNEXTLINE(bugprone-exception-escape)
 struct ChatRequest {
   std::string model;
   std::string user;
   nlohmann::json messages;
   bool stream = false;
-  bool includeUsage = false;  ///< of a stream: with an event for the usage
+  bool includeUsage = false;  ///< the stream ends with an event that reports the usage
   double maxTokens = 0;
-  /// The same request as an instance gets it: always streamed, always with its usage.
+  /// The body sent to an instance: always asks for a stream that reports its usage.
   std::string instanceBody;
 };
 
-/// Throws ApiError. defaultMaxTokens: for a request that does not bound its answer.
+/// Parses and validates a body. defaultMaxTokens: the limit for a request that sets none. Throws
+/// ApiError.
 ChatRequest readChatRequest(const std::string& body, double defaultMaxTokens);
 
 }  // namespace inference_router::frontend
--- a/src/frontend/openai/chat_response_writer.cpp
+++ b/src/frontend/openai/chat_response_writer.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-constexpr double kRetryAfterMs = 1'000;  // where the module advises nothing
-// Of an answer put together, and of one event.
+constexpr double kRetryAfterMs = 1'000;  // if the rejection or failure names no delay
+// Limits both a response assembled from a stream and a single event.
 constexpr std::size_t kMaxAnswerBytes = std::size_t{4} * 1024 * 1024;
 constexpr const char* kEndOfStream = "[DONE]";
 
@@ -51,7 +51,7 @@
       reservation_(std::move(reservation)),
       promptTokens_(static_cast<std::uint64_t>(promptTokens)) {}
 
-// It has not run, so the libraries may try again by themselves.
+// The request has not been executed, so client libraries may retry it automatically.
 void ChatResponseWriter::reject(const core::Rejection& rejection) {
   if (reservation_)
     reservation_->refused();
@@ -62,7 +62,8 @@
               ShouldRetry::kYes, rejection.retryAfterMs.value_or(kRetryAfterMs));
 }
 
-// It may have run. Client libraries repeat what fails with 5xx unless told not to.
+// The request may have been executed. Client libraries retry a 5xx response unless it carries
+// X-Should-Retry: false.
 void ChatResponseWriter::fail(const core::Failure& failure) {
   if (reservation_)
     reservation_->failed();
@@ -96,7 +97,7 @@
   connection_->endStream();
 }
 
-// One last event tells the client; what was begun is never sent again.
+// A stream that has begun ends with one error event; the request is not sent to another instance.
 void ChatResponseWriter::abort() {
   if (reservation_)
     reservation_->failed();
@@ -109,8 +110,8 @@
   connection_->endStream();
 }
 
-// The end of the stream is written by end(), once it is known to be complete. Most events are
-// passed on unread.
+// [DONE] is not forwarded: end() writes it once the stream is known to be complete. Events of a
+// stream that contain neither usage nor an error are forwarded without being parsed.
 bool ChatResponseWriter::forwardEvent(const std::string& event) {
   const std::string data = dataOf(event);
   if (data == kEndOfStream)
@@ -138,8 +139,8 @@
   return true;
 }
 
-// As the instance counted them: what is estimated here from the text's length only serves to
-// compare.
+// Replaces the estimate by the token counts of the instance. The estimate from the text's length
+// only serves to compare requests.
 void ChatResponseWriter::readUsage(const json& chunk) {
   if (!chunk.is_object())
     return;
--- a/src/frontend/openai/chat_response_writer.h
+++ b/src/frontend/openai/chat_response_writer.h
@@ -1,4 +1,4 @@
-/// Answers one request of the chat API, as a stream of events or as one JSON document.
+/// Writes the response to one chat request, as a stream of events or as one JSON document.
 #pragma once
 
 #include <cstdint>
@@ -18,11 +18,11 @@
 
 namespace inference_router::frontend {
 
-/// The front outlives it.
+/// Converts an instance's event stream to the response of one client. The front must outlive it.
 class ChatResponseWriter final : public core::ResponseWriter {
  public:
-  /// promptTokens: an estimate, until the instance tells. reservation: none where tokens are not
-  /// counted.
+  /// promptTokens: an estimate, used unless the instance reports a count. reservation: null if
+  /// tokens are not counted.
   ChatResponseWriter(Front& front,
                      std::shared_ptr<net::ClientConnection> connection,
                      const ChatRequest& request,
@@ -56,10 +56,10 @@
   std::uint64_t promptTokens_;
   std::uint64_t answerTokens_ = 0;
   EventSplitter events_;
-  Completion completion_;     // where the client wants no stream
-  bool streamBegun_ = false;  // the client has the head of its stream
-  bool isComplete_ = false;   // the instance has ended its stream as the API says
-  bool hasError_ = false;     // an event told of one
+  Completion completion_;     // used if the client did not ask for a stream
+  bool streamBegun_ = false;  // the response head has been sent
+  bool isComplete_ = false;   // the instance has sent [DONE]
+  bool hasError_ = false;     // the instance has sent an error event
   bool isTooLong_ = false;
 };
 
--- a/src/frontend/openai/completion.cpp
+++ b/src/frontend/openai/completion.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-// No model calls so many tools at once; a bad index must not cost memory.
+// Bounds the memory that an invalid index can claim. No model makes this many tool calls in one
+// response.
 constexpr std::size_t kMaxToolCalls = 128;
 
 void appendText(json& target, const json& text) {
--- a/src/frontend/openai/completion.h
+++ b/src/frontend/openai/completion.h
@@ -1,4 +1,4 @@
-/// Puts the events of a stream together to the one answer that a client without `stream` gets.
+/// Assembles the events of a stream into one response for a client that did not ask for a stream.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -6,13 +6,14 @@
 
 namespace inference_router::frontend {
 
+/// A chat completion that is assembled from the chunks of a stream.
 class Completion {
  public:
-  /// One event of the stream.
+  /// Adds the data of one event.
   void add(const nlohmann::json& chunk);
-  /// The body of the answer.
+  /// The JSON body of the response.
   std::string text() const;
-  /// Bytes of text that have come.
+  /// Bytes of text added so far.
   std::size_t size() const { return size_; }
 
  private:
@@ -20,7 +21,7 @@
   void addDelta(const nlohmann::json& delta);
   void addToolCall(const nlohmann::json& toolCallDelta, nlohmann::json& calls);
 
-  // The id, the model and whatever else stands at the top.
+  // The id, the model and all other fields at the top level of the chunks.
   nlohmann::json topLevelFields_ = nlohmann::json::object();
   nlohmann::json message_ = {{"role", "assistant"}, {"content", nullptr}};
   nlohmann::json finishReason_;
--- a/src/frontend/openai/conversation.cpp
+++ b/src/frontend/openai/conversation.cpp
@@ -18,7 +18,7 @@
   return std::ceil(static_cast<double>(bytes) / kBytesPerToken);
 }
 
-// The same on every router and in every build.
+// A hash with the same values on every router and in every build, unlike std::hash.
 class Fnv1aHash {
  public:
   Fnv1aHash& add(const std::string& text) {
@@ -36,14 +36,14 @@
  private:
   static constexpr std::uint64_t kOffsetBasis = 14695981039346656037ULL;
   static constexpr std::uint64_t kPrime = 1099511628211ULL;
-  static constexpr unsigned char kTextSeparator = 0xff;  // so that the borders between texts count
+  static constexpr unsigned char kTextSeparator = 0xff;  // {"ab", "c"} and {"a", "bc"} differ
 
   void addByte(unsigned char byte) { value_ = (value_ ^ byte) * kPrime; }
 
   std::uint64_t value_ = kOffsetBasis;
 };
 
-// The text of a message's content, of all its parts if it has parts.
+// The text of a message's content: the string itself, or all text parts joined.
 std::string contentOf(const json& message) {
   const auto content = message.find("content");
   if (content == message.end() || content->is_null())
--- a/src/frontend/openai/conversation.h
+++ b/src/frontend/openai/conversation.h
@@ -1,13 +1,16 @@
-/// The one place where a conversation in the chat format becomes what the module decides by.
+/// Derives the attributes that the routing library decides by from a conversation in the chat
+/// format.
 ///
-/// - Tokens: a token counts as four bytes of content, rounded up; roles and framing count nothing.
-///   No tokenizer is at hand, and the module needs sizes to compare, not to bill.
-/// - Prefix: the opening that conversations share is the first message, if its role is system or
-///   developer. Its name is a hash of its content. Without such a message there is none.
-/// - Session: a hash of the tenant, of `user` where the client gives it, and of all messages up to
-///   the first one of the user. Each later turn repeats them, so that all turns of a conversation
-///   have one session. Two conversations of a tenant that open with the very same words share a
-///   session, which costs nothing: what they share can be found cached.
+/// - Tokens: estimated as the bytes of content divided by four, rounded up; roles and framing are
+/// not
+///   counted. No tokenizer is available, and the sizes are only compared, not billed.
+/// - Prefix: the first message, if its role is system or developer, as conversations share it. It
+/// is
+///   identified by a hash of its content. Without such a message there is no prefix.
+/// - Session: a hash of the tenant, of `user` if the client sends it, and of all messages up to and
+///   including the first user message. Every later turn repeats these messages, so all turns of a
+///   conversation have the same session. Two conversations of a tenant that begin with identical
+///   messages share a session, which does no harm: their common messages can be found cached.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -15,6 +18,7 @@
 
 namespace inference_router::frontend {
 
+/// The routing attributes of a conversation.
 struct ConversationTraits {
   std::string session;
   std::string prefix;  ///< empty: none
@@ -22,7 +26,7 @@
   double prefixTokens = 0;
 };
 
-/// messages: an array that readChatRequest() has accepted.
+/// Derives the attributes. messages: an array that readChatRequest() has accepted.
 ConversationTraits traitsOf(const nlohmann::json& messages,
                             const std::string& tenant,
                             const std::string& user);
--- a/src/frontend/openai/openai_front.cpp
+++ b/src/frontend/openai/openai_front.cpp
@@ -138,7 +138,7 @@
   return key.cls.empty() ? model->second : key.cls;
 }
 
-// These clients do not say how long they wait: the class does.
+// The chat API has no field for the client's deadline, so the deadline of the class is used.
 routing::Arrival OpenAiFront::arrivalFor(const ChatRequest& request,
                                          const ApiKey& key,
                                          const std::string& cls) const {
@@ -158,8 +158,8 @@
   return arrival;
 }
 
-// Guards a budget that the fleet shares: nothing is begun that might go beyond what this router
-// may spend.
+// Reserves the maximum that the request can use, so that this router does not exceed its portion of
+// the budget that the fleet shares.
 std::unique_ptr<TokenReservation> OpenAiFront::reserveTokens(const ApiKey& key,
                                                              const std::string& cls,
                                                              double promptTokens,
--- a/src/frontend/openai/openai_front.h
+++ b/src/frontend/openai/openai_front.h
@@ -1,5 +1,5 @@
-/// The chat API that every client library speaks, on the same core, module and rules as the
-/// platform's protocol.
+/// Serves the chat API that common client libraries use, on the same core, routing library and
+/// settings as the platform's protocol.
 #pragma once
 
 #include <cstdint>
@@ -16,10 +16,11 @@
 
 namespace inference_router::frontend {
 
-/// How instances are spoken to under this API.
+/// The paths and headers of calls to instances under this API.
 upstream::InstanceProtocol openaiProtocol(const OperatorFile& operatorFile);
 
-/// `operatorFile` outlives it and may change between two requests.
+/// The front end for the chat API. `operatorFile` must outlive it and may change between two
+/// requests.
 class OpenAiFront final : public Front {
  public:
   using NewId = std::function<std::string()>;
@@ -30,7 +31,7 @@
               core::Counters& counters,
               NewId newId);
 
-  /// Whoever counts tokens; without it nobody does.
+  /// Sets the meter that counts tokens. Without one, tokens are not counted.
   void setTokenMeter(std::shared_ptr<TokenMeter> meter) { meter_ = std::move(meter); }
 
   void request(const std::shared_ptr<net::ClientConnection>& connection,
@@ -64,7 +65,7 @@
   std::int64_t startedS_;
 };
 
-/// Ids of requests, fresh also after a restart.
+/// Returns a generator of random request ids, which do not repeat after a restart.
 OpenAiFront::NewId randomIds();
 
 }  // namespace inference_router::frontend
--- a/src/frontend/openai/operator_file.cpp
+++ b/src/frontend/openai/operator_file.cpp
@@ -30,21 +30,21 @@
   const auto name = role.as<std::string>();
   const auto found = roles.find(name);
   if (found == roles.end())
-    role.fail("is read, write or both, not " + name);
+    role.fail("must be read, write or both, not " + name);
   for (std::uint32_t i = 0; i < settings.kinds.size(); ++i)
     if (settings.kinds[i].role == found->second)
       return {i};
-  role.fail("is " + name + ", which no kind in the settings can do");
+  role.fail("is " + name + ", but no kind in the settings has this role");
 }
 
-// A name that has to be one of the settings', or is left out.
+// Reads an optional name. Fails if the name is not one of those in the settings.
 std::string readKnownName(const core::ConfigReader& entry,
                           const char* field,
                           const std::vector<std::string>& names,
                           const char* category) {
   auto name = entry.value<std::string>(field, "");
   if (!name.empty() && !contains(names, name))
-    entry.at(field).fail("is " + name + ", not a " + category + " of the settings");
+    entry.at(field).fail("is " + name + ", which is not a " + category + " in the settings");
   return name;
 }
 
@@ -57,13 +57,13 @@
         std::any_of(result.keys.begin(), result.keys.end(),
                     [&](const auto& other) { return other.second.name == key.name; });
     if (!key.name.empty() && isDuplicate)
-      entry.at("name").fail("is " + key.name + ", which stands twice");
+      entry.at("name").fail("is " + key.name + ", which another key has already");
     const auto text = entry.at("key").as<std::string>();
     if (text.empty() || !result.keys.emplace(text, key).second)
-      entry.at("key").fail("is empty or stands twice");
+      entry.at("key").fail("is empty or a duplicate");
   }
   if (result.keys.empty())
-    file.at("keys").fail("is empty, so nobody could ask");
+    file.at("keys").fail("is empty: no client could authenticate");
 }
 
 net::Endpoint addressAt(const core::ConfigReader& field) {
@@ -78,7 +78,7 @@
     upstream::InstanceEndpoint endpoint;
     endpoint.address = addressAt(entry.at("address"));
     if (id.value.empty() || !result.directory.all().emplace(id, endpoint).second)
-      entry.at("id").fail("is empty or stands twice");
+      entry.at("id").fail("is empty or a duplicate");
     result.instances.entries.push_back({id,
                                         result.setup.settings.zone,
                                         kindOf(result.setup.settings, entry.at("role")),
@@ -88,7 +88,7 @@
                                         std::nullopt});
   }
   if (result.instances.entries.empty())
-    file.at("boxes").fail("is empty: there is none to send to");
+    file.at("boxes").fail("is empty: there is no instance to send requests to");
 }
 
 void readModels(const core::ConfigReader& file, OperatorFile& result) {
@@ -100,7 +100,7 @@
       models.at(model).fail("is empty");
   }
   if (result.models.empty())
-    models.fail("is empty: there is none to ask for");
+    models.fail("is empty: there is no model that clients could request");
 }
 
 void readSettings(const core::ConfigReader& file, OperatorFile& result) {
@@ -128,7 +128,7 @@
   if (!file.has("shared"))
     return;
   if (!result.coordination)
-    file.at("shared").fail("needs `coordination`, whose store carries it");
+    file.at("shared").fail("requires `coordination`, whose store holds the shared state");
   result.shared = shared::sharedSetupOf(file.at("shared"), result.setup.names.tenants);
 }
 
--- a/src/frontend/openai/sse.h
+++ b/src/frontend/openai/sse.h
@@ -1,4 +1,4 @@
-/// Splits a stream of server-sent events into whole events.
+/// Parsing of server-sent events.
 #pragma once
 
 #include <optional>
@@ -7,11 +7,13 @@
 
 namespace inference_router::frontend {
 
+/// Splits a stream of bytes into complete events.
 class EventSplitter {
  public:
+  /// Appends received bytes.
   void add(std::string_view bytes) { text_ += bytes; }
 
-  /// The next complete event with its empty line, as it came.
+  /// Removes and returns the next complete event, unchanged and with the empty line that ends it.
   std::optional<std::string> next() {
     const std::size_t lfEnd = text_.find(kLfEnd);
     const std::size_t crlfEnd = text_.find(kCrlfEnd);
@@ -23,7 +25,8 @@
     return event;
   }
 
-  /// Bytes of the event that is incomplete.
+  /// Bytes that have not been returned yet; after next() has returned nothing, the size of the
+  /// incomplete event.
   std::size_t pendingBytes() const { return text_.size(); }
 
  private:
@@ -33,8 +36,8 @@
   std::string text_;
 };
 
-/// The data of an event; its lines joined as the format says. Comments and other fields are
-/// skipped.
+/// Returns the data of an event, with its data lines joined by line feeds as the format specifies.
+/// Comments and other fields are skipped.
 inline std::string dataOf(std::string_view event) {
   constexpr std::string_view kDataField = "data:";
   std::string data;
--- a/src/frontend/openai/token_reservation.h
+++ b/src/frontend/openai/token_reservation.h
@@ -1,4 +1,4 @@
-/// The tokens that are reserved for one request.
+/// A guard for the tokens that are reserved for one request.
 #pragma once
 
 #include <cstdint>
@@ -10,8 +10,9 @@
 
 namespace inference_router::frontend {
 
-/// Reports to the meter once how its request ended; if nobody says so, as when its client has gone,
-/// the request failed. May outlive its meter.
+/// Reports the outcome of its request to the meter exactly once. If it is destroyed without an
+/// outcome, for example because the client disconnected, it reports a failure. May outlive the
+/// meter.
 class TokenReservation {
  public:
   TokenReservation(const std::shared_ptr<TokenMeter>& meter,
--- a/src/frontend/platform/discovery.cpp
+++ b/src/frontend/platform/discovery.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxWatchConnections = 2;  // the one in use, and its candidate
+constexpr std::size_t kMaxWatchConnections = 2;  // the current watch and its candidate
 constexpr double kMaxIdleMs = 1'000;
 
 }  // namespace
@@ -51,23 +51,24 @@
     watch_->close();
 }
 
-// ---- The watches
+// ---- Watches
 
-// Guards against a gap while discovery moves: the old watch goes on and the list stays as it is
-// until the new address has sent something. A move during a move only replaces the candidate.
+// Avoids a gap in updates while discovery moves to another address: the old watch and the list
+// remain in use until the new address has sent a document. A further change of address before that
+// only replaces the candidate.
 void Discovery::watch(const net::Endpoint& address) {
   if (address == address_)
     return;
   if (address_ == net::Endpoint())
-    revisionAddress_ = address;  // the cached list came from there
+    revisionAddress_ = address;  // the cached list is from this address
   address_ = address;
   watchSilent_ = false;
   dropCandidate();
   open();
 }
 
-// At another address the numbers of the versions may mean something else: there the full list is
-// asked for.
+// Revision numbers of different addresses cannot be compared, so the full list is requested from an
+// address that did not send the current revision.
 void Discovery::open() {
   ++counters_["discovery.watches"];
   const std::uint64_t after = address_ == revisionAddress_ ? revision_ : 0;
@@ -102,7 +103,8 @@
     replaced->close();
 }
 
-// Only the address that counts now is opened anew: an old watch may end whenever it likes.
+// Reopens the watch unless a replacement is open or scheduled already, so the end of a watch on a
+// previous address has no effect.
 void Discovery::onEnded(const DiscoveryWatch& watch) {
   ++counters_["discovery.broken"];
   const bool isReplaced = &watch == watch_.get() && (candidate_ || openTimer_.armed());
@@ -117,8 +119,8 @@
   scheduleOpen();
 }
 
-// Discovery may be down for all, and what is in line for an answer stays in line: the watch is
-// kept, for it may go on, and another is tried beside it.
+// Keeps the silent watch open and tries another in parallel. If discovery is down for all clients,
+// a watch that is closed and reopened would lose its position in discovery's queue.
 bool Discovery::onSilent(const DiscoveryWatch& watch) {
   if (&watch != watch_.get())
     return false;
@@ -130,7 +132,7 @@
   return true;
 }
 
-// ---- The lists
+// ---- Endpoint lists
 
 void Discovery::loadCached(const json& list) {
   apply(list, EndpointListForm::kCached);
@@ -150,7 +152,7 @@
   return false;
 }
 
-// Everything is read before anything is changed: a list that is malformed changes nothing.
+// Parses the whole list before changing any state, so that a malformed list has no effect.
 void Discovery::apply(const json& list, std::optional<EndpointListForm> form) {
   EndpointList parsed = parseEndpointList(list, names_, form);
   setStartTimes(parsed.update, parsed.endpoints);
@@ -161,7 +163,7 @@
   lists_.list(std::move(parsed.update));
 }
 
-// An instance that leaves and comes back is a new one, whatever start time it has.
+// An instance that is removed and listed again counts as new, whatever start time the list gives.
 void Discovery::setStartTimes(
     routing::EndpointListUpdate& update,
     const std::map<routing::InstanceId, upstream::InstanceEndpoint>& endpoints) {
--- a/src/frontend/platform/discovery.h
+++ b/src/frontend/platform/discovery.h
@@ -1,5 +1,5 @@
-/// The watch on the fleet's endpoint list. While it is broken the list stays as it is and the watch
-/// is opened anew.
+/// Watches the fleet's endpoint list. While the watch is broken, the last list remains in use and
+/// the watch is reopened with backoff.
 #pragma once
 
 #include <map>
@@ -21,7 +21,8 @@
 
 namespace inference_router::frontend {
 
-/// Belongs to one thread; all that it is given outlives it.
+/// Receives endpoint lists from discovery. Used on one thread only; everything passed to the
+/// constructor by reference must outlive it.
 class Discovery final : public DiscoveryWatchOwner {
  public:
   /// instancePool: its idle connections close when their instance restarts or is removed.
@@ -38,19 +39,20 @@
   Discovery(const Discovery&) = delete;
   Discovery& operator=(const Discovery&) = delete;
 
-  /// Takes the list that the configuration carries: possibly old. Throws json::exception or
-  /// net::AddressError on what is no list.
+  /// Applies the list from the configuration, which may be outdated. Throws json::exception or
+  /// net::AddressError if it is not a valid list.
   void loadCached(const nlohmann::json& list);
-  /// Also while another address is watched: the list stays, and that watch too, until the new one
-  /// has sent something.
+  /// Watches an address. If another address is watched already, that watch and the list remain in
+  /// use until the new one has sent a document.
   void watch(const net::Endpoint& address);
-  /// Where its descriptors are accounted for.
+  /// Sets the budget to which its descriptors are charged.
   void accountTo(admission::DescriptorBudget& descriptorBudget) {
     watchPool_.accountTo(descriptorBudget, admission::Account::kDiscovery);
   }
-  /// Whether there is a watch that has sent something.
+  /// Whether there is an open watch that has sent a document.
   bool hasWatch() const { return watch_ != nullptr; }
-  /// Takes one document of a watch; false if it is no list. Blank text is a sign of life.
+  /// Applies one document of a watch; returns false if it is not a valid list. Blank text is
+  /// accepted as a keep-alive.
   bool onDocument(std::string_view text) override;
 
  private:
@@ -62,7 +64,7 @@
   void scheduleOpen();
   void dropCandidate();
   void apply(const nlohmann::json& list, std::optional<routing::EndpointListForm> form);
-  // Sets when the instances of a list started, from the start times that it tells.
+  // Sets the start times of the instances in an update from those in the list.
   void setStartTimes(routing::EndpointListUpdate& update,
                      const std::map<routing::InstanceId, upstream::InstanceEndpoint>& endpoints);
 
@@ -75,11 +77,11 @@
   const routing::wire::Vocabulary& names_;
   net::ConnectionPool watchPool_;
   net::Endpoint address_;
-  net::Endpoint revisionAddress_;              // where revision_ was told
-  std::shared_ptr<DiscoveryWatch> watch_;      // has sent something
-  std::shared_ptr<DiscoveryWatch> candidate_;  // has not sent anything yet
+  net::Endpoint revisionAddress_;              // the address that sent revision_
+  std::shared_ptr<DiscoveryWatch> watch_;      // has sent a document
+  std::shared_ptr<DiscoveryWatch> candidate_;  // has not sent a document yet
   core::Timer openTimer_;
-  bool watchSilent_ = false;  // the watch has gone silent, and another is tried beside it
+  bool watchSilent_ = false;  // the watch is silent, and another is tried in parallel
   fleet::DiscoveryBackoff backoff_;
   fleet::InstanceAges ages_;
   std::uint64_t revision_ = 0;
--- a/src/frontend/platform/discovery_watch.h
+++ b/src/frontend/platform/discovery_watch.h
@@ -1,4 +1,4 @@
-/// One long-lived call to discovery, over which endpoint lists and signs of life come.
+/// One long-lived call to discovery, which returns endpoint lists and keep-alives.
 #pragma once
 
 #include <memory>
@@ -14,30 +14,30 @@
 
 class DiscoveryWatch;
 
-/// Who opens watches and hears of them. May drop a watch in each of these calls but onDocument().
+/// Receives the events of watches. May drop the watch in any of these calls except onDocument().
 class DiscoveryWatchOwner {
  public:
   virtual ~DiscoveryWatchOwner() = default;
-  /// One document has come; false if it is no list, which ends the watch.
+  /// A document was received. Returns false if it is not a valid list, which ends the watch.
   virtual bool onDocument(std::string_view text) = 0;
-  /// The document was good.
+  /// The document was accepted.
   virtual void onAlive(const DiscoveryWatch& watch) = 0;
-  /// Nothing has come for too long. Returns whether the watch goes on all the same.
+  /// Nothing was received within the timeout. Returns whether the watch stays open nevertheless.
   virtual bool onSilent(const DiscoveryWatch& watch) = 0;
   /// The call has ended or failed.
   virtual void onEnded(const DiscoveryWatch& watch) = 0;
 };
 
-/// The owner, the clock and the timers outlive it. A call and its sink hold each other while the
-/// call runs, so the owner closes each watch that it drops.
+/// The sink of a watch's call. The owner, the clock and the timers must outlive it. A call and its
+/// sink own each other while the call runs, so the owner must close each watch that it drops.
 class DiscoveryWatch final : public net::CallSink {
  public:
   DiscoveryWatch(DiscoveryWatchOwner& owner, const core::Clock& clock, core::TimerQueue& timers)
       : owner_(owner), clock_(clock), timers_(timers) {}
 
-  /// The call whose sink this is.
+  /// Takes the call whose sink this is, and starts the timeout for its first byte.
   void start(std::shared_ptr<net::Call> call);
-  /// Ends the call; the owner hears no more.
+  /// Ends the call without further events to the owner.
   void close();
 
   void head(const net::ResponseHead& head) override;
--- a/src/frontend/platform/endpoint_list.cpp
+++ b/src/frontend/platform/endpoint_list.cpp
@@ -17,7 +17,7 @@
   return phase == "leaving" ? EndpointState::kDraining : EndpointState::kRemoved;
 }
 
-// The number of names for a name that is not among them.
+// Returns the index of a name, or the number of names if it is not among them.
 std::uint32_t indexOf(const std::vector<std::string>& names, const std::string& name) {
   return static_cast<std::uint32_t>(std::find(names.begin(), names.end(), name) - names.begin());
 }
--- a/src/frontend/platform/endpoint_list.h
+++ b/src/frontend/platform/endpoint_list.h
@@ -1,4 +1,4 @@
-/// Reads the platform's lists of instances.
+/// Parses the platform's endpoint lists.
 #pragma once
 
 #include <map>
@@ -11,14 +11,14 @@
 
 namespace inference_router::frontend {
 
-/// A list as the module takes it, and where its instances are reached.
+/// A list in the form that the routing library takes, and the addresses of its instances.
 struct EndpointList {
   routing::EndpointListUpdate update;
   std::map<routing::InstanceId, upstream::InstanceEndpoint> endpoints;
 };
 
-/// Leaves out instances of zones that the settings do not name. form: as the list itself says where
-/// it is not given. Throws json::exception or net::AddressError on what is no list.
+/// Parses a list. Skips instances in zones that the settings do not name. form: if not given, it is
+/// read from the list. Throws json::exception or net::AddressError if the list is invalid.
 EndpointList parseEndpointList(const nlohmann::json& list,
                                const routing::wire::Vocabulary& names,
                                std::optional<routing::EndpointListForm> form);
--- a/src/frontend/platform/json_document_splitter.h
+++ b/src/frontend/platform/json_document_splitter.h
@@ -1,6 +1,5 @@
-/// Finds where one JSON object ends in a stream of them, whether each stands on a line of its own
-/// or is indented over many. Looks at brackets and strings alone: whether it is JSON is its
-/// reader's business.
+/// Finds the end of each JSON document in a stream, whether a document is on one line or indented
+/// over many. Only tracks brackets and strings; the caller's parser checks that it is valid JSON.
 #pragma once
 
 #include <cstddef>
@@ -8,12 +7,13 @@
 
 namespace inference_router::frontend {
 
+/// Splits a stream into segments, each of which ends with a document or is a line without one.
 class JsonDocumentSplitter {
  public:
-  /// The length of the part of text, from its beginning, up to the end of the object that ends in
-  /// it; 0 if none does yet. A line without any object, empty or not, is a part of its own. What
-  /// was seen is not seen again: text has to begin with the same bytes the next time, until a part
-  /// was taken.
+  /// Returns the length of the first segment of text, up to the end of its document; 0 if no
+  /// document is complete yet. A line without a document, empty or not, is a segment of its own.
+  /// Scanned bytes are not scanned again: until a segment is returned, the text of the next call
+  /// must begin with the same bytes; afterwards it must begin behind the segment.
   std::size_t nextEnd(std::string_view text) {
     for (; scanned_ < text.size(); ++scanned_) {
       if (endsSegment(text[scanned_]))
--- a/src/frontend/platform/platform_front.cpp
+++ b/src/frontend/platform/platform_front.cpp
@@ -17,10 +17,10 @@
   return {{"Content-Type", "text/plain"}};
 }
 
-// Passes the events of an instance on as they are.
+// Forwards the events of an instance unchanged.
 class StreamWriter final : public core::ResponseWriter {
  public:
-  // streamBegun: whether the client has the head already.
+  // streamBegun: whether the response head has been sent already.
   StreamWriter(Front& front, std::shared_ptr<net::ClientConnection> connection, bool streamBegun)
       : front_(front), connection_(std::move(connection)), streamBegun_(streamBegun) {}
 
@@ -104,7 +104,8 @@
     reject(*connection, 400, "a request with this X-Call-Id is under way");
 }
 
-// A stream here is the instance's own events after one head: there is nothing else to take over.
+// A response consists of a head and the instance's events unchanged, so there is no other state to
+// restore.
 std::shared_ptr<core::ResponseWriter> PlatformFront::adoptResponse(
     const std::shared_ptr<net::ClientConnection>& connection) {
   return std::make_shared<StreamWriter>(*this, connection, /*streamBegun=*/true);
--- a/src/frontend/platform/platform_front.h
+++ b/src/frontend/platform/platform_front.h
@@ -1,4 +1,5 @@
-/// The platform's protocol: requests in headers, answers as the instances give them.
+/// Serves the platform's protocol: headers describe the request, and responses of instances are
+/// forwarded unchanged.
 #pragma once
 
 #include <memory>
@@ -13,9 +14,10 @@
 
 namespace inference_router::frontend {
 
-/// How instances are spoken to under this protocol.
+/// The paths and headers of calls to instances under this protocol.
 upstream::InstanceProtocol platformProtocol();
 
+/// The front end for the platform's protocol. The names must outlive it.
 class PlatformFront final : public Front {
  public:
   PlatformFront(core::RequestDispatcher& dispatcher,
--- a/src/frontend/platform/request_headers.cpp
+++ b/src/frontend/platform/request_headers.cpp
@@ -14,7 +14,8 @@
 
 namespace {
 
-// Far above what any request needs, and far below where a double no longer fits the module's time.
+// Far above what any request needs, and far below the values at which a double overflows the
+// routing library's time type.
 constexpr std::uint64_t kMaxMs = 3'600'000;
 constexpr std::uint64_t kMaxTokens = 100'000'000;
 constexpr std::size_t kMaxIdLength = 128;
@@ -30,7 +31,7 @@
   return static_cast<double>(value);
 }
 
-// A guess may not cost a request: one that cannot be read, or says nothing, is none.
+// The cost is only the client's estimate, so an invalid value is ignored rather than rejected.
 std::optional<routing::Duration> parseCost(std::string_view text) {
   double us = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), us);
@@ -40,7 +41,7 @@
   return routing::Duration(std::llround(us));
 }
 
-// The id becomes part of paths and headers towards the instances.
+// The id becomes part of paths and headers of calls to instances, so it must need no escaping.
 bool isPlainId(const std::string& id) {
   return !id.empty() && id.size() <= kMaxIdLength && std::all_of(id.begin(), id.end(), [](char c) {
     return std::isalnum(static_cast<unsigned char>(c)) != 0 || c == '-' || c == '_' || c == '.';
--- a/src/frontend/platform/request_headers.h
+++ b/src/frontend/platform/request_headers.h
@@ -1,4 +1,4 @@
-/// Reads the headers of the platform's protocol, in which a request says what it needs.
+/// Parses the request headers of the platform's protocol.
 #pragma once
 
 #include <stdexcept>
@@ -11,21 +11,21 @@
 
 namespace inference_router::frontend {
 
-/// A request whose headers cannot be understood; the text is for its client.
+/// Thrown for invalid headers. The message is sent to the client.
 class RequestHeaderError : public std::invalid_argument {
  public:
   using std::invalid_argument::invalid_argument;
 };
 
-/// What the headers of a request say. Throws RequestHeaderError.
+/// Converts the headers of a request to an arrival. Throws RequestHeaderError.
 routing::Arrival arrivalOf(const net::HttpRequest& request, const routing::wire::Vocabulary& names);
 
-/// What the client says to the instance beyond what the router words anew: a class whose repeats
-/// are discarded, for one, is known by a header of its client's. Nothing that is meant for one
-/// connection alone goes along.
+/// Returns the headers to forward to the instance: all except those that the router sets itself and
+/// hop-by-hop headers. Instances need the client's other headers: for example, deduplication uses a
+/// header of the client.
 net::Fields forwardedFields(const net::HttpRequest& request);
 
-/// The value of a header; empty if there is none.
+/// Returns the value of a header; empty if there is none.
 std::string headerOf(const net::HttpRequest& request, std::string_view name);
 
 }  // namespace inference_router::frontend
--- a/src/frontend/settings_json.cpp
+++ b/src/frontend/settings_json.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-// A setup message as far as its pairs; the seed plays no part in the settings.
+// The beginning of a setup message, up to its pairs. The seed does not affect the settings.
 constexpr const char* kSetupMessage = "ENLIST\t0";
 
-// As on the simulator's wire: spaces, commas and tabs in a value arrive as underscores.
+// Replaces spaces, commas, tabs and line feeds by underscores, as the simulator's wire does.
 std::string scalarText(const json& value) {
   std::string text = value.is_string() ? value.get<std::string>() : value.dump();
   std::replace_if(
--- a/src/frontend/settings_json.h
+++ b/src/frontend/settings_json.h
@@ -1,5 +1,5 @@
-/// The settings of a JSON configuration, read by the code that reads the simulator's: the object is
-/// laid out as the path=value pairs of its first message, which carry the same names.
+/// Reads the settings from a JSON configuration. The object is converted to the path=value pairs of
+/// the simulator's setup message, which use the same names, and then read by the same parser.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -10,14 +10,15 @@
 
 namespace inference_router::frontend {
 
-/// Settings that can be read and not be used.
+/// Thrown for settings that can be parsed but are invalid.
 class SettingsError : public std::invalid_argument {
  public:
   explicit SettingsError(const std::string& problem)
       : std::invalid_argument("unusable settings: " + problem) {}
 };
 
-/// Throws wire::Malformed or SettingsError, whose text an operator understands.
+/// Converts a JSON object to validated settings. Throws wire::Malformed or SettingsError with a
+/// message for the operator.
 routing::wire::Setup settingsOf(const nlohmann::json& settings);
 
 }  // namespace inference_router::frontend
