--- a/tests/fronts_test.cpp
+++ b/tests/fronts_test.cpp
@@ -1,5 +1,5 @@
-// Both fronts on the whole program but its signals, between clients and instances of our own on
-// loopback.
+// Tests both front ends with the whole program except its signal handling, between simulated
+// clients and instances on loopback.
 #include <csignal>
 #include <iostream>
 
@@ -19,99 +19,99 @@
 using nlohmann::json;
 namespace wire = routing::wire;
 
-// ---- The same decisions through both fronts
-// --------------------------------------------------------
+// ---- Both front ends
 
-std::vector<std::string> decisionsThrough(bool openai,
+std::vector<std::string> routingDecisions(bool openai,
                                           const std::vector<RouterFixture::Kind>& kinds) {
-  RouterFixture site(kinds, openai);
-  // A read ends only after its place is answered, so that what races on a network comes in one
-  // order here.
+  RouterFixture fixture(kinds, openai);
+  // A prefill ends only after its decode reservation is answered. On a network the two race; a
+  // fixed order makes the decisions comparable.
   for (const auto& kind : kinds) {
     if (kind.role != "read")
       continue;
-    site.instances[kind.id]->script = leaveUnanswered;
+    fixture.instances[kind.id]->script = leaveUnanswered;
   }
   for (int i = 0; i < 24; ++i) {
-    const std::string opening =
+    const std::string systemPrompt =
         "You help members of club " + std::to_string(i % 3) + ". " + std::string(800, 'o');
-    const json messages{{{"role", "system"}, {"content", opening}},
+    const json messages{{{"role", "system"}, {"content", systemPrompt}},
                         {{"role", "user"}, {"content", "Question " + std::to_string(i / 2)}}};
-    const bool change = i % 4 == 3;
-    const json body{{"model", change ? "change" : "ask"},
+    const bool isChange = i % 4 == 3;
+    const json body{{"model", isChange ? "change" : "ask"},
                     {"stream", true},
                     {"max_tokens", 50},
                     {"messages", messages}};
     std::shared_ptr<Reply> reply;
-    const auto answered = site.server->counters["places.answered"];
+    const auto reservationsBefore = fixture.server->counters["places.answered"];
     if (openai) {
-      reply = site.chat(body);
+      reply = fixture.chat(body);
     } else {
-      const auto derived = frontend::traitsOf(messages, "club", "");
-      reply =
-          site.post("/v1/chat/completions",
-                    {{"X-Call-Id", "id" + std::to_string(i)},
-                     {"X-Call-Class", change ? "membership-changes" : "member-questions"},
-                     {"X-Caller", "club"},
-                     {"X-Route-Hash", derived.session},
-                     {"X-Budget-Ms", change ? "6000" : "7500"},
-                     {"X-Call-Info",
-                      "prefix=" + derived.prefix + ",prompt_len=" +
-                          std::to_string(static_cast<int>(derived.promptTokens)) + ",prefix_len=" +
-                          std::to_string(static_cast<int>(derived.prefixTokens)) + ",max_out=50"}},
-                    body.dump());
+      const auto traits = frontend::traitsOf(messages, "club", "");
+      reply = fixture.post(
+          "/v1/chat/completions",
+          {{"X-Call-Id", "id" + std::to_string(i)},
+           {"X-Call-Class", isChange ? "membership-changes" : "member-questions"},
+           {"X-Caller", "club"},
+           {"X-Route-Hash", traits.session},
+           {"X-Budget-Ms", isChange ? "6000" : "7500"},
+           {"X-Call-Info",
+            "prefix=" + traits.prefix + ",prompt_len=" +
+                std::to_string(static_cast<int>(traits.promptTokens)) + ",prefix_len=" +
+                std::to_string(static_cast<int>(traits.prefixTokens)) + ",max_out=50"}},
+          body.dump());
     }
     for (const auto& kind : kinds) {
       if (kind.role != "read")
         continue;
-      const auto ready = [&] { return site.server->counters["places.answered"] == answered + 1; };
-      EXPECT_TRUE(site.until(ready)) << i << ' ' << site.decisions.back();
-      if (!ready())
-        return site.decisions;
-      for (const auto& taken : site.instances[kind.id]->received)
-        if (taken->connection->state() == net::ClientConnection::State::kAnswering)
-          answerPrefill(*site.instances[kind.id], *taken);
+      const auto isReserved = [&] {
+        return fixture.server->counters["places.answered"] == reservationsBefore + 1;
+      };
+      EXPECT_TRUE(fixture.until(isReserved)) << i << ' ' << fixture.decisions.back();
+      if (!isReserved())
+        return fixture.decisions;
+      for (const auto& request : fixture.instances[kind.id]->received)
+        if (request->connection->state() == net::ClientConnection::State::kAnswering)
+          answerPrefill(*fixture.instances[kind.id], *request);
     }
-    site.finished(reply);
+    fixture.finished(reply);
     EXPECT_EQ(reply->status, 200U);
-    EXPECT_TRUE(site.until([&] { return site.server->dispatcher.openRequests() == 0; }));
-    site.pass(40 + i);
+    EXPECT_TRUE(fixture.until([&] { return fixture.server->dispatcher.openRequests() == 0; }));
+    fixture.pass(40 + i);
   }
-  return site.decisions;
+  return fixture.decisions;
 }
 
-TEST(BothFronts, LeadToTheSameDecisionsWithMixedInstances) {
-  const auto platform = decisionsThrough(false, kMixed);
+TEST(BothFrontEnds, MakeTheSameDecisionsWithMixedInstances) {
+  const auto platform = routingDecisions(false, kMixed);
   EXPECT_GT(platform.size(), 24U);
-  EXPECT_EQ(platform, decisionsThrough(true, kMixed));
+  EXPECT_EQ(platform, routingDecisions(true, kMixed));
 }
 
-TEST(BothFronts, LeadToTheSameDecisionsWithReadersAndWriters) {
-  const auto platform = decisionsThrough(false, kSplit);
-  EXPECT_GT(platform.size(), 72U);  // a read, a place and a write for each
-  EXPECT_EQ(platform, decisionsThrough(true, kSplit));
+TEST(BothFrontEnds, MakeTheSameDecisionsWithPrefillAndDecodeInstances) {
+  const auto platform = routingDecisions(false, kSplit);
+  EXPECT_GT(platform.size(), 72U);  // a prefill, a reservation and a decode for each request
+  EXPECT_EQ(platform, routingDecisions(true, kSplit));
 }
 
 // ---- The platform's protocol
-// -----------------------------------------------------------------------
 
-TEST(Platform, PassesAStreamOnUnchanged) {
-  RouterFixture site(kSplit, false);
-  const auto reply =
-      site.finished(site.post("/v1/chat/completions?x=1", platformFields("a"), "{\"any\":1}"));
+TEST(Platform, ForwardsAStreamUnchanged) {
+  RouterFixture fixture(kSplit, false);
+  const auto reply = fixture.finished(
+      fixture.post("/v1/chat/completions?x=1", platformFields("a"), "{\"any\":1}"));
   EXPECT_EQ(reply->text, eventOf("Hel") + eventOf("lo") + kLastEvents);
-  for (const auto& [id, instance] : site.instances) {
-    for (const auto& taken : instance->received) {
-      if (taken->target.rfind("/v1/", 0) != 0)
+  for (const auto& [id, instance] : fixture.instances) {
+    for (const auto& request : instance->received) {
+      if (request->target.rfind("/v1/", 0) != 0)
         continue;
-      EXPECT_EQ(taken->target, "/v1/chat/completions?x=1");
-      EXPECT_EQ(taken->body, "{\"any\":1}");
-      EXPECT_EQ(taken->id, "a");
+      EXPECT_EQ(request->target, "/v1/chat/completions?x=1");
+      EXPECT_EQ(request->body, "{\"any\":1}");
+      EXPECT_EQ(request->id, "a");
     }
   }
 }
 
-TEST(Platform, OutcomesAreReadAsTheProtocolSays) {
+TEST(Platform, MapsResponsesToOutcomesAsTheProtocolSpecifies) {
   struct Case {
     unsigned status;
     bool rejected;
@@ -121,140 +121,143 @@
        {Case{500, false, "attempts.error"}, Case{503, true, "attempts.turned_away"},
         Case{504, true, "attempts.turned_away"}, Case{503, false, "attempts.error"},
         Case{410, true, "attempts.turned_away"}, Case{202, false, "attempts.read"}}) {
-    RouterFixture site({{"m1", "both", 0}}, false);
-    site.instances["m1"]->script = [&](StandInInstance&, StandInInstance::ReceivedRequest& taken) {
-      taken.connection->answer(c.status,
-                               c.rejected ? net::Fields{{"X-Rejected", "1"}} : net::Fields{}, "");
+    RouterFixture fixture({{"m1", "both", 0}}, false);
+    fixture.instances["m1"]->script = [&](StandInInstance&,
+                                          StandInInstance::ReceivedRequest& request) {
+      request.connection->answer(c.status,
+                                 c.rejected ? net::Fields{{"X-Rejected", "1"}} : net::Fields{}, "");
     };
-    site.post("/v1/chat/completions", platformFields("a"), "{}");
-    EXPECT_TRUE(site.until([&] { return site.server->counters[c.counter] > 0; })) << c.counter;
+    fixture.post("/v1/chat/completions", platformFields("a"), "{}");
+    EXPECT_TRUE(fixture.until([&] { return fixture.server->counters[c.counter] > 0; }))
+        << c.counter;
   }
 }
 
-// Guards the first event, which ties a request to its attempt, against noise and half events; and
-// the instances, any of which may send a spoilt answer, against being passed over for one.
-TEST(Platform, ASpoiltStreamIsTriedAgainBeforeItsFirstEventAndBreaksOffAfterIt) {
-  for (const std::string spoilt : {"data: {\"x\":1}\nab", "noise", "data: half an event\n"}) {
-    RouterFixture site({{"m1", "both", 0}, {"m2", "both", 0}}, false);
-    int asked = 0;
-    for (auto& [id, instance] : site.instances)
-      instance->script = [&, spoilt](StandInInstance& self,
-                                     StandInInstance::ReceivedRequest& taken) {
-        if (++asked > 1)
-          return streamFullAnswer(self, taken);
-        taken.connection->beginStream({});
-        taken.connection->writeChunk(spoilt);
-        taken.connection->endStream();
+// A first event commits a request to its attempt, so invalid bytes or an incomplete event must not
+// count as one. A single invalid response must not exclude its instance either, as any instance can
+// send one.
+TEST(Platform, InvalidStreamIsRetriedBeforeItsFirstEventAndAbortedAfterIt) {
+  for (const std::string invalid : {"data: {\"x\":1}\nab", "noise", "data: half an event\n"}) {
+    RouterFixture fixture({{"m1", "both", 0}, {"m2", "both", 0}}, false);
+    int attempts = 0;
+    for (auto& [id, instance] : fixture.instances)
+      instance->script = [&, invalid](StandInInstance& self,
+                                      StandInInstance::ReceivedRequest& request) {
+        if (++attempts > 1)
+          return streamFullAnswer(self, request);
+        request.connection->beginStream({});
+        request.connection->writeChunk(invalid);
+        request.connection->endStream();
       };
     net::Fields fields = platformFields("safe");
     fields[1].second = "member-questions";
-    const auto reply = site.finished(site.post("/v1/x", fields, "{}"));
-    EXPECT_EQ(reply->text, eventOf("Hel") + eventOf("lo") + kLastEvents) << spoilt;
-    EXPECT_EQ(site.server->counters["answers.garbled"], 1U);
-    EXPECT_EQ(site.server->counters["attempts.error"], 1U);
+    const auto reply = fixture.finished(fixture.post("/v1/x", fields, "{}"));
+    EXPECT_EQ(reply->text, eventOf("Hel") + eventOf("lo") + kLastEvents) << invalid;
+    EXPECT_EQ(fixture.server->counters["answers.garbled"], 1U);
+    EXPECT_EQ(fixture.server->counters["attempts.error"], 1U);
   }
-  RouterFixture site(kMixed, false);
-  for (auto& [id, instance] : site.instances)
-    instance->script = [](StandInInstance&, StandInInstance::ReceivedRequest& taken) {
-      taken.connection->beginStream({});
-      taken.connection->writeChunk(eventOf("Hel") + "dat");
+  RouterFixture fixture(kMixed, false);
+  for (auto& [id, instance] : fixture.instances)
+    instance->script = [](StandInInstance&, StandInInstance::ReceivedRequest& request) {
+      request.connection->beginStream({});
+      request.connection->writeChunk(eventOf("Hel") + "dat");
     };
-  const auto reply = site.post("/v1/x", platformFields("late"), "{}");
-  ASSERT_TRUE(site.until([&] { return !reply->text.empty(); }));
+  const auto reply = fixture.post("/v1/x", platformFields("late"), "{}");
+  ASSERT_TRUE(fixture.until([&] { return !reply->text.empty(); }));
   EXPECT_EQ(reply->text, eventOf("Hel"));
-  site.streaming()->connection->writeChunk("zz\r\n");
-  EXPECT_EQ(site.finished(reply)->failure, net::CallFailure::kReset);  // without the last chunk
-  EXPECT_EQ(site.chats(), 1);
+  fixture.streaming()->connection->writeChunk("zz\r\n");
+  EXPECT_EQ(fixture.finished(reply)->failure, net::CallFailure::kReset);  // without the last chunk
+  EXPECT_EQ(fixture.chats(), 1);
 }
 
-// Guards the streams of the next decode instance against a whole prompt that it would have to read
-// between their steps: the state went to the decode instance whose opening was spoilt, and the
-// prefill instance keeps the prompt's text.
-TEST(Platform, ASpoiltOpeningIsReadAgainBeforeTheNextWriterGetsIt) {
-  RouterFixture site(kSplit, false);
-  std::vector<std::string> order;
-  for (auto& [id, instance] : site.instances)
+// The KV cache went to the decode instance whose response was invalid. Without another prefill, the
+// next decode instance would have to process the whole prompt between the steps of its other
+// streams. The prefill instance keeps the prompt's text.
+TEST(Platform, InvalidFirstEventIsFollowedByAnotherPrefillBeforeTheNextDecode) {
+  RouterFixture fixture(kSplit, false);
+  std::vector<std::string> roles;
+  for (auto& [id, instance] : fixture.instances)
     instance->script = [&, id = id](StandInInstance& self,
-                                    StandInInstance::ReceivedRequest& taken) {
-      order.push_back(id.substr(0, 1));
-      if (order.back() == "r")
-        return answerPrefill(self, taken);
-      if (order.size() > 2)
-        return streamFullAnswer(self, taken);
-      taken.connection->beginStream({});
-      taken.connection->writeChunk("noise");
-      taken.connection->endStream();
+                                    StandInInstance::ReceivedRequest& request) {
+      roles.push_back(id.substr(0, 1));
+      if (roles.back() == "r")
+        return answerPrefill(self, request);
+      if (roles.size() > 2)
+        return streamFullAnswer(self, request);
+      request.connection->beginStream({});
+      request.connection->writeChunk("noise");
+      request.connection->endStream();
     };
   net::Fields fields = platformFields("safe");
   fields[1].second = "member-questions";
-  const auto reply = site.finished(site.post("/v1/x", fields, "{}"));
+  const auto reply = fixture.finished(fixture.post("/v1/x", fields, "{}"));
   EXPECT_EQ(reply->text, eventOf("Hel") + eventOf("lo") + kLastEvents);
-  EXPECT_EQ(order, (std::vector<std::string>{"r", "w", "r", "w"}));
+  EXPECT_EQ(roles, (std::vector<std::string>{"r", "w", "r", "w"}));
 }
 
-// Guards a client against waiting on a stream whose instance has gone silent; a slow one is left
-// alone.
-TEST(Platform, AStreamThatStopsBreaksOffWithinFiveSeconds) {
-  RouterFixture site(kMixed, false);
-  for (auto& [id, instance] : site.instances)
+// A client must not wait for a stream whose instance has fallen silent. A stream that is only slow
+// is not aborted.
+TEST(Platform, SilentStreamIsAbortedWithinFiveSeconds) {
+  RouterFixture fixture(kMixed, false);
+  for (auto& [id, instance] : fixture.instances)
     instance->script = beginOnly;
-  const auto reply = site.post("/v1/x", platformFields("a"), "{}");
-  ASSERT_TRUE(site.until([&] { return reply->text == eventOf("first"); }));
-  site.pass(3'500);
+  const auto reply = fixture.post("/v1/x", platformFields("a"), "{}");
+  ASSERT_TRUE(fixture.until([&] { return reply->text == eventOf("first"); }));
+  fixture.pass(3'500);
   EXPECT_FALSE(reply->over);
-  site.streaming()->connection->writeChunk(eventOf("more"));
-  ASSERT_TRUE(site.until([&] { return reply->text == eventOf("first") + eventOf("more"); }));
-  site.pass(3'500);
-  EXPECT_EQ(site.server->counters["attempts.stalled"], 0U);
-  site.pass(1'000);
-  EXPECT_EQ(site.finished(reply)->failure, net::CallFailure::kReset);
-  EXPECT_EQ(site.server->counters["attempts.stalled"], 1U);
-  EXPECT_EQ(site.chats(), 1);
+  fixture.streaming()->connection->writeChunk(eventOf("more"));
+  ASSERT_TRUE(fixture.until([&] { return reply->text == eventOf("first") + eventOf("more"); }));
+  fixture.pass(3'500);
+  EXPECT_EQ(fixture.server->counters["attempts.stalled"], 0U);
+  fixture.pass(1'000);
+  EXPECT_EQ(fixture.finished(reply)->failure, net::CallFailure::kReset);
+  EXPECT_EQ(fixture.server->counters["attempts.stalled"], 1U);
+  EXPECT_EQ(fixture.chats(), 1);
 }
 
-// Guards against a last chunk that never follows the event that ends the stream.
-TEST(Platform, AStreamWithoutItsLastChunkBreaksOffByTheClock) {
-  RouterFixture site(kMixed, false);
-  for (auto& [id, instance] : site.instances)
-    instance->script = [](StandInInstance&, StandInInstance::ReceivedRequest& taken) {
-      taken.connection->beginStream({});
-      taken.connection->writeChunk(kLastEvents);
+// An instance may send the event that ends the stream and then never the last chunk.
+TEST(Platform, StreamWithoutItsLastChunkIsAbortedAfterATimeout) {
+  RouterFixture fixture(kMixed, false);
+  for (auto& [id, instance] : fixture.instances)
+    instance->script = [](StandInInstance&, StandInInstance::ReceivedRequest& request) {
+      request.connection->beginStream({});
+      request.connection->writeChunk(kLastEvents);
     };
-  const auto reply = site.post("/v1/x", platformFields("a"), "{}");
-  ASSERT_TRUE(site.until([&] { return reply->text == kLastEvents; }));
-  site.pass(1001);
-  EXPECT_EQ(site.finished(reply)->failure, net::CallFailure::kReset);
+  const auto reply = fixture.post("/v1/x", platformFields("a"), "{}");
+  ASSERT_TRUE(fixture.until([&] { return reply->text == kLastEvents; }));
+  fixture.pass(1001);
+  EXPECT_EQ(fixture.finished(reply)->failure, net::CallFailure::kReset);
 }
 
-TEST(Platform, AReleaseIsTriedElsewhereUntilItGetsThrough) {
-  RouterFixture site(kSplit, false);
-  for (auto& [id, instance] : site.instances)
+TEST(Platform, ReleaseIsRetriedAtOtherInstancesUntilAccepted) {
+  RouterFixture fixture(kSplit, false);
+  for (auto& [id, instance] : fixture.instances)
     instance->script = leaveUnanswered;
-  const auto reply = site.post("/v1/chat/completions", platformFields("a"), "{}");
-  ASSERT_TRUE(site.until(
-      [&] { return site.chats() == 1 && site.server->counters["places.answered"] == 1; }));
-  // Those with a connection at hand are asked first, and do not do it.
-  for (auto& [id, instance] : site.instances)
+  const auto reply = fixture.post("/v1/chat/completions", platformFields("a"), "{}");
+  ASSERT_TRUE(fixture.until(
+      [&] { return fixture.chats() == 1 && fixture.server->counters["places.answered"] == 1; }));
+  // Instances with an idle connection are tried first; they do not accept the release.
+  for (auto& [id, instance] : fixture.instances)
     instance->acceptsReleases = instance->received.empty();
-  site.lastCall->abandon();
-  ASSERT_TRUE(site.until([&] {
+  fixture.lastCall->abandon();
+  ASSERT_TRUE(fixture.until([&] {
     int released = 0;
-    for (const auto& [id, instance] : site.instances)
+    for (const auto& [id, instance] : fixture.instances)
       if (instance->acceptsReleases)
         released += instance->count("DELETE", "/bootstrap/rooms/a");
     return released > 0;
   }));
 }
 
-TEST(Platform, RequestsThatAreNoneGetAPlain400) {
-  RouterFixture site(kMixed, false);
+TEST(Platform, InvalidRequestHeadersAreAnsweredWith400) {
+  RouterFixture fixture(kMixed, false);
   auto fields = platformFields("a");
   for (std::size_t i : {0U, 1U, 4U}) {
     auto bad = fields;
     bad[i].second = "?";
-    EXPECT_EQ(site.finished(site.post("/v1/chat/completions", bad, "{}"))->status, 400U);
+    EXPECT_EQ(fixture.finished(fixture.post("/v1/chat/completions", bad, "{}"))->status, 400U);
   }
-  EXPECT_EQ(site.chats(), 0);
+  EXPECT_EQ(fixture.chats(), 0);
 }
 
 net::HttpRequest requestWith(net::Fields fields) {
@@ -271,9 +274,9 @@
   return frontend::arrivalOf(request, names);
 }
 
-// What only some deployments' clients say comes from the request alone: nobody has to say it, and a
-// guess that is none refuses nothing.
-TEST(Platform, TakesTheCostThatClientsGuessAsTheSimulatorsWireDoes) {
+// Only the clients of some deployments send a cost. It is optional, and an invalid one must not
+// reject the request.
+TEST(Platform, ReadsTheCostHeaderLikeTheSimulatorsWire) {
   const wire::Vocabulary names = frontend::settingsOf(siteSettings()).names;
   const auto costUs = [&](const char* text) {
     const auto hint =
@@ -282,46 +285,46 @@
   };
   EXPECT_EQ(costUs("12000"), 12'000);
   EXPECT_EQ(costUs("7680.4"), 7'680);
-  for (const char* none :
+  for (const char* invalid :
        {static_cast<const char*>(nullptr), "", "0", "-3", "soon", "12 ms", "nan", "inf", "1e300"})
-    EXPECT_EQ(costUs(none), -1) << (none == nullptr ? "not said" : none);
+    EXPECT_EQ(costUs(invalid), -1) << (invalid == nullptr ? "no header" : invalid);
   const std::string line = "ARRIVAL\ta\tmember-questions\tclub\ts\t6000\t12.0\t-\t100\t0\t50\t1";
-  const auto told = std::get<routing::Arrival>(wire::parseEvent(wire::Line(line, 1), names));
-  EXPECT_EQ(told.lengthHint, arrivalWith("X-Call-Cost", "12000", names).lengthHint);
+  const auto parsed = std::get<routing::Arrival>(wire::parseEvent(wire::Line(line, 1), names));
+  EXPECT_EQ(parsed.lengthHint, arrivalWith("X-Call-Cost", "12000", names).lengthHint);
 }
 
-TEST(Platform, TellsRepeatsFromResumedRequestsAndBothFromClientsThatMarkNothing) {
+TEST(Platform, DistinguishesRepeatedResumedAndUnmarkedRequests) {
   const wire::Vocabulary names = frontend::settingsOf(siteSettings()).names;
   const auto marks = [&](const char* name, const char* value) {
-    const auto told = arrivalWith(name, value, names);
-    return std::pair(told.repeat, told.resumed);
+    const auto arrival = arrivalWith(name, value, names);
+    return std::pair(arrival.repeat, arrival.resumed);
   };
   EXPECT_EQ(marks(nullptr, nullptr), std::pair(false, false));
   EXPECT_EQ(marks("X-Again", "1"), std::pair(true, false));
   EXPECT_EQ(marks("X-Again", "again"), std::pair(false, true));
-  auto none = names;
-  none.tenants.clear();  // a deployment without tenants, or one that the settings do not name
-  EXPECT_EQ(arrivalWith(nullptr, nullptr, none).tenant, std::nullopt);
+  auto namesWithoutTenants = names;
+  namesWithoutTenants.tenants.clear();  // the deployment may have no tenants
+  EXPECT_EQ(arrivalWith(nullptr, nullptr, namesWithoutTenants).tenant, std::nullopt);
+  // A tenant that the settings do not name counts as none.
   EXPECT_EQ(arrivalWith("X-Caller", "stranger", names).tenant, std::nullopt);
 }
 
 // ---- The chat API
-// ----------------------------------------------------------------------------------
 
-TEST(ChatApi, StreamsWithoutUsageUnlessItIsAskedFor) {
-  RouterFixture site(kSplit, true);
-  const auto plain = site.finished(site.chat({{"model", "ask"}, {"stream", true}}));
-  EXPECT_NE(plain->text.find("Hel"), std::string::npos);
-  EXPECT_EQ(plain->text.find("usage"), std::string::npos);
-  EXPECT_NE(plain->text.find("data: [DONE]\n\n"), std::string::npos);
-  const auto usage = site.finished(site.chat(
+TEST(ChatApi, StreamsUsageOnlyIfRequested) {
+  RouterFixture fixture(kSplit, true);
+  const auto withoutUsage = fixture.finished(fixture.chat({{"model", "ask"}, {"stream", true}}));
+  EXPECT_NE(withoutUsage->text.find("Hel"), std::string::npos);
+  EXPECT_EQ(withoutUsage->text.find("usage"), std::string::npos);
+  EXPECT_NE(withoutUsage->text.find("data: [DONE]\n\n"), std::string::npos);
+  const auto withUsage = fixture.finished(fixture.chat(
       {{"model", "ask"}, {"stream", true}, {"stream_options", {{"include_usage", true}}}}));
-  EXPECT_EQ(usage->text, eventOf("Hel") + eventOf("lo") + kLastEvents);
+  EXPECT_EQ(withUsage->text, eventOf("Hel") + eventOf("lo") + kLastEvents);
 }
 
-TEST(ChatApi, AnAnswerWithoutStreamIsPutTogether) {
-  RouterFixture site(kMixed, true);
-  const auto reply = site.finished(site.chat({{"model", "ask"}}));
+TEST(ChatApi, AssemblesOneResponseForAClientWithoutStream) {
+  RouterFixture fixture(kMixed, true);
+  const auto reply = fixture.finished(fixture.chat({{"model", "ask"}}));
   const json answer = json::parse(reply->text);
   EXPECT_EQ(answer["object"], "chat.completion");
   EXPECT_EQ(answer["choices"][0]["message"]["content"], "Hello");
@@ -329,60 +332,60 @@
   EXPECT_EQ(answer["usage"]["completion_tokens"], 2);
 }
 
-TEST(ChatApi, ErrorsAreWordedAsItsClientsExpect) {
-  RouterFixture site(kMixed, true);
+TEST(ChatApi, ErrorsHaveTheFormatThatClientsExpect) {
+  RouterFixture fixture(kMixed, true);
   const auto expect = [&](const std::shared_ptr<Reply>& reply, unsigned status, const json& param) {
-    site.finished(reply);
+    fixture.finished(reply);
     EXPECT_EQ(reply->status, status) << reply->text;
     const json error = json::parse(reply->text).at("error");
     EXPECT_EQ(error.at("param"), param);
     EXPECT_TRUE(error.at("message").is_string() && error.contains("type") &&
                 error.contains("code"));
   };
-  expect(site.chat({{"model", "ask"}}, "wrong"), 401, nullptr);
-  expect(site.chat({{"model", "none"}}), 404, "model");
-  expect(site.chat({{"model", "ask"}, {"messages", json::array()}}), 400, "messages");
-  expect(site.chat({{"model", "ask"}, {"max_tokens", 0}}), 400, "max_tokens");
-  expect(site.chat({{"model", "ask"}, {"stream_options", {{"include_usage", true}}}}), 400,
+  expect(fixture.chat({{"model", "ask"}}, "wrong"), 401, nullptr);
+  expect(fixture.chat({{"model", "none"}}), 404, "model");
+  expect(fixture.chat({{"model", "ask"}, {"messages", json::array()}}), 400, "messages");
+  expect(fixture.chat({{"model", "ask"}, {"max_tokens", 0}}), 400, "max_tokens");
+  expect(fixture.chat({{"model", "ask"}, {"stream_options", {{"include_usage", true}}}}), 400,
          "stream_options");
-  expect(site.post("/v1/else", {{"Authorization", "Bearer k"}}, "{}"), 404, nullptr);
-  expect(site.post("/v1/chat/completions", {{"Authorization", "Bearer k"}}, "no json"), 400,
+  expect(fixture.post("/v1/else", {{"Authorization", "Bearer k"}}, "{}"), 404, nullptr);
+  expect(fixture.post("/v1/chat/completions", {{"Authorization", "Bearer k"}}, "no json"), 400,
          nullptr);
-  expect(
-      site.post("/v1/chat/completions", {{"Authorization", "Bearer k"}}, std::string(300'000, ' ')),
-      413, nullptr);
-  EXPECT_EQ(site.chats(), 0);
+  expect(fixture.post("/v1/chat/completions", {{"Authorization", "Bearer k"}},
+                      std::string(300'000, ' ')),
+         413, nullptr);
+  EXPECT_EQ(fixture.chats(), 0);
 }
 
-TEST(ChatApi, AClientThatClosesMidStreamEndsTheInstancesWork) {
-  RouterFixture site(kMixed, true);
-  for (auto& [id, instance] : site.instances)
+TEST(ChatApi, ClientDisconnectMidStreamEndsTheInstancesWork) {
+  RouterFixture fixture(kMixed, true);
+  for (auto& [id, instance] : fixture.instances)
     instance->script = beginOnly;
-  const auto reply = site.chat({{"model", "ask"}, {"stream", true}});
-  ASSERT_TRUE(site.until([&] { return !reply->text.empty(); }));
-  const StandInInstance::ReceivedRequest* const taken = site.streaming();
-  ASSERT_NE(taken, nullptr);
-  site.lastCall->abandon();
-  EXPECT_TRUE(site.until([&] { return taken->disconnected; }));
-  EXPECT_EQ(site.server->counters["requests.client_gone"], 1U);
-  EXPECT_EQ(site.server->dispatcher.openRequests(), 0U);
+  const auto reply = fixture.chat({{"model", "ask"}, {"stream", true}});
+  ASSERT_TRUE(fixture.until([&] { return !reply->text.empty(); }));
+  const StandInInstance::ReceivedRequest* const request = fixture.streaming();
+  ASSERT_NE(request, nullptr);
+  fixture.lastCall->abandon();
+  EXPECT_TRUE(fixture.until([&] { return request->disconnected; }));
+  EXPECT_EQ(fixture.server->counters["requests.client_gone"], 1U);
+  EXPECT_EQ(fixture.server->dispatcher.openRequests(), 0U);
 }
 
-TEST(ChatApi, AChangeWhoseInstanceVanishesAfterTheFirstEventEndsInOneErrorAndIsNotSentAgain) {
+TEST(ChatApi, ChangeWhoseInstanceFailsAfterTheFirstEventEndsInOneErrorWithoutRetry) {
   for (const bool stream : {true, false}) {
-    RouterFixture site(kMixed, true);
-    for (auto& [id, instance] : site.instances)
+    RouterFixture fixture(kMixed, true);
+    for (auto& [id, instance] : fixture.instances)
       instance->script = beginOnly;
-    const auto reply = site.chat({{"model", "change"}, {"stream", stream}}, "desk");
-    ASSERT_TRUE(site.until([&] {
-      return site.streaming() != nullptr && site.server->counters["requests.taken"] == 1;
+    const auto reply = fixture.chat({{"model", "change"}, {"stream", stream}}, "desk");
+    ASSERT_TRUE(fixture.until([&] {
+      return fixture.streaming() != nullptr && fixture.server->counters["requests.taken"] == 1;
     }));
     if (stream) {
-      ASSERT_TRUE(site.until([&] { return !reply->text.empty(); }));
+      ASSERT_TRUE(fixture.until([&] { return !reply->text.empty(); }));
     }
-    site.streaming()->connection->abortResponse();
-    site.finished(reply);
-    site.pass(8000);
+    fixture.streaming()->connection->abortResponse();
+    fixture.finished(reply);
+    fixture.pass(8000);
     EXPECT_TRUE(reply->complete);
     const std::size_t error = reply->text.find("\"error\"");
     EXPECT_NE(error, std::string::npos);
@@ -391,153 +394,155 @@
     if (!stream) {
       EXPECT_EQ(reply->fields["X-Should-Retry"], "false");
     }
-    EXPECT_EQ(site.chats(), 1);
+    EXPECT_EQ(fixture.chats(), 1);
   }
 }
 
-TEST(ChatApi, ADeadlineBeforeTheFirstTokenIsA504) {
+TEST(ChatApi, DeadlineBeforeTheFirstTokenIsAnsweredWith504) {
   for (const char* model : {"ask", "change"}) {
-    RouterFixture site({{"m1", "both", 0}}, true);
-    site.instances["m1"]->script = leaveUnanswered;
-    const auto reply = site.chat({{"model", model}, {"stream", true}});
-    ASSERT_TRUE(site.until([&] { return site.chats() == 1; }));
+    RouterFixture fixture({{"m1", "both", 0}}, true);
+    fixture.instances["m1"]->script = leaveUnanswered;
+    const auto reply = fixture.chat({{"model", model}, {"stream", true}});
+    ASSERT_TRUE(fixture.until([&] { return fixture.chats() == 1; }));
     for (int i = 0; i < 800 && !reply->over; ++i) {
-      site.pass(10);
-      site.io.restart();
-      site.io.poll();
+      fixture.pass(10);
+      fixture.io.restart();
+      fixture.io.poll();
     }
-    site.finished(reply);
+    fixture.finished(reply);
     EXPECT_TRUE(reply->status == 504 || (std::string(model) == "ask" && reply->status == 429))
         << reply->status;
   }
 }
 
-TEST(ChatApi, ASlowReaderHoldsItsInstanceAndLosesNothing) {
-  RouterFixture site({{"m1", "both", 0}}, true);
-  site.instances["m1"]->script = beginOnly;
-  RawPeer client(site.io);
-  client.connect(site.listener->address());
+TEST(ChatApi, SlowClientPausesItsInstanceAndLosesNoEvent) {
+  RouterFixture fixture({{"m1", "both", 0}}, true);
+  fixture.instances["m1"]->script = beginOnly;
+  RawPeer client(fixture.io);
+  client.connect(fixture.listener->address());
   const std::string body =
       R"({"model":"ask","stream":true,"messages":[{"role":"user","content":"x"}]})";
   client.write(
       messageText("POST /v1/chat/completions HTTP/1.1", {{"Authorization", "Bearer k"}}, body));
-  ASSERT_TRUE(site.until([&] { return site.streaming() != nullptr; }));
-  const auto instance = site.streaming()->connection;
+  ASSERT_TRUE(fixture.until([&] { return fixture.streaming() != nullptr; }));
+  const auto instance = fixture.streaming()->connection;
   const std::string event = eventOf(std::string(60'000, 'x'));
   int sent = 0;
-  // The instance is held once every buffer on the way is full; without that the program would hold
-  // all of it.
+  // The instance is paused once every buffer on the way is full. Without this backpressure the
+  // program would buffer the whole stream.
   while (sent < 2000 && instance->writeChunk(event)) {
     ++sent;
     for (int i = 0; i < 20; ++i) {
-      site.io.restart();
-      site.io.poll();
+      fixture.io.restart();
+      fixture.io.poll();
     }
   }
   EXPECT_LT(sent, 2000);
   instance->writeChunk(kLastEvents);
   instance->endStream();
-  ASSERT_TRUE(site.until(
+  ASSERT_TRUE(fixture.until(
       [&] { return client.ended() || client.seen.find("[DONE]") != std::string::npos; }));
   std::size_t events = 0;
   for (std::size_t at = client.seen.find("\"content\""); at != std::string::npos;
        at = client.seen.find("\"content\"", at + 1))
     ++events;
   EXPECT_EQ(events,
-            static_cast<std::size_t>(sent) + 2);  // the first, those, and the one that was held
+            static_cast<std::size_t>(sent) +
+                2);  // the first, those sent in the loop, and the one that paused the instance
 }
 
-TEST(ChatApi, ADrainLetsAStreamEnd) {
-  RouterFixture site(kMixed, true);
-  for (auto& [id, instance] : site.instances)
+TEST(ChatApi, DrainWaitsForAStreamToEnd) {
+  RouterFixture fixture(kMixed, true);
+  for (auto& [id, instance] : fixture.instances)
     instance->script = beginOnly;
-  const auto reply = site.chat({{"model", "ask"}, {"stream", true}});
-  ASSERT_TRUE(site.until([&] { return !reply->text.empty(); }));
-  bool done = false;
-  site.listener->drain(500, [&] { done = true; });
-  site.pass(1000);
-  const auto instance = site.streaming()->connection;
-  EXPECT_FALSE(done);
+  const auto reply = fixture.chat({{"model", "ask"}, {"stream", true}});
+  ASSERT_TRUE(fixture.until([&] { return !reply->text.empty(); }));
+  bool drained = false;
+  fixture.listener->drain(500, [&] { drained = true; });
+  fixture.pass(1000);
+  const auto instance = fixture.streaming()->connection;
+  EXPECT_FALSE(drained);
   instance->writeChunk(kLastEvents);
   instance->endStream();
-  EXPECT_TRUE(site.finished(reply)->complete);
-  EXPECT_TRUE(site.until([&] { return done; }));
+  EXPECT_TRUE(fixture.finished(reply)->complete);
+  EXPECT_TRUE(fixture.until([&] { return drained; }));
 }
 
-// Whoever asks for the rest of a stream finds another node; at a small site nobody does, and
-// nothing is cut.
-TEST(Endings, StreamsAreHandedOverWhereTheirClientsAskForTheRest) {
+// Clients that can resume a stream continue it at another node, so shutdown ends streams after a
+// grace period. Clients of a small site cannot resume, so their streams are never cut off.
+TEST(Shutdown, EndsStreamsAfterAGracePeriodOnlyIfClientsCanResumeThem) {
   routing::Settings settings = frontend::settingsOf(siteSettings()).settings;
-  const app::ShutdownOptions small = app::platformShutdown(settings);
-  EXPECT_FALSE(small.graceMs);
+  const app::ShutdownOptions withoutResumption = app::platformShutdown(settings);
+  EXPECT_FALSE(withoutResumption.graceMs);
   settings.streamResumption = true;
-  const app::ShutdownOptions fleet = app::platformShutdown(settings);
-  EXPECT_EQ(fleet.graceMs, 3700);  // the classes' deadlines are longer than 3 s
-  EXPECT_LT(fleet.acceptForMs, *fleet.graceMs);
+  const app::ShutdownOptions withResumption = app::platformShutdown(settings);
+  EXPECT_EQ(withResumption.graceMs, 3700);  // the classes' deadlines are longer than 3 s
+  EXPECT_LT(withResumption.acceptForMs, *withResumption.graceMs);
 }
 
-// At the last call of a node that ends, what has no stream is refused, and so is what arrives after
-// it, on whatever connection; no instance hears of it, and each connection closes with its answer.
-TEST(Endings, WhatComesAfterTheLastCallIsRefusedAndItsConnectionCloses) {
-  RouterFixture site(kMixed, false);
-  for (auto& [id, instance] : site.instances)
+// Shortly before the end of a shutdown's grace period, requests whose stream has not begun are
+// rejected, and so are requests that arrive later on any connection. They reach no instance, and
+// each connection closes after its response.
+TEST(Shutdown, RejectsRequestsLateInTheGracePeriodAndClosesTheirConnections) {
+  RouterFixture fixture(kMixed, false);
+  for (auto& [id, instance] : fixture.instances)
     instance->script = leaveUnanswered;
-  const auto ask = [](const std::string& id) {
+  const auto requestText = [](const std::string& id) {
     net::Fields fields = platformFields(id);
     fields.emplace_back("Host", "x");
     for (auto& [name, value] : fields)
       if (name == "X-Call-Class")
-        value = "member-questions";  // a repeat of it does no harm
+        value = "member-questions";  // idempotent
     return messageText("POST /v1/chat/completions HTTP/1.1", std::move(fields), "{}");
   };
-  RawPeer waits(site.io), late(site.io);
-  const std::string half = ask("late");
-  waits.connect(site.listener->address());
-  waits.write(ask("waits"));
-  ASSERT_TRUE(site.until([&] { return site.chats() == 1; }));
+  RawPeer waiting(fixture.io), late(fixture.io);
+  const std::string lateRequest = requestText("late");
+  waiting.connect(fixture.listener->address());
+  waiting.write(requestText("waits"));
+  ASSERT_TRUE(fixture.until([&] { return fixture.chats() == 1; }));
   constexpr double kGraceMs = 3'700;
-  bool done = false;
-  site.server->dispatcher.beginShutdown(kGraceMs);
-  site.listener->drain(kGraceMs * 0.58, [&] { done = true; });
+  bool drained = false;
+  fixture.server->dispatcher.beginShutdown(kGraceMs);
+  fixture.listener->drain(kGraceMs * 0.58, [&] { drained = true; });
   auto passTo = [&, passed = 0.0](double share) mutable {
     for (; passed < kGraceMs * share; passed += 10) {
-      site.pass(10);
-      site.io.restart();
-      site.io.poll();
+      fixture.pass(10);
+      fixture.io.restart();
+      fixture.io.poll();
     }
   };
-  passTo(0.5);  // the door is open
-  late.connect(site.listener->address());
-  late.write(half.substr(0, 40));
+  passTo(0.5);  // the listener still accepts connections
+  late.connect(fixture.listener->address());
+  late.write(lateRequest.substr(0, 40));
   passTo(0.92);
-  EXPECT_FALSE(waits.hasBytes());
+  EXPECT_FALSE(waiting.hasBytes());
   passTo(0.95);
-  const int chats = site.chats();
-  const auto refused = [&](RawPeer& client) {
-    EXPECT_TRUE(site.until([&] { return client.ended(); }));
+  const int chats = fixture.chats();
+  const auto expectRejected = [&](RawPeer& client) {
+    EXPECT_TRUE(fixture.until([&] { return client.ended(); }));
     EXPECT_EQ(client.seen.rfind("HTTP/1.1 503", 0), 0U) << client.seen;
     EXPECT_NE(client.seen.find("Connection: close"), std::string::npos) << client.seen;
   };
-  refused(waits);
-  late.write(half.substr(40));
-  refused(late);
-  EXPECT_EQ(site.chats(), chats);
-  EXPECT_TRUE(site.until([&] { return done; }));
+  expectRejected(waiting);
+  late.write(lateRequest.substr(40));
+  expectRejected(late);
+  EXPECT_EQ(fixture.chats(), chats);
+  EXPECT_TRUE(fixture.until([&] { return drained; }));
 }
 
-TEST(ChatApi, ListsItsModels) {
-  RouterFixture site(kMixed, true);
+TEST(ChatApi, ListsModels) {
+  RouterFixture fixture(kMixed, true);
   const auto reply = std::make_shared<Reply>();
-  site.clients->call(site.listener->address(),
-                     net::headText("GET /v1/models HTTP/1.1", {{"Authorization", "Bearer k"}}),
-                     nullptr, reply);
-  site.finished(reply);
+  fixture.clients->call(fixture.listener->address(),
+                        net::headText("GET /v1/models HTTP/1.1", {{"Authorization", "Bearer k"}}),
+                        nullptr, reply);
+  fixture.finished(reply);
   const json list = json::parse(reply->text);
   EXPECT_EQ(list["data"].size(), 2U);
   EXPECT_EQ(list["data"][0]["id"], "ask");
 }
 
-TEST(Derive, TurnsOfAConversationShareTheirSession) {
+TEST(ConversationTraits, TurnsOfAConversationShareASession) {
   json turn{{{"role", "system"}, {"content", "Opening."}}, {{"role", "user"}, {"content", "Hi"}}};
   const auto first = frontend::traitsOf(turn, "club", "");
   turn.push_back({{"role", "assistant"}, {"content", "Hello"}});
@@ -553,10 +558,9 @@
 }
 
 // ---- Discovery, configuration and telemetry
-// --------------------------------------------------------
 
-struct Watching : NetworkFixture {
-  Watching() { dispatcher.connect(instances); }
+struct DiscoveryFixture : NetworkFixture {
+  DiscoveryFixture() { dispatcher.connect(instances); }
   routing::wire::Setup setup = frontend::settingsOf(siteSettings());
   core::RequestDispatcher dispatcher{setup.settings, 7, clock, timers, counters};
   net::ConnectionPool pool{io, clock, timers, counters, {10, 250, 18'000}};
@@ -570,9 +574,9 @@
                                 pool,     setup.names, fleet::DiscoveryBackoff(2, 7)};
 };
 
-std::string listOf(int revision, bool whole, const std::string& phase) {
+std::string listOf(int revision, bool complete, const std::string& phase) {
   return json{{"revision", revision},
-              {"complete", whole},
+              {"complete", complete},
               {"members",
                {{{"id", "a"},
                  {"host_port", "127.0.0.1:9"},
@@ -596,197 +600,199 @@
           {"up_since_ms", started}};
 }
 
-std::string lineOf(int revision, bool whole, const json& members) {
-  return json{{"revision", revision}, {"complete", whole}, {"members", members}}.dump();
+std::string lineOf(int revision, bool complete, const json& members) {
+  return json{{"revision", revision}, {"complete", complete}, {"members", members}}.dump();
 }
 
-TEST(DiscoveryWatch, KeepsTheListWhenItBreaksAndOpensTheWatchAnewWhereItStood) {
-  Watching watching;
-  RawPeer agent(watching.io);
-  watching.discovery.loadCached(json::parse(listOf(41, true, "active")));
-  watching.discovery.watch(agent.address());
+TEST(DiscoveryWatch, KeepsTheListWhenTheWatchBreaksAndReopensAtTheSameRevision) {
+  DiscoveryFixture fixture;
+  RawPeer agent(fixture.io);
+  fixture.discovery.loadCached(json::parse(listOf(41, true, "active")));
+  fixture.discovery.watch(agent.address());
   agent.accept();
-  ASSERT_TRUE(watching.until([&] { return agent.hasBytes(); }));
+  ASSERT_TRUE(fixture.until([&] { return agent.hasBytes(); }));
   EXPECT_NE(agent.readSome().find("GET /api/targets?watch=1&after=41 "), std::string::npos);
   const std::string line = listOf(43, false, "leaving");
   agent.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
               net::encodeChunk(line.substr(0, 30)));
   agent.write(net::encodeChunk(line.substr(30) + "\n"));
-  ASSERT_TRUE(watching.until([&] { return watching.counters["discovery.lists"] == 2; }));
-  EXPECT_EQ(watching.directory.find({"a"})->state, routing::EndpointState::kDraining);
+  ASSERT_TRUE(fixture.until([&] { return fixture.counters["discovery.lists"] == 2; }));
+  EXPECT_EQ(fixture.directory.find({"a"})->state, routing::EndpointState::kDraining);
   agent.reset();
-  ASSERT_TRUE(watching.until([&] { return watching.counters["discovery.broken"] == 1; }));
-  ASSERT_NE(watching.directory.find({"a"}), nullptr);
-  watching.pass(150);
+  ASSERT_TRUE(fixture.until([&] { return fixture.counters["discovery.broken"] == 1; }));
+  ASSERT_NE(fixture.directory.find({"a"}), nullptr);
+  fixture.pass(150);
   agent.accept();
-  ASSERT_TRUE(watching.until([&] { return agent.hasBytes(); }));
+  ASSERT_TRUE(fixture.until([&] { return agent.hasBytes(); }));
   EXPECT_NE(agent.readSome().find("after=43 "), std::string::npos);
 }
 
-// Guards a reload: no gap in what is told while discovery moves, and no word from an old address
-// needed.
-TEST(DiscoveryWatch, MovesWithoutAGapAndAsksAnewWhereNothingIsSaid) {
-  Watching watching;
-  RawPeer before(watching.io), silent(watching.io), after(watching.io);
+// A reload may move discovery to another address. Updates must continue without a gap meanwhile,
+// and the move must not depend on the old address.
+TEST(DiscoveryWatch, MovesWithoutAGapAndRetriesASilentAddress) {
+  DiscoveryFixture fixture;
+  RawPeer before(fixture.io), silent(fixture.io), after(fixture.io);
   const std::string head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-  const auto opened = [&](RawPeer& agent) {
+  const auto acceptWatch = [&](RawPeer& agent) {
     agent.accept();
-    EXPECT_TRUE(watching.until([&] { return agent.hasBytes(); }));
+    EXPECT_TRUE(fixture.until([&] { return agent.hasBytes(); }));
     return agent.readSome();
   };
-  watching.discovery.watch(before.address());
-  opened(before);
+  fixture.discovery.watch(before.address());
+  acceptWatch(before);
   before.write(head + net::encodeChunk(listOf(41, true, "active")));
-  ASSERT_TRUE(watching.until([&] { return watching.counters["discovery.lists"] == 1; }));
-  watching.discovery.watch(silent.address());
-  opened(silent);
-  watching.discovery.watch(after.address());  // once more, before the first has said a word
-  EXPECT_NE(opened(after).find("after=0 "), std::string::npos);  // another address, other numbers
-  ASSERT_TRUE(watching.until([&] { return silent.ended(); }));
-  before.write(net::encodeChunk(listOf(42, false, "leaving")));  // the old one still counts
-  ASSERT_TRUE(watching.until([&] { return watching.counters["discovery.lists"] == 2; }));
-  EXPECT_EQ(watching.directory.find({"a"})->state, routing::EndpointState::kDraining);
+  ASSERT_TRUE(fixture.until([&] { return fixture.counters["discovery.lists"] == 1; }));
+  fixture.discovery.watch(silent.address());
+  acceptWatch(silent);
+  fixture.discovery.watch(after.address());  // changed again before the first has sent anything
+  EXPECT_NE(acceptWatch(after).find("after=0 "),
+            std::string::npos);  // revisions of addresses are not comparable
+  ASSERT_TRUE(fixture.until([&] { return silent.ended(); }));
+  before.write(net::encodeChunk(listOf(42, false, "leaving")));  // the old watch is still in use
+  ASSERT_TRUE(fixture.until([&] { return fixture.counters["discovery.lists"] == 2; }));
+  EXPECT_EQ(fixture.directory.find({"a"})->state, routing::EndpointState::kDraining);
   EXPECT_FALSE(before.ended());
-  watching.pass(1001);  // not a word: asked again, well before 4 s
-  watching.pass(151);
-  opened(after);
+  fixture.pass(1001);  // no first byte: retried, well before 4 s
+  fixture.pass(151);
+  acceptWatch(after);
   after.write(head + net::encodeChunk(listOf(7, true, "active")));
   ASSERT_TRUE(
-      watching.until([&] { return watching.counters["discovery.lists"] == 3 && before.ended(); }));
-  EXPECT_EQ(watching.directory.find({"a"})->state, routing::EndpointState::kActive);
-  watching.pass(151);
-  EXPECT_EQ(watching.counters["discovery.watches"], 4U);  // the end of the old one opens none
+      fixture.until([&] { return fixture.counters["discovery.lists"] == 3 && before.ended(); }));
+  EXPECT_EQ(fixture.directory.find({"a"})->state, routing::EndpointState::kActive);
+  fixture.pass(151);
+  EXPECT_EQ(fixture.counters["discovery.watches"], 4U);  // the end of the old watch opens no other
 }
 
-// Guards what stands in line at a discovery that is down for all: closed and opened anew, it stood
-// last again.
-TEST(DiscoveryWatch, KeepsASilentWatchWhileItTriesAnotherBesideIt) {
-  Watching watching;
-  RawPeer agent(watching.io), other(watching.io);
+// If discovery is down for all clients, a watch that is closed and reopened loses its position in
+// discovery's queue and is served last.
+TEST(DiscoveryWatch, KeepsASilentWatchWhileTryingAnotherInParallel) {
+  DiscoveryFixture fixture;
+  RawPeer agent(fixture.io), other(fixture.io);
   const std::string head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
   const auto lists = [&](int count) {
-    return watching.until(
-        [&] { return watching.counters["discovery.lists"] == static_cast<unsigned>(count); });
+    return fixture.until(
+        [&] { return fixture.counters["discovery.lists"] == static_cast<unsigned>(count); });
   };
-  watching.discovery.watch(agent.address());
+  fixture.discovery.watch(agent.address());
   agent.accept();
-  ASSERT_TRUE(watching.until([&] { return agent.hasBytes(); }));
+  ASSERT_TRUE(fixture.until([&] { return agent.hasBytes(); }));
   agent.readSome();
   agent.write(head + net::encodeChunk(listOf(41, true, "active")));
   ASSERT_TRUE(lists(1));
-  watching.pass(2601);
-  watching.pass(151);  // the next is on its way, and nobody takes it in
-  ASSERT_TRUE(watching.until([&] { return watching.counters["discovery.watches"] == 2; }));
+  fixture.pass(2601);
+  fixture.pass(151);  // the next watch is being opened and is not accepted
+  ASSERT_TRUE(fixture.until([&] { return fixture.counters["discovery.watches"] == 2; }));
   EXPECT_FALSE(agent.ended());
   agent.write(net::encodeChunk(listOf(42, false, "leaving")));
   ASSERT_TRUE(lists(2));
-  EXPECT_EQ(watching.directory.find({"a"})->state, routing::EndpointState::kDraining);
-  watching.pass(1001);  // the one beside it was left when the first went on
-  watching.pass(501);
-  EXPECT_EQ(watching.counters["discovery.watches"], 2U);
+  EXPECT_EQ(fixture.directory.find({"a"})->state, routing::EndpointState::kDraining);
+  fixture.pass(1001);  // the parallel watch was dropped when the first continued
+  fixture.pass(501);
+  EXPECT_EQ(fixture.counters["discovery.watches"], 2U);
   EXPECT_FALSE(agent.ended());
 }
 
-// Guards a drain against an agent that writes its lists for people to read: over many lines, in
-// pieces.
-TEST(DiscoveryWatch, TakesListsThatAreIndentedOverManyLines) {
-  Watching watching;
-  RawPeer agent(watching.io);
-  watching.discovery.watch(agent.address());
+// An agent may send its lists indented over many lines and in small pieces. A drain in such a list
+// must not be missed.
+TEST(DiscoveryWatch, AcceptsListsIndentedOverManyLines) {
+  DiscoveryFixture fixture;
+  RawPeer agent(fixture.io);
+  fixture.discovery.watch(agent.address());
   agent.accept();
-  ASSERT_TRUE(watching.until([&] { return agent.hasBytes(); }));
+  ASSERT_TRUE(fixture.until([&] { return agent.hasBytes(); }));
   agent.readSome();
-  const auto pretty = [](int revision, bool whole, const std::string& phase) {
-    json list = json::parse(listOf(revision, whole, phase));
+  const auto indentedList = [](int revision, bool complete, const std::string& phase) {
+    json list = json::parse(listOf(revision, complete, phase));
     list["note"] = "a \"}\" and a \\\\";
     return list.dump(2) + "\n";
   };
-  const std::string text = pretty(41, true, "active") + "\n" + pretty(42, false, "leaving") +
-                           listOf(43, false, "active") + "  \n" + pretty(44, false, "leaving");
+  const std::string text = indentedList(41, true, "active") + "\n" +
+                           indentedList(42, false, "leaving") + listOf(43, false, "active") +
+                           "  \n" + indentedList(44, false, "leaving");
   agent.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
   for (std::size_t at = 0; at < text.size(); at += 37)
     agent.write(net::encodeChunk(text.substr(at, 37)));
-  ASSERT_TRUE(watching.until([&] { return watching.counters["discovery.lists"] == 4; }));
-  EXPECT_EQ(watching.directory.find({"a"})->state, routing::EndpointState::kDraining);
-  EXPECT_EQ(watching.counters["discovery.malformed"], 0U);
+  ASSERT_TRUE(fixture.until([&] { return fixture.counters["discovery.lists"] == 4; }));
+  EXPECT_EQ(fixture.directory.find({"a"})->state, routing::EndpointState::kDraining);
+  EXPECT_EQ(fixture.counters["discovery.malformed"], 0U);
 }
 
-// An open watch falls silent as something changes: the next is there, and has been told, within
-// what the sum in fleet/discovery_backoff.h says, whatever the draws.
-TEST(DiscoveryWatch, ASilentWatchIsReplacedWithinTheTimeAfterWhichAChangeCountsAsTold) {
-  Watching watching;
-  RawPeer agent(watching.io);
+// An open watch falls silent while the list changes. The next watch must be open and have received
+// the change within the limit derived in fleet/discovery_backoff.h, whatever the random delays.
+TEST(DiscoveryWatch, ReplacesASilentWatchWithinTheDeliveryLimit) {
+  DiscoveryFixture fixture;
+  RawPeer agent(fixture.io);
   const std::string head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-  watching.discovery.watch(agent.address());
+  fixture.discovery.watch(agent.address());
   agent.accept();
-  ASSERT_TRUE(watching.until([&] { return agent.hasBytes(); }));
+  ASSERT_TRUE(fixture.until([&] { return agent.hasBytes(); }));
   agent.readSome();
   agent.write(head + net::encodeChunk(listOf(41, true, "active")));
-  ASSERT_TRUE(watching.until([&] { return watching.counters["discovery.lists"] == 1; }));
+  ASSERT_TRUE(fixture.until([&] { return fixture.counters["discovery.lists"] == 1; }));
   agent.write(net::encodeChunk(
-      listOf(42, false, "leaving").substr(0, 40)));  // half a line, and then nothing
+      listOf(42, false, "leaving").substr(0, 40)));  // an incomplete line, then silence
   for (int i = 0; i < 20; ++i) {
-    watching.io.restart();
-    watching.io.run_one_for(std::chrono::milliseconds(1));
+    fixture.io.restart();
+    fixture.io.run_one_for(std::chrono::milliseconds(1));
   }
   double passed = 0;
-  for (; watching.counters["discovery.watches"] < 2; passed += 10) {
+  for (; fixture.counters["discovery.watches"] < 2; passed += 10) {
     ASSERT_LT(passed, fleet::DiscoveryBackoff::kDeliveryLimitMs);
-    watching.pass(10);
+    fixture.pass(10);
   }
-  agent.accept();  // the old one is left open: only the other side has ended it
-  ASSERT_TRUE(watching.until([&] { return agent.hasBytes(); }));
+  agent.accept();  // the old watch stays open
+  ASSERT_TRUE(fixture.until([&] { return agent.hasBytes(); }));
   EXPECT_NE(agent.readSome().find("after=41 "), std::string::npos);
   agent.write(head + net::encodeChunk(listOf(42, false, "leaving")));
-  ASSERT_TRUE(watching.until([&] { return watching.counters["discovery.lists"] == 2; }));
-  EXPECT_EQ(watching.directory.find({"a"})->state, routing::EndpointState::kDraining);
+  ASSERT_TRUE(fixture.until([&] { return fixture.counters["discovery.lists"] == 2; }));
+  EXPECT_EQ(fixture.directory.find({"a"})->state, routing::EndpointState::kDraining);
   EXPECT_LE(passed,
             fleet::DiscoveryBackoff::kWorstSilentWatchMs - fleet::DiscoveryBackoff::kCallTimeoutMs);
 }
 
-// A discovery that was put back to an older state, or a peer of it that lags: what is told last is
-// what there is, and the next watch asks from there.
-TEST(DiscoveryWatch, TakesAListWhoseRevisionGoesBackInTheOrderInWhichItComes) {
-  Watching watching;
-  RawPeer agent(watching.io);
+// Discovery may be restored to an older state, or a lagging replica of it may answer. The list
+// received last is the current one, and the next watch continues from its revision.
+TEST(DiscoveryWatch, AppliesListsInOrderOfArrivalWhenRevisionsDecrease) {
+  DiscoveryFixture fixture;
+  RawPeer agent(fixture.io);
   const auto lists = [&](unsigned count) {
-    return watching.until([&] { return watching.counters["discovery.lists"] == count; });
+    return fixture.until([&] { return fixture.counters["discovery.lists"] == count; });
   };
-  watching.discovery.watch(agent.address());
+  fixture.discovery.watch(agent.address());
   agent.accept();
-  ASSERT_TRUE(watching.until([&] { return agent.hasBytes(); }));
+  ASSERT_TRUE(fixture.until([&] { return agent.hasBytes(); }));
   agent.readSome();
   agent.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
               net::encodeChunk(listOf(43, true, "active") + listOf(41, true, "leaving")));
   ASSERT_TRUE(lists(2));
-  EXPECT_EQ(watching.directory.find({"a"})->state, routing::EndpointState::kDraining);
+  EXPECT_EQ(fixture.directory.find({"a"})->state, routing::EndpointState::kDraining);
   agent.write(net::encodeChunk(listOf(40, false, "active")));
   ASSERT_TRUE(lists(3));
-  EXPECT_EQ(watching.directory.find({"a"})->state, routing::EndpointState::kActive);
-  EXPECT_TRUE(watching.dispatcher.mayReserve({"a"}));
+  EXPECT_EQ(fixture.directory.find({"a"})->state, routing::EndpointState::kActive);
+  EXPECT_TRUE(fixture.dispatcher.mayReserve({"a"}));
   agent.reset();
-  ASSERT_TRUE(watching.until([&] { return watching.counters["discovery.broken"] == 1; }));
-  watching.pass(151);
+  ASSERT_TRUE(fixture.until([&] { return fixture.counters["discovery.broken"] == 1; }));
+  fixture.pass(151);
   agent.accept();
-  ASSERT_TRUE(watching.until([&] { return agent.hasBytes(); }));
+  ASSERT_TRUE(fixture.until([&] { return agent.hasBytes(); }));
   EXPECT_NE(agent.readSome().find("after=40 "), std::string::npos);
 }
 
-// The first word of a watch is a change: it is laid over what the configuration carried, or over
-// nothing, and the whole list that follows takes the place of both.
-TEST(DiscoveryWatch, LaysAChangeThatComesBeforeItsWholeListOverWhatItHolds) {
+// The first document of a watch may be a list of changes. It is applied to the list from the
+// configuration, or to an empty one, and the full list that follows replaces both.
+TEST(DiscoveryWatch, AppliesChangesThatArriveBeforeTheFullListToTheCachedList) {
   for (const bool known : {true, false}) {
-    Watching watching;
-    RawPeer agent(watching.io);
+    DiscoveryFixture fixture;
+    RawPeer agent(fixture.io);
     const auto lists = [&](unsigned count) {
-      return watching.until([&] { return watching.counters["discovery.lists"] == count; });
+      return fixture.until([&] { return fixture.counters["discovery.lists"] == count; });
     };
     if (known)
-      watching.discovery.loadCached(json::parse(
+      fixture.discovery.loadCached(json::parse(
           lineOf(41, true, {memberOf(1, "active", 1001, 0), memberOf(2, "active", 1002, 0)})));
-    watching.discovery.watch(agent.address());
+    fixture.discovery.watch(agent.address());
     agent.accept();
-    ASSERT_TRUE(watching.until([&] { return agent.hasBytes(); }));
+    ASSERT_TRUE(fixture.until([&] { return agent.hasBytes(); }));
     agent.readSome();
     agent.write(
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
@@ -794,75 +800,76 @@
             lineOf(42, false, {memberOf(2, "leaving", 1002, 0), memberOf(3, "active", 1003, 0)}) +
             "\n"));
     ASSERT_TRUE(lists(known ? 2 : 1));
-    EXPECT_TRUE(watching.discovery.hasWatch());
-    EXPECT_EQ(watching.directory.find({"b1"}) != nullptr, known);
-    EXPECT_EQ(watching.directory.find({"b2"})->state, routing::EndpointState::kDraining);
-    EXPECT_EQ(watching.dispatcher.instancesKnown(), known ? 3U : 2U);
+    EXPECT_TRUE(fixture.discovery.hasWatch());
+    EXPECT_EQ(fixture.directory.find({"b1"}) != nullptr, known);
+    EXPECT_EQ(fixture.directory.find({"b2"})->state, routing::EndpointState::kDraining);
+    EXPECT_EQ(fixture.dispatcher.instancesKnown(), known ? 3U : 2U);
     agent.write(
         net::encodeChunk(lineOf(42, true, json::array({memberOf(2, "active", 1002, 0)})) + "\n"));
     ASSERT_TRUE(lists(known ? 3 : 2));
-    EXPECT_EQ(watching.directory.all().size(), 1U);
-    EXPECT_FALSE(watching.dispatcher.mayReserve({"b9"}));
-    EXPECT_TRUE(watching.dispatcher.mayReserve({"b2"}));
+    EXPECT_EQ(fixture.directory.all().size(), 1U);
+    EXPECT_FALSE(fixture.dispatcher.mayReserve({"b9"}));
+    EXPECT_TRUE(fixture.dispatcher.mayReserve({"b2"}));
   }
 }
 
-// Clients that say nothing fill their share and all that the queue holds, and discovery is down:
-// the watch is opened anew and every link to an instance is there all the same.
+// Idle clients use up the clients' share of descriptors and the listen queue while discovery is
+// down. The watch must still be reopened, and every connection to an instance must still be
+// available.
 TEST(DiscoveryWatch, KeepsItsDescriptorsWhileIdleClientsFillAllOthers) {
-  Watching watching;
+  DiscoveryFixture fixture;
   constexpr std::size_t kSockets = 160;
   const app::Limits limits{kSockets};
-  admission::DescriptorBudget ledger(admission::DescriptorBudget::sharesOf(kSockets));
+  admission::DescriptorBudget descriptorBudget(admission::DescriptorBudget::sharesOf(kSockets));
   for (int i = 0; i < 14; ++i)
-    ledger.force(admission::Account::kOwn);
-  watching.pool.setMaxConnections(limits.instances());
-  watching.pool.accountTo(ledger, admission::Account::kInstances);
-  watching.discovery.accountTo(ledger);
-  StandInInstance front(watching.io, watching.clock, watching.timers);  // whatever is asked
-  net::Listener listener(watching.io, anyPort(), limits.clients(), front, watching.clock,
-                         watching.timers, watching.counters, {.descriptorBudget = &ledger});
-  RawPeer agent(watching.io);
-  watching.discovery.watch(agent.address());
+    descriptorBudget.force(admission::Account::kOwn);
+  fixture.pool.setMaxConnections(limits.instances());
+  fixture.pool.accountTo(descriptorBudget, admission::Account::kInstances);
+  fixture.discovery.accountTo(descriptorBudget);
+  StandInInstance handler(fixture.io, fixture.clock, fixture.timers);  // answers any request
+  net::Listener listener(fixture.io, anyPort(), limits.clients(), handler, fixture.clock,
+                         fixture.timers, fixture.counters, {.descriptorBudget = &descriptorBudget});
+  RawPeer agent(fixture.io);
+  fixture.discovery.watch(agent.address());
   agent.accept();
-  ASSERT_TRUE(watching.until([&] { return agent.hasBytes(); }));
+  ASSERT_TRUE(fixture.until([&] { return agent.hasBytes(); }));
   agent.readSome();
   agent.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
               net::encodeChunk(listOf(41, true, "active")));
-  ASSERT_TRUE(watching.until([&] { return watching.counters["discovery.lists"] == 1; }));
+  ASSERT_TRUE(fixture.until([&] { return fixture.counters["discovery.lists"] == 1; }));
   std::vector<std::unique_ptr<RawPeer>> idle;
   for (std::size_t i = 0; i < 2 * limits.clients(); ++i) {
-    idle.push_back(std::make_unique<RawPeer>(watching.io));
+    idle.push_back(std::make_unique<RawPeer>(fixture.io));
     idle.back()->connect(listener.address());
   }
-  ASSERT_TRUE(watching.until([&] { return listener.size() == limits.clients(); }));
+  ASSERT_TRUE(fixture.until([&] { return listener.size() == limits.clients(); }));
   agent.reset();
-  ASSERT_TRUE(watching.until([&] { return watching.counters["discovery.broken"] == 1; }));
-  RawPeer silent(watching.io);  // an instance that takes connections and answers nothing
+  ASSERT_TRUE(fixture.until([&] { return fixture.counters["discovery.broken"] == 1; }));
+  RawPeer silent(fixture.io);  // an instance that accepts connections and never responds
   std::vector<std::shared_ptr<Reply>> replies;
   std::vector<std::shared_ptr<net::Call>> calls;
   for (std::size_t i = 0; i < limits.instances(); ++i) {
     replies.push_back(std::make_shared<Reply>());
-    calls.push_back(watching.pool.call(silent.address(), "GET / HTTP/1.1\r\n\r\n", nullptr,
-                                       replies.back(), net::ConnectionPool::Urgency::kUrgent));
+    calls.push_back(fixture.pool.call(silent.address(), "GET / HTTP/1.1\r\n\r\n", nullptr,
+                                      replies.back(), net::ConnectionPool::Urgency::kUrgent));
   }
-  ASSERT_TRUE(watching.until([&] {
+  ASSERT_TRUE(fixture.until([&] {
     return std::all_of(replies.begin(), replies.end(),
                        [](const auto& reply) { return reply->wasWritten; });
   }));
   EXPECT_EQ(listener.size(), limits.clients());
-  watching.pass(151);
+  fixture.pass(151);
   agent.accept();
-  ASSERT_TRUE(watching.until([&] { return agent.hasBytes(); }));
+  ASSERT_TRUE(fixture.until([&] { return agent.hasBytes(); }));
   EXPECT_NE(agent.readSome().find("after=41 "), std::string::npos);
-  EXPECT_LE(ledger.total(), kSockets);
+  EXPECT_LE(descriptorBudget.total(), kSockets);
   for (const auto& call : calls)
     call->abandon();
 }
 
-// Guards the tables against a fleet whose instances are replaced all day under ever new ids.
-TEST(DiscoveryWatch, ThousandsOfReplacedInstancesLeaveTheTablesFlat) {
-  Watching watching;
+// A fleet may replace its instances continually under new ids. The tables must not grow with them.
+TEST(DiscoveryWatch, TablesDoNotGrowWhenThousandsOfInstancesAreReplaced) {
+  DiscoveryFixture fixture;
   const auto list = [](int i, const std::string& phase) {
     return json{{"revision", i},
                 {"complete", false},
@@ -876,135 +883,137 @@
         .dump();
   };
   for (int i = 0; i < 3000; ++i) {
-    ASSERT_TRUE(watching.discovery.onDocument(list(i, "active")));
+    ASSERT_TRUE(fixture.discovery.onDocument(list(i, "active")));
     if (i >= 5) {
-      ASSERT_TRUE(watching.discovery.onDocument(list(i - 5, i % 2 == 0 ? "leaving" : "left")));
-      ASSERT_TRUE(watching.discovery.onDocument(list(i - 5, "left")));
+      ASSERT_TRUE(fixture.discovery.onDocument(list(i - 5, i % 2 == 0 ? "leaving" : "left")));
+      ASSERT_TRUE(fixture.discovery.onDocument(list(i - 5, "left")));
     }
-    watching.pass(500);
-    ASSERT_LE(watching.directory.all().size(), 6U);
-    ASSERT_LE(watching.dispatcher.instancesKnown(), 10U);
+    fixture.pass(500);
+    ASSERT_LE(fixture.directory.all().size(), 6U);
+    ASSERT_LE(fixture.dispatcher.instancesKnown(), 10U);
   }
 }
 
-// Guards a fleet many times bigger: long lists, thousands of changes in one line, and what settings
+// Large fleets: long lists, thousands of changes in one line, and kinds and zones that the settings
 // do not name.
-TEST(DiscoveryWatch, ListsOfAThousandInstancesAndThousandsOfChangesInALine) {
+TEST(DiscoveryWatch, AcceptsAThousandInstancesAndThousandsOfChangesInOneLine) {
   for (const int instances : {100, 1000}) {
-    Watching watching;
+    DiscoveryFixture fixture;
     json all = json::array(), changes = json::array();
     for (int i = 0; i < instances; ++i) {
       all.push_back(memberOf(i, "active", 1000 + i, 0));
       changes.push_back(memberOf(i, "leaving", 1000 + i, 0));
       changes.push_back(memberOf(i, "left", 1000 + i, 0));
       if (i % 2 == 0)
-        changes.push_back(memberOf(i, "active", 10'000 + i, 5));  // elsewhere, and started anew
+        changes.push_back(memberOf(i, "active", 10'000 + i, 5));  // restarted at another address
     }
-    ASSERT_TRUE(watching.discovery.onDocument(lineOf(1, true, all)));
-    EXPECT_EQ(watching.directory.all().size(), static_cast<std::size_t>(instances));
+    ASSERT_TRUE(fixture.discovery.onDocument(lineOf(1, true, all)));
+    EXPECT_EQ(fixture.directory.all().size(), static_cast<std::size_t>(instances));
     const std::string line = lineOf(2, false, changes);
-    EXPECT_FALSE(
-        watching.discovery.onDocument(line.substr(0, line.size() / 2)));  // cut: nothing changes
-    EXPECT_EQ(watching.directory.all().size(), static_cast<std::size_t>(instances));
-    ASSERT_TRUE(watching.discovery.onDocument(line));
-    EXPECT_EQ(watching.directory.all().size(), static_cast<std::size_t>(instances / 2));
-    EXPECT_EQ(watching.directory.find({"b0"})->address.port(), 10'000);
-    EXPECT_EQ(watching.directory.find({"b1"}), nullptr);
-    json odd = memberOf(instances, "active", 9, 0),
-         elsewhere = memberOf(instances + 1, "active", 9, 0);
-    odd["flavor"] = "unheard-of";
-    elsewhere["locality"] = "nowhere";
-    ASSERT_TRUE(watching.discovery.onDocument(lineOf(3, false, {odd, elsewhere})));
-    EXPECT_EQ(watching.directory.find({"b" + std::to_string(instances + 1)}), nullptr);
-    ASSERT_TRUE(watching.discovery.onDocument(lineOf(4, true, json::array())));
-    EXPECT_EQ(watching.directory.all().size(), 0U);
-    EXPECT_EQ(watching.counters["discovery.malformed"], 1U);
+    EXPECT_FALSE(fixture.discovery.onDocument(
+        line.substr(0, line.size() / 2)));  // truncated: nothing changes
+    EXPECT_EQ(fixture.directory.all().size(), static_cast<std::size_t>(instances));
+    ASSERT_TRUE(fixture.discovery.onDocument(line));
+    EXPECT_EQ(fixture.directory.all().size(), static_cast<std::size_t>(instances / 2));
+    EXPECT_EQ(fixture.directory.find({"b0"})->address.port(), 10'000);
+    EXPECT_EQ(fixture.directory.find({"b1"}), nullptr);
+    json unknownKind = memberOf(instances, "active", 9, 0),
+         unknownZone = memberOf(instances + 1, "active", 9, 0);
+    unknownKind["flavor"] = "unheard-of";
+    unknownZone["locality"] = "nowhere";
+    ASSERT_TRUE(fixture.discovery.onDocument(lineOf(3, false, {unknownKind, unknownZone})));
+    EXPECT_EQ(fixture.directory.find({"b" + std::to_string(instances + 1)}), nullptr);
+    ASSERT_TRUE(fixture.discovery.onDocument(lineOf(4, true, json::array())));
+    EXPECT_EQ(fixture.directory.all().size(), 0U);
+    EXPECT_EQ(fixture.counters["discovery.malformed"], 1U);
   }
 }
 
-// A whole list of as many instances as there may be, and then changes to all of them, through a
-// socket: on one line, and indented for people, cut anywhere.
-TEST(DiscoveryWatch, ListsOfAsManyInstancesAsThereMayBeComeOverTheWire) {
+// A full list of the maximum number of instances, then changes to all of them, over a socket: on
+// one line and indented, split into pieces of varying size.
+TEST(DiscoveryWatch, ReceivesListsOfTheMaximumNumberOfInstances) {
   constexpr int kInstances = coordination::kMaxFleetInstances;
   for (const bool indented : {false, true}) {
-    Watching watching;
-    RawPeer agent(watching.io);
-    watching.discovery.watch(agent.address());
+    DiscoveryFixture fixture;
+    RawPeer agent(fixture.io);
+    fixture.discovery.watch(agent.address());
     agent.accept();
-    ASSERT_TRUE(watching.until([&] { return agent.hasBytes(); }));
+    ASSERT_TRUE(fixture.until([&] { return agent.hasBytes(); }));
     agent.readSome();
     agent.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     unsigned lists = 0;
-    const auto tell = [&](bool whole, const json& members) {
-      const std::string text =
-          json::parse(lineOf(static_cast<int>(++lists), whole, members)).dump(indented ? 4 : -1) +
-          "\n";
+    const auto sendList = [&](bool complete, const json& members) {
+      const std::string text = json::parse(lineOf(static_cast<int>(++lists), complete, members))
+                                   .dump(indented ? 4 : -1) +
+                               "\n";
       for (std::size_t at = 0, size = 1; at < text.size(); at += size, size = size * 7 % 4099 + 1) {
         agent.write(net::encodeChunk(text.substr(at, size)));
-        watching.io.poll();
+        fixture.io.poll();
       }
-      ASSERT_TRUE(watching.until([&] { return watching.counters["discovery.lists"] == lists; }));
+      ASSERT_TRUE(fixture.until([&] { return fixture.counters["discovery.lists"] == lists; }));
     };
-    json all = json::array(), leaving = json::array(), gone = json::array();
+    json all = json::array(), leaving = json::array(), removed = json::array();
     for (int i = 0; i < kInstances; ++i) {
       all.push_back(memberOf(i, "active", 1000 + i, 0));
       leaving.push_back(memberOf(i, "leaving", 1000 + i, 0));
       if (i % 2 == 1)
-        gone.push_back(memberOf(i, "left", 1000 + i, 0));
+        removed.push_back(memberOf(i, "left", 1000 + i, 0));
     }
-    const HeapUse held = measureHeapUse([&] { tell(true, all); });
-    ASSERT_EQ(watching.directory.all().size(), static_cast<std::size_t>(kInstances));
-    std::cout << held.retainedBytes / kInstances << " bytes an instance listed, at most "
-              << held.peakBytes << " while it is read\n";
-    EXPECT_LE(held.retainedBytes / kInstances, 4096U);
-    EXPECT_LE(held.peakBytes, 192U << 20U >> 4U);
-    tell(false, leaving);
-    for (const auto& [id, instance] : watching.directory.all())
+    const HeapUse heapUse = measureHeapUse([&] { sendList(true, all); });
+    ASSERT_EQ(fixture.directory.all().size(), static_cast<std::size_t>(kInstances));
+    std::cout << heapUse.retainedBytes / kInstances << " bytes an instance listed, at most "
+              << heapUse.peakBytes << " while it is read\n";
+    EXPECT_LE(heapUse.retainedBytes / kInstances, 4096U);
+    EXPECT_LE(heapUse.peakBytes, 192U << 20U >> 4U);
+    sendList(false, leaving);
+    for (const auto& [id, instance] : fixture.directory.all())
       ASSERT_EQ(instance.state, routing::EndpointState::kDraining) << id.value;
-    tell(false, gone);
-    EXPECT_EQ(watching.directory.all().size(), static_cast<std::size_t>(kInstances / 2));
-    tell(false, json::array({memberOf(3, "active", 7, 0)}));
-    EXPECT_EQ(watching.directory.find({"b3"})->address.port(), 7);
-    tell(true, all);
-    EXPECT_EQ(watching.directory.find({"b3"})->address.port(), 1003);
-    EXPECT_EQ(watching.dispatcher.instancesKnown(), static_cast<std::size_t>(kInstances));
-    EXPECT_EQ(watching.counters["discovery.malformed"] + watching.counters["discovery.broken"], 0U);
+    sendList(false, removed);
+    EXPECT_EQ(fixture.directory.all().size(), static_cast<std::size_t>(kInstances / 2));
+    sendList(false, json::array({memberOf(3, "active", 7, 0)}));
+    EXPECT_EQ(fixture.directory.find({"b3"})->address.port(), 7);
+    sendList(true, all);
+    EXPECT_EQ(fixture.directory.find({"b3"})->address.port(), 1003);
+    EXPECT_EQ(fixture.dispatcher.instancesKnown(), static_cast<std::size_t>(kInstances));
+    EXPECT_EQ(fixture.counters["discovery.malformed"] + fixture.counters["discovery.broken"], 0U);
   }
 }
 
-TEST(DiscoveryWatch, AListThatIsMalformedChangesNothing) {
-  Watching watching;
-  ASSERT_TRUE(watching.discovery.onDocument(listOf(5, true, "active")));
+TEST(DiscoveryWatch, MalformedListChangesNothing) {
+  DiscoveryFixture fixture;
+  ASSERT_TRUE(fixture.discovery.onDocument(listOf(5, true, "active")));
   for (const char* bad : {"{", "[]", "{\"revision\":6,\"complete\":true,\"members\":[{\"id\":7}]}"})
-    EXPECT_FALSE(watching.discovery.onDocument(bad)) << bad;
-  EXPECT_TRUE(watching.discovery.onDocument("  \r"));
-  EXPECT_EQ(watching.directory.all().size(), 1U);
-  EXPECT_EQ(watching.directory.find({"a"})->state, routing::EndpointState::kActive);
+    EXPECT_FALSE(fixture.discovery.onDocument(bad)) << bad;
+  EXPECT_TRUE(fixture.discovery.onDocument("  \r"));
+  EXPECT_EQ(fixture.directory.all().size(), 1U);
+  EXPECT_EQ(fixture.directory.find({"a"})->state, routing::EndpointState::kActive);
 }
 
-// Zones, kinds and cells are those that the settings and the list name, however many; a phase that
-// is not known is none to send to. What it says of starts, before the part that makes no sense, is
-// no evidence of discovery's clock either.
-TEST(DiscoveryWatch, AListThatIsMalformedFixesNoAge) {
-  Watching watching;
+// Start times in the valid part of a malformed list must not be used to estimate discovery's clock.
+TEST(DiscoveryWatch, MalformedListDoesNotAffectStartTimes) {
+  DiscoveryFixture fixture;
   std::optional<routing::Time> started;
-  watching.dispatcher.onEvent([&](const routing::Event& event) {
-    if (const auto* news = std::get_if<routing::EndpointListUpdate>(&event))
-      started = news->entries.back().started;
+  fixture.dispatcher.onEvent([&](const routing::Event& event) {
+    if (const auto* update = std::get_if<routing::EndpointListUpdate>(&event))
+      started = update->entries.back().started;
   });
-  constexpr double kTold = 1e12;
-  ASSERT_TRUE(watching.discovery.onDocument(
-      lineOf(1, true, json::array({memberOf(1, "active", 9, kTold)}))));
-  const double firstMs = watching.clock.nowMs();
-  watching.clock.advance(1'000);
-  const json bad = json::array({memberOf(1, "active", 9, kTold + 3'600'000), json{{"id", 7}}});
-  ASSERT_FALSE(watching.discovery.onDocument(lineOf(2, false, bad)));
-  ASSERT_TRUE(watching.discovery.onDocument(
-      lineOf(3, false, json::array({memberOf(1, "active", 9, kTold + 500)}))));
+  constexpr double kListedStartMs = 1e12;
+  ASSERT_TRUE(fixture.discovery.onDocument(
+      lineOf(1, true, json::array({memberOf(1, "active", 9, kListedStartMs)}))));
+  const double firstMs = fixture.clock.nowMs();
+  fixture.clock.advance(1'000);
+  const json bad =
+      json::array({memberOf(1, "active", 9, kListedStartMs + 3'600'000), json{{"id", 7}}});
+  ASSERT_FALSE(fixture.discovery.onDocument(lineOf(2, false, bad)));
+  ASSERT_TRUE(fixture.discovery.onDocument(
+      lineOf(3, false, json::array({memberOf(1, "active", 9, kListedStartMs + 500)}))));
   EXPECT_EQ(started, core::toModuleTime(firstMs + 500));
 }
 
-TEST(DiscoveryWatch, TellsZonesKindsCellsAndPhasesByTheSettingsNames) {
+// Zones and kinds are found by the names in the settings, cells by their number in the list, for
+// any number of each. An instance in an unknown phase counts as removed, so no requests are sent to
+// it.
+TEST(DiscoveryWatch, MapsZonesKindsCellsAndPhasesFromTheirNames) {
   json settings = siteSettings();
   settings["zones"] = {"near", "far", "farthest"};
   settings["myZone"] = "far";
@@ -1013,16 +1022,16 @@
   settings["familyInfo"]["memoryTokens"] = {200'000, 90'000, 180'000, 150'000};
   const auto setup = frontend::settingsOf(settings);
   EXPECT_EQ(setup.settings.zone.value, 1U);
-  struct Told : core::EndpointListSink {
-    routing::EndpointListUpdate news;
-    void list(routing::EndpointListUpdate told) override { news = std::move(told); }
-  } told;
-  Watching watching;
-  frontend::Discovery discovery{watching.io,       watching.clock, watching.timers,
-                                watching.counters, told,           watching.directory,
-                                watching.pool,     setup.names,    fleet::DiscoveryBackoff(2, 7)};
-  const auto entry = [](const char* id, const char* zone, const char* kind, unsigned cell,
-                        const char* phase) {
+  struct RecordingSink : core::EndpointListSink {
+    routing::EndpointListUpdate lastUpdate;
+    void list(routing::EndpointListUpdate update) override { lastUpdate = std::move(update); }
+  } sink;
+  DiscoveryFixture fixture;
+  frontend::Discovery discovery{fixture.io,       fixture.clock, fixture.timers,
+                                fixture.counters, sink,          fixture.directory,
+                                fixture.pool,     setup.names,   fleet::DiscoveryBackoff(2, 7)};
+  const auto member = [](const char* id, const char* zone, const char* kind, unsigned cell,
+                         const char* phase) {
     return json{{"id", id},         {"host_port", "127.0.0.1:9"},
                 {"locality", zone}, {"flavor", kind},
                 {"cell", cell},     {"phase", phase},
@@ -1032,12 +1041,12 @@
       {"revision", 1},
       {"complete", true},
       {"members",
-       {entry("a", "near", "reader", 3, "active"), entry("b", "farthest", "large", 7, "leaving"),
-        entry("c", "far", "mixed", 7, "resting"), entry("d", "elsewhere", "mixed", 7, "active")}}}
+       {member("a", "near", "reader", 3, "active"), member("b", "farthest", "large", 7, "leaving"),
+        member("c", "far", "mixed", 7, "resting"), member("d", "elsewhere", "mixed", 7, "active")}}}
                                        .dump()));
-  ASSERT_EQ(told.news.entries.size(), 3U);
+  ASSERT_EQ(sink.lastUpdate.entries.size(), 3U);
   const auto& [a, b, c] =
-      std::tie(told.news.entries[0], told.news.entries[1], told.news.entries[2]);
+      std::tie(sink.lastUpdate.entries[0], sink.lastUpdate.entries[1], sink.lastUpdate.entries[2]);
   EXPECT_EQ(std::tuple(a.zone.value, a.kind.value, a.cell.value), std::tuple(0U, 0U, 3U));
   EXPECT_EQ(std::tuple(b.zone.value, b.kind.value, b.cell.value), std::tuple(2U, 2U, 7U));
   EXPECT_EQ(setup.settings.kinds[b.kind.value].memoryTokens, 180'000);
@@ -1045,13 +1054,13 @@
             std::tuple(routing::EndpointState::kActive, routing::EndpointState::kDraining,
                        routing::EndpointState::kRemoved));
   ASSERT_TRUE(discovery.onDocument(json{
-      {"revision", 2}, {"complete", false}, {"members", {entry("a", "near", "reader", 3, "left")}}}
+      {"revision", 2}, {"complete", false}, {"members", {member("a", "near", "reader", 3, "left")}}}
                                        .dump()));
-  EXPECT_EQ(told.news.form, routing::EndpointListForm::kChanges);
-  EXPECT_EQ(told.news.entries.at(0).state, routing::EndpointState::kRemoved);
+  EXPECT_EQ(sink.lastUpdate.form, routing::EndpointListForm::kChanges);
+  EXPECT_EQ(sink.lastUpdate.entries.at(0).state, routing::EndpointState::kRemoved);
 }
 
-TEST(Configuration, IsReadByTheAdaptersOwnCodeAndComplainsPlainly) {
+TEST(Configuration, IsParsedAndReportsInvalidValues) {
   json file{{"name", "n"},
             {"listen", "127.0.0.1:1"},
             {"discovery", "127.0.0.1:2"},
@@ -1063,7 +1072,7 @@
   EXPECT_EQ(config.setup.names.classes.size(), 2U);
   EXPECT_EQ(config.setup.settings.contract.releaseLimit, std::chrono::milliseconds(300));
   std::string faultyKey;
-  const auto complaint = [&](const json& bad) -> std::string {
+  const auto errorOf = [&](const json& bad) -> std::string {
     try {
       app::configOf(bad, {});
     } catch (const app::ConfigError& fault) {
@@ -1075,42 +1084,42 @@
   };
   json bad = file;
   bad["listen"] = "nowhere";
-  EXPECT_NE(complaint(bad).find("nowhere"), std::string::npos);
+  EXPECT_NE(errorOf(bad).find("nowhere"), std::string::npos);
   bad = file;
   bad["settings"]["limits"].erase("maxAttempts");
-  EXPECT_NE(complaint(bad).find("limits.maxAttempts is missing"), std::string::npos);
+  EXPECT_NE(errorOf(bad).find("limits.maxAttempts is missing"), std::string::npos);
   bad = file;
   bad["settings"]["peersTotal"] = 0;
-  EXPECT_NE(complaint(bad).find("fewer than one node"), std::string::npos);
+  EXPECT_NE(errorOf(bad).find("fewer than one node"), std::string::npos);
   bad = file;
   bad["limits"]["sockets"] = 127;
-  EXPECT_EQ(complaint(bad), "limits.sockets is under 128: too few to serve");
+  EXPECT_EQ(errorOf(bad), "limits.sockets is under 128: too few to serve");
   EXPECT_EQ(faultyKey, "limits.sockets");
   bad = file;
   bad.erase("name");
-  EXPECT_EQ(complaint(bad), "name is missing, and so is GW_NAME");
+  EXPECT_EQ(errorOf(bad), "name is missing, and so is GW_NAME");
   EXPECT_EQ(faultyKey, "name");
 }
 
-TEST(Reload, ASighupBeforeTheLoopRunsIsKeptAndABadFileChangesNothing) {
+TEST(Reload, SighupBeforeTheLoopRunsIsPendingAndAnInvalidFileChangesNothing) {
   app::blockReloadSignal();
   raise(SIGHUP);  // by default this would end the program
-  RouterFixture site(kMixed, true);
+  RouterFixture fixture(kMixed, true);
   int calls = 0;
-  site.server->run(*site.listener, {.acceptForMs = 500}, [&] {
+  fixture.server->run(*fixture.listener, {.acceptForMs = 500}, [&] {
     if (++calls == 1) {
       raise(SIGHUP);
       throw app::ConfigError(app::ConfigInput::kFile, "", "half a file");
     }
-    site.io.stop();
+    fixture.io.stop();
   });
   EXPECT_EQ(calls, 2);
-  EXPECT_EQ(site.server->counters["reloads.failed"], 1U);
+  EXPECT_EQ(fixture.server->counters["reloads.failed"], 1U);
 }
 
-TEST(Reload, AnOperatorsFileIsTakenOverWholeOrNotAtAll) {
-  RouterFixture site(kMixed, true);
-  site.finished(site.chat({{"model", "ask"}}));
+TEST(Reload, OperatorFileIsAppliedCompletelyOrNotAtAll) {
+  RouterFixture fixture(kMixed, true);
+  fixture.finished(fixture.chat({{"model", "ask"}}));
   json settings = siteSettings();
   settings["grades"][0]["hardLimitMs"] = 9000.0;
   const json file{{"listen", "127.0.0.1:0"},
@@ -1118,25 +1127,26 @@
                   {"models", {{"ask2", "member-questions"}}},
                   {"boxes",
                    {{{"id", "m3"},
-                     {"address", RouterFixture::text(site.instances["m3"]->address())},
+                     {"address", RouterFixture::text(fixture.instances["m3"]->address())},
                      {"role", "both"}}}},
                   {"settings", settings}};
   json bad = file;
   bad["settings"]["kinds"][2] = "renamed";
-  EXPECT_THROW(app::applyReload(frontend::operatorFileOf(bad), site.operatorFile, *site.server),
-               app::ConfigError);
-  EXPECT_EQ(site.finished(site.chat({{"model", "ask"}}))->status, 200U);
-  app::applyReload(frontend::operatorFileOf(file), site.operatorFile, *site.server);
-  EXPECT_EQ(site.finished(site.chat({{"model", "ask"}}))->status, 401U);
-  EXPECT_EQ(site.finished(site.chat({{"model", "ask"}}, "new"))->status, 404U);
-  const int before = site.instances["m3"]->chats();
+  EXPECT_THROW(
+      app::applyReload(frontend::operatorFileOf(bad), fixture.operatorFile, *fixture.server),
+      app::ConfigError);
+  EXPECT_EQ(fixture.finished(fixture.chat({{"model", "ask"}}))->status, 200U);
+  app::applyReload(frontend::operatorFileOf(file), fixture.operatorFile, *fixture.server);
+  EXPECT_EQ(fixture.finished(fixture.chat({{"model", "ask"}}))->status, 401U);
+  EXPECT_EQ(fixture.finished(fixture.chat({{"model", "ask"}}, "new"))->status, 404U);
+  const int before = fixture.instances["m3"]->chats();
   for (int i = 0; i < 4; ++i)
-    EXPECT_EQ(site.finished(site.chat({{"model", "ask2"}}, "new"))->status, 200U);
-  EXPECT_EQ(site.instances["m3"]->chats(), before + 4);
-  EXPECT_EQ(site.server->directory.all().size(), 1U);
+    EXPECT_EQ(fixture.finished(fixture.chat({{"model", "ask2"}}, "new"))->status, 200U);
+  EXPECT_EQ(fixture.instances["m3"]->chats(), before + 4);
+  EXPECT_EQ(fixture.server->directory.all().size(), 1U);
 }
 
-TEST(Configuration, AfterAReloadTheFilesDiscoveryIsKnownApartFromTheEnvironments) {
+TEST(Configuration, KeepsTheFilesDiscoveryAddressApartFromTheEnvironments) {
   const json file{{"name", "n"},
                   {"listen", "127.0.0.1:1"},
                   {"discovery", "127.0.0.1:9"},
@@ -1146,19 +1156,19 @@
   EXPECT_EQ(config.discoveryInFile->port(), 9);
 }
 
-TEST(Telemetry, CountersReachACollectorAsOtlp) {
-  NetworkFixture stage;
-  StandInInstance collector(stage.io, stage.clock, stage.timers);
-  collector.script = [](StandInInstance&, StandInInstance::ReceivedRequest& taken) {
-    taken.connection->answer(200, {}, "{}");
+TEST(Telemetry, ExportsCountersToACollectorAsOtlp) {
+  NetworkFixture fixture;
+  StandInInstance collector(fixture.io, fixture.clock, fixture.timers);
+  collector.script = [](StandInInstance&, StandInInstance::ReceivedRequest& request) {
+    request.connection->answer(200, {}, "{}");
   };
-  stage.counters["requests.taken"] = 3;
-  app::OtlpExporter exporter(stage.io, stage.clock, stage.timers, stage.counters,
+  fixture.counters["requests.taken"] = 3;
+  app::OtlpExporter exporter(fixture.io, fixture.clock, fixture.timers, fixture.counters,
                              collector.address(), 1000);
-  stage.pass(999);
+  fixture.pass(999);
   EXPECT_TRUE(collector.received.empty());
-  stage.pass(1);
-  ASSERT_TRUE(stage.until([&] { return stage.counters["otlp.exported"] == 1; }));
+  fixture.pass(1);
+  ASSERT_TRUE(fixture.until([&] { return fixture.counters["otlp.exported"] == 1; }));
   EXPECT_EQ(collector.received[0]->target, "/v1/metrics");
   const json sent = json::parse(collector.received[0]->body);
   const json& metrics = sent["resourceMetrics"][0]["scopeMetrics"][0]["metrics"];
