--- a/src/frontend/front.cpp
+++ b/src/frontend/front.cpp
@@ -10,7 +10,7 @@
                      std::shared_ptr<const upstream::ForwardedRequest> payload,
                      std::shared_ptr<core::ResponseWriter> responseWriter) {
   arrival.timeLeft -= core::toModule(clock_.nowMs() - arrivedMs);
-  inFlight_[&connection] = {};  // before it is taken: the module may answer at once
+  inFlight_[&connection] = {};  // before submit(), which may answer the request at once
   const auto key =
       dispatcher_.submit(std::move(arrival), std::move(payload), std::move(responseWriter));
   const auto it = inFlight_.find(&connection);
@@ -22,7 +22,7 @@
 }
 
 void Front::answerReady(net::ClientConnection& connection) {
-  const bool ready = !ready_ || ready_();
+  const bool ready = !isReady_ || isReady_();
   connection.answer(ready ? 200 : 503, {{"Content-Type", "text/plain"}},
                     ready ? "ready\n" : "evacuated\n");
 }
@@ -34,7 +34,7 @@
   return nullptr;
 }
 
-void Front::leave(net::ClientConnection& connection) {
+void Front::releaseConnection(net::ClientConnection& connection) {
   inFlight_.erase(&connection);
   connection.release();
 }
--- a/src/frontend/openai/chat_response_writer.cpp
+++ b/src/frontend/openai/chat_response_writer.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-constexpr double kRetryAfterMs = 1'000;  // where the module advises nothing
-// Of an answer put together, and of one event.
+constexpr double kRetryAfterMs = 1'000;  // if the rejection or failure names no delay
+// Limits both a response assembled from a stream and a single event.
 constexpr std::size_t kMaxAnswerBytes = std::size_t{4} * 1024 * 1024;
 constexpr const char* kEndOfStream = "[DONE]";
 
@@ -19,20 +19,20 @@
   return "data: " + data + "\n\n";
 }
 
-bool tellsOfError(const json& chunk) {
+bool isErrorEvent(const json& chunk) {
   return chunk.is_object() && chunk.contains("error") && !chunk.contains("choices");
 }
 
-bool holdsUsageAlone(const json& chunk) {
+bool isUsageOnlyEvent(const json& chunk) {
   return chunk.is_object() && chunk.contains("usage") && chunk.contains("choices") &&
          chunk.at("choices").is_array() && chunk.at("choices").empty();
 }
 
-void readCount(const json& usage, const char* name, std::uint64_t& to) {
+void readCount(const json& usage, const char* name, std::uint64_t& result) {
   const auto count = usage.find(name);
   if (count != usage.end() && count->is_number_unsigned() &&
       count->get<std::uint64_t>() < shared::kMaxTokens)
-    to = count->get<std::uint64_t>();
+    result = count->get<std::uint64_t>();
 }
 
 }  // namespace
@@ -51,18 +51,19 @@
       reservation_(std::move(reservation)),
       promptTokens_(static_cast<std::uint64_t>(promptTokens)) {}
 
-// It has not run, so the libraries may try again by themselves.
-void ChatResponseWriter::reject(const core::Rejection& refusal) {
+// The request has not been executed, so client libraries may retry it automatically.
+void ChatResponseWriter::reject(const core::Rejection& rejection) {
   if (reservation_)
     reservation_->refused();
-  if (refusal.pastDeadline)
+  if (rejection.pastDeadline)
     return answerError({504, "no answer began in time", "server_error", {}, "deadline"},
                        ShouldRetry::kYes);
   answerError({429, "too much to do just now", "rate_limit_error", {}, "overloaded"},
-              ShouldRetry::kYes, refusal.retryAfterMs.value_or(kRetryAfterMs));
+              ShouldRetry::kYes, rejection.retryAfterMs.value_or(kRetryAfterMs));
 }
 
-// It may have run. Client libraries repeat what fails with 5xx unless told not to.
+// The request may have been executed. Client libraries retry a 5xx response unless it carries
+// X-Should-Retry: false.
 void ChatResponseWriter::fail(const core::Failure& failure) {
   if (reservation_)
     reservation_->failed();
@@ -74,14 +75,14 @@
               ShouldRetry::kNo, kRetryAfterMs);
 }
 
-bool ChatResponseWriter::write(std::string_view part) {
-  events_.add(part);
-  bool takesMore = true;
+bool ChatResponseWriter::write(std::string_view bytes) {
+  events_.add(bytes);
+  bool acceptsMore = true;
   while (const auto event = events_.next())
-    takesMore = passEvent(*event) && takesMore;
+    acceptsMore = forwardEvent(*event) && acceptsMore;
   if (events_.pendingBytes() > kMaxAnswerBytes)
     isTooLong_ = true;
-  return takesMore;
+  return acceptsMore;
 }
 
 void ChatResponseWriter::end() {
@@ -96,12 +97,12 @@
   connection_->endStream();
 }
 
-// One last event tells the client; what was begun is never sent again.
+// A stream that has begun ends with one error event; the request is not sent to another instance.
 void ChatResponseWriter::abort() {
   if (reservation_)
     reservation_->failed();
   const ApiError error{503, "the answer broke off", "server_error", {}, "stream_broken"};
-  if (!begun_)
+  if (!streamBegun_)
     return answerError(error, ShouldRetry::kNo, kRetryAfterMs);
   if (!hasError_)
     writeEvent(eventOf(error.text()));
@@ -109,25 +110,25 @@
   connection_->endStream();
 }
 
-// The end of the stream is written by end(), once it is known to be complete. Most events are
-// passed on unread.
-bool ChatResponseWriter::passEvent(const std::string& event) {
+// [DONE] is not forwarded: end() writes it once the stream is known to be complete. Events of a
+// stream that contain neither usage nor an error are forwarded without being parsed.
+bool ChatResponseWriter::forwardEvent(const std::string& event) {
   const std::string data = dataOf(event);
   if (data == kEndOfStream)
     isComplete_ = true;
   if (isComplete_)
     return true;
-  const bool mayMatter =
+  const bool needsParsing =
       data.find("\"usage\"") != std::string::npos || data.find("\"error\"") != std::string::npos;
-  if (isStream_ && !mayMatter)
+  if (isStream_ && !needsParsing)
     return writeEvent(event);
   const json chunk = json::parse(data, nullptr, /*allow_exceptions=*/false);
-  if (tellsOfError(chunk))
+  if (isErrorEvent(chunk))
     hasError_ = true;
   readUsage(chunk);
   if (!isStream_)
     return addToCompletion(chunk);
-  return (holdsUsageAlone(chunk) && !includesUsage_) || writeEvent(event);
+  return (isUsageOnlyEvent(chunk) && !includesUsage_) || writeEvent(event);
 }
 
 bool ChatResponseWriter::addToCompletion(const json& chunk) {
@@ -138,8 +139,8 @@
   return true;
 }
 
-// As the instance counted them: what is estimated here from the text's length only serves to
-// compare.
+// Replaces the estimate by the token counts of the instance. The estimate from the text's length
+// only serves to compare requests.
 void ChatResponseWriter::readUsage(const json& chunk) {
   if (!chunk.is_object())
     return;
@@ -151,11 +152,11 @@
 }
 
 bool ChatResponseWriter::writeEvent(std::string_view event) {
-  if (!begun_)
+  if (!streamBegun_)
     connection_->beginStream({{"Content-Type", "text/event-stream"},
                               {"Cache-Control", "no-cache"},
                               {"X-Request-Id", id_}});
-  begun_ = true;
+  streamBegun_ = true;
   return connection_->writeChunk(event);
 }
 
--- a/src/frontend/openai/openai_front.h
+++ b/src/frontend/openai/openai_front.h
@@ -1,5 +1,5 @@
-/// The chat API that every client library speaks, on the same core, module and rules as the
-/// platform's protocol.
+/// Serves the chat API that common client libraries use, on the same core, routing library and
+/// settings as the platform's protocol.
 #pragma once
 
 #include <cstdint>
@@ -16,21 +16,22 @@
 
 namespace inference_router::frontend {
 
-/// How instances are spoken to under this API.
-upstream::InstanceProtocol openaiProtocol(const OperatorFile& site);
+/// The paths and headers of calls to instances under this API.
+upstream::InstanceProtocol openaiProtocol(const OperatorFile& operatorFile);
 
-/// `site` outlives it and may change between two requests.
+/// The front end for the chat API. `operatorFile` must outlive it and may change between two
+/// requests.
 class OpenAiFront final : public Front {
  public:
   using NewId = std::function<std::string()>;
 
   OpenAiFront(core::RequestDispatcher& dispatcher,
-              const OperatorFile& site,
+              const OperatorFile& operatorFile,
               const core::Clock& clock,
               core::Counters& counters,
               NewId newId);
 
-  /// Whoever counts tokens; without it nobody does.
+  /// Sets the meter that counts tokens. Without one, tokens are not counted.
   void setTokenMeter(std::shared_ptr<TokenMeter> meter) { meter_ = std::move(meter); }
 
   void request(const std::shared_ptr<net::ClientConnection>& connection,
@@ -58,13 +59,13 @@
   std::string models(const std::string& target) const;
   void answerError(net::ClientConnection& connection, const ApiError& error);
 
-  const OperatorFile& site_;
+  const OperatorFile& operatorFile_;
   NewId newId_;
   std::shared_ptr<TokenMeter> meter_;
   std::int64_t startedS_;
 };
 
-/// Ids of requests, fresh also after a restart.
+/// Returns a generator of random request ids, which do not repeat after a restart.
 OpenAiFront::NewId randomIds();
 
 }  // namespace inference_router::frontend
--- a/src/frontend/openai/sse.h
+++ b/src/frontend/openai/sse.h
@@ -1,4 +1,4 @@
-/// Splits a stream of server-sent events into whole events.
+/// Parsing of server-sent events.
 #pragma once
 
 #include <optional>
@@ -7,34 +7,37 @@
 
 namespace inference_router::frontend {
 
+/// Splits a stream of bytes into complete events.
 class EventSplitter {
  public:
-  void add(std::string_view part) { text_ += part; }
+  /// Appends received bytes.
+  void add(std::string_view bytes) { text_ += bytes; }
 
-  /// The next complete event with its empty line, as it came.
+  /// Removes and returns the next complete event, unchanged and with the empty line that ends it.
   std::optional<std::string> next() {
-    const std::size_t plain = text_.find(kEnd);
-    const std::size_t carriage = text_.find(kCarriageEnd);
-    if (plain == std::string::npos && carriage == std::string::npos)
+    const std::size_t lfEnd = text_.find(kLfEnd);
+    const std::size_t crlfEnd = text_.find(kCrlfEnd);
+    if (lfEnd == std::string::npos && crlfEnd == std::string::npos)
       return std::nullopt;
-    const std::size_t end = plain < carriage ? plain + kEnd.size() : carriage + kCarriageEnd.size();
+    const std::size_t end = lfEnd < crlfEnd ? lfEnd + kLfEnd.size() : crlfEnd + kCrlfEnd.size();
     std::string event = text_.substr(0, end);
     text_.erase(0, end);
     return event;
   }
 
-  /// Bytes of the event that is incomplete.
+  /// Bytes that have not been returned yet; after next() has returned nothing, the size of the
+  /// incomplete event.
   std::size_t pendingBytes() const { return text_.size(); }
 
  private:
-  static constexpr std::string_view kEnd = "\n\n";
-  static constexpr std::string_view kCarriageEnd = "\r\n\r\n";
+  static constexpr std::string_view kLfEnd = "\n\n";
+  static constexpr std::string_view kCrlfEnd = "\r\n\r\n";
 
   std::string text_;
 };
 
-/// The data of an event; its lines joined as the format says. Comments and other fields are
-/// skipped.
+/// Returns the data of an event, with its data lines joined by line feeds as the format specifies.
+/// Comments and other fields are skipped.
 inline std::string dataOf(std::string_view event) {
   constexpr std::string_view kDataField = "data:";
   std::string data;
--- a/src/frontend/platform/platform_front.h
+++ b/src/frontend/platform/platform_front.h
@@ -1,4 +1,5 @@
-/// The platform's protocol: requests in headers, answers as the instances give them.
+/// Serves the platform's protocol: headers describe the request, and responses of instances are
+/// forwarded unchanged.
 #pragma once
 
 #include <memory>
@@ -13,9 +14,10 @@
 
 namespace inference_router::frontend {
 
-/// How instances are spoken to under this protocol.
+/// The paths and headers of calls to instances under this protocol.
 upstream::InstanceProtocol platformProtocol();
 
+/// The front end for the platform's protocol. The names must outlive it.
 class PlatformFront final : public Front {
  public:
   PlatformFront(core::RequestDispatcher& dispatcher,
@@ -27,7 +29,7 @@
   void request(const std::shared_ptr<net::ClientConnection>& connection,
                net::HttpRequest&& request,
                double arrivedMs) override;
-  std::shared_ptr<core::ResponseWriter> adopted(
+  std::shared_ptr<core::ResponseWriter> adoptResponse(
       const std::shared_ptr<net::ClientConnection>& connection) override;
   void reject(net::ClientConnection& connection, unsigned status, std::string_view why) override;
 
--- a/src/frontend/platform/request_headers.cpp
+++ b/src/frontend/platform/request_headers.cpp
@@ -14,13 +14,14 @@
 
 namespace {
 
-// Far above what any request needs, and far below where a double no longer fits the module's time.
+// Far above what any request needs, and far below the values at which a double overflows the
+// routing library's time type.
 constexpr std::uint64_t kMaxMs = 3'600'000;
 constexpr std::uint64_t kMaxTokens = 100'000'000;
 constexpr std::size_t kMaxIdLength = 128;
 constexpr double kUsPerMs = 1'000;
 
-double numberOf(std::string_view text, const std::string& name, std::uint64_t max) {
+double parseNumber(std::string_view text, const std::string& name, std::uint64_t max) {
   std::uint64_t value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc() || end != text.data() + text.size())
@@ -30,8 +31,8 @@
   return static_cast<double>(value);
 }
 
-// A guess may not cost a request: one that cannot be read, or says nothing, is none.
-std::optional<routing::Duration> costOf(std::string_view text) {
+// The cost is only the client's estimate, so an invalid value is ignored rather than rejected.
+std::optional<routing::Duration> parseCost(std::string_view text) {
   double us = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), us);
   const bool complete = error == std::errc() && end == text.data() + text.size();
@@ -40,7 +41,7 @@
   return routing::Duration(std::llround(us));
 }
 
-// The id becomes part of paths and headers towards the instances.
+// The id becomes part of paths and headers of calls to instances, so it must need no escaping.
 bool isPlainId(const std::string& id) {
   return !id.empty() && id.size() <= kMaxIdLength && std::all_of(id.begin(), id.end(), [](char c) {
     return std::isalnum(static_cast<unsigned char>(c)) != 0 || c == '-' || c == '_' || c == '.';
@@ -51,11 +52,11 @@
   if (name == "prefix")
     arrival.prefix = std::string(value);
   if (name == "prompt_len")
-    arrival.promptTokens = numberOf(value, "prompt_len", kMaxTokens);
+    arrival.promptTokens = parseNumber(value, "prompt_len", kMaxTokens);
   if (name == "prefix_len")
-    arrival.prefixTokens = numberOf(value, "prefix_len", kMaxTokens);
+    arrival.prefixTokens = parseNumber(value, "prefix_len", kMaxTokens);
   if (name == "max_out")
-    arrival.maxTokens = numberOf(value, "max_out", kMaxTokens);
+    arrival.maxTokens = parseNumber(value, "max_out", kMaxTokens);
 }
 
 void readInfo(std::string_view info, Arrival& arrival) {
@@ -124,12 +125,12 @@
     arrival.tenant = routing::TenantIndex{*tenant};
   arrival.session = headerOf(request, "X-Route-Hash");
   arrival.timeLeft =
-      core::toModule(numberOf(headerOf(request, "X-Budget-Ms"), "X-Budget-Ms", kMaxMs));
+      core::toModule(parseNumber(headerOf(request, "X-Budget-Ms"), "X-Budget-Ms", kMaxMs));
   readInfo(headerOf(request, "X-Call-Info"), arrival);
-  arrival.lengthHint = costOf(headerOf(request, "X-Call-Cost"));
-  const std::string again = headerOf(request, "X-Again");
-  arrival.repeat = again == "1";
-  arrival.resumed = again == "again";
+  arrival.lengthHint = parseCost(headerOf(request, "X-Call-Cost"));
+  const std::string repeatMark = headerOf(request, "X-Again");
+  arrival.repeat = repeatMark == "1";
+  arrival.resumed = repeatMark == "again";
   return arrival;
 }
 
